--- a/deploy/days/draw.py
+++ b/deploy/days/draw.py
@@ -53,36 +53,86 @@
 CLOSINGS = troubles.CLOSINGS + troubles.CLOSINGS_OF_THE_OLDEST
 GROUPS = {
     "mixed": Group(
-        main=troubles.CORE, beside=troubles.OTHERS, starts=starts(3.0, 6.0, 27.0), length_s=40.0,
-        plans=troubles.PLANS, always=(troubles.CHANGES,), closings=troubles.CLOSINGS),
+        main=troubles.CORE,
+        beside=troubles.OTHERS,
+        starts=starts(3.0, 6.0, 27.0),
+        length_s=40.0,
+        plans=troubles.PLANS,
+        always=(troubles.CHANGES,),
+        closings=troubles.CLOSINGS,
+    ),
     "cut-off": Group(
-        main=troubles.CUT_OFF, beside=troubles.BESIDE_CUTS, starts=starts(2.0, 23.0, 48.0), length_s=74.0,
-        plans=troubles.PLANS, always=(storm(70.0, 0.8),), closings=CLOSINGS),
+        main=troubles.CUT_OFF,
+        beside=troubles.BESIDE_CUTS,
+        starts=starts(2.0, 23.0, 48.0),
+        length_s=74.0,
+        plans=troubles.PLANS,
+        always=(storm(70.0, 0.8),),
+        closings=CLOSINGS,
+    ),
     "races": Group(
-        main=troubles.RACES, beside=troubles.OTHERS, starts=starts(2.0, 6.0, 32.0), length_s=42.0,
-        plans=troubles.RACE_PLANS, closings=CLOSINGS,
-        always=('kind = "config_race", count = 36, gap_s = 1.0', 'kind = "ack_lost", for_s = 38.0, x = 0.9')),
+        main=troubles.RACES,
+        beside=troubles.OTHERS,
+        starts=starts(2.0, 6.0, 32.0),
+        length_s=42.0,
+        plans=troubles.RACE_PLANS,
+        closings=CLOSINGS,
+        always=('kind = "config_race", count = 36, gap_s = 1.0', 'kind = "ack_lost", for_s = 38.0, x = 0.9'),
+    ),
     "second-loss": Group(
-        main=troubles.SECOND_LOSS, beside=troubles.BESIDE_CUTS, starts=starts(2.0, 7.0, 30.0), length_s=42.0,
-        plans=troubles.PLANS, always=(storm(38.0, 0.6),), closings=CLOSINGS),
+        main=troubles.SECOND_LOSS,
+        beside=troubles.BESIDE_CUTS,
+        starts=starts(2.0, 7.0, 30.0),
+        length_s=42.0,
+        plans=troubles.PLANS,
+        always=(storm(38.0, 0.6),),
+        closings=CLOSINGS,
+    ),
     "dense": Group(
-        main=troubles.RACES + troubles.SECOND_LOSS, beside=troubles.BESIDE_ANSWERS,
-        starts=starts(1.0, 2.5, 38.5), length_s=42.0, plans=troubles.RACE_PLANS, closings=CLOSINGS,
-        always=('kind = "config_race", count = 60, gap_s = 0.6', 'kind = "ack_lost", for_s = 38.0, x = 0.5')),
+        main=troubles.RACES + troubles.SECOND_LOSS,
+        beside=troubles.BESIDE_ANSWERS,
+        starts=starts(1.0, 2.5, 38.5),
+        length_s=42.0,
+        plans=troubles.RACE_PLANS,
+        closings=CLOSINGS,
+        always=('kind = "config_race", count = 60, gap_s = 0.6', 'kind = "ack_lost", for_s = 38.0, x = 0.5'),
+    ),
     "pairs": Group(
-        main=troubles.PAIRS, beside=troubles.BESIDE_ANSWERS, starts=starts(1.0, 4.0, 37.0), length_s=42.0,
-        plans=troubles.RACE_PLANS, closings=CLOSINGS,
-        always=('kind = "config_race", count = 30, gap_s = 1.2', storm(38.0, 0.5))),
+        main=troubles.PAIRS,
+        beside=troubles.BESIDE_ANSWERS,
+        starts=starts(1.0, 4.0, 37.0),
+        length_s=42.0,
+        plans=troubles.RACE_PLANS,
+        closings=CLOSINGS,
+        always=('kind = "config_race", count = 30, gap_s = 1.2', storm(38.0, 0.5)),
+    ),
     "long": Group(
-        main=troubles.LONG, beside=troubles.OTHERS, starts=starts(5.0, 14.0, 285.0), length_s=300.0,
-        plans=troubles.LONG_PLANS, always=(storm(295.0, 0.25),), closings=CLOSINGS),
+        main=troubles.LONG,
+        beside=troubles.OTHERS,
+        starts=starts(5.0, 14.0, 285.0),
+        length_s=300.0,
+        plans=troubles.LONG_PLANS,
+        always=(storm(295.0, 0.25),),
+        closings=CLOSINGS,
+    ),
     "answers": Group(
-        main=troubles.ANSWERS, beside=troubles.BESIDE_ANSWERS, starts=starts(2.0, 6.0, 26.0), length_s=40.0,
-        plans=troubles.PLANS, always=(troubles.CHANGES,), closings=CLOSINGS),
+        main=troubles.ANSWERS,
+        beside=troubles.BESIDE_ANSWERS,
+        starts=starts(2.0, 6.0, 26.0),
+        length_s=40.0,
+        plans=troubles.PLANS,
+        always=(troubles.CHANGES,),
+        closings=CLOSINGS,
+    ),
     "answers-of-pools": Group(
-        main=troubles.ANSWERS + troubles.ANSWERS_OF_POOLS, beside=troubles.BESIDE_ANSWERS,
-        starts=starts(2.0, 6.0, 26.0), length_s=40.0, plans=troubles.PLANS, always=(troubles.CHANGES,),
-        closings=CLOSINGS),
+        main=troubles.ANSWERS + troubles.ANSWERS_OF_POOLS,
+        beside=troubles.BESIDE_ANSWERS,
+        starts=starts(2.0, 6.0, 26.0),
+        length_s=40.0,
+        plans=troubles.PLANS,
+        always=(troubles.CHANGES,),
+        closings=CLOSINGS,
+    ),
 }
 
 
@@ -113,26 +163,46 @@
 
 def day(name: str, group: Group, decks: dict[str, Deck], chance: random.Random) -> str:
     """The text of one day."""
-    faced = [(start + chance.uniform(0.0, JITTER_S), decks[deck].deal())
-             for start in group.starts for deck in ("main", "beside")]
+    faced = [
+        (start + chance.uniform(0.0, JITTER_S), decks[deck].deal())
+        for start in group.starts
+        for deck in ("main", "beside")
+    ]
     work = [(chance.uniform(1.0, 6.0), decks["plans"].deal()) for _ in range(WORK_KINDS)]
     work += [(1.0, entry) for entry in group.always]
     plan = [item for item in faced if is_planned(item[1])]
     plan += [item for item in work if item[1].split('"')[1] not in FAULT_PLANS]
     faults = [item for item in faced + work if item not in plan]
-    return "\n".join([
-        "[[day]]", f'name = "{name}"', 'slot = "trouble"', f"seed = {chance.randrange(1, 1 << 28)}",
-        f"length_s = {group.length_s}", f"closing = {{ {decks['closings'].deal()} }}",
-        *lines("plan", plan), *lines("faults", faults)]) + "\n"
+    return (
+        "\n".join(
+            [
+                "[[day]]",
+                f'name = "{name}"',
+                'slot = "trouble"',
+                f"seed = {chance.randrange(1, 1 << 28)}",
+                f"length_s = {group.length_s}",
+                f"closing = {{ {decks['closings'].deal()} }}",
+                *lines("plan", plan),
+                *lines("faults", faults),
+            ]
+        )
+        + "\n"
+    )
 
 
 def main(seed: int, folder: Path, name: str = "mixed") -> None:
     """Writes the days of one group into the folder."""
     group = GROUPS[name]
     chance = random.Random(seed)
-    decks = {deck: Deck(entries, chance) for deck, entries in (
-        ("main", group.main), ("beside", group.beside), ("plans", group.plans),
-        ("closings", group.closings))}
+    decks = {
+        deck: Deck(entries, chance)
+        for deck, entries in (
+            ("main", group.main),
+            ("beside", group.beside),
+            ("plans", group.plans),
+            ("closings", group.closings),
+        )
+    }
     prefix = "d" if name == "mixed" else f"{name}-"
     for number in range(group.days):
         title = f"{prefix}{seed}-{number:02}"
--- a/larchgw/choice.py
+++ b/larchgw/choice.py
@@ -177,8 +177,9 @@
         elif not self._place(now, job):
             self._hold(now, job)
 
-    def _resume(self, now: float, job: Job, name: WorkerId, sent: float, begun: float,
-                status: int | None) -> None:
+    def _resume(
+        self, now: float, job: Job, name: WorkerId, sent: float, begun: float, status: int | None
+    ) -> None:
         """Counts an attempt of another process, which ended so or is still out, like one of ours."""
         worker = self.workers.get(name) or Worker(Member(name), self.fair)
         state = OUT if status is None else NEVER_RAN if status in PROOFS else MAYBE_RAN
@@ -193,8 +194,13 @@
 
     def _place(self, now: float, job: Job) -> bool:
         """Sends a job if the window is open and a worker has room for it."""
-        open_ = self.fleet.reports.on or self.active <= 0 or (  # they tell of their room, or are to show it
-            self.active + job.request.slots + self.room.kept(now, job) <= self.window)
+        open_ = (
+            self.fleet.reports.on
+            or self.active <= 0
+            or (  # they tell of their room, or are to show it
+                self.active + job.request.slots + self.room.kept(now, job) <= self.window
+            )
+        )
         worker = self._choose(now, job) if open_ else None
         if worker is None:
             self.room.wait(now, job, self._ring(-1, job.cls.kind)[1])
@@ -239,9 +245,12 @@
     def _ring(self, zone: int, kind: int) -> tuple[list[int], list[Worker]]:
         ring = self.rings.get((zone, kind))
         if ring is None:
-            places = sorted((mix(w.point + i & MASK), w.id) for w in self.workers.values()
-                            if w.ready and zone in (-1, w.zone) and kind in (-1, w.kind)
-                            for i in range(round(POINTS * self.fleet.speed(w)) or 1))
+            places = sorted(
+                (mix(w.point + i & MASK), w.id)
+                for w in self.workers.values()
+                if w.ready and zone in (-1, w.zone) and kind in (-1, w.kind)
+                for i in range(round(POINTS * self.fleet.speed(w)) or 1)
+            )
             ring = self.rings[zone, kind] = ([p for p, _ in places], [self.workers[w] for _, w in places])
         return ring
 
@@ -256,8 +265,14 @@
             return None
         key, bits = job.request.key, self.random.getrandbits
         if key and self.fleet.reports.on:  # a home that would have to fetch it gets it where none waits
-            return next((w for w in self.fleet.order(key, (zone, job.cls.kind), workers)
-                         if self._has_room(now, job, w) and not self.fleet.wait(now, job, w)), None)
+            return next(
+                (
+                    w
+                    for w in self.fleet.order(key, (zone, job.cls.kind), workers)
+                    if self._has_room(now, job, w) and not self.fleet.wait(now, job, w)
+                ),
+                None,
+            )
         homes = self.fleet.homes(key, SAMPLE) if key else ()
         for i in homes:
             # Dispatchers that see little of a key send it where all others do: it is held there, as far as
@@ -344,8 +359,10 @@
         pair = worker.keys.pop(key, None)
         if pair is None:
             for old in list(islice(worker.keys.values(), 2)):
-                if old.pending <= 0 and (len(worker.keys) >= self.fleet.kept(worker)
-                                         or now - old.used > KEEP * min(old.uses, KEEP_USES)):
+                if old.pending <= 0 and (
+                    len(worker.keys) >= self.fleet.kept(worker)
+                    or now - old.used > KEEP * min(old.uses, KEEP_USES)
+                ):
                     self._drop_pair(old)
                 else:
                     worker.keys[old.key] = worker.keys.pop(old.key)
@@ -510,8 +527,12 @@
             self.active -= job.request.slots
         if pair:
             pair.pending -= job.request.slots
-            if status != Status.OK and status != Status.CANCELLED and pair.pending <= 0 and (
-                    status != Status.FULL or pair.uses <= 1):
+            if (
+                status != Status.OK
+                and status != Status.CANCELLED
+                and pair.pending <= 0
+                and (status != Status.FULL or pair.uses <= 1)
+            ):
                 self._drop_pair(pair)
         free = o.report[self.s.slot_reports] if 0 <= self.s.slot_reports < len(o.report) else -1.0
         self.room.ended(now, attempt, status, free)
@@ -597,8 +618,9 @@
         sick = self.fleet.health.sick
         return [w.id for w in self.workers.values() if w.ready and (w.doubts or sick(now, w))]
 
-    def on_probed(self, now: float, worker: WorkerId, status: int, latency: float,
-                  report: Sequence[float]) -> None:
+    def on_probed(
+        self, now: float, worker: WorkerId, status: int, latency: float, report: Sequence[float]
+    ) -> None:
         """A worker answered a probe, or did not."""
         known = self.workers.get(worker)
         if known and status == Status.OK:
@@ -684,8 +706,12 @@
         # Its worker has gone silent: a second copy where class, group and memory allow.
         if self.s.second_copies and self._place(now, job):
             self.hedges -= 1.0
-        elif not self.s.second_copies and self.s.can_cancel and job.cls.effect == "idempotent" and (
-                len(job.attempts) < self.s.max_attempts and self._another(job)):
+        elif (
+            not self.s.second_copies
+            and self.s.can_cancel
+            and job.cls.effect == "idempotent"
+            and (len(job.attempts) < self.s.max_attempts and self._another(job))
+        ):
             # The last one is let run, and one that nobody else can take: nothing could follow it.
             self.act.cancel(job.request.id, attempt.index)
 
--- a/larchgw/cli/curl_transport.py
+++ b/larchgw/cli/curl_transport.py
@@ -25,9 +25,15 @@
         headers = {"Content-Type": "application/json", **call.headers}
         try:
             response = self._client.fetch(
-                f"http://{address}{call.path}", method=call.method, headers=headers, body=call.body,
-                raise_error=False, follow_redirects=False, connect_timeout=SILENCE_S,
-                request_timeout=LARGE_SILENCE_S if is_large else SILENCE_S)
+                f"http://{address}{call.path}",
+                method=call.method,
+                headers=headers,
+                body=call.body,
+                raise_error=False,
+                follow_redirects=False,
+                connect_timeout=SILENCE_S,
+                request_timeout=LARGE_SILENCE_S if is_large else SILENCE_S,
+            )
         except (HTTPClientError, OSError) as error:
             raise NoAnswer(f"{address}: {error}") from error
         if response.code == NO_STATUS:
--- a/larchgw/cli/lab.py
+++ b/larchgw/cli/lab.py
@@ -65,13 +65,28 @@
 
 
 EXPERIMENTS: dict[str, Callable[[Options], Result]] = {
-    "distribution": _distribution, "fleet": _fleet, "mass": _mass, "membership": _membership, "place": _place,
-    "recovery": _recovery, "room": _room, "room-cost": _room_cost, "route": _route}
+    "distribution": _distribution,
+    "fleet": _fleet,
+    "mass": _mass,
+    "membership": _membership,
+    "place": _place,
+    "recovery": _recovery,
+    "room": _room,
+    "room-cost": _room_cost,
+    "route": _route,
+}
 
 
 @textual
-def lab(name: str, *, seed: str = "1", seeds: str = "5", seconds: str = "60", jobs: str | None = None,
-        json: str | None = None) -> Command:
+def lab(
+    name: str,
+    *,
+    seed: str = "1",
+    seeds: str = "5",
+    seconds: str = "60",
+    jobs: str | None = None,
+    json: str | None = None,
+) -> Command:
     """Runs an experiment against models; the last line printed is NAME: figure=value ...
 
     Args:
--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -50,8 +50,16 @@
 
 
 COMMANDS: dict[str, Any] = {
-    "serve": serve, "edge": edge, "control": control, "check": check, "settings": settings, "try": trial,
-    "lab": lab, "explore": explore, "system": SYSTEM}
+    "serve": serve,
+    "edge": edge,
+    "control": control,
+    "check": check,
+    "settings": settings,
+    "try": trial,
+    "lab": lab,
+    "explore": explore,
+    "system": SYSTEM,
+}
 
 
 def _for_serve(arguments: Sequence[str]) -> list[str]:
--- a/larchgw/cli/system_common.py
+++ b/larchgw/cli/system_common.py
@@ -30,8 +30,9 @@
             raise UsageError(f"--at: {wrong or at!r} is no HOST:PORT; give some, separated by commas")
         return found
     if not os.environ.get(process_settings.VARIABLE):
-        raise UsageError(f"--at: name control processes, or set {process_settings.VARIABLE} to the settings "
-                         "of one")
+        raise UsageError(
+            f"--at: name control processes, or set {process_settings.VARIABLE} to the settings of one"
+        )
     try:
         return list(of_settings(process_settings.load()))
     except SettingsError as error:
@@ -53,8 +54,13 @@
     """Lines of a table, columns two spaces apart; numbers stand to the right."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(len(line[place]) for line in [list(head), *cells]) for place in range(len(head))]
-    numeric = [bool(rows) and all(isinstance(row[place], int | float) for row in rows)
-               for place in range(len(head))]
-    return ["  ".join(cell.rjust(width) if right else cell.ljust(width)
-                      for cell, width, right in zip(line, widths, numeric, strict=True)).rstrip()
-            for line in [list(head), *cells]]
+    numeric = [
+        bool(rows) and all(isinstance(row[place], int | float) for row in rows) for place in range(len(head))
+    ]
+    return [
+        "  ".join(
+            cell.rjust(width) if right else cell.ljust(width)
+            for cell, width, right in zip(line, widths, numeric, strict=True)
+        ).rstrip()
+        for line in [list(head), *cells]
+    ]
--- a/larchgw/cli/system_config.py
+++ b/larchgw/cli/system_config.py
@@ -32,8 +32,9 @@
 
 
 @textual
-def replace(file: str, *, built_on: str | None = None, at: str | None = None,
-            seconds: str = DEFAULT_PATIENCE_S) -> Command:
+def replace(
+    file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_PATIENCE_S
+) -> Command:
     """Replaces the configuration by a whole one; status 1 if it was refused, 3 if no clear answer came.
 
     Args:
@@ -46,8 +47,9 @@
 
 
 @textual
-def change(file: str, *, built_on: str | None = None, at: str | None = None,
-           seconds: str = DEFAULT_PATIENCE_S) -> Command:
+def change(
+    file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_PATIENCE_S
+) -> Command:
     """Adds, replaces and removes named items; ends as replace does.
 
     Args:
@@ -61,8 +63,10 @@
 
 def _order(path: str, name: str, built_on: str | None, at: str | None, seconds: str) -> Command:
     if built_on is None:
-        raise UsageError("--built-on: give the version that this builds on; `larchgw system config read` "
-                         "prints the current one as config_version, 0 is for the first")
+        raise UsageError(
+            "--built-on: give the version that this builds on; `larchgw system config read` "
+            "prints the current one as config_version, 0 is for the first"
+        )
     version = whole("built-on", built_on, 0)
     source = file("file", name, exists=True)
     assert source is not None
@@ -102,8 +106,10 @@
     try:
         reply = client.call(Call("POST", path, {"X-Built-On": str(built_on)}, source.read_bytes()))
     except Unclear as error:
-        return fail(f"{error}. It may have been taken: send the same file again, or read the configuration",
-                    Ending.UNCLEAR)
+        return fail(
+            f"{error}. It may have been taken: send the same file again, or read the configuration",
+            Ending.UNCLEAR,
+        )
     if reply.status != OK:
         return fail(refusal(reply), Ending.REFUSED)
     print(f"acknowledged; the current version is {_answer(reply).get('config_version')}")
--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -41,8 +41,9 @@
 
 
 @textual
-def restore(source: str, *, data_dir: str | None = None, settings: str | None = None,
-            yes: str = "False") -> Command:
+def restore(
+    source: str, *, data_dir: str | None = None, settings: str | None = None, yes: str = "False"
+) -> Command:
     """Writes a data folder with which one control process begins anew, after more was lost than is survived.
 
     Every control process must be stopped, and the data folders of the others empty; see
@@ -62,8 +63,10 @@
     except SettingsError as error:
         raise UsageError(f"--settings: {error}") from None
     if terms.first_boot:
-        raise UsageError("first_boot is true in the settings: set it to false on every machine, or the "
-                         "others begin a system of their own")
+        raise UsageError(
+            "first_boot is true in the settings: set it to false on every machine, or the "
+            "others begin a system of their own"
+        )
     sure = flag("yes", yes)
     return Command(lambda: _restore(Path(source), Path(data_dir), terms, sure))
 
@@ -109,10 +112,12 @@
         return fail(f"a control process answers at {running[0]}: stop all of them first", Ending.REFUSED)
     print(f"found {restoring.describe(found)}")
     if not sure:
-        return fail("nothing was written; add --yes once every control process is stopped for good",
-                    Ending.REFUSED)
-    begin = beginning(restoring.fresh_identity(address), address, time.time(), found.last_epoch,
-                      found.last_index)
+        return fail(
+            "nothing was written; add --yes once every control process is stopped for good", Ending.REFUSED
+        )
+    begin = beginning(
+        restoring.fresh_identity(address), address, time.time(), found.last_epoch, found.last_index
+    )
     try:
         restoring.write_folder(folder, found, begin)
     except StorageError as error:
--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -124,42 +124,67 @@
     """One process's status, for reading."""
     disk = status.disk
     isolated = ", cut off from the majority" if status.isolated else ""
-    lines = [f"{status.node_name} at {address}: {status.role}{isolated}",
-             f"  identity       {status.identity}"]
+    lines = [
+        f"{status.node_name} at {address}: {status.role}{isolated}",
+        f"  identity       {status.identity}",
+    ]
     if status.view is None:
         lines.append("  view           none yet")
     else:
-        lines += [f"  view           epoch {status.view.epoch}, primary {status.view.primary}",
-                  f"  backups        {', '.join(status.view.backups) or 'none'}",
-                  f"  witnesses      {', '.join(status.view.witnesses)}"]
+        lines += [
+            f"  view           epoch {status.view.epoch}, primary {status.view.primary}",
+            f"  backups        {', '.join(status.view.backups) or 'none'}",
+            f"  witnesses      {', '.join(status.view.witnesses)}",
+        ]
     stages = ", ".join(f"{count} {stage}" for stage, count in sorted(status.runners.items()))
     free = f"{disk.free_bytes >> 20} MiB free" if disk.free_bytes >= 0 else "free space not told"
     version = status.config_version or "none"
-    lines += [f"  configuration  {version}, record {status.committed_index} committed",
-              f"  placer         {status.placer or 'nobody known'}, fence {status.placer_fence}",
-              f"  runners        {stages or 'none'}",
-              f"  disk           log {disk.log_bytes} bytes, records {disk.first_index} to {disk.last_index} "
-              f"(durable up to {disk.durable_index}), {free}, "
-              f"{'with' if disk.has_reserve else 'without'} reserve",
-              "  processes"]
-    table = columns(("name", "role", "address", "zone", "state"),
-                    [(process.name, process.role, process.address, process.zone, process.state)
-                     for process in status.processes])
+    lines += [
+        f"  configuration  {version}, record {status.committed_index} committed",
+        f"  placer         {status.placer or 'nobody known'}, fence {status.placer_fence}",
+        f"  runners        {stages or 'none'}",
+        f"  disk           log {disk.log_bytes} bytes, records {disk.first_index} to {disk.last_index} "
+        f"(durable up to {disk.durable_index}), {free}, "
+        f"{'with' if disk.has_reserve else 'without'} reserve",
+        "  processes",
+    ]
+    table = columns(
+        ("name", "role", "address", "zone", "state"),
+        [
+            (process.name, process.role, process.address, process.zone, process.state)
+            for process in status.processes
+        ],
+    )
     return lines + [f"    {line}" for line in table]
 
 
 def runner_lines(entries: Sequence[Entry]) -> list[str]:
     """A table of the runners in these registry entries, and their number by stage."""
     records = [RunnerRecord.decode(entry.value) for entry in entries if entry.key.startswith(RUNNER)]
-    expected = {entry.key.removeprefix(EXPECTED): json.loads(entry.value)
-                for entry in entries if entry.key.startswith(EXPECTED)}
+    expected = {
+        entry.key.removeprefix(EXPECTED): json.loads(entry.value)
+        for entry in entries
+        if entry.key.startswith(EXPECTED)
+    }
     records.sort(key=lambda record: (record.service, record.stage, record.id))
-    rows = [(record.id, record.service, record.address, record.zone, record.stage.name.lower(),
-             _models(record), _expected(expected.get(record.id, {}))) for record in records]
+    rows = [
+        (
+            record.id,
+            record.service,
+            record.address,
+            record.zone,
+            record.stage.name.lower(),
+            _models(record),
+            _expected(expected.get(record.id, {})),
+        )
+        for record in records
+    ]
     stages = Counter(record.stage.name.lower() for record in records)
     counted = ", ".join(f"{count} {stage}" for stage, count in sorted(stages.items()))
-    return [*columns(("id", "service", "address", "zone", "stage", "models", "expected"), rows),
-            f"runners: {counted or 'none'}"]
+    return [
+        *columns(("id", "service", "address", "zone", "stage", "models", "expected"), rows),
+        f"runners: {counted or 'none'}",
+    ]
 
 
 def _models(record: RunnerRecord) -> str:
@@ -173,12 +198,26 @@
 
 def placement_lines(node_name: str, status: PlacementStatus) -> list[str]:
     """What the placer holds, wants and has ordered."""
-    models = [(model.service_name, model.model, round(model.rate, 2), model.waiting, model.in_flight,
-               " ".join(model.holders) or "-", " ".join(model.coming) or "-") for model in status.models]
-    orders = [(order.runner, order.action, order.name, order.age_ms, "yes" if order.accepted else "not yet")
-              for order in status.orders]
-    return [f"placer {node_name}, fence {status.fence}: {status.load_room} of {status.load_limit} loads may "
-            "begin now",
-            *columns(("service", "model", "req/s", "waiting", "running", "holders", "loading"), models),
-            f"orders under way: {len(orders)}",
-            *(columns(("runner", "order", "name", "age ms", "accepted"), orders) if orders else [])]
+    models = [
+        (
+            model.service_name,
+            model.model,
+            round(model.rate, 2),
+            model.waiting,
+            model.in_flight,
+            " ".join(model.holders) or "-",
+            " ".join(model.coming) or "-",
+        )
+        for model in status.models
+    ]
+    orders = [
+        (order.runner, order.action, order.name, order.age_ms, "yes" if order.accepted else "not yet")
+        for order in status.orders
+    ]
+    return [
+        f"placer {node_name}, fence {status.fence}: {status.load_room} of {status.load_limit} loads may "
+        "begin now",
+        *columns(("service", "model", "req/s", "waiting", "running", "holders", "loading"), models),
+        f"orders under way: {len(orders)}",
+        *(columns(("runner", "order", "name", "age ms", "accepted"), orders) if orders else []),
+    ]
--- a/larchgw/cli/system_trial.py
+++ b/larchgw/cli/system_trial.py
@@ -40,8 +40,12 @@
     from ..emulator.system.site import Site
     from ..emulator.system.trial import SystemSpec
 
-    site = Site(edges=whole("edges", sizes.edges, 1, 30), runners=whole("runners", sizes.runners, 3, 100),
-                models=whole("models", sizes.models, 1, 200), rate=decimal("rate", sizes.rate, 0.1, 1000.0))
+    site = Site(
+        edges=whole("edges", sizes.edges, 1, 30),
+        runners=whole("runners", sizes.runners, 3, 100),
+        models=whole("models", sizes.models, 1, 200),
+        rate=decimal("rate", sizes.rate, 0.1, 1000.0),
+    )
     if sizes.folder == NO_VALUE:
         raise UsageError("--folder: needs the name of a new folder")
     folder = Path(sizes.folder).resolve() if sizes.folder else None
--- a/larchgw/cli/trial.py
+++ b/larchgw/cli/trial.py
@@ -40,8 +40,15 @@
         box = server.box
         listed = trial.installation.discovery.servers[name]["state"].lower()
         state = "slow" if box.slow > 1 else "cold" if box.warm() < 1 else listed
-        boxes.add_row(name, box.spec.kind, str(box.spec.slots), "#" * box.used, str(len(box.waiting)),
-                      str(len(box.keys)), state)
+        boxes.add_row(
+            name,
+            box.spec.kind,
+            str(box.spec.slots),
+            "#" * box.used,
+            str(len(box.waiting)),
+            str(len(box.keys)),
+            state,
+        )
     return Group(jobs, boxes, *trial.events[-3:])
 
 
@@ -54,15 +61,32 @@
         print(f"- {event}")
     for line in outcome.broken[:10]:
         print(f"RULE BROKEN: {line}")
-    print(f"try: rules_broken={len(outcome.broken)} exit={outcome.exit_status}"
-               + (" interrupted=1" if outcome.interrupted else ""))
+    print(
+        f"try: rules_broken={len(outcome.broken)} exit={outcome.exit_status}"
+        + (" interrupted=1" if outcome.interrupted else "")
+    )
 
 
 @textual
-def trial(*, seconds: str = "20", load: str = "0.6", boxes: str = "9", seed: str = "1",
-          faults: str | None = None, no_faults: str = "False", room: str | None = None, plain: str = "False",
-          system: str = "False", edges: str = "3", runners: str = "6", models: str = "12", rate: str = "20",
-          folder: str | None = None, fault: str | None = None, hold: str = "20") -> Command:
+def trial(
+    *,
+    seconds: str = "20",
+    load: str = "0.6",
+    boxes: str = "9",
+    seed: str = "1",
+    faults: str | None = None,
+    no_faults: str = "False",
+    room: str | None = None,
+    plain: str = "False",
+    system: str = "False",
+    edges: str = "3",
+    runners: str = "6",
+    models: str = "12",
+    rate: str = "20",
+    folder: str | None = None,
+    fault: str | None = None,
+    hold: str = "20",
+) -> Command:
     """Starts an emulated fleet, one dispatcher and a mixed load on loopback, and shows what comes of it.
 
     With --system: control processes, edges, model runners, clients and an operator instead.
@@ -92,8 +116,15 @@
         sizes = SystemSizes(edges, runners, models, rate, folder, fault, hold)
         return system_trial(length, whole("seed", seed), sizes, flag("faults", faults or False) and not quiet)
     with_faults = flag("faults", True if faults is None else faults) and not quiet
-    spec = TrialSpec(whole("boxes", boxes, 1, 200), decimal("load", load, 0.05, 2.0), length,
-                     min(10.0, length), whole("seed", seed), with_faults, file("room", room, exists=True))
+    spec = TrialSpec(
+        whole("boxes", boxes, 1, 200),
+        decimal("load", load, 0.05, 2.0),
+        length,
+        min(10.0, length),
+        whole("seed", seed),
+        with_faults,
+        file("room", room, exists=True),
+    )
     bare = flag("plain", plain)
     return Command(lambda: _run(spec, bare))
 
--- a/larchgw/config/startup.py
+++ b/larchgw/config/startup.py
@@ -128,7 +128,12 @@
         admin=_address(top, environ, "admin", "PROXY_ADMIN", optional=True),
         accept_fd=_accept_fd(environ) if need_listen else None,
         discovery=_address(top, environ, "discovery", "PROXY_DISCOVERY"),
-        seed=number, sockets=sockets, memory_mb=memory_mb, known=known, raw=raw, settings=settings,
+        seed=number,
+        sockets=sockets,
+        memory_mb=memory_mb,
+        known=known,
+        raw=raw,
+        settings=settings,
     )
 
 
@@ -213,8 +218,9 @@
     return int(text)
 
 
-def _address(top: dict[str, Any], environ: Mapping[str, str], name: str, variable: str,
-             optional: bool = False) -> Any:
+def _address(
+    top: dict[str, Any], environ: Mapping[str, str], name: str, variable: str, optional: bool = False
+) -> Any:
     text = top.get(name) or environ.get(variable)
     if text is None and optional:
         return None
--- a/larchgw/configuration/change.py
+++ b/larchgw/configuration/change.py
@@ -36,8 +36,11 @@
     """
     version = current.config_version if current else 0
     if built_on not in (NOT_GIVEN, version):
-        raise StaleConfiguration("X-Built-On", f"{built_on} is not the current version, {version}",
-                                 "read the configuration and build on it")
+        raise StaleConfiguration(
+            "X-Built-On",
+            f"{built_on} is not the current version, {version}",
+            "read the configuration and build on it",
+        )
     raw = decode(body)
     if operation == CHANGE:
         raw = apply_change(current.raw if current else _EMPTY, raw)
@@ -45,8 +48,11 @@
         raise InvalidConfiguration("operation", f"{operation!r} is unknown", f"use {REPLACE} or {CHANGE}")
     wanted = parse(raw, current)
     if wanted.config_version <= version:
-        raise InvalidConfiguration("config_version", f"{wanted.config_version} is not above {version}",
-                                   f"number it from {version + 1}")
+        raise InvalidConfiguration(
+            "config_version",
+            f"{wanted.config_version} is not above {version}",
+            f"number it from {version + 1}",
+        )
     return wanted
 
 
--- a/larchgw/configuration/model.py
+++ b/larchgw/configuration/model.py
@@ -1,5 +1,4 @@
-"""The operator's configuration as frozen dataclasses. `validation.py` makes them from JSON and checks them.
-"""
+"""The operator's configuration as frozen dataclasses, which `validation.py` makes from JSON."""
 
 from __future__ import annotations
 
@@ -46,7 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model that a service can serve. Weights in MB, load time in seconds. Adapters are named a1, a2, ...
+    """A model that a service can serve.
+
+    Weights in MB, load time in seconds. Adapters are named a1, a2, ...
     """
 
     name: str
--- a/larchgw/configuration/route_reader.py
+++ b/larchgw/configuration/route_reader.py
@@ -51,8 +51,21 @@
         return None
     if not (0 <= rank <= LARGEST and 1 <= tries <= LARGEST and 0 <= gap <= LARGEST):
         return None
-    return Route(name, host, start, kind, float(deadline), float(target), rank, service, split, tries,
-                 pinned, resume, float(gap))
+    return Route(
+        name,
+        host,
+        start,
+        kind,
+        float(deadline),
+        float(target),
+        rank,
+        service,
+        split,
+        tries,
+        pinned,
+        resume,
+        float(gap),
+    )
 
 
 def _ordinary_shares(values: list[Any]) -> tuple[Share, ...] | None:
@@ -97,13 +110,25 @@
     require = findings.require
     require(route.name != "", f"{path}.name", "is empty", "name the route")
     require(route.hostname != "", f"{path}.hostname", "is empty", "name the host that the route serves")
-    require(route.path_start.startswith("/") and route.path_start.endswith("/"), f"{path}.path_start",
-            f"{route.path_start!r} does not begin and end with a slash", "write it as /prefix/")
+    require(
+        route.path_start.startswith("/") and route.path_start.endswith("/"),
+        f"{path}.path_start",
+        f"{route.path_start!r} does not begin and end with a slash",
+        "write it as /prefix/",
+    )
     require(route.kind in KINDS, f"{path}.kind", f"{route.kind!r} is unknown", f"use {', '.join(KINDS)}")
     require(route.deadline_ms > 0, f"{path}.deadline_ms", "is 0", "give the milliseconds it may be held")
     require(route.tries > 0, f"{path}.tries", "is 0", "allow at least one runner")
-    require(route.service != "" or bool(route.shares), path, "has neither service nor shares",
-            "name a service, or split it in shares")
+    require(
+        route.service != "" or bool(route.shares),
+        path,
+        "has neither service nor shares",
+        "name a service, or split it in shares",
+    )
     weight = sum(share.weight for share in route.shares)
-    require(weight > 0 or not route.shares, f"{path}.shares", "weights add up to 0",
-            "give at least one share a weight above 0")
+    require(
+        weight > 0 or not route.shares,
+        f"{path}.shares",
+        "weights add up to 0",
+        "give at least one share a weight above 0",
+    )
--- a/larchgw/configuration/routing.py
+++ b/larchgw/configuration/routing.py
@@ -44,5 +44,5 @@
             end = path.find("/", end + 1)
             if end < 0:
                 break
-            found = routes.get(path[:end + 1], found)
+            found = routes.get(path[: end + 1], found)
         return found
--- a/larchgw/configuration/settings.py
+++ b/larchgw/configuration/settings.py
@@ -140,8 +140,11 @@
     except dacite.MissingValueError as error:
         raise SettingsError(str(error.field_path), "is missing", "add it") from None
     except dacite.WrongTypeError as error:
-        raise SettingsError(str(error.field_path), f"{shown(error.value)} has the wrong type",
-                            "see docs/operators-system.md for the fields") from None
+        raise SettingsError(
+            str(error.field_path),
+            f"{shown(error.value)} has the wrong type",
+            "see docs/operators-system.md for the fields",
+        ) from None
     if len(settings.spare_ports) != 2:
         raise SettingsError("spare_ports", "is no pair of ports", "give the first and the last free port")
     return settings
--- a/larchgw/configuration/settings_check.py
+++ b/larchgw/configuration/settings_check.py
@@ -44,19 +44,24 @@
 def _ports(settings: NodeSettings) -> Iterator[SettingsError]:
     first, last = settings.spare_ports
     if not 0 < first <= last <= _LARGEST_PORT:
-        yield SettingsError("spare_ports", f"{first} to {last} is no range of ports",
-                            f"give two ports from 1 to {_LARGEST_PORT}, the lower one first")
+        yield SettingsError(
+            "spare_ports",
+            f"{first} to {last} is no range of ports",
+            f"give two ports from 1 to {_LARGEST_PORT}, the lower one first",
+        )
     elif last - first + 1 < PORTS_NEEDED:
-        yield SettingsError("spare_ports", f"{first} to {last} are too few ports",
-                            f"give a range of {PORTS_NEEDED} at least")
+        yield SettingsError(
+            "spare_ports", f"{first} to {last} are too few ports", f"give a range of {PORTS_NEEDED} at least"
+        )
 
 
 def _places(settings: NodeSettings) -> Iterator[SettingsError]:
     if settings.zones and settings.zone not in settings.zones:
         yield SettingsError("zone", f"{settings.zone!r} is not among zones", "add it there, with its region")
     if settings.counts_for_quorum and not settings.data_dir:
-        yield SettingsError("data_dir", "is missing, though the machine counts for the quorum",
-                            "name a folder on its disk")
+        yield SettingsError(
+            "data_dir", "is missing, though the machine counts for the quorum", "name a folder on its disk"
+        )
 
 
 def _figures(settings: NodeSettings) -> Iterator[SettingsError]:
--- a/larchgw/configuration/validation.py
+++ b/larchgw/configuration/validation.py
@@ -26,8 +26,9 @@
 def decode(body: bytes) -> dict[str, Any]:
     """The JSON object in a body. Raises MalformedConfiguration."""
     try:
-        raw = json.loads(body.decode(), object_pairs_hook=_unique, parse_constant=_no_constant,
-                         parse_float=_finite)
+        raw = json.loads(
+            body.decode(), object_pairs_hook=_unique, parse_constant=_no_constant, parse_float=_finite
+        )
         if b"\\ud" in body.lower():  # half of a surrogate pair would fail later, wherever text is sent on
             json.dumps(raw, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
@@ -102,8 +103,9 @@
         raw = json.loads(body)
     except ValueError as error:
         raise MalformedConfiguration(WHOLE, f"is not JSON ({error})", "send one whole JSON object") from None
-    return _whole(_object(raw), _unless_equal(known, "routes", read_route),
-                  _unless_equal(known, "services", _service))
+    return _whole(
+        _object(raw), _unless_equal(known, "routes", read_route), _unless_equal(known, "services", _service)
+    )
 
 
 def examine(raw: Mapping[str, Any]) -> tuple[Configuration | None, list[ConfigurationError]]:
@@ -118,8 +120,11 @@
     return configuration
 
 
-def _examine(raw: Mapping[str, Any], route: Reader[Route], service: Reader[Service],
-             ) -> tuple[Configuration | None, list[ConfigurationError]]:
+def _examine(
+    raw: Mapping[str, Any],
+    route: Reader[Route],
+    service: Reader[Service],
+) -> tuple[Configuration | None, list[ConfigurationError]]:
     findings = Findings()
     version = _version(raw.get("config_version"), findings)
     services = _required(raw, "services", service, findings)
@@ -133,8 +138,13 @@
         _check_services(routes, {service.name for _, service in services}, findings)
     if findings.faults or version is None or limits is None:
         return None, findings.faults
-    return Configuration(version, tuple(route for _, route in routes),
-                         tuple(service for _, service in services), limits, dict(raw)), []
+    return Configuration(
+        version,
+        tuple(route for _, route in routes),
+        tuple(service for _, service in services),
+        limits,
+        dict(raw),
+    ), []
 
 
 def _held(known: Configuration | None, field: str) -> list[tuple[dict[str, Any], Any]]:
@@ -155,7 +165,8 @@
 def _unless_equal(known: Configuration | None, field: str, read: Reader[Named]) -> Reader[Named]:
     """Reads routes or services, but for those whose JSON objects equal the one of that name in `known`."""
     held: dict[str, tuple[dict[str, Any], Named]] = {
-        item.name: (value, item) for value, item in _held(known, field)}
+        item.name: (value, item) for value, item in _held(known, field)
+    }
 
     def read_changed(value: object, path: str, findings: Findings) -> Named | None:
         name = value.get("name") if isinstance(value, dict) else None
@@ -176,8 +187,12 @@
     return version
 
 
-def _required(raw: Mapping[str, Any], field: str, read: Reader[Named], findings: Findings,
-              ) -> list[tuple[str, Named]]:
+def _required(
+    raw: Mapping[str, Any],
+    field: str,
+    read: Reader[Named],
+    findings: Findings,
+) -> list[tuple[str, Named]]:
     if raw.get(field) is None:
         findings.malformed(field, "is missing", "add the list, empty if there are none")
         return []
@@ -232,8 +247,9 @@
     limits = None if raw is None else findings.record(Limits, raw, "limits")
     if limits is not None:
         for name in Limits.__dataclass_fields__:
-            findings.require(getattr(limits, name) > 0, f"limits.{name}", "is 0",
-                             "give a limit above 0, or leave it out")
+            findings.require(
+                getattr(limits, name) > 0, f"limits.{name}", "is 0", "give a limit above 0, or leave it out"
+            )
     return limits
 
 
@@ -242,8 +258,12 @@
     for path, item in items:
         first = seen.setdefault(item.name, path)
         if first is not path:
-            findings.require(False, f"{path}.name", f"{item.name!r} is the name of {first} too",
-                             f"rename one of these {field}")
+            findings.require(
+                False,
+                f"{path}.name",
+                f"{item.name!r} is the name of {first} too",
+                f"rename one of these {field}",
+            )
 
 
 def _check_places(routes: Iterable[tuple[str, Route]], findings: Findings) -> None:
@@ -251,8 +271,12 @@
     for path, route in routes:
         first = seen.setdefault((normalised_host(route.hostname), route.path_start), path)
         if first is not path:
-            findings.require(False, f"{path}.path_start", f"shares its host and prefix with {first}",
-                             "give it another prefix or host, or drop one of them")
+            findings.require(
+                False,
+                f"{path}.path_start",
+                f"shares its host and prefix with {first}",
+                "give it another prefix or host, or drop one of them",
+            )
 
 
 def _check_services(routes: Iterable[tuple[str, Route]], known: set[str], findings: Findings) -> None:
@@ -262,5 +286,6 @@
         named = [(f"{path}.service", route.service)] if route.service else []
         named += [(f"{path}.shares[{i}].service", share.service) for i, share in enumerate(route.shares)]
         for where, name in named:
-            findings.require(name in known, where, f"service {name!r} is unknown",
-                             "add the service, or name another")
+            findings.require(
+                name in known, where, f"service {name!r} is unknown", "add the service, or name another"
+            )
--- a/larchgw/control/checkins.py
+++ b/larchgw/control/checkins.py
@@ -18,8 +18,9 @@
 class Replicator(Protocol):
     """Brings entries to the other control processes; distribution.handoff.Handoff is the real one."""
 
-    async def replicate(self, entries: Sequence[Entry], timeout: float,
-                        enough: Callable[[set[str]], bool]) -> set[str]:
+    async def replicate(
+        self, entries: Sequence[Entry], timeout: float, enough: Callable[[set[str]], bool]
+    ) -> set[str]:
         """The processes that have the entries, as soon as these are enough, at the latest after `timeout`."""
 
 
@@ -32,8 +33,9 @@
     knows it within HEARD_WITHIN_S (contact.py).
     """
 
-    def __init__(self, directory: Directory, registry: Registry, contact: MajorityContact,
-                 replicator: Replicator) -> None:
+    def __init__(
+        self, directory: Directory, registry: Registry, contact: MajorityContact, replicator: Replicator
+    ) -> None:
         self._directory, self._registry = directory, registry
         self._contact, self._replicator = contact, replicator
         self._is_closed = False
--- a/larchgw/control/contact.py
+++ b/larchgw/control/contact.py
@@ -41,8 +41,13 @@
     of `clock` at which the last pull from an address began that was answered in full, or None.
     """
 
-    def __init__(self, me: str, view: Callable[[], View | None], proven_at: Callable[[str], float | None],
-                 clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        me: str,
+        view: Callable[[], View | None],
+        proven_at: Callable[[str], float | None],
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self._me, self._view, self._proven_at, self._clock = me, view, proven_at, clock
 
     def isolated(self) -> bool:
@@ -58,8 +63,9 @@
     def _has_quorum(self, view: View, counts: Callable[[str], bool]) -> bool:
         """`counts` is never true of the own address: this process counts by its identity, since one whose
         disk was lost is no witness any more, though its address is that of one."""
-        return view.has_quorum([name for name in view.electors
-                                if name == self._me or counts(view.addresses[name])])
+        return view.has_quorum(
+            [name for name in view.electors if name == self._me or counts(view.addresses[name])]
+        )
 
     def _is_proven(self, address: str) -> bool:
         began = self._proven_at(address)
--- a/larchgw/control/disk.py
+++ b/larchgw/control/disk.py
@@ -49,9 +49,14 @@
 
     def status(self) -> DiskStatus:
         """Figures for people to look at."""
-        return DiskStatus(log_bytes=self.log.size_bytes, first_index=self.log.first_index,
-                          last_index=self.log.last_index, durable_index=self.log.durable_index,
-                          free_bytes=_free_bytes(self.folder), has_reserve=self.reserve.is_kept())
+        return DiskStatus(
+            log_bytes=self.log.size_bytes,
+            first_index=self.log.first_index,
+            last_index=self.log.last_index,
+            durable_index=self.log.durable_index,
+            free_bytes=_free_bytes(self.folder),
+            has_reserve=self.reserve.is_kept(),
+        )
 
 
 def _free_bytes(folder: str) -> int:
--- a/larchgw/control/explore.py
+++ b/larchgw/control/explore.py
@@ -36,6 +36,7 @@
 
 def course(seed: int) -> World:
     """One course of faults and the recovery from it. Raises Broken."""
+
     async def played() -> World:
         world = World(seed, CONTROL[seed % len(CONTROL)])
         await world.play(COURSE_SECONDS)
--- a/larchgw/control/explore_network.py
+++ b/larchgw/control/explore_network.py
@@ -62,8 +62,12 @@
 
     def connected(self, one: str, other: str) -> bool:
         """Whether both run and messages pass both ways."""
-        return (self._services[one].running and self._services[other].running
-                and self.passes(one, other) and self.passes(other, one))
+        return (
+            self._services[one].running
+            and self._services[other].running
+            and self.passes(one, other)
+            and self.passes(other, one)
+        )
 
     async def call(self, sender: str, receiver: str, method: str, argument: Any, timeout: float) -> Any:
         """The answer. Raises RpcError."""
--- a/larchgw/control/explore_processes.py
+++ b/larchgw/control/explore_processes.py
@@ -41,8 +41,14 @@
 class ControlProcess:
     """One control process. All of `names` are the witnesses; `acknowledged` is told of each answer."""
 
-    def __init__(self, name: str, names: Sequence[str], network: Network, dice: random.Random,
-                 acknowledged: Acknowledged) -> None:
+    def __init__(
+        self,
+        name: str,
+        names: Sequence[str],
+        network: Network,
+        dice: random.Random,
+        acknowledged: Acknowledged,
+    ) -> None:
         self.name, self.life, self.running = name, 0, False
         self._names, self._network, self._dice = list(names), network, dice
         self._others = [other for other in names if other != name]
@@ -56,11 +62,18 @@
         self.life += 1
         self.running = True
         self.registry = Registry(f"{self.name}.{self.life}")
-        peers = PeerPullers(self.registry, self._connect, lambda: self._others,
-                            PullSettings().between_control(), self._dice, clock=now)
+        peers = PeerPullers(
+            self.registry,
+            self._connect,
+            lambda: self._others,
+            PullSettings().between_control(),
+            self._dice,
+            clock=now,
+        )
         self.contact = PullContact(self.name, lambda: first_view(self._names), peers.proven_at, now)
-        self.pulls = PullService(self.registry, self.contact.isolated, lambda: self._names,
-                                 limit_bytes=REPLY_LIMIT_BYTES)
+        self.pulls = PullService(
+            self.registry, self.contact.isolated, lambda: self._names, limit_bytes=REPLY_LIMIT_BYTES
+        )
         self.handoff = Handoff(self._connect, lambda: self._others)
         self.directory = Directory(self.registry, now, BEAT_S, self.registry.origin)
         self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
@@ -124,8 +137,14 @@
         self.life += 1
         self.running = True
         self.registry = Registry(f"{self.name}.{self.life}")
-        self.puller = Puller(self.registry, lambda address: Connection(self._network, self.name, address),
-                             lambda: self._sources, PullSettings(), self._dice, clock=now)
+        self.puller = Puller(
+            self.registry,
+            lambda address: Connection(self._network, self.name, address),
+            lambda: self._sources,
+            PullSettings(),
+            self._dice,
+            clock=now,
+        )
         self._task = asyncio.ensure_future(self.puller.run())
 
     async def end(self) -> None:
@@ -183,8 +202,12 @@
 
     async def _call(self, address: str, id: str, stage: Stage) -> bool:
         self._count += 1
-        body = {"service": "s", "address": "10.0.0.9:80", "call_count": self._count,
-                "state": "draining" if stage is Stage.DRAINING else "ready"}
+        body = {
+            "service": "s",
+            "address": "10.0.0.9:80",
+            "call_count": self._count,
+            "state": "draining" if stage is Stage.DRAINING else "ready",
+        }
         method = "leave" if stage is Stage.GONE else "checkin"
         argument = (id, json.dumps(body).encode(), stage)
         try:
--- a/larchgw/control/explore_world.py
+++ b/larchgw/control/explore_world.py
@@ -58,11 +58,13 @@
         self.network = Network(self.dice)
         names = [f"control{number}" for number in range(control)]
         self.survive = (control - 1) // 2
-        self.control = [ControlProcess(name, names, self.network, self.dice, self._acknowledged)
-                        for name in names]
+        self.control = [
+            ControlProcess(name, names, self.network, self.dice, self._acknowledged) for name in names
+        ]
         self.edges = [Edge(f"edge{number}", names, self.network, self.dice) for number in range(EDGES)]
-        self.runners = [Runner(f"runner{number}", names, self.network, self.dice)
-                        for number in range(RUNNERS)]
+        self.runners = [
+            Runner(f"runner{number}", names, self.network, self.dice) for number in range(RUNNERS)
+        ]
         self.acknowledged: list[Acknowledgement] = []
         self.states: set[object] = set()
         self._connected_at: dict[tuple[str, str], float] = {}
@@ -98,8 +100,9 @@
             if self.dice.random() < STEP_S / CONFIGURE_EVERY_S:
                 self._configure()
             if self.dice.random() < STEP_S / FAULT_EVERY_S:
-                await self.dice.choice([self._cut, self._cut, self._freeze, self._restart,
-                                        self._restart_edge])()
+                await self.dice.choice(
+                    [self._cut, self._cut, self._freeze, self._restart, self._restart_edge]
+                )()
 
     async def _step(self) -> None:
         await asyncio.sleep(STEP_S)
@@ -148,8 +151,9 @@
             others = {process.name for process in self.control} - {reached}
             self.network.cut({edge.name}, others)
             self.network.cut(others, {edge.name})
-            self._due.append((now() + self.dice.uniform(0.5, LONGEST_FAULT_S),
-                              lambda: self.network.heal(edge.name)))
+            self._due.append(
+                (now() + self.dice.uniform(0.5, LONGEST_FAULT_S), lambda: self.network.heal(edge.name))
+            )
         edge.start()
 
     def _heal_later(self, names: set[str]) -> None:
@@ -168,8 +172,11 @@
 
     def _configure(self) -> None:
         """A new version at a process in contact; those that hear of it have it on their disks."""
-        able = [process for process in self.control
-                if not process.contact.isolated() and not self.network.is_frozen(process.name)]
+        able = [
+            process
+            for process in self.control
+            if not process.contact.isolated() and not self.network.is_frozen(process.name)
+        ]
         if not able:
             return
         self._version += 1
@@ -179,16 +186,22 @@
 
     def _acknowledged(self, by: str, runner: str, stage: Stage) -> None:
         """A control process has just acknowledged a call of a runner."""
-        lately = [process.name for process in self.control if process.name == by
-                  or now() - self._connected_at.get((by, process.name), -1.0) <= HEARD_WITHIN_S + STEP_S]
+        lately = [
+            process.name
+            for process in self.control
+            if process.name == by
+            or now() - self._connected_at.get((by, process.name), -1.0) <= HEARD_WITHIN_S + STEP_S
+        ]
         if 2 * len(lately) <= len(self.control):
             self._broken.append(f"{by} acknowledged {runner} without a majority")
         if stage is Stage.READY:
             return
         holding = [process for process in self.control if _known(process, runner, stage)]
         if 2 * len(holding) <= len(self.control):
-            self._broken.append(f"{by} acknowledged that {runner} is {stage.name}, which "
-                                f"{len(holding)} of {len(self.control)} know")
+            self._broken.append(
+                f"{by} acknowledged that {runner} is {stage.name}, which "
+                f"{len(holding)} of {len(self.control)} know"
+            )
         self.acknowledged.append(Acknowledgement(runner, stage, now()))
 
     def _observe(self) -> None:
@@ -203,10 +216,13 @@
         version = held[self.survive]  # a majority holds it or a later one
         if version > self._majority_versions[-1][1]:
             self._majority_versions.append((now(), version))
-        self.states.add((tuple(process.contact.isolated() for process in self.control),
-                         tuple(process.registry.vector().get(process.registry.origin, 0)
-                               for process in self.control),
-                         tuple(edge.configuration() for edge in self.edges)))
+        self.states.add(
+            (
+                tuple(process.contact.isolated() for process in self.control),
+                tuple(process.registry.vector().get(process.registry.origin, 0) for process in self.control),
+                tuple(edge.configuration() for edge in self.edges),
+            )
+        )
 
     def _check(self) -> None:
         for process in self.control:
@@ -224,8 +240,11 @@
         if proven is None:
             return
         self._check_knows(edge.name, partial(_stage_at, edge), proven - HEARD_WITHIN_S)
-        least = max(version for since, version in self._majority_versions
-                    if since <= max(proven - HEARD_WITHIN_S, 0.0))
+        least = max(
+            version
+            for since, version in self._majority_versions
+            if since <= max(proven - HEARD_WITHIN_S, 0.0)
+        )
         if 0 < edge.configuration() < least:
             raise Broken(f"{edge.name} serves with {edge.configuration()}, a majority had {least}")
 
@@ -235,8 +254,10 @@
                 return
             known = stage(acknowledgement.runner)
             if known is None or known < acknowledgement.stage:
-                raise Broken(f"{name} takes {acknowledgement.runner} for {known}, acknowledged as "
-                             f"{acknowledgement.stage.name} {now() - acknowledgement.at:.2f} s ago")
+                raise Broken(
+                    f"{name} takes {acknowledgement.runner} for {known}, acknowledged as "
+                    f"{acknowledgement.stage.name} {now() - acknowledgement.at:.2f} s ago"
+                )
 
     async def _recover(self) -> None:
         for _, heal in self._due:
@@ -254,8 +275,9 @@
                 raise Broken(f"{process.name} is still isolated")
         for edge in self.edges:
             if edge.configuration() != self._majority_versions[-1][1]:
-                raise Broken(f"{edge.name} has {edge.configuration()}, all have "
-                             f"{self._majority_versions[-1][1]}")
+                raise Broken(
+                    f"{edge.name} has {edge.configuration()}, all have {self._majority_versions[-1][1]}"
+                )
         if sum(runner.acknowledged for runner in self.runners) == before:
             raise Broken("no runner is acknowledged any more")
 
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -18,7 +18,10 @@
 
 MAX_BODY_BYTES = 64 << 20  # a configuration of many thousand routes
 SERVER_OPTIONS: dict[str, int] = {  # of Tornado's server; the times are seconds
-    "max_body_size": MAX_BODY_BYTES, "max_buffer_size": MAX_BODY_BYTES, "idle_connection_timeout": 60}
+    "max_body_size": MAX_BODY_BYTES,
+    "max_buffer_size": MAX_BODY_BYTES,
+    "idle_connection_timeout": 60,
+}
 _VERSION = re.compile(r"[0-9]{1,19}")  # int() would also take "-1", "1_0" and digits of other scripts
 
 
@@ -104,22 +107,27 @@
         self.acknowledge(await self.service.leave(runner))
 
 
-def application(service: ControlService, address: str,
-                further: Sequence[Any] = ()) -> tornado.web.Application:
+def application(
+    service: ControlService, address: str, further: Sequence[Any] = ()
+) -> tornado.web.Application:
     """The paths; `address` is what runners are told to check in at. `further`: rules of Tornado's."""
     extra = {"service": service, "address": address}
-    return tornado.web.Application([
-        (r"/Config\.Replace", _ReplaceHandler, extra),
-        (r"/Config\.Change", _ChangeHandler, extra),
-        (r"/Config\.Read", _ReadHandler, extra),
-        (r"/Runners\.Checkin/([^/]+)", _CheckinHandler, extra),
-        (r"/Runners\.Leave/([^/]+)", _LeaveHandler, extra),
-        *further,
-    ], log_function=lambda handler: None)
-
-
-def serve(service: ControlService, address: str,
-          further: Sequence[Any] = ()) -> tornado.httpserver.HTTPServer:
+    return tornado.web.Application(
+        [
+            (r"/Config\.Replace", _ReplaceHandler, extra),
+            (r"/Config\.Change", _ChangeHandler, extra),
+            (r"/Config\.Read", _ReadHandler, extra),
+            (r"/Runners\.Checkin/([^/]+)", _CheckinHandler, extra),
+            (r"/Runners\.Leave/([^/]+)", _LeaveHandler, extra),
+            *further,
+        ],
+        log_function=lambda handler: None,
+    )
+
+
+def serve(
+    service: ControlService, address: str, further: Sequence[Any] = ()
+) -> tornado.httpserver.HTTPServer:
     """Listens for the operator and for runners at "host:port", and for `further` rules. Raises OSError."""
     server = tornado.httpserver.HTTPServer(application(service, address, further), **SERVER_OPTIONS)
     host, port = parse_address(address)
--- a/larchgw/control/metrics.py
+++ b/larchgw/control/metrics.py
@@ -19,8 +19,11 @@
     def collect(self) -> Iterator[GaugeMetricFamily]:
         """The gauges of one status."""
         status = self._status
-        yield _gauge("view_epoch", "Epoch of the last view accepted",
-                     status.view.epoch if status.view is not None else 0)
+        yield _gauge(
+            "view_epoch",
+            "Epoch of the last view accepted",
+            status.view.epoch if status.view is not None else 0,
+        )
         yield _gauge("is_primary", "1 at the primary of the replicated log", status.role == "primary")
         yield _gauge("is_isolated", "1 while cut off from the majority", status.isolated)
         yield _gauge("config_version", "Committed configuration; 0: none", status.config_version)
@@ -29,8 +32,9 @@
         yield _gauge("disk_free_bytes", "Free in the data folder; -1: not told", status.disk.free_bytes)
         yield _gauge("disk_has_reserve", "1 while room is set aside", status.disk.has_reserve)
         yield _labelled("runners", "Runners that are not gone", "stage", status.runners)
-        present = Counter(process.role for process in status.processes
-                          if process.state in ("alive", "suspect"))
+        present = Counter(
+            process.role for process in status.processes if process.state in ("alive", "suspect")
+        )
         yield _labelled("processes", "Processes that are members", "role", present)
 
 
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -85,14 +85,21 @@
         self.publisher = ConfigurationPublisher(self.state, self.registry, lambda: self.member.is_primary)
         self.operator = OperatorCalls(self.member, OperatorService(self.state, self.replicated), self.clients)
         pull_settings = PullSettings.of(settings.time_limits).between_control()
-        self.peers = PeerPullers(self.registry, RpcClient, self._peers_and_witnesses, pull_settings,
-                                 self._dice, node_name=settings.node_name)
+        self.peers = PeerPullers(
+            self.registry,
+            RpcClient,
+            self._peers_and_witnesses,
+            pull_settings,
+            self._dice,
+            node_name=settings.node_name,
+        )
         self.view = NewestView(lambda: self.member.view, self.registry)
         self.contact = PullContact(self.member.id, self.view.get, self.peers.proven_at)
         self.pulls = PullService(self.registry, self.contact.isolated, self._control_addresses)
         self.handoff = Handoff(RpcClient, self._peers_and_witnesses, node_name=settings.node_name)
-        self.directory = Directory(self.registry, time.monotonic, settings.beat_ms / 1000.0, self._owner(),
-                                   self._owner_lives)
+        self.directory = Directory(
+            self.registry, time.monotonic, settings.beat_ms / 1000.0, self._owner(), self._owner_lives
+        )
         self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
         self._serial = 0
         self._was_isolated = True
@@ -111,8 +118,9 @@
         await self._rpc.start(settings.ip, settings.port(RPC_PORT))
         self._gossip = SwimTransport(self.swim, settings.ip, settings.port(CONTROL_GOSSIP_PORT))
         await self._gossip.start()
-        self._http = http_api.serve(self, settings.listen.control,
-                                    http_status.rules(status.as_json, status.metrics))
+        self._http = http_api.serve(
+            self, settings.listen.control, http_status.rules(status.as_json, status.metrics)
+        )
         self.tasks.every("replication", TICK_S, self._tick_replication)
         self.tasks.every("directory", DIRECTORY_TICK_S, self._tick_directory)
         self.tasks.every("contacts", CONTACTS_TICK_S, self._tell_contacts)
@@ -242,21 +250,40 @@
         settings = self.settings
         fresh = f"{self.address}#{self._dice.getrandbits(64):016x}"
         member_settings = MemberSettings(
-            address=self.address, seeds=tuple(seed_rpc_addresses(settings)), first_boot=settings.first_boot,
-            fresh_identity=fresh, survive=settings.survive.computers,
+            address=self.address,
+            seeds=tuple(seed_rpc_addresses(settings)),
+            first_boot=settings.first_boot,
+            fresh_identity=fresh,
+            survive=settings.survive.computers,
             lease_term=settings.time_limits.lease_term_ms / 1000.0,
-            all_decide=settings.survive.zones > 0 or settings.survive.regions > 0)
+            all_decide=settings.survive.zones > 0 or settings.survive.regions > 0,
+        )
         return Member(member_settings, self.disk.ports, self.state.snapshot, self._dice)
 
     def _make_placement(self) -> PlacementService:
         limits = self.settings.time_limits
-        return PlacementService(PlacementRuntime(
-            clock=time.monotonic, lease=self._placer_lease, calls=OrderClient(self.address),
-            publish=self._publish_expected, rng=self._dice,
-            settings=PlacementSettings(limits.ceiling_window_s, limits.origin_rate_cap)))
+        return PlacementService(
+            PlacementRuntime(
+                clock=time.monotonic,
+                lease=self._placer_lease,
+                calls=OrderClient(self.address),
+                publish=self._publish_expected,
+                rng=self._dice,
+                settings=PlacementSettings(limits.ceiling_window_s, limits.origin_rate_cap),
+            )
+        )
 
     def _make_status(self) -> StatusService:
-        return StatusService(StatusSources(
-            node_name=self.settings.node_name, member=self.member, state=self.state, swim=self.swim,
-            registry=self.registry, directory=self.directory, disk=self.disk, contact=self.contact,
-            placement=self.placement.summary))
+        return StatusService(
+            StatusSources(
+                node_name=self.settings.node_name,
+                member=self.member,
+                state=self.state,
+                swim=self.swim,
+                registry=self.registry,
+                directory=self.directory,
+                disk=self.disk,
+                contact=self.contact,
+                placement=self.placement.summary,
+            )
+        )
--- a/larchgw/control/publication.py
+++ b/larchgw/control/publication.py
@@ -22,8 +22,7 @@
     serve by it.
     """
 
-    def __init__(self, state: ConfigurationState, registry: Registry,
-                 is_primary: Callable[[], bool]) -> None:
+    def __init__(self, state: ConfigurationState, registry: Registry, is_primary: Callable[[], bool]) -> None:
         self._state, self._registry, self._is_primary = state, registry, is_primary
         self._due_at: float | None = None
 
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -26,8 +26,14 @@
     `changed` is called after the state has changed.
     """
 
-    def __init__(self, member: Member, state: ConfigurationState, clients: RpcClients,
-                 changed: Callable[[], None], clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        member: Member,
+        state: ConfigurationState,
+        clients: RpcClients,
+        changed: Callable[[], None],
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.member, self.state = member, state
         self._clients, self._changed, self._clock = clients, changed, clock
         self._waiting: dict[Ticket, asyncio.Future[int]] = {}
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -57,8 +57,9 @@
             return _from_json(source)
         return _from_log(source, snapshot_file(str(source)))
     except StorageError as error:
-        raise RestoreError(source, f"cannot be read: {error.path}: {error.problem}",
-                           "restore from another copy") from error
+        raise RestoreError(
+            source, f"cannot be read: {error.path}: {error.problem}", "restore from another copy"
+        ) from error
 
 
 def check_empty(folder: Path) -> None:
@@ -100,8 +101,9 @@
     try:
         state.current = parse(decode(source.read_bytes()))
     except (OSError, ConfigurationError) as error:
-        raise RestoreError(source, f"is no valid configuration: {error}",
-                           "mend it or restore from another copy") from error
+        raise RestoreError(
+            source, f"is no valid configuration: {error}", "mend it or restore from another copy"
+        ) from error
     return Restorable(state, state.current, 0, 0)
 
 
@@ -109,9 +111,11 @@
     """One line on what would be restored."""
     configuration = found.configuration
     size = len(json.dumps(configuration.raw))
-    return (f"configuration {configuration.config_version}: {len(configuration.routes)} routes, "
-            f"{len(configuration.services)} services, {size} bytes; last epoch {found.last_epoch}, "
-            f"last record {found.last_index}")
+    return (
+        f"configuration {configuration.config_version}: {len(configuration.routes)} routes, "
+        f"{len(configuration.services)} services, {size} bytes; last epoch {found.last_epoch}, "
+        f"last record {found.last_index}"
+    )
 
 
 def fresh_identity(address: str) -> str:
--- a/larchgw/control/rpc_service.py
+++ b/larchgw/control/rpc_service.py
@@ -32,8 +32,14 @@
 class RpcService:
     """The coroutines are the methods of the thrift service."""
 
-    def __init__(self, pulls: PullService, replicated: ReplicatedLog, placement: PlacementService,
-                 operator: OperatorCalls, status: StatusService) -> None:
+    def __init__(
+        self,
+        pulls: PullService,
+        replicated: ReplicatedLog,
+        placement: PlacementService,
+        operator: OperatorCalls,
+        status: StatusService,
+    ) -> None:
         self._pulls, self._replicated, self._placement = pulls, replicated, placement
         self._operator, self._status = operator, status
 
--- a/larchgw/control/state_size.py
+++ b/larchgw/control/state_size.py
@@ -47,8 +47,10 @@
             bound = self._measure(wanted)
         if bound > self._most_bytes:
             raise ConfigurationTooLarge(
-                "configuration", f"{bound} bytes as JSON are over {self._most_bytes}",
-                "remove routes and services that are not used, in the same order or in one before")
+                "configuration",
+                f"{bound} bytes as JSON are over {self._most_bytes}",
+                "remove routes and services that are not used, in the same order or in one before",
+            )
         self._bound_of, self._bound = wanted, bound
 
     def _size_of(self, current: Configuration | None) -> int:
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -58,11 +58,19 @@
         placer, fence = known_placer(sources.registry)
         stages = Counter(record.stage.name.lower() for record in sources.directory.runners())
         return ttypes.ControlStatus(
-            node_name=sources.node_name, identity=sources.member.id, role=_role(sources.member, view),
-            view=_view(view), config_version=sources.state.version,
-            committed_index=sources.member.committed_index, isolated=sources.contact.isolated(),
-            processes=[_process(process) for process in self._processes()], placer=placer,
-            placer_fence=fence, runners=dict(stages), disk=sources.disk.status())
+            node_name=sources.node_name,
+            identity=sources.member.id,
+            role=_role(sources.member, view),
+            view=_view(view),
+            config_version=sources.state.version,
+            committed_index=sources.member.committed_index,
+            isolated=sources.contact.isolated(),
+            processes=[_process(process) for process in self._processes()],
+            placer=placer,
+            placer_fence=fence,
+            runners=dict(stages),
+            disk=sources.disk.status(),
+        )
 
     def as_json(self) -> dict[str, Any]:
         """The same as `read`, as an object for JSON."""
@@ -103,18 +111,34 @@
 def _view(view: View | None) -> ttypes.View | None:
     if view is None:
         return None
-    return ttypes.View(view.epoch, view.primary, list(view.backups), list(view.witnesses),
-                       dict(view.addresses))
+    return ttypes.View(
+        view.epoch, view.primary, list(view.backups), list(view.witnesses), dict(view.addresses)
+    )
 
 
 def _process(process: Process) -> ttypes.ProcessStatus:
-    return ttypes.ProcessStatus(process.name, process.role, process.address, process.zone,
-                                process.state.name.lower())
+    return ttypes.ProcessStatus(
+        process.name, process.role, process.address, process.zone, process.state.name.lower()
+    )
 
 
 def _placement(summary: PlacementSummary) -> ttypes.PlacementStatus:
-    models = [ttypes.ModelStatus(model.service, model.model, model.rate, model.waiting, model.in_flight,
-                                 list(model.holders), list(model.coming)) for model in summary.models]
-    orders = [ttypes.OrderStatus(order.runner, order.action, order.name, round(order.age_s * 1000.0),
-                                 order.accepted) for order in summary.orders]
+    models = [
+        ttypes.ModelStatus(
+            model.service,
+            model.model,
+            model.rate,
+            model.waiting,
+            model.in_flight,
+            list(model.holders),
+            list(model.coming),
+        )
+        for model in summary.models
+    ]
+    orders = [
+        ttypes.OrderStatus(
+            order.runner, order.action, order.name, round(order.age_s * 1000.0), order.accepted
+        )
+        for order in summary.orders
+    ]
     return ttypes.PlacementStatus(summary.fence, summary.load_limit, summary.load_room, models, orders)
--- a/larchgw/core/counters.py
+++ b/larchgw/core/counters.py
@@ -14,20 +14,27 @@
         self.sent = Counter("larchgw_sent", "Attempts begun", ["transport"], registry=r)
         self.written = Counter("larchgw_written", "Attempts written whole", ["transport"], registry=r)
         self.ended = Counter("larchgw_ended", "Attempts ended", ["transport", "outcome"], registry=r)
-        self.answered = Counter("larchgw_answered", "Final answers", ["front", "outcome", "job_class"],
-                                registry=r)
+        self.answered = Counter(
+            "larchgw_answered", "Final answers", ["front", "outcome", "job_class"], registry=r
+        )
         self.gone = Counter("larchgw_gone", "Requests whose client left", ["front"], registry=r)
         self.moved = Counter("larchgw_moved", "Requests moved between processes", ["way"], registry=r)
-        self.bad = Counter("larchgw_bad_input", "Input answered without the core", ["front", "reason"],
-                           registry=r)
-        self.late = Counter("larchgw_late_events", "Events of attempts that had ended, dropped", ["event"],
-                            registry=r)
+        self.bad = Counter(
+            "larchgw_bad_input", "Input answered without the core", ["front", "reason"], registry=r
+        )
+        self.late = Counter(
+            "larchgw_late_events", "Events of attempts that had ended, dropped", ["event"], registry=r
+        )
         self.caps = Counter("larchgw_caps", "Times that a limit of ours was met", ["cap"], registry=r)
         self.dead = Counter("larchgw_dead_connections", "Kept connections that proved dead", registry=r)
-        self.stale = Counter("larchgw_stale_connections",
-                             "Kept connections on which something had come when they were wanted", registry=r)
-        self.withdrawn = Counter("larchgw_withdrawn",
-                                 "Attempts whose connection came up too late to be sent", registry=r)
+        self.stale = Counter(
+            "larchgw_stale_connections",
+            "Kept connections on which something had come when they were wanted",
+            registry=r,
+        )
+        self.withdrawn = Counter(
+            "larchgw_withdrawn", "Attempts whose connection came up too late to be sent", registry=r
+        )
         self.lists = Counter("larchgw_lists", "Answers of discovery", ["kind"], registry=r)
         self.faults = Counter("larchgw_faults", "Errors of our own that were caught", ["where"], registry=r)
         self.open = Gauge("larchgw_open_requests", "Requests without a final answer", registry=r)
--- a/larchgw/core/dispatch.py
+++ b/larchgw/core/dispatch.py
@@ -33,8 +33,16 @@
     there and then, it would be entered a second time in the middle of a decision.
     """
 
-    def __init__(self, settings: Settings, seed: int, clock: Clock, deadlines: Deadlines,
-                 max_open: int = 1000, max_body_bytes: int = 32 << 20, room: Room = NOTHING_HELD) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        clock: Clock,
+        deadlines: Deadlines,
+        max_open: int = 1000,
+        max_body_bytes: int = 32 << 20,
+        room: Room = NOTHING_HELD,
+    ) -> None:
         self.settings, self.clock, self.deadlines = settings, clock, deadlines
         self._tenants = _numbers(settings)
         self.counters = Counters()
@@ -45,9 +53,15 @@
         self._unsettled: list[Request] = []
         self.dispatcher = Dispatcher(settings, seed, self, room)
         classes = [c.name for c in settings.classes]
-        self.figures = Figures(self.counters, classes, {
-            "current": self.current, "cluster_size": lambda: len(self.boxes.listed),
-            "cluster_unhealthy": self.avoided})
+        self.figures = Figures(
+            self.counters,
+            classes,
+            {
+                "current": self.current,
+                "cluster_size": lambda: len(self.boxes.listed),
+                "cluster_unhealthy": self.avoided,
+            },
+        )
         self.receive = Receive(self.counters, classes)
         self.admit = Admit(self.counters, self.receive, max_open, max_body_bytes)
         self.route = Route(self.dispatcher)
@@ -145,8 +159,11 @@
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether the first byte of an attempt may go out now, some time after it was decided on."""
         request = attempt.request
-        return not request.over() and self.boxes.open_to_work(attempt.worker) and (
-            self.dispatcher.may_begin(self.clock.now(), request.id, attempt.index))
+        return (
+            not request.over()
+            and self.boxes.open_to_work(attempt.worker)
+            and (self.dispatcher.may_begin(self.clock.now(), request.id, attempt.index))
+        )
 
     def written(self, attempt: Attempt) -> None:
         """The last byte of the attempt has gone to its box."""
@@ -225,8 +242,7 @@
             self._give_up(found.attempts[attempt], late=False)
 
     def timer(self, at: float, token: int) -> None:
-        self.deadlines.add(
-            at, lambda: self._feed(lambda: self.dispatcher.on_timer(self.clock.now(), token)))
+        self.deadlines.add(at, lambda: self._feed(lambda: self.dispatcher.on_timer(self.clock.now(), token)))
 
     def probe(self, worker: WorkerId) -> None:
         for transport in self.sender.transports:
--- a/larchgw/core/figures.py
+++ b/larchgw/core/figures.py
@@ -33,8 +33,9 @@
             for job_class in self._classes:
                 family.add_metric([job_class], answers[kind.value, job_class])
             yield family
-        yield UntypedMetricFamily("dispatcher_sends", "Attempts written whole to runners",
-                                  value=_sums(self._counters.written)[()])
+        yield UntypedMetricFamily(
+            "dispatcher_sends", "Attempts written whole to runners", value=_sums(self._counters.written)[()]
+        )
         for name, gauge in self._gauges.items():
             yield GaugeMetricFamily(f"dispatcher_{name}", name.replace("_", " "), value=gauge())
 
--- a/larchgw/core/stages/admit.py
+++ b/larchgw/core/stages/admit.py
@@ -32,12 +32,14 @@
         if self.stopping:
             # On connections that are still owed an earlier answer. We may be killed before this one's.
             return Answer(AnswerKind.REFUSED, retry_after=RETRY_AFTER, reason="we are about to end")
-        full = (len(self._receive.open) > self.max_open
-                or self._receive.body_bytes > self.max_body_bytes)
+        full = len(self._receive.open) > self.max_open or self._receive.body_bytes > self.max_body_bytes
         if full != self._full:
             self._full = full
-            log.warning("cap.open" if full else "cap.open.over", open=len(self._receive.open),
-                        body_bytes=self._receive.body_bytes)
+            log.warning(
+                "cap.open" if full else "cap.open.over",
+                open=len(self._receive.open),
+                body_bytes=self._receive.body_bytes,
+            )
         if not full:
             return None
         self._counters.caps.labels("open").inc()
--- a/larchgw/core/stages/record.py
+++ b/larchgw/core/stages/record.py
@@ -12,8 +12,9 @@
 
 
 class Record:
-    def __init__(self, counters: Counters, deadlines: Deadlines, dispatcher: Dispatcher,
-                 receive: Receive) -> None:
+    def __init__(
+        self, counters: Counters, deadlines: Deadlines, dispatcher: Dispatcher, receive: Receive
+    ) -> None:
         self._counters, self._deadlines = counters, deadlines
         self._dispatcher, self._receive = dispatcher, receive
 
@@ -29,10 +30,18 @@
 
     def run(self, now: float, attempt: Attempt, end: End) -> None:
         request = attempt.request
-        self._dispatcher.on_outcome(now, Outcome(
-            request.id, attempt.index, attempt.worker, end.status, request.over(), now - attempt.sent_at,
-            end.report,
-        ))
+        self._dispatcher.on_outcome(
+            now,
+            Outcome(
+                request.id,
+                attempt.index,
+                attempt.worker,
+                end.status,
+                request.over(),
+                now - attempt.sent_at,
+                end.report,
+            ),
+        )
 
     def settle(self, request: Request) -> None:
         """Forgets a request that is over and has no attempt out."""
--- a/larchgw/core/stages/relay.py
+++ b/larchgw/core/stages/relay.py
@@ -31,10 +31,15 @@
         request.answer = answer
         self._deadlines.drop(request.deadline)
         self._counters.answered.labels(
-            request.front.name, answer.kind.value, self._classes[request.job_class]).inc()
+            request.front.name, answer.kind.value, self._classes[request.job_class]
+        ).inc()
         if answer.kind is AnswerKind.FAILED:
-            log.warning("answer.failed", request=request.name.decode("latin-1"), reason=answer.reason,
-                        attempts="; ".join(_told(a) for a in request.attempts))
+            log.warning(
+                "answer.failed",
+                request=request.name.decode("latin-1"),
+                reason=answer.reason,
+                attempts="; ".join(_told(a) for a in request.attempts),
+            )
         request.front.answer(request, answer)
         return True
 
--- a/larchgw/core/stages/route.py
+++ b/larchgw/core/stages/route.py
@@ -14,8 +14,19 @@
     def run(self, now: float, request: Request) -> None:
         """One that had been tried before is one that another process had."""
         tries = [(a.worker, a.sent_at, a.started_at, a.status) for a in request.attempts]
-        self._dispatcher.on_request(now, interface.Request(
-            id=request.id, give_up_at=request.give_up_at, job_class=request.job_class, key=request.key,
-            tenant=request.tenant, slots=request.slots, memory=request.memory, hint=request.hint,
-            repeat=request.repeat,
-        ), request.taken_at, tries)
+        self._dispatcher.on_request(
+            now,
+            interface.Request(
+                id=request.id,
+                give_up_at=request.give_up_at,
+                job_class=request.job_class,
+                key=request.key,
+                tenant=request.tenant,
+                slots=request.slots,
+                memory=request.memory,
+                hint=request.hint,
+                repeat=request.repeat,
+            ),
+            request.taken_at,
+            tries,
+        )
--- a/larchgw/core/stages/send.py
+++ b/larchgw/core/stages/send.py
@@ -11,8 +11,7 @@
 
 
 class Send:
-    def __init__(self, counters: Counters, deadlines: Deadlines,
-                 expire: Callable[[Attempt], None]) -> None:
+    def __init__(self, counters: Counters, deadlines: Deadlines, expire: Callable[[Attempt], None]) -> None:
         self.transports: list[Transport] = []
         self._counters, self._deadlines, self._expire = counters, deadlines, expire
 
--- a/larchgw/daemon.py
+++ b/larchgw/daemon.py
@@ -37,8 +37,9 @@
 class Daemon:
     """One node behind its fronts."""
 
-    def __init__(self, settings: startup.Config, fronts: startup.Fronts,
-                 room: RoomSettings | None = None) -> None:
+    def __init__(
+        self, settings: startup.Config, fronts: startup.Fronts, room: RoomSettings | None = None
+    ) -> None:
         self.node = node = Node(settings, room)
         loop, core = node.loop, node.core
         wake_on_signals(loop)  # before anybody can learn that we are here: unhandled, SIGHUP would end us
@@ -47,22 +48,25 @@
         self._gearman_share = GEARMAN_SHARE if fronts.gearman else 0.0
         loop.reuse_port = settings.accept_fd is not None
         cap, gearman_cap = self._caps()
-        self.platform = PlatformFront(loop, core, settings.listen, cap, node.body_cap, self._serves,
-                                      settings.accept_fd)
+        self.platform = PlatformFront(
+            loop, core, settings.listen, cap, node.body_cap, self._serves, settings.accept_fd
+        )
         self._listening(self.platform.name, self.platform.server.listener)
         self._beside: list[Listener] = []  # of the fronts beside the platform's
         self.gearman: GearmanFront | None = None
         if fronts.gearman:
-            self.gearman = GearmanFront(loop, core, fronts.gearman, gearman_cap, fronts.grab_wait,
-                                        fronts.remember)
+            self.gearman = GearmanFront(
+                loop, core, fronts.gearman, gearman_cap, fronts.grab_wait, fronts.remember
+            )
             core.add_transport(self.gearman.workers)
             if node.planner:
                 self.gearman.workers.on_slots = node.planner.known
             self._listening(self.gearman.name, self.gearman.listener)
             self._beside.append(self.gearman.listener)
         if fronts.agent_check:
-            agent = AgentCheck(loop, core.counters, fronts.agent_check, lambda: node.stopping,
-                               core.boxes.ready_share)
+            agent = AgentCheck(
+                loop, core.counters, fronts.agent_check, lambda: node.stopping, core.boxes.ready_share
+            )
             self._listening(agent.name, agent.listener)
             self._beside.append(agent.listener)
         if fronts.ops:
@@ -77,10 +81,12 @@
             core.take_out(worker, at)
         self._stop_at = 0.0
         shared = settings.accept_fd is not None  # else an upgrade cannot be: the address is taken
-        self.handover = Handover(loop, core, os.environ.get("TMPDIR") if shared else None, settings.name,
-                                 self._changed, node.ready)
+        self.handover = Handover(
+            loop, core, os.environ.get("TMPDIR") if shared else None, settings.name, self._changed, node.ready
+        )
         self.handover.on_move = lambda packet, socks: moving.unpack(
-            packet, socks, core, self.platform, node.runners)
+            packet, socks, core, self.platform, node.runners
+        )
         core.admit.elsewhere = self.handover.open_elsewhere
         if self.gearman:
             self.handover.share("gearman", self.gearman.jobs)
@@ -175,8 +181,12 @@
         now, server, gearman = self.node.loop.clock.now(), self.platform.server, self.gearman
         quiet = now - max(server.listener.last_accept, self.node.core.receive.last, self._stop_at)
         succeeded = self.handover.succeeded()
-        if server.listener.open and not succeeded and now - self._stop_at >= ACCEPT_AT_LEAST and (
-                quiet >= ACCEPT_QUIET or now - self._stop_at >= ACCEPT_AT_MOST):
+        if (
+            server.listener.open
+            and not succeeded
+            and now - self._stop_at >= ACCEPT_AT_LEAST
+            and (quiet >= ACCEPT_QUIET or now - self._stop_at >= ACCEPT_AT_MOST)
+        ):
             server.listener.close()
             server.stopping = self.node.core.admit.stopping = True
             if gearman:
--- a/larchgw/decide/affinity.py
+++ b/larchgw/decide/affinity.py
@@ -23,7 +23,9 @@
 
 
 class Rendezvous:
-    """Weights of runners for a prefix; the highest is preferred. A lost runner moves only its own prefixes.
+    """Weights of runners for a prefix; the highest is preferred.
+
+    A lost runner moves only its own prefixes.
     """
 
     def __init__(self) -> None:
--- a/larchgw/decide/budget.py
+++ b/larchgw/decide/budget.py
@@ -130,7 +130,9 @@
         fewest = None
         for index in range(STEPS):
             early, late = now + index * step, now + (index + 1) * step
-            most = max(traffic.between(late - window * (1.0 + before), early - window * before)
-                       for before in (0.0, 0.5, 1.0))
+            most = max(
+                traffic.between(late - window * (1.0 + before), early - window * before)
+                for before in (0.0, 0.5, 1.0)
+            )
             fewest = most if fewest is None else min(fewest, most)
         return fewest or 0
--- a/larchgw/decide/ejection.py
+++ b/larchgw/decide/ejection.py
@@ -57,12 +57,12 @@
         """Leaves it alone, twice as long as the last time. Reports of one moment count once."""
         if now < self.backoff_until:
             return
-        self.backoff_until = now + min(BACKOFF_MOST_S, first_s * 2.0 ** self.backoffs)
+        self.backoff_until = now + min(BACKOFF_MOST_S, first_s * 2.0**self.backoffs)
         self.backoffs = min(self.backoffs + 1, MOST_DOUBLINGS)
 
     def eject(self, now: float) -> None:
         """Leaves it out, twice as long as the last time."""
-        self.ejected_until = now + min(EJECTION_MOST_S, EJECTION_S * 2.0 ** self.ejections)
+        self.ejected_until = now + min(EJECTION_MOST_S, EJECTION_S * 2.0**self.ejections)
         self.ejections = min(self.ejections + 1, MOST_DOUBLINGS)
         self.on_trial = True
         self.trial_sent = False
@@ -138,7 +138,7 @@
             return calm
         closed = [runner for runner in runners if self.closed(now, runner)]
         closed.sort(key=lambda runner: self._runners[runner].ejected_until)
-        return calm + closed[:least - len(calm)]
+        return calm + closed[: least - len(calm)]
 
     def forget(self, runner: str) -> None:
         """The runner is gone."""
--- a/larchgw/decide/interface.py
+++ b/larchgw/decide/interface.py
@@ -66,8 +66,12 @@
     @property
     def never_ran(self) -> bool:
         """Whether it is certain that the runner did not run it and never will."""
-        return self in (AttemptOutcome.FULL, AttemptOutcome.NOT_HELD, AttemptOutcome.CONNECT_FAILED,
-                        AttemptOutcome.UNSENT)
+        return self in (
+            AttemptOutcome.FULL,
+            AttemptOutcome.NOT_HELD,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.UNSENT,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,8 +114,14 @@
 class Selection(Protocol):
     """What the edge asks; `selection.Selector` is the implementation."""
 
-    def choose(self, now: float, request: RequestTraits, runners: Mapping[str, RunnerRecord],
-               tried: Sequence[str], expected: Mapping[str, float]) -> Choice:
+    def choose(
+        self,
+        now: float,
+        request: RequestTraits,
+        runners: Mapping[str, RunnerRecord],
+        tried: Sequence[str],
+        expected: Mapping[str, float],
+    ) -> Choice:
         """Where the request goes. `runners`: those of its service, any stage; `tried`: runners that it was
         sent to;
         `expected`: runner id -> time at which an ordered load of its model is expected to be done there."""
--- a/larchgw/decide/kept_parts.py
+++ b/larchgw/decide/kept_parts.py
@@ -61,8 +61,9 @@
         cache = self._caches.get(runner)
         return cache.kept(prefixes, parts) if cache else 0
 
-    def read(self, runner: str, prefixes: Sequence[int], parts: Sequence[PromptPart],
-             cache_tokens: float) -> None:
+    def read(
+        self, runner: str, prefixes: Sequence[int], parts: Sequence[PromptPart], cache_tokens: float
+    ) -> None:
         """The runner has read this prompt; `cache_tokens` is what its memory holds."""
         cache = self._caches.get(runner)
         if cache is None:
--- a/larchgw/decide/selection.py
+++ b/larchgw/decide/selection.py
@@ -79,13 +79,22 @@
         """A configuration is in force."""
         self._terms = all_terms(configuration)
 
-    def choose(self, now: float, request: RequestTraits, runners: Mapping[str, RunnerRecord],
-               tried: Sequence[str], expected: Mapping[str, float]) -> Choice:
+    def choose(
+        self,
+        now: float,
+        request: RequestTraits,
+        runners: Mapping[str, RunnerRecord],
+        tried: Sequence[str],
+        expected: Mapping[str, float],
+    ) -> Choice:
         """Where the request goes; see `interface.Selection`."""
         self._prune(now, request.service, runners)
         key = request.key
-        holders = [record for record in runners.values()
-                   if self._marks.holds(record, key) and record.stage < Stage.DRAINING]
+        holders = [
+            record
+            for record in runners.values()
+            if self._marks.holds(record, key) and record.stage < Stage.DRAINING
+        ]
         pool = self._pool(holders, tried)
         if not pool:
             return self._without_holder(now, request, expected)
@@ -118,8 +127,12 @@
         if own == before:
             self._pace.seen(request.service, own, now - attempt.at)
         if request.parts:
-            self._kept.read(attempt.runner, self._chains(request), request.parts,
-                            self._service(request.service).cache_tokens)
+            self._kept.read(
+                attempt.runner,
+                self._chains(request),
+                request.parts,
+                self._service(request.service).cache_tokens,
+            )
 
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """It is over; it is pending no more."""
@@ -161,11 +174,15 @@
         if self._ejection.untroubled:
             return list(pool)
         admitted = set(self._ejection.admitted(now, [record.id for record in pool]))
-        return [record for record in pool
-                if record.id in admitted and self._ejection.backoff_until(record.id) <= now]
-
-    def _responsive(self, now: float, request: RequestTraits,
-                    runners: list[RunnerRecord]) -> list[RunnerRecord]:
+        return [
+            record
+            for record in pool
+            if record.id in admitted and self._ejection.backoff_until(record.id) <= now
+        ]
+
+    def _responsive(
+        self, now: float, request: RequestTraits, runners: list[RunnerRecord]
+    ) -> list[RunnerRecord]:
         """Those that do not leave requests unanswered; all if none does."""
         if len(runners) < 2:
             return runners
@@ -185,8 +202,9 @@
         counts = self._pending.at(attempt.runner)
         if (attempt.request.number, attempt.number) not in counts.unread:
             return False
-        return (self._silence.since(attempt.runner, attempt.at) == attempt.at
-                and self._unresponsive(now, attempt.request, attempt.runner))
+        return self._silence.since(attempt.runner, attempt.at) == attempt.at and self._unresponsive(
+            now, attempt.request, attempt.runner
+        )
 
     def _keyed(self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]) -> RunnerRecord:
         """The design's path, among holders that are better by the terms."""
@@ -199,8 +217,9 @@
         near = self._near(request, with_room)
         return self._busiest(request, self._most_kept(request, near))
 
-    def _with_room(self, now: float, request: RequestTraits,
-                   holders: Sequence[RunnerRecord]) -> list[RunnerRecord]:
+    def _with_room(
+        self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]
+    ) -> list[RunnerRecord]:
         """The holders under the threshold for this key that can soon begin to read the prompt."""
         key, share = request.key, self._settings.threshold_share
         patience = self._settings.prefill_share * (request.target_at - request.arrived_at)
@@ -217,9 +236,14 @@
 
     def _spill(self, holders: Sequence[RunnerRecord]) -> RunnerRecord:
         """The holder with the fewest active keys, then the least pending."""
-        return min(holders, key=lambda record: (self._pending.at(record.id).active_keys,
-                                                self._pending.at(record.id).total,
-                                                self._random.random()))
+        return min(
+            holders,
+            key=lambda record: (
+                self._pending.at(record.id).active_keys,
+                self._pending.at(record.id).total,
+                self._random.random(),
+            ),
+        )
 
     def _near(self, request: RequestTraits, holders: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
         """Those in the own zone, unless the prompt shares so much that one runner for all zones pays."""
@@ -253,23 +277,35 @@
 
     def _half_taken(self, now: float, holders: Sequence[RunnerRecord]) -> bool:
         """Whether half of the holders' slots are taken: a refusal before that is dear."""
-        taken = sum(self._load.requests(now, record.id, self._pending.at(record.id).total)
-                    for record in holders)
+        taken = sum(
+            self._load.requests(now, record.id, self._pending.at(record.id).total) for record in holders
+        )
         return taken >= 0.5 * sum(self._slots(record) for record in holders)
 
     def _busiest(self, request: RequestTraits, holders: Sequence[RunnerRecord]) -> RunnerRecord:
         """The holder with the most pending of the key."""
-        return max(holders, key=lambda record: (self._pending.at(record.id).by_key.get(request.key, 0),
-                                                self._random.random()))
+        return max(
+            holders,
+            key=lambda record: (
+                self._pending.at(record.id).by_key.get(request.key, 0),
+                self._random.random(),
+            ),
+        )
 
     def _unkeyed(self, now: float, runners: Sequence[RunnerRecord]) -> RunnerRecord:
         """The least loaded runner; one in the own zone while it is free enough."""
+
         def rank(record: RunnerRecord) -> tuple[bool, float, bool, float, float]:
             requests = self._load.requests(now, record.id, self._pending.at(record.id).total)
             load = requests / self._slots(record)
             crowded = load if load > self._settings.free_share else 0.0
-            return (record.cold_left_ms > 0.0, crowded, record.zone != self._zone, load,
-                    self._random.random())
+            return (
+                record.cold_left_ms > 0.0,
+                crowded,
+                record.zone != self._zone,
+                load,
+                self._random.random(),
+            )
 
         return min(runners, key=rank)
 
@@ -293,8 +329,9 @@
             return Wait(min(held_until, now + ASK_AGAIN_S), "no_holder")
         return self._refuse(now, request, soonest, "no_holder")
 
-    def _while_closed(self, now: float, request: RequestTraits, pool: Sequence[RunnerRecord],
-                      expected: Mapping[str, float]) -> Choice:
+    def _while_closed(
+        self, now: float, request: RequestTraits, pool: Sequence[RunnerRecord], expected: Mapping[str, float]
+    ) -> Choice:
         """All holders are left alone for a moment: they were full, or not to be reached."""
         admitted = self._ejection.admitted(now, [record.id for record in pool])
         opening = min(max(now, self._ejection.backoff_until(id)) for id in admitted)
@@ -315,10 +352,19 @@
         if now - self._pruned_at.get(service, now - PRUNE_S) < PRUNE_S:
             return
         self._pruned_at[service] = now
-        gone = [id for id, record in self._records.items()
-                if record.service == service and (id not in runners or runners[id].stage is Stage.GONE)]
+        gone = [
+            id
+            for id, record in self._records.items()
+            if record.service == service and (id not in runners or runners[id].stage is Stage.GONE)
+        ]
         for id in gone:
             del self._records[id]
-            for table in (self._marks, self._kept, self._rendezvous, self._load, self._ejection,
-                          self._silence):
+            for table in (
+                self._marks,
+                self._kept,
+                self._rendezvous,
+                self._load,
+                self._ejection,
+                self._silence,
+            ):
                 table.forget(id)
--- a/larchgw/decide/terms.py
+++ b/larchgw/decide/terms.py
@@ -29,8 +29,9 @@
     runtime = service.runtime
     if runtime is None:
         return ServiceTerms()
-    return ServiceTerms(runtime.slots, runtime.cache_tokens,
-                        {model.name: model.load_s for model in runtime.models})
+    return ServiceTerms(
+        runtime.slots, runtime.cache_tokens, {model.name: model.load_s for model in runtime.models}
+    )
 
 
 def all_terms(configuration: Configuration) -> dict[str, ServiceTerms]:
--- a/larchgw/directory/checkins.py
+++ b/larchgw/directory/checkins.py
@@ -11,7 +11,7 @@
 
 from .records import HeldModel, RunnerRecord, Stage
 
-MOST = 2.0 ** 53  # above it numbers of JSON are not exact
+MOST = 2.0**53  # above it numbers of JSON are not exact
 STAGES = {"ready": Stage.READY, "draining": Stage.DRAINING}
 
 
--- a/larchgw/directory/directory.py
+++ b/larchgw/directory/directory.py
@@ -36,7 +36,7 @@
 SILENT_BEATS = 3.2  # beats without a check-in: two may be lost on their way, and the third be late
 KEEP_S = 300.0  # how long a runner that is gone or silent is remembered; longer than a process may be cut off
 FORGET_EVERY_S = 10.0  # how often old ones are looked for
-GONE_MAJOR = 2 ** 62  # above every call_count
+GONE_MAJOR = 2**62  # above every call_count
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,8 +64,11 @@
     themselves.
     """
     alike = replace(new, call_count=old.call_count, cold_left_ms=old.cold_left_ms, left_ms=old.left_ms)
-    return (alike == old and (new.cold_left_ms > 0.0) == (old.cold_left_ms > 0.0)
-            and (new.left_ms >= 0.0) == (old.left_ms >= 0.0))
+    return (
+        alike == old
+        and (new.cold_left_ms > 0.0) == (old.cold_left_ms > 0.0)
+        and (new.left_ms >= 0.0) == (old.left_ms >= 0.0)
+    )
 
 
 class Directory:
@@ -76,8 +79,14 @@
     answer True, since it cannot know.
     """
 
-    def __init__(self, registry: Registry, clock: Callable[[], float], beat_s: float, owner: str,
-                 alive: Callable[[str], bool] = lambda owner: True) -> None:
+    def __init__(
+        self,
+        registry: Registry,
+        clock: Callable[[], float],
+        beat_s: float,
+        owner: str,
+        alive: Callable[[str], bool] = lambda owner: True,
+    ) -> None:
         self.owner = owner
         self._registry = registry
         self._clock = clock
@@ -107,8 +116,11 @@
 
     def runners(self, service: str | None = None) -> list[RunnerRecord]:
         """All that are not gone, or those of one service."""
-        return [record for record in self._records.values()
-                if record.stage is not Stage.GONE and service in (None, record.service)]
+        return [
+            record
+            for record in self._records.values()
+            if record.stage is not Stage.GONE and service in (None, record.service)
+        ]
 
     def checkin(self, record: RunnerRecord) -> CheckinOutcome:
         """A check-in as `parse_checkin` read it. One that is overtaken by a later one changes nothing."""
@@ -228,9 +240,13 @@
                     self._publish_silent(id, self._records[id].call_count)
 
     def _forget(self, now: float) -> None:
-        old = {id for id, record in self._records.items()
-               if record.stage is not Stage.READY and id not in self._beats
-               and now - self._changed_at[id] >= KEEP_S}
+        old = {
+            id
+            for id, record in self._records.items()
+            if record.stage is not Stage.READY
+            and id not in self._beats
+            and now - self._changed_at[id] >= KEEP_S
+        }
         if not old:
             return
         self._registry.remove_older(RUNNER, lambda entry: entry.key.removeprefix(RUNNER) in old)
--- a/larchgw/directory/records.py
+++ b/larchgw/directory/records.py
@@ -59,18 +59,34 @@
     def encode(self) -> bytes:
         """JSON for the registry."""
         models = [[held.name, held.config_version, list(held.adapters)] for held in self.models]
-        fields = [self.id, self.service, self.address, self.zone, int(self.stage), self.slots,
-                  self.config_version, self.phase, self.cold_left_ms, self.left_ms, self.call_count, models,
-                  self.owner]
+        fields = [
+            self.id,
+            self.service,
+            self.address,
+            self.zone,
+            int(self.stage),
+            self.slots,
+            self.config_version,
+            self.phase,
+            self.cold_left_ms,
+            self.left_ms,
+            self.call_count,
+            models,
+            self.owner,
+        ]
         return json.dumps(fields, separators=(",", ":")).encode()
 
     @classmethod
     def decode(cls, data: bytes) -> RunnerRecord:
         """The record in a registry entry."""
-        (id, service, address, zone, stage, slots, version, phase, cold, left, calls, models,
-         owner) = json.loads(data)
+        (id, service, address, zone, stage, slots, version, phase, cold, left, calls, models, owner) = (
+            json.loads(data)
+        )
         # Many runners hold the same models and adapters: their names are kept once.
-        held = tuple(HeldModel(sys.intern(held_name), held_version, tuple(map(sys.intern, adapters)))
-                     for held_name, held_version, adapters in models)
-        return cls(id, service, address, zone, Stage(stage), slots, version, phase, cold, left, calls, held,
-                   owner)
+        held = tuple(
+            HeldModel(sys.intern(held_name), held_version, tuple(map(sys.intern, adapters)))
+            for held_name, held_version, adapters in models
+        )
+        return cls(
+            id, service, address, zone, Stage(stage), slots, version, phase, cold, left, calls, held, owner
+        )
--- a/larchgw/directory/view.py
+++ b/larchgw/directory/view.py
@@ -54,8 +54,11 @@
 
     def holders(self, service: str, model: str, adapter: str = "") -> list[RunnerRecord]:
         """The ready runners that hold the model and, if one is named, the adapter."""
-        return [record for record in self.by_service(service).values()
-                if record.stage is Stage.READY and record.holds(model, adapter)]
+        return [
+            record
+            for record in self.by_service(service).values()
+            if record.stage is Stage.READY and record.holds(model, adapter)
+        ]
 
     def on_change(self, callback: Watcher) -> None:
         """Calls back with each record that has changed, also one that is now gone (its stage says so)."""
@@ -64,8 +67,11 @@
     def forget(self) -> None:
         """Drops runners that have not been ready for KEEP_S seconds; to be called now and then."""
         before = self._clock() - KEEP_S
-        old = {id for id, record in self._known.items()
-               if record.stage is not Stage.READY and self._changed_at[id] <= before}
+        old = {
+            id
+            for id, record in self._known.items()
+            if record.stage is not Stage.READY and self._changed_at[id] <= before
+        }
         if not old:
             return
         self._registry.remove_older(RUNNER, lambda entry: entry.key.removeprefix(RUNNER) in old)
@@ -109,7 +115,7 @@
     def _replaced(self, record: RunnerRecord) -> bool:
         """Whether a newer runner is at its address."""
         ids = self._at_address.get(record.address, [])
-        newer = ids[ids.index(record.id) + 1:] if record.id in ids else []
+        newer = ids[ids.index(record.id) + 1 :] if record.id in ids else []
         return any(self._known[id].stage in AT_ITS_ADDRESS for id in newer)
 
     def _list(self, id: str, tell: bool) -> None:
--- a/larchgw/distribution/handoff.py
+++ b/larchgw/distribution/handoff.py
@@ -31,8 +31,14 @@
     out).
     """
 
-    def __init__(self, connect: Callable[[str], Caller], peers: Callable[[], Sequence[str]], *,
-                 node_name: str = "", most_hints: int = MOST_HINTS) -> None:
+    def __init__(
+        self,
+        connect: Callable[[str], Caller],
+        peers: Callable[[], Sequence[str]],
+        *,
+        node_name: str = "",
+        most_hints: int = MOST_HINTS,
+    ) -> None:
         self._connect = connect
         self._peers = peers
         self._node_name = node_name
@@ -40,13 +46,18 @@
         self._under_way: set[asyncio.Task[bool]] = set()
         self.hints = Hints(most_hints)
 
-    async def replicate(self, entries: Sequence[Entry], timeout: float,
-                        enough: Callable[[set[str]], bool] = lambda taken: False) -> set[str]:
+    async def replicate(
+        self,
+        entries: Sequence[Entry],
+        timeout: float,
+        enough: Callable[[set[str]], bool] = lambda taken: False,
+    ) -> set[str]:
         """The peers that have the entries, once `enough` says so of them, all have answered, or after
         `timeout` seconds. The others are pushed to meanwhile and, should that fail, get a hint.
         """
-        pushes = {asyncio.ensure_future(self._push_or_keep(peer, entries, timeout)): peer
-                  for peer in self._peers()}
+        pushes = {
+            asyncio.ensure_future(self._push_or_keep(peer, entries, timeout)): peer for peer in self._peers()
+        }
         self._under_way.update(pushes)
         taken: set[str] = set()
         waiting = set(pushes)
@@ -97,8 +108,9 @@
             self.hints.keep(peer, entries)
         return taken
 
-    async def _push(self, peer: str, entries: Sequence[Entry], timeout: float,
-                    level: int = logging.INFO) -> bool:
+    async def _push(
+        self, peer: str, entries: Sequence[Entry], timeout: float, level: int = logging.INFO
+    ) -> bool:
         if peer not in self._callers:
             self._callers[peer] = self._connect(peer)
         request = PushRequest(node_name=self._node_name, entries=list(entries))
--- a/larchgw/distribution/peers.py
+++ b/larchgw/distribution/peers.py
@@ -17,10 +17,17 @@
 class PeerPullers:
     """Keeps one puller running for each address that `peers` names (rpc addresses, the own one left out)."""
 
-    def __init__(self, registry: Registry, connect: Callable[[str], Caller],
-                 peers: Callable[[], Sequence[str]], settings: PullSettings, dice: random.Random, *,
-                 node_name: str = "",
-                 clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        registry: Registry,
+        connect: Callable[[str], Caller],
+        peers: Callable[[], Sequence[str]],
+        settings: PullSettings,
+        dice: random.Random,
+        *,
+        node_name: str = "",
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self._registry = registry
         self._connect = connect
         self._peers = peers
@@ -57,8 +64,16 @@
         return puller.proven_at if puller is not None else None
 
     def _start(self, address: str) -> None:
-        puller = Puller(self._registry, self._connect, lambda: [address], self._settings, self._dice,
-                        node_name=self._node_name, only_source=False, clock=self._clock)
+        puller = Puller(
+            self._registry,
+            self._connect,
+            lambda: [address],
+            self._settings,
+            self._dice,
+            node_name=self._node_name,
+            only_source=False,
+            clock=self._clock,
+        )
         self._pullers[address] = puller
         self._tasks[address] = asyncio.get_running_loop().create_task(puller.run())
 
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -72,11 +72,21 @@
     crashed meanwhile.
     """
 
-    def __init__(self, registry: Registry, connect: Callable[[str], Caller],
-                 addresses: Callable[[], Sequence[str]], settings: PullSettings, dice: random.Random, *,
-                 node_name: str = "", prefixes: Sequence[str] = (), near: Callable[[str], bool] | None = None,
-                 only_source: bool = True, returns: bool = False,
-                 clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self,
+        registry: Registry,
+        connect: Callable[[str], Caller],
+        addresses: Callable[[], Sequence[str]],
+        settings: PullSettings,
+        dice: random.Random,
+        *,
+        node_name: str = "",
+        prefixes: Sequence[str] = (),
+        near: Callable[[str], bool] | None = None,
+        only_source: bool = True,
+        returns: bool = False,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.registry = registry
         self.last_heard: float | None = None  # by `clock`: the last answer of a process that is not cut off
         # By `clock`: begin of the last pull that was answered in full, also by one that is cut off. All that
@@ -126,8 +136,12 @@
             reply = await self._pull(session)
         except RpcError as error:
             # Once, until it answers again: a control process asks a lost witness several times a second.
-            log.log(logging.DEBUG if source.address in self._silent else logging.INFO,
-                    "pull: leaving %s: %s", source.address, error)
+            log.log(
+                logging.DEBUG if source.address in self._silent else logging.INFO,
+                "pull: leaving %s: %s",
+                source.address,
+                error,
+            )
             self._silent.add(source.address)
             self._choice.failed(source.address)
             self._leave()
@@ -140,8 +154,12 @@
         await self._return_entries(session)
 
     async def _pull(self, session: _Session) -> PullReply:
-        request = PullRequest(node_name=self._node_name, have=self.registry.vector() | session.cursors,
-                              wait_ms=round(self._settings.wait_s * 1000.0), prefixes=self._prefixes)
+        request = PullRequest(
+            node_name=self._node_name,
+            have=self.registry.vector() | session.cursors,
+            wait_ms=round(self._settings.wait_s * 1000.0),
+            prefixes=self._prefixes,
+        )
         return await session.caller.call("pull", request, self._timeout)
 
     @property
@@ -198,8 +216,9 @@
             return
         log.info("pull: giving %d entries to %s, which lacks them", len(lacking), session.address)
         try:
-            await session.caller.call("push", PushRequest(node_name=self._node_name, entries=lacking),
-                                      self._settings.silence_s)
+            await session.caller.call(
+                "push", PushRequest(node_name=self._node_name, entries=lacking), self._settings.silence_s
+            )
         except RpcError as error:
             log.info("pull: %s did not take entries: %s", session.address, error)
 
--- a/larchgw/distribution/pulls.py
+++ b/larchgw/distribution/pulls.py
@@ -25,9 +25,14 @@
     of the control processes that are known now.
     """
 
-    def __init__(self, registry: Registry, isolated: Callable[[], bool],
-                 control: Callable[[], list[str]], gather_s: float = GATHER_S,
-                 limit_bytes: int = REPLY_LIMIT_BYTES) -> None:
+    def __init__(
+        self,
+        registry: Registry,
+        isolated: Callable[[], bool],
+        control: Callable[[], list[str]],
+        gather_s: float = GATHER_S,
+        limit_bytes: int = REPLY_LIMIT_BYTES,
+    ) -> None:
         self.registry = registry
         self._isolated = isolated
         self._control = control
--- a/larchgw/distribution/registry.py
+++ b/larchgw/distribution/registry.py
@@ -229,8 +229,11 @@
         """
         if cursor is not None:
             return self._behind(cursor, have)
-        found = [self._entries[key] for origin, sequences in self._by_origin.items()
-                 for key in sequences.values()[sequences.bisect_right(have.get(origin, 0)):]]
+        found = [
+            self._entries[key]
+            for origin, sequences in self._by_origin.items()
+            for key in sequences.values()[sequences.bisect_right(have.get(origin, 0)) :]
+        ]
         return sorted(found, key=lambda entry: self._positions[entry.key])
 
     def _behind(self, cursor: int, have: Mapping[str, int]) -> list[Entry]:
--- a/larchgw/distribution/sources.py
+++ b/larchgw/distribution/sources.py
@@ -54,8 +54,9 @@
     `near` says of an address whether it is in the own zone. `fallback` addresses are tried after all others.
     """
 
-    def __init__(self, settings: PullSettings, dice: random.Random,
-                 near: Callable[[str], bool] | None = None) -> None:
+    def __init__(
+        self, settings: PullSettings, dice: random.Random, near: Callable[[str], bool] | None = None
+    ) -> None:
         self._settings = settings
         self._dice = dice
         self._near = near or (lambda address: False)
@@ -114,6 +115,6 @@
         return self._dice.random() * self._settings.start_spread_s
 
     def _backoff(self) -> float:
-        longest = min(self._settings.first_backoff_s * 2.0 ** self._rounds, self._settings.last_backoff_s)
+        longest = min(self._settings.first_backoff_s * 2.0**self._rounds, self._settings.last_backoff_s)
         self._rounds += 1
         return longest * self._dice.uniform(0.5, 1.0)
--- a/larchgw/edge/counters.py
+++ b/larchgw/edge/counters.py
@@ -9,18 +9,27 @@
     """One set of counters in the given registry."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        self.requests = Counter("larchgw_edge_requests", "Requests that came, by kind of route", ["kind"],
-                                registry=registry)
-        self.answers = Counter("larchgw_edge_answers", "Final answers, by status and who gave it",
-                               ["status", "source"], registry=registry)
-        self.refused = Counter("larchgw_edge_refused", "Requests answered 503 by us", ["reason"],
-                               registry=registry)
-        self.attempts = Counter("larchgw_edge_attempts", "Sends to runners that ended, by outcome",
-                                ["outcome"], registry=registry)
-        self.resumed = Counter("larchgw_edge_resumed", "Streams taken up at another runner",
-                               registry=registry)
+        self.requests = Counter(
+            "larchgw_edge_requests", "Requests that came, by kind of route", ["kind"], registry=registry
+        )
+        self.answers = Counter(
+            "larchgw_edge_answers",
+            "Final answers, by status and who gave it",
+            ["status", "source"],
+            registry=registry,
+        )
+        self.refused = Counter(
+            "larchgw_edge_refused", "Requests answered 503 by us", ["reason"], registry=registry
+        )
+        self.attempts = Counter(
+            "larchgw_edge_attempts", "Sends to runners that ended, by outcome", ["outcome"], registry=registry
+        )
+        self.resumed = Counter(
+            "larchgw_edge_resumed", "Streams taken up at another runner", registry=registry
+        )
         self.cut = Counter("larchgw_edge_cut", "Answers that ended before their end", registry=registry)
         self.gone = Counter("larchgw_edge_clients_gone", "Requests whose client left", registry=registry)
-        self.connections = Counter("larchgw_edge_connections", "Connections to runners, by event",
-                                   ["event"], registry=registry)
+        self.connections = Counter(
+            "larchgw_edge_connections", "Connections to runners, by event", ["event"], registry=registry
+        )
         self.open = Gauge("larchgw_edge_open_requests", "Requests without a final answer", registry=registry)
--- a/larchgw/edge/demand.py
+++ b/larchgw/edge/demand.py
@@ -24,8 +24,9 @@
         self._arrivals[traits.key] += 1
         self._worth[traits.key] = self._worth.get(traits.key, 0.0) + 1.0 / (1 + max(traits.route.rank, 0))
 
-    def take(self, now: float, waiting: Iterable[RequestTraits],
-             at_runners: Mapping[Key, int]) -> list[ModelDemand]:
+    def take(
+        self, now: float, waiting: Iterable[RequestTraits], at_runners: Mapping[Key, int]
+    ) -> list[ModelDemand]:
         """The report; counts anew from here on."""
         waits: Counter[Key] = Counter()
         urgency: dict[Key, float] = {}
@@ -37,11 +38,18 @@
         self._arrivals, self._worth = Counter(), {}
         running = at_runners if len(at_runners) <= MOST_LINES else _folded(at_runners, {*arrivals, *waits})
         return [
-            ModelDemand(service_name=key[0], model=key[1], adapter=key[2], arrivals=arrivals[key],
-                        waiting=waits[key], in_flight=running.get(key, 0),
-                        urgency_ms=max(int(1000 * urgency[key]), 1) if key in urgency else 0,
-                        worth=worth.get(key, 0.0))
-            for key in sorted({*arrivals, *waits, *running}) if key[1]
+            ModelDemand(
+                service_name=key[0],
+                model=key[1],
+                adapter=key[2],
+                arrivals=arrivals[key],
+                waiting=waits[key],
+                in_flight=running.get(key, 0),
+                urgency_ms=max(int(1000 * urgency[key]), 1) if key in urgency else 0,
+                worth=worth.get(key, 0.0),
+            )
+            for key in sorted({*arrivals, *waits, *running})
+            if key[1]
         ]
 
 
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -39,9 +39,15 @@
     `dispatchers` tells how many share that placer.
     """
 
-    def __init__(self, node_name: str, registry: Registry, clients: RpcClients,
-                 demand: Callable[[], list[ModelDemand]], dispatchers: Callable[[], int],
-                 dice: Random) -> None:
+    def __init__(
+        self,
+        node_name: str,
+        registry: Registry,
+        clients: RpcClients,
+        demand: Callable[[], list[ModelDemand]],
+        dispatchers: Callable[[], int],
+        dice: Random,
+    ) -> None:
         self._node_name, self._registry, self._clients, self._demand = node_name, registry, clients, demand
         self._dispatchers, self._dice = dispatchers, dice
         self._urgent = asyncio.Event()
--- a/larchgw/edge/events.py
+++ b/larchgw/edge/events.py
@@ -45,7 +45,7 @@
         events, start = [], 0
         scan_from = max(len(self._rest) - 2, 0)
         while found := _END.search(data, max(start, scan_from)):
-            events.append(parse(data[start:found.end()]))
+            events.append(parse(data[start : found.end()]))
             start = found.end()
         self._rest = data[start:]
         if len(self._rest) > MAX_EVENT:
--- a/larchgw/edge/exchange.py
+++ b/larchgw/edge/exchange.py
@@ -52,7 +52,8 @@
         self._trace = RequestTrace.of(traits, name)
         self._silence: SilenceWatch | None = None
         self._deadline = context.loop.deadlines.add(
-            max(traits.deadline_at - DEADLINE_MARGIN_S, traits.arrived_at), self._expired)
+            max(traits.deadline_at - DEADLINE_MARGIN_S, traits.arrived_at), self._expired
+        )
 
     @property
     def at_runner(self) -> bool:
@@ -63,7 +64,8 @@
     def started(self) -> bool:
         """Whether the client has got the beginning of an answer."""
         return (self._stream is not None and self._stream.started) or (
-            self._relay is not None and self._relay.started)
+            self._relay is not None and self._relay.started
+        )
 
     # Where it goes
 
@@ -107,8 +109,11 @@
         if stream is None or not stream.started or not stream.version or not model:
             return runners
         version = int(stream.version) if stream.version.isdigit() else 0
-        same = {name: runner for name, runner in runners.items()
-                if any(held.name == model and held.config_version == version for held in runner.models)}
+        same = {
+            name: runner
+            for name, runner in runners.items()
+            if any(held.name == model and held.config_version == version for held in runner.models)
+        }
         return same or runners
 
     def _wait(self, now: float, choice: Wait) -> None:
@@ -186,8 +191,11 @@
         elif verdict is Verdict.NO_ANSWER:
             self._break_off(AttemptOutcome.GARBLED)
         else:
-            self._verdict = {Verdict.FULL: AttemptOutcome.FULL, Verdict.NOT_HELD: AttemptOutcome.NOT_HELD,
-                             Verdict.UNPROVEN: AttemptOutcome.RUNNER_ERROR}[verdict]
+            self._verdict = {
+                Verdict.FULL: AttemptOutcome.FULL,
+                Verdict.NOT_HELD: AttemptOutcome.NOT_HELD,
+                Verdict.UNPROVEN: AttemptOutcome.RUNNER_ERROR,
+            }[verdict]
 
     def on_body(self, data: bytes) -> None:
         """Bytes of the runner's answer."""
--- a/larchgw/edge/forwarding.py
+++ b/larchgw/edge/forwarding.py
@@ -10,16 +10,19 @@
 FRAMED = (b"content-length", b"transfer-encoding")  # with one of these a request has a body, if an empty one
 
 
-def request_bytes(exchange: Exchange, name: bytes, runner: str, left_s: float, priority: int,
-                  stream: StreamRelay | None) -> bytes:
+def request_bytes(
+    exchange: Exchange, name: bytes, runner: str, left_s: float, priority: int, stream: StreamRelay | None
+) -> bytes:
     """The request for one send; `stream` is the answer that it goes on with, if the client has got any of it.
 
     Method, target and body are the client's. The body gets a length, in whatever way it came.
     """
     lines = [b"%b %b HTTP/1.1" % (exchange.method, exchange.target)]
     lines += [b"%b: %b" % field for field in _fields(exchange, stream)]
-    lines.append(b"X-Attempt-Id: %b\r\nX-Target-Runner: %b\r\nX-Time-Left-Ms: %d\r\nPriority: %d"
-                 % (name, runner.encode("latin-1"), max(int(1000.0 * left_s), 1), priority))
+    lines.append(
+        b"X-Attempt-Id: %b\r\nX-Target-Runner: %b\r\nX-Time-Left-Ms: %d\r\nPriority: %d"
+        % (name, runner.encode("latin-1"), max(int(1000.0 * left_s), 1), priority)
+    )
     if exchange.body or any(field in exchange.headers for field in FRAMED):
         lines.append(b"Content-Length: %d" % len(exchange.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + exchange.body
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -62,9 +62,15 @@
         self._stopping = False
         self.swim = make_swim(settings, "edge", int(time.time() * 1000), dice)
         self.puller = Puller(
-            self.registry, RpcClient, lambda: seed_rpc_addresses(self.settings),
-            PullSettings.of(settings.time_limits), dice, node_name=settings.node_name, near=self._near,
-            returns=True)
+            self.registry,
+            RpcClient,
+            lambda: seed_rpc_addresses(self.settings),
+            PullSettings.of(settings.time_limits),
+            dice,
+            node_name=settings.node_name,
+            near=self._near,
+            returns=True,
+        )
 
     async def start(self) -> None:
         """Listens and begins its work. Raises OSError."""
@@ -76,15 +82,18 @@
         self.proxy.runners = self.view.by_service
         self.proxy.expected = self._expected
         self.proxy.dispatchers = self._dispatchers
-        self.demand = DemandReporter(settings.node_name, self.registry, self.clients, self.proxy.demand,
-                                     self._dispatchers, self._dice)
+        self.demand = DemandReporter(
+            settings.node_name, self.registry, self.clients, self.proxy.demand, self._dispatchers, self._dice
+        )
         self.proxy.on_wanted = lambda service, model, adapter: self.demand.wanted()
         self.registry.watch(CONFIGURATION, self._configure)
         self.view.on_change(lambda record: self.proxy.runners_changed())
         self.proxy.listen(settings.listen.front)
         self._ready_server = readiness.serve(
-            self.is_ready, *parse_address(settings.listen.ready),
-            http_status.rules(self._status().read, self.proxy.net_counters.text))
+            self.is_ready,
+            *parse_address(settings.listen.ready),
+            http_status.rules(self._status().read, self.proxy.net_counters.text),
+        )
         self._gossip = SwimTransport(self.swim, settings.ip, settings.port(EDGE_GOSSIP_PORT))
         await self._gossip.start()
         self.tasks.start("pull", self.puller.run)
@@ -126,8 +135,10 @@
 
     def _near(self, address: str) -> bool:
         """Whether a control process is in this zone; bytes between zones are dear."""
-        return any(process.address_rpc == address and process.zone == self.settings.zone
-                   for process in self.swim.members("control"))
+        return any(
+            process.address_rpc == address and process.zone == self.settings.zone
+            for process in self.swim.members("control")
+        )
 
     def _configure(self, entry: Entry) -> None:
         try:
@@ -146,5 +157,13 @@
         return {runner: at for runner, at in found.items() if runner in known}
 
     def _status(self) -> EdgeStatus:
-        return EdgeStatus(self.settings.node_name, self.is_ready, lambda: self._configuration, self.puller,
-                          self.view, self.swim, self.proxy, self.budget)
+        return EdgeStatus(
+            self.settings.node_name,
+            self.is_ready,
+            lambda: self._configuration,
+            self.puller,
+            self.view,
+            self.swim,
+            self.proxy,
+            self.budget,
+        )
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -50,8 +50,14 @@
 
     name = "edge"  # of its listener, in counters
 
-    def __init__(self, loop: EventLoop, settings: NodeSettings, selection: Selection, budget: Budget,
-                 rng: random.Random) -> None:
+    def __init__(
+        self,
+        loop: EventLoop,
+        settings: NodeSettings,
+        selection: Selection,
+        budget: Budget,
+        rng: random.Random,
+    ) -> None:
         self.loop, self._settings = loop, settings
         self.net_counters = Counters()
         self.counters = EdgeCounters(self.net_counters.registry)
@@ -61,10 +67,18 @@
         self.on_wanted: Callable[[str, str, str], None] = lambda service, model, adapter: None
         self._pool = RunnerPool(loop, self.counters, self._max_open)
         self._context = ProxyContext(
-            loop, rng, selection, budget, self._pool, self.counters, lambda service: self.runners(service),
+            loop,
+            rng,
+            selection,
+            budget,
+            self._pool,
+            self.counters,
+            lambda service: self.runners(service),
             lambda service, model, adapter: self.expected(service, model, adapter),
             lambda: max(self.dispatchers(), 1),
-            lambda service, model, adapter: self.on_wanted(service, model, adapter), self._closed)
+            lambda service, model, adapter: self.on_wanted(service, model, adapter),
+            self._closed,
+        )
         self._configuration: Configuration | None = None
         self._routes: RouteTable | None = None
         self._open: set[ProxyExchange] = set()
@@ -107,8 +121,14 @@
         files = self._settings.limits.open_files - FILES_KEPT
         limits = _server_limits(self._configuration.limits if self._configuration else UNCONFIGURED)
         self._server = HttpServer(
-            self.loop, self.net_counters, parse_address(address), self, cap=max(int(CLIENT_SHARE * files), 1),
-            max_held=int(BODY_SHARE * self._settings.limits.memory_mb * (1 << 20)), limits=limits)
+            self.loop,
+            self.net_counters,
+            parse_address(address),
+            self,
+            cap=max(int(CLIENT_SHARE * files), 1),
+            max_held=int(BODY_SHARE * self._settings.limits.memory_mb * (1 << 20)),
+            limits=limits,
+        )
         return self._server.listener.address
 
     def stop_accepting(self) -> None:
@@ -209,10 +229,18 @@
         longest = route.deadline_ms / 1000.0
         target = (route.target_ms or route.deadline_ms) / 1000.0
         return RequestTraits(
-            number=self._numbers, route=route, service=service, arrived_at=exchange.arrived,
-            deadline_at=began + head_of.time_left(headers, longest), target_at=began + target,
-            model=model, adapter=adapter, prompt_tokens=tokens_in, output_tokens=tokens_out,
-            parts=head_of.parts_of(headers))
+            number=self._numbers,
+            route=route,
+            service=service,
+            arrived_at=exchange.arrived,
+            deadline_at=began + head_of.time_left(headers, longest),
+            target_at=began + target,
+            model=model,
+            adapter=adapter,
+            prompt_tokens=tokens_in,
+            output_tokens=tokens_out,
+            parts=head_of.parts_of(headers),
+        )
 
     def _own_answer(self, exchange: Exchange, status: int, reason: str, retry_after: float = 0.0) -> None:
         headers = (("Retry-After", f"{retry_after:.3f}"),) if retry_after else ()
@@ -249,7 +277,7 @@
     shares = [share for share in route.split() if share.weight > 0]
     if len(shares) == 1:
         return shares[0].service
-    point = zlib.crc32(name) / 2 ** 32 * sum(share.weight for share in shares)
+    point = zlib.crc32(name) / 2**32 * sum(share.weight for share in shares)
     for share in shares:
         point -= share.weight
         if point < 0:
@@ -259,6 +287,12 @@
 
 def _server_limits(limits: Limits) -> ServerLimits:
     head_s, idle_s = limits.header_ms / 1000.0, limits.idle_ms / 1000.0
-    return ServerLimits(head_bytes=limits.header_bytes, body_bytes=limits.body_bytes, first_s=idle_s,
-                        message_s=head_s, silence_s=max(SLOW_PIECE_S, head_s),
-                        message_most_s=max(SLOW_BODY_S, head_s), idle_s=idle_s)
+    return ServerLimits(
+        head_bytes=limits.header_bytes,
+        body_bytes=limits.body_bytes,
+        first_s=idle_s,
+        message_s=head_s,
+        silence_s=max(SLOW_PIECE_S, head_s),
+        message_most_s=max(SLOW_BODY_S, head_s),
+        idle_s=idle_s,
+    )
--- a/larchgw/edge/readiness.py
+++ b/larchgw/edge/readiness.py
@@ -21,11 +21,13 @@
         return None
 
 
-def serve(is_ready: Callable[[], bool], host: str, port: int,
-          further: Sequence[Any] = ()) -> tornado.httpserver.HTTPServer:
+def serve(
+    is_ready: Callable[[], bool], host: str, port: int, further: Sequence[Any] = ()
+) -> tornado.httpserver.HTTPServer:
     """Answers GET /ready with 200 or 503, and `further` rules of Tornado's. Raises OSError."""
-    application = tornado.web.Application([(r"/ready", _ReadyHandler, {"is_ready": is_ready}), *further],
-                                          log_function=lambda handler: None)
+    application = tornado.web.Application(
+        [(r"/ready", _ReadyHandler, {"is_ready": is_ready}), *further], log_function=lambda handler: None
+    )
     server = tornado.httpserver.HTTPServer(application)
     server.listen(port, host)
     return server
--- a/larchgw/edge/status.py
+++ b/larchgw/edge/status.py
@@ -38,8 +38,11 @@
             "node_name": self.node_name,
             "ready": self.is_ready(),
             "config_version": configuration.config_version if configuration is not None else 0,
-            "control": {"source": self.puller.source, "changes": self.puller.changes,
-                        "silent_s": None if heard is None else round(time.monotonic() - heard, 3)},
+            "control": {
+                "source": self.puller.source,
+                "changes": self.puller.changes,
+                "silent_s": None if heard is None else round(time.monotonic() - heard, 3),
+            },
             "dispatchers": dispatchers,
             "runners": self._runners(configuration),
             "open_requests": self.proxy.open_count,
@@ -50,6 +53,9 @@
     def _runners(self, configuration: Configuration | None) -> dict[str, dict[str, int]]:
         """How many there are by service and stage."""
         services = configuration.services if configuration is not None else ()
-        return {service.name: dict(Counter(record.stage.name.lower()
-                                           for record in self.view.by_service(service.name).values()))
-                for service in services}
+        return {
+            service.name: dict(
+                Counter(record.stage.name.lower() for record in self.view.by_service(service.name).values())
+            )
+            for service in services
+        }
--- a/larchgw/edge/trace.py
+++ b/larchgw/edge/trace.py
@@ -31,8 +31,15 @@
         if reason != self._reason:
             self._reason = reason
             traits = self._traits
-            log.debug("request %s waits at %.0f: %s, %s model %s/%s", self._name, self._ms(now), reason,
-                      traits.route.name, traits.model, traits.adapter)
+            log.debug(
+                "request %s waits at %.0f: %s, %s model %s/%s",
+                self._name,
+                self._ms(now),
+                reason,
+                traits.route.name,
+                traits.model,
+                traits.adapter,
+            )
 
     def sent(self, now: float) -> None:
         """It goes to a runner."""
@@ -46,10 +53,20 @@
         """The attempt at the runner is over."""
         traits = self._traits
         began = f"{self._ms(self._began_at):.0f}" if self._began_at else "-"
-        log.debug("request %s ended at %.0f: %s at %s, sent at %.0f, began at %s, "
-                  "%s model %s/%s tokens %d,%d",
-                  self._name, self._ms(now), outcome.name, runner, self._ms(self._sent_at), began,
-                  traits.route.name, traits.model, traits.adapter, traits.prompt_tokens, traits.output_tokens)
+        log.debug(
+            "request %s ended at %.0f: %s at %s, sent at %.0f, began at %s, %s model %s/%s tokens %d,%d",
+            self._name,
+            self._ms(now),
+            outcome.name,
+            runner,
+            self._ms(self._sent_at),
+            began,
+            traits.route.name,
+            traits.model,
+            traits.adapter,
+            traits.prompt_tokens,
+            traits.output_tokens,
+        )
 
     def answered(self, now: float, status: int, reason: str) -> None:
         """The dispatcher itself gave the final answer."""
--- a/larchgw/emulator/box.py
+++ b/larchgw/emulator/box.py
@@ -96,8 +96,14 @@
 class Box:
     """One process that renders. Everything that begins to run here is written into `ran`."""
 
-    def __init__(self, time: Timeline, spec: BoxSpec, vault: Vault, seed: int,
-                 ran: Callable[[Begun], None] = lambda begun: None) -> None:
+    def __init__(
+        self,
+        time: Timeline,
+        spec: BoxSpec,
+        vault: Vault,
+        seed: int,
+        ran: Callable[[Begun], None] = lambda begun: None,
+    ) -> None:
         self.time, self.spec, self._vault, self._ran = time, spec, vault, ran
         self._random = random.Random(seed)
         self.up = True
@@ -274,8 +280,7 @@
             if work.over:
                 continue
             if self.spec.progress_s > 0:
-                self.time.at(work.began + self.spec.progress_s,
-                             lambda work=work: self._progress(work))  # type: ignore[misc]
+                self.time.at(work.began + self.spec.progress_s, lambda work=work: self._progress(work))  # type: ignore[misc]
             if work.key and work.key not in self.keys:
                 epoch = self.epoch
                 self._vault.fetch(lambda work=work, epoch=epoch: self._fetched(work, epoch))  # type: ignore[misc]
--- a/larchgw/emulator/datagrams.py
+++ b/larchgw/emulator/datagrams.py
@@ -55,8 +55,15 @@
         self._numbers = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
-    def start(self, address: str, role: Role, seeds: Iterable[str], delay: float = 0.0,
-              address_rpc: str = "", clock_error: float = 0.0) -> Swim:
+    def start(
+        self,
+        address: str,
+        role: Role,
+        seeds: Iterable[str],
+        delay: float = 0.0,
+        address_rpc: str = "",
+        clock_error: float = 0.0,
+    ) -> Swim:
         """A process that starts `delay` from now, in place of an earlier one at its address.
 
         Its time of day, from which it takes its incarnation, is wrong by `clock_error` seconds.
--- a/larchgw/emulator/engine.py
+++ b/larchgw/emulator/engine.py
@@ -110,8 +110,9 @@
         reading = self._chunks()
         decoding = [generation for generation in self._running if not generation.unread]
         self._stepping = True
-        self._timeline.at(self._timeline.now() + self._step_s(reading, decoding),
-                          lambda: self._finish(reading, decoding))
+        self._timeline.at(
+            self._timeline.now() + self._step_s(reading, decoding), lambda: self._finish(reading, decoding)
+        )
 
     def _admit(self) -> None:
         """Lets in the most urgent, then the oldest, as far as slots and memory go."""
@@ -119,7 +120,7 @@
         while self._waiting and len(self._running) < self.settings.slots:
             generation = self._waiting[0]
             prefixes = generation.prefixes
-            used = prefixes[:self.cache.kept(prefixes)]
+            used = prefixes[: self.cache.kept(prefixes)]
             self.cache.pin(used)
             kept = self.cache.tokens(used)
             needed = generation.prompt_tokens + generation.made - kept
@@ -149,8 +150,12 @@
         settings = self.settings
         read = sum(tokens for _, tokens in reading)
         context = sum(generation.prompt_tokens + generation.made for generation in decoding)
-        spent_ms = (settings.step_ms + settings.step_ms_per_slot * len(self._running)
-                    + settings.context_ms_per_k * context / 1000.0 + read / settings.prefill_tokens_per_ms)
+        spent_ms = (
+            settings.step_ms
+            + settings.step_ms_per_slot * len(self._running)
+            + settings.context_ms_per_k * context / 1000.0
+            + read / settings.prefill_tokens_per_ms
+        )
         return spent_ms * settings.speed / 1000.0
 
     def _finish(self, reading: list[tuple[Generation, int]], decoding: list[Generation]) -> None:
@@ -171,8 +176,9 @@
 
     def _keep(self, generation: Generation) -> None:
         """The whole prompt is read: its parts are kept for others."""
-        for prefix, (_, tokens) in list(zip(generation.prefixes, generation.parts,
-                                            strict=True))[len(generation.used):]:
+        for prefix, (_, tokens) in list(zip(generation.prefixes, generation.parts, strict=True))[
+            len(generation.used) :
+        ]:
             self.cache.keep(prefix, tokens)
             generation.private -= tokens
             generation.used.append(prefix)
--- a/larchgw/emulator/fleet.py
+++ b/larchgw/emulator/fleet.py
@@ -58,12 +58,24 @@
         place = (index + 0.5) / spec.boxes
         name, _, slow, fast, few, many = KINDS[min(bisect(TOPS, place), len(KINDS) - 1)]
         slots = spec.slots or rng.randint(few, many)
-        boxes.append(BoxSpec(
-            name=f"render-{index + 1:02d}", zone=index % spec.zones, kind=name, cores=spec.cores, slots=slots,
-            queue=rng.randint(spec.cores, 4 * spec.cores), order=spec.order, speed=rng.uniform(slow, fast),
-            noise=rng.uniform(0.15, 0.5), keys=max(int(slots * rng.uniform(0.8, 1.8)), 2),
-            cold_from=rng.uniform(0.18, 0.33), cold_s=rng.uniform(11.0, 21.0),
-            report_s=rng.uniform(0.7, 1.5), report_delay_s=rng.uniform(0.17, 0.39)))
+        boxes.append(
+            BoxSpec(
+                name=f"render-{index + 1:02d}",
+                zone=index % spec.zones,
+                kind=name,
+                cores=spec.cores,
+                slots=slots,
+                queue=rng.randint(spec.cores, 4 * spec.cores),
+                order=spec.order,
+                speed=rng.uniform(slow, fast),
+                noise=rng.uniform(0.15, 0.5),
+                keys=max(int(slots * rng.uniform(0.8, 1.8)), 2),
+                cold_from=rng.uniform(0.18, 0.33),
+                cold_s=rng.uniform(11.0, 21.0),
+                report_s=rng.uniform(0.7, 1.5),
+                report_delay_s=rng.uniform(0.17, 0.39),
+            )
+        )
     rng.shuffle(boxes)
     return [replace(box, name=f"render-{i + 1:02d}") for i, box in enumerate(boxes)]
 
--- a/larchgw/emulator/load.py
+++ b/larchgw/emulator/load.py
@@ -49,8 +49,9 @@
 # The classes that Lakeshore's dispatchers serve, in the middle of their ranges.
 PROOF = ClassSpec("proof", 0.48, 0.82, 1.0, 2.5, 10.0, 1.0, "idempotent")
 QUOTE = ClassSpec("quote", 0.29, 0.40, 0.8, 2.0, 5.0, 5.0, "idempotent", slots=((1, 0.8), (2, 0.2)))
-RELEASE = ClassSpec("release", 0.23, 4.8, 4.0, 2.0, 25.0, 8.0, "at_most_once", slots=((1, 0.8), (2, 0.2)),
-                    priority=1)
+RELEASE = ClassSpec(
+    "release", 0.23, 4.8, 4.0, 2.0, 25.0, 8.0, "at_most_once", slots=((1, 0.8), (2, 0.2)), priority=1
+)
 CLASSES = (PROOF, QUOTE, RELEASE)
 
 
@@ -114,8 +115,18 @@
         slots = cls.slots[bisect(sizes, rng.random() * sizes[-1])][0]
         work = min(_lognormal(rng, cls.work, cls.spread), cls.longest())
         key = names[0] if rng.random() < spec.hot_key else names[bisect(popular, rng.random() * popular[-1])]
-        jobs.append(Job(len(jobs), index, start + now, work, slots, key, rng.randrange(zones),
-                        start + now + cls.aim + cls.stretch * work))
+        jobs.append(
+            Job(
+                len(jobs),
+                index,
+                start + now,
+                work,
+                slots,
+                key,
+                rng.randrange(zones),
+                start + now + cls.aim + cls.stretch * work,
+            )
+        )
 
 
 def _lognormal(rng: random.Random, mean: float, spread: float) -> float:
--- a/larchgw/emulator/modelrunner.py
+++ b/larchgw/emulator/modelrunner.py
@@ -107,11 +107,21 @@
         if self._running is not None and self._running.action == "loading":
             adapters = held.setdefault(self._running.model, set())
             adapters |= {self._running.adapter} - {""}
-        return sum(self.models[name].weights_mb + len(adapters) * self.models[name].adapter_mb
-                   for name, adapters in held.items())
-
-    def order(self, now: float, runner: str, action: str, model: str, adapter: str = "",
-              if_revision: int | None = None, fence: int = 0) -> int:
+        return sum(
+            self.models[name].weights_mb + len(adapters) * self.models[name].adapter_mb
+            for name, adapters in held.items()
+        )
+
+    def order(
+        self,
+        now: float,
+        runner: str,
+        action: str,
+        model: str,
+        adapter: str = "",
+        if_revision: int | None = None,
+        fence: int = 0,
+    ) -> int:
         """The status that answers an order."""
         self.advance(now)
         if runner != self.id:
@@ -198,7 +208,7 @@
         return Snapshot(models, self._running is not None, self.call_count)
 
     def _note(self, at: float) -> None:
-        self._history = [*self._history[1 - HISTORY:], (at, self.snapshot())]
+        self._history = [*self._history[1 - HISTORY :], (at, self.snapshot())]
 
     def report(self, now: float) -> Snapshot:
         """What was true a report's lag ago."""
--- a/larchgw/emulator/placing.py
+++ b/larchgw/emulator/placing.py
@@ -57,8 +57,13 @@
 
     def configuration(self) -> Configuration:
         """As the operator would send it."""
-        runtime = Runtime(slots=64, models=self.models, weights_mb=self.capacity.weights_mb,
-                          adapter_slots=self.capacity.adapter_slots, loads_per_s=self.loads_per_s)
+        runtime = Runtime(
+            slots=64,
+            models=self.models,
+            weights_mb=self.capacity.weights_mb,
+            adapter_slots=self.capacity.adapter_slots,
+            loads_per_s=self.loads_per_s,
+        )
         return Configuration(1, services=(Service(SERVICE, runtime=runtime),))
 
 
@@ -98,8 +103,16 @@
         self.store = WeightStore(deployment.at_once)
         models = {model.name: model for model in deployment.models}
         self.runners = [
-            ModelRunner(f"r{n}-0", f"10.0.0.{n}:80", f"zone-{n % deployment.zones}", deployment.capacity,
-                        models, self.store) for n in range(deployment.runners)]
+            ModelRunner(
+                f"r{n}-0",
+                f"10.0.0.{n}:80",
+                f"zone-{n % deployment.zones}",
+                deployment.capacity,
+                models,
+                self.store,
+            )
+            for n in range(deployment.runners)
+        ]
         self.down: dict[int, float] = {}
         self.asked: list[Asked] = []
         self._waiting: list[Asked] = []
@@ -116,11 +129,20 @@
         asked = []
         for stream in self.deployment.streams:
             at = stream.starts_at
-            while (at := at + self.rng.expovariate(stream.rate)) < min(stream.ends_at,
-                                                                       self.deployment.seconds):
+            while (at := at + self.rng.expovariate(stream.rate)) < min(
+                stream.ends_at, self.deployment.seconds
+            ):
                 model = self.rng.choices(stream.models, stream.weights)[0]
-                asked.append(Asked(at, model, self._draw_adapter(model, stream), stream.worth,
-                                   at + stream.aim_s, at + stream.deadline_s))
+                asked.append(
+                    Asked(
+                        at,
+                        model,
+                        self._draw_adapter(model, stream),
+                        stream.worth,
+                        at + stream.aim_s,
+                        at + stream.deadline_s,
+                    )
+                )
         return sorted(asked, key=lambda request: -request.at)
 
     def _draw_adapter(self, model: str, stream: Stream) -> str:
@@ -131,8 +153,13 @@
 
     def _at_start(self) -> None:
         """Busy models stand on many runners, the others on one each, as far as there is room."""
-        busiest = [name for stream in self.deployment.streams if stream.starts_at == 0.0
-                   for name in stream.models if stream.rate * len(stream.models) > 1.0][:2]
+        busiest = [
+            name
+            for stream in self.deployment.streams
+            if stream.starts_at == 0.0
+            for name in stream.models
+            if stream.rate * len(stream.models) > 1.0
+        ][:2]
         for runner in self.runners:
             for name in busiest[:1]:
                 self._put(runner, name)
@@ -146,17 +173,30 @@
 
     def records(self) -> list[RunnerRecord]:
         """What check-ins tell now; runners that are down count as gone."""
-        return [RunnerRecord(
-            runner.id, SERVICE, runner.address, runner.zone,
-            Stage.GONE if n in self.down or runner.fallen else Stage.READY, 64,
-            models=tuple(HeldModel(name, 1, tuple(sorted(adapters)))
-                         for name, adapters in sorted(runner.held.items())))
-            for n, runner in enumerate(self.runners)]
+        return [
+            RunnerRecord(
+                runner.id,
+                SERVICE,
+                runner.address,
+                runner.zone,
+                Stage.GONE if n in self.down or runner.fallen else Stage.READY,
+                64,
+                models=tuple(
+                    HeldModel(name, 1, tuple(sorted(adapters)))
+                    for name, adapters in sorted(runner.held.items())
+                ),
+            )
+            for n, runner in enumerate(self.runners)
+        ]
 
     # ---- Time ----
 
-    def play(self, step: Callable[[], None], see: Callable[[RunnerRecord], None],
-             report: Callable[[DemandReport], None]) -> None:
+    def play(
+        self,
+        step: Callable[[], None],
+        see: Callable[[RunnerRecord], None],
+        report: Callable[[DemandReport], None],
+    ) -> None:
         """Until the deployment's seconds are over."""
         ticks = round(self.deployment.seconds / TICK_S)
         for tick in range(ticks):
@@ -198,8 +238,11 @@
         for request in self._waiting:
             if request.deadline_at <= self.now:
                 continue
-            holders = [runner for n, runner in enumerate(self.runners) if n not in self.down
-                       and runner.is_serving(self.now, request.model, request.adapter)]
+            holders = [
+                runner
+                for n, runner in enumerate(self.runners)
+                if n not in self.down and runner.is_serving(self.now, request.model, request.adapter)
+            ]
             if holders:
                 self._send(request, holders)
             else:
@@ -227,8 +270,18 @@
         for key in self._seen.keys() | flying.keys():
             seen = self._seen.get(key, Seen())
             left = min((request.deadline_at - self.now for request in seen.waiting), default=0.0)
-            lines.append(ModelDemand(SERVICE, key[0], key[1], seen.arrivals, len(seen.waiting),
-                                     flying.get(key, 0), round(left * 1000.0), seen.worth))
+            lines.append(
+                ModelDemand(
+                    SERVICE,
+                    key[0],
+                    key[1],
+                    seen.arrivals,
+                    len(seen.waiting),
+                    flying.get(key, 0),
+                    round(left * 1000.0),
+                    seen.worth,
+                )
+            )
         self._seen = {}
         return DemandReport("edge", round(REPORT_S * 1000.0), lines)
 
--- a/larchgw/emulator/rules.py
+++ b/larchgw/emulator/rules.py
@@ -45,7 +45,8 @@
     sent: dict[str, list[Sent]] = field(default_factory=lambda: defaultdict(list))
     begun: dict[str, list[Begun]] = field(default_factory=lambda: defaultdict(list))
     drained: dict[tuple[str, str], list[tuple[float, float]]] = field(
-        default_factory=lambda: defaultdict(list))  # by dispatcher and box: when told, and until when it held
+        default_factory=lambda: defaultdict(list)
+    )  # by dispatcher and box: when told, and until when it held
     sent_by: list[tuple[str, str, float]] = field(default_factory=list)  # dispatcher, box, when
     # A box on a socket may read the next attempt's connection before the end of the last one's.
     slack: float = 1e-6
@@ -63,8 +64,12 @@
 
     def broken(self) -> list[str]:
         """Every rule that was broken, one line each; empty if all were kept."""
-        return [*self._answers(), *self._attempts(), *self._drains(),
-                *(f"{box.spec.name} was pushed over at {at:.3f}" for box in self.boxes for at in box.fell)]
+        return [
+            *self._answers(),
+            *self._attempts(),
+            *self._drains(),
+            *(f"{box.spec.name} was pushed over at {at:.3f}" for box in self.boxes for at in box.fell),
+        ]
 
     def _answers(self) -> list[str]:
         lines = []
--- a/larchgw/emulator/sockets/boxserver.py
+++ b/larchgw/emulator/sockets/boxserver.py
@@ -24,8 +24,13 @@
         name = exchange.headers.get("x-request-id", "")
         try:
             asked = json.loads(exchange.body)
-            work = Work(name, float(asked["work"]), lambda w, said: self._said(exchange, w, said, sent),
-                        int(exchange.headers.get("x-key", "0") or "0", 16), int(asked.get("slots", 1)))
+            work = Work(
+                name,
+                float(asked["work"]),
+                lambda w, said: self._said(exchange, w, said, sent),
+                int(exchange.headers.get("x-key", "0") or "0", 16),
+                int(asked.get("slots", 1)),
+            )
         except (ValueError, KeyError, TypeError):
             exchange.reply(400 if name else 404, b"no job\n")
             return
@@ -54,8 +59,15 @@
         elif said is Said.FAILED:
             exchange.reply(500, b"", f"X-Load: {self._load()}\r\n")
         else:
-            exchange.chunk({"id": name, "from": box.spec.name, "state": "done", "result": box.spec.name,
-                            "load": self._figures()})
+            exchange.chunk(
+                {
+                    "id": name,
+                    "from": box.spec.name,
+                    "state": "done",
+                    "result": box.spec.name,
+                    "load": self._figures(),
+                }
+            )
             exchange.write(b"0\r\n\r\n")
             exchange.done()
 
--- a/larchgw/emulator/sockets/clients.py
+++ b/larchgw/emulator/sockets/clients.py
@@ -123,8 +123,10 @@
 def _head_and_body(job: Job, cls: ClassSpec, name: str, left: float) -> bytes:
     """A job as a request whose client waits for so many seconds more."""
     body = json.dumps({"work": round(job.work, 4), "slots": job.slots}).encode()
-    head = (f"POST /{cls.name} HTTP/1.1\r\nHost: larchgw\r\nX-Request-Id: {name}\r\n"
-            f"X-Key: {job.key:016x}\r\nX-Deadline-Ms: {max(int(1000 * left), 1)}\r\n"
-            f"X-Extras: slots={job.slots}\r\n"
-            f"Content-Length: {len(body)}\r\n\r\n")
+    head = (
+        f"POST /{cls.name} HTTP/1.1\r\nHost: larchgw\r\nX-Request-Id: {name}\r\n"
+        f"X-Key: {job.key:016x}\r\nX-Deadline-Ms: {max(int(1000 * left), 1)}\r\n"
+        f"X-Extras: slots={job.slots}\r\n"
+        f"Content-Length: {len(body)}\r\n\r\n"
+    )
     return head.encode() + body
--- a/larchgw/emulator/sockets/discovery.py
+++ b/larchgw/emulator/sockets/discovery.py
@@ -22,8 +22,15 @@
     def tell(self, spec: BoxSpec, address: str, state: str = "SERVING", started: float = 0.0) -> None:
         self.version += 1
         self.servers[spec.name] = {
-            "id": spec.name, "addr": address, "zone": f"room-{'abc'[spec.zone % 3]}", "kind": spec.kind,
-            "cell": 0, "state": state, "weight": 1.0, "started_ms": int(1000 * started)}
+            "id": spec.name,
+            "addr": address,
+            "zone": f"room-{'abc'[spec.zone % 3]}",
+            "kind": spec.kind,
+            "cell": 0,
+            "state": state,
+            "weight": 1.0,
+            "started_ms": int(1000 * started),
+        }
         watching, self._watching = self._watching, []
         for exchange, timer in watching:
             timer.cancel()
@@ -46,5 +53,9 @@
         self._answer(exchange)
 
     def _answer(self, exchange: Exchange) -> None:
-        exchange.reply(200, json.dumps({"version": self.version, "full": True,
-                                        "servers": list(self.servers.values())}).encode())
+        exchange.reply(
+            200,
+            json.dumps(
+                {"version": self.version, "full": True, "servers": list(self.servers.values())}
+            ).encode(),
+        )
--- a/larchgw/emulator/sockets/httpserver.py
+++ b/larchgw/emulator/sockets/httpserver.py
@@ -72,8 +72,10 @@
             self.transport.write(data)
 
     def reply(self, status: int, body: bytes, extra: str = "") -> None:
-        self.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (
-            status, len(body), extra.encode("latin-1"), body))
+        self.write(
+            b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b"
+            % (status, len(body), extra.encode("latin-1"), body)
+        )
         self.done()
 
     def chunk(self, line: dict[str, Any]) -> None:
--- a/larchgw/emulator/sockets/installation.py
+++ b/larchgw/emulator/sockets/installation.py
@@ -33,8 +33,10 @@
         def began(begun: Begun) -> None:
             records.begun[begun.request].append(begun)
 
-        servers = {spec.name: BoxServer(Box(clock, spec, vault, seed + i, began), records)
-                   for i, spec in enumerate(specs)}
+        servers = {
+            spec.name: BoxServer(Box(clock, spec, vault, seed + i, began), records)
+            for i, spec in enumerate(specs)
+        }
         records.boxes += (server.box for server in servers.values())
         await discovery.listen()
         for server in servers.values():
--- a/larchgw/emulator/system/checkins.py
+++ b/larchgw/emulator/system/checkins.py
@@ -22,8 +22,9 @@
 class Checkins:
     """Tells the control processes of one runner, while its life lasts."""
 
-    def __init__(self, runner: Runner, controls: Callable[[], list[str]], beat_s: float,
-                 rng: random.Random) -> None:
+    def __init__(
+        self, runner: Runner, controls: Callable[[], list[str]], beat_s: float, rng: random.Random
+    ) -> None:
         self.runner, self._controls, self._beat_s, self._random = runner, controls, beat_s, rng
         self.acknowledged = 0
         self._address = ""  # that took the last one
@@ -44,10 +45,17 @@
         self._count += 1
         runner = self.runner
         message: dict[str, Any] = {
-            "service": runner.described.service, "address": runner.described.address,
-            "zone": runner.described.zone, "config_version": "v1", "slots": runner.described.slots,
-            "state": "draining" if runner.draining else "ready", "cold_left_ms": 0, "phase": "both",
-            "models": runner.held(), "call_count": self._count}
+            "service": runner.described.service,
+            "address": runner.described.address,
+            "zone": runner.described.zone,
+            "config_version": "v1",
+            "slots": runner.described.slots,
+            "state": "draining" if runner.draining else "ready",
+            "cold_left_ms": 0,
+            "phase": "both",
+            "models": runner.held(),
+            "call_count": self._count,
+        }
         if left_ms is not None:
             message["left_ms"] = left_ms
         return await self._call("Checkin", json.dumps(message).encode(), runner.draining)
@@ -94,9 +102,14 @@
     async def _post(self, url: str, body: bytes) -> dict[str, Any] | None:
         """The object that a 2xx brings in time; None otherwise."""
         try:
-            response = await self._client.fetch(url, method="POST", body=body, request_timeout=ANSWER_S,
-                                                connect_timeout=ANSWER_S,
-                                                headers={"Content-Type": "application/json"})
+            response = await self._client.fetch(
+                url,
+                method="POST",
+                body=body,
+                request_timeout=ANSWER_S,
+                connect_timeout=ANSWER_S,
+                headers={"Content-Type": "application/json"},
+            )
             if len(response.body) > ANSWER_BYTES:
                 return None
             answer = json.loads(response.body or b"{}")
--- a/larchgw/emulator/system/clientlink.py
+++ b/larchgw/emulator/system/clientlink.py
@@ -26,8 +26,9 @@
         self.last_used_at = 0.0  # when a request was sent, or bytes of an answer came
 
     @classmethod
-    async def connect(cls, address: str, now: Callable[[], float],
-                      on_stray: Callable[[], None]) -> ClientLink:
+    async def connect(
+        cls, address: str, now: Callable[[], float], on_stray: Callable[[], None]
+    ) -> ClientLink:
         """A new connection. Raises OSError or TimeoutError."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
--- a/larchgw/emulator/system/clients.py
+++ b/larchgw/emulator/system/clients.py
@@ -56,8 +56,9 @@
     latency: Histogram = field(default_factory=Histogram)  # to the first event, or to the whole answer
 
 
-def draw(site: Site, seconds: float, rng: random.Random,
-         popularity: Callable[[float], list[str]]) -> list[Intent]:
+def draw(
+    site: Site, seconds: float, rng: random.Random, popularity: Callable[[float], list[str]]
+) -> list[Intent]:
     """All requests of a trial, due from 0 on. `popularity` gives the models at a time, most wanted first."""
     shares = list(accumulate(one.share for one in site.classes))
     weights = list(accumulate(1.0 / (rank + 1) ** ZIPF for rank in range(site.models)))
@@ -80,8 +81,14 @@
 class Clients:
     """Plays requests against the edges and writes down every try."""
 
-    def __init__(self, ingress: Ingress, records: Records, now: Callable[[], float], rng: random.Random,
-                 services: Callable[[str, str], tuple[str, ...]]) -> None:
+    def __init__(
+        self,
+        ingress: Ingress,
+        records: Records,
+        now: Callable[[], float],
+        rng: random.Random,
+        services: Callable[[str, str], tuple[str, ...]],
+    ) -> None:
         self._ingress, self._records, self._now, self._random = ingress, records, now, rng
         self._services = services
         self.results: dict[str, ClassResult] = defaultdict(ClassResult)
@@ -155,10 +162,20 @@
         wanted = intent.wanted
         target = f"{wanted.path_start}{intent.number}?s={intent.session}"
         now = self._now()
-        one = Try(f"{next(self._ids):08x}", wanted.kind, HOST, target, wanted.body(intent.number),
-                  edge.ip, now, deadline, tries=wanted.tries if wanted.idempotent else 1,
-                  idempotent=wanted.idempotent, resumable=wanted.can_resume,
-                  services=self._services(HOST, target))
+        one = Try(
+            f"{next(self._ids):08x}",
+            wanted.kind,
+            HOST,
+            target,
+            wanted.body(intent.number),
+            edge.ip,
+            now,
+            deadline,
+            tries=wanted.tries if wanted.idempotent else 1,
+            idempotent=wanted.idempotent,
+            resumable=wanted.can_resume,
+            services=self._services(HOST, target),
+        )
         try:
             link = await self._link(edge.front, edge.ip, fresh)
         except (OSError, TimeoutError):
@@ -180,14 +197,19 @@
             if link.usable and self._now() < link.last_used_at + MOST_REST_S:
                 return link
             link.close()
-        return await ClientLink.connect(address, self._now,
-                                        lambda: self._records.strays.append((edge, self._now())))
+        return await ClientLink.connect(
+            address, self._now, lambda: self._records.strays.append((edge, self._now()))
+        )
 
-    async def _watch(self, link: ClientLink, over: asyncio.Future[None], one: Try,
-                     wanted: RequestClass) -> None:
+    async def _watch(
+        self, link: ClientLink, over: asyncio.Future[None], one: Try, wanted: RequestClass
+    ) -> None:
         """Waits for the end of the answer; leaves at the deadline, or a stream that has fallen silent."""
-        silence = max(LEAST_SILENCE_S, SILENCE_TARGETS * wanted.target_ms / 1000.0,
-                      SILENCE_GAPS * wanted.gap_aim_ms / 1000.0)
+        silence = max(
+            LEAST_SILENCE_S,
+            SILENCE_TARGETS * wanted.target_ms / 1000.0,
+            SILENCE_GAPS * wanted.gap_aim_ms / 1000.0,
+        )
         while not over.done():
             await asyncio.wait([over], timeout=WATCH_S)
             silent = wanted.is_stream and self._now() - link.last_used_at > silence
@@ -197,8 +219,12 @@
                 return
 
     def _request(self, one: Try, intent: Intent, deadline: float) -> bytes:
-        fields = {"Host": one.host, "X-Attempt-Id": one.id, "Content-Length": str(len(one.body)),
-                  "X-Time-Left-Ms": str(max(int(1000.0 * (deadline - self._now())), 1))}
+        fields = {
+            "Host": one.host,
+            "X-Attempt-Id": one.id,
+            "Content-Length": str(len(one.body)),
+            "X-Time-Left-Ms": str(max(int(1000.0 * (deadline - self._now())), 1)),
+        }
         wanted = intent.wanted
         if wanted.is_stream:
             shared, own = wanted.prompt
@@ -211,4 +237,3 @@
 
 def _hexed(name: str) -> str:
     return name.encode().hex()[:8]
-
--- a/larchgw/emulator/system/engine_runner.py
+++ b/larchgw/emulator/system/engine_runner.py
@@ -26,14 +26,23 @@
 class EngineRunner(Runner):
     """One runner of models."""
 
-    def __init__(self, described: Described, time: RealTime, records: Records, rng: random.Random,
-                 models: Mapping[str, Model], store: WeightStore, memory_mb: float,
-                 max_conns: int = 200) -> None:
+    def __init__(
+        self,
+        described: Described,
+        time: RealTime,
+        records: Records,
+        rng: random.Random,
+        models: Mapping[str, Model],
+        store: WeightStore,
+        memory_mb: float,
+        max_conns: int = 200,
+    ) -> None:
         super().__init__(described, time, records, max_conns)
         self._store = store
         self._speed = rng.uniform(0.9, 1.2)
-        self.placed = ModelRunner("", described.address, described.zone, Capacity(memory_mb, ADAPTER_SLOTS),
-                                  models, store)
+        self.placed = ModelRunner(
+            "", described.address, described.zone, Capacity(memory_mb, ADAPTER_SLOTS), models, store
+        )
         self.engine = self._make_engine()
 
     def preload(self, names: list[str]) -> None:
@@ -42,8 +51,16 @@
             self.placed.preload(name)
 
     def _make_engine(self) -> Engine:
-        return Engine(EngineSettings(slots=ENGINE_SLOTS, queue=2 * ENGINE_SLOTS, cache_tokens=CACHE_TOKENS,
-                                     stride=STRIDE, speed=self._speed), self.time)
+        return Engine(
+            EngineSettings(
+                slots=ENGINE_SLOTS,
+                queue=2 * ENGINE_SLOTS,
+                cache_tokens=CACHE_TOKENS,
+                stride=STRIDE,
+                speed=self._speed,
+            ),
+            self.time,
+        )
 
     def reset(self) -> None:
         """A new incarnation holds nothing in memory, but for the first one's models; its disk keeps them."""
@@ -64,9 +81,14 @@
     def report(self) -> dict[str, Any]:
         """GET /report: models and orders as of a moment ago."""
         seen = self.placed.report(self.time.now())
-        return {**super().report(), "models": _models(seen.models), "occupied": seen.occupied,
-                "call_count": seen.call_count, "cache_used": self.engine.cache.used,
-                "cache_total": self.engine.cache.capacity}
+        return {
+            **super().report(),
+            "models": _models(seen.models),
+            "occupied": seen.occupied,
+            "call_count": seen.call_count,
+            "cache_used": self.engine.cache.used,
+            "cache_total": self.engine.cache.capacity,
+        }
 
     # Orders
 
@@ -86,8 +108,15 @@
         if not known or not isinstance(owner, str) or not isinstance(fence, int):
             return 400
         now, before = self.time.now(), len(self._store.begun)
-        status = self.placed.order(now, self.id, str(action), str(model), str(asked.get("adapter") or ""),
-                                   asked.get("if_revision"), fence)
+        status = self.placed.order(
+            now,
+            self.id,
+            str(action),
+            str(model),
+            str(asked.get("adapter") or ""),
+            asked.get("if_revision"),
+            fence,
+        )
         self.records.orders.append(OrderSeen(self.id, owner, fence, now, status))
         self.records.loads += self._store.begun[before:]
         return status
@@ -110,8 +139,15 @@
 class _Stream:
     """One answer in the making. `done` is set once nothing more comes of it."""
 
-    def __init__(self, runner: EngineRunner, request: Request, stream: IOStream, arrival: Arrival,
-                 model: str, adapter: str) -> None:
+    def __init__(
+        self,
+        runner: EngineRunner,
+        request: Request,
+        stream: IOStream,
+        arrival: Arrival,
+        model: str,
+        adapter: str,
+    ) -> None:
         self.runner, self.stream, self.arrival = runner, stream, arrival
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._engine = runner.engine
@@ -120,9 +156,15 @@
         arrival.last_event = max(-(-_tokens_out(request) // STRIDE), 1)
         remaining = arrival.last_event - self._event
         # The engine makes an event of the first token and of every STRIDE more.
-        self._generation = Generation(model, adapter, _parts(request), (remaining - 1) * STRIDE + 1,
-                                      _priority(request), lambda made: self._on_event(),
-                                      lambda made: self._on_done())
+        self._generation = Generation(
+            model,
+            adapter,
+            _parts(request),
+            (remaining - 1) * STRIDE + 1,
+            _priority(request),
+            lambda made: self._on_event(),
+            lambda made: self._on_done(),
+        )
         self._wrong: Mischief | None = None
         stream.set_close_callback(self._closed)
         self._late = self._watch(request)
@@ -173,8 +215,12 @@
             self._over()
             return
         arrival.status, arrival.seal = 200, runner.seal()
-        fields = {"X-Attempt-Id": arrival.id, "X-Server-Seal": arrival.seal, "Versions": str(VERSION),
-                  "Content-Type": "text/event-stream"}
+        fields = {
+            "X-Attempt-Id": arrival.id,
+            "X-Server-Seal": arrival.seal,
+            "Versions": str(VERSION),
+            "Content-Type": "text/event-stream",
+        }
         send(self.stream, runner.head(200, fields, None))
 
     def _on_done(self) -> None:
@@ -214,8 +260,10 @@
 
 
 def _models(held: Mapping[str, frozenset[str]]) -> list[dict[str, Any]]:
-    return [{"name": name, "config_version": VERSION, "adapters": sorted(adapters)}
-            for name, adapters in sorted(held.items())]
+    return [
+        {"name": name, "config_version": VERSION, "adapters": sorted(adapters)}
+        for name, adapters in sorted(held.items())
+    ]
 
 
 def _tokens_out(request: Request) -> int:
--- a/larchgw/emulator/system/ingress.py
+++ b/larchgw/emulator/system/ingress.py
@@ -55,8 +55,9 @@
 
     async def _ask(self, edge: Machine) -> None:
         try:
-            await self._client.fetch(f"http://{edge.ready}/ready", request_timeout=ASK_EVERY_S,
-                                     connect_timeout=ASK_EVERY_S)
+            await self._client.fetch(
+                f"http://{edge.ready}/ready", request_timeout=ASK_EVERY_S, connect_timeout=ASK_EVERY_S
+            )
         except (HTTPClientError, OSError):
             self._missed[edge.ip] += 1
         else:
--- a/larchgw/emulator/system/judge.py
+++ b/larchgw/emulator/system/judge.py
@@ -14,13 +14,27 @@
 
 Checker = Callable[[Case], Iterator[Breach]]
 CHECKERS: tuple[Checker, ...] = (
-    judge_answers.mixed, judge_answers.unasked, judge_answers.order, judge_answers.lost,
-    judge_retries.twice, judge_retries.refused, judge_retries.tries, judge_retries.budget,
+    judge_answers.mixed,
+    judge_answers.unasked,
+    judge_answers.order,
+    judge_answers.lost,
+    judge_retries.twice,
+    judge_retries.refused,
+    judge_retries.tries,
+    judge_retries.budget,
     judge_retries.drain,
-    judge_configuration.routes, judge_configuration.own_refusals, judge_configuration.downgrades,
-    judge_configuration.acknowledgements, judge_configuration.read_back,
-    judge_contact.cut_off, judge_contact.unproven, judge_contact.stale, judge_contact.unsent,
-    judge_placement.one, judge_placement.limit, judge_placement.ceiling,
+    judge_configuration.routes,
+    judge_configuration.own_refusals,
+    judge_configuration.downgrades,
+    judge_configuration.acknowledgements,
+    judge_configuration.read_back,
+    judge_contact.cut_off,
+    judge_contact.unproven,
+    judge_contact.stale,
+    judge_contact.unsent,
+    judge_placement.one,
+    judge_placement.limit,
+    judge_placement.ceiling,
 )
 
 
--- a/larchgw/emulator/system/judge_answers.py
+++ b/larchgw/emulator/system/judge_answers.py
@@ -79,7 +79,8 @@
         if one is None:
             yield Breach("UNASKED", arrival.at, f"{arrival.runner} ran {arrival.id}, which nobody sent")
         elif (one.method, one.target) != (arrival.method, arrival.target) or (
-                arrival.body_whole and one.body != arrival.body):
+            arrival.body_whole and one.body != arrival.body
+        ):
             yield Breach("UNASKED", arrival.at, f"{arrival.id} reached {arrival.runner} changed")
 
 
@@ -93,8 +94,11 @@
         if numbers != list(range(1, len(numbers) + 1)):
             yield Breach("ORDER", one.ended_at, f"{one.id} got events {_shown(numbers)}")
         elif one.whole and len(numbers) != runs[-1].last_event:
-            yield Breach("ORDER", one.ended_at,
-                         f"{one.id} ends as whole after {len(numbers)} of {runs[-1].last_event} events")
+            yield Breach(
+                "ORDER",
+                one.ended_at,
+                f"{one.id} ends as whole after {len(numbers)} of {runs[-1].last_event} events",
+            )
         if not one.resumable and numbers and len({arrival.seal for arrival in runs}) > 1:
             yield Breach("ORDER", one.ended_at, f"{one.id} joins runs though it may not be resumed")
 
@@ -102,7 +106,7 @@
 def _shown(numbers: list[int]) -> str:
     for place, number in enumerate(numbers):
         if number != place + 1:
-            return f"... {numbers[max(place - 1, 0):place + 2]} at place {place + 1}"
+            return f"... {numbers[max(place - 1, 0) : place + 2]} at place {place + 1}"
     return "in order"
 
 
--- a/larchgw/emulator/system/judge_configuration.py
+++ b/larchgw/emulator/system/judge_configuration.py
@@ -14,8 +14,11 @@
 def services_of(configuration: Mapping[str, Any], host: str, target: str) -> frozenset[str]:
     """The services that a request may go to: those of the longest prefix; none without a route."""
     path = target.partition("?")[0]
-    fitting = [route for route in configuration.get("routes", ())
-               if route["hostname"] == host and path.startswith(route["path_start"])]
+    fitting = [
+        route
+        for route in configuration.get("routes", ())
+        if route["hostname"] == host and path.startswith(route["path_start"])
+    ]
     if not fitting:
         return frozenset()
     route = max(fitting, key=lambda one: len(one["path_start"]))
@@ -27,24 +30,39 @@
     """Which versions may decide what."""
 
     def __init__(self, case: Case) -> None:
-        self.possible = sorted((call for call in case.records.configurations if call.configuration is not None
-                                and not call.refused), key=lambda call: call.version)
+        self.possible = sorted(
+            (
+                call
+                for call in case.records.configurations
+                if call.configuration is not None and not call.refused
+            ),
+            key=lambda call: call.version,
+        )
         self._apply_s = case.limits.apply_ms / 1000.0
 
     def newest_due(self, at: float) -> int:
         """The version that every machine in touch must have at this time; 0 before the first."""
-        return max((call.version for call in self.possible if call.acknowledged_at + self._apply_s < at),
-                   default=0)
+        return max(
+            (call.version for call in self.possible if call.acknowledged_at + self._apply_s < at), default=0
+        )
 
     def allowing(self, one: Try, service: str, until: float) -> list[int]:
         """The versions, sent by then, that let the request go to the service."""
-        return [call.version for call in self.possible if call.sent_at <= until
-                and service in services_of(call.configuration or {}, one.host, one.target)]
+        return [
+            call.version
+            for call in self.possible
+            if call.sent_at <= until
+            and service in services_of(call.configuration or {}, one.host, one.target)
+        ]
 
     def without_route(self, one: Try) -> list[int]:
         """The versions in which the request has no route."""
-        return [call.version for call in self.possible if call.sent_at <= one.ended_at
-                and not services_of(call.configuration or {}, one.host, one.target)]
+        return [
+            call.version
+            for call in self.possible
+            if call.sent_at <= one.ended_at
+            and not services_of(call.configuration or {}, one.host, one.target)
+        ]
 
 
 def routes(case: Case) -> Iterator[Breach]:
@@ -59,8 +77,11 @@
         if not versions:
             yield Breach("ROUTE", arrival.at, f"{one.id} ran at {arrival.service}, which no version allows")
         elif versions[-1] < due and case.touch.machine(one.edge, one.sent_at):
-            yield Breach("CONFIG", arrival.at, f"{one.id} ran at {arrival.service} as of version "
-                                               f"{versions[-1]}, though {due} is in force")
+            yield Breach(
+                "CONFIG",
+                arrival.at,
+                f"{one.id} ran at {arrival.service} as of version {versions[-1]}, though {due} is in force",
+            )
 
 
 def own_refusals(case: Case) -> Iterator[Breach]:
@@ -94,8 +115,10 @@
 
 def _life(case: Case, machine: str, at: float) -> int:
     """Counts the lives of the machine's process."""
-    return sum(trouble.machine == machine and trouble.ends_life and trouble.at <= at
-               for trouble in case.records.troubles)
+    return sum(
+        trouble.machine == machine and trouble.ends_life and trouble.at <= at
+        for trouble in case.records.troubles
+    )
 
 
 def acknowledgements(case: Case) -> Iterator[Breach]:
@@ -110,8 +133,12 @@
         if call.configuration is None:
             yield Breach("CONFIG", call.acknowledged_at, f"version {call.version} is invalid and was taken")
         elif call.built_on in taken:
-            yield Breach("CONFIG", call.acknowledged_at, f"versions {taken[call.built_on].version} and "
-                                                         f"{call.version} were both taken on {call.built_on}")
+            yield Breach(
+                "CONFIG",
+                call.acknowledged_at,
+                f"versions {taken[call.built_on].version} and "
+                f"{call.version} were both taken on {call.built_on}",
+            )
         elif numbers.get(call.version, call).configuration != call.configuration:
             yield Breach("CONFIG", call.acknowledged_at, f"two configurations were taken as {call.version}")
         taken.setdefault(call.built_on, call)
@@ -120,8 +147,11 @@
 
 def read_back(case: Case) -> Iterator[Breach]:
     """At the end the newest acknowledged version, or one that may have been taken since, must be there."""
-    taken = [call for call in case.records.configurations
-             if call.configuration is not None and call.acknowledged_at < float("inf")]
+    taken = [
+        call
+        for call in case.records.configurations
+        if call.configuration is not None and call.acknowledged_at < float("inf")
+    ]
     if not taken:
         return
     newest, found, at = max(call.version for call in taken), case.records.read_back, case.records.read_back_at
--- a/larchgw/emulator/system/judge_placement.py
+++ b/larchgw/emulator/system/judge_placement.py
@@ -28,8 +28,12 @@
         if before is None or before.owner == order.owner or order.at >= before.at + term:
             continue
         if _in_touch(case, before) and _in_touch(case, order):
-            yield Breach("ONE", order.at, f"{before.owner} and {order.owner} ordered at {order.runner} "
-                                          f"within {order.at - before.at:.2f} s")
+            yield Breach(
+                "ONE",
+                order.at,
+                f"{before.owner} and {order.owner} ordered at {order.runner} "
+                f"within {order.at - before.at:.2f} s",
+            )
 
 
 def _in_touch(case: Case, order: OrderSeen) -> bool:
--- a/larchgw/emulator/system/judge_retries.py
+++ b/larchgw/emulator/system/judge_retries.py
@@ -35,8 +35,11 @@
         if len(runners) > one.tries:
             beyond.append(one)
     if len(beyond) > TRIES_ALLOWED:
-        yield Breach("BUDGET", beyond[-1].ended_at,
-                     f"{len(beyond)} requests ran on more runners than their routes' tries")
+        yield Breach(
+            "BUDGET",
+            beyond[-1].ended_at,
+            f"{len(beyond)} requests ran on more runners than their routes' tries",
+        )
 
 
 def budget(case: Case) -> Iterator[Breach]:
@@ -49,8 +52,9 @@
             count = last + 1 - bisect_right(repeats, at - window)
             allowed = limits.retry_ratio * _most_requests(requests, at, window) + limits.retry_extra
             if count > allowed:
-                yield Breach("BUDGET", at, f"{count} repeats at {service} within {window:g} s, "
-                                           f"{allowed:.0f} allowed")
+                yield Breach(
+                    "BUDGET", at, f"{count} repeats at {service} within {window:g} s, {allowed:.0f} allowed"
+                )
                 break
 
 
@@ -68,8 +72,10 @@
 
 def _most_requests(requests: list[float], end: float, window: float) -> int:
     """Requests in the window that ends then, in the one half a window earlier, or in the one before."""
-    return max(bisect_right(requests, end - back) - bisect_left(requests, end - back - window)
-               for back in (0.0, window / 2, window))
+    return max(
+        bisect_right(requests, end - back) - bisect_left(requests, end - back - window)
+        for back in (0.0, window / 2, window)
+    )
 
 
 def drain(case: Case) -> Iterator[Breach]:
@@ -85,5 +91,9 @@
         if at is None or sender is None or arrival.status == 421 or arrival.at <= at + latest:
             continue
         if case.touch.between(sender.edge, at, arrival.at):
-            yield Breach("DRAIN", arrival.at, f"{arrival.id} came to {arrival.runner} "
-                                              f"{arrival.at - at:.2f} s after its draining was acknowledged")
+            yield Breach(
+                "DRAIN",
+                arrival.at,
+                f"{arrival.id} came to {arrival.runner} "
+                f"{arrival.at - at:.2f} s after its draining was acknowledged",
+            )
--- a/larchgw/emulator/system/operator.py
+++ b/larchgw/emulator/system/operator.py
@@ -33,16 +33,21 @@
     for kind in ("routes", "services"):
         added = {item["name"]: item for item in change.get("add", {}).get(kind, [])}
         gone = set(change.get("remove", {}).get(kind, []))
-        items = [added.pop(item["name"], item) for item in result[kind]
-                 if item["name"] in added or item["name"] not in gone]
+        items = [
+            added.pop(item["name"], item)
+            for item in result[kind]
+            if item["name"] in added or item["name"] not in gone
+        ]
         result[kind] = items + list(added.values())
     return result
 
 
 def canonical(whole: Configuration) -> Configuration:
     """The same with its lists in order of names: that order means nothing."""
-    by_name = {kind: sorted(whole.get(kind, []), key=lambda item: str(item["name"]))
-               for kind in ("routes", "services")}
+    by_name = {
+        kind: sorted(whole.get(kind, []), key=lambda item: str(item["name"]))
+        for kind in ("routes", "services")
+    }
     return json.loads(json.dumps({**whole, **by_name}))  # type: ignore[no-any-return]
 
 
@@ -50,8 +55,14 @@
     """Calls any of the control processes that `controls` names. `lost_share` of the answers get lost, and
     `copies` of each call are sent at once, as by a network that delivers one twice."""
 
-    def __init__(self, controls: Callable[[], list[str]], records: Records, now: Callable[[], float],
-                 rng: random.Random, lost_share: float = 0.0) -> None:
+    def __init__(
+        self,
+        controls: Callable[[], list[str]],
+        records: Records,
+        now: Callable[[], float],
+        rng: random.Random,
+        lost_share: float = 0.0,
+    ) -> None:
         self._controls, self._records, self._now, self._random = controls, records, now, rng
         self.lost_share, self.copies = lost_share, 1
         self.current: Configuration = {"config_version": 0, "routes": [], "services": []}
@@ -104,12 +115,17 @@
         """Ends all calls."""
         self._client.close()
 
-    async def _submit(self, path: str, message: Configuration, result: Configuration | None,
-                      built_on: int | None) -> bool:
+    async def _submit(
+        self, path: str, message: Configuration, result: Configuration | None, built_on: int | None
+    ) -> bool:
         """Sends one and the same call until its answer is clear."""
         base = self.version if built_on is None else built_on
-        call = ConfigurationCall(int(message["config_version"]), base,
-                                 canonical(result) if result is not None else None, self._now())
+        call = ConfigurationCall(
+            int(message["config_version"]),
+            base,
+            canonical(result) if result is not None else None,
+            self._now(),
+        )
         self._records.configurations.append(call)
         body, pause, refusals = json.dumps(message).encode(), FIRST_PAUSE_S, 0
         taken_unheard = False
@@ -155,16 +171,23 @@
         if found is not None:
             self.current = found
 
-    async def _call(self, method: str, path: str, body: bytes | None, headers: dict[str, str],
-                    control: str | None = None) -> HTTPResponse | None:
+    async def _call(
+        self, method: str, path: str, body: bytes | None, headers: dict[str, str], control: str | None = None
+    ) -> HTTPResponse | None:
         """One call with its redirections. None where there was no answer."""
         url = f"http://{control or self._random.choice(self._controls())}{path}"
         for _ in range(REDIRECTS + 1):
             sent_at = self._now()
             try:
-                response = await self._client.fetch(url, method=method, body=body, headers=headers,
-                                                    request_timeout=ANSWER_S, raise_error=False,
-                                                    follow_redirects=False)
+                response = await self._client.fetch(
+                    url,
+                    method=method,
+                    body=body,
+                    headers=headers,
+                    request_timeout=ANSWER_S,
+                    raise_error=False,
+                    follow_redirects=False,
+                )
             except (HTTPClientError, OSError):
                 return None
             if response.code == OK or _is_refusal(response.code):
--- a/larchgw/emulator/system/plain_runner.py
+++ b/larchgw/emulator/system/plain_runner.py
@@ -20,8 +20,15 @@
 class PlainRunner(Runner):
     """Answers each request with bytes that are its own."""
 
-    def __init__(self, described: Described, time: RealTime, records: Records, rng: random.Random,
-                 work_s: float = 0.02, max_conns: int = 200) -> None:
+    def __init__(
+        self,
+        described: Described,
+        time: RealTime,
+        records: Records,
+        rng: random.Random,
+        work_s: float = 0.02,
+        max_conns: int = 200,
+    ) -> None:
         super().__init__(described, time, records, max_conns)
         self._random, self._work_s = rng, work_s
         self._lanes = asyncio.Semaphore(described.slots)
@@ -63,8 +70,16 @@
         told = head.headers.get("x-target-runner", self.id)
         if not head.id or told != self.id or self.dark or self.mischief[:1] != [Mischief.EARLY]:
             return None
-        arrival = Arrival(head.id, self.id, self.described.service, self.time.now(), head.method, head.target,
-                          body_whole=False, ran=True)
+        arrival = Arrival(
+            head.id,
+            self.id,
+            self.described.service,
+            self.time.now(),
+            head.method,
+            head.target,
+            body_whole=False,
+            ran=True,
+        )
         self.records.arrivals.append(arrival)
         self._answer(stream, arrival)
         return arrival
@@ -97,8 +112,8 @@
         whole = self.head(200, fields, len(body)) + body
         arrival.ended_at = self.time.now()
         if wrong is Mischief.CUT:
-            arrival.broke_off, arrival.answer = True, body[:BODY_BYTES // 2]
-            send(stream, whole[:-BODY_BYTES // 2])
+            arrival.broke_off, arrival.answer = True, body[: BODY_BYTES // 2]
+            send(stream, whole[: -BODY_BYTES // 2])
             stream.close()
             return
         arrival.answer, arrival.whole = body, True
