--- a/larchgw/emulator/system/plays.py
+++ b/larchgw/emulator/system/plays.py
@@ -47,8 +47,16 @@
 class Plays:
     """Plays faults on a running system. `events` says what was done."""
 
-    def __init__(self, rig: Rig, runners: Runners, clients: Clients, records: Records,
-                 lengths: Lengths, dice: Callable[[str], random.Random], now: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        rig: Rig,
+        runners: Runners,
+        clients: Clients,
+        records: Records,
+        lengths: Lengths,
+        dice: Callable[[str], random.Random],
+        now: Callable[[], float],
+    ) -> None:
         self._rig, self._runners, self._clients, self._lengths = rig, runners, clients, lengths
         self._now, self._records, self._dice = now, records, dice
         self._random = dice("plays")
@@ -61,9 +69,14 @@
 
     async def run(self, name: str) -> None:
         """Plays the fault of this name, and a last change on the system at rest. Raises PlayError."""
-        plays = {"cut-off": self._cut_off, "one-way": self._one_way, "race": self._race,
-                 "second-loss": self._second_loss, "many-changes": self._many_changes,
-                 "answers": self._answers}
+        plays = {
+            "cut-off": self._cut_off,
+            "one-way": self._one_way,
+            "race": self._race,
+            "second-loss": self._second_loss,
+            "many-changes": self._many_changes,
+            "answers": self._answers,
+        }
         await self.operator.catch_up()
         await self._until_whole()
         await plays[name]()
@@ -96,8 +109,15 @@
         companion = self._random.choice(await self._backups())
         await self._cut(await self._primary(), f"primary, with {companion.place.name},", companion)
 
-    async def _cut(self, machine: Machine, role: str, *companions: Machine, starting: Machine | None = None,
-                   mute: bool = True, deaf: bool = True) -> None:
+    async def _cut(
+        self,
+        machine: Machine,
+        role: str,
+        *companions: Machine,
+        starting: Machine | None = None,
+        mute: bool = True,
+        deaf: bool = True,
+    ) -> None:
         """Cuts it off while all call it: operators, runners that check in, and one that drains. An edge
         that is `starting` is on its side of the cut."""
         stranded = self._operator("stranded", lambda: [machine.control])
@@ -156,8 +176,10 @@
 
     async def _one_number(self, one: Operator, other: Operator) -> str:
         built_on, version = one.version, one.version + 1
-        taken = await asyncio.gather(one.change(self._addition(one, version), built_on),
-                                     other.change(self._addition(other, version), built_on))
+        taken = await asyncio.gather(
+            one.change(self._addition(one, version), built_on),
+            other.change(self._addition(other, version), built_on),
+        )
         return f"two changes under one number: {sum(taken)}"
 
     async def _replace_against_change(self, one: Operator, other: Operator) -> str:
@@ -165,8 +187,9 @@
         whole = copy.deepcopy(one.current)
         whole["config_version"] = version
         whole["routes"].append(self._route())
-        taken = await asyncio.gather(one.replace(whole, built_on),
-                                     other.change(self._addition(other, version), built_on))
+        taken = await asyncio.gather(
+            one.replace(whole, built_on), other.change(self._addition(other, version), built_on)
+        )
         return f"a whole configuration against a change: {sum(taken)}"
 
     async def _one_text(self, one: Operator, other: Operator) -> str:
@@ -181,8 +204,10 @@
         broken = copy.deepcopy(one.current)
         broken["config_version"] = built_on + 1
         broken["routes"][0]["service"] = "no-such-service"
-        calls = [(one, other)[number % 2].change(self._addition(one, built_on + 1 + number), built_on)
-                 for number in range(AT_ONCE - 1)]
+        calls = [
+            (one, other)[number % 2].change(self._addition(one, built_on + 1 + number), built_on)
+            for number in range(AT_ONCE - 1)
+        ]
         taken = await asyncio.gather(other.replace(broken, built_on, valid=False), *calls)
         return f"{AT_ONCE} at once, a bad one among them: {sum(taken)}"
 
@@ -204,8 +229,7 @@
         self._note(f"{primary.place.name} (primary) and {other.place.name} were lost after that")
         await self._recover()
         leaving, away = await self._primary(), self._random.choice(await self._backups())
-        await self._changes_during(self._rig.kill(away, self._lengths.rest_s),
-                                   self._rig.restart(leaving))
+        await self._changes_during(self._rig.kill(away, self._lengths.rest_s), self._rig.restart(leaving))
         self._note(f"{leaving.place.name} (primary) left by SIGTERM while {away.place.name} was down")
 
     async def _recover(self) -> None:
@@ -327,8 +351,10 @@
     def _addition(self, operator: Operator, version: int = 0) -> Configuration:
         """A change that adds a route that nobody uses, and removes an old one of that kind."""
         mine = [route["name"] for route in operator.current["routes"] if route["name"].startswith("r-added-")]
-        change: dict[str, Any] = {"config_version": version or operator.version + 1,
-                                  "add": {"routes": [self._route()]}}
+        change: dict[str, Any] = {
+            "config_version": version or operator.version + 1,
+            "add": {"routes": [self._route()]},
+        }
         if len(mine) > HELD_ROUTES:
             change["remove"] = {"routes": mine[:1]}
         return change
@@ -337,8 +363,13 @@
         routes = self.operator.current["routes"]
         route = copy.deepcopy(next(one for one in routes if one["name"] == "r-level"))
         number = f"{self._random.getrandbits(32):08x}"
-        return {**route, "name": f"r-added-{number}", "hostname": HOST, "service": LOOKUP,
-                "path_start": f"/added-{number}/"}
+        return {
+            **route,
+            "name": f"r-added-{number}",
+            "hostname": HOST,
+            "service": LOOKUP,
+            "path_start": f"/added-{number}/",
+        }
 
     def _note(self, event: str) -> None:
         self.events.append(f"{self._now() - self._started:5.1f} s: {event}")
--- a/larchgw/emulator/system/records.py
+++ b/larchgw/emulator/system/records.py
@@ -126,7 +126,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """Something done to a machine of the system. `planned` for a SIGTERM, after which it ends in good order.
+    """Something done to a machine of the system.
+
+    `planned` for a SIGTERM, after which it ends in good order.
     """
 
     machine: str
--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -44,8 +44,9 @@
 class Machine:
     """One process of the system and the machine that it stands for."""
 
-    def __init__(self, place: Place, network: Network, folder: Path,
-                 switchboard: Switchboard | None = None) -> None:
+    def __init__(
+        self, place: Place, network: Network, folder: Path, switchboard: Switchboard | None = None
+    ) -> None:
         self.place, self.network, self._switchboard = place, network, switchboard
         self.folder = folder / place.name
         self.folder.mkdir()
@@ -87,20 +88,38 @@
         """What its processes have written."""
         return self.folder / "log"
 
-    def settings(self, seeds: list[str], limits: TimeLimits, first_boot: bool,
-                 survive: int = 1) -> dict[str, Any]:
+    def settings(
+        self, seeds: list[str], limits: TimeLimits, first_boot: bool, survive: int = 1
+    ) -> dict[str, Any]:
         """Its settings file, as a platform would write it; `survive`: machines that may be lost at once."""
         listen = {"control": self.control} if self.is_core else {"front": self.front, "ready": self.ready}
         return {
-            "node_name": self.place.name, "role": self.place.role,
-            "machine_class": "core" if self.is_core else "edge", "serves": [self.place.role], "ip": self.ip,
-            "zone": self.place.zone, "region": ZONES[self.place.zone], "zones": ZONES, "listen": listen,
-            "spare_ports": self.network.spare_ports(), "seed_list": seeds, "first_boot": first_boot,
+            "node_name": self.place.name,
+            "role": self.place.role,
+            "machine_class": "core" if self.is_core else "edge",
+            "serves": [self.place.role],
+            "ip": self.ip,
+            "zone": self.place.zone,
+            "region": ZONES[self.place.zone],
+            "zones": ZONES,
+            "listen": listen,
+            "spare_ports": self.network.spare_ports(),
+            "seed_list": seeds,
+            "first_boot": first_boot,
             "counts_for_quorum": self.is_core,
-            "limits": {"cpu_share": 1.0, "cpus": 1, "memory_mb": 300, "open_files": 1024,
-                       "link_mbps": 1000.0, "disk_mb": 128 if self.is_core else 0},
-            "data_dir": str(self.folder / "data") if self.is_core else None, "beat_ms": BEAT_MS,
-            "survive": {"computers": survive, "zones": 0, "regions": 0}, "time_limits": _fields(limits)}
+            "limits": {
+                "cpu_share": 1.0,
+                "cpus": 1,
+                "memory_mb": 300,
+                "open_files": 1024,
+                "link_mbps": 1000.0,
+                "disk_mb": 128 if self.is_core else 0,
+            },
+            "data_dir": str(self.folder / "data") if self.is_core else None,
+            "beat_ms": BEAT_MS,
+            "survive": {"computers": survive, "zones": 0, "regions": 0},
+            "time_limits": _fields(limits),
+        }
 
     async def start(self, settings: dict[str, Any]) -> None:
         """Writes the settings and starts the process."""
@@ -118,8 +137,17 @@
                 program = [LINKED, str(orders.fileno())]
             # A session of its own: a ctrl-C at the terminal is the trial's to pass on.
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", *program, self.place.role, cwd=self.folder, env=environment,
-                stdout=log, stderr=log, start_new_session=True, pass_fds=descriptors)
+                sys.executable,
+                "-m",
+                *program,
+                self.place.role,
+                cwd=self.folder,
+                env=environment,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+                pass_fds=descriptors,
+            )
 
     def signal(self, number: signal.Signals) -> None:
         """Sends a signal to the process, if it is there."""
@@ -166,8 +194,17 @@
     Only where it is `linked` can links be cut or reset.
     """
 
-    def __init__(self, network: Network, folder: Path, records: Records, limits: TimeLimits,
-                 now: Callable[[], float], controls: int, edges: int, linked: bool = False) -> None:
+    def __init__(
+        self,
+        network: Network,
+        folder: Path,
+        records: Records,
+        limits: TimeLimits,
+        now: Callable[[], float],
+        controls: int,
+        edges: int,
+        linked: bool = False,
+    ) -> None:
         self._network, self._folder, self._records, self._limits = network, folder, records, limits
         self._now = now
         self.links = Switchboard()
@@ -265,8 +302,9 @@
         self._end(trouble)
 
     @asynccontextmanager
-    async def cut_off(self, group: Collection[Machine], mute: bool = True,
-                      deaf: bool = True) -> AsyncIterator[None]:
+    async def cut_off(
+        self, group: Collection[Machine], mute: bool = True, deaf: bool = True
+    ) -> AsyncIterator[None]:
         """Cuts these machines from all others, silently, while runners, clients and operators still reach
         them: the others don't hear them (mute), they hear nothing of the others (deaf), or both."""
         cut, hosts = [one.ip for one in group], [one.ip for one in self.machines]
@@ -310,8 +348,9 @@
     async def _terminate(self, machine: Machine) -> int:
         return await machine.terminate(self._limits.grace_period_s + END_SLACK_S)
 
-    def _begin(self, machine: Machine, planned: bool = False, ends_life: bool = True,
-               cut_off: bool = False) -> int:
+    def _begin(
+        self, machine: Machine, planned: bool = False, ends_life: bool = True, cut_off: bool = False
+    ) -> int:
         trouble = Trouble(machine.ip, self._now(), float("inf"), planned, machine.is_core, ends_life, cut_off)
         self._records.troubles.append(trouble)
         return len(self._records.troubles) - 1
--- a/larchgw/emulator/system/runner.py
+++ b/larchgw/emulator/system/runner.py
@@ -136,8 +136,17 @@
     def report(self) -> dict[str, Any]:
         """GET /report."""
         running, waiting, _ = self.load()
-        return {"phase": "both", "models": self.held(), "occupied": False, "call_count": 0, "queued": waiting,
-                "in_progress": running, "cache_used": 0, "cache_total": 0, "takes": 0}
+        return {
+            "phase": "both",
+            "models": self.held(),
+            "occupied": False,
+            "call_count": 0,
+            "queued": waiting,
+            "in_progress": running,
+            "cache_used": 0,
+            "cache_total": 0,
+            "takes": 0,
+        }
 
     # Connections
 
@@ -181,8 +190,15 @@
             await self._request(request, stream, target)
 
     async def _request(self, request: Request, stream: IOStream, target: str | None) -> None:
-        arrival = Arrival(request.id, self.id, self.described.service, self.time.now(), request.method,
-                          request.target, request.body)
+        arrival = Arrival(
+            request.id,
+            self.id,
+            self.described.service,
+            self.time.now(),
+            request.method,
+            request.target,
+            request.body,
+        )
         self.records.arrivals.append(arrival)
         if not request.id:
             self.turn_away(stream, arrival, 400)
@@ -244,4 +260,3 @@
     def surplus(self, stream: IOStream) -> None:
         """Another answer, which belongs to no request."""
         send(stream, head(200, {"X-Attempt-Id": "nobody", "X-Server-Seal": "surplus"}, 7) + b"surplus")
-
--- a/larchgw/emulator/system/runners.py
+++ b/larchgw/emulator/system/runners.py
@@ -27,15 +27,26 @@
 class Runners:
     """Starts, disturbs and ends runners."""
 
-    def __init__(self, site: Site, network: Network, time: RealTime, records: Records, limits: TimeLimits,
-                 controls: Callable[[], list[str]], rng: random.Random) -> None:
+    def __init__(
+        self,
+        site: Site,
+        network: Network,
+        time: RealTime,
+        records: Records,
+        limits: TimeLimits,
+        controls: Callable[[], list[str]],
+        rng: random.Random,
+    ) -> None:
         self._time, self._limits, self._random = time, limits, rng
         store = WeightStore(LOADS_AT_FULL_SPEED)
         self.all: list[Runner] = []
         for number, service in enumerate(site.services()):
-            described = Described(service, network.address(FIRST_RUNNER + number, RUNNER_OFFSET),
-                                  ZONE_NAMES[number % len(ZONE_NAMES)],
-                                  ENGINE_SLOTS if service == ENGINES else PLAIN_SLOTS)
+            described = Described(
+                service,
+                network.address(FIRST_RUNNER + number, RUNNER_OFFSET),
+                ZONE_NAMES[number % len(ZONE_NAMES)],
+                ENGINE_SLOTS if service == ENGINES else PLAIN_SLOTS,
+            )
             self.all.append(self._make(site, described, records, store))
         engines = [runner for runner in self.all if isinstance(runner, EngineRunner)]
         for runner, held in zip(engines, site.initially_held(len(engines)), strict=True):
@@ -46,8 +57,9 @@
 
     def _make(self, site: Site, described: Described, records: Records, store: WeightStore) -> Runner:
         if described.service == ENGINES:
-            return EngineRunner(described, self._time, records, self._random, site.catalogue(), store,
-                                site.memory_mb())
+            return EngineRunner(
+                described, self._time, records, self._random, site.catalogue(), store, site.memory_mb()
+            )
         return PlainRunner(described, self._time, records, self._random)
 
     def start(self) -> None:
--- a/larchgw/emulator/system/script.py
+++ b/larchgw/emulator/system/script.py
@@ -28,8 +28,15 @@
 class Script:
     """Plays troubles until it is told to stop. `events` says what was done."""
 
-    def __init__(self, rig: Rig, runners: Runners, operator: Operator, limits: TimeLimits,
-                 dice: Callable[[str], random.Random], now: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        rig: Rig,
+        runners: Runners,
+        operator: Operator,
+        limits: TimeLimits,
+        dice: Callable[[str], random.Random],
+        now: Callable[[], float],
+    ) -> None:
         self._now = now
         self._started = now()
         self._rig, self._runners, self._operator, self._limits = rig, runners, operator, limits
@@ -40,8 +47,14 @@
 
     async def run(self) -> None:
         """Plays all lanes; returns once each has ended its last trouble after `stop`."""
-        core = [self._kill_primary, self._kill_control, self._wipe_control, self._freeze_control,
-                self._restart_control, self._replace_control]
+        core = [
+            self._kill_primary,
+            self._kill_control,
+            self._wipe_control,
+            self._freeze_control,
+            self._restart_control,
+            self._replace_control,
+        ]
         edges = [self._kill_edge, self._freeze_edge, self._restart_edge]
         operator = [self._move_route, self._race, self._invalid, self._lost_answers, self._add_route]
         runners = [self._release_runner, self._crash_runner, self._darken_runner, self._misbehaviour]
@@ -56,8 +69,10 @@
         taken = await self._operator.change(change)
         down = self._random.uniform(*DOWN_S)
         await self._rig.kill_all(self._rig.controls, down)
-        self.events.append(f"version {change['config_version']}: {_verdict(taken)}; "
-                           f"all control processes killed, back after {down:.1f} s")
+        self.events.append(
+            f"version {change['config_version']}: {_verdict(taken)}; "
+            f"all control processes killed, back after {down:.1f} s"
+        )
 
     def stop(self) -> None:
         """No further troubles."""
@@ -156,8 +171,10 @@
         return f"{old} fell silent, {runner.id} after {down:.1f} s"
 
     async def _misbehaviour(self) -> str:
-        done = [f"{runner.id} {self._runners.misbehave(runner).name.lower()}"
-                for runner in self._random.choices(self._runners.all, k=3)]
+        done = [
+            f"{runner.id} {self._runners.misbehave(runner).name.lower()}"
+            for runner in self._random.choices(self._runners.all, k=3)
+        ]
         return "spoilt answers: " + ", ".join(done)
 
     # The operator
@@ -182,8 +199,12 @@
     def _added(self) -> dict[str, Any]:
         """A change that adds a route that nobody uses."""
         version = self._next_version()
-        route = {**self._level_route(LOOKUP), "name": f"r-added-{version}", "hostname": HOST,
-                 "path_start": f"/added-{version}-{self._random.randrange(1000)}/"}
+        route = {
+            **self._level_route(LOOKUP),
+            "name": f"r-added-{version}",
+            "hostname": HOST,
+            "path_start": f"/added-{version}-{self._random.randrange(1000)}/",
+        }
         return {"config_version": version, "add": {"routes": [route]}}
 
     async def _change(self, change: dict[str, Any]) -> bool:
--- a/larchgw/emulator/system/site.py
+++ b/larchgw/emulator/system/site.py
@@ -68,17 +68,39 @@
 
     def route(self) -> dict[str, Any]:
         """Its route as the operator writes it."""
-        return {"name": f"r-{self.name}", "hostname": HOST, "path_start": self.path_start, "kind": self.kind,
-                "deadline_ms": self.deadline_ms, "target_ms": self.target_ms, "rank": self.rank,
-                "service": self.service, "tries": self.tries if self.idempotent else 1,
-                "pinned": self.is_stream, "can_resume": self.can_resume, "gap_aim_ms": self.gap_aim_ms}
+        return {
+            "name": f"r-{self.name}",
+            "hostname": HOST,
+            "path_start": self.path_start,
+            "kind": self.kind,
+            "deadline_ms": self.deadline_ms,
+            "target_ms": self.target_ms,
+            "rank": self.rank,
+            "service": self.service,
+            "tries": self.tries if self.idempotent else 1,
+            "pinned": self.is_stream,
+            "can_resume": self.can_resume,
+            "gap_aim_ms": self.gap_aim_ms,
+        }
 
 
 CLASSES = (
-    RequestClass("draft", "streaming", 0.4, ENGINES, 800, 8000, can_resume=True, gap_aim_ms=300, rank=1,
-                 output_tokens=120, prompt=(600, 300)),
-    RequestClass("plan", "streaming", 0.2, ENGINES, 1500, 8000, gap_aim_ms=300, output_tokens=40,
-                 prompt=(2000, 700)),
+    RequestClass(
+        "draft",
+        "streaming",
+        0.4,
+        ENGINES,
+        800,
+        8000,
+        can_resume=True,
+        gap_aim_ms=300,
+        rank=1,
+        output_tokens=120,
+        prompt=(600, 300),
+    ),
+    RequestClass(
+        "plan", "streaming", 0.2, ENGINES, 1500, 8000, gap_aim_ms=300, output_tokens=40, prompt=(2000, 700)
+    ),
     RequestClass("level", "read_only", 0.2, LOOKUP, 300, 3000, long_body_every=5),
     RequestClass("ticket", "writing", 0.2, LOOKUP, 400, 4000, long_body_every=5),
 )
@@ -101,8 +123,10 @@
 
     def catalogue(self) -> dict[str, Model]:
         """The models by name."""
-        return {name: Model(name, MODEL_MB, LOAD_S, ADAPTERS if place % 3 == 0 else 0, ADAPTER_MB)
-                for place, name in enumerate(self.model_names())}
+        return {
+            name: Model(name, MODEL_MB, LOAD_S, ADAPTERS if place % 3 == 0 else 0, ADAPTER_MB)
+            for place, name in enumerate(self.model_names())
+        }
 
     def services(self) -> list[str]:
         """The service of each runner: half run models, one in six serves the archive, the others look up."""
@@ -124,19 +148,38 @@
 
     def configuration(self, version: int) -> dict[str, Any]:
         """The operator's configuration."""
-        models = [{"name": model.name, "weights_mb": model.weights_mb, "load_s": model.load_s,
-                   "adapters": model.adapters, "adapter_mb": model.adapter_mb}
-                  for model in self.catalogue().values()]
-        runtime = {"slots": ENGINE_SLOTS, "cache_tokens": CACHE_TOKENS, "token_bytes": 163840,
-                   "link_mbps": 180000.0, "stride": STRIDE, "models": models,
-                   "weights_mb": self.memory_mb(), "adapter_slots": ADAPTER_SLOTS, "loads_per_s": LOADS_PER_S}
+        models = [
+            {
+                "name": model.name,
+                "weights_mb": model.weights_mb,
+                "load_s": model.load_s,
+                "adapters": model.adapters,
+                "adapter_mb": model.adapter_mb,
+            }
+            for model in self.catalogue().values()
+        ]
+        runtime = {
+            "slots": ENGINE_SLOTS,
+            "cache_tokens": CACHE_TOKENS,
+            "token_bytes": 163840,
+            "link_mbps": 180000.0,
+            "stride": STRIDE,
+            "models": models,
+            "weights_mb": self.memory_mb(),
+            "adapter_slots": ADAPTER_SLOTS,
+            "loads_per_s": LOADS_PER_S,
+        }
         plain = {"health_path": "/health", "max_conns": 200, "protocol": "h1", "uses_tls": False}
-        return {"config_version": version,
-                "routes": [one.route() for one in self.classes],
-                "services": [{"name": ENGINES, **plain, "runtime": runtime}, {"name": LOOKUP, **plain},
-                             {"name": ARCHIVE, **plain}],
-                "limits": {"header_bytes": 16384, "body_bytes": 1048576, "header_ms": 3000,
-                           "idle_ms": 15000}}
+        return {
+            "config_version": version,
+            "routes": [one.route() for one in self.classes],
+            "services": [
+                {"name": ENGINES, **plain, "runtime": runtime},
+                {"name": LOOKUP, **plain},
+                {"name": ARCHIVE, **plain},
+            ],
+            "limits": {"header_bytes": 16384, "body_bytes": 1048576, "header_ms": 3000, "idle_ms": 15000},
+        }
 
     def memory_mb(self) -> float:
         """What a model runner has for weights and adapters."""
--- a/larchgw/emulator/system/touch.py
+++ b/larchgw/emulator/system/touch.py
@@ -1,4 +1,6 @@
-"""Whether rules with a bound on time hold for a machine at a moment: it was undisturbed, and so was the core.
+"""Whether rules with a bound on time hold for a machine at a moment.
+
+They do while it was undisturbed, and so was the core.
 """
 
 from __future__ import annotations
@@ -26,13 +28,17 @@
     def between(self, address: str, begin: float, end: float) -> bool:
         """Whether the machine is in touch from `begin` to `end`."""
         return self.machine(address, begin) and not any(
-            (one.core or one.machine == address) and begin <= one.at <= end for one in self._troubles)
+            (one.core or one.machine == address) and begin <= one.at <= end for one in self._troubles
+        )
 
     def unplanned(self, begin: float, end: float) -> bool:
         """Whether anything unplanned was done in this time or `contact_s` before it."""
-        return any(not one.planned and one.at <= end and one.until >= begin - self._contact_s
-                   for one in self._troubles)
+        return any(
+            not one.planned and one.at <= end and one.until >= begin - self._contact_s
+            for one in self._troubles
+        )
 
     def _disturbed(self, at: float, concerns: Callable[[Trouble], bool]) -> bool:
-        return any(concerns(one) and one.at <= at and one.until >= at - self._contact_s
-                   for one in self._troubles)
+        return any(
+            concerns(one) and one.at <= at and one.until >= at - self._contact_s for one in self._troubles
+        )
--- a/larchgw/emulator/system/trial.py
+++ b/larchgw/emulator/system/trial.py
@@ -64,18 +64,32 @@
 
     def rows(self) -> list[dict[str, object]]:
         """One row a class; latencies in seconds."""
-        return [{"class": name, "asked": one.asked, "served": one.served, "in time": one.in_time,
-                 "refused": one.refused, "failed": one.failed, "tries": one.tries,
-                 "p50": one.latency.quantile(0.5), "p90": one.latency.quantile(0.9),
-                 "p99": one.latency.quantile(0.99), "most": one.latency.most}
-                for name, one in sorted(self.results.items())]
+        return [
+            {
+                "class": name,
+                "asked": one.asked,
+                "served": one.served,
+                "in time": one.in_time,
+                "refused": one.refused,
+                "failed": one.failed,
+                "tries": one.tries,
+                "p50": one.latency.quantile(0.5),
+                "p90": one.latency.quantile(0.9),
+                "p99": one.latency.quantile(0.99),
+                "most": one.latency.most,
+            }
+            for name, one in sorted(self.results.items())
+        ]
 
     def figures(self) -> dict[str, int]:
         """The figures of the last line."""
         names = ("asked", "served", "in_time", "refused", "failed")
         return {name: self.total(name) for name in names} | {
-            "loads": len(self.records.loads), "orders": len(self.records.orders),
-            "exits": sum(status != 0 for status in self.statuses), "broken": len(self.broken)}
+            "loads": len(self.records.loads),
+            "orders": len(self.records.orders),
+            "exits": sum(status != 0 for status in self.statuses),
+            "broken": len(self.broken),
+        }
 
 
 async def run(spec: SystemSpec) -> SystemOutcome:
@@ -106,11 +120,20 @@
         self._spec = spec
         self._time, self._records = RealTime(), Records(loads_per_s=LOADS_PER_S)
         now, site = self._time.now, spec.site
-        self._rig = Rig(network, folder, self._records, LIMITS, now, site.controls, site.edges,
-                        linked=spec.fault is not None)
+        self._rig = Rig(
+            network,
+            folder,
+            self._records,
+            LIMITS,
+            now,
+            site.controls,
+            site.edges,
+            linked=spec.fault is not None,
+        )
         controls = self._rig.control_addresses
-        self._runners = Runners(site, network, self._time, self._records, LIMITS, controls,
-                                self._dice("runners"))
+        self._runners = Runners(
+            site, network, self._time, self._records, LIMITS, controls, self._dice("runners")
+        )
         self._operator = Operator(controls, self._records, now, self._dice("operator"))
         self._ingress = Ingress(self._rig.edges, self._dice("ingress"))
         self._clients = Clients(self._ingress, self._records, now, self._dice("clients"), self._services)
@@ -140,8 +163,15 @@
         """One named fault, with requests from its begin to its end."""
         intents = draw(self._spec.site, LONGEST_PLAY_S, self._dice("requests"), self._popularity)
         clients = asyncio.create_task(self._clients.play(intents, self._time.now()))
-        plays = Plays(self._rig, self._runners, self._clients, self._records, self._spec.lengths,
-                      self._dice, self._time.now)
+        plays = Plays(
+            self._rig,
+            self._runners,
+            self._clients,
+            self._records,
+            self._spec.lengths,
+            self._dice,
+            self._time.now,
+        )
         try:
             await plays.run(name)
         except PlayError as error:
@@ -157,8 +187,9 @@
         await self._until(self._settled, "not all processes are back after the last trouble")
         await self._operator.read(START_S)
         statuses = await self._rig.stop()
-        return SystemOutcome(dict(self._clients.results), judge(self._records, LIMITS), events,
-                             statuses, self._records)
+        return SystemOutcome(
+            dict(self._clients.results), judge(self._records, LIMITS), events, statuses, self._records
+        )
 
     async def close(self) -> None:
         """Ends all that may still run."""
@@ -200,8 +231,12 @@
             await asyncio.sleep(LOOK_S)
 
     def _look_at_logs(self) -> str:
-        last = [line for machine in self._rig.machines if machine.log.exists()
-                for line in machine.log.read_text(errors="replace").splitlines()[-2:]]
+        last = [
+            line
+            for machine in self._rig.machines
+            if machine.log.exists()
+            for line in machine.log.read_text(errors="replace").splitlines()[-2:]
+        ]
         return "last log lines: " + " | ".join(last)
 
     def _services(self, host: str, target: str) -> tuple[str, ...]:
--- a/larchgw/emulator/system/watch.py
+++ b/larchgw/emulator/system/watch.py
@@ -23,8 +23,9 @@
     async def status(self, machine: Machine) -> dict[str, Any]:
         """What it tells; empty where it tells nothing."""
         try:
-            response = await self._client.fetch(f"http://{machine.control}/status", request_timeout=ANSWER_S,
-                                                connect_timeout=ANSWER_S)
+            response = await self._client.fetch(
+                f"http://{machine.control}/status", request_timeout=ANSWER_S, connect_timeout=ANSWER_S
+            )
             found = json.loads(response.body)
         except (HTTPClientError, OSError, ValueError):
             return {}
@@ -32,8 +33,11 @@
 
     async def primary(self) -> Machine | None:
         """The primary of the newest view that anyone tells of; None where nobody calls itself that."""
-        found = [(status["view"]["epoch"], machine) for machine in self._rig.controls
-                 if (status := await self.status(machine)).get("role") == PRIMARY and status.get("view")]
+        found = [
+            (status["view"]["epoch"], machine)
+            for machine in self._rig.controls
+            if (status := await self.status(machine)).get("role") == PRIMARY and status.get("view")
+        ]
         return max(found, key=lambda pair: pair[0])[1] if found else None
 
     async def is_whole(self) -> bool:
@@ -43,8 +47,9 @@
             return False
         views = [status["view"] for status in told]
         members = {views[0]["primary"], *views[0]["backups"]}
-        return (len({view["epoch"] for view in views}) == 1
-                and members == {status["identity"] for status in told})
+        return len({view["epoch"] for view in views}) == 1 and members == {
+            status["identity"] for status in told
+        }
 
     def close(self) -> None:
         """Ends all calls."""
--- a/larchgw/emulator/trial.py
+++ b/larchgw/emulator/trial.py
@@ -56,13 +56,19 @@
             asked = sum(j.work * j.slots for j in jobs) * cls.worth
             good = sum(j.work * j.slots for j in jobs if j.in_time()) * cls.worth
             waits = sorted(j.began_at - j.due for j in jobs if j.began_at)
-            rows.append({
-                "class": cls.name, "jobs": len(jobs), "served": sum(j.ended == "served" for j in jobs),
-                "refused": sum(j.ended == "refused" for j in jobs),
-                "failed": sum(j.ended in ("failed", "gave up") for j in jobs),
-                "open": sum(not j.ended for j in jobs),
-                "in time": sum(j.in_time() for j in jobs), "worth in time": good / asked if asked else 0.0,
-                "median wait s": waits[len(waits) // 2] if waits else 0.0})
+            rows.append(
+                {
+                    "class": cls.name,
+                    "jobs": len(jobs),
+                    "served": sum(j.ended == "served" for j in jobs),
+                    "refused": sum(j.ended == "refused" for j in jobs),
+                    "failed": sum(j.ended in ("failed", "gave up") for j in jobs),
+                    "open": sum(not j.ended for j in jobs),
+                    "in time": sum(j.in_time() for j in jobs),
+                    "worth in time": good / asked if asked else 0.0,
+                    "median wait s": waits[len(waits) // 2] if waits else 0.0,
+                }
+            )
         return rows
 
 
@@ -96,7 +102,8 @@
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, self.interrupt)
         self.installation = installation = await Installation.start(
-            self.boxes, self.fleet.fetch_s, self.fleet.lanes(self.load.rate), spec.seed)
+            self.boxes, self.fleet.fetch_s, self.fleet.lanes(self.load.rate), spec.seed
+        )
         with tempfile.TemporaryDirectory(prefix="larchgw-try-") as folder:
             process = await self._start(Path(folder), installation)
             reader = asyncio.create_task(self._read(process))
@@ -113,20 +120,28 @@
         return self.outcome
 
     async def _start(self, folder: Path, installation: Installation) -> asyncio.subprocess.Process:
-        config = {"name": "try", "listen": "127.0.0.1:0", "discovery": installation.discovery.address,
-                  "seed": f"{self.spec.seed:x}", "limits": {"sockets": 1024},
-                  "settings": dispatcher_settings(self.load, 3)}
+        config = {
+            "name": "try",
+            "listen": "127.0.0.1:0",
+            "discovery": installation.discovery.address,
+            "seed": f"{self.spec.seed:x}",
+            "limits": {"sockets": 1024},
+            "settings": dispatcher_settings(self.load, 3),
+        }
         path = folder / "config.json"
         path.write_text(json.dumps(config))
         command = [sys.executable, "-m", "larchgw"]
         if self.spec.room:
             command += ["serve", "--room", str(self.spec.room.resolve())]
-        environment = os.environ | {"PROXY_CONFIG": str(path), "TMPDIR": str(folder),
-                                    "PYTHONPATH": os.pathsep.join(filter(None, (
-                                        str(ROOT), os.environ.get("PYTHONPATH"))))}
+        environment = os.environ | {
+            "PROXY_CONFIG": str(path),
+            "TMPDIR": str(folder),
+            "PYTHONPATH": os.pathsep.join(filter(None, (str(ROOT), os.environ.get("PYTHONPATH")))),
+        }
         # A session of its own: ctrl-C at the terminal is ours to pass on, once the clients have been told.
         return await asyncio.create_subprocess_exec(
-            *command, stderr=asyncio.subprocess.PIPE, env=environment, start_new_session=True)
+            *command, stderr=asyncio.subprocess.PIPE, env=environment, start_new_session=True
+        )
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
@@ -146,7 +161,8 @@
         target = self._address.result()
         await self._until_ready(target)
         jobs = self.outcome.jobs = arrivals(
-            self.load, installation.time.now() + 0.2, self.spec.seconds, 3, self.spec.seed)
+            self.load, installation.time.now() + 0.2, self.spec.seconds, 3, self.spec.seed
+        )
         self.clients = clients = Clients(installation.time, installation.records, [target], self.load, jobs)
         self.outcome.counts = clients.counts
         if self.spec.faults:
@@ -197,8 +213,11 @@
         at(0.60, f"{slow} is well again", lambda: installation.servers[slow].box.set_slow(1.0))
         if len(names) > 2:
             at(0.35, f"{drained} drains", lambda: installation.drain(drained))
-            at(0.70, f"{drained} is restarted, cold",
-               lambda: asyncio.ensure_future(installation.restart(drained)))
+            at(
+                0.70,
+                f"{drained} is restarted, cold",
+                lambda: asyncio.ensure_future(installation.restart(drained)),
+            )
 
     async def _end(self, process: asyncio.subprocess.Process, reader: asyncio.Task[None]) -> None:
         if process.returncode is None:
--- a/larchgw/emulator/virtual/carrier.py
+++ b/larchgw/emulator/virtual/carrier.py
@@ -22,8 +22,14 @@
 
     name = "virtual"
 
-    def __init__(self, deployment: Deployment, name: str, zone: int, core: Core,
-                 told: Mapping[WorkerId, tuple[int, float]]) -> None:
+    def __init__(
+        self,
+        deployment: Deployment,
+        name: str,
+        zone: int,
+        core: Core,
+        told: Mapping[WorkerId, tuple[int, float]],
+    ) -> None:
         self._deployment, self._time = deployment, deployment.time
         self._name, self._zone, self._core, self._told = name, zone, core, told
         self._out: dict[int, tuple[Attempt, Work, Sent, Box]] = {}
@@ -41,9 +47,15 @@
         deployment.records.sent[name].append(sent)
         deployment.records.sent_by.append((self._name, box.spec.name, now))
         way = self._way(box)
-        work = Work(name, job.work, lambda w, said: self._heard(attempt, said, way),
-                    request.key, job.slots, cls.priority,
-                    told=self._told.get(attempt.worker, GONE)[1] == box.up_since)
+        work = Work(
+            name,
+            job.work,
+            lambda w, said: self._heard(attempt, said, way),
+            request.key,
+            job.slots,
+            cls.priority,
+            told=self._told.get(attempt.worker, GONE)[1] == box.up_since,
+        )
         self._out[id(attempt)] = (attempt, work, sent, box)
         dial = 2.0 * way + 0.002 if cls.effect == "at_most_once" else 0.0  # such jobs go over new connections
         self._core.written(attempt)
@@ -93,8 +105,10 @@
     def probe(self, worker: WorkerId) -> None:
         box = self._deployment.boxes[worker]
         if box.up and not box.hung:
-            self._time.at(self._time.now() + 2 * self._way(box),
-                          lambda: self._core.probed(worker, Status.OK, 0.001, box.report))
+            self._time.at(
+                self._time.now() + 2 * self._way(box),
+                lambda: self._core.probed(worker, Status.OK, 0.001, box.report),
+            )
 
     def drop_all(self) -> None:
         """The dispatcher has died: its connections break."""
--- a/larchgw/emulator/virtual/clients.py
+++ b/larchgw/emulator/virtual/clients.py
@@ -18,14 +18,17 @@
 class Clients:
     """Send each job to a dispatcher of its zone, and note what comes of it."""
 
-    def __init__(self, deployment: Deployment, dispatchers: Sequence[Dispatcher],
-                 jobs: Sequence[Job]) -> None:
+    def __init__(
+        self, deployment: Deployment, dispatchers: Sequence[Dispatcher], jobs: Sequence[Job]
+    ) -> None:
         self._scenario, self._time, self._records = deployment.scenario, deployment.time, deployment.records
         self._random, self._dispatchers, self._jobs = deployment.random, dispatchers, jobs
         self._by_try: dict[str, tuple[Job, Dispatcher, Request]] = {}
         dice = random.Random(deployment.seed * 31 + 7)
-        self._crowds = [dice.paretovariate(1.5) ** deployment.scenario.uneven
-                        for _ in range(deployment.scenario.dispatchers)]
+        self._crowds = [
+            dice.paretovariate(1.5) ** deployment.scenario.uneven
+            for _ in range(deployment.scenario.dispatchers)
+        ]
 
     def start(self) -> None:
         """From now on jobs come when they are due."""
@@ -60,9 +63,18 @@
         cls = self._scenario.load.classes[job.job_class]
         name = f"{job.number:x}-{len(job.tries)}"
         now = self._time.now()
-        request = Request(dispatcher, name.encode(), job.job_class, b"/" + cls.name.encode(), b"",
-                          cls.deadline - CLIENT_WAY, job.key, float(job.slots), repeat=bool(job.tries),
-                          extra=job)
+        request = Request(
+            dispatcher,
+            name.encode(),
+            job.job_class,
+            b"/" + cls.name.encode(),
+            b"",
+            cls.deadline - CLIENT_WAY,
+            job.key,
+            float(job.slots),
+            repeat=bool(job.tries),
+            extra=job,
+        )
         job.tries.append(name)
         self._records.tries[name] = Try(name, cls.effect == "at_most_once", now, now + cls.deadline)
         self._by_try[name] = (job, dispatcher, request)
--- a/larchgw/emulator/virtual/discovery.py
+++ b/larchgw/emulator/virtual/discovery.py
@@ -36,14 +36,23 @@
 
     def members(self) -> list[Member]:
         """All boxes that are up now."""
-        return [self.member(box, Presence.DRAINING if box.draining else Presence.READY)
-                for box in self._boxes.values() if box.up]
+        return [
+            self.member(box, Presence.DRAINING if box.draining else Presence.READY)
+            for box in self._boxes.values()
+            if box.up
+        ]
 
     def member(self, box: Box, presence: Presence = Presence.READY) -> Member:
         """A box as the list has it."""
         spec = box.spec
-        return Member(spec.name.encode(), presence, box.up_since, KIND_NUMBERS[spec.kind], spec.zone,
-                      size=self._weights.get(spec.name.encode(), nominal(box)))
+        return Member(
+            spec.name.encode(),
+            presence,
+            box.up_since,
+            KIND_NUMBERS[spec.kind],
+            spec.zone,
+            size=self._weights.get(spec.name.encode(), nominal(box)),
+        )
 
     def _weigh(self) -> None:
         """Discovery takes the weights of all boxes, and everybody is told of those that have changed."""
@@ -63,16 +72,20 @@
         for dispatcher in self._dispatchers:
             if dispatcher.alive:
                 told = dispatcher.told
-                dispatcher.core.listed(ListKind.DELTA, [
-                    replace(m, presence=told[m.worker][0], up_since=told[m.worker][1]) for m in listed
-                    if told.get(m.worker, GONE)[0] != Presence.GONE])
+                dispatcher.core.listed(
+                    ListKind.DELTA,
+                    [
+                        replace(m, presence=told[m.worker][0], up_since=told[m.worker][1])
+                        for m in listed
+                        if told.get(m.worker, GONE)[0] != Presence.GONE
+                    ],
+                )
 
     def tell(self, box: Box, presence: Presence) -> None:
         """This has become of a box; every dispatcher hears of it in its own time."""
         for dispatcher in self._dispatchers:
             late = self._random.uniform(*self._scenario.list_s)
-            self._time.at(self._time.now() + late,
-                          lambda d=dispatcher: self._hear(d, box, presence))  # type: ignore[misc]
+            self._time.at(self._time.now() + late, lambda d=dispatcher: self._hear(d, box, presence))  # type: ignore[misc]
 
     def _hear(self, dispatcher: Dispatcher, box: Box, presence: Presence) -> None:
         if not dispatcher.alive:
--- a/larchgw/emulator/virtual/dispatcher.py
+++ b/larchgw/emulator/virtual/dispatcher.py
@@ -19,16 +19,29 @@
 class Dispatcher:
     """It is its own front."""
 
-    def __init__(self, deployment: Deployment, index: int, room: RoomMaker, listed: Sequence[Member],
-                 answered: Callable[[Request, Answer], None]) -> None:
+    def __init__(
+        self,
+        deployment: Deployment,
+        index: int,
+        room: RoomMaker,
+        listed: Sequence[Member],
+        answered: Callable[[Request, Answer], None],
+    ) -> None:
         self.index, self.name = index, f"n{index + 1}"
         self.zone = index % deployment.scenario.fleet.zones
         self.alive = True
         self._time, self._answered = deployment.time, answered
         settings = settings_for(deployment.scenario, self.zone, index)
         self.room = room(settings)
-        self.core = Core(settings, deployment.seed * 1000 + index, deployment.time, deployment.time.deadlines,
-                         MAX_OPEN, MAX_BODY_BYTES, self.room)
+        self.core = Core(
+            settings,
+            deployment.seed * 1000 + index,
+            deployment.time,
+            deployment.time.deadlines,
+            MAX_OPEN,
+            MAX_BODY_BYTES,
+            self.room,
+        )
         # What it was last told of each box: a list with new weights brings no later news of anything else.
         self.told: Told = {member.worker: (member.presence, member.up_since) for member in listed}
         self.carrier = Carrier(deployment, self.name, self.zone, self.core, self.told)
--- a/larchgw/emulator/virtual/scenario.py
+++ b/larchgw/emulator/virtual/scenario.py
@@ -41,12 +41,34 @@
 
 def settings_for(scenario: Scenario, zone: int, rank: int = -1) -> Settings:
     """What a dispatcher is told at its start."""
-    classes = [JobClass(c.name, c.aim, c.deadline, c.worth, 0.0, c.stretch, c.effect, priority=c.priority)
-               for c in scenario.load.classes]
+    classes = [
+        JobClass(c.name, c.aim, c.deadline, c.worth, 0.0, c.stretch, c.effect, priority=c.priority)
+        for c in scenario.load.classes
+    ]
     return Settings(
-        classes, instances=scenario.dispatchers, zone=zone, zones=scenario.fleet.zones, max_attempts=3,
-        can_cancel=True, can_probe=True, max_retry_after=2.0, drain_grace=1.0, cold_from=0.15, warm_up=22.0,
-        tip_multiple=2.5, tip_span=3.0, worth_by_work=scenario.by_work, tells_start=True, slot_reports=2,
-        queue_reports=1, fail_reports=0, fifo=scenario.fleet.order.value == "fifo", price_cross=0.027,
-        price_waste=0.3, price_late=0.041, price_probe=0.004,
-        live_weights=scenario.weights_s > 0 and scenario.read_weights, rank=rank)
+        classes,
+        instances=scenario.dispatchers,
+        zone=zone,
+        zones=scenario.fleet.zones,
+        max_attempts=3,
+        can_cancel=True,
+        can_probe=True,
+        max_retry_after=2.0,
+        drain_grace=1.0,
+        cold_from=0.15,
+        warm_up=22.0,
+        tip_multiple=2.5,
+        tip_span=3.0,
+        worth_by_work=scenario.by_work,
+        tells_start=True,
+        slot_reports=2,
+        queue_reports=1,
+        fail_reports=0,
+        fifo=scenario.fleet.order.value == "fifo",
+        price_cross=0.027,
+        price_waste=0.3,
+        price_late=0.041,
+        price_probe=0.004,
+        live_weights=scenario.weights_s > 0 and scenario.read_weights,
+        rank=rank,
+    )
--- a/larchgw/emulator/virtual/summary.py
+++ b/larchgw/emulator/virtual/summary.py
@@ -18,8 +18,11 @@
         for name in ("all", cls.name):
             asked[name] = asked.get(name, 0.0) + worth
             served[name] = served.get(name, 0.0) + worth * job.in_time()
-        for name in (cls.name, f"{cls.name}_{'large' if job.slots > 1 else 'small'}",
-                     "large" if job.slots > 1 else "small"):
+        for name in (
+            cls.name,
+            f"{cls.name}_{'large' if job.slots > 1 else 'small'}",
+            "large" if job.slots > 1 else "small",
+        ):
             tally = counts.setdefault(name, [0, 0])
             tally[0] += 1
             tally[1] += job.in_time()
--- a/larchgw/emulator/virtual/world.py
+++ b/larchgw/emulator/virtual/world.py
@@ -27,8 +27,9 @@
         self.scenario, self._room = scenario, room
         self._deployment = Deployment(scenario, seed, random.Random(seed * 7 + 3))
         self.time, self.records = self._deployment.time, self._deployment.records
-        self.jobs = arrivals(scenario.load, self.time.now() + LEAD_S, scenario.seconds, scenario.fleet.zones,
-                             seed)
+        self.jobs = arrivals(
+            scenario.load, self.time.now() + LEAD_S, scenario.seconds, scenario.fleet.zones, seed
+        )
         self.dispatchers: list[Dispatcher] = []
         self._clients = Clients(self._deployment, self.dispatchers, self.jobs)
         self._add_boxes()
@@ -42,8 +43,9 @@
         self._clients.start()
         load = self.scenario.load
         longest = max(c.deadline for c in load.classes)
-        self.time.run(self.time.now() + LEAD_S + self.scenario.seconds
-                      + (1 + load.retries) * (longest + AFTER_S))
+        self.time.run(
+            self.time.now() + LEAD_S + self.scenario.seconds + (1 + load.retries) * (longest + AFTER_S)
+        )
 
     def _add_boxes(self) -> None:
         fleet, seed = self.scenario.fleet, self._deployment.seed
@@ -54,8 +56,9 @@
         self.records.boxes += self._deployment.boxes.values()
 
     def _dispatcher(self, index: int) -> Dispatcher:
-        return Dispatcher(self._deployment, index, self._room, self._discovery.members(),
-                          self._clients.answered)
+        return Dispatcher(
+            self._deployment, index, self._room, self._discovery.members(), self._clients.answered
+        )
 
     def _schedule_troubles(self) -> None:
         start, faults = self.time.now() + LEAD_S, Faults(self._deployment, self._discovery)
--- a/larchgw/estimates/cold.py
+++ b/larchgw/estimates/cold.py
@@ -41,9 +41,15 @@
 class ColdTurns:
     """One dispatcher's budget at cold workers, in mean jobs."""
 
-    def __init__(self, settings: Settings, seed: int, able: Callable[[Worker], float],
-                 mean_job: Callable[[], float], flow: Callable[[], float],
-                 uneven: Callable[[], float] = lambda: 1.0) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        able: Callable[[Worker], float],
+        mean_job: Callable[[], float],
+        flow: Callable[[], float],
+        uneven: Callable[[], float] = lambda: 1.0,
+    ) -> None:
         """`able`: slot seconds a second that this worker can do when warm, as on a usual worker.
 
         `mean_job`: slot seconds of a job; `flow`: jobs a second that come to all dispatchers, 0 if not known.
--- a/larchgw/estimates/fleet.py
+++ b/larchgw/estimates/fleet.py
@@ -57,8 +57,14 @@
         self.loads = Loads()
         self.reports = Reports(settings, seed)
         self.works = Works(len(settings.classes))
-        self.cold = ColdTurns(settings, seed, self.able, self.runs.mean,
-                              lambda: self.loads.flow if self.live else 0.0, self.runs.uneven)
+        self.cold = ColdTurns(
+            settings,
+            seed,
+            self.able,
+            self.runs.mean,
+            lambda: self.loads.flow if self.live else 0.0,
+            self.runs.uneven,
+        )
 
     def configure(self, settings: Settings) -> None:
         """Other settings for the same classes."""
@@ -202,13 +208,15 @@
             if len(self._orders) >= MOST_ORDERS:
                 self._orders.clear()
             found = self._orders[key, *group] = sorted(
-                set(workers), reverse=True,
-                key=lambda w: log((mix(key ^ w.point) + 1) / (MASK + 2)) / self.reports.weight(w))[:PLACES]
+                set(workers),
+                reverse=True,
+                key=lambda w: log((mix(key ^ w.point) + 1) / (MASK + 2)) / self.reports.weight(w),
+            )[:PLACES]
         first = min(int(self.keys.share(key) * self.ready * SPREAD), len(found) - 1)
         start = (max(self.s.rank, 0) + key) % (first + 1) if first > 0 else 0
-        homes = found[start:first + 1] + found[:start]
+        homes = found[start : first + 1] + found[:start]
         homes.sort(key=lambda w: w.zone != self.s.zone)
-        return homes + found[first + 1:first + 1 + SPARE]
+        return homes + found[first + 1 : first + 1 + SPARE]
 
     def kept(self, worker: Worker) -> float:
         """Keys that a worker is taken to hold, at the most."""
--- a/larchgw/faults/loop.py
+++ b/larchgw/faults/loop.py
@@ -28,21 +28,25 @@
         orders.setblocking(False)
         self.add_reader(orders.fileno(), self._obey)
 
-    async def create_connection(self, protocol_factory: Callable[[], Any], host: Any = None,
-                                port: Any = None, **options: Any) -> tuple[Any, Any]:
+    async def create_connection(
+        self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **options: Any
+    ) -> tuple[Any, Any]:
         """As asyncio's; it waits for as long as the link is held, and what comes of it obeys the link."""
         if host is None:
             return await super().create_connection(protocol_factory, host, port, **options)
         await self._until_connects(host)
         _, linked = await super().create_connection(
-            lambda: LinkedProtocol(protocol_factory(), self._links, host), host, port, **options)
+            lambda: LinkedProtocol(protocol_factory(), self._links, host), host, port, **options
+        )
         return linked.transport, linked.inner
 
-    async def create_datagram_endpoint(self, protocol_factory: Callable[[], Any],
-                                       *args: Any, **options: Any) -> tuple[Any, Any]:
+    async def create_datagram_endpoint(
+        self, protocol_factory: Callable[[], Any], *args: Any, **options: Any
+    ) -> tuple[Any, Any]:
         """As asyncio's, with datagrams that obey their links."""
         return await super().create_datagram_endpoint(
-            lambda: LinkedDatagrams(protocol_factory(), self._links), *args, **options)
+            lambda: LinkedDatagrams(protocol_factory(), self._links), *args, **options
+        )
 
     async def _until_connects(self, host: str) -> None:
         changed = asyncio.Event()
--- a/larchgw/faults/switchboard.py
+++ b/larchgw/faults/switchboard.py
@@ -50,8 +50,9 @@
         """Lets through again what `cut` holds."""
         await self._tell_all(self._turn(senders, receivers, False))
 
-    async def isolate(self, group: Collection[str], others: Iterable[str], mute: bool = True,
-                      deaf: bool = True) -> None:
+    async def isolate(
+        self, group: Collection[str], others: Iterable[str], mute: bool = True, deaf: bool = True
+    ) -> None:
         """Cuts a group of hosts from the others: it isn't heard (mute), hears nothing (deaf), or both."""
         await self._tell_all(self._turn_group(group, others, mute, deaf, True))
 
@@ -69,8 +70,9 @@
         """Resets the connections that this process has opened to those hosts."""
         await self._tell(host, tuple(others))
 
-    def _turn_group(self, group: Collection[str], others: Iterable[str], mute: bool, deaf: bool,
-                    held: bool) -> set[str]:
+    def _turn_group(
+        self, group: Collection[str], others: Iterable[str], mute: bool, deaf: bool, held: bool
+    ) -> set[str]:
         rest = [other for other in others if other not in group]
         concerned: set[str] = set()
         if mute:
--- a/larchgw/fronts/admin.py
+++ b/larchgw/fronts/admin.py
@@ -20,8 +20,15 @@
 
     name = "admin"
 
-    def __init__(self, loop: Loop, core: Core, address: tuple[str, int], ready: Callable[[], bool],
-                 down: Callable[[WorkerId], None], up: Callable[[WorkerId], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        address: tuple[str, int],
+        ready: Callable[[], bool],
+        down: Callable[[WorkerId], None],
+        up: Callable[[WorkerId], None],
+    ) -> None:
         self._core, self._ready, self._down, self._up = core, ready, down, up
         self.server = HttpServer(loop, core.counters, address, self, CAP, MAX_BODY, one_call=True)
 
@@ -33,15 +40,19 @@
                 exchange.reply(200 if up else 503, b"ready\n" if up else b"not ready\n")
         elif path == b"/ops/stats":
             if self._allowed(exchange, b"GET", b"HEAD"):
-                exchange.reply(200, self._core.figures.text(),
-                               (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),))
+                exchange.reply(
+                    200,
+                    self._core.figures.text(),
+                    (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),),
+                )
         elif path.startswith(DOWN):
-            self._by_hand(exchange, path[len(DOWN):], self._down)
+            self._by_hand(exchange, path[len(DOWN) :], self._down)
         elif path.startswith(UP):
-            self._by_hand(exchange, path[len(UP):], self._up)
+            self._by_hand(exchange, path[len(UP) :], self._up)
         else:
-            exchange.reply(404, b"/ops/readiness, /ops/stats, /ops/runners/down/ID and "
-                                b"/ops/runners/up/ID are here\n")
+            exchange.reply(
+                404, b"/ops/readiness, /ops/stats, /ops/runners/down/ID and /ops/runners/up/ID are here\n"
+            )
 
     def on_client_gone(self, exchange: Exchange) -> None:
         """Every answer here is given at once."""
--- a/larchgw/fronts/agentcheck.py
+++ b/larchgw/fronts/agentcheck.py
@@ -27,12 +27,19 @@
 
     name = "agent_check"
 
-    def __init__(self, loop: Loop, counters: Counters, address: tuple[str, int], stopping: Callable[[], bool],
-                 share: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        counters: Counters,
+        address: tuple[str, int],
+        stopping: Callable[[], bool],
+        share: Callable[[], float],
+    ) -> None:
         self._loop, self._stopping, self._share = loop, stopping, share
         self._open: list[Connection] = []
-        self.listener = Listener(loop, counters, self.name, address, CAP, self._take, self._count,
-                                 lambda: False)
+        self.listener = Listener(
+            loop, counters, self.name, address, CAP, self._take, self._count, lambda: False
+        )
 
     def text(self) -> str:
         if self._stopping():
@@ -66,8 +73,14 @@
 
     name = "ops"
 
-    def __init__(self, loop: Loop, core: Core, address: tuple[str, int], ready: Callable[[], bool],
-                 planner: Planner | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        address: tuple[str, int],
+        ready: Callable[[], bool],
+        planner: Planner | None = None,
+    ) -> None:
         self._core, self._ready, self._planner = core, ready, planner
         self.server = HttpServer(loop, core.counters, address, self, CAP, MAX_BODY)
 
@@ -80,11 +93,15 @@
         elif exchange.path == b"/alive":
             exchange.reply(200, b"alive\n")
         elif exchange.path == b"/metrics":
-            exchange.reply(200, self._core.counters.text() + self._core.figures.text(),
-                           (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),))
+            exchange.reply(
+                200,
+                self._core.counters.text() + self._core.figures.text(),
+                (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),),
+            )
         elif exchange.path == b"/room" and self._planner:
-            exchange.reply(200, as_json(self._planner, self._core.clock.now()),
-                           (("Content-Type", "application/json"),))
+            exchange.reply(
+                200, as_json(self._planner, self._core.clock.now()), (("Content-Type", "application/json"),)
+            )
         else:
             exchange.reply(404, b"/ready, /alive and /metrics are here, and /room where room is held\n")
 
--- a/larchgw/fronts/gearman.py
+++ b/larchgw/fronts/gearman.py
@@ -22,8 +22,14 @@
 
 MAX_WORKLOAD = 65536
 MESSAGE_TIME = 10.0  # for one packet to come in whole
-PRIORITY = {Type.SUBMIT_JOB: 0, Type.SUBMIT_JOB_BG: 0, Type.SUBMIT_JOB_HIGH: 1, Type.SUBMIT_JOB_HIGH_BG: 1,
-            Type.SUBMIT_JOB_LOW: -1, Type.SUBMIT_JOB_LOW_BG: -1}
+PRIORITY = {
+    Type.SUBMIT_JOB: 0,
+    Type.SUBMIT_JOB_BG: 0,
+    Type.SUBMIT_JOB_HIGH: 1,
+    Type.SUBMIT_JOB_HIGH_BG: 1,
+    Type.SUBMIT_JOB_LOW: -1,
+    Type.SUBMIT_JOB_LOW_BG: -1,
+}
 BACKGROUND = (Type.SUBMIT_JOB_BG, Type.SUBMIT_JOB_HIGH_BG, Type.SUBMIT_JOB_LOW_BG)
 CLIENT_ID = re.compile(rb"[!-~]{1,128}")
 UNIQUE = re.compile(rb"[ -~]{0,128}")
@@ -131,16 +137,18 @@
 
     name = "gearman"
 
-    def __init__(self, loop: Loop, core: Core, address: tuple[str, int], cap: int, grab_wait: float,
-                 remember: float) -> None:
+    def __init__(
+        self, loop: Loop, core: Core, address: tuple[str, int], cap: int, grab_wait: float, remember: float
+    ) -> None:
         self.loop, self.core = loop, core
         self.workers = GearmanWorkers(loop, core, grab_wait)
         self.jobs = Jobs(core.settings, core.clock, core.counters, remember)
         self.links: set[GearmanLink] = set()
         self.stopping = False
         self._classes = {c.name.encode(): index for index, c in enumerate(core.settings.classes)}
-        self.listener = Listener(loop, core.counters, self.name, address, cap, self._take,
-                                 lambda: len(self.links), lambda: False)
+        self.listener = Listener(
+            loop, core.counters, self.name, address, cap, self._take, lambda: len(self.links), lambda: False
+        )
 
     def _take(self, sock: socket.socket) -> None:
         try:
@@ -207,8 +215,10 @@
         job = self.jobs.alive(job_class, unique)
         joins = job is not None
         if ended is None and job is None and self.jobs.full(job_class, unique):
-            ended = b"H:larchgw:0", Answer(AnswerKind.REFUSED, retry_after=1.0,
-                                           reason="no room to remember its end")
+            ended = (
+                b"H:larchgw:0",
+                Answer(AnswerKind.REFUSED, retry_after=1.0, reason="no room to remember its end"),
+            )
         if ended is not None:
             handle, answer = ended
             link.write(encode(Type.JOB_CREATED, handle))
@@ -226,8 +236,15 @@
         if joins or self.jobs.elsewhere(job_class, unique):
             return
         job.request = Request(
-            self, secrets.token_hex(8).encode(), job_class, b"/" + function, body,
-            self.core.settings.classes[job_class].deadline, unique=unique, priority=PRIORITY[kind], extra=job,
+            self,
+            secrets.token_hex(8).encode(),
+            job_class,
+            b"/" + function,
+            body,
+            self.core.settings.classes[job_class].deadline,
+            unique=unique,
+            priority=PRIORITY[kind],
+            extra=job,
         )
         self.core.take(job.request)
 
@@ -239,8 +256,13 @@
             return
         self.core.gone(request)
         never = request.never_ran()
-        self.jobs.end(job, Answer(AnswerKind.REFUSED if never else AnswerKind.FAILED,
-                                  reason="its client left, and it may have run"))
+        self.jobs.end(
+            job,
+            Answer(
+                AnswerKind.REFUSED if never else AnswerKind.FAILED,
+                reason="its client left, and it may have run",
+            ),
+        )
 
     def _status(self, job: Job | None) -> tuple[bytes, ...]:
         if job is None:
@@ -276,10 +298,19 @@
         if command == [b"status"]:
             return b"".join(self._function_lines()) + b".\n"
         if command == [b"workers"]:
-            return b"".join(
-                b"%d %b %b : %b\n" % (link.number, link.peer.encode(), link.slot.client_id or b"-",
-                                      b" ".join(sorted(link.slot.abilities)))
-                for link in sorted(self.links, key=lambda x: x.number)) + b".\n"
+            return (
+                b"".join(
+                    b"%d %b %b : %b\n"
+                    % (
+                        link.number,
+                        link.peer.encode(),
+                        link.slot.client_id or b"-",
+                        b" ".join(sorted(link.slot.abilities)),
+                    )
+                    for link in sorted(self.links, key=lambda x: x.number)
+                )
+                + b".\n"
+            )
         return b"ERR UNKNOWN_COMMAND Unknown+server+command\n"
 
     def _function_lines(self) -> list[bytes]:
@@ -292,4 +323,3 @@
             able = sum(function in link.slot.abilities for link in self.links)
             lines.append(b"%b\t%d\t%d\t%d\n" % (function, len(mine), running, able))
         return lines
-
--- a/larchgw/fronts/gearman_jobs.py
+++ b/larchgw/fronts/gearman_jobs.py
@@ -142,8 +142,12 @@
 
     def _end(self, name: Name, handle: bytes, answer: Answer, left: float) -> dict[str, Any]:
         return self._named(name, handle) | {
-            "left": left, "kind": answer.kind.value, "result": _text(answer.result),
-            "reason": answer.reason, "retry_after": answer.retry_after}
+            "left": left,
+            "kind": answer.kind.value,
+            "result": _text(answer.result),
+            "reason": answer.reason,
+            "retry_after": answer.retry_after,
+        }
 
     def _named(self, name: Name, handle: bytes) -> dict[str, Any]:
         return {"class": self._classes[name[0]], "unique": _text(name[1]), "handle": _text(handle)}
@@ -154,8 +158,12 @@
         if "kind" not in item:
             self._elsewhere[name] = source
             return
-        answer = Answer(AnswerKind(item["kind"]), b64decode(item["result"]), float(item["retry_after"]),
-                        str(item["reason"]))
+        answer = Answer(
+            AnswerKind(item["kind"]),
+            b64decode(item["result"]),
+            float(item["retry_after"]),
+            str(item["reason"]),
+        )
         self._ended_elsewhere(name, b64decode(item["handle"]), answer, float(item["left"]))
 
     def lost(self, source: object) -> None:
--- a/larchgw/fronts/gearman_packets.py
+++ b/larchgw/fronts/gearman_packets.py
@@ -57,12 +57,32 @@
 
 # What may come in, and how many arguments it has; the last one holds whatever is left, NULs included.
 ARGUMENTS = {
-    Type.CAN_DO: 1, Type.CANT_DO: 1, Type.RESET_ABILITIES: 0, Type.PRE_SLEEP: 0, Type.SUBMIT_JOB: 3,
-    Type.GRAB_JOB: 0, Type.WORK_STATUS: 3, Type.WORK_COMPLETE: 2, Type.WORK_FAIL: 1, Type.GET_STATUS: 1,
-    Type.ECHO_REQ: 1, Type.SUBMIT_JOB_BG: 3, Type.SUBMIT_JOB_HIGH: 3, Type.SET_CLIENT_ID: 1,
-    Type.CAN_DO_TIMEOUT: 2, Type.ALL_YOURS: 0, Type.WORK_EXCEPTION: 2, Type.OPTION_REQ: 1,
-    Type.WORK_DATA: 2, Type.WORK_WARNING: 2, Type.GRAB_JOB_UNIQ: 0, Type.SUBMIT_JOB_HIGH_BG: 3,
-    Type.SUBMIT_JOB_LOW: 3, Type.SUBMIT_JOB_LOW_BG: 3, Type.GRAB_JOB_ALL: 0, Type.GET_STATUS_UNIQUE: 1,
+    Type.CAN_DO: 1,
+    Type.CANT_DO: 1,
+    Type.RESET_ABILITIES: 0,
+    Type.PRE_SLEEP: 0,
+    Type.SUBMIT_JOB: 3,
+    Type.GRAB_JOB: 0,
+    Type.WORK_STATUS: 3,
+    Type.WORK_COMPLETE: 2,
+    Type.WORK_FAIL: 1,
+    Type.GET_STATUS: 1,
+    Type.ECHO_REQ: 1,
+    Type.SUBMIT_JOB_BG: 3,
+    Type.SUBMIT_JOB_HIGH: 3,
+    Type.SET_CLIENT_ID: 1,
+    Type.CAN_DO_TIMEOUT: 2,
+    Type.ALL_YOURS: 0,
+    Type.WORK_EXCEPTION: 2,
+    Type.OPTION_REQ: 1,
+    Type.WORK_DATA: 2,
+    Type.WORK_WARNING: 2,
+    Type.GRAB_JOB_UNIQ: 0,
+    Type.SUBMIT_JOB_HIGH_BG: 3,
+    Type.SUBMIT_JOB_LOW: 3,
+    Type.SUBMIT_JOB_LOW_BG: 3,
+    Type.GRAB_JOB_ALL: 0,
+    Type.GET_STATUS_UNIQUE: 1,
 }
 
 
--- a/larchgw/fronts/gearman_workers.py
+++ b/larchgw/fronts/gearman_workers.py
@@ -19,8 +19,11 @@
 from ..net.loop import Loop
 from .gearman_packets import Packet, Type, encode
 
-ASSIGN = {Type.GRAB_JOB: Type.JOB_ASSIGN, Type.GRAB_JOB_UNIQ: Type.JOB_ASSIGN_UNIQ,
-          Type.GRAB_JOB_ALL: Type.JOB_ASSIGN_ALL}
+ASSIGN = {
+    Type.GRAB_JOB: Type.JOB_ASSIGN,
+    Type.GRAB_JOB_UNIQ: Type.JOB_ASSIGN_UNIQ,
+    Type.GRAB_JOB_ALL: Type.JOB_ASSIGN_ALL,
+}
 NEWS = {Type.WORK_DATA: News.DATA, Type.WORK_WARNING: News.WARNING, Type.WORK_EXCEPTION: News.EXCEPTION}
 log = structlog.get_logger()
 
@@ -72,7 +75,8 @@
         self.name = name
         self.slots: list[Slot] = []
         self.waiting: SortedKeyList[Task] = SortedKeyList(
-            key=lambda t: (-t.attempt.request.priority, t.attempt.request.id))
+            key=lambda t: (-t.attempt.request.priority, t.attempt.request.id)
+        )
 
     def able(self, function: bytes) -> list[Slot]:
         return [s for s in self.slots if function in s.abilities]
@@ -108,8 +112,13 @@
     def send(self, attempt: Attempt) -> None:
         request = attempt.request
         box, function = self.boxes[attempt.worker], self._names[request.job_class]
-        task = Task(attempt, box, function, b"H:larchgw:%d-%d" % (request.id, attempt.index),
-                    max(ceil(request.slots), 1))
+        task = Task(
+            attempt,
+            box,
+            function,
+            b"H:larchgw:%d-%d" % (request.id, attempt.index),
+            max(ceil(request.slots), 1),
+        )
         attempt.carrier = task
         if task.slots > len(box.able(function)):
             # It would wait for connections that the box does not have.
@@ -118,7 +127,8 @@
             return
         box.waiting.add(task)
         task.timer = self.loop.deadlines.add(
-            self.loop.clock.now() + self.grab_wait, lambda: self._not_grabbed(task))
+            self.loop.clock.now() + self.grab_wait, lambda: self._not_grabbed(task)
+        )
         for slot in box.able(function):  # all that sleep: the first of them may be dead, and nobody told us
             self._wake(slot)
 
@@ -133,8 +143,12 @@
         written, slot.task = slot.wire.written(), None
         self._give_back(task)
         self._hung_up.add(task.box.name)
-        log.warning("gearman.hang_up", box=task.box.name.decode("latin-1"), late=late,
-                    request=attempt.request.name.decode("latin-1"))
+        log.warning(
+            "gearman.hang_up",
+            box=task.box.name.decode("latin-1"),
+            late=late,
+            request=attempt.request.name.decode("latin-1"),
+        )
         slot.wire.hang_up()
         return status_of(ConnectionOutcome.SILENT if late else ConnectionOutcome.GIVEN_UP, written)
 
@@ -252,7 +266,8 @@
         found.timer = None
         if limit > 0:
             found.timer = self.loop.deadlines.add(
-                self.loop.clock.now() + limit, lambda: self.core.expire(found.attempt))
+                self.loop.clock.now() + limit, lambda: self.core.expire(found.attempt)
+            )
         request = found.attempt.request
         args = [found.handle, found.function]
         if kind is not Type.GRAB_JOB:
--- a/larchgw/fronts/jobheaders.py
+++ b/larchgw/fronts/jobheaders.py
@@ -55,8 +55,17 @@
     slots, memory = extras.get("slots", 1.0), extras.get("memory", 0.0)
     if not all(0.0 <= figure < 1e6 for figure in (hint, slots, memory)):
         raise ValueError("X-Extras or X-Cost-Hint is out of range")
-    return JobHeaders(name, int(wait) / 1000.0, key_number(headers.get(b"x-key", b"")), slots or 1.0, memory,
-                      hint, headers.get(b"x-retry") == b"1", once, headers.get(b"x-tenant", b""))
+    return JobHeaders(
+        name,
+        int(wait) / 1000.0,
+        key_number(headers.get(b"x-key", b"")),
+        slots or 1.0,
+        memory,
+        hint,
+        headers.get(b"x-retry") == b"1",
+        once,
+        headers.get(b"x-tenant", b""),
+    )
 
 
 def key_number(text: bytes) -> int:
--- a/larchgw/fronts/platform.py
+++ b/larchgw/fronts/platform.py
@@ -16,8 +16,16 @@
 
     name = "platform"
 
-    def __init__(self, loop: Loop, core: Core, address: tuple[str, int], cap: int,
-                 max_held: int, ready: Callable[[], bool], inherited: int | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        address: tuple[str, int],
+        cap: int,
+        max_held: int,
+        ready: Callable[[], bool],
+        inherited: int | None = None,
+    ) -> None:
         self._core, self._ready = core, ready
         self._classes = {c.name.encode(): index for index, c in enumerate(core.settings.classes)}
         self.server = HttpServer(loop, core.counters, address, self, cap, max_held, inherited=inherited)
@@ -51,12 +59,26 @@
             return
         waited = self._core.clock.now() - exchange.arrived  # behind others on its connection
         request = exchange.extra = Request(
-            self, job.name, job_class, exchange.target, exchange.body, job.wait - waited, job.key, job.slots,
-            job.memory, job.hint, job.repeat, self._core.tenant(job.tenant), job.once, extra=exchange)
+            self,
+            job.name,
+            job_class,
+            exchange.target,
+            exchange.body,
+            job.wait - waited,
+            job.key,
+            job.slots,
+            job.memory,
+            job.hint,
+            job.repeat,
+            self._core.tenant(job.tenant),
+            job.once,
+            extra=exchange,
+        )
         self._core.take(request)
 
-    def _bad(self, exchange: Exchange, status: int, reason: str,
-             headers: tuple[tuple[str, str], ...] = ()) -> None:
+    def _bad(
+        self, exchange: Exchange, status: int, reason: str, headers: tuple[tuple[str, str], ...] = ()
+    ) -> None:
         self._core.counters.bad.labels(self.name, str(status)).inc()
         exchange.reply(status, reason.encode() + b"\n", headers)
 
--- a/larchgw/lab/charts.py
+++ b/larchgw/lab/charts.py
@@ -32,15 +32,28 @@
 
 
 CHARTS = (
-    Chart("dispatcher-cpu.svg", "Processor time of a dispatcher for control, ms a second",
-          ("dispatcher ms/s",), 18.0),
-    Chart("dispatcher-bytes.svg", "Bytes a second of a dispatcher for control, sent and received",
-          ("rpc B/s out", "rpc B/s in", "most B/s"), 15_000.0),
-    Chart("control-cpu.svg", "Processor time of a control process, ms a second",
-          ("placer ms/s", "control ms/s")),
+    Chart(
+        "dispatcher-cpu.svg",
+        "Processor time of a dispatcher for control, ms a second",
+        ("dispatcher ms/s",),
+        18.0,
+    ),
+    Chart(
+        "dispatcher-bytes.svg",
+        "Bytes a second of a dispatcher for control, sent and received",
+        ("rpc B/s out", "rpc B/s in", "most B/s"),
+        15_000.0,
+    ),
+    Chart(
+        "control-cpu.svg", "Processor time of a control process, ms a second", ("placer ms/s", "control ms/s")
+    ),
     Chart("control-memory.svg", "Memory of the largest control process, MB", ("control MB",)),
-    Chart("in-force.svg", "Seconds from a configuration's sending until it is in force",
-          ("in force p50 s", "in force p99 s", "in force most s"), 14.0),
+    Chart(
+        "in-force.svg",
+        "Seconds from a configuration's sending until it is in force",
+        ("in force p50 s", "in force p99 s", "in force most s"),
+        14.0,
+    ),
 )
 
 
@@ -50,14 +63,18 @@
     most_x = max(float(row[x]) for row in rows)
     most_y = max([float(row[name]) for row in rows for name in chart.columns] + [chart.bound or 0.0]) or 1.0
     plane = _Plane(most_x, 1.05 * most_y)
-    parts = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{HEIGHT}" '
-             f'font-family="sans-serif" font-size="12">',
-             f'<rect width="{WIDTH}" height="{HEIGHT}" fill="white"/>',
-             f'<text x="{LEFT}" y="22" font-size="14">{escape(chart.title)}</text>', *plane.axes(x)]
+    parts = [
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{HEIGHT}" '
+        f'font-family="sans-serif" font-size="12">',
+        f'<rect width="{WIDTH}" height="{HEIGHT}" fill="white"/>',
+        f'<text x="{LEFT}" y="22" font-size="14">{escape(chart.title)}</text>',
+        *plane.axes(x),
+    ]
     for index, name in enumerate(chart.columns):
         parts += plane.line([(float(row[x]), float(row[name])) for row in rows], COLOURS[index])
-        parts.append(f'<text x="{LEFT + 10 + 150 * index}" y="{TOP + 2}" fill="{COLOURS[index]}">'
-                     f'{escape(name)}</text>')
+        parts.append(
+            f'<text x="{LEFT + 10 + 150 * index}" y="{TOP + 2}" fill="{COLOURS[index]}">{escape(name)}</text>'
+        )
     if chart.bound is not None:
         parts += plane.bound(chart.bound)
     return "\n".join([*parts, "</svg>", ""])
@@ -72,8 +89,10 @@
     def axes(self, name: str) -> list[str]:
         """Both axes with their ticks."""
         bottom, right = HEIGHT - BOTTOM, WIDTH - RIGHT
-        parts = [f'<path d="M{LEFT} {TOP}V{bottom}H{right}" fill="none" stroke="black"/>',
-                 f'<text x="{right}" y="{HEIGHT - 12}" text-anchor="end">{escape(name)}</text>']
+        parts = [
+            f'<path d="M{LEFT} {TOP}V{bottom}H{right}" fill="none" stroke="black"/>',
+            f'<text x="{right}" y="{HEIGHT - 12}" text-anchor="end">{escape(name)}</text>',
+        ]
         for tick in range(TICKS + 1):
             x, y = tick * self._most_x / TICKS, tick * self._most_y / TICKS
             parts.append(f'<text x="{self._x(x):.1f}" y="{bottom + 16}" text-anchor="middle">{x:.4g}</text>')
@@ -83,16 +102,22 @@
     def line(self, points: Sequence[tuple[float, float]], colour: str) -> list[str]:
         """The points, and the line through them."""
         path = " ".join(f"{self._x(x):.1f},{self._y(y):.1f}" for x, y in points)
-        return [f'<polyline points="{path}" fill="none" stroke="{colour}" stroke-width="2"/>',
-                *(f'<circle cx="{self._x(x):.1f}" cy="{self._y(y):.1f}" r="3" fill="{colour}"/>'
-                  for x, y in points)]
+        return [
+            f'<polyline points="{path}" fill="none" stroke="{colour}" stroke-width="2"/>',
+            *(
+                f'<circle cx="{self._x(x):.1f}" cy="{self._y(y):.1f}" r="3" fill="{colour}"/>'
+                for x, y in points
+            ),
+        ]
 
     def bound(self, value: float) -> list[str]:
         """A level that must not be passed."""
         y = self._y(value)
-        return [f'<path d="M{LEFT} {y:.1f}H{WIDTH - RIGHT}" stroke="{BOUND_COLOUR}" stroke-dasharray="6 4"/>',
-                f'<text x="{WIDTH - RIGHT}" y="{y - 4:.1f}" text-anchor="end" fill="{BOUND_COLOUR}">'
-                f'bound {value:g}</text>']
+        return [
+            f'<path d="M{LEFT} {y:.1f}H{WIDTH - RIGHT}" stroke="{BOUND_COLOUR}" stroke-dasharray="6 4"/>',
+            f'<text x="{WIDTH - RIGHT}" y="{y - 4:.1f}" text-anchor="end" fill="{BOUND_COLOUR}">'
+            f"bound {value:g}</text>",
+        ]
 
     def _x(self, value: float) -> float:
         return LEFT + value / self._most_x * (WIDTH - LEFT - RIGHT)
--- a/larchgw/lab/distribution.py
+++ b/larchgw/lab/distribution.py
@@ -59,9 +59,11 @@
     def begin(self) -> list[asyncio.Task[None]]:
         """Changes come from now on, each kind at its pace."""
         size = self.deployment.size
-        paces = ((DAY_S / size.configurations_a_day, self.configure),
-                 (HOUR_S / size.loads_an_hour, self.load),
-                 (DAY_S / size.restarts_a_day, self.restart))
+        paces = (
+            (DAY_S / size.configurations_a_day, self.configure),
+            (HOUR_S / size.loads_an_hour, self.load),
+            (DAY_S / size.restarts_a_day, self.restart),
+        )
         return [asyncio.ensure_future(self.pace(every, change)) for every, change in paces]
 
     async def pace(self, every_s: float, change: Callable[[], None]) -> None:
@@ -73,8 +75,9 @@
     def configure(self) -> None:
         """A new configuration, committed at the first control process."""
         self.version += 1
-        value = json.dumps({"config_version": self.version, "routes":
-                            "r" * self.deployment.size.configuration_bytes}).encode()
+        value = json.dumps(
+            {"config_version": self.version, "routes": "r" * self.deployment.size.configuration_bytes}
+        ).encode()
         self.deployment.control[0].registry.put(CONFIGURATION, value, self.version)
         self._note("configuration", CONFIGURATION, self.version)
 
@@ -103,8 +106,12 @@
 
     def delays(self, kind: str) -> list[float]:
         """From each change to its arrival at each dispatcher, in ms."""
-        return [1000.0 * (arrived - at) for name, (of, at) in self.made.items() if of == kind
-                for arrived in self.deployment.arrivals.get(name, [])]
+        return [
+            1000.0 * (arrived - at)
+            for name, (of, at) in self.made.items()
+            if of == kind
+            for arrived in self.deployment.arrivals.get(name, [])
+        ]
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,9 +127,15 @@
     run_cpu_ms: float  # of all processes together, by dispatcher
 
     def row(self) -> dict[str, object]:
-        return {"phase": self.name, "seconds": round(self.seconds), "pulls/s": self.pulls,
-                "bytes/s out": round(self.sent), "bytes/s in": round(self.received), "CPU ms/s": self.cpu_ms,
-                "run's CPU ms/s": self.run_cpu_ms}
+        return {
+            "phase": self.name,
+            "seconds": round(self.seconds),
+            "pulls/s": self.pulls,
+            "bytes/s out": round(self.sent),
+            "bytes/s in": round(self.received),
+            "CPU ms/s": self.cpu_ms,
+            "run's CPU ms/s": self.run_cpu_ms,
+        }
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,9 +157,15 @@
     def by_second(values: Iterable[float]) -> float:
         return median(values) / seconds
 
-    return Phase(name, seconds, by_second(one.calls for one in spent), by_second(one.sent for one in spent),
-                 by_second(one.received for one in spent), 1000.0 * by_second(one.seconds for one in spent),
-                 1000.0 * processor / len(meters) / seconds)
+    return Phase(
+        name,
+        seconds,
+        by_second(one.calls for one in spent),
+        by_second(one.sent for one in spent),
+        by_second(one.received for one in spent),
+        1000.0 * by_second(one.seconds for one in spent),
+        1000.0 * processor / len(meters) / seconds,
+    )
 
 
 async def play_phases(size: Size, seed: int, seconds: float) -> Played:
@@ -198,6 +217,7 @@
         result.figures[name] = median(one.figures[name] for one in played if name in one.figures)
     result.notes.append(
         f"{size.dispatchers} dispatchers, {size.control} control processes, {size.runners} runners,"
-        f" {size.adapters} adapters, {size.configuration_bytes} bytes of configuration")
+        f" {size.adapters} adapters, {size.configuration_bytes} bytes of configuration"
+    )
     result.notes.append("by dispatcher: medians; the run's CPU is that of all processes together")
     return result
--- a/larchgw/lab/distribution_model.py
+++ b/larchgw/lab/distribution_model.py
@@ -59,8 +59,12 @@
     seconds: float = 0.0
 
     def minus(self, before: Meter) -> Meter:
-        return Meter(self.sent - before.sent, self.received - before.received, self.calls - before.calls,
-                     self.seconds - before.seconds)
+        return Meter(
+            self.sent - before.sent,
+            self.received - before.received,
+            self.calls - before.calls,
+            self.seconds - before.seconds,
+        )
 
 
 class MeteredRegistry(Registry):
@@ -107,8 +111,9 @@
         """Nothing is open."""
 
     async def _exchange(self, method: str, argument: Any) -> Any:
-        frame = self._count(lambda: encode_message(
-            method, TMessageType.CALL, 1, getattr(Control, method + "_args")(argument)))
+        frame = self._count(
+            lambda: encode_message(method, TMessageType.CALL, 1, getattr(Control, method + "_args")(argument))
+        )
         self._meter.sent += len(frame)
         self._meter.calls += 1
         await asyncio.sleep(ONE_WAY_S)
@@ -168,8 +173,15 @@
             RunnerView(registry, loop.time)
         registry.watch("", lambda entry: self._arrived(entry, loop.time()))
         dice = random.Random(self.seed * 10_007 + number)
-        puller = Puller(registry, self._connect(meter), lambda: names[:3], PullSettings(), dice,
-                        node_name=f"edge{number}", clock=loop.time)
+        puller = Puller(
+            registry,
+            self._connect(meter),
+            lambda: names[:3],
+            PullSettings(),
+            dice,
+            node_name=f"edge{number}",
+            clock=loop.time,
+        )
         self.meters.append(meter)
         self.registries.append(registry)
         self.pullers.append(puller)
@@ -178,9 +190,15 @@
     def _peer_pullers(self, names: list[str]) -> Iterator[PeerPullers]:
         for one in self.control:
             others = [name for name in names if name != one.name]
-            yield PeerPullers(one.registry, self._connect(Meter()), partial(list, others), PullSettings(),
-                              random.Random(self.seed), node_name=one.name,
-                              clock=asyncio.get_running_loop().time)
+            yield PeerPullers(
+                one.registry,
+                self._connect(Meter()),
+                partial(list, others),
+                PullSettings(),
+                random.Random(self.seed),
+                node_name=one.name,
+                clock=asyncio.get_running_loop().time,
+            )
 
     def _connect(self, meter: Meter) -> Callable[[str], MeteredCaller]:
         by_name = {one.name: one for one in self.control}
@@ -192,9 +210,20 @@
     def _runner(self, number: int) -> RunnerRecord:
         models = self.size.adapters // self.size.runners // ADAPTERS_A_MODEL + 1
         held = tuple(self.model() for _ in range(models))
-        return RunnerRecord(f"i-{number:05x}", f"service{number % 20}", f"10.0.0.9:{1000 + number}",
-                            f"zone{number % 6}", slots=64, config_version="v1", phase="both", models=held)
+        return RunnerRecord(
+            f"i-{number:05x}",
+            f"service{number % 20}",
+            f"10.0.0.9:{1000 + number}",
+            f"zone{number % 6}",
+            slots=64,
+            config_version="v1",
+            phase="both",
+            models=held,
+        )
 
     def model(self) -> HeldModel:
-        return HeldModel(f"model{self.dice.randrange(3000):06}", 1,
-                         tuple(f"a{number}" for number in range(ADAPTERS_A_MODEL)))
+        return HeldModel(
+            f"model{self.dice.randrange(3000):06}",
+            1,
+            tuple(f"a{number}" for number in range(ADAPTERS_A_MODEL)),
+        )
--- a/larchgw/lab/fleet.py
+++ b/larchgw/lab/fleet.py
@@ -109,13 +109,17 @@
                 await asyncio.sleep(LOOK_S)
 
     def _all_current(self) -> bool:
-        versions = {one.configuration.config_version if one.configuration is not None else 0
-                    for one in self.dispatchers if one.reads}
+        versions = {
+            one.configuration.config_version if one.configuration is not None else 0
+            for one in self.dispatchers
+            if one.reads
+        }
         return versions == {self.version} and len({one.record for one in self.dispatchers}) == 1
 
     async def _until_known(self, began: float) -> None:
-        while not (self._all_current() and all(len(one.view) == self.size.runners
-                                               for one in self.dispatchers)):
+        while not (
+            self._all_current() and all(len(one.view) == self.size.runners for one in self.dispatchers)
+        ):
             if time.monotonic() - began > LONGEST_START_S:
                 least = min(len(one.view) for one in self.dispatchers)
                 raise TimeoutError(f"a dispatcher knows {least} runners after {LONGEST_START_S:.0f} s")
@@ -125,8 +129,9 @@
         addresses = self._addresses(self.size.runners, RUNNER_OFFSET)
         context = get_context("spawn")  # a fork of a program with threads may hang
         self._pipe, other = context.Pipe()
-        context.Process(target=play, daemon=True, args=(
-            addresses, self.size, self.control.addresses, self._seed, other)).start()
+        context.Process(
+            target=play, daemon=True, args=(addresses, self.size, self.control.addresses, self._seed, other)
+        ).start()
 
     async def _start_dispatchers(self) -> None:
         hosts = [machine.ip for machine in self.control.machines[:3]]
@@ -140,8 +145,10 @@
             await dispatcher.start(gossip)
 
     def _addresses(self, number: int, offset: int) -> list[str]:
-        return [self._network.address(FIRST_HOST + index % HOSTS, offset + index // HOSTS)
-                for index in range(number)]
+        return [
+            self._network.address(FIRST_HOST + index % HOSTS, offset + index // HOSTS)
+            for index in range(number)
+        ]
 
     def _arrived(self) -> None:
         self.took.arrived.append(time.monotonic() - self._sent_at)
@@ -183,13 +190,19 @@
     number = len(fleet.dispatchers)
     spent = [_minus(now, then) for now, then in zip(traffic_after, traffic, strict=True)]
     return Stretch(
-        took, [1000.0 * (now.cpu_s - then.cpu_s) / took for now, then in zip(after, before, strict=True)],
-        [usage.resident_mb for usage in after], 1000.0 * processor / number / took,
+        took,
+        [1000.0 * (now.cpu_s - then.cpu_s) / took for now, then in zip(after, before, strict=True)],
+        [usage.resident_mb for usage in after],
+        1000.0 * processor / number / took,
         1000.0 * parsed / sum(one.reads for one in fleet.dispatchers) / CHANGES,
-        Bytes(*(sum(getattr(one, name) for one in spent) / number / took
-                for name in Bytes.__dataclass_fields__)),
-        max(one.total for one in spent) / took, (told_after[0] - told[0]) / took, told_after[1] - told[1],
-        told_after[2] - told[2])
+        Bytes(
+            *(sum(getattr(one, name) for one in spent) / number / took for name in Bytes.__dataclass_fields__)
+        ),
+        max(one.total for one in spent) / took,
+        (told_after[0] - told[0]) / took,
+        told_after[1] - told[1],
+        told_after[2] - told[2],
+    )
 
 
 def _traffic(fleet: Fleet) -> list[Bytes]:
@@ -219,24 +232,40 @@
             network.close()
     others = [ms for index, ms in enumerate(stretch.control_ms) if index != placer]
     return {
-        "dispatchers": size.dispatchers, "control": size.control, "runners": size.runners,
-        "start s": started, "restart s": restarted, "members": members, "check-ins/s": stretch.checkins,
-        "failed": stretch.failed, "orders": stretch.orders,
-        "placer ms/s": stretch.control_ms[placer], "control ms/s": median(others),
-        "control MB": max(stretch.resident_mb), "peak MB": max(peaks),
-        "dispatcher ms/s": stretch.dispatcher_ms, "parse ms": stretch.parse_ms,
-        "swim B/s out": stretch.rates.swim_sent, "swim B/s in": stretch.rates.swim_received,
-        "rpc B/s out": stretch.rates.rpc_sent, "rpc B/s in": stretch.rates.rpc_received,
-        "most B/s": stretch.most, **_quantiles("arrived", took.arrived),
-        **_quantiles("in force", took.in_force)}
+        "dispatchers": size.dispatchers,
+        "control": size.control,
+        "runners": size.runners,
+        "start s": started,
+        "restart s": restarted,
+        "members": members,
+        "check-ins/s": stretch.checkins,
+        "failed": stretch.failed,
+        "orders": stretch.orders,
+        "placer ms/s": stretch.control_ms[placer],
+        "control ms/s": median(others),
+        "control MB": max(stretch.resident_mb),
+        "peak MB": max(peaks),
+        "dispatcher ms/s": stretch.dispatcher_ms,
+        "parse ms": stretch.parse_ms,
+        "swim B/s out": stretch.rates.swim_sent,
+        "swim B/s in": stretch.rates.swim_received,
+        "rpc B/s out": stretch.rates.rpc_sent,
+        "rpc B/s in": stretch.rates.rpc_received,
+        "most B/s": stretch.most,
+        **_quantiles("arrived", took.arrived),
+        **_quantiles("in force", took.in_force),
+    }
 
 
 def _quantiles(name: str, values: Sequence[float]) -> dict[str, object]:
     known = sorted(values)
     if not known:
         return {}
-    return {f"{name} p50 s": median(known), f"{name} p99 s": known[int(0.99 * (len(known) - 1))],
-            f"{name} most s": known[-1]}
+    return {
+        f"{name} p50 s": median(known),
+        f"{name} p99 s": known[int(0.99 * (len(known) - 1))],
+        f"{name} most s": known[-1],
+    }
 
 
 def experiment(options: Options, sizes: Sequence[tuple[int, int]] = SIZES) -> Result:
@@ -246,6 +275,9 @@
         size = FleetSize(dispatchers=dispatchers, control=CONTROL, runners=runners)
         row = asyncio.run(play_size(size, options.seed, options.seconds))
         result.rows.append(row)
-        result.figures |= {f"{name.replace(' ', '_')}_{dispatchers}_{runners}": value
-                           for name, value in row.items() if isinstance(value, float)}
+        result.figures |= {
+            f"{name.replace(' ', '_')}_{dispatchers}_{runners}": value
+            for name, value in row.items()
+            if isinstance(value, float)
+        }
     return result
--- a/larchgw/lab/fleet_control.py
+++ b/larchgw/lab/fleet_control.py
@@ -36,8 +36,11 @@
         """Reads /proc. Raises OSError if there is no such process."""
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         status = dict(line.split(":", 1) for line in Path(f"/proc/{pid}/status").read_text().splitlines())
-        return cls((int(fields[11]) + int(fields[12])) / TICKS_PER_S, _megabytes(status["VmRSS"]),
-                   _megabytes(status["VmHWM"]))
+        return cls(
+            (int(fields[11]) + int(fields[12])) / TICKS_PER_S,
+            _megabytes(status["VmRSS"]),
+            _megabytes(status["VmHWM"]),
+        )
 
 
 def _megabytes(kilobytes: str) -> float:
@@ -50,9 +53,18 @@
     def __init__(self, network: Network, folder: Path, number: int) -> None:
         self._client = AsyncHTTPClient(force_instance=True)
         self.machines = [
-            Machine(Place(f"control-{index + 1}", CONTROL, FIRST_CONTROL + index,
-                          ZONE_NAMES[index % len(ZONE_NAMES)]), network, folder)
-            for index in range(number)]
+            Machine(
+                Place(
+                    f"control-{index + 1}",
+                    CONTROL,
+                    FIRST_CONTROL + index,
+                    ZONE_NAMES[index % len(ZONE_NAMES)],
+                ),
+                network,
+                folder,
+            )
+            for index in range(number)
+        ]
 
     @property
     def addresses(self) -> list[str]:
@@ -75,8 +87,11 @@
 
     def placer(self) -> int:
         """The index of the process that places models; 0 before one does."""
-        placing = [index for index, machine in enumerate(self.machines)
-                   if PLACER_LINE in machine.log.read_text(errors="replace")]
+        placing = [
+            index
+            for index, machine in enumerate(self.machines)
+            if PLACER_LINE in machine.log.read_text(errors="replace")
+        ]
         return placing[-1] if placing else 0
 
     async def replace(self, body: bytes, built_on: int, patience_s: float = 30.0) -> float:
@@ -94,8 +109,9 @@
     async def _send(self, url: str, body: bytes, built_on: int) -> bool:
         headers: dict[str, Any] = {"X-Built-On": str(built_on), "Content-Type": "application/json"}
         try:
-            response = await self._client.fetch(url, method="POST", body=body, headers=headers,
-                                                raise_error=False, request_timeout=5.0)
+            response = await self._client.fetch(
+                url, method="POST", body=body, headers=headers, raise_error=False, request_timeout=5.0
+            )
         except (HTTPClientError, OSError):
             return False
         return response.code == 200
--- a/larchgw/lab/fleet_dispatchers.py
+++ b/larchgw/lab/fleet_dispatchers.py
@@ -1,4 +1,6 @@
-"""Hollow dispatchers: all that a dispatcher does for control, and none of its traffic. Many share a process.
+"""Hollow dispatchers: all that a dispatcher does for control, and none of its traffic.
+
+Many share a process.
 """
 
 from __future__ import annotations
@@ -88,8 +90,9 @@
             self._due -= 1.0
             self._number += 1
             key = self._popularity.draw()
-            self._tally.arrived(RequestTraits(self._number, ROUTE, SERVICE, now, now + 60.0, now + 0.8,
-                                              key[1], key[2]))
+            self._tally.arrived(
+                RequestTraits(self._number, ROUTE, SERVICE, now, now + 60.0, now + 0.8, key[1], key[2])
+            )
             self._running[key] += 1
             self._ends.append((now + self._size.run_s, key))
         while self._ends and self._ends[0][0] <= now:
@@ -106,8 +109,14 @@
 class HollowDispatcher:
     """Registry, view, configuration, membership and reports of demand of one dispatcher."""
 
-    def __init__(self, number: int, address: str, seeds: Sequence[str], size: FleetSize,
-                 in_force: Callable[[int, int], None]) -> None:
+    def __init__(
+        self,
+        number: int,
+        address: str,
+        seeds: Sequence[str],
+        size: FleetSize,
+        in_force: Callable[[int, int], None],
+    ) -> None:
         name, dice = f"edge-{number}", random.Random(number)
         self.number = number
         self.configuration: Configuration | None = None
@@ -123,11 +132,19 @@
         self.swim = MeteredSwim(me, dice)
         host, _, port = address.rpartition(":")
         self._gossip = SwimTransport(self.swim, host, int(port))
-        self.puller = Puller(self.registry, self._connect, lambda: self._seeds, PullSettings(), dice,
-                             node_name=name, returns=True)
+        self.puller = Puller(
+            self.registry,
+            self._connect,
+            lambda: self._seeds,
+            PullSettings(),
+            dice,
+            node_name=name,
+            returns=True,
+        )
         self._requests = Requests(size, dice)
-        self._reporter = DemandReporter(name, self.registry, self._clients, self._requests.report,
-                                        lambda: self.swim.count("edge"), dice)
+        self._reporter = DemandReporter(
+            name, self.registry, self._clients, self._requests.report, lambda: self.swim.count("edge"), dice
+        )
 
     async def start(self, gossip_seeds: Sequence[str]) -> None:
         """Begins its work. Raises OSError."""
@@ -146,8 +163,12 @@
     def bytes(self) -> Bytes:
         """What it sent and received since its start."""
         clients = [*self._callers, *self._clients.all()]
-        return Bytes(self.swim.sent, self.swim.received, sum(client.traffic.sent for client in clients),
-                     sum(client.traffic.received for client in clients))
+        return Bytes(
+            self.swim.sent,
+            self.swim.received,
+            sum(client.traffic.sent for client in clients),
+            sum(client.traffic.received for client in clients),
+        )
 
     @property
     def record(self) -> int:
--- a/larchgw/lab/fleet_runners.py
+++ b/larchgw/lab/fleet_runners.py
@@ -18,8 +18,9 @@
 class HollowRunner:
     """One runner, with a kept connection to a control process."""
 
-    def __init__(self, number: int, address: str, size: FleetSize, controls: Sequence[str],
-                 dice: random.Random) -> None:
+    def __init__(
+        self, number: int, address: str, size: FleetSize, controls: Sequence[str], dice: random.Random
+    ) -> None:
         self.id, self.address = f"i-{number:05x}", address
         self._controls, self._dice, self._zone = controls, dice, f"zone{number % 10}"
         self.checkins = self.failures = self.orders = 0
@@ -64,17 +65,30 @@
 
     def _message(self) -> bytes:
         self._beats += 1
-        body = json.dumps({
-            "service": SERVICE, "address": self.address, "zone": self._zone, "config_version": "v1",
-            "slots": 64, "state": "ready", "cold_left_ms": 0, "phase": "both", "models": self._models(),
-            "call_count": self._beats}).encode()
-        head = f"POST /Runners.Checkin/{self.id} HTTP/1.1\r\nHost: control\r\n" \
-               f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
+        body = json.dumps(
+            {
+                "service": SERVICE,
+                "address": self.address,
+                "zone": self._zone,
+                "config_version": "v1",
+                "slots": 64,
+                "state": "ready",
+                "cold_left_ms": 0,
+                "phase": "both",
+                "models": self._models(),
+                "call_count": self._beats,
+            }
+        ).encode()
+        head = (
+            f"POST /Runners.Checkin/{self.id} HTTP/1.1\r\nHost: control\r\n"
+            f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
+        )
         return head.encode() + body
 
     def _models(self) -> list[dict[str, Any]]:
-        return [{"name": name, "config_version": 1, "adapters": adapters}
-                for name, adapters in self._held.items()]
+        return [
+            {"name": name, "config_version": 1, "adapters": adapters} for name, adapters in self._held.items()
+        ]
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -84,8 +98,11 @@
                     status, answer = "202 Accepted", self._order(json.loads(body))
                 else:
                     status, answer = "200 OK", self._report()
-                writer.write(f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\n"
-                             f"Content-Length: {len(answer)}\r\n\r\n".encode() + answer)
+                writer.write(
+                    f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\n"
+                    f"Content-Length: {len(answer)}\r\n\r\n".encode()
+                    + answer
+                )
         except (OSError, EOFError, ValueError, asyncio.CancelledError):
             writer.close()
 
@@ -106,9 +123,19 @@
 
     def _report(self) -> bytes:
         occupied = asyncio.get_running_loop().time() < self._busy_until
-        return json.dumps({"phase": "both", "models": self._models(), "occupied": occupied,
-                           "call_count": self._call_count, "queued": 0, "in_progress": 8, "cache_used": 0,
-                           "cache_total": 240_000, "takes": 0}).encode()
+        return json.dumps(
+            {
+                "phase": "both",
+                "models": self._models(),
+                "occupied": occupied,
+                "call_count": self._call_count,
+                "queued": 0,
+                "in_progress": 8,
+                "cache_used": 0,
+                "cache_total": 240_000,
+                "takes": 0,
+            }
+        ).encode()
 
 
 async def _read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
@@ -123,15 +150,23 @@
     asyncio.run(_play(addresses, size, controls, seed, pipe))
 
 
-async def _play(addresses: list[str], size: FleetSize, controls: list[str], seed: int,
-                pipe: Connection) -> None:
-    runners = [HollowRunner(number, address, size, controls, random.Random(seed * 100_003 + number))
-               for number, address in enumerate(addresses)]
+async def _play(
+    addresses: list[str], size: FleetSize, controls: list[str], seed: int, pipe: Connection
+) -> None:
+    runners = [
+        HollowRunner(number, address, size, controls, random.Random(seed * 100_003 + number))
+        for number, address in enumerate(addresses)
+    ]
     for runner in runners:
         await runner.serve()
     beats = [asyncio.ensure_future(runner.check_in()) for runner in runners]
     while await asyncio.to_thread(pipe.recv) is not None:
-        pipe.send((sum(one.checkins for one in runners), sum(one.failures for one in runners),
-                   sum(one.orders for one in runners)))
+        pipe.send(
+            (
+                sum(one.checkins for one in runners),
+                sum(one.failures for one in runners),
+                sum(one.orders for one in runners),
+            )
+        )
     for beat in beats:
         beat.cancel()
--- a/larchgw/lab/fleet_size.py
+++ b/larchgw/lab/fleet_size.py
@@ -31,21 +31,58 @@
 
 def configuration(size: FleetSize, version: int) -> dict[str, Any]:
     """The operator's whole configuration; versions differ in one route."""
-    models = [{"name": model_name(number), "weights_mb": 70_000.0, "load_s": 3.0,
-               "adapters": size.adapters // size.models, "adapter_mb": 66.0} for number in range(size.models)]
-    runtime = {"slots": 64, "cache_tokens": 240_000, "token_bytes": 163_840.0, "link_mbps": 260_000.0,
-               "stride": 4, "models": models, "weights_mb": 220_000.0, "adapter_slots": size.adapters_held,
-               "loads_per_s": size.loads_per_s}
-    return {"config_version": version,
-            "routes": [_route(number, version if number == 0 else 0) for number in range(size.routes)],
-            "services": [{"name": SERVICE, "health_path": "/health", "max_conns": 400, "protocol": "h1",
-                          "uses_tls": False, "runtime": runtime}]}
+    models = [
+        {
+            "name": model_name(number),
+            "weights_mb": 70_000.0,
+            "load_s": 3.0,
+            "adapters": size.adapters // size.models,
+            "adapter_mb": 66.0,
+        }
+        for number in range(size.models)
+    ]
+    runtime = {
+        "slots": 64,
+        "cache_tokens": 240_000,
+        "token_bytes": 163_840.0,
+        "link_mbps": 260_000.0,
+        "stride": 4,
+        "models": models,
+        "weights_mb": 220_000.0,
+        "adapter_slots": size.adapters_held,
+        "loads_per_s": size.loads_per_s,
+    }
+    return {
+        "config_version": version,
+        "routes": [_route(number, version if number == 0 else 0) for number in range(size.routes)],
+        "services": [
+            {
+                "name": SERVICE,
+                "health_path": "/health",
+                "max_conns": 400,
+                "protocol": "h1",
+                "uses_tls": False,
+                "runtime": runtime,
+            }
+        ],
+    }
 
 
 def _route(number: int, shift: int) -> dict[str, Any]:
-    return {"name": f"route-{number}", "hostname": HOST, "path_start": f"/team-{number}/",
-            "kind": "streaming", "deadline_ms": 60_000 + shift, "target_ms": 800, "rank": number % 3,
-            "service": SERVICE, "tries": 2, "pinned": True, "can_resume": True, "gap_aim_ms": 400}
+    return {
+        "name": f"route-{number}",
+        "hostname": HOST,
+        "path_start": f"/team-{number}/",
+        "kind": "streaming",
+        "deadline_ms": 60_000 + shift,
+        "target_ms": 800,
+        "rank": number % 3,
+        "service": SERVICE,
+        "tries": 2,
+        "pinned": True,
+        "can_resume": True,
+        "gap_aim_ms": 400,
+    }
 
 
 def model_name(number: int) -> str:
--- a/larchgw/lab/mass.py
+++ b/larchgw/lab/mass.py
@@ -45,26 +45,37 @@
     third = day.seconds / 3.0
 
     def bad(share: float, kinds: tuple[str, ...]) -> list[Fault]:
-        return [Fault(dice.choice(kinds), box, dice.uniform(0.1, 0.4) * day.seconds, third,
-                      dice.uniform(0.3, 0.95) if kinds == ("fail",) else dice.uniform(2.3, 9.2))
-                for box in order[:max(round(share * day.boxes), 1)]]
+        return [
+            Fault(
+                dice.choice(kinds),
+                box,
+                dice.uniform(0.1, 0.4) * day.seconds,
+                third,
+                dice.uniform(0.3, 0.95) if kinds == ("fail",) else dice.uniform(2.3, 9.2),
+            )
+            for box in order[: max(round(share * day.boxes), 1)]
+        ]
 
     if day.name == "roll":
-        return [Fault("deploy", box, third + 2.0 * (n // max(day.boxes // 10, 1)), 4.0)
-                for n, box in enumerate(order[:day.boxes // 2])]
+        return [
+            Fault("deploy", box, third + 2.0 * (n // max(day.boxes // 10, 1)), 4.0)
+            for n, box in enumerate(order[: day.boxes // 2])
+        ]
     if day.name == "herd":
         return bad(0.125, ("fail",)) + [
             Fault("deploy", box, third + 4.0 * (n // max(day.boxes // 10, 1)), 4.0)
-            for n, box in enumerate(order[day.boxes // 8:day.boxes // 2])]
+            for n, box in enumerate(order[day.boxes // 8 : day.boxes // 2])
+        ]
     if day.name == "zone":
         lost = [Fault("crash", box, third, 5.0) for box in range(day.boxes) if box % ZONES == 0]
         return lost + bad(0.1, ("slow",))
     if day.name == "split":
-        return [Fault("hang", box, third, 6.0) for box in order[:day.boxes // 5]]
+        return [Fault("hang", box, third, 6.0) for box in order[: day.boxes // 5]]
     if day.name == "join":
-        new = order[day.boxes // 10:day.boxes // 10 + round(0.6 * day.boxes)]
+        new = order[day.boxes // 10 : day.boxes // 10 + round(0.6 * day.boxes)]
         return bad(0.1, ("fail",)) + [
-            Fault("deploy", box, third + dice.uniform(0.0, 4.0), 3.0) for box in new]
+            Fault("deploy", box, third + dice.uniform(0.0, 4.0), 3.0) for box in new
+        ]
     return []
 
 
@@ -80,9 +91,19 @@
     elif many > 1 and day.name == "roll":
         crashes = [(index, third + 1.5 * (index % 10)) for index in range(many)]
     return Scenario(
-        fleet, LoadSpec(CLASSES, rate, keys=round(5.3 * day.boxes)), many, True, day.seconds,
-        faults=faults_of(day), crashes=crashes, back_s=1.0, weights_s=0.76, weights_late_s=0.4,
-        read_weights=day.way != "off", uneven=0.7)
+        fleet,
+        LoadSpec(CLASSES, rate, keys=round(5.3 * day.boxes)),
+        many,
+        True,
+        day.seconds,
+        faults=faults_of(day),
+        crashes=crashes,
+        back_s=1.0,
+        weights_s=0.76,
+        weights_late_s=0.4,
+        read_weights=day.way != "off",
+        uneven=0.7,
+    )
 
 
 def play(day: Day) -> dict[str, Any]:
@@ -100,36 +121,50 @@
     return {"figures": figures, "broken": world.records.broken()}
 
 
-COLUMNS = {"worth": "worth_all", "proofs": "in_time_proof", "quotes": "in_time_quote",
-           "releases": "in_time_release", "attempts": "attempts", "full": "full", "late": "late",
-           "refused": "refused_share"}
+COLUMNS = {
+    "worth": "worth_all",
+    "proofs": "in_time_proof",
+    "quotes": "in_time_quote",
+    "releases": "in_time_release",
+    "attempts": "attempts",
+    "full": "full",
+    "late": "late",
+    "refused": "refused_share",
+}
 
 
 def experiment(options: Options, dispatchers: int = DISPATCHERS, boxes: int = BOXES) -> Result:
     """Each day and seed in all ways; the last line has worth over that of the one that has all jobs."""
     seeds = range(options.seed, options.seed + options.seeds)
-    days = [Day(name, seed, way, options.seconds, dispatchers, boxes)
-            for name in LOADS for seed in seeds for way in WAYS]
+    days = [
+        Day(name, seed, way, options.seconds, dispatchers, boxes)
+        for name in LOADS
+        for seed in seeds
+        for way in WAYS
+    ]
     played = dict(zip(days, spread_out(play, days, options.jobs), strict=True))
     result = Result("mass")
     on: list[dict[str, float]] = []
     for name in LOADS:
-        by_way = {way: [played[d]["figures"] for d in days if (d.name, d.way) == (name, way)]
-                  for way in WAYS}
+        by_way = {way: [played[d]["figures"] for d in days if (d.name, d.way) == (name, way)] for way in WAYS}
         for way, figures in by_way.items():
             row: dict[str, object] = {"day": name, "weights": {"one": "one dispatcher"}.get(way, way)}
-            row |= {title: str(spread(f.get(key, 0.0) for f in figures))
-                    for title, key in COLUMNS.items()}
+            row |= {title: str(spread(f.get(key, 0.0) for f in figures)) for title, key in COLUMNS.items()}
             result.rows.append(row)
-        gains = [a["worth_all"] - b["worth_all"]
-                 for a, b in zip(by_way["on"], by_way["off"], strict=True)]
+        gains = [a["worth_all"] - b["worth_all"] for a, b in zip(by_way["on"], by_way["off"], strict=True)]
         result.notes.append(f"{name}: worth on less off, pair by pair: {spread(gains)}")
-        result.figures[name] = median(a["worth_all"] / max(b["worth_all"], 1e-9)
-                                      for a, b in zip(by_way["on"], by_way["one"], strict=True))
+        result.figures[name] = median(
+            a["worth_all"] / max(b["worth_all"], 1e-9)
+            for a, b in zip(by_way["on"], by_way["one"], strict=True)
+        )
         on += by_way["on"]
     broken = [(day, line) for day in days for line in played[day]["broken"]]
-    result.notes += [f"RULE BROKEN ({day.name}, seed {day.seed}, {day.way}): {line}"
-                     for day, line in broken[:10]]
-    result.figures |= {"attempts": median(f["attempts"] for f in on), "late": median(f["late"] for f in on),
-                       "rules": float(len(broken))}
+    result.notes += [
+        f"RULE BROKEN ({day.name}, seed {day.seed}, {day.way}): {line}" for day, line in broken[:10]
+    ]
+    result.figures |= {
+        "attempts": median(f["attempts"] for f in on),
+        "late": median(f["late"] for f in on),
+        "rules": float(len(broken)),
+    }
     return result
--- a/larchgw/lab/membership.py
+++ b/larchgw/lab/membership.py
@@ -52,15 +52,28 @@
     delays = _kill_some(network, Random(seed))
     ninety_ninth = quantiles(delays, n=100)[98]
     hours = quiet.seconds / 3600.0
-    result.rows.append({
-        "members": size, "all joined s": joined, "KB sent by a seed till then": at_seed / 1000.0,
-        "datagrams/s": quiet.datagrams, "bytes/s": quiet.bytes, "quiet s": quiet.seconds,
-        "false suspicions/h": quiet.suspicions / hours, "false deaths": quiet.deaths,
-        "dead noticed median s": median(delays), "p99 s": ninety_ninth})
+    result.rows.append(
+        {
+            "members": size,
+            "all joined s": joined,
+            "KB sent by a seed till then": at_seed / 1000.0,
+            "datagrams/s": quiet.datagrams,
+            "bytes/s": quiet.bytes,
+            "quiet s": quiet.seconds,
+            "false suspicions/h": quiet.suspicions / hours,
+            "false deaths": quiet.deaths,
+            "dead noticed median s": median(delays),
+            "p99 s": ninety_ninth,
+        }
+    )
     result.figures |= {
-        f"detect_median_{size}": median(delays), f"detect_p99_{size}": ninety_ninth,
-        f"bytes_{size}": quiet.bytes, f"datagrams_{size}": quiet.datagrams,
-        f"false_suspicions_{size}": quiet.suspicions / hours, f"false_deaths_{size}": quiet.deaths}
+        f"detect_median_{size}": median(delays),
+        f"detect_p99_{size}": ninety_ninth,
+        f"bytes_{size}": quiet.bytes,
+        f"datagrams_{size}": quiet.datagrams,
+        f"false_suspicions_{size}": quiet.suspicions / hours,
+        f"false_deaths_{size}": quiet.deaths,
+    }
 
 
 def _address(number: int) -> str:
@@ -92,8 +105,9 @@
     share = len(network.processes) * seconds
     suspected = {(m.address, m.refutations) for _, _, m in network.changes if m.state is State.SUSPECT}
     dead = {m.address for _, _, m in network.changes if m.state is State.DEAD}
-    return Quiet(seconds, (after[0] - before[0]) / share, (after[1] - before[1]) / share,
-                 len(suspected), len(dead))
+    return Quiet(
+        seconds, (after[0] - before[0]) / share, (after[1] - before[1]) / share, len(suspected), len(dead)
+    )
 
 
 def _kill_some(network: DatagramNetwork, random: Random) -> list[float]:
@@ -105,11 +119,13 @@
         killed[victim] = network.now
         network.run(BETWEEN_KILLS)
     network.run(AFTER_KILLS)
-    return [time - killed[member.address] for time, who, member in network.changes
-            if member.state is State.DEAD and member.address in killed and who not in killed]
+    return [
+        time - killed[member.address]
+        for time, who, member in network.changes
+        if member.state is State.DEAD and member.address in killed and who not in killed
+    ]
 
 
 def _sent(network: DatagramNetwork) -> tuple[int, int]:
     processes = network.processes.values()
     return sum(p.datagrams for p in processes), sum(p.bytes for p in processes)
-
--- a/larchgw/lab/operator_calls/cluster.py
+++ b/larchgw/lab/operator_calls/cluster.py
@@ -45,8 +45,15 @@
         self._offset = cluster.random.uniform(0.0, CLOCKS_APART_S)
         self.state = ConfigurationState()
         settings = MemberSettings(
-            address, cluster.addresses, first_boot, f"{address}#{cluster.random.getrandbits(32):x}",
-            cluster.survive, LEASE_TERM_S, compact_records=COMPACT_RECORDS, batch_bytes=2000)
+            address,
+            cluster.addresses,
+            first_boot,
+            f"{address}#{cluster.random.getrandbits(32):x}",
+            cluster.survive,
+            LEASE_TERM_S,
+            compact_records=COMPACT_RECORDS,
+            batch_bytes=2000,
+        )
         self.member = Member(settings, disk.ports(), self.state.snapshot, cluster.random)
         clients = SimulatedClients(self)
         self.log = ReplicatedLog(self.member, self.state, clients, self._changed, self._clock)
@@ -112,8 +119,14 @@
     def digest(self) -> tuple[object, ...]:
         """What its state comes to, seen from outside."""
         member = self.member
-        return (self.address, self.state.version, member.committed_index, member.last_index,
-                member.acting_epoch, len(self.tasks))
+        return (
+            self.address,
+            self.state.version,
+            member.committed_index,
+            member.last_index,
+            member.acting_epoch,
+            len(self.tasks),
+        )
 
     def end(self) -> None:
         """The process ends, and whatever it served with it."""
@@ -152,16 +165,20 @@
         """A call that is passed on. Raises RpcError."""
         call: OperatorCall = argument
         future: asyncio.Future[OperatorAnswer] = self._cluster.loop.create_future()
-        self._cluster.transmit(self._caller, self.address, lambda receiver: receiver.serve(
-            lambda: self._answer(receiver, call, future)))
+        self._cluster.transmit(
+            self._caller,
+            self.address,
+            lambda receiver: receiver.serve(lambda: self._answer(receiver, call, future)),
+        )
         try:
             async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
             raise RpcTimeout(f"{self.address}: no answer in {timeout:.2f} s") from None
 
-    async def _answer(self, receiver: Process, call: OperatorCall,
-                      future: asyncio.Future[OperatorAnswer]) -> None:
+    async def _answer(
+        self, receiver: Process, call: OperatorCall, future: asyncio.Future[OperatorAnswer]
+    ) -> None:
         try:
             answer = await receiver.calls.passed_on(call)
         except asyncio.CancelledError:
@@ -251,8 +268,11 @@
         if view is None:
             return False
         names = [_identity(disk) for disk in self.disks.values()]
-        seated = [name for name in names if name in view.in_sync and name in view.witnesses
-                  and name in view.former_witnesses]
+        seated = [
+            name
+            for name in names
+            if name in view.in_sync and name in view.witnesses and name in view.former_witnesses
+        ]
         return len(names) - len(seated) < self.survive
 
     def crash(self, process: Process) -> None:
@@ -297,8 +317,9 @@
         if process is not None:
             process.do(partial(step, process))
 
-    async def call(self, address: str, operation: str, built_on: int, body: bytes,
-                   patience: float) -> Answer | None:
+    async def call(
+        self, address: str, operation: str, built_on: int, body: bytes, patience: float
+    ) -> Answer | None:
         """An operator's call to a machine; None where no answer came."""
         future: asyncio.Future[Answer] = self.loop.create_future()
 
--- a/larchgw/lab/operator_calls/faults.py
+++ b/larchgw/lab/operator_calls/faults.py
@@ -25,8 +25,18 @@
         self._cluster = cluster
         self._random = cluster.random
         faults: list[Callable[[], None]] = [
-            self._kill, self._lose_power, self._break_in_a_write, self._freeze, self._cut, self._cut_one_way,
-            self._unreliable, self._leave, self._fill_disk, self._kill_all, self._wipe, self._wipe,
+            self._kill,
+            self._lose_power,
+            self._break_in_a_write,
+            self._freeze,
+            self._cut,
+            self._cut_one_way,
+            self._unreliable,
+            self._leave,
+            self._fill_disk,
+            self._kill_all,
+            self._wipe,
+            self._wipe,
         ]
         # Some sorts only, so that a run may have many of the same and of what goes together.
         drawn = self._random.sample(faults, self._random.choice((1, 2, 4, len(faults))))
--- a/larchgw/lab/operator_calls/mutants.py
+++ b/larchgw/lab/operator_calls/mutants.py
@@ -56,12 +56,14 @@
 def _does_nothing(original: Any) -> Any:
     async def nothing(self: Any) -> None:
         return None
+
     return nothing
 
 
 def _forgets_at_restore(original: Any) -> Any:
     def restore(self: ConfigurationState, data: bytes) -> None:
         original(self, json.dumps({**json.loads(data), "taken": {}}).encode())
+
     return restore
 
 
@@ -72,17 +74,20 @@
 def _by_operation_and_base(original: Any) -> Any:
     def digest(operation: str, built_on: int, body: bytes) -> str:
         return str(original(operation, built_on, b""))
+
     return digest
 
 
 def _by_text(original: Any) -> Any:
     def digest(operation: str, built_on: int, body: bytes) -> str:
         return str(original(operation, NOT_GIVEN, body))
+
     return digest
 
 
 def _without_looking_back(propose: Callable[[OperatorService, bytes], Coroutine[Any, Any, None]]) -> Any:
     """OperatorService._submit, but for its look at what came of the proposal."""
+
     async def submit(self: OperatorService, order: Order) -> Answer:
         await self.replication.settle()
         await self.replication.confirm()
@@ -93,6 +98,7 @@
             return self._refused(fits.error)
         await propose(self, order.encode())
         return self._accepted()
+
     return lambda original: submit
 
 
@@ -112,6 +118,7 @@
         if fits.is_error():
             return self._refused(fits.error)
         return await original(self, order)  # type: ignore[no-any-return]
+
     return submit
 
 
@@ -119,12 +126,14 @@
     async def submit(self: OperatorService, order: Order) -> Answer:
         answer: Answer = await original(self, order)
         return Answer(409, answer.body) if answer.status == 503 else answer
+
     return submit
 
 
 def _without_regard_to_the_base(original: Any) -> Any:
     def evaluate(current: Any, operation: str, built_on: int, body: bytes) -> Any:
         return original(current, operation, NOT_GIVEN, body)
+
     return evaluate
 
 
@@ -133,32 +142,63 @@
         order = Order.decode(record)
         self._taken[order.digest()] = self.version
         original(self, index, record)
+
     return apply
 
 
 MUTANTS = (
-    Mutant("judges an order without a proof that it is primary", 1,
-           (Patch(ReplicatedLog, "confirm", _does_nothing),)),
-    Mutant("forgets taken orders at a snapshot", 1,
-           (Patch(ConfigurationState, "restore", _forgets_at_restore),)),
+    Mutant(
+        "judges an order without a proof that it is primary",
+        1,
+        (Patch(ReplicatedLog, "confirm", _does_nothing),),
+    ),
+    Mutant(
+        "forgets taken orders at a snapshot", 1, (Patch(ConfigurationState, "restore", _forgets_at_restore),)
+    ),
     Mutant("remembers one taken order", 1, (Patch(state_module, "MOST_TAKEN", _remembers_one),)),
-    Mutant("recognises an order by what it builds on", 1,
-           (Patch(state_module, "digest", _by_operation_and_base),)),
+    Mutant(
+        "recognises an order by what it builds on",
+        1,
+        (Patch(state_module, "digest", _by_operation_and_base),),
+    ),
     Mutant("recognises an order by its text alone", 1, (Patch(state_module, "digest", _by_text),)),
-    Mutant("acknowledges what it proposed behind an undecided order", 15,
-           (Patch(OperatorService, "_submit", _without_looking_back(_and_waits)),
-            Patch(ReplicatedLog, "settle", _does_nothing))),
-    Mutant("acknowledges before there are copies", 0,
-           (Patch(OperatorService, "_submit", _without_looking_back(_without_copies)),)),
-    Mutant("judges an order before it looks whether it was taken", 1,
-           (Patch(OperatorService, "_submit", _evaluates_first),)),
-    Mutant("refuses what it could not get acknowledged", 2,
-           (Patch(OperatorService, "submit", _refuses_what_fails),)),
-    Mutant("takes an order on any version", 1,
-           (Patch(state_module, "evaluate", _without_regard_to_the_base),)),
-    Mutant("judges before what it took over is committed", 14,
-           (Patch(Leadership, "is_ready", lambda original: property(lambda self: True)),)),
-    Mutant("counts a record that had no effect as taken", 7,
-           (Patch(ConfigurationState, "apply", _takes_anything_committed),
-            Patch(ReplicatedLog, "settle", _does_nothing))),
+    Mutant(
+        "acknowledges what it proposed behind an undecided order",
+        15,
+        (
+            Patch(OperatorService, "_submit", _without_looking_back(_and_waits)),
+            Patch(ReplicatedLog, "settle", _does_nothing),
+        ),
+    ),
+    Mutant(
+        "acknowledges before there are copies",
+        0,
+        (Patch(OperatorService, "_submit", _without_looking_back(_without_copies)),),
+    ),
+    Mutant(
+        "judges an order before it looks whether it was taken",
+        1,
+        (Patch(OperatorService, "_submit", _evaluates_first),),
+    ),
+    Mutant(
+        "refuses what it could not get acknowledged",
+        2,
+        (Patch(OperatorService, "submit", _refuses_what_fails),),
+    ),
+    Mutant(
+        "takes an order on any version", 1, (Patch(state_module, "evaluate", _without_regard_to_the_base),)
+    ),
+    Mutant(
+        "judges before what it took over is committed",
+        14,
+        (Patch(Leadership, "is_ready", lambda original: property(lambda self: True)),),
+    ),
+    Mutant(
+        "counts a record that had no effect as taken",
+        7,
+        (
+            Patch(ConfigurationState, "apply", _takes_anything_committed),
+            Patch(ReplicatedLog, "settle", _does_nothing),
+        ),
+    ),
 )
--- a/larchgw/lab/operator_calls/operators.py
+++ b/larchgw/lab/operator_calls/operators.py
@@ -105,11 +105,20 @@
 
     def _spoiled(self, body: dict[str, Any], base: int) -> str:
         """The same order, but invalid."""
-        route = {"name": "r", "hostname": "h.example", "path_start": "/", "kind": "writing",
-                 "deadline_ms": 100, "service": f"none-{self._serial}", "tries": 1}
+        route = {
+            "name": "r",
+            "hostname": "h.example",
+            "path_start": "/",
+            "kind": "writing",
+            "deadline_ms": 100,
+            "service": f"none-{self._serial}",
+            "tries": 1,
+        }
         part = body["add"] if "add" in body else body
-        return self._random.choice((
-            json.dumps(body)[:-2],
-            json.dumps({**body, "config_version": base}),
-            json.dumps({**body, "add": {**part, "routes": [route]}, "routes": [route]}),
-        ))
+        return self._random.choice(
+            (
+                json.dumps(body)[:-2],
+                json.dumps({**body, "config_version": base}),
+                json.dumps({**body, "add": {**part, "routes": [route]}, "routes": [route]}),
+            )
+        )
--- a/larchgw/lab/place.py
+++ b/larchgw/lab/place.py
@@ -31,6 +31,7 @@
 
 # ---- Deployments ----
 
+
 def draw(seed: int, seconds: float) -> Deployment:
     """A deployment of some size, with loads that take 0.6 to 3 s."""
     rng = random.Random(seed * 7919)
@@ -40,24 +41,45 @@
     runners = max(round(count / resident * rng.uniform(0.4, 0.8)), 4)
     busy = max(count // 15, 2)
     names = [f"m{n}" for n in range(count)]
-    models = tuple(Model(name, rng.choice([65_100.0, 72_700.0]), load_s,
-                         rng.choice([0, 12, 32]) if n < busy else 0, 66.0) for n, name in enumerate(names))
+    models = tuple(
+        Model(
+            name, rng.choice([65_100.0, 72_700.0]), load_s, rng.choice([0, 12, 32]) if n < busy else 0, 66.0
+        )
+        for n, name in enumerate(names)
+    )
     streams = _streams(rng, names, busy, runners, load_s, seconds)
-    return Deployment(models, streams, runners, rng.choice([3, 4]), Capacity(230_000.0),
-                      loads_per_s=0.4 * runners, at_once=max(round(0.4 * runners * load_s), 3),
-                      seconds=seconds, losses=((0.6 * seconds, rng.randrange(runners), 4.0),))
-
-
-def _streams(rng: random.Random, names: list[str], busy: int, runners: int, load_s: float,
-             seconds: float) -> tuple[Stream, ...]:
+    return Deployment(
+        models,
+        streams,
+        runners,
+        rng.choice([3, 4]),
+        Capacity(230_000.0),
+        loads_per_s=0.4 * runners,
+        at_once=max(round(0.4 * runners * load_s), 3),
+        seconds=seconds,
+        losses=((0.6 * seconds, rng.randrange(runners), 4.0),),
+    )
+
+
+def _streams(
+    rng: random.Random, names: list[str], busy: int, runners: int, load_s: float, seconds: float
+) -> tuple[Stream, ...]:
     """Busy models, few at a time and others after each shift, and rare ones."""
-    rare = names[2 * busy:]
+    rare = names[2 * busy :]
     shifts = [0.0, 0.35 * seconds, 0.7 * seconds, seconds]
     now = max(busy // 2, 1)
-    streams = [Stream(tuple(rare), tuple((n + 1.0) ** -0.4 for n in range(len(rare))), 0.04 * len(rare), 3.0,
-                      load_s + rng.choice([0.9, 2.0]), 8.0)]
+    streams = [
+        Stream(
+            tuple(rare),
+            tuple((n + 1.0) ** -0.4 for n in range(len(rare))),
+            0.04 * len(rare),
+            3.0,
+            load_s + rng.choice([0.9, 2.0]),
+            8.0,
+        )
+    ]
     for begin, end in zip(shifts, shifts[1:], strict=False):
-        chosen = tuple(rng.sample(names[:2 * busy], now))
+        chosen = tuple(rng.sample(names[: 2 * busy], now))
         weights = tuple((n + 1.0) ** -0.8 for n in range(now))
         streams.append(Stream(chosen, weights, 2.5 * runners, 1.5, 0.6, 5.0, 0.3, begin, end))
     return tuple(streams)
@@ -65,6 +87,7 @@
 
 # ---- Placers ----
 
+
 class Calls:
     """Orders and reports, answered at once in virtual time."""
 
@@ -77,8 +100,17 @@
         runner = self._world.find(order.runner, order.address)
         if runner is None:
             return OrderOutcome.UNKNOWN
-        return outcome_of(runner.order(self._world.now, order.runner, order.action, order.model,
-                                       order.adapter, order.if_revision, fence))
+        return outcome_of(
+            runner.order(
+                self._world.now,
+                order.runner,
+                order.action,
+                order.model,
+                order.adapter,
+                order.if_revision,
+                fence,
+            )
+        )
 
     async def report(self, runner: str, address: str) -> RunnerReport | None:
         """As of some hundred milliseconds ago."""
@@ -125,8 +157,14 @@
 
     def __init__(self, world: World, seed: int) -> None:
         settings = PlacementSettings(ceiling_window_s=WINDOW_S, origin_rate_cap=CAP)
-        runtime = PlacementRuntime(lambda: world.now, HeldLease, Calls(world), settings=settings,
-                                   spawn=run_at_once, rng=random.Random(seed))
+        runtime = PlacementRuntime(
+            lambda: world.now,
+            HeldLease,
+            Calls(world),
+            settings=settings,
+            spawn=run_at_once,
+            rng=random.Random(seed),
+        )
         self.service = PlacementService(runtime)
         self.service.configure(world.deployment.configuration())
         self.see_runner, self.demand = self.service.see_runner, self.service.demand
@@ -163,8 +201,11 @@
 
     def _load(self, model: str, adapter: str) -> None:
         world = self._world
-        free = [runner for n, runner in enumerate(world.runners)
-                if n not in world.down and not runner.report(world.now).occupied]
+        free = [
+            runner
+            for n, runner in enumerate(world.runners)
+            if n not in world.down and not runner.report(world.now).occupied
+        ]
         holding = [runner for runner in free if model in runner.held]
         if any(model in runner.held for runner in world.runners) and not adapter:
             return
@@ -213,6 +254,7 @@
 
 # ---- Runs ----
 
+
 @dataclass(frozen=True, slots=True)
 class Run:
     """One deployment, one way."""
--- a/larchgw/lab/recovery.py
+++ b/larchgw/lab/recovery.py
@@ -58,13 +58,22 @@
         written = _apart(_write, source, case)
         restarted = _apart(_restart, source, case)
         fetched = _apart(_fetch, source, target, case)
-    result.rows.append({
-        "changes": case.changes, "routes": case.routes,
-        "a change ms": written["seconds"] * 1000 / case.changes, "change MB": written["memory"],
-        "snapshot KB": restarted["snapshot"] / KILOBYTE, "records": int(restarted["records"]),
-        "disk KB": restarted["disk"] / KILOBYTE, "restart s": restarted["seconds"],
-        "restart MB": restarted["memory"], "pieces": int(fetched["pieces"]), "fetch s": fetched["seconds"],
-        "fetch MB": fetched["memory"]})
+    result.rows.append(
+        {
+            "changes": case.changes,
+            "routes": case.routes,
+            "a change ms": written["seconds"] * 1000 / case.changes,
+            "change MB": written["memory"],
+            "snapshot KB": restarted["snapshot"] / KILOBYTE,
+            "records": int(restarted["records"]),
+            "disk KB": restarted["disk"] / KILOBYTE,
+            "restart s": restarted["seconds"],
+            "restart MB": restarted["memory"],
+            "pieces": int(fetched["pieces"]),
+            "fetch s": fetched["seconds"],
+            "fetch MB": fetched["memory"],
+        }
+    )
     result.figures[f"restart_s_{case.changes}x{case.routes}"] = restarted["seconds"]
     result.figures[f"fetch_s_{case.changes}x{case.routes}"] = fetched["seconds"]
 
@@ -83,8 +92,9 @@
     return figures
 
 
-def _report(connection: Connection, work: Callable[..., dict[str, float]],
-            arguments: tuple[Any, ...]) -> None:
+def _report(
+    connection: Connection, work: Callable[..., dict[str, float]], arguments: tuple[Any, ...]
+) -> None:
     figures = work(*arguments)
     figures["memory"] = _most_memory_mb()
     connection.send(figures)
@@ -127,8 +137,12 @@
         state.apply(index, record)
     seconds = time.perf_counter() - began
     _check(state, case)
-    return {"seconds": seconds, "snapshot": float(len(snapshot)), "records": float(replica.size[0]),
-            "disk": float(disk.log.size_bytes)}
+    return {
+        "seconds": seconds,
+        "snapshot": float(len(snapshot)),
+        "records": float(replica.size[0]),
+        "disk": float(disk.log.size_bytes),
+    }
 
 
 def _fetch(source: str, target: str, case: Case) -> dict[str, float]:
@@ -174,8 +188,15 @@
 
 
 def _route(number: int, version: int) -> dict[str, Any]:
-    return {"name": f"route-{number}", "hostname": f"host-{number}.example", "path_start": f"/path-{number}/",
-            "kind": "read_only", "deadline_ms": 1000 + version, "service": "s", "tries": 2}
+    return {
+        "name": f"route-{number}",
+        "hostname": f"host-{number}.example",
+        "path_start": f"/path-{number}/",
+        "kind": "read_only",
+        "deadline_ms": 1000 + version,
+        "service": "s",
+        "tries": 2,
+    }
 
 
 def _check(state: ConfigurationState, case: Case) -> None:
--- a/larchgw/lab/results.py
+++ b/larchgw/lab/results.py
@@ -68,8 +68,10 @@
     names = list(rows[0])
     cells = [names, *([_cell(row.get(name, "")) for name in names] for row in rows)]
     widths = [max(len(line[i]) for line in cells) for i in range(len(names))]
-    lines = ["  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
-             for line in cells]
+    lines = [
+        "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
+        for line in cells
+    ]
     return [lines[0], "  ".join("-" * width for width in widths), *lines[1:]]
 
 
--- a/larchgw/lab/room.py
+++ b/larchgw/lab/room.py
@@ -45,9 +45,9 @@
     classes = MIXES[run.mix]
     fleet = FleetSpec(boxes=run.boxes, order=run.order)
     rate = run.load * capacity(draw(fleet, run.seed)) / work_of(classes)
-    return Scenario(fleet, LoadSpec(classes, rate, keys=6 * run.boxes), run.dispatchers, run.by_work,
-                    run.seconds)
-
+    return Scenario(
+        fleet, LoadSpec(classes, rate, keys=6 * run.boxes), run.dispatchers, run.by_work, run.seconds
+    )
 
 
 def play(run: Run) -> dict[str, Any]:
@@ -61,8 +61,10 @@
     world = World(scenario_of(run), run.seed, make)
     world.run()
     planners = [d.room for d in world.dispatchers if isinstance(d.room, Planner)]
-    did = {name: sum(getattr(p.figures, name) for p in planners)
-           for name in ("made", "used", "moved", "dropped", "filled", "passed", "overdue", "refused_cap")}
+    did = {
+        name: sum(getattr(p.figures, name) for p in planners)
+        for name in ("made", "used", "moved", "dropped", "filled", "passed", "overdue", "refused_cap")
+    }
     return {"figures": summary(world), "broken": world.records.broken(), "did": did}
 
 
@@ -70,10 +72,19 @@
     """All mixes and loads, each seed with holding off and on; and the bound, off alone."""
     room = room or RoomSettings()
     seeds = range(options.seed, options.seed + options.seeds)
-    runs = [Run(mix, load, seed, options.seconds, how, by_work=by_work)
-            for mix, by_work in KINDS for load in LOADS for seed in seeds for how in (None, room)]
-    runs += [Run("one", load, seed, options.seconds, None, by_work=by_work)
-             for by_work in (True, False) for load in LOADS for seed in seeds]
+    runs = [
+        Run(mix, load, seed, options.seconds, how, by_work=by_work)
+        for mix, by_work in KINDS
+        for load in LOADS
+        for seed in seeds
+        for how in (None, room)
+    ]
+    runs += [
+        Run("one", load, seed, options.seconds, None, by_work=by_work)
+        for by_work in (True, False)
+        for load in LOADS
+        for seed in seeds
+    ]
     played = dict(zip(runs, spread_out(play, runs, options.jobs), strict=True))
     result = Result("room")
     ratios: dict[tuple[str, bool, float], float] = {}
@@ -87,8 +98,12 @@
             on = [played[run]["figures"] for run in here if run.room is not None]
             for how, figures in (("off", off), ("on", on)):
                 if figures:
-                    row: dict[str, object] = {"mix": mix, "worth by": "work" if by_work else "job",
-                                              "load": load, "holding": how}
+                    row: dict[str, object] = {
+                        "mix": mix,
+                        "worth by": "work" if by_work else "job",
+                        "load": load,
+                        "holding": how,
+                    }
                     for title, name in COLUMNS.items():
                         row[title] = str(spread(f.get(name, 0.0) for f in figures))
                     result.rows.append(row)
@@ -97,27 +112,39 @@
             key = mix, by_work, load
             ratios[key] = _ratio(on, off, "worth_all")
             larges[key] = _ratio(on, off, "in_time_release_large")
-            losses[key] = median(b["in_time_proof"] - a["in_time_proof"]
-                                 for a, b in zip(on, off, strict=True))
+            losses[key] = median(
+                b["in_time_proof"] - a["in_time_proof"] for a, b in zip(on, off, strict=True)
+            )
             starved += sum(a["given_up"] > b["given_up"] for a, b in zip(on, off, strict=True))
             did = [played[run]["did"] for run in here if run.room is not None]
             result.notes.append(
                 f"{mix} by {'work' if by_work else 'job'} {load:g}: worth x{ratios[key]:.3f}, large releases "
-                f"x{larges[key]:.3f}, proofs {-losses[key]:+.3f}; " + " ".join(
-                    f"{name}={sum(d[name] for d in did)}" for name in did[0]))
+                f"x{larges[key]:.3f}, proofs {-losses[key]:+.3f}; "
+                + " ".join(f"{name}={sum(d[name] for d in did)}" for name in did[0])
+            )
     broken = [line for run in runs for line in played[run]["broken"]]
     result.notes += [f"RULE BROKEN: {line}" for line in broken[:10]]
     busy = [key for key in ratios if key[2] in (0.9, 1.0)]
     result.figures = {
-        "ratio": median(ratios[k] for k in busy), "large": median(larges[k] for k in busy),
-        "small_loss": max(losses[k] for k in busy), "starved": float(starved), "rules": float(len(broken))}
+        "ratio": median(ratios[k] for k in busy),
+        "large": median(larges[k] for k in busy),
+        "small_loss": max(losses[k] for k in busy),
+        "starved": float(starved),
+        "rules": float(len(broken)),
+    }
     return result
 
 
-COLUMNS = {"worth": "worth_all", "proofs": "in_time_proof", "quotes 1": "in_time_quote_small",
-           "quotes 2+": "in_time_quote_large", "releases 1": "in_time_release_small",
-           "releases 2+": "in_time_release_large", "longest proof s": "longest_wait_proof",
-           "given up": "given_up"}
+COLUMNS = {
+    "worth": "worth_all",
+    "proofs": "in_time_proof",
+    "quotes 1": "in_time_quote_small",
+    "quotes 2+": "in_time_quote_large",
+    "releases 1": "in_time_release_small",
+    "releases 2+": "in_time_release_large",
+    "longest proof s": "longest_wait_proof",
+    "given up": "given_up",
+}
 
 
 def _ratio(on: list[dict[str, float]], off: list[dict[str, float]], name: str) -> float:
--- a/larchgw/lab/room_cost.py
+++ b/larchgw/lab/room_cost.py
@@ -40,9 +40,16 @@
 
 def settings() -> Settings:
     """Two classes with time enough to wait."""
-    return Settings([JobClass("proof", 100.0, 1000.0, 1.0, stretch=2.0, effect="idempotent"),
-                     JobClass("release", 100.0, 1000.0, 8.0, stretch=2.0)],
-                    tells_start=True, can_cancel=True, max_attempts=3, worth_by_work=True)
+    return Settings(
+        [
+            JobClass("proof", 100.0, 1000.0, 1.0, stretch=2.0, effect="idempotent"),
+            JobClass("release", 100.0, 1000.0, 8.0, stretch=2.0),
+        ],
+        tells_start=True,
+        can_cancel=True,
+        max_attempts=3,
+        worth_by_work=True,
+    )
 
 
 def cost(boxes: int, waiting: int, held: bool, seed: int) -> float:
@@ -58,8 +65,16 @@
         nonlocal number
         number += 1
         large = rng.random() < 0.2
-        module.on_request(now, Request(number, now + 1000.0, 1 if large else 0, rng.randrange(1, 4 * boxes),
-                                       slots=float(rng.choice((2, 4))) if large else 1.0))
+        module.on_request(
+            now,
+            Request(
+                number,
+                now + 1000.0,
+                1 if large else 0,
+                rng.randrange(1, 4 * boxes),
+                slots=float(rng.choice((2, 4))) if large else 1.0,
+            ),
+        )
 
     while len(module.held) < waiting:
         arrive()
@@ -83,13 +98,22 @@
         for waiting in WAITING:
             for held in (False, True):
                 costs[boxes, waiting, held] = median(
-                    cost(boxes, waiting, held, options.seed + n) for n in range(min(options.seeds, 3)))
-            result.rows.append({"boxes": boxes, "waiting": waiting, "off us": costs[boxes, waiting, False],
-                                "on us": costs[boxes, waiting, True]})
+                    cost(boxes, waiting, held, options.seed + n) for n in range(min(options.seeds, 3))
+                )
+            result.rows.append(
+                {
+                    "boxes": boxes,
+                    "waiting": waiting,
+                    "off us": costs[boxes, waiting, False],
+                    "on us": costs[boxes, waiting, True],
+                }
+            )
     base = costs[BOXES[0], WAITING[0], True]
     result.figures = {
-        "base_us": base, "boxes_ratio": costs[BOXES[-1], WAITING[0], True] / base,
+        "base_us": base,
+        "boxes_ratio": costs[BOXES[-1], WAITING[0], True] / base,
         "waiting_ratio": costs[BOXES[0], WAITING[-1], True] / base,
         "both_ratio": costs[BOXES[-1], WAITING[-1], True] / base,
-        "over_off": costs[BOXES[-1], WAITING[-1], True] / costs[BOXES[-1], WAITING[-1], False]}
+        "over_off": costs[BOXES[-1], WAITING[-1], True] / costs[BOXES[-1], WAITING[-1], False],
+    }
     return result
--- a/larchgw/lab/route.py
+++ b/larchgw/lab/route.py
@@ -56,24 +56,35 @@
     tally = world.run()
     kept = sum(engine.kept_tokens for engine in world.engines.values())
     read = sum(engine.read_tokens for engine in world.engines.values())
-    return Shares(tally.in_time / max(1, tally.owed), tally.served / max(1, tally.owed),
-                  kept / max(1, kept + read), tally.crossings / max(1, tally.sends))
+    return Shares(
+        tally.in_time / max(1, tally.owed),
+        tally.served / max(1, tally.owed),
+        kept / max(1, kept + read),
+        tally.crossings / max(1, tally.sends),
+    )
 
 
 def experiment(options: Options) -> Result:
     """All selections on the same draws, at each load."""
     seeds = range(options.seed, options.seed + options.seeds)
-    runs = [Play(name, load, seed, options.seconds)
-            for load in LOADS for name in SELECTIONS for seed in seeds]
+    runs = [
+        Play(name, load, seed, options.seconds) for load in LOADS for name in SELECTIONS for seed in seeds
+    ]
     played = dict(zip(runs, spread_out(play, runs, options.jobs), strict=True))
     result = Result("route")
     for load in LOADS:
         for name in SELECTIONS:
             shares = [played[run] for run in runs if (run.selection, run.load) == (name, load)]
-            result.rows.append({
-                "load": load, "selection": name, "in time": mean(one.in_time for one in shares),
-                "served": mean(one.served for one in shares), "kept tokens": mean(one.kept for one in shares),
-                "across zones": mean(one.crossing for one in shares)})
+            result.rows.append(
+                {
+                    "load": load,
+                    "selection": name,
+                    "in time": mean(one.in_time for one in shares),
+                    "served": mean(one.served for one in shares),
+                    "kept tokens": mean(one.kept for one in shares),
+                    "across zones": mean(one.crossing for one in shares),
+                }
+            )
     for name in SELECTIONS:
         shares = [played[run] for run in runs if run.selection == name]
         result.figures[f"{name}_in_time"] = mean(one.in_time for one in shares)
--- a/larchgw/lab/route_baselines.py
+++ b/larchgw/lab/route_baselines.py
@@ -23,11 +23,20 @@
         """One of the holders; there is at least one."""
         return self.random.choice(holders)
 
-    def choose(self, now: float, request: RequestTraits, runners: Mapping[str, RunnerRecord],
-               tried: Sequence[str], expected: Mapping[str, float]) -> Choice:
+    def choose(
+        self,
+        now: float,
+        request: RequestTraits,
+        runners: Mapping[str, RunnerRecord],
+        tried: Sequence[str],
+        expected: Mapping[str, float],
+    ) -> Choice:
         """See `interface.Selection`."""
-        holders = [record for record in runners.values()
-                   if record.holds(request.model, request.adapter) and record.id not in tried]
+        holders = [
+            record
+            for record in runners.values()
+            if record.holds(request.model, request.adapter) and record.id not in tried
+        ]
         if not holders:
             return Refuse(0.1, "no_holder")
         return Send(self.pick(request, holders), request.route.rank)
@@ -69,5 +78,11 @@
         under = [record for record in holders if of_key(record) < DESIGN_THRESHOLD]
         if under:
             return max(under, key=lambda record: (of_key(record), self.random.random()))
-        return min(holders, key=lambda record: (self.table.at(record.id).active_keys,
-                                                self.table.at(record.id).total, self.random.random()))
+        return min(
+            holders,
+            key=lambda record: (
+                self.table.at(record.id).active_keys,
+                self.table.at(record.id).total,
+                self.random.random(),
+            ),
+        )
--- a/larchgw/lab/route_play.py
+++ b/larchgw/lab/route_play.py
@@ -65,8 +65,10 @@
         self.random = Random(deployment.seed + 1)
         self.engines = {id: Engine(settings, self.time) for id, settings in deployment.engines.items()}
         self.runners = {record.id: record for record in deployment.records}
-        self.dispatchers = [Dispatcher(zone, make(zone, Random(f"{deployment.seed}-{index}"), deployment))
-                            for index, (zone, _) in enumerate(deployment.dispatchers)]
+        self.dispatchers = [
+            Dispatcher(zone, make(zone, Random(f"{deployment.seed}-{index}"), deployment))
+            for index, (zone, _) in enumerate(deployment.dispatchers)
+        ]
         self._numbers = itertools.count()
         self._own_parts = itertools.count()
         self._start = self.time.now()
@@ -103,14 +105,25 @@
         subject = min(int(kind.subjects * random.random() ** 1.5), kind.subjects - 1)
         name = kind.route.name
         spread = random.lognormvariate(-0.32, 0.8)  # mean 1: few are long
-        parts = (PromptPart(f"{name}-system{subject % 3}", kind.system_tokens),
-                 PromptPart(f"{name}-subject{subject}", kind.subject_tokens),
-                 PromptPart(f"own{next(self._own_parts)}", max(1, int(kind.own_tokens * spread))))
+        parts = (
+            PromptPart(f"{name}-system{subject % 3}", kind.system_tokens),
+            PromptPart(f"{name}-subject{subject}", kind.subject_tokens),
+            PromptPart(f"own{next(self._own_parts)}", max(1, int(kind.own_tokens * spread))),
+        )
         output = max(1, int(kind.output_tokens * random.lognormvariate(-0.32, 0.8)))
         return RequestTraits(
-            next(self._numbers), kind.route, SERVICE, now, now + kind.route.deadline_ms / 1000.0,
-            now + kind.route.target_ms / 1000.0, model, adapter, sum(part.tokens for part in parts), output,
-            parts)
+            next(self._numbers),
+            kind.route,
+            SERVICE,
+            now,
+            now + kind.route.deadline_ms / 1000.0,
+            now + kind.route.target_ms / 1000.0,
+            model,
+            adapter,
+            sum(part.tokens for part in parts),
+            output,
+            parts,
+        )
 
     def _choose(self, run: Run) -> None:
         choice = run.dispatcher.selection.choose(self.time.now(), run.traits, self.runners, run.tried, {})
@@ -133,17 +146,22 @@
         delay = CROSSING_S if crosses else INSIDE_S
         engine = self.engines[record.id]
         generation = Generation(
-            traits.model, traits.adapter, tuple((part.id, part.tokens) for part in traits.parts),
-            traits.output_tokens, choice.priority,
+            traits.model,
+            traits.adapter,
+            tuple((part.id, part.tokens) for part in traits.parts),
+            traits.output_tokens,
+            choice.priority,
             lambda one: self._later(delay, lambda: self._event(run, attempt, engine)),
-            lambda one: self._later(delay, lambda: self._done(run, attempt)))
+            lambda one: self._later(delay, lambda: self._done(run, attempt)),
+        )
         self._later(delay, lambda: self._reach(run, attempt, engine, generation, delay))
 
     def _later(self, delay: float, action: Callable[[], None]) -> None:
         self.time.at(self.time.now() + delay, action)
 
-    def _reach(self, run: Run, attempt: Attempt, engine: Engine, generation: Generation,
-               delay: float) -> None:
+    def _reach(
+        self, run: Run, attempt: Attempt, engine: Engine, generation: Generation, delay: float
+    ) -> None:
         """The request is at its runner, which takes it or is full."""
         if not engine.submit(generation):
             self._later(delay, lambda: self._full(run, attempt, engine))
--- a/larchgw/membership/codec.py
+++ b/larchgw/membership/codec.py
@@ -94,12 +94,23 @@
     member = update.member
     flags = member.state | (HAS_RPC if member.address_rpc else 0) | (HAS_ACCUSER if update.accuser else 0)
     name, zone = member.name.encode(), member.zone.encode()
-    return b"".join((
-        _RECORD.pack(flags, ROLES.index(member.role), pack_address(member.address), member.incarnation,
-                     member.refutations),
-        pack_address(member.address_rpc) if member.address_rpc else b"",
-        pack_address(update.accuser) if update.accuser else b"",
-        bytes((len(name),)), name, bytes((len(zone),)), zone))
+    return b"".join(
+        (
+            _RECORD.pack(
+                flags,
+                ROLES.index(member.role),
+                pack_address(member.address),
+                member.incarnation,
+                member.refutations,
+            ),
+            pack_address(member.address_rpc) if member.address_rpc else b"",
+            pack_address(update.accuser) if update.accuser else b"",
+            bytes((len(name),)),
+            name,
+            bytes((len(zone),)),
+            zone,
+        )
+    )
 
 
 class Draft:
@@ -125,8 +136,14 @@
     def finish(self) -> bytes:
         """The datagram."""
         message = self.message
-        body = b"".join((_BODY.pack(message.sequence, message.digest), self._sender, _encode_fields(message),
-                         *self._records))
+        body = b"".join(
+            (
+                _BODY.pack(message.sequence, message.digest),
+                self._sender,
+                _encode_fields(message),
+                *self._records,
+            )
+        )
         return _FRONT.pack(MAGIC, VERSION, message.kind, crc32(body)) + body
 
 
@@ -156,7 +173,7 @@
     if len(data) > MAX_DATAGRAM_BYTES:
         raise DecodeError(f"{len(data)} bytes are over {MAX_DATAGRAM_BYTES}")
     magic, version, kind, checksum = _FRONT.unpack_from(data)
-    if magic != MAGIC or version != VERSION or checksum != crc32(data[_FRONT.size:]):
+    if magic != MAGIC or version != VERSION or checksum != crc32(data[_FRONT.size :]):
         raise DecodeError("its magic, version or checksum is another")
     reader = _Reader(data, _FRONT.size)
     sequence, digest = reader.take(_BODY)
@@ -193,7 +210,7 @@
         end = self.at + length
         if end > len(self.data):
             raise DecodeError("it ends early")
-        taken = self.data[self.at:end]
+        taken = self.data[self.at : end]
         self.at = end
         return taken
 
@@ -209,8 +226,16 @@
         rpc = unpack_address(self.bytes(6)) if flags & HAS_RPC else ""
         accuser = unpack_address(self.bytes(6)) if flags & HAS_ACCUSER else ""
         name, zone = self.text(), self.text()
-        member = Member(name, unpack_address(packed), ROLES[role], incarnation, zone, rpc, refutations,
-                        State(flags & STATE_MASK))
+        member = Member(
+            name,
+            unpack_address(packed),
+            ROLES[role],
+            incarnation,
+            zone,
+            rpc,
+            refutations,
+            State(flags & STATE_MASK),
+        )
         return Update(member, accuser)
 
 
--- a/larchgw/membership/doubts.py
+++ b/larchgw/membership/doubts.py
@@ -46,8 +46,11 @@
 
     def unanswered(self, now: float) -> list[tuple[Member, str]]:
         """Deaths, and who reported them, that were asked about and not contradicted; they are dropped."""
-        over = [doubt for doubt in self._doubts.values()
-                if doubt.asked_at is not None and now - doubt.asked_at >= self._settings.probe_period]
+        over = [
+            doubt
+            for doubt in self._doubts.values()
+            if doubt.asked_at is not None and now - doubt.asked_at >= self._settings.probe_period
+        ]
         for doubt in over:
             del self._doubts[doubt.dead.address]
         return [(doubt.dead, doubt.source) for doubt in over]
--- a/larchgw/membership/knowledge.py
+++ b/larchgw/membership/knowledge.py
@@ -101,9 +101,14 @@
     def _is_death_of_present(self, heard: Member) -> bool:
         """Whether it ends a life that is present here and has not contradicted it."""
         known = self.table.get(heard.address)
-        return (heard.state is State.DEAD and known is not None and known.present
-                and known.address != self.me.address and known.incarnation == heard.incarnation
-                and known.precedence < heard.precedence)
+        return (
+            heard.state is State.DEAD
+            and known is not None
+            and known.present
+            and known.address != self.me.address
+            and known.incarnation == heard.incarnation
+            and known.precedence < heard.precedence
+        )
 
     def _merge(self, now: float, update: Update, gossiped: bool) -> bool:
         heard = update.member
--- a/larchgw/membership/suspicion.py
+++ b/larchgw/membership/suspicion.py
@@ -80,6 +80,10 @@
     def expired(self, now: float) -> list[str]:
         """Addresses whose suspicion was not refuted in time, nor the last call answered."""
         called_before = now - self._settings.probe_timeout
-        return [address for address, suspicion in self._running.items()
-                if suspicion.called_at is not None and suspicion.called_at <= called_before
-                and suspicion.deadline <= now]
+        return [
+            address
+            for address, suspicion in self._running.items()
+            if suspicion.called_at is not None
+            and suspicion.called_at <= called_before
+            and suspicion.deadline <= now
+        ]
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -300,8 +300,15 @@
 
     # Sending
 
-    def _send(self, to: str, kind: Kind, sequence: int, about: Member | None = None, target: str = "",
-              cursor: Cursor | None = None) -> None:
+    def _send(
+        self,
+        to: str,
+        kind: Kind,
+        sequence: int,
+        about: Member | None = None,
+        target: str = "",
+        cursor: Cursor | None = None,
+    ) -> None:
         """With a report on the receiver in front, so that it can refute it, and as many updates as fit."""
         message = Message(kind, sequence, self.me, self._table.digest, target, cursor=cursor)
         if kind is Kind.PULL:
--- a/larchgw/net/asyncloop.py
+++ b/larchgw/net/asyncloop.py
@@ -74,8 +74,9 @@
         self._due = float("inf")
         self._closed = False
 
-    def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None],
-              rank: int = FIRST) -> None:
+    def watch(
+        self, sock: socket.socket, events: int, ready: Callable[[int], None], rank: int = FIRST
+    ) -> None:
         """Calls `ready` with the events at hand; 0 events pause it."""
         descriptor = sock.fileno()
         watch = self._watches.get(descriptor)
--- a/larchgw/net/clientlink.py
+++ b/larchgw/net/clientlink.py
@@ -141,8 +141,13 @@
     # Moved to another process
 
     def movable(self, exchange: Exchange) -> bool:
-        return (exchange is self.current and not self.waiting and self._reader.coming is None
-                and not self._reader.stopped and not self.connection.busy())
+        return (
+            exchange is self.current
+            and not self.waiting
+            and self._reader.coming is None
+            and not self._reader.stopped
+            and not self.connection.busy()
+        )
 
     def descriptor(self) -> int:
         return self.connection.sock.fileno()
@@ -186,7 +191,8 @@
     def _pace(self) -> None:
         """Reads ahead only so far: what is read is held in memory until its turn comes."""
         ahead = len(self.waiting) >= MAX_WAITING or (
-            sum(len(x.body) for x in self.waiting) > self.server.limits.body_bytes)
+            sum(len(x.body) for x in self.waiting) > self.server.limits.body_bytes
+        )
         self.connection.pause(ahead)
         if ahead and self._look is None and not self.connection.closed:
             deadlines, now = self.server.loop.deadlines, self.server.loop.clock.now()
@@ -213,8 +219,9 @@
     def unsent(self) -> int:
         return self.connection.unsent
 
-    def reply(self, exchange: Exchange, status: int, body: bytes,
-              headers: tuple[tuple[str, str], ...]) -> None:
+    def reply(
+        self, exchange: Exchange, status: int, body: bytes, headers: tuple[tuple[str, str], ...]
+    ) -> None:
         if exchange is not self.current:
             return
         keep = self._keeps(exchange)
@@ -242,14 +249,16 @@
 
     # An answer in pieces
 
-    def start(self, exchange: Exchange, status: int, reason: bytes, fields: Fields,
-              length: int | None) -> None:
+    def start(
+        self, exchange: Exchange, status: int, reason: bytes, fields: Fields, length: int | None
+    ) -> None:
         if exchange is not self.current:
             return
         exchange.keep = self._keeps(exchange)
         connection = [] if exchange.keep else [CLOSE]
-        self._writer = ReplyWriter(self.connection, status, reason, fields + connection, length,
-                                   exchange.method == b"HEAD")
+        self._writer = ReplyWriter(
+            self.connection, status, reason, fields + connection, length, exchange.method == b"HEAD"
+        )
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         if exchange is not self.current or self._writer is None:
--- a/larchgw/net/connection.py
+++ b/larchgw/net/connection.py
@@ -34,8 +34,14 @@
 class Connection:
     """`unsent` is what the kernel has not taken yet; `over`: the other side's end has been read already."""
 
-    def __init__(self, loop: EventLoop, sock: socket.socket, owner: Owner, connecting: bool = False,
-                 rank: int = CLIENTS) -> None:
+    def __init__(
+        self,
+        loop: EventLoop,
+        sock: socket.socket,
+        owner: Owner,
+        connecting: bool = False,
+        rank: int = CLIENTS,
+    ) -> None:
         self.loop, self.sock, self.owner, self.rank = loop, sock, owner, rank
         self.over = False
         self.max_unsent = MAX_UNSENT  # bytes; whoever writes more at once has to raise it
@@ -213,8 +219,9 @@
         return bool(poll.poll(0))
 
 
-def connect(loop: EventLoop, address: tuple[str, int], owner: Owner,
-            rank: int) -> Connection | ConnectionOutcome:
+def connect(
+    loop: EventLoop, address: tuple[str, int], owner: Owner, rank: int
+) -> Connection | ConnectionOutcome:
     """Opens a connection, or says at once why not."""
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
--- a/larchgw/net/discovery.py
+++ b/larchgw/net/discovery.py
@@ -73,15 +73,21 @@
             for entry in said["servers"]:
                 worker = str(entry["id"]).encode()
                 presence = STATES[entry["state"]]
-                listing.members.append(Member(
-                    worker, presence, float(entry.get("started_ms") or 0) / 1000.0,
-                    self._kinds.number(str(entry.get("kind", ""))),
-                    self._zones.number(str(entry.get("zone", ""))),
-                    int(entry.get("cell") or 0), float(entry.get("weight", 1.0)),
-                ))
+                listing.members.append(
+                    Member(
+                        worker,
+                        presence,
+                        float(entry.get("started_ms") or 0) / 1000.0,
+                        self._kinds.number(str(entry.get("kind", ""))),
+                        self._zones.number(str(entry.get("zone", ""))),
+                        int(entry.get("cell") or 0),
+                        float(entry.get("weight", 1.0)),
+                    )
+                )
                 address = entry.get("addr")
                 listing.addresses[worker] = (
-                    parse_address(address) if address and presence == Presence.READY else None)
+                    parse_address(address) if address and presence == Presence.READY else None
+                )
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"not a list of workers: {type(error).__name__}: {error}") from error
         return listing
@@ -90,8 +96,15 @@
 class Discovery:
     """One connection; whatever goes wrong on it, the old list stays and the watch is tried again."""
 
-    def __init__(self, loop: Loop, core: Core, address: tuple[str, int], reader: ListReader,
-                 locate: Callable[[WorkerId, tuple[str, int] | None], None], seed: int) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        address: tuple[str, int],
+        reader: ListReader,
+        locate: Callable[[WorkerId, tuple[str, int] | None], None],
+        seed: int,
+    ) -> None:
         self.loop, self.core, self.address, self.reader, self.locate = loop, core, address, reader, locate
         self.version: int | None = None
         self._known: set[WorkerId] = set()
@@ -159,8 +172,7 @@
         self._parser, self._complete = httptools.HttpResponseParser(self), False
         self._body.clear()
         self.loop.deadlines.drop(self._timer)
-        self._timer = self.loop.deadlines.add(
-            self.loop.clock.now() + limit, lambda: self._failed("silent"))
+        self._timer = self.loop.deadlines.add(self.loop.clock.now() + limit, lambda: self._failed("silent"))
         host = f"{self.address[0]}:{self.address[1]}"
         self._connection.write(f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
 
--- a/larchgw/net/exchange.py
+++ b/larchgw/net/exchange.py
@@ -15,12 +15,14 @@
     def unsent(self) -> int:
         """Bytes of answers that the kernel has not taken yet."""
 
-    def reply(self, exchange: Exchange, status: int, body: bytes,
-              headers: tuple[tuple[str, str], ...]) -> None:
+    def reply(
+        self, exchange: Exchange, status: int, body: bytes, headers: tuple[tuple[str, str], ...]
+    ) -> None:
         """Writes the whole answer."""
 
-    def start(self, exchange: Exchange, status: int, reason: bytes, fields: Fields,
-              length: int | None) -> None:
+    def start(
+        self, exchange: Exchange, status: int, reason: bytes, fields: Fields, length: int | None
+    ) -> None:
         """Begins an answer of `length` bytes, or in chunks where that is None."""
 
     def send(self, exchange: Exchange, data: bytes) -> None:
@@ -46,9 +48,23 @@
     was sent has been written, where it is set. `began` is when its first byte came, `arrived` its last one.
     """
 
-    __slots__ = ("link", "method", "target", "path", "headers", "fields", "body", "began", "arrived", "keep",
-                 "error",
-                 "extra", "done", "old", "on_drained")
+    __slots__ = (
+        "link",
+        "method",
+        "target",
+        "path",
+        "headers",
+        "fields",
+        "body",
+        "began",
+        "arrived",
+        "keep",
+        "error",
+        "extra",
+        "done",
+        "old",
+        "on_drained",
+    )
 
     def __init__(self, link: ReplyChannel, arrived: float, method: bytes = b"", target: bytes = b"") -> None:
         self.link, self.method, self.target = link, method, target
--- a/larchgw/net/heads.py
+++ b/larchgw/net/heads.py
@@ -7,9 +7,21 @@
 
 Fields = list[tuple[bytes, bytes]]
 # Fields of one connection (RFC 9110, 7.6.1), and those of framing, which each sender writes anew.
-HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate",
-                        b"proxy-authorization", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-                        b"content-length", b"expect"))
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    )
+)
 CLOSE = (b"Connection", b"close")
 CHUNKED = (b"Transfer-Encoding", b"chunked")
 
@@ -20,8 +32,12 @@
     `dropped` holds names in lower case.
     """
     fields = list(fields)
-    named = {token.strip().lower() for name, value in fields if name.lower() == b"connection"
-             for token in value.split(b",")}
+    named = {
+        token.strip().lower()
+        for name, value in fields
+        if name.lower() == b"connection"
+        for token in value.split(b",")
+    }
     unwanted = HOP_BY_HOP | dropped | named
     return [field for field in fields if field[0].lower() not in unwanted]
 
--- a/larchgw/net/httpserver.py
+++ b/larchgw/net/httpserver.py
@@ -21,9 +21,18 @@
 class HttpServer:
     """Listens, and keeps its clients' connections in the order of their coming."""
 
-    def __init__(self, loop: EventLoop, counters: Counters, address: tuple[str, int], handler: Handler,
-                 cap: int, max_held: int, one_call: bool = False, inherited: int | None = None,
-                 limits: ServerLimits | None = None) -> None:
+    def __init__(
+        self,
+        loop: EventLoop,
+        counters: Counters,
+        address: tuple[str, int],
+        handler: Handler,
+        cap: int,
+        max_held: int,
+        one_call: bool = False,
+        inherited: int | None = None,
+        limits: ServerLimits | None = None,
+    ) -> None:
         self.loop, self.counters, self.handler = loop, counters, handler
         self.limits = limits or ServerLimits()  # may be replaced; in force from the next bytes and waits on
         self.one_call = one_call  # on each connection
@@ -34,8 +43,17 @@
         self.standing: dict[Link, None] = {}  # between requests
         self.lingering: dict[Connection, float] = {}  # answered, not yet closed; they hold descriptors
         self.stopping = False
-        self.listener = Listener(loop, counters, handler.name, address, cap, self._take,
-                                 lambda: len(self.links) + len(self.lingering), self._make_room, inherited)
+        self.listener = Listener(
+            loop,
+            counters,
+            handler.name,
+            address,
+            cap,
+            self._take,
+            lambda: len(self.links) + len(self.lingering),
+            self._make_room,
+            inherited,
+        )
 
     def _take(self, sock: socket.socket) -> None:
         link = Link(self, sock)
--- a/larchgw/net/listener.py
+++ b/larchgw/net/listener.py
@@ -19,9 +19,18 @@
 class Listener:
     """Accepts for `take`. At the cap, `make_room` may close an idle connection; else accepting waits."""
 
-    def __init__(self, loop: EventLoop, counters: Counters, name: str, address: tuple[str, int], cap: int,
-                 take: Callable[[socket.socket], None], count: Callable[[], int],
-                 make_room: Callable[[], bool], inherited: int | None = None) -> None:
+    def __init__(
+        self,
+        loop: EventLoop,
+        counters: Counters,
+        name: str,
+        address: tuple[str, int],
+        cap: int,
+        take: Callable[[socket.socket], None],
+        count: Callable[[], int],
+        make_room: Callable[[], bool],
+        inherited: int | None = None,
+    ) -> None:
         self.loop, self.counters, self.name, self.cap = loop, counters, name, cap
         self.take, self.count, self.make_room = take, count, make_room
         self.last_accept = 0.0
@@ -40,11 +49,15 @@
                     raise OSError(0, "the inherited descriptor does not listen")
             else:
                 family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-                sock = socket.create_server(address, family=family, backlog=BACKLOG,
-                                            reuse_port=self.loop.reuse_port)
+                sock = socket.create_server(
+                    address, family=family, backlog=BACKLOG, reuse_port=self.loop.reuse_port
+                )
         except OSError as error:
-            where = (f"{self.name} at {address[0]}:{address[1]}" if self._inherited is None
-                     else f"descriptor {self._inherited} of PROXY_ACCEPT_FD")
+            where = (
+                f"{self.name} at {address[0]}:{address[1]}"
+                if self._inherited is None
+                else f"descriptor {self._inherited} of PROXY_ACCEPT_FD"
+            )
             raise OSError(error.errno, f"{where}: {error.strerror}") from error
         sock.setblocking(False)
         return sock
--- a/larchgw/net/loop.py
+++ b/larchgw/net/loop.py
@@ -30,8 +30,9 @@
     finishing: int  # connections that write their last bytes
     reuse_port: bool  # whether another process of ours may listen where we do
 
-    def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None],
-              rank: int = FIRST) -> None:
+    def watch(
+        self, sock: socket.socket, events: int, ready: Callable[[int], None], rank: int = FIRST
+    ) -> None:
         """Calls `ready` with the events at hand; 0 events pause it."""
 
     def forget(self, sock: socket.socket) -> None:
@@ -58,8 +59,9 @@
         self.wake_out.setblocking(False)
         self.watch(self._wake_in, READ, self._woken)
 
-    def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None],
-              rank: int = FIRST) -> None:
+    def watch(
+        self, sock: socket.socket, events: int, ready: Callable[[int], None], rank: int = FIRST
+    ) -> None:
         """Calls `ready` with the events at hand, those of a lower `rank` first; 0 events pause it."""
         known = sock.fileno() in self._selector.get_map()
         if not events:
--- a/larchgw/net/replywriter.py
+++ b/larchgw/net/replywriter.py
@@ -15,8 +15,15 @@
     The head goes out with the first piece, so that a short answer costs one write.
     """
 
-    def __init__(self, connection: Connection, status: int, reason: bytes, fields: Fields,
-                 length: int | None, head_only: bool = False) -> None:
+    def __init__(
+        self,
+        connection: Connection,
+        status: int,
+        reason: bytes,
+        fields: Fields,
+        length: int | None,
+        head_only: bool = False,
+    ) -> None:
         self._connection = connection
         self._bodyless = head_only or status in BODYLESS
         self._chunked = length is None and not self._bodyless
@@ -34,7 +41,7 @@
         if self._bodyless or not data:
             return
         if not self._chunked:
-            data = data[:self._left]
+            data = data[: self._left]
             self._left -= len(data)
             self._write(data)
         else:
--- a/larchgw/net/requestreader.py
+++ b/larchgw/net/requestreader.py
@@ -15,8 +15,9 @@
 MAX_HEADERS = 100
 # Given twice, one of these is two requests in one: joined by what no value may hold, so that no reader takes
 # it for a value. Others are lists.
-SINGLE = frozenset((b"x-request-id", b"x-deadline-ms", b"x-tenant", b"x-key", b"x-cost-hint", b"x-retry",
-                    b"idempotency-key"))
+SINGLE = frozenset(
+    (b"x-request-id", b"x-deadline-ms", b"x-tenant", b"x-key", b"x-cost-hint", b"x-retry", b"idempotency-key")
+)
 
 
 class RequestOwner(Protocol):
--- a/larchgw/net/runneranswer.py
+++ b/larchgw/net/runneranswer.py
@@ -16,8 +16,11 @@
 MAX_ANSWER = 4 * MAX_LINE  # of all that it says, with heads and signs of life: one without an end is cut off
 MAX_REPORT = 4096  # of the body that answers a probe
 OK = 200
-LAST_STATES = {"failed": ConnectionOutcome.FAILED, "returned": ConnectionOutcome.TURNED_AWAY,
-               "lost": ConnectionOutcome.KILLED}  # and "done"
+LAST_STATES = {
+    "failed": ConnectionOutcome.FAILED,
+    "returned": ConnectionOutcome.TURNED_AWAY,
+    "lost": ConnectionOutcome.KILLED,
+}  # and "done"
 
 
 class AnswerOwner(Protocol):
--- a/larchgw/net/runnerlink.py
+++ b/larchgw/net/runnerlink.py
@@ -44,8 +44,9 @@
 class RunnerLink:
     """One connection to a runner."""
 
-    def __init__(self, pool: LinkPool, worker: WorkerId, address: tuple[str, int],
-                 sock: socket.socket | None = None) -> None:
+    def __init__(
+        self, pool: LinkPool, worker: WorkerId, address: tuple[str, int], sock: socket.socket | None = None
+    ) -> None:
         self.pool, self.worker, self.address = pool, worker, address
         self.attempt: Attempt | None = None
         self.probe_at = 0.0  # when a probe was sent; 0: none
@@ -54,8 +55,10 @@
         self.stood = 0.0  # how long it had stood idle before its present request; 0: it is new
         self._answer = AnswerReader(self, pool.reports)
         self.connection: Connection | ConnectionOutcome = (
-            connect(pool.loop, address, self, WORKERS) if sock is None
-            else Connection(pool.loop, sock, self, rank=WORKERS))
+            connect(pool.loop, address, self, WORKERS)
+            if sock is None
+            else Connection(pool.loop, sock, self, rank=WORKERS)
+        )
 
     # What it carries
 
@@ -69,8 +72,9 @@
         self.probe_at = self.pool.loop.clock.now()
         self.time(PROBE_TIME, ConnectionOutcome.SILENT)
         self._answer.expect(None)
-        self._write(b"GET /-/load HTTP/1.1\r\nHost: %b:%d\r\n\r\n"
-                    % (self.address[0].encode(), self.address[1]))
+        self._write(
+            b"GET /-/load HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (self.address[0].encode(), self.address[1])
+        )
 
     def resume(self, attempt: Attempt, answer: bytes) -> None:
         """Goes on with an attempt that another process wrote, of whose answer it had read so much."""
@@ -84,9 +88,14 @@
 
     def movable(self) -> bool:
         """Whether its attempt has been written whole and all of the answer so far is at hand."""
-        return (self.attempt is not None and self.attempt.written and self._answer.ending is None
-                and self._answer.came <= MAX_RAW and isinstance(self.connection, Connection)
-                and not self.connection.busy())
+        return (
+            self.attempt is not None
+            and self.attempt.written
+            and self._answer.ending is None
+            and self._answer.came <= MAX_RAW
+            and isinstance(self.connection, Connection)
+            and not self.connection.busy()
+        )
 
     def written(self) -> bool:
         """Whether the last byte of the request has gone to the kernel."""
@@ -110,9 +119,10 @@
         deduplicated = self.pool.core.settings.classes[request.job_class].effect == "deduplicated"
         once = request.once or (request.unique or request.name if deduplicated else b"")
         key += b"Idempotency-Key: %b\r\n" % once if once else b""
-        return (b"POST %b HTTP/1.1\r\nHost: %b\r\nX-Request-Id: %b\r\n%bX-Deadline-Ms: %d\r\n"
-                b"Content-Length: %d\r\n\r\n"
-                % (request.target, host, request.name, key, left, len(request.body)))
+        return (
+            b"POST %b HTTP/1.1\r\nHost: %b\r\nX-Request-Id: %b\r\n%bX-Deadline-Ms: %d\r\n"
+            b"Content-Length: %d\r\n\r\n" % (request.target, host, request.name, key, left, len(request.body))
+        )
 
     def _write(self, data: bytes) -> None:
         assert isinstance(self.connection, Connection)
@@ -124,7 +134,8 @@
         """After so many seconds it is over, for this reason."""
         self.pool.loop.deadlines.drop(self.timer)
         self.timer = self.pool.loop.deadlines.add(
-            self.pool.loop.clock.now() + seconds, lambda: self._over(ending))
+            self.pool.loop.clock.now() + seconds, lambda: self._over(ending)
+        )
 
     def close(self) -> None:
         """It is of no more use. What it carries is not told of it."""
@@ -164,8 +175,12 @@
             self.pool.core.probed(self.worker, status, latency, answer.report)
         elif attempt is not None:
             if ending in UNUSUAL:
-                log.warning("runner.ending", box=self.worker.decode("latin-1"), ending=ending.name,
-                            request=attempt.request.name.decode("latin-1"))
+                log.warning(
+                    "runner.ending",
+                    box=self.worker.decode("latin-1"),
+                    ending=ending.name,
+                    request=attempt.request.name.decode("latin-1"),
+                )
             self.pool.core.ended(attempt, End(status, answer.result, answer.report, ending.value))
 
     # From the answer
--- a/larchgw/net/runnerreport.py
+++ b/larchgw/net/runnerreport.py
@@ -7,8 +7,14 @@
 from typing import Any
 
 # The settings name the report's fields by the simulator's words, the sockets by these.
-FIELD = {"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms", "rate": "qps",
-         "fail_rate": "eps"}
+FIELD = {
+    "rif": "inflight",
+    "q": "queue",
+    "busy": "util",
+    "lat_ms": "latency_ms",
+    "rate": "qps",
+    "fail_rate": "eps",
+}
 SILENT = "silent"  # workers that report nothing
 
 
--- a/larchgw/net/runners.py
+++ b/larchgw/net/runners.py
@@ -122,8 +122,12 @@
         """A connection that had stood so long was dead, and nobody had told us."""
         limit = self._keep_alive.proved_dead(self.loop.clock.now(), stood)
         self.core.counters.dead.inc()
-        log.info("runner.dead_connection", box=worker.decode("latin-1"), stood=round(stood, 3),
-                 trusted=round(limit, 3))
+        log.info(
+            "runner.dead_connection",
+            box=worker.decode("latin-1"),
+            stood=round(stood, 3),
+            trusted=round(limit, 3),
+        )
 
     def _link(self, worker: WorkerId, new: bool = False) -> RunnerLink | ConnectionOutcome:
         """A kept connection, or a new one.
--- a/larchgw/node.py
+++ b/larchgw/node.py
@@ -35,8 +35,15 @@
         self.parts = 1  # processes that share the limits
         self.client_cap, runner_cap = _caps(config)
         self.body_cap = _body_cap(config)
-        self.core = Core(config.settings, config.seed, clock, deadlines, 2 * self.client_cap, self.body_cap,
-                         self.planner or NOTHING_HELD)
+        self.core = Core(
+            config.settings,
+            config.seed,
+            clock,
+            deadlines,
+            2 * self.client_cap,
+            self.body_cap,
+            self.planner or NOTHING_HELD,
+        )
         self.loop.counters = self.core.counters
         self._bitten: set[str] = set()
         if self.planner:
@@ -45,8 +52,9 @@
         self.runners = Runners(self.loop, self.core, config.raw, runner_cap)
         self.stopping, self._started = False, clock.now()
         reader = ListReader(config.raw)
-        self.discovery = Discovery(self.loop, self.core, config.discovery, reader, self.runners.locate,
-                                   config.seed)
+        self.discovery = Discovery(
+            self.loop, self.core, config.discovery, reader, self.runners.locate, config.seed
+        )
         if config.known is not None:
             try:
                 known = reader.read(config.known)
@@ -118,6 +126,7 @@
 
 def wake_on_signals(loop: Loop) -> None:
     """Lets signals end the loop's wait; `Loop.on_signal` gets their numbers."""
+
     def nothing(number: int, frame: object) -> None:
         """The number comes through the pipe."""
 
--- a/larchgw/placement/demand.py
+++ b/larchgw/placement/demand.py
@@ -164,8 +164,9 @@
                 continue
             waiting, deadline = waits.get(model, (0, math.inf))
             rate, worth = self.model_rate(service, model), self.model_worth(service, model)
-            summaries[model] = ModelSummary(rate, worth, waiting, standings.model_in_flight(service, model),
-                                            deadline)
+            summaries[model] = ModelSummary(
+                rate, worth, waiting, standings.model_in_flight(service, model), deadline
+            )
         return summaries
 
     def adapters(self, service: str, model: str) -> list[str]:
--- a/larchgw/placement/needs.py
+++ b/larchgw/placement/needs.py
@@ -52,16 +52,27 @@
 class ServiceDemand:
     """The demand of one service's models against what its runners hold and are ordered to."""
 
-    def __init__(self, now: float, service: str, terms: Terms, runners: list[RunnerState], demand: Demand,
-                 shifts: ShiftEstimate, settings: PlacementSettings) -> None:
+    def __init__(
+        self,
+        now: float,
+        service: str,
+        terms: Terms,
+        runners: list[RunnerState],
+        demand: Demand,
+        shifts: ShiftEstimate,
+        settings: PlacementSettings,
+    ) -> None:
         self._now, self.service, self.terms, self.runners = now, service, terms, runners
         self._demand, self._shifts, self._settings = demand, shifts, settings
         self.holders: dict[str, int] = {}  # held_name -> runners that hold it and keep it
         self._coming: dict[str, int] = {}  # held_name -> runners where it is on its way
         self._index()
         summaries = demand.by_model(service)
-        self.models = {name: self._model(name, summaries.get(name, NOT_ASKED)) for name in terms.models
-                       if name in summaries or self._rise_worth(name) >= LEAST_RISE_WORTH}
+        self.models = {
+            name: self._model(name, summaries.get(name, NOT_ASKED))
+            for name in terms.models
+            if name in summaries or self._rise_worth(name) >= LEAST_RISE_WORTH
+        }
         self._losses: dict[str, float] = {}
         self._share()
 
@@ -78,8 +89,16 @@
                 self._coming[name] = self._coming.get(name, 0) + 1
 
     def _model(self, name: str, asked: ModelSummary) -> ModelDemand:
-        return ModelDemand(name, asked.rate, asked.worth, asked.waiting, asked.deadline, asked.in_flight,
-                           self.terms.models[name].load_s, self._rise_worth(name))
+        return ModelDemand(
+            name,
+            asked.rate,
+            asked.worth,
+            asked.waiting,
+            asked.deadline,
+            asked.in_flight,
+            self.terms.models[name].load_s,
+            self._rise_worth(name),
+        )
 
     def _rise_worth(self, name: str) -> float:
         return self._shifts.worth_a_second(name, self._settings.horizon_s)
@@ -104,9 +123,13 @@
     def needs(self) -> list[Need]:
         """All loads that are wanted, most pressing first."""
         wanted = [need for model in self.models.values() for need in self._model_needs(model)]
-        wanted.extend(need for name in self.models if self.holders.get(name, 0)
-                      for adapter in self._demand.adapters(self.service, name)
-                      for need in self._adapter_needs(name, adapter))
+        wanted.extend(
+            need
+            for name in self.models
+            if self.holders.get(name, 0)
+            for adapter in self._demand.adapters(self.service, name)
+            for need in self._adapter_needs(name, adapter)
+        )
         return sorted(wanted, key=lambda need: need.rank)
 
     def _model_needs(self, model: ModelDemand) -> list[Need]:
--- a/larchgw/placement/orders.py
+++ b/larchgw/placement/orders.py
@@ -28,8 +28,13 @@
 
 NO_HEADERS: Mapping[str, str] = MappingProxyType({})
 
-_OUTCOMES = {200: OrderOutcome.ALREADY_HELD, 202: OrderOutcome.ACCEPTED, 409: OrderOutcome.CONFLICT,
-             412: OrderOutcome.FENCED, 421: OrderOutcome.OTHER_RUNNER}
+_OUTCOMES = {
+    200: OrderOutcome.ALREADY_HELD,
+    202: OrderOutcome.ACCEPTED,
+    409: OrderOutcome.CONFLICT,
+    412: OrderOutcome.FENCED,
+    421: OrderOutcome.OTHER_RUNNER,
+}
 
 
 class OrderClient:
@@ -43,9 +48,15 @@
         """Sends an order and tells what is known of its end. Raises nothing."""
         body = _OrderBody(encode_order(order, self._owner, fence))
         try:
-            response = await self._call(order.runner, order.address, "/order", method="POST",
-                                        headers={"Content-Type": "application/json"}, body=body.content,
-                                        prepare_curl_callback=body.install)
+            response = await self._call(
+                order.runner,
+                order.address,
+                "/order",
+                method="POST",
+                headers={"Content-Type": "application/json"},
+                body=body.content,
+                prepare_curl_callback=body.install,
+            )
         except (HTTPClientError, OSError) as error:
             return _failure(error, body)
         return outcome_of(response.code)
@@ -62,12 +73,18 @@
         """Ends all calls."""
         self._client.close()
 
-    async def _call(self, runner: str, address: str, path: str, *, headers: Mapping[str, str] = NO_HEADERS,
-                    **options: Any) -> HTTPResponse:
+    async def _call(
+        self, runner: str, address: str, path: str, *, headers: Mapping[str, str] = NO_HEADERS, **options: Any
+    ) -> HTTPResponse:
         return await self._client.fetch(
-            f"http://{address}{path}", headers={"X-Target-Runner": runner, **headers},
-            raise_error=False, follow_redirects=False, connect_timeout=CONNECT_TIMEOUT_S,
-            request_timeout=REQUEST_TIMEOUT_S, **options)
+            f"http://{address}{path}",
+            headers={"X-Target-Runner": runner, **headers},
+            raise_error=False,
+            follow_redirects=False,
+            connect_timeout=CONNECT_TIMEOUT_S,
+            request_timeout=REQUEST_TIMEOUT_S,
+            **options,
+        )
 
 
 class _OrderBody:
@@ -113,10 +130,17 @@
     """A report from its JSON; None if it is none."""
     try:
         raw = json.loads(body)
-        models = {str(model["name"]): frozenset(str(name) for name in model.get("adapters", ()))
-                  for model in raw["models"]}
-        return RunnerReport(models, bool(raw["occupied"]), int(raw["call_count"]), int(raw.get("queued", 0)),
-                            int(raw.get("in_progress", 0)))
+        models = {
+            str(model["name"]): frozenset(str(name) for name in model.get("adapters", ()))
+            for model in raw["models"]
+        }
+        return RunnerReport(
+            models,
+            bool(raw["occupied"]),
+            int(raw["call_count"]),
+            int(raw.get("queued", 0)),
+            int(raw.get("in_progress", 0)),
+        )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         logger.warning("unreadable report: %s", error)
         return None
