--- a/larchgw/placement/planner.py
+++ b/larchgw/placement/planner.py
@@ -57,8 +57,14 @@
         self._settings, self._rng = settings, rng
         self._shifts: dict[str, ShiftEstimate] = {}
 
-    def plan(self, now: float, configuration: Configuration, terms: Mapping[str, Terms], demand: Demand,
-             state: PlacementState) -> list[Order]:
+    def plan(
+        self,
+        now: float,
+        configuration: Configuration,
+        terms: Mapping[str, Terms],
+        demand: Demand,
+        state: PlacementState,
+    ) -> list[Order]:
         """The next orders, most pressing first, at most one for each runner."""
         orders: list[Order] = []
         room = state.ceiling.room(now)
@@ -68,8 +74,9 @@
                 continue
             runners = state.of_service(service.name)
             shifts = self._observed_shifts(now, service.name, terms[service.name], demand)
-            wanted = ServiceDemand(now, service.name, terms[service.name], runners, demand, shifts,
-                                   self._settings)
+            wanted = ServiceDemand(
+                now, service.name, terms[service.name], runners, demand, shifts, self._settings
+            )
             round_ = Round(now, wanted, state, self._settings, self._rng, room, parallel)
             orders.extend(round_.orders())
             room, parallel = round_.room, round_.parallel
@@ -85,8 +92,16 @@
 class Round:
     """One service, one round."""
 
-    def __init__(self, now: float, wanted: ServiceDemand, state: PlacementState, settings: PlacementSettings,
-                 rng: random.Random, room: int, parallel: int) -> None:
+    def __init__(
+        self,
+        now: float,
+        wanted: ServiceDemand,
+        state: PlacementState,
+        settings: PlacementSettings,
+        rng: random.Random,
+        room: int,
+        parallel: int,
+    ) -> None:
         self._now, self._wanted, self._settings, self._rng = now, wanted, settings, rng
         self._terms = wanted.terms
         self._free = {runner.id: runner for runner in wanted.runners if runner.may_order(now)}
@@ -104,7 +119,9 @@
         for runner in self._wanted.runners:
             work[runner.id] = sum(
                 self._wanted.models[name].rate / max(self._wanted.holders.get(name, 0), 1)
-                for name in runner.held if name in self._wanted.models)
+                for name in runner.held
+                if name in self._wanted.models
+            )
         total = sum(work.values())
         return {runner: part / total if total > 0.0 else 0.0 for runner, part in work.items()}
 
@@ -129,8 +146,15 @@
         runner = best.state
         if best.evictions:
             first = best.evictions[0]
-            return Order(runner.id, runner.record.address, UNLOADING, first.model, first.adapter,
-                         runner.order_count, need.name)
+            return Order(
+                runner.id,
+                runner.record.address,
+                UNLOADING,
+                first.model,
+                first.adapter,
+                runner.order_count,
+                need.name,
+            )
         if not need.adapter:
             self._book_load(need, runner)
         return Order(runner.id, runner.record.address, LOADING, need.model, need.adapter, runner.order_count)
@@ -139,8 +163,7 @@
         """Whether the store has room; what nobody waits for leaves a reserve and runners at rest."""
         if need.is_urgent:
             return self.room > 0
-        return (self.room > self._reserve and self.parallel < self._terms.parallel_loads
-                and self._unasked > 0)
+        return self.room > self._reserve and self.parallel < self._terms.parallel_loads and self._unasked > 0
 
     def _book_load(self, need: Need, runner: RunnerState) -> None:
         if need.model not in runner.was_held:
@@ -163,15 +186,21 @@
 
     def _cheapest(self, need: Need) -> Candidate | None:
         zones = self._zones_holding(need.model) if not need.adapter else frozenset()
-        candidates = [candidate for runner in self._free.values()
-                      if (candidate := self._candidate(need, runner, zones)) is not None]
+        candidates = [
+            candidate
+            for runner in self._free.values()
+            if (candidate := self._candidate(need, runner, zones)) is not None
+        ]
         return min(candidates, key=lambda candidate: candidate.cost, default=None)
 
     def _zones_holding(self, model: str) -> frozenset[str]:
         if not self._wanted.count(model):
             return frozenset()
-        return frozenset(runner.record.zone for runner in self._wanted.runners
-                         if runner.holds(model) or runner.is_coming(model))
+        return frozenset(
+            runner.record.zone
+            for runner in self._wanted.runners
+            if runner.holds(model) or runner.is_coming(model)
+        )
 
     def _candidate(self, need: Need, runner: RunnerState, zones: frozenset[str]) -> Candidate | None:
         if need.adapter:
@@ -194,8 +223,7 @@
         """What to give up at this runner so that the load fits; None if that can't be done now."""
         if need.adapter and runner.used_slots() >= self._terms.runtime.adapter_slots:
             return self._adapter_victims(runner)[:1] or None
-        required = (self._terms.adapter_mb(need.model) if need.adapter
-                    else self._terms.weight_mb(need.model))
+        required = self._terms.adapter_mb(need.model) if need.adapter else self._terms.weight_mb(need.model)
         free = self._terms.runtime.weights_mb - MEMORY_MARGIN_MB - self._used_mb[runner.id]
         chosen: list[Eviction] = []
         for victim in self._model_victims(runner):
@@ -213,14 +241,19 @@
         if runner.id not in self._victims:
             victims = [Eviction(name, "", self._loss(runner, name)) for name in runner.held]
             self._victims[runner.id] = sorted(
-                (victim for victim in victims if math.isfinite(victim.loss)), key=lambda victim: victim.loss)
+                (victim for victim in victims if math.isfinite(victim.loss)), key=lambda victim: victim.loss
+            )
         return self._victims[runner.id]
 
     def _adapter_victims(self, runner: RunnerState) -> list[Eviction]:
-        victims = [Eviction(model, adapter, self._loss(runner, model, adapter))
-                   for model, adapters in runner.held.items() for adapter in sorted(adapters)]
-        return sorted((victim for victim in victims if math.isfinite(victim.loss)),
-                      key=lambda victim: victim.loss)
+        victims = [
+            Eviction(model, adapter, self._loss(runner, model, adapter))
+            for model, adapters in runner.held.items()
+            for adapter in sorted(adapters)
+        ]
+        return sorted(
+            (victim for victim in victims if math.isfinite(victim.loss)), key=lambda victim: victim.loss
+        )
 
     def _loss(self, runner: RunnerState, model: str, adapter: str = "") -> float:
         since = runner.since.get(held_name(model, adapter), -math.inf)
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -58,8 +58,11 @@
 
     def configure(self, configuration: Configuration) -> None:
         """Takes the terms of the services that place models."""
-        self.terms = {service.name: Terms(service.runtime) for service in configuration.services
-                      if service.runtime is not None and service.runtime.models}
+        self.terms = {
+            service.name: Terms(service.runtime)
+            for service in configuration.services
+            if service.runtime is not None and service.runtime.models
+        }
 
     def see_runner(self, now: float, record: RunnerRecord, holding_lease: bool = True) -> None:
         """A runner's record is new or has changed. One that is gone is forgotten.
@@ -113,10 +116,11 @@
         """Runners whose report is wanted now, those with an order under way first; at most `most`, and none
         of `asked`, whose answers are awaited. Each is asked again only after its backoff.
         """
-        due = [state for state in self._runners.values()
-               if state.id not in asked and self._is_due(now, state)]
+        due = [
+            state for state in self._runners.values() if state.id not in asked and self._is_due(now, state)
+        ]
         due.sort(key=lambda state: state.under_way is None)
-        del due[max(most, 0):]
+        del due[max(most, 0) :]
         for state in due:
             polled = state.under_way or state
             polled.polls += 1
@@ -172,8 +176,9 @@
         if report.occupied or under_way.accepted:
             return
         if now - under_way.sent_at >= UNANSWERED_S:
-            logger.info("order was not taken runner=%s %s %s", state.id, under_way.order.action,
-                        under_way.order.name)
+            logger.info(
+                "order was not taken runner=%s %s %s", state.id, under_way.order.action, under_way.order.name
+            )
             self.ceiling.settled(now, state.id)
             state.under_way = None
             self._adopt(state, report)
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -179,8 +179,9 @@
         if self._configuration is None:
             return
         self._demand.expire()
-        orders = self._planner.plan(now, self._configuration, self._reconciler.terms, self._demand,
-                                    self._reconciler.state())
+        orders = self._planner.plan(
+            now, self._configuration, self._reconciler.terms, self._demand, self._reconciler.state()
+        )
         for order in orders:
             self._reconciler.ordering(now, order)
             self._runtime.spawn(self._order(order, fence))
@@ -188,8 +189,9 @@
     def _lease(self) -> Lease | None:
         """The lease, if it lasts longer than an order may be on its way; notes when it was taken or lost."""
         lease, now = self._runtime.lease(), self._clock()
-        if lease is not None and (lease.until - now <= self._runtime.settings.order_timeout_s
-                                  or lease.fence < self._lowest_fence):
+        if lease is not None and (
+            lease.until - now <= self._runtime.settings.order_timeout_s or lease.fence < self._lowest_fence
+        ):
             lease = None
         fence = lease.fence if lease is not None else None
         if fence == self._fence:
@@ -219,8 +221,10 @@
 
     def period(self) -> float:
         """Seconds until the next round."""
-        busy = any(state.under_way is not None or (state.is_ready and not state.is_known)
-                   for state in self._reconciler.runners.values())
+        busy = any(
+            state.under_way is not None or (state.is_ready and not state.is_known)
+            for state in self._reconciler.runners.values()
+        )
         return BUSY_PERIOD_S if busy or self._demand.anyone_waits() else CALM_PERIOD_S
 
     # ---- Calls ----
--- a/larchgw/placement/standings.py
+++ b/larchgw/placement/standings.py
@@ -48,8 +48,9 @@
         self._named: Counter[Key] = Counter()  # dispatchers that name the key
         self._next_silent = math.inf
 
-    def replace(self, now: float, dispatcher: str, interval_s: float,
-                standing: Mapping[Key, Standing]) -> None:
+    def replace(
+        self, now: float, dispatcher: str, interval_s: float, standing: Mapping[Key, Standing]
+    ) -> None:
         """A report has come; it replaces the one before."""
         before = self._sources.get(dispatcher)
         longest = max(interval_s, before.interval_s if before else 0.0)
--- a/larchgw/placement/state.py
+++ b/larchgw/placement/state.py
@@ -102,8 +102,12 @@
     def is_leaving(self, model: str, adapter: str = "") -> bool:
         """Whether an unload of it, or of its model, is under way."""
         order = self.under_way.order if self.under_way else None
-        return (order is not None and not order.is_load and order.model == model
-                and order.adapter in ("", adapter))
+        return (
+            order is not None
+            and not order.is_load
+            and order.model == model
+            and order.adapter in ("", adapter)
+        )
 
     def is_coming(self, model: str, adapter: str = "") -> bool:
         """Whether a load of it is under way."""
@@ -112,8 +116,10 @@
 
     def used_mb(self, terms: Terms) -> float:
         """Memory for weights and adapters, with what is on its way."""
-        return sum(terms.weight_mb(model) + len(adapters) * terms.adapter_mb(model)
-                   for model, adapters in self._worst().items())
+        return sum(
+            terms.weight_mb(model) + len(adapters) * terms.adapter_mb(model)
+            for model, adapters in self._worst().items()
+        )
 
     def used_slots(self) -> int:
         """Places for adapters, with what is on its way."""
@@ -152,8 +158,9 @@
 
     def of_service(self, service: str) -> list[RunnerState]:
         """Its runners that serve."""
-        return [state for state in self.runners.values()
-                if state.record.service == service and state.is_ready]
+        return [
+            state for state in self.runners.values() if state.record.service == service and state.is_ready
+        ]
 
 
 def names_of(held: Mapping[str, Iterable[str]]) -> set[str]:
--- a/larchgw/placement/summary.py
+++ b/larchgw/placement/summary.py
@@ -47,11 +47,22 @@
 
 def summarise(now: float, fence: int, demand: Demand, reconciler: Reconciler) -> PlacementSummary:
     """The placer's knowledge at `now`, on the clock of the demand."""
-    models = [model for service, terms in sorted(reconciler.terms.items())
-              for model in _models(service, sorted(terms.models), demand, reconciler)]
-    orders = [OpenOrder(state.id, state.under_way.order.action, state.under_way.order.name,
-                        now - state.under_way.sent_at, state.under_way.accepted)
-              for state in reconciler.runners.values() if state.under_way is not None]
+    models = [
+        model
+        for service, terms in sorted(reconciler.terms.items())
+        for model in _models(service, sorted(terms.models), demand, reconciler)
+    ]
+    orders = [
+        OpenOrder(
+            state.id,
+            state.under_way.order.action,
+            state.under_way.order.name,
+            now - state.under_way.sent_at,
+            state.under_way.accepted,
+        )
+        for state in reconciler.runners.values()
+        if state.under_way is not None
+    ]
     ceiling = reconciler.ceiling
     return PlacementSummary(fence, ceiling.limit, max(ceiling.room(now), 0), tuple(models), tuple(orders))
 
--- a/larchgw/records.py
+++ b/larchgw/records.py
@@ -37,9 +37,28 @@
     """What this dispatcher knows of one worker."""
 
     __slots__ = (
-        "id", "point", "ready", "up_since", "zone", "kind", "cell", "pending", "keys", "limit",
-        "off_until", "fulls", "doubts", "pace", "pace_at", "sign_at", "warm_at",
-        "bad", "bad_at", "report", "breaks", "reached",
+        "id",
+        "point",
+        "ready",
+        "up_since",
+        "zone",
+        "kind",
+        "cell",
+        "pending",
+        "keys",
+        "limit",
+        "off_until",
+        "fulls",
+        "doubts",
+        "pace",
+        "pace_at",
+        "sign_at",
+        "warm_at",
+        "bad",
+        "bad_at",
+        "report",
+        "breaks",
+        "reached",
     )
 
     def __init__(self, member: Member, limit: float) -> None:
@@ -66,8 +85,20 @@
 class Attempt:
     """One send of a job."""
 
-    __slots__ = ("job", "index", "worker", "pair", "sent", "state", "sign", "fresh", "begun", "lost",
-                 "queued", "waits")
+    __slots__ = (
+        "job",
+        "index",
+        "worker",
+        "pair",
+        "sent",
+        "state",
+        "sign",
+        "fresh",
+        "begun",
+        "lost",
+        "queued",
+        "waits",
+    )
 
     def __init__(self, job: Job, index: int, worker: Worker, pair: Pair | None, now: float) -> None:
         self.job, self.index, self.worker, self.pair, self.sent = job, index, worker, pair, now
@@ -82,8 +113,20 @@
 class Job:
     """A request that is owed an answer, or has attempts out."""
 
-    __slots__ = ("request", "cls", "attempts", "done", "late_at", "value", "work", "held", "order",
-                 "next_at", "spill_at", "aim_at")
+    __slots__ = (
+        "request",
+        "cls",
+        "attempts",
+        "done",
+        "late_at",
+        "value",
+        "work",
+        "held",
+        "order",
+        "next_at",
+        "spill_at",
+        "aim_at",
+    )
 
     def __init__(self, request: Request, cls: JobClass) -> None:
         self.request, self.cls = request, cls
--- a/larchgw/repeats.py
+++ b/larchgw/repeats.py
@@ -24,7 +24,8 @@
         if job.cls.effect == "deduplicated":
             group = job.cls.group
             if (group == "zone" and a.worker.zone != worker.zone) or (
-                    group == "cell" and a.worker.cell != worker.cell):
+                group == "cell" and a.worker.cell != worker.cell
+            ):
                 return False
     return now + s.dial_timeout < window_end(job)  # its connection may come up late
 
--- a/larchgw/replication/ballot.py
+++ b/larchgw/replication/ballot.py
@@ -70,8 +70,13 @@
 
     def progress(self) -> tuple[object, ...]:
         """Everything that answers have changed; equal for ballots that will go on alike."""
-        return (self.epoch, self.base.epoch, self.proposal is not None, frozenset(self._promised),
-                frozenset(self._accepted))
+        return (
+            self.epoch,
+            self.base.epoch,
+            self.proposal is not None,
+            frozenset(self._promised),
+            frozenset(self._accepted),
+        )
 
     @property
     def participants(self) -> tuple[str, ...]:
--- a/larchgw/replication/compaction.py
+++ b/larchgw/replication/compaction.py
@@ -37,5 +37,8 @@
     def _has_outgrown(self, factor: int) -> bool:
         records, size = self._replica.size
         settings = self._settings
-        return (records >= factor * settings.compact_records or size >= factor * settings.compact_bytes
-                or records * self._replica.state_bytes >= factor * settings.compact_replay_bytes)
+        return (
+            records >= factor * settings.compact_records
+            or size >= factor * settings.compact_bytes
+            or records * self._replica.state_bytes >= factor * settings.compact_replay_bytes
+        )
--- a/larchgw/replication/departure.py
+++ b/larchgw/replication/departure.py
@@ -48,8 +48,9 @@
         return (frozenset(self._asked_at), frozenset(self._spared))
 
     def _forget(self, now: float) -> None:
-        for member in [member for member, at in self._asked_at.items()
-                       if now - at > self._timing.backup_silence]:
+        for member in [
+            member for member, at in self._asked_at.items() if now - at > self._timing.backup_silence
+        ]:
             del self._asked_at[member]
             self._spared.discard(member)
 
--- a/larchgw/replication/explore_disk.py
+++ b/larchgw/replication/explore_disk.py
@@ -46,8 +46,12 @@
 
     def ports(self) -> Ports:
         """The ports of the process that starts on this disk."""
-        return Ports(SimulatedCell(self, "identity"), SimulatedCell(self, "witness"),
-                     SimulatedCell(self, "leases"), SimulatedJournal(self))
+        return Ports(
+            SimulatedCell(self, "identity"),
+            SimulatedCell(self, "witness"),
+            SimulatedCell(self, "leases"),
+            SimulatedJournal(self),
+        )
 
 
 class SimulatedCell:
--- a/larchgw/replication/explore_exhaustive.py
+++ b/larchgw/replication/explore_exhaustive.py
@@ -101,8 +101,9 @@
 
 
 def _fingerprint(world: Walk) -> tuple[object, ...]:
-    messages = sorted((address, message.sender, message.kind, message.body)
-                      for address, message in world.pending)
+    messages = sorted(
+        (address, message.sender, message.kind, message.body) for address, message in world.pending
+    )
     return (*messages, *(_state_of(machine) for machine in world.machines.values()))
 
 
--- a/larchgw/replication/explore_faults.py
+++ b/larchgw/replication/explore_faults.py
@@ -24,9 +24,22 @@
         self._due: list[tuple[float, Callable[[], None]]] = []  # ends of faults
         self._leaving: dict[str, Callable[[], None]] = {}  # address -> what follows its end
         self._faults: list[Callable[[], None]] = [
-            self._kill, self._lose_power, self._break_in_a_write, self._freeze, self._cut, self._cut_one_way,
-            self._unreliable, self._wipe, self._wipe_one_and_power_off, self._kill_all, self._power_off_all,
-            self._replace, self._step_down, self._fill_disk, self._slow_disks, self._leave,
+            self._kill,
+            self._lose_power,
+            self._break_in_a_write,
+            self._freeze,
+            self._cut,
+            self._cut_one_way,
+            self._unreliable,
+            self._wipe,
+            self._wipe_one_and_power_off,
+            self._kill_all,
+            self._power_off_all,
+            self._replace,
+            self._step_down,
+            self._fill_disk,
+            self._slow_disks,
+            self._leave,
             self._replace_in_order,
         ]
 
@@ -257,6 +270,8 @@
         outside = [machine.id for machine in world.running if view is None or machine.id not in view.in_sync]
         if outside:
             raise Broken(f"{outside} are not in sync {CALM} s after the last fault: {view}")
-        if not any(machine.member is not None and machine.member.lease(world.clock(machine), LEASE)
-                   for machine in world.running):
+        if not any(
+            machine.member is not None and machine.member.lease(world.clock(machine), LEASE)
+            for machine in world.running
+        ):
             raise Broken(f"nobody holds the lease {CALM} s after the last fault")
--- a/larchgw/replication/explore_redundancy.py
+++ b/larchgw/replication/explore_redundancy.py
@@ -139,8 +139,11 @@
         while len(taken) < RUNS and (not taken or time.monotonic() < until):
             taken.append(seconds_to_redundancy(case, shape, seed * RUNS + len(taken), size))
         late += sum(value >= GIVES_UP for value in taken)
-        print(f"{case.name:24} {shape[0]:8} {shape[2]:7} {size / 1e6:8.0f} {len(taken):4} "
-              f"{statistics.median(taken):8.2f} {max(taken):7.2f}", flush=True)
+        print(
+            f"{case.name:24} {shape[0]:8} {shape[2]:7} {size / 1e6:8.0f} {len(taken):4} "
+            f"{statistics.median(taken):8.2f} {max(taken):7.2f}",
+            flush=True,
+        )
     logging.disable(logging.NOTSET)
     print(f"redundancy: late={late}")
     return 1 if late else 0
--- a/larchgw/replication/explore_verdict.py
+++ b/larchgw/replication/explore_verdict.py
@@ -28,8 +28,9 @@
 MutantT = TypeVar("MutantT", bound=Named)
 
 
-def print_verdict(explore: Callable[[], Seen], mutants: Iterable[MutantT],
-                  caught: Callable[[MutantT], bool]) -> int:
+def print_verdict(
+    explore: Callable[[], Seen], mutants: Iterable[MutantT], caught: Callable[[MutantT], bool]
+) -> int:
     """Explores, tries the mutants and prints what came of it; 0 if nothing is broken and every mutant is
     caught. Nothing is logged meanwhile."""
     tried = list(mutants)
--- a/larchgw/replication/explore_world.py
+++ b/larchgw/replication/explore_world.py
@@ -103,17 +103,27 @@
         """Starts the machine's process on its disk as it is."""
         machine = self.machines[address]
         machine.life += 1
-        settings = MemberSettings(address, self.seeds, first_boot, f"{address}#{machine.life}", self.survive,
-                                  TERM, compact_records=self.compact_records, batch_bytes=200,
-                                  piece_bytes=self.piece_bytes, deliver_bytes=DELIVER_BYTES)
+        settings = MemberSettings(
+            address,
+            self.seeds,
+            first_boot,
+            f"{address}#{machine.life}",
+            self.survive,
+            TERM,
+            compact_records=self.compact_records,
+            batch_bytes=200,
+            piece_bytes=self.piece_bytes,
+            deliver_bytes=DELIVER_BYTES,
+        )
         machine.version = 0
         machine.proposals.clear()
         machine.reads.clear()
         machine.inbox.clear()
         machine.frozen = False
         try:
-            machine.member = Member(settings, machine.disk.ports(), partial(self._snapshot, machine),
-                                    self.random)
+            machine.member = Member(
+                settings, machine.disk.ports(), partial(self._snapshot, machine), self.random
+            )
             if not first_boot:
                 machine.member.set_contacts(self.machines)
             self._carry_out(machine, machine.member.start(self.clock(machine)))
@@ -165,21 +175,26 @@
         if view is None or min(len(view.witnesses), len(view.former_witnesses)) < 2 * self.survive + 1:
             return False  # machines have been added just now, and count as lost until all is settled
         disks = {machine.id for machine in self.machines.values()}
-        lost = [member for member in view.members
-                if member not in disks or member in view.electors and member not in view.in_sync]
+        lost = [
+            member
+            for member in view.members
+            if member not in disks or member in view.electors and member not in view.in_sync
+        ]
         own = self.machines[at].id if at else ""
         return len(set(lost) - {own}) < self.survive
 
     @property
     def running(self) -> list[Machine]:
         """Machines whose process runs and is not frozen."""
-        return [machine for machine in self.machines.values()
-                if machine.member is not None and not machine.frozen]
+        return [
+            machine for machine in self.machines.values() if machine.member is not None and not machine.frozen
+        ]
 
     def primaries(self) -> list[Machine]:
         """Machines that believe to be primary."""
-        return [machine for machine in self.running
-                if machine.member is not None and machine.member.is_primary]
+        return [
+            machine for machine in self.running if machine.member is not None and machine.member.is_primary
+        ]
 
     # ---- time ----
 
--- a/larchgw/replication/follower.py
+++ b/larchgw/replication/follower.py
@@ -16,8 +16,9 @@
 class Follower:
     """Follows the primary of the last accepted view. `heard_at` is when a primary was last heard."""
 
-    def __init__(self, me: str, address: str, witness: Witness, replica: Replica, outbox: Outbox,
-                 timing: Timing) -> None:
+    def __init__(
+        self, me: str, address: str, witness: Witness, replica: Replica, outbox: Outbox, timing: Timing
+    ) -> None:
         self._me = me
         self._address = address
         self._witness = witness
@@ -67,8 +68,9 @@
         if not self._follows(sender, append.epoch):
             return
         self.heard_at = now
-        matched, index = self._replica.follow(append.previous_index, append.previous_epoch, append.epochs,
-                                              append.records)
+        matched, index = self._replica.follow(
+            append.previous_index, append.previous_epoch, append.epochs, append.records
+        )
         if matched:
             self.incoming.forget_up_to(index)
             self._match(append.epoch, index)
--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -36,8 +36,17 @@
     primary; `before` is the one it continues. `leaving`: who asked to be left out before a planned end; such
     a member did nothing wrong, and may come back as soon as it likes."""
 
-    def __init__(self, me: str, view: View, replica: Replica, outbox: Outbox, settings: MemberSettings,
-                 now: float, before: Leadership | None, leaving: frozenset[str] = frozenset()) -> None:
+    def __init__(
+        self,
+        me: str,
+        view: View,
+        replica: Replica,
+        outbox: Outbox,
+        settings: MemberSettings,
+        now: float,
+        before: Leadership | None,
+        leaving: frozenset[str] = frozenset(),
+    ) -> None:
         self.view = view
         self._me = me
         self._replica = replica
@@ -106,8 +115,9 @@
 
     def has_contact(self, now: float) -> bool:
         """Whether a quorum has been heard of lately."""
-        heard = {member for member, peer in self._peers.items()
-                 if now - peer.heard_at <= self._timing.contact}
+        heard = {
+            member for member, peer in self._peers.items() if now - peer.heard_at <= self._timing.contact
+        }
         return self.view.has_quorum(heard | {self._me})
 
     # ---- views ----
@@ -128,14 +138,26 @@
     def standing(self, now: float, taken: frozenset[str], leaving: frozenset[str]) -> Standing:
         """For the next view. `taken`: identities whose address now belongs to another. `leaving`: members
         that are about to end."""
-        healthy = {member for member, peer in self._peers.items()
-                   if member not in taken and self._is_healthy(now, peer)}
-        ready = [member for member in self._peers
-                 if member in healthy - leaving and self._may_enter(now, member, leaving)]
-        gone = {member for member, peer in self._peers.items()
-                if member in taken or now - peer.heard_at > self._timing.witness_silence}
-        addresses = {member: address for member in self._peers
-                     if (address := self._outbox.address_of(member)) is not None}
+        healthy = {
+            member
+            for member, peer in self._peers.items()
+            if member not in taken and self._is_healthy(now, peer)
+        }
+        ready = [
+            member
+            for member in self._peers
+            if member in healthy - leaving and self._may_enter(now, member, leaving)
+        ]
+        gone = {
+            member
+            for member, peer in self._peers.items()
+            if member in taken or now - peer.heard_at > self._timing.witness_silence
+        }
+        addresses = {
+            member: address
+            for member in self._peers
+            if (address := self._outbox.address_of(member)) is not None
+        }
         return Standing(frozenset(healthy), tuple(sorted(ready)), frozenset(gone), leaving, addresses)
 
     def can_spare(self, now: float, member: str, spared: frozenset[str]) -> bool:
@@ -198,9 +220,13 @@
         self._forget(now)
 
     def _forget(self, now: float) -> None:
-        for member in [member for member, peer in self._peers.items()
-                       if member not in self.view.members and member not in self._proposed_backups
-                       and now - peer.heard_at > self._timing.forget]:
+        for member in [
+            member
+            for member, peer in self._peers.items()
+            if member not in self.view.members
+            and member not in self._proposed_backups
+            and now - peer.heard_at > self._timing.forget
+        ]:
             del self._peers[member]
             self.joined.pop(member, None)
 
@@ -220,8 +246,11 @@
             return
         if peer.snapshot is None and peer.next_index < self._replica.first_kept:
             peer.snapshot = self._begin_snapshot()
-        sent = self._send_records(member, peer) if peer.snapshot is None \
+        sent = (
+            self._send_records(member, peer)
+            if peer.snapshot is None
             else self._send_piece(member, peer.snapshot)
+        )
         whole = sent if peer.snapshot is None else peer.snapshot.remaining_bytes
         peer.in_flight = True
         peer.resend_at = now + self._timing.retransmit + sent / self._timing.slowest_link
@@ -232,8 +261,9 @@
         replica = self._replica
         first = peer.next_index
         epochs, records = replica.batch(first, self._settings.batch_bytes)
-        append = Append(self.view.epoch, first - 1, replica.epoch_at(first - 1), replica.committed,
-                        epochs, records)
+        append = Append(
+            self.view.epoch, first - 1, replica.epoch_at(first - 1), replica.committed, epochs, records
+        )
         self._outbox.send(member, append)
         return sum(map(len, records))
 
@@ -309,13 +339,25 @@
 
     def progress(self) -> tuple[object, ...]:
         """Everything that answers have changed, times left out."""
-        peers = tuple((member, peer.match, peer.next_index, peer.round, peer.in_flight, peer.replicating,
-                       None if peer.snapshot is None else peer.snapshot.offset)
-                      for member, peer in sorted(self._peers.items()))
+        peers = tuple(
+            (
+                member,
+                peer.match,
+                peer.next_index,
+                peer.round,
+                peer.in_flight,
+                peer.replicating,
+                None if peer.snapshot is None else peer.snapshot.offset,
+            )
+            for member, peer in sorted(self._peers.items())
+        )
         return (self.view.epoch, self.round, self.takeover_index, frozenset(self._proposed_backups), peers)
 
     def successor(self, now: float, leaving: frozenset[str]) -> str | None:
         """The backup that would lose the least by becoming primary now."""
-        healthy = [member for member in self.view.backups
-                   if member not in leaving and self._is_healthy(now, self._peers[member])]
+        healthy = [
+            member
+            for member in self.view.backups
+            if member not in leaving and self._is_healthy(now, self._peers[member])
+        ]
         return max(healthy, key=lambda member: self._peers[member].match, default=None)
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -51,7 +51,8 @@
         refused = [answer for answer in self.answers.values() if not answer.granted]
         return len(self.answers) == len(self.view.electors) and all(
             answer.remaining <= 0.0 and (answer.fence >= self.fence or answer.view is not None)
-            for answer in refused)
+            for answer in refused
+        )
 
     def refused_by_all(self) -> bool:
         """Whether it is certain that nobody granted."""
@@ -133,8 +134,9 @@
     def _ask(self, now: float, view: View) -> None:
         self._attempts += 1
         acting = bool(self._fence) and now >= self._acts_from
-        self._attempt = _Attempt(self._attempts, self._next_fence(view), acting, view, now,
-                                 now + self._timing.lease_round, {})
+        self._attempt = _Attempt(
+            self._attempts, self._next_fence(view), acting, view, now, now + self._timing.lease_round, {}
+        )
         self._highest_fence = max(self._highest_fence, self._attempt.fence)
         renewal = self._attempt.fence == self._fence
         ask = LeaseAsk(self.name, self._attempt.fence, renewal, view.epoch, self._attempts, acting)
--- a/larchgw/replication/lease_witness.py
+++ b/larchgw/replication/lease_witness.py
@@ -74,8 +74,16 @@
         if granted:
             self._record(ask, sender, stored)
             self._grants[ask.name] = _Grant(sender, ask.fence, now + self._term)
-        return LeaseAnswer(ask.name, ask.attempt, granted, stored.fence, stored.actor, stored.acting_fence,
-                           max(0.0, remaining), view if stale else None)
+        return LeaseAnswer(
+            ask.name,
+            ask.attempt,
+            granted,
+            stored.fence,
+            stored.actor,
+            stored.acting_fence,
+            max(0.0, remaining),
+            view if stale else None,
+        )
 
     def release(self, sender: str, release: LeaseRelease) -> None:
         """The holder gives its lease up."""
@@ -104,7 +112,9 @@
             self._store({**self._leases, ask.name: lease})
 
     def _store(self, leases: dict[str, StoredLease]) -> None:
-        value = {"from_first_boot": self._from_first_boot,
-                 "leases": {name: asdict(lease) for name, lease in leases.items()}}
+        value = {
+            "from_first_boot": self._from_first_boot,
+            "leases": {name: asdict(lease) for name, lease in leases.items()},
+        }
         self._cell.store(json.dumps(value).encode())
         self._leases = leases
--- a/larchgw/replication/leases.py
+++ b/larchgw/replication/leases.py
@@ -17,8 +17,9 @@
 
     Times are seconds of the member's clock. `rank` staggers candidates: 0 for a view's primary."""
 
-    def __init__(self, me: str, witness: LeaseWitness, settings: MemberSettings, outbox: Outbox,
-                 random: Random) -> None:
+    def __init__(
+        self, me: str, witness: LeaseWitness, settings: MemberSettings, outbox: Outbox, random: Random
+    ) -> None:
         self._me = me
         self._witness = witness
         self._settings = settings
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -61,8 +61,9 @@
     the beginning of a tick, when all Effects returned before must have been carried out. Times are seconds on
     a monotonic clock that counts time spent frozen."""
 
-    def __init__(self, settings: MemberSettings, ports: Ports, snapshot: Callable[[], bytes],
-                 random: Random) -> None:
+    def __init__(
+        self, settings: MemberSettings, ports: Ports, snapshot: Callable[[], bytes], random: Random
+    ) -> None:
         self._settings = settings
         self._timing = settings.timing
         self._witness = Witness(ports.witness)
@@ -72,11 +73,22 @@
         self._replica = Replica(ports.journal)
         self._outbox = Outbox(self._me, settings.address)
         self._roster = Roster(self._outbox)
-        self._follower = Follower(self._me, settings.address, self._witness, self._replica, self._outbox,
-                                  self._timing)
+        self._follower = Follower(
+            self._me, settings.address, self._witness, self._replica, self._outbox, self._timing
+        )
         candidate = Candidate(self._me, self._outbox, self._timing, random)
-        self._views = ViewChanges(self._me, settings, self._witness, self._lease_witness, self._replica,
-                                  self._outbox, self._roster, self._follower, candidate, self._fail_tickets)
+        self._views = ViewChanges(
+            self._me,
+            settings,
+            self._witness,
+            self._lease_witness,
+            self._replica,
+            self._outbox,
+            self._roster,
+            self._follower,
+            candidate,
+            self._fail_tickets,
+        )
         self._leases = Leases(self._me, self._lease_witness, settings, self._outbox, random)
         self._compaction = Compaction(self._replica, settings, snapshot)
         self._departure = Departure(self._me, self._outbox, self._timing)
--- a/larchgw/replication/messages.py
+++ b/larchgw/replication/messages.py
@@ -210,17 +210,48 @@
     fence: int
 
 
-Message = (Probe | ProbeReply | Prepare | Promise | Accept | Accepted | Heartbeat | HeartbeatReply | Append
-           | Install | InstallReply | AppendReply | Join | Leave | Left | TakeOver | LeaseAsk | LeaseAnswer
-           | LeaseRelease)
+Message = (
+    Probe
+    | ProbeReply
+    | Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | Heartbeat
+    | HeartbeatReply
+    | Append
+    | Install
+    | InstallReply
+    | AppendReply
+    | Join
+    | Leave
+    | Left
+    | TakeOver
+    | LeaseAsk
+    | LeaseAnswer
+    | LeaseRelease
+)
 
 _KINDS: dict[str, type[Any]] = {
-    "probe": Probe, "probe_reply": ProbeReply, "prepare": Prepare, "promise": Promise, "accept": Accept,
-    "accepted": Accepted, "heartbeat": Heartbeat, "heartbeat_reply": HeartbeatReply, "append": Append,
-    "install": Install, "install_reply": InstallReply, "append_reply": AppendReply, "join": Join,
-    "leave": Leave, "left": Left,
+    "probe": Probe,
+    "probe_reply": ProbeReply,
+    "prepare": Prepare,
+    "promise": Promise,
+    "accept": Accept,
+    "accepted": Accepted,
+    "heartbeat": Heartbeat,
+    "heartbeat_reply": HeartbeatReply,
+    "append": Append,
+    "install": Install,
+    "install_reply": InstallReply,
+    "append_reply": AppendReply,
+    "join": Join,
+    "leave": Leave,
+    "left": Left,
     "take_over": TakeOver,
-    "lease_ask": LeaseAsk, "lease_answer": LeaseAnswer, "lease_release": LeaseRelease,
+    "lease_ask": LeaseAsk,
+    "lease_answer": LeaseAnswer,
+    "lease_release": LeaseRelease,
 }
 _KIND_OF = {cls: kind for kind, cls in _KINDS.items()}
 
@@ -250,7 +281,7 @@
         cls = _KINDS[kind]
         (length,) = _HEADER_LENGTH.unpack_from(body)
         start = _HEADER_LENGTH.size + length
-        header = json.loads(body[_HEADER_LENGTH.size:start])
+        header = json.loads(body[_HEADER_LENGTH.size : start])
         address = str(header.pop("from"))
         return cls(**_arguments(header, body, start, kind)), address
     except (KeyError, TypeError, ValueError, AttributeError, struct.error) as error:
@@ -272,7 +303,7 @@
 def _records(lengths: list[int], body: bytes, start: int) -> tuple[bytes, ...]:
     records = []
     for length in lengths:
-        records.append(bytes(body[start:start + length]))
+        records.append(bytes(body[start : start + length]))
         start += length
     if start != len(body):
         raise ValueError("the lengths of its records are wrong")
--- a/larchgw/replication/planning.py
+++ b/larchgw/replication/planning.py
@@ -19,8 +19,9 @@
     addresses: Mapping[str, str]
 
 
-def failover_view(epoch: int, candidate: str, base: View, answered: Collection[str],
-                  leaving: Collection[str], minimum: int) -> View:
+def failover_view(
+    epoch: int, candidate: str, base: View, answered: Collection[str], leaving: Collection[str], minimum: int
+) -> View:
     """The view of a new primary: the in-sync members that answered and stay, and `minimum` of them at least.
     Those that leave fill it up, and then those that did not answer: they hold everything acknowledged, and
     one of them may come back."""
@@ -54,8 +55,9 @@
     staying = standing.healthy - standing.leaving
     kept = [member for member in view.backups if member in staying]
     spare = [member for member in view.backups if member not in staying]
-    likely_back_first = sorted(spare, key=lambda member: (member not in standing.healthy,
-                                                          member in standing.gone))
+    likely_back_first = sorted(
+        spare, key=lambda member: (member not in standing.healthy, member in standing.gone)
+    )
     return _at_least(minimum - 1, [*kept, *standing.ready], likely_back_first)
 
 
@@ -86,8 +88,14 @@
     return (*view.witnesses, *spare[:added])
 
 
-def _changed(epoch: int, view: View, standing: Standing, backups: tuple[str, ...], witnesses: tuple[str, ...],
-             former: tuple[str, ...]) -> View:
+def _changed(
+    epoch: int,
+    view: View,
+    standing: Standing,
+    backups: tuple[str, ...],
+    witnesses: tuple[str, ...],
+    former: tuple[str, ...],
+) -> View:
     members = {view.primary, *backups, *witnesses, *former}
     known = {**view.addresses, **standing.addresses}
     addresses = {member: known[member] for member in sorted(members) if member in known}
--- a/larchgw/replication/replica.py
+++ b/larchgw/replication/replica.py
@@ -72,7 +72,7 @@
         held = self._journal.snapshot()
         if held is None:
             return 0, 0, b""
-        return held[0], _epoch(held[1]), held[1][_EPOCH.size:]
+        return held[0], _epoch(held[1]), held[1][_EPOCH.size :]
 
     def append(self, epoch: int, record: bytes) -> int:
         """Adds a record of one's own as primary, durable; on OSError it is taken back or counts as never
@@ -91,8 +91,9 @@
             self._journal.sync()
             self._synced = True
 
-    def follow(self, previous_index: int, previous_epoch: int, epochs: Sequence[int],
-               records: Sequence[bytes]) -> tuple[bool, int]:
+    def follow(
+        self, previous_index: int, previous_epoch: int, epochs: Sequence[int], records: Sequence[bytes]
+    ) -> tuple[bool, int]:
         """Takes the primary's records after `previous_index` in, durable. Returns whether they fit, and then
         up to which index the log is the primary's; if not, the index from which to try again."""
         if previous_index > self.last_index:
@@ -119,13 +120,13 @@
         """Replaces the records up to `index` by a snapshot of their effect."""
         epoch = self.epoch_at(index)
         self._journal.compact(index, _EPOCH.pack(epoch) + snapshot)
-        del self._epochs[:index - self._base_index]
-        del self._sizes[:index - self._base_index]
+        del self._epochs[: index - self._base_index]
+        del self._sizes[: index - self._base_index]
         self._base_index, self._base_epoch, self._snapshot_bytes = index, epoch, len(snapshot)
 
     def read(self, first: int, last: int) -> list[tuple[int, bytes]]:
         """Records without their epochs."""
-        return [(index, record[_EPOCH.size:]) for index, record in self._journal.read(first, last)]
+        return [(index, record[_EPOCH.size :]) for index, record in self._journal.read(first, last)]
 
     def batch(self, first: int, limit_bytes: int) -> tuple[tuple[int, ...], tuple[bytes, ...]]:
         """Epochs and records from `first` on: one at least, and no more than `limit_bytes` together."""
@@ -137,7 +138,7 @@
             if records and size > limit_bytes:
                 break
             epochs.append(self.epoch_at(index))
-            records.append(framed[_EPOCH.size:])
+            records.append(framed[_EPOCH.size :])
         return tuple(epochs), tuple(records)
 
     def _add(self, epoch: int, record: bytes) -> None:
@@ -160,8 +161,8 @@
         if index < self.committed:
             raise AssertionError(f"record {index + 1} is acknowledged and must not be dropped")
         self._journal.truncate_after(index)
-        del self._epochs[index - self._base_index:]
-        del self._sizes[index - self._base_index:]
+        del self._epochs[index - self._base_index :]
+        del self._sizes[index - self._base_index :]
 
     def _before_epoch(self, index: int) -> int:
         """The last index before the run of records that have the same epoch as the one at `index`."""
@@ -173,7 +174,7 @@
 
 def unframed(framed: bytes) -> tuple[int, bytes]:
     """The epoch and the record, or snapshot, that a journal holds as `framed`."""
-    return _epoch(framed), framed[_EPOCH.size:]
+    return _epoch(framed), framed[_EPOCH.size :]
 
 
 def _epoch(framed: bytes) -> int:
--- a/larchgw/replication/snapshot_transfer.py
+++ b/larchgw/replication/snapshot_transfer.py
@@ -56,9 +56,16 @@
     def piece(self) -> Install:
         """The message that carries the piece at `offset`."""
         snapshot = self.snapshot
-        piece = snapshot.content[self.offset:self.offset + self._piece_bytes]
-        return Install(self._epoch, snapshot.index, snapshot.epoch, self.offset, len(snapshot.content),
-                       snapshot.checksum, piece)
+        piece = snapshot.content[self.offset : self.offset + self._piece_bytes]
+        return Install(
+            self._epoch,
+            snapshot.index,
+            snapshot.epoch,
+            self.offset,
+            len(snapshot.content),
+            snapshot.checksum,
+            piece,
+        )
 
     def answered(self, index: int, offset: int) -> bool:
         """Takes the receiver's answer; True if the next piece is to go at once.
--- a/larchgw/replication/view_changes.py
+++ b/larchgw/replication/view_changes.py
@@ -42,9 +42,19 @@
 
     `on_resign` is called with the reason when this member stops acting as primary."""
 
-    def __init__(self, me: str, settings: MemberSettings, witness: Witness, lease_witness: LeaseWitness,
-                 replica: Replica, outbox: Outbox, roster: Roster, follower: Follower, candidate: Candidate,
-                 on_resign: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        me: str,
+        settings: MemberSettings,
+        witness: Witness,
+        lease_witness: LeaseWitness,
+        replica: Replica,
+        outbox: Outbox,
+        roster: Roster,
+        follower: Follower,
+        candidate: Candidate,
+        on_resign: Callable[[str], None],
+    ) -> None:
         self._me = me
         self._settings = settings
         self._timing = settings.timing
@@ -69,9 +79,12 @@
     def progress(self) -> tuple[object, ...]:
         """What is kept in memory only, times left out; for explorations that compare states."""
         ballot = self._candidate.ballot
-        return (self._candidate.highest_epoch, *self._departures.progress(),
-                None if ballot is None else ballot.progress(),
-                None if self.leading is None else self.leading.progress())
+        return (
+            self._candidate.highest_epoch,
+            *self._departures.progress(),
+            None if ballot is None else ballot.progress(),
+            None if self.leading is None else self.leading.progress(),
+        )
 
     # ---- messages ----
 
@@ -164,8 +177,16 @@
         """A quorum has accepted this view, in which this member is primary."""
         self._candidate.ballot = None
         self._replica.sync()  # its own copy counts, also of what a life of this process before left unsynced
-        self.leading = Leadership(self._me, view, self._replica, self._outbox, self._settings, now,
-                                  self.leading, self._departures.leaving(now))
+        self.leading = Leadership(
+            self._me,
+            view,
+            self._replica,
+            self._outbox,
+            self._settings,
+            now,
+            self.leading,
+            self._departures.leaving(now),
+        )
         log.info("primary of view %d with backups %s, witnesses %s", view.epoch, view.backups, view.witnesses)
         self.leading.heartbeat(now)
         self.leading.replicate(now)
@@ -207,8 +228,12 @@
         self._follower.heard_at = now
 
     def _may_stand(self, now: float, view: View) -> bool:
-        return self._me in view.in_sync and now >= self.rests_until and self.leading is None \
+        return (
+            self._me in view.in_sync
+            and now >= self.rests_until
+            and self.leading is None
             and self._candidate.ballot is None
+        )
 
     # ---- time ----
 
@@ -255,8 +280,9 @@
 
     def _next_view(self, now: float, epoch: int, leading: Leadership) -> View | None:
         standing = leading.standing(now, self._roster.replaced, self._departures.leaving(now))
-        return next_view(epoch, leading.view, standing, self._settings.minimum_copies,
-                         self._settings.most_witnesses)
+        return next_view(
+            epoch, leading.view, standing, self._settings.minimum_copies, self._settings.most_witnesses
+        )
 
     # ---- the ballot ----
 
@@ -295,7 +321,13 @@
     def _compose(self, now: float, ballot: Ballot) -> View:
         leading = self.leading
         if leading is None or ballot.base.epoch != leading.view.epoch:
-            return failover_view(ballot.epoch, self._me, ballot.base, ballot.promised,
-                                 self._departures.leaving(now), self._settings.minimum_copies)
+            return failover_view(
+                ballot.epoch,
+                self._me,
+                ballot.base,
+                ballot.promised,
+                self._departures.leaving(now),
+                self._settings.minimum_copies,
+            )
         change = self._next_view(now, ballot.epoch, leading)
         return change if change is not None else same_view(ballot.epoch, leading.view)
--- a/larchgw/room/estimates.py
+++ b/larchgw/room/estimates.py
@@ -67,7 +67,7 @@
         # Of the bucket that `elapsed` stands in, the part above it is left.
         inside = min(max((_TOPS[first] - elapsed) / (_TOPS[first] - low), 0.0), 1.0)
         left = self.counts[first] * inside
-        beyond = left + sum(self.counts[first + 1:])
+        beyond = left + sum(self.counts[first + 1 :])
         if beyond <= 0.5 * self._gain:
             return elapsed
         wanted, at = share * beyond, left
--- a/larchgw/room/planner.py
+++ b/larchgw/room/planner.py
@@ -276,12 +276,19 @@
 
     def describe(self, now: float) -> list[dict[str, object]]:
         """What is held now and why: one entry a reservation, times in seconds from now."""
-        return [{
-            "box": held.worker.id.decode("latin-1"), "class": held.job.cls.name,
-            "slots": held.job.request.slots, "held_s": round(now - held.made, 3),
-            "room_in_s": round(held.expected - now, 3), "latest_in_s": round(held.latest - now, 3),
-            "let_in": held.filled, "kept_out": held.passed,
-        } for held in self.by_job.values()]
+        return [
+            {
+                "box": held.worker.id.decode("latin-1"),
+                "class": held.job.cls.name,
+                "slots": held.job.request.slots,
+                "held_s": round(now - held.made, 3),
+                "room_in_s": round(held.expected - now, 3),
+                "latest_in_s": round(held.latest - now, 3),
+                "let_in": held.filled,
+                "kept_out": held.passed,
+            }
+            for held in self.by_job.values()
+        ]
 
     # Within
 
--- a/larchgw/room/report.py
+++ b/larchgw/room/report.py
@@ -13,9 +13,12 @@
 from .planner import Planner
 
 HELP = {
-    "made": "Reservations made", "used": "Reservations whose job went to the box held",
-    "moved": "Reservations moved to a box with room sooner", "dropped": "Reservations given up",
-    "filled": "Times a small job was let in before a large one", "passed": "Times a small job was kept out",
+    "made": "Reservations made",
+    "used": "Reservations whose job went to the box held",
+    "moved": "Reservations moved to a box with room sooner",
+    "dropped": "Reservations given up",
+    "filled": "Times a small job was let in before a large one",
+    "passed": "Times a small job was kept out",
     "overdue": "Times a small job was let in since it had been kept out for its share of time",
     "refused_cap": "Times a bound kept a reservation from being made",
     "hopeless": "Jobs larger than any box",
@@ -32,8 +35,9 @@
         for name, value in asdict(self._planner.figures).items():
             yield CounterMetricFamily(f"larchgw_room_{name}", HELP[name], value=value)
         yield GaugeMetricFamily("larchgw_room_held", "Reservations now", value=len(self._planner.by_job))
-        yield GaugeMetricFamily("larchgw_room_waiting", "Large jobs that wait for room",
-                                value=len(self._planner.waiting))
+        yield GaugeMetricFamily(
+            "larchgw_room_waiting", "Large jobs that wait for room", value=len(self._planner.waiting)
+        )
 
 
 def as_json(planner: Planner, now: float) -> bytes:
--- a/larchgw/rpc/client.py
+++ b/larchgw/rpc/client.py
@@ -208,7 +208,8 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 _, connection = await loop.create_connection(
-                    lambda: _Connection(self.traffic), host, int(port))
+                    lambda: _Connection(self.traffic), host, int(port)
+                )
         except (OSError, TimeoutError) as error:
             raise RpcConnectionLost(f"{self.address}: {error or 'no answer'}", sent=False) from error
         self._connection = connection
--- a/larchgw/rpc/codec.py
+++ b/larchgw/rpc/codec.py
@@ -93,6 +93,6 @@
                 raise DecodeError(f"a frame of {length} bytes is over {MAX_FRAME_BYTES}")
             if len(self._buffer) < 4 + length:
                 break
-            frames.append(bytes(self._buffer[4:4 + length]))
-            del self._buffer[:4 + length]
+            frames.append(bytes(self._buffer[4 : 4 + length]))
+            del self._buffer[: 4 + length]
         return frames
--- a/larchgw/runtime/http_status.py
+++ b/larchgw/runtime/http_status.py
@@ -34,5 +34,7 @@
     """Rules for a Tornado application. `status` gives an object for JSON, `metrics` Prometheus text, both
     anew at each call.
     """
-    return [(r"/status", _StatusHandler, {"status": status}),
-            (r"/metrics", _MetricsHandler, {"metrics": metrics})]
+    return [
+        (r"/status", _StatusHandler, {"status": status}),
+        (r"/metrics", _MetricsHandler, {"metrics": metrics}),
+    ]
--- a/larchgw/runtime/tasks.py
+++ b/larchgw/runtime/tasks.py
@@ -25,6 +25,7 @@
 
     def every(self, name: str, seconds: float, action: Callable[[], None]) -> asyncio.Task[None]:
         """Calls `action` again and again with a pause of so many seconds."""
+
         async def repeat() -> None:
             while True:
                 action()
--- a/larchgw/storage/cell.py
+++ b/larchgw/storage/cell.py
@@ -101,7 +101,9 @@
 
 
 def _decode(data: bytes) -> tuple[int, bytes] | None:
-    """Sequence number and value; None if the data is not whole. Bytes of an older, longer value may follow.
+    """Sequence number and value; None if the data is not whole.
+
+    Bytes of an older, longer value may follow.
     """
     body = HEADER.size + CRC_BYTES
     if len(data) < body:
--- a/larchgw/storage/inspect.py
+++ b/larchgw/storage/inspect.py
@@ -84,8 +84,9 @@
     port = port or DiskFiles()
     found = recover(port, folder)
     snapshot = None if found.snapshot == NO_SNAPSHOT else read_snapshot(port, folder, found.snapshot)
-    records = [(index, record.payload) for index, record in _records(port, found)
-               if index > found.snapshot.index]
+    records = [
+        (index, record.payload) for index, record in _records(port, found) if index > found.snapshot.index
+    ]
     return Contents(found.snapshot.index, snapshot, records)
 
 
--- a/larchgw/upgrade/handover.py
+++ b/larchgw/upgrade/handover.py
@@ -108,8 +108,15 @@
 class Handover:
     """Knows the other processes of this dispatcher, and whether we take clients."""
 
-    def __init__(self, loop: Loop, core: Core, folder: str | None, name: str, changed: Callable[[], None],
-                 can_serve: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        folder: str | None,
+        name: str,
+        changed: Callable[[], None],
+        can_serve: Callable[[], bool],
+    ) -> None:
         self.loop, self.core = loop, core
         self._changed, self._can_serve = changed, can_serve
         # A name in the folder that can be reached whatever the folder's length: such names hold 107 bytes.
@@ -233,14 +240,19 @@
         boxes = self.core.boxes
         if self._timer is None:
             self._timer = self.loop.deadlines.add(self.loop.clock.now() + PENDING_EVERY, self._tell_pending)
-        peer.tell(hello=os.getpid(), moves=self._moves_name if self._moves else "",
-                  listed=[w.decode("latin-1") for w in boxes.ever],
-                  out={w.decode("latin-1"): at for w, at in boxes.banned.items()},
-                  open=[name.decode("latin-1") for name in self.core.receive.names],
-                  pending=learned.pending(self.core.dispatcher),
-                learned=learned.tell(self.core.dispatcher) if self.serving else None)
-        peer.later = chain(({"topic": name, "item": item} for name, topic in self._topics.items()
-                            for item in topic.known()), [{"told": True}])
+        peer.tell(
+            hello=os.getpid(),
+            moves=self._moves_name if self._moves else "",
+            listed=[w.decode("latin-1") for w in boxes.ever],
+            out={w.decode("latin-1"): at for w, at in boxes.banned.items()},
+            open=[name.decode("latin-1") for name in self.core.receive.names],
+            pending=learned.pending(self.core.dispatcher),
+            learned=learned.tell(self.core.dispatcher) if self.serving else None,
+        )
+        peer.later = chain(
+            ({"topic": name, "item": item} for name, topic in self._topics.items() for item in topic.known()),
+            [{"told": True}],
+        )
         peer.on_written()
 
     def _tell(self, **message: Any) -> None:
--- a/larchgw/upgrade/learned.py
+++ b/larchgw/upgrade/learned.py
@@ -19,12 +19,15 @@
         "means": {name: _mean(getattr(module, name)) for name in MEANS},
         "figures": {"warm_load": module.fleet.taken.value}
         | {name: getattr(module, name) for name in FIGURES},
-        "workers": {w.id.decode("latin-1"): {
-            "up_since": w.up_since,
-            "figures": {name: getattr(w, name) for name in WORKER},
-            "doubts": w.doubts if w.id in module.silent else 0,
-            "keys": [[p.key, p.used, p.uses] for p in w.keys.values()],
-        } for w in module.workers.values()},
+        "workers": {
+            w.id.decode("latin-1"): {
+                "up_since": w.up_since,
+                "figures": {name: getattr(w, name) for name in WORKER},
+                "doubts": w.doubts if w.id in module.silent else 0,
+                "keys": [[p.key, p.used, p.uses] for p in w.keys.values()],
+            }
+            for w in module.workers.values()
+        },
     }
 
 
--- a/larchgw/upgrade/moving.py
+++ b/larchgw/upgrade/moving.py
@@ -32,13 +32,21 @@
     if not isinstance(exchange, Exchange) or not exchange.link.movable(exchange) or request.over():
         return None
     told: dict[str, Any] = {
-        "name": _text(request.name), "class": job_class, "target": _text(request.target),
-        "body": _text(request.body), "taken": request.taken_at - offset, "until": request.give_up_at - offset,
-        "once": _text(request.once), "tenant": request.tenant,
+        "name": _text(request.name),
+        "class": job_class,
+        "target": _text(request.target),
+        "body": _text(request.body),
+        "taken": request.taken_at - offset,
+        "until": request.give_up_at - offset,
+        "once": _text(request.once),
+        "tenant": request.tenant,
         "figures": [request.wait, request.key, request.slots, request.memory, request.hint, request.repeat],
-        "method": _text(exchange.method), "keep": exchange.keep,
-        "attempts": [[_text(a.worker), a.sent_at - offset, a.started and a.started_at - offset, a.status]
-                     for a in request.attempts],
+        "method": _text(exchange.method),
+        "keep": exchange.keep,
+        "attempts": [
+            [_text(a.worker), a.sent_at - offset, a.started and a.started_at - offset, a.status]
+            for a in request.attempts
+        ],
     }
     fds = [exchange.link.descriptor()]
     if out:
@@ -51,8 +59,9 @@
     return (packet, fds) if len(packet) <= MAX_PACKET else None
 
 
-def unpack(packet: bytes, socks: list[socket.socket], core: Core, platform: PlatformFront,
-           runners: Runners) -> None:
+def unpack(
+    packet: bytes, socks: list[socket.socket], core: Core, platform: PlatformFront, runners: Runners
+) -> None:
     """Goes on with a job. KeyError, TypeError, ValueError or IndexError if the packet is not one of `pack`.
 
     Whatever may be wrong is found before a socket is used.
@@ -60,19 +69,43 @@
     told, offset = json.loads(packet), core.clock.offset
     wait, key, slots, memory, hint, repeat = told["figures"]
     job_class = [c.name for c in core.settings.classes].index(told["class"])
-    tries = [(_bytes(worker), sent + offset, begun and begun + offset,
-              None if status is None else Status(status))
-             for worker, sent, begun, status in told["attempts"]]
+    tries = [
+        (_bytes(worker), sent + offset, begun and begun + offset, None if status is None else Status(status))
+        for worker, sent, begun, status in told["attempts"]
+    ]
     answer, until, taken = _bytes(told.get("answer", "")), told["until"] + offset, told["taken"] + offset
-    request = Request(platform, _bytes(told["name"]), job_class, _bytes(told["target"]),
-                      _bytes(told["body"]), wait, key, slots, memory, hint, repeat,
-                      told.get("tenant", core.tenant(b"")), _bytes(told.get("once", "")))
+    request = Request(
+        platform,
+        _bytes(told["name"]),
+        job_class,
+        _bytes(told["target"]),
+        _bytes(told["body"]),
+        wait,
+        key,
+        slots,
+        memory,
+        hint,
+        repeat,
+        told.get("tenant", core.tenant(b"")),
+        _bytes(told.get("once", "")),
+    )
     out = socks[1] if tries and tries[-1][3] is None else None
     host, port = told["address"] if out else ("", 0)
     method, keep = _bytes(told["method"]), bool(told["keep"])
-    request.attempts = [Attempt(request, index, worker, runners, sent, written=True, status=status,
-                                ended=status is not None, started_at=begun)
-                        for index, (worker, sent, begun, status) in enumerate(tries)]
+    request.attempts = [
+        Attempt(
+            request,
+            index,
+            worker,
+            runners,
+            sent,
+            written=True,
+            status=status,
+            ended=status is not None,
+            started_at=begun,
+        )
+        for index, (worker, sent, begun, status) in enumerate(tries)
+    ]
     request.extra = platform.server.adopt(socks[0], method, request.target, keep)
     request.extra.extra = request
     core.adopt(request, taken, until)
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -67,9 +67,22 @@
         """Whether workers drop repeats of this class by key; KeyError for an unknown class."""
         return self._node.config.settings.classes[self._classes[job_class]].effect == "deduplicated"
 
-    def submit(self, job_class: str, body: bytes, *, target: str = "", name: str = "", wait: float = 0.0,
-               key: str = "", slots: float = 1.0, memory: float = 0.0, hint: float = 0.0,
-               repeat: bool = False, tenant: str = "", once: str = "") -> Future[Answer]:
+    def submit(
+        self,
+        job_class: str,
+        body: bytes,
+        *,
+        target: str = "",
+        name: str = "",
+        wait: float = 0.0,
+        key: str = "",
+        slots: float = 1.0,
+        memory: float = 0.0,
+        hint: float = 0.0,
+        repeat: bool = False,
+        tenant: str = "",
+        once: str = "",
+    ) -> Future[Answer]:
         """Hands a job in; the future gets its one final answer. Cancelling it gives the job up.
 
         `once`: the key by which workers know a repeat of a deduplicated job; its name where left out.
@@ -82,9 +95,22 @@
             raise ValueError("once: must be 1 to 256 printable characters of ASCII")
         future: Future[Answer] = Future()
         name, target = name or secrets.token_hex(8), target or "/" + job_class
-        request = Request(self, name.encode("latin-1"), number, target.encode("latin-1"), body,
-                          wait or self.deadline(job_class), key_number(key.encode()), slots, memory, hint,
-                          repeat, self._node.core.tenant(tenant.encode()), once.encode(), extra=future)
+        request = Request(
+            self,
+            name.encode("latin-1"),
+            number,
+            target.encode("latin-1"),
+            body,
+            wait or self.deadline(job_class),
+            key_number(key.encode()),
+            slots,
+            memory,
+            hint,
+            repeat,
+            self._node.core.tenant(tenant.encode()),
+            once.encode(),
+            extra=future,
+        )
         future.add_done_callback(lambda f: self._left(request) if f.cancelled() else None)
         with self._lock:
             if not self._running:
@@ -132,16 +158,21 @@
         if job_class is None:
             return self._app(environ, start_response)
         status, body, headers = self._answer(job_class, environ)
-        start_response(f"{status} {HTTPStatus(status).phrase}",
-                       [*headers, ("Content-Length", str(len(body)))])
+        start_response(
+            f"{status} {HTTPStatus(status).phrase}", [*headers, ("Content-Length", str(len(body)))]
+        )
         return [body]
 
-    def _answer(self, job_class: str, environ: dict[str, Any]) -> tuple[
-            int, bytes, Iterable[tuple[str, str]]]:
+    def _answer(
+        self, job_class: str, environ: dict[str, Any]
+    ) -> tuple[int, bytes, Iterable[tuple[str, str]]]:
         if environ["REQUEST_METHOD"] != "POST":
             return 405, b"POST only\n", [("Allow", "POST")]
-        headers = {k[5:].replace("_", "-").lower().encode(): str(v).encode("latin-1")
-                   for k, v in environ.items() if k.startswith("HTTP_")}
+        headers = {
+            k[5:].replace("_", "-").lower().encode(): str(v).encode("latin-1")
+            for k, v in environ.items()
+            if k.startswith("HTTP_")
+        }
         headers.setdefault(b"x-request-id", secrets.token_hex(8).encode())
         headers.setdefault(b"x-deadline-ms", b"%d" % (1000 * self._dispatcher.deadline(job_class)))
         try:
@@ -155,10 +186,19 @@
         target = environ["PATH_INFO"] + ("?" + environ["QUERY_STRING"] if environ.get("QUERY_STRING") else "")
         try:
             future = self._dispatcher.submit(
-                job_class, body, target=target, name=job.name.decode("latin-1"), wait=job.wait,
-                key=headers.get(b"x-key", b"").decode("latin-1"), slots=job.slots, memory=job.memory,
-                hint=job.hint, repeat=job.repeat, tenant=job.tenant.decode("latin-1"),
-                once=job.once.decode("latin-1"))
+                job_class,
+                body,
+                target=target,
+                name=job.name.decode("latin-1"),
+                wait=job.wait,
+                key=headers.get(b"x-key", b"").decode("latin-1"),
+                slots=job.slots,
+                memory=job.memory,
+                hint=job.hint,
+                repeat=job.repeat,
+                tenant=job.tenant.decode("latin-1"),
+                once=job.once.decode("latin-1"),
+            )
             answer = future.result(job.wait + GRACE)
         except TimeoutError:
             future.cancel()
--- a/tests/asyncio_tests.py
+++ b/tests/asyncio_tests.py
@@ -13,6 +13,7 @@
 
 def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """The coroutine function as a test that pytest calls, with the same arguments."""
+
     @functools.wraps(test)
     def called(*args: Any, **named: Any) -> None:
         asyncio.run(asyncio.wait_for(test(*args, **named), TEST_TIME))
--- a/tests/decide_helpers.py
+++ b/tests/decide_helpers.py
@@ -19,18 +19,35 @@
 from larchgw.directory.records import HeldModel, RunnerRecord, Stage
 
 SERVICE = "models"
-CONFIGURATION = Configuration(1, services=(
-    Service(SERVICE, runtime=Runtime(slots=16, cache_tokens=100_000.0, models=(
-        Model("m", load_s=1.0), Model("n", load_s=1.0)))),
-    Service("plain")))
+CONFIGURATION = Configuration(
+    1,
+    services=(
+        Service(
+            SERVICE,
+            runtime=Runtime(
+                slots=16, cache_tokens=100_000.0, models=(Model("m", load_s=1.0), Model("n", load_s=1.0))
+            ),
+        ),
+        Service("plain"),
+    ),
+)
 
 
-def runner(id: str, models: str = "m", stage: Stage = Stage.READY, zone: str = "here", slots: int = 16,
-           calls: int = 1, cold_ms: float = 0.0, service: str = SERVICE) -> RunnerRecord:
+def runner(
+    id: str,
+    models: str = "m",
+    stage: Stage = Stage.READY,
+    zone: str = "here",
+    slots: int = 16,
+    calls: int = 1,
+    cold_ms: float = 0.0,
+    service: str = SERVICE,
+) -> RunnerRecord:
     """A runner that holds these models, one letter each, with adapter a1."""
     held = tuple(HeldModel(name, 1, ("a1",)) for name in models)
-    return RunnerRecord(id, service, f"{id}:1", zone, stage, slots, cold_left_ms=cold_ms, call_count=calls,
-                        models=held)
+    return RunnerRecord(
+        id, service, f"{id}:1", zone, stage, slots, cold_left_ms=cold_ms, call_count=calls, models=held
+    )
 
 
 def parts(*sizes: int, name: str = "p") -> tuple[PromptPart, ...]:
@@ -51,14 +68,31 @@
     def __post_init__(self) -> None:
         self.selector.configure(CONFIGURATION)
 
-    def request(self, model: str = "m", adapter: str = "", prompt: tuple[PromptPart, ...] = (),
-                target_s: float = 1.0, deadline_s: float = 5.0, rank: int = 1,
-                service: str = SERVICE) -> RequestTraits:
+    def request(
+        self,
+        model: str = "m",
+        adapter: str = "",
+        prompt: tuple[PromptPart, ...] = (),
+        target_s: float = 1.0,
+        deadline_s: float = 5.0,
+        rank: int = 1,
+        service: str = SERVICE,
+    ) -> RequestTraits:
         """A request that arrives now."""
         route = Route("r", "host", "/", "streaming", 1000.0 * deadline_s, rank=rank, service=service)
-        return RequestTraits(next(self.numbers), route, service, self.now, self.now + deadline_s,
-                             self.now + target_s, model, adapter, sum(part.tokens for part in prompt), 50,
-                             prompt)
+        return RequestTraits(
+            next(self.numbers),
+            route,
+            service,
+            self.now,
+            self.now + deadline_s,
+            self.now + target_s,
+            model,
+            adapter,
+            sum(part.tokens for part in prompt),
+            50,
+            prompt,
+        )
 
     def choose(self, request: RequestTraits, tried: tuple[str, ...] = ()) -> Choice:
         """What the selector says of it now."""
--- a/tests/edge_stand_ins.py
+++ b/tests/edge_stand_ins.py
@@ -61,8 +61,16 @@
 
 def route(kind: str, **changes: Any) -> Route:
     """A route to service `lm` at path /KIND/."""
-    plain: dict[str, Any] = {"name": "r-" + kind, "hostname": HOST, "path_start": f"/{kind}/", "kind": kind,
-                             "deadline_ms": 5000.0, "target_ms": 600.0, "service": "lm", "tries": 2}
+    plain: dict[str, Any] = {
+        "name": "r-" + kind,
+        "hostname": HOST,
+        "path_start": f"/{kind}/",
+        "kind": kind,
+        "deadline_ms": 5000.0,
+        "target_ms": 600.0,
+        "service": "lm",
+        "tries": 2,
+    }
     return Route(**plain | changes)
 
 
@@ -92,8 +100,14 @@
         self.outcomes: list[AttemptOutcome] = []
         self.loads: list[tuple[str, int, int, int]] = []
 
-    def choose(self, now: float, request: RequestTraits, runners: Mapping[str, RunnerRecord],
-               tried: Sequence[str], expected: Mapping[str, float]) -> Choice:
+    def choose(
+        self,
+        now: float,
+        request: RequestTraits,
+        runners: Mapping[str, RunnerRecord],
+        tried: Sequence[str],
+        expected: Mapping[str, float],
+    ) -> Choice:
         self.asked.append((request, tuple(tried), dict(expected)))
         self.offered.append(tuple(runners))
         if self.script:
@@ -139,8 +153,9 @@
 class Call:
     """One request that came to a runner, and the connection that it came on."""
 
-    def __init__(self, line: str, headers: list[tuple[str, str]], body: bytes,
-                 writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, line: str, headers: list[tuple[str, str]], body: bytes, writer: asyncio.StreamWriter
+    ) -> None:
         self.line, self.fields, self.body, self.writer = line, headers, body, writer
         self.headers = dict(headers)
         self.id = self.headers.get("x-attempt-id", "")
@@ -212,8 +227,9 @@
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
         self._server = await asyncio.start_server(self._serve, sock=listening)
         host, port = self._server.sockets[0].getsockname()
-        return RunnerRecord(self.name, "lm", f"{host}:{port}", "z", slots=8,
-                            models=(HeldModel("m1", 1, ("a1",)),))
+        return RunnerRecord(
+            self.name, "lm", f"{host}:{port}", "z", slots=8, models=(HeldModel("m1", 1, ("a1",)),)
+        )
 
     async def call(self) -> Call:
         return await soon(self._calls.get())
@@ -264,8 +280,14 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def ask(self, path: str = "/read_only/x", name: str = "id1", body: bytes = b"ask", method: str = "POST",
-            **fields: str) -> None:
+    def ask(
+        self,
+        path: str = "/read_only/x",
+        name: str = "id1",
+        body: bytes = b"ask",
+        method: str = "POST",
+        **fields: str,
+    ) -> None:
         lines = {"Host": HOST, "X-Attempt-Id": name, "X-Time-Left-Ms": "4000"}
         lines |= {field.replace("_", "-"): value for field, value in fields.items()}
         if body:
@@ -321,7 +343,8 @@
         self.records: dict[str, RunnerRecord] = {}
         self.wanted: list[tuple[str, str, str]] = []
         self.proxy.runners = lambda service: {
-            name: record for name, record in self.records.items() if record.service == service}
+            name: record for name, record in self.records.items() if record.service == service
+        }
         self.proxy.on_wanted = lambda *key: self.wanted.append(key)
         self.clients: list[Client] = []
 
@@ -330,8 +353,14 @@
         self.clients.append(client)
         return client
 
-    async def ask(self, path: str = "/read_only/x", name: str = "id1", body: bytes = b"ask",
-                  method: str = "POST", **fields: str) -> Client:
+    async def ask(
+        self,
+        path: str = "/read_only/x",
+        name: str = "id1",
+        body: bytes = b"ask",
+        method: str = "POST",
+        **fields: str,
+    ) -> Client:
         client = await self.client()
         client.ask(path, name, body, method, **fields)
         return client
@@ -347,8 +376,12 @@
 
 
 @asynccontextmanager
-async def edge(*runners: ScriptedRunner, config: Configuration | None = None,
-               clock: Clock | None = None, configured: bool = True) -> AsyncIterator[Edge]:
+async def edge(
+    *runners: ScriptedRunner,
+    config: Configuration | None = None,
+    clock: Clock | None = None,
+    configured: bool = True,
+) -> AsyncIterator[Edge]:
     """A proxy that listens, with these runners."""
     made = Edge(clock)
     for runner in runners:
--- a/tests/elf.py
+++ b/tests/elf.py
@@ -61,13 +61,22 @@
     segments = _segments(data)
     entries = _dynamic_entries(data, segments)
     strings = _file_offset(segments, dict(entries)[DT_STRTAB])
-    texts = [(tag, _text(data, strings + value)) for tag, value in entries
-             if tag in (DT_NEEDED, DT_RPATH, DT_RUNPATH)]
+    texts = [
+        (tag, _text(data, strings + value))
+        for tag, value in entries
+        if tag in (DT_NEEDED, DT_RPATH, DT_RUNPATH)
+    ]
     searched = ":".join(text for tag, text in texts if tag != DT_NEEDED)
-    folders = [folder.replace("${ORIGIN}", "$ORIGIN").replace("$ORIGIN", str(path.parent.resolve()))
-               for folder in searched.split(":") if folder]
-    return SharedObject(path, tuple(text for tag, text in texts if tag == DT_NEEDED),
-                        tuple(Path(folder) for folder in folders))
+    folders = [
+        folder.replace("${ORIGIN}", "$ORIGIN").replace("$ORIGIN", str(path.parent.resolve()))
+        for folder in searched.split(":")
+        if folder
+    ]
+    return SharedObject(
+        path,
+        tuple(text for tag, text in texts if tag == DT_NEEDED),
+        tuple(Path(folder) for folder in folders),
+    )
 
 
 def _segments(data: bytes) -> list[Segment]:
@@ -78,7 +87,7 @@
 
 def _dynamic_entries(data: bytes, segments: list[Segment]) -> list[tuple[int, int]]:
     dynamic = next(segment for segment in segments if segment.kind == PT_DYNAMIC)
-    section = data[dynamic.offset:dynamic.offset + dynamic.file_size]
+    section = data[dynamic.offset : dynamic.offset + dynamic.file_size]
     entries = []
     for tag, value in DYNAMIC_ENTRY.iter_unpack(section):
         if tag == DT_NULL:
@@ -88,10 +97,13 @@
 
 
 def _file_offset(segments: list[Segment], address: int) -> int:
-    loaded = next(segment for segment in segments if segment.kind == PT_LOAD
-                  and segment.address <= address < segment.address + segment.file_size)
+    loaded = next(
+        segment
+        for segment in segments
+        if segment.kind == PT_LOAD and segment.address <= address < segment.address + segment.file_size
+    )
     return address - loaded.address + loaded.offset
 
 
 def _text(data: bytes, offset: int) -> str:
-    return data[offset:data.index(b"\0", offset)].decode()
+    return data[offset : data.index(b"\0", offset)].decode()
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -31,9 +31,18 @@
 def settings(**changes: Any) -> dict[str, Any]:
     classes = [job_class("proof", "idempotent", 10.0), job_class("release", "at_most_once", 25.0)]
     return {
-        "requestClasses": changes.pop("classes", classes), "nInstances": 1, "areas": ["a"], "shapes": ["m"],
-        "allowed": {"cancel": True, "maxAttempts": 3, "dialTimeout": 0.25, "idleClose": 15.0,
-                    "retryAfter": True, "maxRetryAfter": 2.0},
+        "requestClasses": changes.pop("classes", classes),
+        "nInstances": 1,
+        "areas": ["a"],
+        "shapes": ["m"],
+        "allowed": {
+            "cancel": True,
+            "maxAttempts": 3,
+            "dialTimeout": 0.25,
+            "idleClose": 15.0,
+            "retryAfter": True,
+            "maxRetryAfter": 2.0,
+        },
         "familyInfo": {"tellsStart": True, "classStretch": [2.0, 2.0]},
         "obligations": {"coldFrom": 0.2, "warmUp": 20.0, "drainGrace": 1.0, "tipMultiple": 2.5, "fall": 3.0},
         "report": {"via": "piggyback", "fields": ["fail_rate", "q", "x0"]},
@@ -123,8 +132,16 @@
     def tell(self, box: str, state: str = "SERVING", addr: str = "") -> None:
         with self.changed:
             self.version += 1
-            self.boxes[box] = {"id": box, "addr": addr, "zone": "a", "kind": "m", "cell": 0, "state": state,
-                               "weight": 1.0, "started_ms": 0}
+            self.boxes[box] = {
+                "id": box,
+                "addr": addr,
+                "zone": "a",
+                "kind": "m",
+                "cell": 0,
+                "state": state,
+                "weight": 1.0,
+                "started_ms": 0,
+            }
             self.changed.notify_all()
 
 
@@ -216,12 +233,27 @@
 class Program:
     """The real program as a process; its addresses are read from its log."""
 
-    def __init__(self, folder: Path, discovery: str, fronts: bool = False,
-                 accept: socket.socket | None = None, room: str | None = None, before: str = "",
-                 shell: str = "", environ: dict[str, str] | None = None, **changes: Any) -> None:
-        config = {"name": "t", "listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "discovery": discovery,
-                  "seed": "1", "limits": {"sockets": 1024},
-                  "settings": settings(**changes.pop("settings", {}))} | changes
+    def __init__(
+        self,
+        folder: Path,
+        discovery: str,
+        fronts: bool = False,
+        accept: socket.socket | None = None,
+        room: str | None = None,
+        before: str = "",
+        shell: str = "",
+        environ: dict[str, str] | None = None,
+        **changes: Any,
+    ) -> None:
+        config = {
+            "name": "t",
+            "listen": "127.0.0.1:0",
+            "admin": "127.0.0.1:0",
+            "discovery": discovery,
+            "seed": "1",
+            "limits": {"sockets": 1024},
+            "settings": settings(**changes.pop("settings", {})),
+        } | changes
         self.path, self.config = folder / "config.json", config
         self.path.write_text(json.dumps(config))
         command = [sys.executable, "-m", "larchgw"]
@@ -230,19 +262,29 @@
         if shell:  # in place of the above, as the platform does it
             command = ["/bin/sh", "-c", shell]
         if fronts:
-            (folder / "fronts.toml").write_text("".join(
-                f'[{name}]\nlisten = "127.0.0.1:0"\n' for name in ("gearman", "agent_check", "ops")))
+            (folder / "fronts.toml").write_text(
+                "".join(f'[{name}]\nlisten = "127.0.0.1:0"\n' for name in ("gearman", "agent_check", "ops"))
+            )
             command += ["--fronts", str(folder / "fronts.toml")]
         if room is not None:
             (folder / "room.toml").write_text(room)
             command += ["--room", str(folder / "room.toml")]
-        variables = {"PROXY_CONFIG": str(folder / "config.json"), "PYTHONDONTWRITEBYTECODE": "1",
-                     "TMPDIR": str(folder)}
+        variables = {
+            "PROXY_CONFIG": str(folder / "config.json"),
+            "PYTHONDONTWRITEBYTECODE": "1",
+            "TMPDIR": str(folder),
+        }
         inherited = [accept.fileno()] if accept else []  # the clients' listening socket, held by the platform
         if accept:
             variables["PROXY_ACCEPT_FD"] = str(accept.fileno())
-        self.process = subprocess.Popen(command, cwd=ROOT, text=True, stderr=subprocess.PIPE,
-                                        pass_fds=inherited, env=os.environ | variables | (environ or {}))
+        self.process = subprocess.Popen(
+            command,
+            cwd=ROOT,
+            text=True,
+            stderr=subprocess.PIPE,
+            pass_fds=inherited,
+            env=os.environ | variables | (environ or {}),
+        )
         self.lines: list[str] = []
         self._reader = threading.Thread(target=self._read, daemon=True)
         self._reader.start()
@@ -268,13 +310,15 @@
         host, port = line.split("listen=")[1].split()[0].rsplit(":", 1)
         return host, int(port)
 
-    def ask(self, method: str, path: str, body: bytes = b"", front: str = "platform",
-            **headers: str) -> tuple[int, bytes]:
+    def ask(
+        self, method: str, path: str, body: bytes = b"", front: str = "platform", **headers: str
+    ) -> tuple[int, bytes]:
         response, content = self.exchange(method, path, body, front, **headers)
         return response.status, content
 
-    def exchange(self, method: str, path: str, body: bytes = b"", front: str = "platform",
-                 **headers: str) -> tuple[HTTPResponse, bytes]:
+    def exchange(
+        self, method: str, path: str, body: bytes = b"", front: str = "platform", **headers: str
+    ) -> tuple[HTTPResponse, bytes]:
         connection = HTTPConnection(*self.address(front), timeout=PATIENCE)
         try:
             connection.request(method, path, body, {k.replace("_", "-"): v for k, v in headers.items()})
@@ -283,8 +327,9 @@
         finally:
             connection.close()
 
-    def job(self, name: str, body: bytes = b"", path: str = "/proof", key: str = "0",
-            wait: int = 10_000) -> tuple[int, bytes]:
+    def job(
+        self, name: str, body: bytes = b"", path: str = "/proof", key: str = "0", wait: int = 10_000
+    ) -> tuple[int, bytes]:
         return self.ask("POST", path, body, X_Request_Id=name, X_Key=key, X_Deadline_Ms=str(wait))
 
     def call(self, path: str, method: str = "GET") -> int:
--- a/tests/system_runners.py
+++ b/tests/system_runners.py
@@ -50,8 +50,9 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def send(self, target: str = "/ask/1", id: str = "id1", body: bytes = b"", method: str = "POST",
-             **headers: str) -> None:
+    def send(
+        self, target: str = "/ask/1", id: str = "id1", body: bytes = b"", method: str = "POST", **headers: str
+    ) -> None:
         """A request; names of headers with _ for -."""
         fields = {"X-Attempt-Id": id} if id else {}
         fields |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -83,8 +84,9 @@
             await self.reader.readexactly(2)
         reply.whole = True
 
-    async def ask(self, target: str = "/ask/1", id: str = "id1", body: bytes = b"", method: str = "POST",
-                  **headers: str) -> Reply:
+    async def ask(
+        self, target: str = "/ask/1", id: str = "id1", body: bytes = b"", method: str = "POST", **headers: str
+    ) -> Reply:
         """A request and its answer."""
         self.send(target, id, body, method, **headers)
         return await self.reply()
@@ -97,14 +99,22 @@
 
 def plain(records: Records, slots: int = 2, **more: Any) -> PlainRunner:
     """A runner without models."""
-    return PlainRunner(Described("lookup", free_address(), "a", slots), RealTime(), records, random.Random(1),
-                       **more)
+    return PlainRunner(
+        Described("lookup", free_address(), "a", slots), RealTime(), records, random.Random(1), **more
+    )
 
 
 def engine(records: Records, *held: str, memory_mb: float = 250.0) -> EngineRunner:
     """A runner of models that holds these."""
-    runner = EngineRunner(Described("lm", free_address(), "a", 24), RealTime(), records, random.Random(1),
-                          MODELS, WeightStore(3), memory_mb)
+    runner = EngineRunner(
+        Described("lm", free_address(), "a", 24),
+        RealTime(),
+        records,
+        random.Random(1),
+        MODELS,
+        WeightStore(3),
+        memory_mb,
+    )
     runner.preload(list(held))
     return runner
 
@@ -158,7 +168,8 @@
         assert request.connection is not None
         line = ResponseStartLine("HTTP/1.1", status, "Scripted")
         request.connection.write_headers(
-            line, HTTPHeaders({"Content-Length": str(len(body)), **headers}), body)
+            line, HTTPHeaders({"Content-Length": str(len(body)), **headers}), body
+        )
         request.connection.finish()
 
 
--- a/tests/test_asyncloop.py
+++ b/tests/test_asyncloop.py
@@ -85,7 +85,8 @@
 
 
 def test_one_callback_that_fails_ends_neither_the_sweep_nor_the_loop(
-        caplog: pytest.LogCaptureFixture) -> None:
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def test(loop: AsyncLoop) -> None:
         loop.counters = Counters()
         done = asyncio.Event()
--- a/tests/test_calls_page.py
+++ b/tests/test_calls_page.py
@@ -7,8 +7,11 @@
 from stand_ins import ROOT
 
 PAGE = (ROOT / "docs/calls.md").read_text()
-ROWS = [row.strip("| ").split(" | ") for row in re.findall(r"^\|.+\|$", PAGE, re.MULTILINE)
-        if not row.startswith(("| ---", "| what happens"))]
+ROWS = [
+    row.strip("| ").split(" | ")
+    for row in re.findall(r"^\|.+\|$", PAGE, re.MULTILINE)
+    if not row.startswith(("| ---", "| what happens"))
+]
 
 
 def test_every_row_names_modules_and_tests_that_exist() -> None:
--- a/tests/test_checkins_explore.py
+++ b/tests/test_checkins_explore.py
@@ -26,15 +26,17 @@
     assert first.states == second.states
 
 
-def test_the_last_line_tells_what_was_explored(capsys: pytest.CaptureFixture[str],
-                                               monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_last_line_tells_what_was_explored(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(explore, "MUTANTS", ())
     assert explore.main(0.5, 1) == 0
     assert capsys.readouterr().out.splitlines()[-1].startswith("explore: states=")
 
 
-def test_a_missed_mistake_is_named_and_fails_the_run(capsys: pytest.CaptureFixture[str],
-                                                     monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missed_mistake_is_named_and_fails_the_run(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     harmless = Mutant("changes nothing", "course", 0, explore.World, "_configure", lambda original: original)
     monkeypatch.setattr(explore, "MUTANTS", (harmless,))
     assert explore.main(0.1, 1) == 1
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,20 +14,33 @@
 
 
 def larchgw(*arguments: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "larchgw", *arguments], cwd=ROOT, text=True,
-                          capture_output=True, timeout=3 * PATIENCE)
+    return subprocess.run(
+        [sys.executable, "-m", "larchgw", *arguments],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=3 * PATIENCE,
+    )
 
 
 def test_check_names_every_fault_of_a_file_and_the_nearest_known_name(tmp_path: Path) -> None:
     path = tmp_path / "bad.toml"
-    path.write_text('[gearman]\nlistn = "127.0.0.1:1"\nremember_s = "long"\n[rom]\n[room]\nbox_share = 0.5\n'
-                    "sample = 1.5\n[ops]\nlisten = 'nowhere'\n")
+    path.write_text(
+        '[gearman]\nlistn = "127.0.0.1:1"\nremember_s = "long"\n[rom]\n[room]\nbox_share = 0.5\n'
+        "sample = 1.5\n[ops]\nlisten = 'nowhere'\n"
+    )
     done = larchgw("check", str(path))
     lines = done.stdout.splitlines()
     assert done.returncode == 2 and all(line.startswith(f"{path}: ") for line in lines)
-    for field, word in (("gearman.listn", "listen?"), ("gearman.remember_s", "float"),
-                        ("gearman.listen", "missing"), ("rom", "room?"), ("room.box_share", "boxes_share?"),
-                        ("room.sample", "int"), ("ops.listen", "host:port")):
+    for field, word in (
+        ("gearman.listn", "listen?"),
+        ("gearman.remember_s", "float"),
+        ("gearman.listen", "missing"),
+        ("rom", "room?"),
+        ("room.box_share", "boxes_share?"),
+        ("room.sample", "int"),
+        ("ops.listen", "host:port"),
+    ):
         assert any(f": {field}: " in line and word in line for line in lines), field
 
 
@@ -41,9 +54,18 @@
     assert done.returncode == 2 and ": seed: " in done.stdout
 
 
-@pytest.mark.parametrize("text, field", [
-    ("boxes_share = 0", "boxes_share"), ("certainty = 1.5", "certainty"), ("smallest = 1", "smallest"),
-    ("margin = -1", "margin"), ("most = 0", "most"), ("favour = 0", "favour"), ("replan = 0", "replan")])
+@pytest.mark.parametrize(
+    "text, field",
+    [
+        ("boxes_share = 0", "boxes_share"),
+        ("certainty = 1.5", "certainty"),
+        ("smallest = 1", "smallest"),
+        ("margin = -1", "margin"),
+        ("most = 0", "most"),
+        ("favour = 0", "favour"),
+        ("replan = 0", "replan"),
+    ],
+)
 def test_a_figure_out_of_range_is_named(tmp_path: Path, text: str, field: str) -> None:
     path = tmp_path / "room.toml"
     path.write_text(f"[room]\n{text}\n")
@@ -53,9 +75,15 @@
     assert load_room(path).smallest == 2.0
 
 
-@pytest.mark.parametrize("arguments, word", [
-    (["nosuch"], "nosuch"), (["serve", "--room", "/nowhere.toml"], "/nowhere.toml"),
-    (["lab", "nosuch"], "nosuch"), (["--room", "x.toml", "check", "x.toml"], "--room")])
+@pytest.mark.parametrize(
+    "arguments, word",
+    [
+        (["nosuch"], "nosuch"),
+        (["serve", "--room", "/nowhere.toml"], "/nowhere.toml"),
+        (["lab", "nosuch"], "nosuch"),
+        (["--room", "x.toml", "check", "x.toml"], "--room"),
+    ],
+)
 def test_a_wrong_call_is_one_line_and_status_2(arguments: list[str], word: str) -> None:
     done = larchgw(*arguments)
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and word in done.stderr
@@ -69,8 +97,9 @@
 
 
 def test_the_room_experiment_ends_with_its_line_of_figures(tmp_path: Path) -> None:
-    done = larchgw("lab", "room", "--seeds", "1", "--seconds", "2", "--jobs", "2", "--json",
-                   str(tmp_path / "r.json"))
+    done = larchgw(
+        "lab", "room", "--seeds", "1", "--seconds", "2", "--jobs", "2", "--json", str(tmp_path / "r.json")
+    )
     last = done.stdout.splitlines()[-1]
     assert done.returncode == 0 and last.startswith("room: ratio=") and "starved=" in last
     assert json.loads((tmp_path / "r.json").read_text())["figures"]["rules"] == 0
--- a/tests/test_cli_system.py
+++ b/tests/test_cli_system.py
@@ -21,9 +21,17 @@
 from larchgw.cli.main import call
 
 SETTINGS: dict[str, Any] = {
-    "node_name": "core-1", "ip": "10.1.0.37", "zone": "a", "serves": ["control"],
-    "listen": {"control": "10.1.0.37:8146"}, "spare_ports": [7660, 7675], "seed_list": ["10.1.0.37:8146"],
-    "data_dir": "/data", "time_limits": {"ack_ms": 4000, "fenced": True}, "later": ""}
+    "node_name": "core-1",
+    "ip": "10.1.0.37",
+    "zone": "a",
+    "serves": ["control"],
+    "listen": {"control": "10.1.0.37:8146"},
+    "spare_ports": [7660, 7675],
+    "seed_list": ["10.1.0.37:8146"],
+    "data_dir": "/data",
+    "time_limits": {"ack_ms": 4000, "fenced": True},
+    "later": "",
+}
 
 # Runs a role whose module is a stand-in that tells what is loaded and whether a SIGHUP would end the process.
 ROLE = """
@@ -54,12 +62,22 @@
 
 @pytest.mark.parametrize("role", ["edge", "control"])
 def test_a_role_starts_without_the_command_line_and_a_sighup_cannot_end_it(role: str) -> None:
-    done = subprocess.run([sys.executable, "-c", ROLE, role], cwd=ROOT, text=True, capture_output=True,
-                          timeout=3 * PATIENCE)
+    done = subprocess.run(
+        [sys.executable, "-c", ROLE, role], cwd=ROOT, text=True, capture_output=True, timeout=3 * PATIENCE
+    )
     told = json.loads(done.stdout)
     assert done.returncode == 7 and told["ignored"]
-    heavy = {"click", "fire", "rich", "msgspec", "larchgw.cli", "larchgw.lab", "larchgw.emulator",
-             "larchgw.choice", "larchgw.daemon"}
+    heavy = {
+        "click",
+        "fire",
+        "rich",
+        "msgspec",
+        "larchgw.cli",
+        "larchgw.lab",
+        "larchgw.emulator",
+        "larchgw.choice",
+        "larchgw.daemon",
+    }
     assert not heavy & set(told["loaded"])
     assert set(told["before"]) - {"runpy", "pkgutil"} == {"larchgw", "larchgw.__main__"}
 
@@ -70,16 +88,33 @@
     assert (call(["edge"]), call(["control"]), called) == (3, 3, ["edge", "control"])
 
 
-@pytest.mark.parametrize("arguments, word", [
-    (["serve", "x.toml"], "x.toml"), (["serve", "--rom", "x"], "--rom"), (["serve", "--room"], "--room"),
-    (["serve", "__doc__"], "__doc__"), (["edge", "x"], "x"), (["control", "--port", "1"], "--port"),
-    (["lab", "room", "--sed", "3"], "--sed"), (["lab", "room", "room"], "room"), (["lab"], "name"),
-    (["lab", "room", "--seeds", "0"], "--seeds"), (["lab", "room", "--seeds", "x"], "--seeds"),
-    (["lab", "room", "--seconds", "nan"], "--seconds"), (["lab", "room", "--json", "/"], "--json"),
-    (["try", "--load", "3"], "--load"), (["try", "--boxes", "201"], "--boxes"),
-    (["try", "--plain=1"], "--plain"), (["try", "--room", "/nowhere.toml"], "/nowhere.toml"),
-    (["check"], "file"), (["settings"], "file"),
-    (["settings", "a", "b"], "b"), (["--port", "1"], "--port"), (["--room", "check", "check", "x"], "check")])
+@pytest.mark.parametrize(
+    "arguments, word",
+    [
+        (["serve", "x.toml"], "x.toml"),
+        (["serve", "--rom", "x"], "--rom"),
+        (["serve", "--room"], "--room"),
+        (["serve", "__doc__"], "__doc__"),
+        (["edge", "x"], "x"),
+        (["control", "--port", "1"], "--port"),
+        (["lab", "room", "--sed", "3"], "--sed"),
+        (["lab", "room", "room"], "room"),
+        (["lab"], "name"),
+        (["lab", "room", "--seeds", "0"], "--seeds"),
+        (["lab", "room", "--seeds", "x"], "--seeds"),
+        (["lab", "room", "--seconds", "nan"], "--seconds"),
+        (["lab", "room", "--json", "/"], "--json"),
+        (["try", "--load", "3"], "--load"),
+        (["try", "--boxes", "201"], "--boxes"),
+        (["try", "--plain=1"], "--plain"),
+        (["try", "--room", "/nowhere.toml"], "/nowhere.toml"),
+        (["check"], "file"),
+        (["settings"], "file"),
+        (["settings", "a", "b"], "b"),
+        (["--port", "1"], "--port"),
+        (["--room", "check", "check", "x"], "check"),
+    ],
+)
 def test_a_wrong_call_does_no_work(arguments: list[str], word: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def work(*_: object) -> int:
         raise AssertionError("it has begun")
@@ -107,8 +142,9 @@
     from larchgw.lab.results import Options, Result
 
     seen: list[Options] = []
-    monkeypatch.setitem(EXPERIMENTS, "mass", lambda options: seen.append(options) or Result(
-        "mass", figures={"rules": 1.0}))
+    monkeypatch.setitem(
+        EXPERIMENTS, "mass", lambda options: seen.append(options) or Result("mass", figures={"rules": 1.0})
+    )
     assert call(["lab", "mass", "--seed", "4", "--seeds=2", "--seconds", "3.5", "--jobs", "2"]) == 1
     assert seen == [Options(4, 2, 3.5, 2)]
 
@@ -121,20 +157,25 @@
 
 
 def test_check_names_faulty_items_of_an_operators_configuration(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     raw = with_value(with_value(EXAMPLE, "routes.0.kind", "batch"), "routes.2.deadline_ms", 0)
     path = write(tmp_path / "c.json", raw)
     assert call(["check", path]) == 2
     lines = capsys.readouterr().out.splitlines()
     assert [line.split(": ")[:2] for line in lines] == [
-        [path, "routes[0].kind"], [path, "routes[2].deadline_ms"]]
+        [path, "routes[0].kind"],
+        [path, "routes[2].deadline_ms"],
+    ]
     assert call(["check", write(tmp_path / "c.json", example())]) == 0
 
 
-@pytest.mark.parametrize("order", [["--configuration", "FILE"], ["FILE", "--configuration"],
-                                   ["--configuration=FILE"]])
+@pytest.mark.parametrize(
+    "order", [["--configuration", "FILE"], ["FILE", "--configuration"], ["--configuration=FILE"]]
+)
 def test_a_file_without_a_known_field_is_a_configuration_if_the_call_says_so(
-        order: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    order: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = write(tmp_path / "anything", {})
     assert call(["check", *(word.replace("FILE", path) for word in order)]) == 2
     assert f"{path}: config_version: is missing" in capsys.readouterr().out
@@ -143,7 +184,8 @@
 def test_a_file_that_cannot_be_read_is_named(tmp_path: Path) -> None:
     missing = tmp_path / "none.json"
     assert [str(fault) for fault in faults_of(missing, True)] == [
-        f"{missing}: cannot read it: No such file or directory"]
+        f"{missing}: cannot read it: No such file or directory"
+    ]
     assert faults_of(missing) and faults_of(tmp_path / "none.toml")
 
 
@@ -157,7 +199,8 @@
 
 
 def test_a_file_whose_name_reads_like_a_number_is_still_a_file(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     monkeypatch.chdir(tmp_path)
     assert call(["check", "1e3"]) == 2 and capsys.readouterr().out.startswith("1e3: ")
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -35,33 +35,85 @@
 
 
 WRONG: list[tuple[str, Any]] = [
-    ("config_version", ...), ("config_version", 0), ("config_version", -3), ("config_version", True),
-    ("config_version", "7"), ("config_version", 7.5), ("config_version", 10**30), ("config_version", None),
-    ("routes", ...), ("routes", {}), ("routes", None), ("routes.0", "r"), ("services", ...), ("services", 3),
-    ("services.0", []), ("limits", []), ("limits.idle_ms", 0), ("limits.header_bytes", -1),
+    ("config_version", ...),
+    ("config_version", 0),
+    ("config_version", -3),
+    ("config_version", True),
+    ("config_version", "7"),
+    ("config_version", 7.5),
+    ("config_version", 10**30),
+    ("config_version", None),
+    ("routes", ...),
+    ("routes", {}),
+    ("routes", None),
+    ("routes.0", "r"),
+    ("services", ...),
+    ("services", 3),
+    ("services.0", []),
+    ("limits", []),
+    ("limits.idle_ms", 0),
+    ("limits.header_bytes", -1),
     ("limits.body_bytes", "many"),
-    ("routes.0.name", ...), ("routes.0.name", ""), ("routes.0.name", 3), ("routes.1.name", "r-plan"),
-    ("routes.0.hostname", ...), ("routes.0.hostname", ""), ("routes.0.hostname", ["a"]),
-    ("routes.0.path_start", ...), ("routes.0.path_start", "plan/"), ("routes.0.path_start", "/plan"),
-    ("routes.0.path_start", ""), ("routes.1.path_start", "/plan/"),
-    ("routes.0.kind", ...), ("routes.0.kind", "batch"), ("routes.0.kind", 1),
-    ("routes.0.deadline_ms", ...), ("routes.0.deadline_ms", 0), ("routes.0.deadline_ms", 0.0),
-    ("routes.0.deadline_ms", -5), ("routes.0.deadline_ms", True), ("routes.0.deadline_ms", "5000"),
-    ("routes.0.deadline_ms", 1e300), ("routes.0.target_ms", -1), ("routes.0.target_ms", [1]),
-    ("routes.0.rank", -1), ("routes.0.rank", 0.5), ("routes.0.rank", False), ("routes.0.tries", 0),
-    ("routes.0.tries", -1), ("routes.0.pinned", 1), ("routes.0.pinned", "yes"), ("routes.0.can_resume", 0),
+    ("routes.0.name", ...),
+    ("routes.0.name", ""),
+    ("routes.0.name", 3),
+    ("routes.1.name", "r-plan"),
+    ("routes.0.hostname", ...),
+    ("routes.0.hostname", ""),
+    ("routes.0.hostname", ["a"]),
+    ("routes.0.path_start", ...),
+    ("routes.0.path_start", "plan/"),
+    ("routes.0.path_start", "/plan"),
+    ("routes.0.path_start", ""),
+    ("routes.1.path_start", "/plan/"),
+    ("routes.0.kind", ...),
+    ("routes.0.kind", "batch"),
+    ("routes.0.kind", 1),
+    ("routes.0.deadline_ms", ...),
+    ("routes.0.deadline_ms", 0),
+    ("routes.0.deadline_ms", 0.0),
+    ("routes.0.deadline_ms", -5),
+    ("routes.0.deadline_ms", True),
+    ("routes.0.deadline_ms", "5000"),
+    ("routes.0.deadline_ms", 1e300),
+    ("routes.0.target_ms", -1),
+    ("routes.0.target_ms", [1]),
+    ("routes.0.rank", -1),
+    ("routes.0.rank", 0.5),
+    ("routes.0.rank", False),
+    ("routes.0.tries", 0),
+    ("routes.0.tries", -1),
+    ("routes.0.pinned", 1),
+    ("routes.0.pinned", "yes"),
+    ("routes.0.can_resume", 0),
     ("routes.0.gap_aim_ms", -0.5),
-    ("routes.0.service", ...), ("routes.0.service", ""), ("routes.0.service", "nobody"),
-    ("routes.0.service", 5), ("routes.1.service", "nobody"),
-    ("routes.1.shares", []), ("routes.1.shares", "models"), ("routes.1.shares.0", "models"),
-    ("routes.1.shares.0.service", "nobody"), ("routes.1.shares.0.service", ...),
-    ("routes.1.shares.0.weight", -1), ("routes.1.shares.0.weight", True), ("routes.1.shares.0.weight", ...),
+    ("routes.0.service", ...),
+    ("routes.0.service", ""),
+    ("routes.0.service", "nobody"),
+    ("routes.0.service", 5),
+    ("routes.1.service", "nobody"),
+    ("routes.1.shares", []),
+    ("routes.1.shares", "models"),
+    ("routes.1.shares.0", "models"),
+    ("routes.1.shares.0.service", "nobody"),
+    ("routes.1.shares.0.service", ...),
+    ("routes.1.shares.0.weight", -1),
+    ("routes.1.shares.0.weight", True),
+    ("routes.1.shares.0.weight", ...),
     ("routes.1.shares", [{"service": "models", "weight": 0}, {"service": "lookups", "weight": 0.0}]),
-    ("services.0.name", ...), ("services.0.name", ""), ("services.1.name", "models"),
-    ("services.0.max_conns", -1), ("services.0.max_conns", "many"), ("services.0.uses_tls", "no"),
-    ("services.0.runtime", []), ("services.0.runtime.slots", 0.5), ("services.0.runtime.models", {"m1": {}}),
-    ("services.0.runtime.models.0.name", ...), ("services.0.runtime.models.1.name", "m1"),
-    ("services.0.runtime.models.0.weights_mb", -1), ("services.0.runtime.models.0.adapters", "a1"),
+    ("services.0.name", ...),
+    ("services.0.name", ""),
+    ("services.1.name", "models"),
+    ("services.0.max_conns", -1),
+    ("services.0.max_conns", "many"),
+    ("services.0.uses_tls", "no"),
+    ("services.0.runtime", []),
+    ("services.0.runtime.slots", 0.5),
+    ("services.0.runtime.models", {"m1": {}}),
+    ("services.0.runtime.models.0.name", ...),
+    ("services.0.runtime.models.1.name", "m1"),
+    ("services.0.runtime.models.0.weights_mb", -1),
+    ("services.0.runtime.models.0.adapters", "a1"),
     ("services.0.runtime.loads_per_s", True),
 ]
 
@@ -75,23 +127,53 @@
     assert caught.value.status == 400 and caught.value.remedy and str(caught.value).startswith(named)
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"", b"[]", b"null", b"7", b"{", b'{"config_version":1', body(EXAMPLE)[:-1], body(EXAMPLE)[:400],
-    body(EXAMPLE) + b"}", b"\xff\xfe{}", body(EXAMPLE).replace(b"15000", b"NaN"),
-    body(EXAMPLE).replace(b"15000", b"-Infinity"), body(EXAMPLE).replace(b"15000", b"1e999"),
-    body(EXAMPLE).replace(b'"rank": 0', b'"rank": 0, "rank": 1'), b'{"a":' * 200000,
-    body(EXAMPLE).replace(b"15000", b"9" * 5000), body(EXAMPLE).replace(b'"r-plan"', b'"\\ud800"')])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"",
+        b"[]",
+        b"null",
+        b"7",
+        b"{",
+        b'{"config_version":1',
+        body(EXAMPLE)[:-1],
+        body(EXAMPLE)[:400],
+        body(EXAMPLE) + b"}",
+        b"\xff\xfe{}",
+        body(EXAMPLE).replace(b"15000", b"NaN"),
+        body(EXAMPLE).replace(b"15000", b"-Infinity"),
+        body(EXAMPLE).replace(b"15000", b"1e999"),
+        body(EXAMPLE).replace(b'"rank": 0', b'"rank": 0, "rank": 1'),
+        b'{"a":' * 200000,
+        body(EXAMPLE).replace(b"15000", b"9" * 5000),
+        body(EXAMPLE).replace(b'"r-plan"', b'"\\ud800"'),
+    ],
+)
 def test_a_body_that_cannot_be_read_whole_is_refused(spoilt: bytes) -> None:
     with pytest.raises(MalformedConfiguration):
         parse(decode(spoilt))
 
 
-@pytest.mark.parametrize("path, value", [
-    ("routes.0.target_ms", None), ("routes.0.shares", []), ("routes.0.shares", None), ("limits", ...),
-    ("routes.1.shares.0.weight", 0), ("routes.0.deadline_ms", 0.25), ("routes.0.tries", 2.0),
-    ("routes.0.path_start", "/"), ("routes.1.hostname", "other.example"), ("routes.0.target_ms", 99999),
-    ("services.0.runtime", None), ("services.0.runtime.models", []), ("services.0.health_path", ...),
-    ("routes", []), ("routes.1.service", "models")])
+@pytest.mark.parametrize(
+    "path, value",
+    [
+        ("routes.0.target_ms", None),
+        ("routes.0.shares", []),
+        ("routes.0.shares", None),
+        ("limits", ...),
+        ("routes.1.shares.0.weight", 0),
+        ("routes.0.deadline_ms", 0.25),
+        ("routes.0.tries", 2.0),
+        ("routes.0.path_start", "/"),
+        ("routes.1.hostname", "other.example"),
+        ("routes.0.target_ms", 99999),
+        ("services.0.runtime", None),
+        ("services.0.runtime.models", []),
+        ("services.0.health_path", ...),
+        ("routes", []),
+        ("routes.1.service", "models"),
+    ],
+)
 def test_what_the_protocol_allows_is_not_refused(path: str, value: object) -> None:
     assert parse(decode(body(with_value(EXAMPLE, path, value)))).config_version == 7
 
@@ -110,8 +192,12 @@
     configuration, faults = examine(raw)
     assert configuration is None
     assert [fault.field for fault in faults] == [
-        "routes[0].kind", "routes[0].tries", "routes[2].name", "routes[2].hostname",
-        "routes[1].shares[1].service"]
+        "routes[0].kind",
+        "routes[0].tries",
+        "routes[2].name",
+        "routes[2].hostname",
+        "routes[1].shares[1].service",
+    ]
 
 
 def test_routes_are_not_called_strangers_while_the_services_cannot_be_read() -> None:
@@ -127,9 +213,16 @@
         parse(with_value(EXAMPLE, "routes.0.rank", False), known)
 
 
-@pytest.mark.parametrize("spoilt", [b"{", b"\xff", body(with_value(EXAMPLE, "routes.0.name", ["r-plan"])),
-                                    body(with_value(EXAMPLE, "routes.0", "r-plan")),
-                                    body(with_value(EXAMPLE, "routes.0.tries", 0))])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"{",
+        b"\xff",
+        body(with_value(EXAMPLE, "routes.0.name", ["r-plan"])),
+        body(with_value(EXAMPLE, "routes.0", "r-plan")),
+        body(with_value(EXAMPLE, "routes.0.tries", 0)),
+    ],
+)
 def test_a_committed_configuration_that_is_damaged_is_not_put_in_force(spoilt: bytes) -> None:
     with pytest.raises(ConfigurationError):
         parse_committed(spoilt, parse(EXAMPLE))
@@ -137,7 +230,8 @@
 
 @given(configurations(), configurations())
 def test_what_is_known_before_does_not_change_what_a_committed_configuration_says(
-        before: dict[str, Any], raw: dict[str, Any]) -> None:
+    before: dict[str, Any], raw: dict[str, Any]
+) -> None:
     assert parse_committed(body(raw), parse(before)) == parse(raw) == parse_committed(body(raw), None)
 
 
@@ -145,7 +239,10 @@
     known = parse(EXAMPLE)
     changed = parse_committed(body(with_value(EXAMPLE, "routes.1.rank", 3)), known)
     assert [route is before for route, before in zip(changed.routes, known.routes, strict=True)] == [
-        True, False, True]
+        True,
+        False,
+        True,
+    ]
     assert changed.routes[1].rank == 3
 
 
@@ -154,7 +251,8 @@
     changed = parse_committed(body(with_value(EXAMPLE, "services.0.max_conns", 7)), known)
     assert changed.services[0].max_conns == 7
     assert changed.services[1:] and all(
-        service is before for service, before in zip(changed.services[1:], known.services[1:], strict=True))
+        service is before for service, before in zip(changed.services[1:], known.services[1:], strict=True)
+    )
 
 
 @settings(max_examples=80)
@@ -169,7 +267,7 @@
 def test_a_body_that_is_cut_short_anywhere_is_refused(raw: dict[str, Any], data: st.DataObject) -> None:
     whole = body(raw)
     with pytest.raises(MalformedConfiguration):
-        parse(decode(whole[:data.draw(st.integers(0, len(whole) - 1))]))
+        parse(decode(whole[: data.draw(st.integers(0, len(whole) - 1))]))
 
 
 @given(configurations(), st.sampled_from(["routes", "services"]), st.data())
@@ -183,11 +281,26 @@
 
 
 @settings(max_examples=60)
-@given(configurations(), st.data(), st.sampled_from(
-    [("kind", "x"), ("deadline_ms", 0), ("deadline_ms", True), ("path_start", "/x"), ("service", "no such"),
-     ("tries", 0), ("pinned", "no"), ("hostname", 3), ("shares", [{"weight": 0}])]))
+@given(
+    configurations(),
+    st.data(),
+    st.sampled_from(
+        [
+            ("kind", "x"),
+            ("deadline_ms", 0),
+            ("deadline_ms", True),
+            ("path_start", "/x"),
+            ("service", "no such"),
+            ("tries", 0),
+            ("pinned", "no"),
+            ("hostname", 3),
+            ("shares", [{"weight": 0}]),
+        ]
+    ),
+)
 def test_one_spoilt_route_among_many_is_always_refused(
-        raw: dict[str, Any], data: st.DataObject, spoil: tuple[str, object]) -> None:
+    raw: dict[str, Any], data: st.DataObject, spoil: tuple[str, object]
+) -> None:
     if not raw["routes"]:
         return
     data.draw(st.sampled_from(raw["routes"]))[spoil[0]] = spoil[1]
@@ -202,9 +315,13 @@
     assert quick == whole
 
 
-@given(st.recursive(st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
-                    lambda inner: st.lists(inner) | st.dictionaries(
-                        st.sampled_from(["config_version", "routes", "services", "limits", "name"]), inner)))
+@given(
+    st.recursive(
+        st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
+        lambda inner: st.lists(inner)
+        | st.dictionaries(st.sampled_from(["config_version", "routes", "services", "limits", "name"]), inner),
+    )
+)
 def test_no_json_at_all_breaks_the_reader(value: object) -> None:
     try:
         parse(decode(json.dumps(value).encode()))
--- a/tests/test_configuration_change.py
+++ b/tests/test_configuration_change.py
@@ -21,8 +21,14 @@
 from larchgw.configuration.validation import MOST_NESTED, parse
 
 CURRENT = parse(EXAMPLE)
-ADDED = {"name": "r-new", "hostname": "desk.example", "path_start": "/new/", "kind": "writing",
-         "deadline_ms": 100, "service": "lookups"}
+ADDED = {
+    "name": "r-new",
+    "hostname": "desk.example",
+    "path_start": "/new/",
+    "kind": "writing",
+    "deadline_ms": 100,
+    "service": "lookups",
+}
 
 
 def change(**fields: Any) -> bytes:
@@ -62,8 +68,12 @@
 
 
 def test_a_removed_route_may_be_added_anew_in_the_same_change() -> None:
-    wanted = evaluate(CURRENT, CHANGE, 7, change(add={"routes": [ADDED | {"name": "r-plan"}]},
-                                                 remove={"routes": ["r-plan"]}))
+    wanted = evaluate(
+        CURRENT,
+        CHANGE,
+        7,
+        change(add={"routes": [ADDED | {"name": "r-plan"}]}, remove={"routes": ["r-plan"]}),
+    )
     assert [route.path_start for route in wanted.routes] == ["/note/", "/level/", "/new/"]
 
 
@@ -73,14 +83,26 @@
         assert (limits.idle_ms, limits.header_ms) == (1.0, 3000.0)
 
 
-@pytest.mark.parametrize("fields", [
-    {"remove": {"services": ["models"]}}, {"add": {"routes": [ADDED | {"service": "nobody"}]}},
-    {"add": {"routes": [ADDED | {"path_start": "/plan/"}]}},
-    {"add": {"routes": [ADDED | {"deadline_ms": 0}]}},
-    {"add": {"routes": [ADDED, ADDED]}}, {"add": {"routes": ADDED}}, {"add": {"routes": ["r"]}},
-    {"add": {"routes": [{"hostname": "a"}]}}, {"add": []}, {"remove": ["routes"]},
-    {"remove": {"routes": "r-plan"}}, {"remove": {"routes": [3]}}, {"remove": {"limits": ["idle_ms"]}},
-    {"config_version": None}, {"limits": 3}])
+@pytest.mark.parametrize(
+    "fields",
+    [
+        {"remove": {"services": ["models"]}},
+        {"add": {"routes": [ADDED | {"service": "nobody"}]}},
+        {"add": {"routes": [ADDED | {"path_start": "/plan/"}]}},
+        {"add": {"routes": [ADDED | {"deadline_ms": 0}]}},
+        {"add": {"routes": [ADDED, ADDED]}},
+        {"add": {"routes": ADDED}},
+        {"add": {"routes": ["r"]}},
+        {"add": {"routes": [{"hostname": "a"}]}},
+        {"add": []},
+        {"remove": ["routes"]},
+        {"remove": {"routes": "r-plan"}},
+        {"remove": {"routes": [3]}},
+        {"remove": {"limits": ["idle_ms"]}},
+        {"config_version": None},
+        {"limits": 3},
+    ],
+)
 def test_a_change_that_leads_to_an_invalid_whole_is_refused(fields: dict[str, Any]) -> None:
     with pytest.raises(ConfigurationError):
         evaluate(CURRENT, CHANGE, 7, change(**fields))
@@ -110,8 +132,11 @@
     services = [service["name"] for service in raw["services"]]
     gone = data.draw(st.lists(st.sampled_from([r["name"] for r in raw["routes"]] or ["r-none"]), unique=True))
     route = data.draw(routes_of(services)) | {"name": "r-added", "hostname": "added.example"}
-    order = {"config_version": raw["config_version"] + 2, "add": {"routes": [route]},
-             "remove": {"routes": gone}}
+    order = {
+        "config_version": raw["config_version"] + 2,
+        "add": {"routes": [route]},
+        "remove": {"routes": gone},
+    }
     wanted = evaluate(parse(raw), CHANGE, raw["config_version"], body(order))
     by_name = {r["name"]: r for r in before["routes"] if r["name"] not in gone} | {"r-added": route}
     read_back = json.loads(canonical(wanted.raw))
--- a/tests/test_configuration_routing.py
+++ b/tests/test_configuration_routing.py
@@ -16,16 +16,34 @@
 
 def table(*places: tuple[str, str]) -> RouteTable:
     template = example()["routes"][2]
-    routes = [template | {"name": f"{host}{start}", "hostname": host, "path_start": start}
-              for host, start in places]
+    routes = [
+        template | {"name": f"{host}{start}", "hostname": host, "path_start": start} for host, start in places
+    ]
     return RouteTable(parse(example(routes=routes)))
 
 
-@pytest.mark.parametrize("host, path, name", [
-    ("a", "/x/1", "a/x/"), ("A:8144", "/x/", "a/x/"), (" a ", "/x/y/1", "a/x/y/"), ("a", "/x/y", "a/x/"),
-    ("a", "/x", None), ("a", "/xy/1", None), ("a", "/X/1", None), ("b", "/x/1", "b/"), ("b", "/", "b/"),
-    ("b", "", None), ("b", "/?a=/x/", "b/"), ("a", "/x?/y/", None), ("a", "/x/?q=/y/", "a/x/"),
-    ("c", "/x/1", None), ("", "/x/1", None), ("[::1]:80", "/z", "[::1]/"), ("a", "/x//y/", "a/x/")])
+@pytest.mark.parametrize(
+    "host, path, name",
+    [
+        ("a", "/x/1", "a/x/"),
+        ("A:8144", "/x/", "a/x/"),
+        (" a ", "/x/y/1", "a/x/y/"),
+        ("a", "/x/y", "a/x/"),
+        ("a", "/x", None),
+        ("a", "/xy/1", None),
+        ("a", "/X/1", None),
+        ("b", "/x/1", "b/"),
+        ("b", "/", "b/"),
+        ("b", "", None),
+        ("b", "/?a=/x/", "b/"),
+        ("a", "/x?/y/", None),
+        ("a", "/x/?q=/y/", "a/x/"),
+        ("c", "/x/1", None),
+        ("", "/x/1", None),
+        ("[::1]:80", "/z", "[::1]/"),
+        ("a", "/x//y/", "a/x/"),
+    ],
+)
 def test_the_longest_prefix_on_slash_boundaries_wins(host: str, path: str, name: str | None) -> None:
     found = table(("a", "/x/"), ("a", "/x/y/"), ("b", "/"), ("[::1]", "/")).find(host, path)
     assert (found.name if found else None) == name
@@ -34,14 +52,20 @@
 def naive(configuration: Configuration, host: str, path: str) -> Route | None:
     """The definition, word by word."""
     path = path.split("?")[0]
-    fitting = [route for route in configuration.routes
-               if route.hostname == host and path.startswith(route.path_start)]
+    fitting = [
+        route
+        for route in configuration.routes
+        if route.hostname == host and path.startswith(route.path_start)
+    ]
     return max(fitting, key=lambda route: len(route.path_start), default=None)
 
 
 @settings(max_examples=100)
-@given(configurations(), st.sampled_from(["a.example", "b.example", "c.example"]),
-       st.lists(st.sampled_from(["", "a", "b", "aa", "a-b", "?"])))
+@given(
+    configurations(),
+    st.sampled_from(["a.example", "b.example", "c.example"]),
+    st.lists(st.sampled_from(["", "a", "b", "aa", "a-b", "?"])),
+)
 def test_the_table_finds_what_the_definition_finds(raw: dict[str, Any], host: str, steps: list[str]) -> None:
     configuration = parse(raw)
     path = "/" + "/".join(steps)
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -119,8 +119,9 @@
         super().setUp()
         self.peers = [Peer("b"), Peer("c")]
         self.registry = Registry("a.1")
-        self.pullers = PeerPullers(self.registry, connecting(self.peers), lambda: ["b", "c"], SETTINGS,
-                                   random.Random(1), clock=now)
+        self.pullers = PeerPullers(
+            self.registry, connecting(self.peers), lambda: ["b", "c"], SETTINGS, random.Random(1), clock=now
+        )
         self.view = NewestView(lambda: first_view(["a", "b", "c"]), self.registry)
         self.contact = PullContact("a", self.view.get, self.pullers.proven_at, now)
 
@@ -187,6 +188,7 @@
 
     def test_what_a_majority_held_is_known_here_by_the_end_of_the_bound(self) -> None:
         """An entry is at peer b when a pull from there that proves contact begins after it."""
+
         async def main() -> None:
             await asyncio.sleep(2.0)
             self.peers[0].registry.merge([Entry("runner/x", 1, 2, "z.1", 1, b"x")])
--- a/tests/test_control_disk.py
+++ b/tests/test_control_disk.py
@@ -98,7 +98,7 @@
 
 def test_the_largest_order_that_is_taken_fits_into_a_record_of_the_log() -> None:
     log = ControlDisk.open(FaultyFiles(), "data").log
-    log.append(bytes(64) + Order("replace", 2 ** 62, bytes(MAX_ORDER_BYTES)).encode())
+    log.append(bytes(64) + Order("replace", 2**62, bytes(MAX_ORDER_BYTES)).encode())
     assert log.last_index == 1
 
 
@@ -131,7 +131,8 @@
 
 @pytest.mark.usefixtures("hang_up_handler")
 def test_a_damaged_data_folder_ends_the_start_with_one_line_that_names_the_remedy(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     settings = tmp_path / "local.json"
     settings.write_text(json.dumps({"node_name": "c", "ip": "127.0.0.1", "zone": "a", "spare_ports": [1, 9]}))
     monkeypatch.setenv("LARCHGW_NODE_FILE", str(settings))
--- a/tests/test_control_end.py
+++ b/tests/test_control_end.py
@@ -43,10 +43,18 @@
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.node = ControlNode(NodeSettings(
-            "core-1", "127.0.0.1", "a", spare_ports=[7660, 7675], first_boot=True,
-            seed_list=["127.0.0.1:8146"], data_dir=folder.name,
-            time_limits=TimeLimits(grace_period_s=GRACE_S)))
+        self.node = ControlNode(
+            NodeSettings(
+                "core-1",
+                "127.0.0.1",
+                "a",
+                spare_ports=[7660, 7675],
+                first_boot=True,
+                seed_list=["127.0.0.1:8146"],
+                data_dir=folder.name,
+                time_limits=TimeLimits(grace_period_s=GRACE_S),
+            )
+        )
         self.events: list[str] = []
 
     def end(self, agreed_after: float) -> float:
--- a/tests/test_control_http.py
+++ b/tests/test_control_http.py
@@ -48,6 +48,7 @@
 
     def raw(self, data, breaks_off=False):
         """All that comes back for these bytes until the connection ends."""
+
         async def exchange():
             reader, writer = await asyncio.open_connection("127.0.0.1", self.get_http_port())
             writer.write(data)
@@ -83,14 +84,18 @@
         self.assertEqual([7, 2**63 - 1], [built_on for _, built_on, _ in self.service.calls])
 
     def test_a_body_longer_than_any_that_is_read_is_refused_whatever_the_state_is(self):
-        answer = self.raw(b"POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n"
-                          % (http_api.MAX_BODY_BYTES + 1))
+        answer = self.raw(
+            b"POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n"
+            % (http_api.MAX_BODY_BYTES + 1)
+        )
         self.assertTrue(answer.startswith(b"HTTP/1.1 400 "), answer)
         self.assertEqual([], self.service.calls)
 
     def test_a_body_that_breaks_off_is_no_order(self):
-        self.raw(b'POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n{"config_version"',
-                 breaks_off=True)
+        self.raw(
+            b'POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n{"config_version"',
+            breaks_off=True,
+        )
         self.assertEqual([], self.service.calls)
 
     def test_what_the_service_refuses_or_leaves_unclear_is_answered_so(self):
--- a/tests/test_control_operator.py
+++ b/tests/test_control_operator.py
@@ -13,8 +13,15 @@
 
 
 def configuration(version, path="/a/"):
-    route = {"name": "r", "hostname": "h.example", "path_start": path, "kind": "writing", "deadline_ms": 1000,
-             "service": "s", "tries": 1}
+    route = {
+        "name": "r",
+        "hostname": "h.example",
+        "path_start": path,
+        "kind": "writing",
+        "deadline_ms": 1000,
+        "service": "s",
+        "tries": 1,
+    }
     return {"config_version": version, "routes": [route], "services": [{"name": "s"}]}
 
 
@@ -139,12 +146,23 @@
         base = configuration(6)
         base["services"].append({"name": "t"})
         self.submit(Order("replace", 5, json.dumps(base).encode()))
-        route = {"name": "q", "hostname": "q.example", "path_start": "/", "kind": "writing",
-                 "deadline_ms": 1000, "service": "t", "tries": 1}
-        removal, return_, use = (Order("change", -1, json.dumps(body).encode()) for body in (
-            {"config_version": 7, "remove": {"services": ["t"]}},
-            {"config_version": 8, "add": {"services": [{"name": "t"}]}},
-            {"config_version": 9, "add": {"routes": [route]}}))
+        route = {
+            "name": "q",
+            "hostname": "q.example",
+            "path_start": "/",
+            "kind": "writing",
+            "deadline_ms": 1000,
+            "service": "t",
+            "tries": 1,
+        }
+        removal, return_, use = (
+            Order("change", -1, json.dumps(body).encode())
+            for body in (
+                {"config_version": 7, "remove": {"services": ["t"]}},
+                {"config_version": 8, "add": {"services": [{"name": "t"}]}},
+                {"config_version": 9, "add": {"routes": [route]}},
+            )
+        )
 
         async def given_up(order):
             try:
--- a/tests/test_control_owners.py
+++ b/tests/test_control_owners.py
@@ -21,8 +21,9 @@
     now = 0.0
     present = [process(EARLIER + 1)]  # the incarnation that it took when it heard of its earlier life
     registry = Registry("here#1")
-    directory = Directory(registry, lambda: now, BEAT_S, owner_name(HERE, 5),
-                          lambda owner: is_watched(owner, HERE, present))
+    directory = Directory(
+        registry, lambda: now, BEAT_S, owner_name(HERE, 5), lambda owner: is_watched(owner, HERE, present)
+    )
     record = RunnerRecord("i-1", "service", "10.1.0.1:80", "a", call_count=3, owner=owner_name(THERE, LATER))
     registry.put("runner/i-1", record.encode(), 3, int(Stage.READY))
     for _ in range(40):
--- a/tests/test_control_state_page.py
+++ b/tests/test_control_state_page.py
@@ -10,8 +10,11 @@
 from larchgw.replication import explore_mutants as replication
 
 SECTION = (ROOT / "docs/control-state.md").read_text().partition("\n## 1. Cut off\n")[2].partition("\n## ")[0]
-ROWS = [row.strip("| ").split(" | ") for row in re.findall(r"^\|.+\|$", SECTION, re.MULTILINE)
-        if not row.startswith(("| ---", "| claim"))]
+ROWS = [
+    row.strip("| ").split(" | ")
+    for row in re.findall(r"^\|.+\|$", SECTION, re.MULTILINE)
+    if not row.startswith(("| ---", "| claim"))
+]
 
 
 def test_every_claim_names_modules_and_tests_that_exist() -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -183,14 +183,26 @@
 
 def test_a_bad_list_counts_for_nothing_and_start_times_are_on_our_clock():
     reader = ListReader({"areas": ["a", "b"], "shapes": ["m1"]})
-    entry = {"id": "s", "addr": "127.0.0.1:9", "zone": "b", "kind": "m1", "cell": 3, "state": "SERVING",
-             "weight": 0.5, "started_ms": 1_700_000_000_500}
+    entry = {
+        "id": "s",
+        "addr": "127.0.0.1:9",
+        "zone": "b",
+        "kind": "m1",
+        "cell": 3,
+        "state": "SERVING",
+        "weight": 0.5,
+        "started_ms": 1_700_000_000_500,
+    }
     listing = reader.read({"version": 3, "full": True, "servers": [entry]})
     member = listing.members[0]
     assert (member.zone, member.kind, member.cell, member.up_since) == (1, 0, 3, 1_700_000_000.5)
     assert abs(Clock().now() - __import__("time").time()) < 1.0
-    for bad in ([], {"version": 1}, {"version": 1, "full": True, "servers": [entry | {"state": "?"}]},
-                {"version": 1, "full": True, "servers": [entry | {"addr": "nowhere"}]}):
+    for bad in (
+        [],
+        {"version": 1},
+        {"version": 1, "full": True, "servers": [entry | {"state": "?"}]},
+        {"version": 1, "full": True, "servers": [entry | {"addr": "nowhere"}]},
+    ):
         with pytest.raises(ValueError):
             reader.read(bad)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -40,8 +40,10 @@
 
 
 def post(name: str, path: str = "/proof", body: bytes = b"", wait: int = 9000, more: str = "") -> bytes:
-    return (f"POST {path} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {name}\r\nX-Deadline-Ms: {wait}\r\n"
-            f"{more}Content-Length: {len(body)}\r\n\r\n").encode() + body
+    return (
+        f"POST {path} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {name}\r\nX-Deadline-Ms: {wait}\r\n"
+        f"{more}Content-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
 def client(program: Program, *parts: bytes) -> socket.socket:
@@ -85,7 +87,8 @@
 
 
 def test_what_waits_on_a_connection_that_is_not_read_is_not_sent_once_its_client_has_left(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     desk = Desk("s-1")
     with running(tmp_path, desk) as (program, _):
         more = (post(f"p{n}", "/release", wait=25_000) for n in range(20))  # than are read ahead
@@ -116,7 +119,8 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_connection_to_a_worker_that_comes_up_as_the_client_leaves_carries_nothing(
-        tmp_path: Path, cancel: bool) -> None:
+    tmp_path: Path, cancel: bool
+) -> None:
     desk = Desk("s-1", shut=True)
     allowed = ALLOWED | {"dialTimeout": 15.0, "cancel": cancel}
     with running(tmp_path, desk, settings={"allowed": allowed}) as (program, _):
@@ -135,15 +139,18 @@
 
 
 def test_a_job_that_waits_for_a_slot_is_not_sent_when_its_client_leaves_as_the_slot_comes_free(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     desk = Desk("s-1")
     with running(tmp_path, desk, settings=SINGLE) as (program, _):
         first = client(program, post("first", more="Connection: close\r\n"))
         call = desk.call()
         assert call.read() == "first"
         held = client(program, post("held"))
-        until(lambda: program.counters().get(
-            'larchgw_taken_total{front="platform",job_class="proof"}') == 2, "the second job")
+        until(
+            lambda: program.counters().get('larchgw_taken_total{front="platform",job_class="proof"}') == 2,
+            "the second job",
+        )
         with frozen(program):
             call.serve("first")
             until(lambda: delivered(call.sock))
@@ -173,8 +180,10 @@
             for sock in flood:
                 leave(sock)
             silent = [client(program) for _ in range(60)]
-            good = [client(program, post(f"good{n}", body=b"%d" % n, more="Connection: close\r\n"))
-                    for n in range(4)]
+            good = [
+                client(program, post(f"good{n}", body=b"%d" % n, more="Connection: close\r\n"))
+                for n in range(4)
+            ]
         for n, got in enumerate(pool.map(answer, good)):
             assert got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"s-1:%d" % n)
         assert sorted(name for name, _, _ in runner.seen) == [*(f"good{n}" for n in range(4)), "warm"]
@@ -222,8 +231,10 @@
 # Repeats
 
 
-BOOKING = [job_class("proof", "idempotent", 10.0),
-           job_class("booking", "deduplicated", 9.0) | {"group": "all", "memorySpan": 2.0}]
+BOOKING = [
+    job_class("proof", "idempotent", 10.0),
+    job_class("booking", "deduplicated", 9.0) | {"group": "all", "memorySpan": 2.0},
+]
 
 
 @pytest.mark.parametrize("dial", [1.0, 3.0])
@@ -232,8 +243,9 @@
     first, second = Desk("s-1"), Desk("s-2", shut=True)
     told = {"allowed": ALLOWED | {"dialTimeout": dial}, "classes": BOOKING}
     with running(tmp_path, first, settings=told) as (program, discovery):
-        asks = client(program, post("b1", "/booking", b"x", 3000,
-                                    "Idempotency-Key: k1\r\nConnection: close\r\n"))
+        asks = client(
+            program, post("b1", "/booking", b"x", 3000, "Idempotency-Key: k1\r\nConnection: close\r\n")
+        )
         call = first.call()
         assert call.read() == "b1"
         begun = time.monotonic()
@@ -256,7 +268,8 @@
 
 @pytest.mark.parametrize("stage", ["read", "head", "started", "half a line", "running", "done, cut"])
 def test_a_release_whose_connection_is_reset_after_its_last_byte_is_not_sent_again(
-        tmp_path: Path, stage: str) -> None:
+    tmp_path: Path, stage: str
+) -> None:
     desks = Desk("s-1"), Desk("s-2")
     with running(tmp_path, *desks) as (program, _), ThreadPoolExecutor(1) as pool:
         job = pool.submit(program.job, "r1", b"x" * 3000, "/release")
@@ -318,10 +331,12 @@
 # Kept connections to workers
 
 
-@pytest.mark.parametrize("what", ["a second answer", "an answer to no one", "half an answer", "its end",
-                                  "a reset"])
+@pytest.mark.parametrize(
+    "what", ["a second answer", "an answer to no one", "half an answer", "its end", "a reset"]
+)
 def test_a_kept_connection_on_which_something_comes_with_the_next_job_is_not_used(
-        tmp_path: Path, what: str) -> None:
+    tmp_path: Path, what: str
+) -> None:
     desk = Desk("s-1")
     with running(tmp_path, desk) as (program, _):
         asks = client(program, post("a"))
@@ -395,7 +410,8 @@
 
 
 def test_a_request_that_lies_in_our_socket_as_its_resting_connection_is_to_end_is_answered(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     runner = Runner("s-1")
     with running(tmp_path, runner) as (program, _):
         rests = [client(program, post(f"a{n}")) for n in range(20)]
@@ -480,8 +496,12 @@
 def test_a_sighup_before_python_runs_our_first_line_does_not_end_the_program(tmp_path: Path) -> None:
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     (tmp_path / "sitecustomize.py").write_text("import os, signal\nos.kill(os.getpid(), signal.SIGHUP)\n")
-    program = Program(tmp_path, "127.0.0.1:1", shell=run.replace(".venv/bin/python", sys.executable),
-                      environ={"PYTHONPATH": str(tmp_path)})
+    program = Program(
+        tmp_path,
+        "127.0.0.1:1",
+        shell=run.replace(".venv/bin/python", sys.executable),
+        environ={"PYTHONPATH": str(tmp_path)},
+    )
     try:
         program.stop()
     finally:
@@ -501,7 +521,8 @@
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
 def test_a_watch_that_never_hears_again_is_opened_anew_and_what_it_missed_counts(
-        tmp_path: Path, mode: str) -> None:
+    tmp_path: Path, mode: str
+) -> None:
     old, new = Runner("s-1"), Runner("s-2")
     with running(tmp_path, old, settings={"registryMode": mode}) as (program, discovery):
         until(lambda: discovery.asked >= 2, "the watch")
@@ -519,8 +540,9 @@
     desk = Desk("s-1")
     with running(tmp_path, desk) as (program, _):
         asks, call = release_out(program, desk)
-        changed = settings(classes=[job_class("proof", "at_most_once", 10.0),
-                                    job_class("release", "idempotent", 25.0)])
+        changed = settings(
+            classes=[job_class("proof", "at_most_once", 10.0), job_class("release", "idempotent", 25.0)]
+        )
         before = len(program.lines)
         line = program.reload(settings=changed)
         assert "event=reload.refused" in line and "settings.requestClasses" in line
@@ -528,4 +550,3 @@
         call.reset()  # had `release` become idempotent, this would be sent again
         assert answer(asks).startswith(b"HTTP/1.1 500 ")
         assert not _asked(desk)
-
--- a/tests/test_curl_transport.py
+++ b/tests/test_curl_transport.py
@@ -60,8 +60,9 @@
     assert len(set(calls)) == 1
 
 
-@pytest.mark.parametrize("half", [b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{", b"HTTP/1.1 20",
-                                  b"\0\r\n\r\n"])
+@pytest.mark.parametrize(
+    "half", [b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{", b"HTTP/1.1 20", b"\0\r\n\r\n"]
+)
 def test_an_answer_that_is_not_whole_is_none(half: bytes) -> None:
     def script(listening: socket.socket) -> None:
         with listening.accept()[0] as connection:
@@ -78,8 +79,10 @@
     def script(listening: socket.socket) -> None:
         with listening.accept()[0] as first:
             read_call(first)
-            answer(first, b"HTTP/1.1 412 X\r\nContent-Length: 2\r\n\r\n{}"
-                          b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{}")
+            answer(
+                first,
+                b"HTTP/1.1 412 X\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{}",
+            )
             with listening.accept()[0] as second:
                 read_call(second)
                 answer(second, b"HTTP/1.1 409 X\r\nContent-Length: 2\r\n\r\n{}")
--- a/tests/test_decide_budget.py
+++ b/tests/test_decide_budget.py
@@ -31,15 +31,17 @@
     ends |= {index / 20 for index in range(int(20 * (max(requests, default=0.0) + 2 * window)))}
     worst = -float("inf")
     for end in ends:
-        counted = max(between(requests, end - shift - window, end - shift)
-                      for shift in (0.0, 0.5 * window, window))
+        counted = max(
+            between(requests, end - shift - window, end - shift) for shift in (0.0, 0.5 * window, window)
+        )
         used = between(repeats, end - window, end)
         worst = max(worst, used - limits.retry_ratio * counted - limits.retry_extra)
     return worst
 
 
-def play(dispatchers: int, rates: list[int], seed: int, seen: int, limits: TimeLimits,
-         uneven: float = 0.0) -> tuple[list[float], list[float]]:
+def play(
+    dispatchers: int, rates: list[int], seed: int, seen: int, limits: TimeLimits, uneven: float = 0.0
+) -> tuple[list[float], list[float]]:
     """Requests a second over some seconds, each wanting a repeat; dispatchers' shares may be uneven."""
     random = Random(seed)
     weights = [(1.0 + uneven) ** random.uniform(-1.0, 1.0) for _ in range(dispatchers)]
@@ -57,11 +59,16 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(dispatchers=st.integers(1, 12), seed=st.integers(0, 10_000),
-       uneven=st.sampled_from([0.0, 1.0, 4.0]), extra=st.sampled_from([0.0, 10.0, 56.0]),
-       rates=st.lists(st.sampled_from([0, 0, 2, 10, 40, 90]), min_size=5, max_size=45))
-def test_no_window_goes_beyond_the_bound(dispatchers: int, seed: int, uneven: float, extra: float,
-                                         rates: list[int]) -> None:
+@given(
+    dispatchers=st.integers(1, 12),
+    seed=st.integers(0, 10_000),
+    uneven=st.sampled_from([0.0, 1.0, 4.0]),
+    extra=st.sampled_from([0.0, 10.0, 56.0]),
+    rates=st.lists(st.sampled_from([0, 0, 2, 10, 40, 90]), min_size=5, max_size=45),
+)
+def test_no_window_goes_beyond_the_bound(
+    dispatchers: int, seed: int, uneven: float, extra: float, rates: list[int]
+) -> None:
     limits = TimeLimits(retry_ratio=0.2, retry_window_s=10.0, retry_extra=extra)
     requests, repeats = play(dispatchers, rates, seed, dispatchers, limits, uneven)
     assert worst_excess(limits, requests, repeats) <= 0.0
--- a/tests/test_decide_ejection.py
+++ b/tests/test_decide_ejection.py
@@ -20,8 +20,9 @@
 RUNNERS = ["a", "b", "c", "d"]
 
 
-def fail(ejection: Ejection, now: float, runner: str,
-         outcome: AttemptOutcome = AttemptOutcome.SILENT) -> None:
+def fail(
+    ejection: Ejection, now: float, runner: str, outcome: AttemptOutcome = AttemptOutcome.SILENT
+) -> None:
     """Two sends that fail so."""
     for _ in range(2):
         ejection.sent(now, runner)
@@ -86,12 +87,17 @@
     assert ejection.backoff_until("a") < 0.06
 
 
-@pytest.mark.parametrize(("outcome", "backoff", "ejection_s"), [
-    (AttemptOutcome.FULL, BACKOFF_MOST_S, -math.inf),
-    (AttemptOutcome.CONNECT_FAILED, BACKOFF_MOST_S, EJECTION_MOST_S),
-    (AttemptOutcome.SILENT, -math.inf, EJECTION_MOST_S)])
+@pytest.mark.parametrize(
+    ("outcome", "backoff", "ejection_s"),
+    [
+        (AttemptOutcome.FULL, BACKOFF_MOST_S, -math.inf),
+        (AttemptOutcome.CONNECT_FAILED, BACKOFF_MOST_S, EJECTION_MOST_S),
+        (AttemptOutcome.SILENT, -math.inf, EJECTION_MOST_S),
+    ],
+)
 def test_a_runner_that_fails_for_hours_is_left_out_for_the_longest_time_each_time(
-        outcome: AttemptOutcome, backoff: float, ejection_s: float) -> None:
+    outcome: AttemptOutcome, backoff: float, ejection_s: float
+) -> None:
     """After 1,024 doublings the time was out of a float's range: an attempt's end was lost in an error."""
     ejection, now = Ejection(), 0.0
     for _ in range(2000):
@@ -101,10 +107,15 @@
     assert (health.backoff_until, health.ejected_until) == (now + backoff, now + ejection_s)
 
 
-@given(events=st.lists(st.tuples(st.sampled_from(RUNNERS), st.sampled_from(list(AttemptOutcome)),
-                                 st.floats(0.0, 2.0)), max_size=80))
+@given(
+    events=st.lists(
+        st.tuples(st.sampled_from(RUNNERS), st.sampled_from(list(AttemptOutcome)), st.floats(0.0, 2.0)),
+        max_size=80,
+    )
+)
 def test_at_most_the_share_is_ejected_and_all_come_back(
-        events: list[tuple[str, AttemptOutcome, float]]) -> None:
+    events: list[tuple[str, AttemptOutcome, float]],
+) -> None:
     ejection, now = Ejection(), 0.0
     for runner, outcome, pause in events:
         now += pause
--- a/tests/test_decide_selection.py
+++ b/tests/test_decide_selection.py
@@ -12,14 +12,17 @@
 
 
 # The design: holders only; the most pending still under the threshold; else fewest keys, then least pending.
-@pytest.mark.parametrize(("pending", "wanted"), [
-    ({"a": {"m": 0}, "b": {"m": 1}}, "b"),  # the busiest under the threshold
-    ({"a": {"m": 0}, "b": {"m": THRESHOLD}}, "a"),  # at the threshold: no more
-    ({"a": {"n": 5}, "b": {"m": 1}}, "b"),  # what counts is the pending of that key
-    ({"a": {"m": 2, "n": 1}, "b": {"m": 3}}, "b"),  # all at it: the fewest active keys
-    ({"a": {"m": 3, "n": 1}, "b": {"m": 2, "n": 1}}, "b"),  # then the least pending
-    ({"a": {"m": 2}, "b": {"m": 2}, "c": {}}, "c"),
-])
+@pytest.mark.parametrize(
+    ("pending", "wanted"),
+    [
+        ({"a": {"m": 0}, "b": {"m": 1}}, "b"),  # the busiest under the threshold
+        ({"a": {"m": 0}, "b": {"m": THRESHOLD}}, "a"),  # at the threshold: no more
+        ({"a": {"n": 5}, "b": {"m": 1}}, "b"),  # what counts is the pending of that key
+        ({"a": {"m": 2, "n": 1}, "b": {"m": 3}}, "b"),  # all at it: the fewest active keys
+        ({"a": {"m": 3, "n": 1}, "b": {"m": 2, "n": 1}}, "b"),  # then the least pending
+        ({"a": {"m": 2}, "b": {"m": 2}, "c": {}}, "c"),
+    ],
+)
 def test_keyed_request_goes_where_the_design_says(pending: dict[str, dict[str, int]], wanted: str) -> None:
     w = world(runner("a", "mn"), runner("b", "mn"), runner("c", "mn" if "c" in pending else "n"))
     for where, counts in pending.items():
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -19,8 +19,10 @@
 
 
 def body(**fields: object) -> bytes:
-    return json.dumps({"service": "llm", "address": "10.0.0.9:8080", "zone": "z1", "state": "ready",
-                       "call_count": 1} | fields).encode()
+    return json.dumps(
+        {"service": "llm", "address": "10.0.0.9:8080", "zone": "z1", "state": "ready", "call_count": 1}
+        | fields
+    ).encode()
 
 
 def record(id: str = "i-1", count: int = 1, stage: Stage = Stage.READY, **fields: object) -> RunnerRecord:
@@ -48,12 +50,37 @@
 class CheckinsTest(testtools.TestCase):
     def test_a_whole_checkin_is_read(self) -> None:
         models = [{"name": "m", "config_version": 3, "adapters": ["a1", "a2"], "more": 1}]
-        got = parse_checkin("i-1", body(
-            config_version="v1", slots=64, state="draining", cold_left_ms=10, left_ms=900, phase="both",
-            models=models, call_count=4, unknown={"x": 1}))
+        got = parse_checkin(
+            "i-1",
+            body(
+                config_version="v1",
+                slots=64,
+                state="draining",
+                cold_left_ms=10,
+                left_ms=900,
+                phase="both",
+                models=models,
+                call_count=4,
+                unknown={"x": 1},
+            ),
+        )
         self.assertEqual(
-            RunnerRecord("i-1", "llm", "10.0.0.9:8080", "z1", Stage.DRAINING, 64, "v1", "both", 10.0, 900.0,
-                         4, (HeldModel("m", 3, ("a1", "a2")),)), got)
+            RunnerRecord(
+                "i-1",
+                "llm",
+                "10.0.0.9:8080",
+                "z1",
+                Stage.DRAINING,
+                64,
+                "v1",
+                "both",
+                10.0,
+                900.0,
+                4,
+                (HeldModel("m", 3, ("a1", "a2")),),
+            ),
+            got,
+        )
 
     def test_what_is_missing_gets_a_default(self) -> None:
         got = parse_checkin("i-1", b'{"service":"s","address":"h:1"}')
@@ -65,11 +92,18 @@
             self.assertEqual((field, 400), (error.field, error.status))
             self.assertIn("; send", str(error))
 
-    @given(st.binary(max_size=60) | st.recursive(
-        st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
-        lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
-            st.sampled_from(["service", "address", "state", "slots", "models", "name", "call_count"]), inner),
-        max_leaves=12).map(lambda value: json.dumps(value).encode()))
+    @given(
+        st.binary(max_size=60)
+        | st.recursive(
+            st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
+            lambda inner: st.lists(inner, max_size=3)
+            | st.dictionaries(
+                st.sampled_from(["service", "address", "state", "slots", "models", "name", "call_count"]),
+                inner,
+            ),
+            max_leaves=12,
+        ).map(lambda value: json.dumps(value).encode())
+    )
     def test_no_bytes_make_it_fail_otherwise(self, sent: bytes) -> None:
         try:
             parse_checkin("i-1", sent)
@@ -87,10 +121,10 @@
     def __init__(self, name: str, clock: list[float], lost: set[str] | None = None) -> None:
         self.registry = Registry(name)
         self.published: list[RunnerRecord] = []
-        self.registry.watch(
-            "runner/", lambda entry: self.published.append(RunnerRecord.decode(entry.value)))
-        self.directory = Directory(self.registry, lambda: clock[0], BEAT, name,
-                                   alive=lambda owner: owner not in (lost or set()))
+        self.registry.watch("runner/", lambda entry: self.published.append(RunnerRecord.decode(entry.value)))
+        self.directory = Directory(
+            self.registry, lambda: clock[0], BEAT, name, alive=lambda owner: owner not in (lost or set())
+        )
 
     def stage(self, id: str = "i-1") -> Stage:
         found = self.directory.get(id)
@@ -317,18 +351,23 @@
         self.assertEqual(["y"], [found.id for found in self.a.directory.runners("other")])
 
 
-steps = st.lists(st.one_of(
-    st.tuples(st.just("beat"), st.integers(0, 2), st.integers(0, 4)),
-    st.tuples(st.just("sync"), st.integers(0, 2), st.integers(0, 2)),
-    st.tuples(st.just("time"), st.integers(1, 40), st.just(0)),
-    st.tuples(st.just("drain"), st.just(0), st.just(0)),
-    st.tuples(st.just("leave"), st.integers(0, 2), st.just(0))), max_size=40)
+steps = st.lists(
+    st.one_of(
+        st.tuples(st.just("beat"), st.integers(0, 2), st.integers(0, 4)),
+        st.tuples(st.just("sync"), st.integers(0, 2), st.integers(0, 2)),
+        st.tuples(st.just("time"), st.integers(1, 40), st.just(0)),
+        st.tuples(st.just("drain"), st.just(0), st.just(0)),
+        st.tuples(st.just("leave"), st.integers(0, 2), st.just(0)),
+    ),
+    max_size=40,
+)
 
 
 @settings(max_examples=200, deadline=None)
 @given(steps)
 def test_in_any_order_stages_do_not_go_back_and_all_agree_on_the_last_checkin(
-        played: list[tuple[str, int, int]]) -> None:
+    played: list[tuple[str, int, int]],
+) -> None:
     clock = [100.0]
     processes = [Process(f"{name}.1", clock) for name in "abc"]
     sent: list[RunnerRecord] = []
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -27,8 +27,9 @@
     def begin(self, others: list[Peer], dice: random.Random) -> None:
         names = [peer.name for peer in others]
         self.known = [self.name, *names]
-        self.pullers = PeerPullers(self.registry, connecting(others), lambda: names, SETTINGS, dice,
-                                   clock=now)
+        self.pullers = PeerPullers(
+            self.registry, connecting(others), lambda: names, SETTINGS, dice, clock=now
+        )
         self.handoff = Handoff(connecting(others), lambda: names)
         self.tasks = [asyncio.ensure_future(self.pullers.run()), asyncio.ensure_future(self.handoff.run())]
 
@@ -45,9 +46,18 @@
         self.dice = random.Random(seed)
         self.control = [Control(name) for name in "abc"]
         self.edges = [Registry(f"edge{number}.1") for number in range(4)]
-        self.pullers = [Puller(registry, connecting(self.control), lambda: ["a", "b", "c"], SETTINGS,
-                               random.Random(seed * 100 + number), returns=True, clock=now)
-                        for number, registry in enumerate(self.edges)]
+        self.pullers = [
+            Puller(
+                registry,
+                connecting(self.control),
+                lambda: ["a", "b", "c"],
+                SETTINGS,
+                random.Random(seed * 100 + number),
+                returns=True,
+                clock=now,
+            )
+            for number, registry in enumerate(self.edges)
+        ]
         self.lives, self.major = 1, 0
         self.acknowledged: dict[str, int] = {}  # key -> major that two control processes have
         self.healthy_since = 0.0
--- a/tests/test_distribution_puller.py
+++ b/tests/test_distribution_puller.py
@@ -117,11 +117,20 @@
         self.peers = [Peer(name) for name in ("a", "b", "c")]
         self.registry = Registry("edge.1")
 
-    def puller(self, addresses: Sequence[str] = ("a", "b", "c"), near: str = "",
-               returns: bool = False) -> Puller:
-        return Puller(self.registry, connecting(self.peers), lambda: addresses, SETTINGS, random.Random(3),
-                      node_name="edge", near=(lambda address: address == near) if near else None,
-                      returns=returns, clock=now)
+    def puller(
+        self, addresses: Sequence[str] = ("a", "b", "c"), near: str = "", returns: bool = False
+    ) -> Puller:
+        return Puller(
+            self.registry,
+            connecting(self.peers),
+            lambda: addresses,
+            SETTINGS,
+            random.Random(3),
+            node_name="edge",
+            near=(lambda address: address == near) if near else None,
+            returns=returns,
+            clock=now,
+        )
 
     def play(self, puller: Puller, seconds: float, *actions: tuple[float, Callable[[], object]]) -> None:
         async def main() -> None:
@@ -209,8 +218,14 @@
 
         self.peer("a").registry.put("configuration", b"old", 1)
         self.peer("a").hung = True
-        puller = Puller(self.registry, connecting(self.peers), lambda: ["a"], SETTINGS, random.Random(3),
-                        clock=lambda: now() + ahead)
+        puller = Puller(
+            self.registry,
+            connecting(self.peers),
+            lambda: ["a"],
+            SETTINGS,
+            random.Random(3),
+            clock=lambda: now() + ahead,
+        )
 
         def release() -> None:
             thaw()
@@ -268,14 +283,22 @@
         puller = self.puller(addresses=("a",))
         self.peer("a").down = True
         with self.assertLogs("larchgw.distribution.puller", "INFO") as told:
-            self.play(puller, 12.0, (5.0, lambda: setattr(self.peer("a"), "down", False)),
-                      (8.0, lambda: setattr(self.peer("a"), "down", True)))
+            self.play(
+                puller,
+                12.0,
+                (5.0, lambda: setattr(self.peer("a"), "down", False)),
+                (8.0, lambda: setattr(self.peer("a"), "down", True)),
+            )
         self.assertEqual(2, len(told.output), told.output)
 
     def test_connections_that_are_left_are_closed(self) -> None:
         puller = self.puller(near="a")
-        self.play(puller, 10.0, (2.0, lambda: setattr(self.peer("a"), "hung", True)),
-                  (5.0, lambda: setattr(self.peer("b"), "hung", True)))
+        self.play(
+            puller,
+            10.0,
+            (2.0, lambda: setattr(self.peer("a"), "hung", True)),
+            (5.0, lambda: setattr(self.peer("b"), "hung", True)),
+        )
         self.assertEqual([0, 0, 0], [peer.connections for peer in self.peers])
 
     def test_after_a_restart_of_all_control_a_runner_that_nobody_else_knows_is_given_back(self) -> None:
@@ -289,12 +312,14 @@
             peer.registry.put("runner/beats", b"x", 6)
 
         self.play(puller, 20.0, (2.0, restart))
-        pushed = [argument for (_, method), argument in zip(peer.calls, peer.arguments, strict=True)
-                  if method == "push"]
+        pushed = [
+            argument
+            for (_, method), argument in zip(peer.calls, peer.arguments, strict=True)
+            if method == "push"
+        ]
         self.assertEqual([["runner/crashed"]], [[entry.key for entry in push.entries] for push in pushed])
         self.assertIsNotNone(peer.registry.get("runner/crashed"))
 
-
     def out_of_touch(self, seconds: float, meanwhile: Callable[[], object]) -> None:
         """Knows runners x and y, is out of touch, and in touch again for a while."""
         peer = self.peer("a")
@@ -302,8 +327,13 @@
             peer.registry.put(f"runner/{name}", b"ready", 1)
         peer.registry.put("configuration", b"c", 1)
         puller = self.puller(addresses=("a",))
-        self.play(puller, seconds + 20.0, (5.0, lambda: setattr(peer, "hung", True)), (6.0, meanwhile),
-                  (5.0 + seconds, lambda: setattr(peer, "hung", False)))
+        self.play(
+            puller,
+            seconds + 20.0,
+            (5.0, lambda: setattr(peer, "hung", True)),
+            (6.0, meanwhile),
+            (5.0 + seconds, lambda: setattr(peer, "hung", False)),
+        )
 
     def test_a_runner_whose_tombstone_was_forgotten_during_a_long_silence_is_dropped(self) -> None:
         peer = self.peer("a")
@@ -334,8 +364,9 @@
         peers = [Peer("a"), Peer("b")]
         listed = ["a", "b"]
         registry = Registry("me.1")
-        pullers = PeerPullers(registry, connecting(peers), lambda: list(listed), SETTINGS, random.Random(1),
-                              clock=now)
+        pullers = PeerPullers(
+            registry, connecting(peers), lambda: list(listed), SETTINGS, random.Random(1), clock=now
+        )
 
         async def main() -> None:
             task = asyncio.ensure_future(pullers.run())
--- a/tests/test_distribution_registry.py
+++ b/tests/test_distribution_registry.py
@@ -17,7 +17,7 @@
 KEYS = ["runner/a", "runner/b", "expected/a", "configuration"]
 PREFIXES: list[tuple[str, ...]] = [(), ("runner/",), ("configuration", "expected/")]
 SMALL = 90  # bytes: about one entry a reply
-LIMITS = [SMALL, 2 * SMALL + 50, 10 ** 6]
+LIMITS = [SMALL, 2 * SMALL + 50, 10**6]
 
 
 def held(registry: Registry) -> dict[str, tuple[int, int, str, int]]:
@@ -96,10 +96,10 @@
 
 actions = st.one_of(
     st.tuples(st.just("put"), st.integers(0, 2), st.sampled_from(KEYS), st.integers(0, 5), st.integers(0, 2)),
-    st.tuples(st.just("pull"), st.integers(0, 2), st.integers(0, 2), st.sampled_from(LIMITS),
-              st.booleans()),
-    st.tuples(st.just("dispatch"), st.integers(0, 2), st.integers(0, 2), st.sampled_from(LIMITS),
-              st.booleans()),
+    st.tuples(st.just("pull"), st.integers(0, 2), st.integers(0, 2), st.sampled_from(LIMITS), st.booleans()),
+    st.tuples(
+        st.just("dispatch"), st.integers(0, 2), st.integers(0, 2), st.sampled_from(LIMITS), st.booleans()
+    ),
     st.tuples(st.just("push"), st.integers(0, 2), st.integers(0, 2), st.sampled_from(KEYS)),
     st.tuples(st.just("restart"), st.integers(0, 2)),
 )
@@ -223,7 +223,7 @@
         writer.put("runner/1", b"urgent", 1)
         other.merge([writer.get("runner/1")])
         self.assertNotIn("a.1", other.vector())
-        reply = other.delta(caller.registry.vector() | caller.cursors, (), 10 ** 6)
+        reply = other.delta(caller.registry.vector() | caller.cursors, (), 10**6)
         self.assertEqual(["runner/1"], [entry.key for entry in reply.entries])
 
     def test_a_pushed_entry_is_not_sent_again_and_again_to_a_waiting_caller(self) -> None:
@@ -232,13 +232,13 @@
         writer.put("runner/1", b"urgent", 1)
         other.merge([writer.get("runner/1")])
         pulls(caller, other)
-        reply = other.delta(caller.registry.vector() | caller.cursors, (), 10 ** 6)
+        reply = other.delta(caller.registry.vector() | caller.cursors, (), 10**6)
         self.assertEqual([], reply.entries)
 
     def test_a_cursor_of_another_registry_means_nothing(self) -> None:
         source = Registry("a.1")
         source.put("runner/0", b"x", 1)
-        reply = source.delta({cursor_name("a.0"): 1000}, (), 10 ** 6)
+        reply = source.delta({cursor_name("a.0"): 1000}, (), 10**6)
         self.assertEqual(1, len(reply.entries))
 
     def test_vectors_stay_bounded_over_many_lives(self) -> None:
@@ -273,7 +273,7 @@
         registry.put("runner/0", b"x", 1)
         registry.put("runner/1", b"x", 2)
         self.assertEqual(1, registry.remove_older("runner/", lambda entry: entry.major == 1))
-        self.assertEqual(["runner/1"], [entry.key for entry in registry.delta({}, (), 10 ** 6).entries])
+        self.assertEqual(["runner/1"], [entry.key for entry in registry.delta({}, (), 10**6).entries])
 
     def test_an_origin_that_looks_like_a_cursor_is_refused(self) -> None:
         self.assertRaises(ValueError, Registry, "@a")
@@ -286,7 +286,7 @@
         registry.put("runner/00007", b"y", 2)
         looked = Counted(registry._entries)
         registry._entries = looked
-        reply = registry.delta(have, (), 10 ** 6)
+        reply = registry.delta(have, (), 10**6)
         self.assertEqual(1, len(reply.entries))
         self.assertLess(looked.reads, 5)
 
--- a/tests/test_drawn_days.py
+++ b/tests/test_drawn_days.py
@@ -45,8 +45,11 @@
 
 def played_on(written: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """All entries of some days, without their times."""
-    return [{key: value for key, value in entry.items() if key != "at"}
-            for day in written for entry in day["plan"] + day["faults"]]
+    return [
+        {key: value for key, value in entry.items() if key != "at"}
+        for day in written
+        for entry in day["plan"] + day["faults"]
+    ]
 
 
 def test_no_variant_of_a_trouble_of_the_core_is_left_out(tmp_path: Path) -> None:
--- a/tests/test_edge_answers.py
+++ b/tests/test_edge_answers.py
@@ -126,7 +126,8 @@
 
 @on_loop
 async def test_a_runner_that_is_alive_and_reads_nothing_of_a_long_body_is_waited_for(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The kernel's own time-out would end the connection at the second probe of the closed window."""
     monkeypatch.setattr(dead_peer, "USER_TIMEOUT_MS", 1)
     runner = ScriptedRunner("i-1", reads_bodies=False)
@@ -145,7 +146,8 @@
 
 @on_loop
 async def test_a_machine_that_leaves_a_long_body_unanswered_is_given_up(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     first, second = ScriptedRunner("i-1", reads_bodies=False), ScriptedRunner("i-2")
     async with edge(first, second, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/read_only/x", body=LONG_BODY)
--- a/tests/test_edge_connections.py
+++ b/tests/test_edge_connections.py
@@ -30,7 +30,8 @@
 
 def counted(made: Edge, event: str) -> float:
     value = made.proxy.net_counters.registry.get_sample_value(
-        "larchgw_edge_connections_total", {"event": event})
+        "larchgw_edge_connections_total", {"event": event}
+    )
     return value or 0.0
 
 
@@ -232,14 +233,21 @@
 @on_loop
 async def test_demand_counts_arrivals_once_and_what_waits_and_runs_now() -> None:
     runner = ScriptedRunner("i-1")
-    config = configuration(dataclasses.replace(READING, pinned=True, rank=1),
-                           dataclasses.replace(WRITING, pinned=True), services=(PINNED,))
+    config = configuration(
+        dataclasses.replace(READING, pinned=True, rank=1),
+        dataclasses.replace(WRITING, pinned=True),
+        services=(PINNED,),
+    )
     async with edge(runner, config=config, clock=FakeClock()) as made:
         running = await made.ask(X_Model="m1/a1", X_Token_Count="10,20", X_Prompt_Start="ab:4,cd:6")
         call = await runner.call()
         traits = made.selection.asked[0][0]
         assert (traits.model, traits.adapter, traits.prompt_tokens, traits.output_tokens) == (
-            "m1", "a1", 10, 20)
+            "m1",
+            "a1",
+            10,
+            20,
+        )
         assert [part.tokens for part in traits.parts] == [4, 6]
         made.selection.script = [Wait(float("inf"), "no_holder"), Wait(float("inf"), "no_holder")]
         for number in range(2):
--- a/tests/test_edge_cut_off.py
+++ b/tests/test_edge_cut_off.py
@@ -45,9 +45,16 @@
         self.server = RpcServer(service)
         front, ready, self.rpc = free_ports(3)
         self.front, self.ready = f"{HOST}:{front}", f"{HOST}:{ready}"
-        self.edge = EdgeNode(NodeSettings(
-            "edge-1", HOST, "a", listen=Listen(front=self.front, ready=self.ready),
-            spare_ports=[self.rpc, self.rpc + 15], seed_list=[f"{HOST}:1"]))
+        self.edge = EdgeNode(
+            NodeSettings(
+                "edge-1",
+                HOST,
+                "a",
+                listen=Listen(front=self.front, ready=self.ready),
+                spare_ports=[self.rpc, self.rpc + 15],
+                seed_list=[f"{HOST}:1"],
+            )
+        )
 
     def publish(self, version: int) -> None:
         raw = example(config_version=version)
@@ -68,7 +75,8 @@
 
     async def get(self, address: str, path: str) -> int:
         answer = await AsyncHTTPClient().fetch(
-            f"http://{address}{path}", headers={"X-Attempt-Id": "id1"}, raise_error=False)
+            f"http://{address}{path}", headers={"X-Attempt-Id": "id1"}, raise_error=False
+        )
         return answer.code
 
 
--- a/tests/test_edge_fuzz.py
+++ b/tests/test_edge_fuzz.py
@@ -102,8 +102,9 @@
     sent = {f"id{number}": rng.randbytes(rng.choice((0, 1, 300, 3000))) for number in range(25)}
     async with serving() as (made, seen):
         client = await made.client()
-        data = b"".join(request(id, body, chunked=bool(body) and rng.random() < 0.5)
-                        for id, body in sent.items())
+        data = b"".join(
+            request(id, body, chunked=bool(body) and rng.random() < 0.5) for id, body in sent.items()
+        )
 
         async def write() -> None:
             for piece in pieces(data, rng):
@@ -126,7 +127,7 @@
         end = min(at + rng.randint(1, 12), len(data))
         change = rng.randrange(5)
         if change == 0:
-            data = data[:at] + bytes([rng.choice(CHARACTERS)]) + data[at + 1:]
+            data = data[:at] + bytes([rng.choice(CHARACTERS)]) + data[at + 1 :]
         elif change == 1:
             data = data[:at] + bytes([rng.choice(CHARACTERS)]) + data[at:]
         elif change == 2:
@@ -167,8 +168,9 @@
             assert [call.body for call in victims] in ([], [VICTIM_BODY]), data
             assert all(call.line == "POST /writing/x HTTP/1.1" for call in victims), data
             served = [answer for answer in answers if answer.status == 200]
-            assert [answer.fields["x-attempt-id"] for answer in served] == [
-                call.id for call in seen.calls], data
+            assert [answer.fields["x-attempt-id"] for answer in served] == [call.id for call in seen.calls], (
+                data
+            )
             for call in seen.calls:
                 assert call.line.split(" ")[1].encode() in data + request("victim"), data
                 assert [name for name, _ in call.fields].count("x-attempt-id") == 1, data
@@ -179,21 +181,24 @@
 SMUGGLED = request("inner", b"", "/writing/smuggled")
 
 
-@pytest.mark.parametrize("framing", [
-    b"Content-Length: 5\r\nContent-Length: %d",
-    b"Content-Length: %d\r\nTransfer-Encoding: chunked",
-    b"Transfer-Encoding: chunked\r\nContent-Length: %d",
-    b"Transfer-Encoding: identity\r\nContent-Length: %d",
-    b"Transfer-Encoding: xchunked\r\nContent-Length: %d",
-    b"Transfer-Encoding : chunked\r\nContent-Length: %d",
-    b"Transfer-Encoding:\x0bchunked\r\nContent-Length: %d",
-    b"Content-Length: +%d",
-    b"Content-Length: %d, 0",
-    b"Content-Length: 0x%d",
-    b"Content-Length: -%d",
-    b"X: y\rContent-Length: %d",
-    b"X: y\nContent-Length: %d",
-])
+@pytest.mark.parametrize(
+    "framing",
+    [
+        b"Content-Length: 5\r\nContent-Length: %d",
+        b"Content-Length: %d\r\nTransfer-Encoding: chunked",
+        b"Transfer-Encoding: chunked\r\nContent-Length: %d",
+        b"Transfer-Encoding: identity\r\nContent-Length: %d",
+        b"Transfer-Encoding: xchunked\r\nContent-Length: %d",
+        b"Transfer-Encoding : chunked\r\nContent-Length: %d",
+        b"Transfer-Encoding:\x0bchunked\r\nContent-Length: %d",
+        b"Content-Length: +%d",
+        b"Content-Length: %d, 0",
+        b"Content-Length: 0x%d",
+        b"Content-Length: -%d",
+        b"X: y\rContent-Length: %d",
+        b"X: y\nContent-Length: %d",
+    ],
+)
 @on_loop
 async def test_two_readings_of_a_length_never_make_two_requests(framing: bytes) -> None:
     async with serving() as (made, seen):
@@ -207,15 +212,18 @@
         assert all(call.body == body for call in seen.calls)
 
 
-@pytest.mark.parametrize("head", [
-    b"GET /read_only/" + b"x" * 2 * HEAD_LIMIT,
-    b"GET /read_only/x HTTP/1.1\r\nX-Long: " + b"y" * 2 * HEAD_LIMIT,
-    b"GET /read_only/x HTTP/1.1\r\n" + b"X-Name: v\r\n" * (HEAD_LIMIT // 8),
-    b"GET /read_only/x HTTP/1.1\r\n" + b"y" * 2 * HEAD_LIMIT,
-    b"\r\n" * 2 * HEAD_LIMIT,
-    b"POST /writing/x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"0" * 2 * HEAD_LIMIT,
-    b"POST /writing/x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" + b"e" * 2 * HEAD_LIMIT,
-])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"GET /read_only/" + b"x" * 2 * HEAD_LIMIT,
+        b"GET /read_only/x HTTP/1.1\r\nX-Long: " + b"y" * 2 * HEAD_LIMIT,
+        b"GET /read_only/x HTTP/1.1\r\n" + b"X-Name: v\r\n" * (HEAD_LIMIT // 8),
+        b"GET /read_only/x HTTP/1.1\r\n" + b"y" * 2 * HEAD_LIMIT,
+        b"\r\n" * 2 * HEAD_LIMIT,
+        b"POST /writing/x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"0" * 2 * HEAD_LIMIT,
+        b"POST /writing/x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" + b"e" * 2 * HEAD_LIMIT,
+    ],
+)
 @on_loop
 async def test_a_head_without_end_is_cut_short_and_others_are_served(head: bytes) -> None:
     async with serving() as (made, seen):
--- a/tests/test_edge_parsers.py
+++ b/tests/test_edge_parsers.py
@@ -20,8 +20,13 @@
 from larchgw.net.heads import end_to_end
 from larchgw.net.loop import READ
 
-LINES = st.lists(st.sampled_from([b"id: 3", b"id:12", b"id: x", b"data: one", b"data", b": ping",
-                                  b"versions: 4", b"data: id: 9"]), min_size=1, max_size=4)
+LINES = st.lists(
+    st.sampled_from(
+        [b"id: 3", b"id:12", b"id: x", b"data: one", b"data", b": ping", b"versions: 4", b"data: id: 9"]
+    ),
+    min_size=1,
+    max_size=4,
+)
 ENDS = st.sampled_from([b"\n", b"\r\n"])
 
 
@@ -155,10 +160,12 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\nX-Server-Seal: s\r\n"
 STRANGER = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id0\r\nContent-Length: 3\r\n\r\nold"
-ANSWERS = [HEAD + b"Content-Length: 5\r\n\r\nhello",
-           HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
-           STRANGER + HEAD + b"Content-Length: 5\r\n\r\nhello",
-           b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD + b"Content-Length: 5\r\n\r\nhello"]
+ANSWERS = [
+    HEAD + b"Content-Length: 5\r\n\r\nhello",
+    HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
+    STRANGER + HEAD + b"Content-Length: 5\r\n\r\nhello",
+    b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD + b"Content-Length: 5\r\n\r\nhello",
+]
 
 
 @pytest.mark.parametrize("answer", ANSWERS)
@@ -219,14 +226,25 @@
 
 
 def test_fields_of_one_connection_are_dropped_and_all_others_kept_in_order() -> None:
-    fields = [(b"Connection", b"keep-alive, X-Hop"), (b"x-hop", b"1"), (b"Cookie", b"a"),
-              (b"TE", b"trailers"), (b"Cookie", b"b"), (b"Content-Length", b"3"), (b"X-Server-Seal", b"s")]
+    fields = [
+        (b"Connection", b"keep-alive, X-Hop"),
+        (b"x-hop", b"1"),
+        (b"Cookie", b"a"),
+        (b"TE", b"trailers"),
+        (b"Cookie", b"b"),
+        (b"Content-Length", b"3"),
+        (b"X-Server-Seal", b"s"),
+    ]
     assert end_to_end(fields) == [(b"Cookie", b"a"), (b"Cookie", b"b"), (b"X-Server-Seal", b"s")]
 
 
 def test_headers_of_a_request_are_read_and_wrong_ones_borne() -> None:
-    headers = {b"x-model": b"daka510000/a3", b"x-token-count": b"1460,80", b"x-time-left-ms": b"2500",
-               b"x-prompt-start": b"5c1e07a2:800, 91bd3f06:410,bad"}
+    headers = {
+        b"x-model": b"daka510000/a3",
+        b"x-token-count": b"1460,80",
+        b"x-time-left-ms": b"2500",
+        b"x-prompt-start": b"5c1e07a2:800, 91bd3f06:410,bad",
+    }
     assert model_of(headers) == ("daka510000", "a3")
     assert tokens_of(headers) == (1460, 80)
     assert [(part.id, part.tokens) for part in parts_of(headers)] == [("5c1e07a2", 800), ("91bd3f06", 410)]
--- a/tests/test_edge_ready.py
+++ b/tests/test_edge_ready.py
@@ -34,10 +34,17 @@
 
 @on_loop
 async def test_an_edge_is_ready_once_it_knows_enough_and_not_from_its_sigterm_on(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(node_module, "NOTICE_S", 0.0)
-    settings = NodeSettings("edge-1", IP, "z", listen=Listen(front=f"{IP}:0", ready=f"{IP}:0"),
-                            spare_ports=[17660, 17675], seed_list=[f"{IP}:1"])
+    settings = NodeSettings(
+        "edge-1",
+        IP,
+        "z",
+        listen=Listen(front=f"{IP}:0", ready=f"{IP}:0"),
+        spare_ports=[17660, 17675],
+        seed_list=[f"{IP}:1"],
+    )
     node = EdgeNode(settings)
     await node.start()
     assert await status(node) == 503
--- a/tests/test_edge_requests.py
+++ b/tests/test_edge_requests.py
@@ -29,8 +29,15 @@
 async def test_an_answer_is_passed_on_unchanged_with_its_seal() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
-        client = await made.ask("/read_only/a?b=1", "id7", b"body", X_Extra="kept", Connection="X-Hop",
-                                X_Hop="dropped", X_Target_Runner="forged")
+        client = await made.ask(
+            "/read_only/a?b=1",
+            "id7",
+            b"body",
+            X_Extra="kept",
+            Connection="X-Hop",
+            X_Hop="dropped",
+            X_Target_Runner="forged",
+        )
         call = await runner.call()
         assert call.line == "POST /read_only/a?b=1 HTTP/1.1" and call.body == b"body"
         assert call.id == "id7" and call.headers["x-target-runner"] == "i-1"
@@ -88,7 +95,8 @@
 @pytest.mark.parametrize("fields", [{"Transfer_Encoding": "chunked"}, {"Host": ""}, {"X_Attempt_Id": ""}])
 @on_loop
 async def test_a_request_that_two_readers_could_read_differently_reaches_no_runner(
-        fields: dict[str, str]) -> None:
+    fields: dict[str, str],
+) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask(**fields)
@@ -101,8 +109,10 @@
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.client()
-        client.writer.write(f"GET /read_only/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: a\r\n"
-                            "x-attempt-id: b\r\n\r\n".encode())
+        client.writer.write(
+            f"GET /read_only/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: a\r\n"
+            "x-attempt-id: b\r\n\r\n".encode()
+        )
         assert (await client.answer()).status == 400
         assert made.selection.sends == []
 
@@ -137,9 +147,14 @@
 # Never ran: may go elsewhere
 
 
-@pytest.mark.parametrize("status,outcome", [("503 Full", AttemptOutcome.FULL),
-                                            ("429 Full", AttemptOutcome.FULL),
-                                            ("421 Other", AttemptOutcome.NOT_HELD)])
+@pytest.mark.parametrize(
+    "status,outcome",
+    [
+        ("503 Full", AttemptOutcome.FULL),
+        ("429 Full", AttemptOutcome.FULL),
+        ("421 Other", AttemptOutcome.NOT_HELD),
+    ],
+)
 @on_loop
 async def test_what_never_ran_goes_to_another_runner(status: str, outcome: AttemptOutcome) -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
@@ -184,6 +199,7 @@
 async def test_a_runner_that_drains_while_its_connection_comes_up_gets_nothing() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
+
         def drains(request: object, runners: object) -> Send:
             record = made.records["i-1"]
             made.records["i-1"] = dataclasses.replace(record, stage=Stage.DRAINING)
@@ -238,9 +254,14 @@
         assert len(made.selection.sends) == 2
 
 
-@pytest.mark.parametrize("garbage", [b"\0\0 no answer \r\n\r\n",
-                                     b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
-                                     b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\nContent-Length: 2\r\n\r\nok"])
+@pytest.mark.parametrize(
+    "garbage",
+    [
+        b"\0\0 no answer \r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\nContent-Length: 2\r\n\r\nok",
+    ],
+)
 @on_loop
 async def test_what_is_no_answer_of_this_runner_is_not_passed_on(garbage: bytes) -> None:
     runner = ScriptedRunner("i-1")
@@ -300,8 +321,9 @@
 # Deadlines
 
 
-@pytest.mark.parametrize("path,told", [("/writing/x", "1000"), ("/read_only/x", "1000"),
-                                       ("/writing/x", "900000")])
+@pytest.mark.parametrize(
+    "path,told", [("/writing/x", "1000"), ("/read_only/x", "1000"), ("/writing/x", "900000")]
+)
 @on_loop
 async def test_at_the_deadline_what_was_sent_gets_504_and_its_runner_may_stop(path: str, told: str) -> None:
     runner = ScriptedRunner("i-1")
--- a/tests/test_edge_streams.py
+++ b/tests/test_edge_streams.py
@@ -193,8 +193,11 @@
         call.events(3)
         call.end()
         assert await rest(client) == (b"", False)
-        assert made.selection.outcomes == [AttemptOutcome.CUT, AttemptOutcome.NOT_HELD,
-                                           AttemptOutcome.GARBLED]
+        assert made.selection.outcomes == [
+            AttemptOutcome.CUT,
+            AttemptOutcome.NOT_HELD,
+            AttemptOutcome.GARBLED,
+        ]
 
 
 @on_loop
@@ -310,7 +313,8 @@
 @pytest.mark.parametrize("elsewhere", [Refuse(0.2, "holders_full"), Wait(float("inf"), "holders_full"), None])
 @on_loop
 async def test_a_silent_runner_is_borne_while_no_other_would_take_its_stream(
-        elsewhere: Refuse | Wait | None) -> None:
+    elsewhere: Refuse | Wait | None,
+) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         if elsewhere is None:  # the only runner there is, again
@@ -375,8 +379,9 @@
         client = await made.ask("/once/x")
         call = await runner.call()
         call.stream()
-        large = [b"id: %d\ndata: %b\n\n" % (number, bytes([97 + number % 26]) * 60_000)
-                 for number in range(400)]
+        large = [
+            b"id: %d\ndata: %b\n\n" % (number, bytes([97 + number % 26]) * 60_000) for number in range(400)
+        ]
         for piece in large:
             call.chunk(piece)
         call.end()
--- a/tests/test_edge_terms.py
+++ b/tests/test_edge_terms.py
@@ -89,8 +89,10 @@
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         client = await made.client()
-        client.writer.write(f"POST /writing/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: id1\r\n"
-                            "X-Time-Left-Ms: 4000\r\nContent-Length: 10\r\n\r\nfirst".encode())
+        client.writer.write(
+            f"POST /writing/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: id1\r\n"
+            "X-Time-Left-Ms: 4000\r\nContent-Length: 10\r\n\r\nfirst".encode()
+        )
         server = made.proxy._server
         assert server is not None
         await until(lambda: server.bodies.held)  # bytes of the body have been read
@@ -211,8 +213,11 @@
 
 # UNASKED: headers as they came
 
-PROMPT = {"X_Model": "daka510000/a3", "X_Token_Count": "1460, 80",
-          "X_Prompt_Start": "5c1e07a2:800, 91bd3f06:410,e4402b7d:250"}
+PROMPT = {
+    "X_Model": "daka510000/a3",
+    "X_Token_Count": "1460, 80",
+    "X_Prompt_Start": "5c1e07a2:800, 91bd3f06:410,e4402b7d:250",
+}
 
 
 @on_loop
@@ -313,6 +318,7 @@
 async def test_a_request_whose_runner_leaves_while_its_connection_comes_up_goes_elsewhere() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
+
         def leaves(request: object, runners: object) -> Send:
             return Send(made.records.pop("i-1"))
 
--- a/tests/test_edge_trace.py
+++ b/tests/test_edge_trace.py
@@ -14,7 +14,8 @@
 
 
 def test_a_request_that_was_lost_and_repeated_can_be_followed_line_by_line(
-        caplog: pytest.LogCaptureFixture) -> None:
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     w = world()
     with caplog.at_level(logging.DEBUG, LOGGER):
         trace = RequestTrace.of(w.request("m", "a1"), b"id7")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -31,8 +31,7 @@
         self.said: dict[str, list[tuple[str, float]]] = {}
         self.start = self.time.now()
 
-    def offer(self, name: str, seconds: float = 1.0, slots: int = 1, key: int = 0,
-              priority: int = 0) -> Work:
+    def offer(self, name: str, seconds: float = 1.0, slots: int = 1, key: int = 0, priority: int = 0) -> Work:
         def say(work: Work, said: Said) -> None:
             passed = round(self.time.now() - self.start, 3)
             self.said.setdefault(work.request, []).append((said.value, passed))
@@ -48,8 +47,9 @@
         return self.said[name][-1][0] if name in self.said else ""
 
 
-@pytest.mark.parametrize("order, first", [
-    (Order.FIFO, "large"), (Order.BACKFILL, "small"), (Order.PRIORITY, "large")])
+@pytest.mark.parametrize(
+    "order, first", [(Order.FIFO, "large"), (Order.BACKFILL, "small"), (Order.PRIORITY, "large")]
+)
 def test_who_starts_first_depends_on_how_the_queue_is_served(order: Order, first: str) -> None:
     stage = Stage(replace(SPEC, order=order))
     stage.offer("running", 2.0, 3)
@@ -182,9 +182,18 @@
     fallen = records()
     fallen.boxes.append(Stage().box)
     fallen.boxes[0].fell.append(3.0)
-    words = {"2 final answers": twice, "no answer": unanswered, "late": late, "ran 2 times": ran_again,
-             "out twice": out_twice, "4 attempts": four, "refused and may have run": refused,
-             "no box had it": invented, "after its drain": drained, "pushed over": fallen}
+    words = {
+        "2 final answers": twice,
+        "no answer": unanswered,
+        "late": late,
+        "ran 2 times": ran_again,
+        "out twice": out_twice,
+        "4 attempts": four,
+        "refused and may have run": refused,
+        "no box had it": invented,
+        "after its drain": drained,
+        "pushed over": fallen,
+    }
     for word, broken in words.items():
         assert any(word in line for line in broken.broken()), word
     drained.ready_told("n1", "b1", 11.0)
@@ -249,8 +258,16 @@
 
 
 def test_lists_bring_weights_that_tell_what_boxes_hold_and_a_killed_dispatcher_is_back():
-    scenario = Scenario(FleetSpec(boxes=6, zones=3), LoadSpec(rate=20.0), dispatchers=12, seconds=6.0,
-                        crashes=[(0, 2.0), (5, 2.0)], back_s=0.5, weights_s=0.5, weights_late_s=0.1)
+    scenario = Scenario(
+        FleetSpec(boxes=6, zones=3),
+        LoadSpec(rate=20.0),
+        dispatchers=12,
+        seconds=6.0,
+        crashes=[(0, 2.0), (5, 2.0)],
+        back_s=0.5,
+        weights_s=0.5,
+        weights_late_s=0.1,
+    )
     world = World(scenario, 4)
     world.run()
     assert world.records.broken() == []
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -20,8 +20,13 @@
         self.events: dict[int, list[float]] = {}
         self.done: dict[int, float] = {}
 
-    def submit(self, parts: tuple[tuple[str, int], ...] = PROMPT, output: int = 10, priority: int = 5,
-               model: str = "m") -> Generation:
+    def submit(
+        self,
+        parts: tuple[tuple[str, int], ...] = PROMPT,
+        output: int = 10,
+        priority: int = 5,
+        model: str = "m",
+    ) -> Generation:
         """Gives it to the engine now."""
         generation = Generation(model, "", parts, output, priority, self._event, self._done)
         self.all.append(generation)
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -116,9 +116,20 @@
 
 
 def settings(instances, **more):
-    return Settings([SAFE, RELEASE], instances=instances, max_attempts=3, can_cancel=True, tells_start=True,
-                    cold_from=0.15, warm_up=22.0, tip_multiple=2.5, tip_span=3.0, max_retry_after=2.0,
-                    live_weights=True, **more)
+    return Settings(
+        [SAFE, RELEASE],
+        instances=instances,
+        max_attempts=3,
+        can_cancel=True,
+        tells_start=True,
+        cold_from=0.15,
+        warm_up=22.0,
+        tip_multiple=2.5,
+        tip_span=3.0,
+        max_retry_after=2.0,
+        live_weights=True,
+        **more,
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -182,8 +193,10 @@
         w.up_since, w.warm_at = 100.0, 122.0
     # No two estimate alike.
     guesses = [(dice.uniform(1.4, 1.8), dice.uniform(120.0, 180.0)) for _ in range(number)]
-    turns = [ColdTurns(settings(number, rank=n), n, lambda w: cores, lambda m=m: m, lambda f=f: f)
-             for n, (m, f) in enumerate(guesses)]
+    turns = [
+        ColdTurns(settings(number, rank=n), n, lambda w: cores, lambda m=m: m, lambda f=f: f)
+        for n, (m, f) in enumerate(guesses)
+    ]
     for t in turns:
         for w in cold:
             t.joined(100.0, w)
@@ -229,8 +242,12 @@
 def test_cold_boxes_get_less_where_jobs_are_of_unlike_sizes():
     worker = boxes(1)[0]
     worker.up_since, worker.warm_at = 100.0, 122.0
-    rates = [ColdTurns(settings(200), 1, lambda w: 5.0, lambda: 1.6, lambda: 200.0, lambda u=u: u)
-             .rate(105.0, worker) for u in (1.0, 1.5, 2.0, 4.0)]
+    rates = [
+        ColdTurns(settings(200), 1, lambda w: 5.0, lambda: 1.6, lambda: 200.0, lambda u=u: u).rate(
+            105.0, worker
+        )
+        for u in (1.0, 1.5, 2.0, 4.0)
+    ]
     assert rates == sorted(rates, reverse=True) and rates[-1] < 0.7 * rates[0]
     runs = Runs([SAFE, RELEASE])
     for _ in range(50):
@@ -329,8 +346,15 @@
 
 
 def told_by_probes(**changes):
-    return Settings([JobClass("p", 1.0, 5.0, effect="idempotent")], instances=4, can_probe=True, pull=True,
-                    slot_reports=0, price_probe=0.002, **changes)
+    return Settings(
+        [JobClass("p", 1.0, 5.0, effect="idempotent")],
+        instances=4,
+        can_probe=True,
+        pull=True,
+        slot_reports=0,
+        price_probe=0.002,
+        **changes,
+    )
 
 
 def test_probes_keep_to_their_price_and_to_what_a_box_takes_from_all_dispatchers():
@@ -475,8 +499,9 @@
 
 def test_sizes_that_cannot_be_believed_shut_nobody_out():
     d, now = Dispatcher(Settings([SAFE], sized=True), 1, Recorder()), 100.0
-    d.on_members(now, ListKind.FULL, [Member(b"%06d" % n, size=size) for n, size in enumerate(
-        (0.0, -1.0, 1.0, 1e9))])
+    d.on_members(
+        now, ListKind.FULL, [Member(b"%06d" % n, size=size) for n, size in enumerate((0.0, -1.0, 1.0, 1e9))]
+    )
     assert {w.id for w in d._ring(-1, -1)[1]} == set(d.workers)
     d.on_members(now, ListKind.FULL, [Member(b"%06d" % n, size=0.0) for n in range(3)])
     assert len({w.id for w in d._ring(-1, -1)[1]}) == 3
--- a/tests/test_faults_links.py
+++ b/tests/test_faults_links.py
@@ -223,8 +223,9 @@
         self.sent.append((data, addr))
 
 
-@pytest.mark.parametrize(("link", "arrive"), [
-    (Link(), 40), (SENT_HELD, 0), (ANSWERS_HELD, 40), (Link(loss=1.0), 0)])
+@pytest.mark.parametrize(
+    ("link", "arrive"), [(Link(), 40), (SENT_HELD, 0), (ANSWERS_HELD, 40), (Link(loss=1.0), 0)]
+)
 def test_datagrams_of_a_held_or_lossy_link_are_lost(link: Link, arrive: int) -> None:
     links, real, program = Links(random.Random(1)), FakeDatagramSocket(), Datagrams()
     LinkedDatagrams(program, links).connection_made(real)  # type: ignore[arg-type]
@@ -346,6 +347,7 @@
 
 def orders_of(mute: bool, deaf: bool) -> list[dict[str, Link]]:
     """What two processes of a group and one outside are told when the group is cut off."""
+
     async def scenario() -> list[dict[str, Link]]:
         switchboard = Switchboard()
         await switchboard.isolate(["a", "b"], ["a", "b", "c"], mute, deaf)
@@ -369,12 +371,18 @@
 
 def test_a_group_that_is_not_heard_still_hears() -> None:
     assert orders_of(mute=True, deaf=False) == [
-        {"c": SENT_HELD}, {"c": SENT_HELD}, {"a": ANSWERS_HELD, "b": ANSWERS_HELD}]
+        {"c": SENT_HELD},
+        {"c": SENT_HELD},
+        {"a": ANSWERS_HELD, "b": ANSWERS_HELD},
+    ]
 
 
 def test_a_group_that_hears_nothing_is_still_heard() -> None:
     assert orders_of(mute=False, deaf=True) == [
-        {"c": ANSWERS_HELD}, {"c": ANSWERS_HELD}, {"a": SENT_HELD, "b": SENT_HELD}]
+        {"c": ANSWERS_HELD},
+        {"c": ANSWERS_HELD},
+        {"a": SENT_HELD, "b": SENT_HELD},
+    ]
 
 
 def test_a_bad_link_is_healthy_again_when_it_is_told_so() -> None:
--- a/tests/test_gearman.py
+++ b/tests/test_gearman.py
@@ -22,7 +22,16 @@
 CAN_DO, CANT_DO, PRE_SLEEP, NOOP, SUBMIT, CREATED, GRAB, NO_JOB, ASSIGN = 1, 2, 4, 6, 7, 8, 9, 10, 11
 STATUS, COMPLETE, FAIL, GET_STATUS, ECHO, ECHO_RES, SUBMIT_BG, ERROR, STATUS_RES = range(12, 21)
 SUBMIT_HIGH, SET_ID, EXCEPTION, OPTION, OPTION_RES, DATA, WARNING, GRAB_UNIQ, ASSIGN_UNIQ = (
-    21, 22, 25, 26, 27, 28, 29, 30, 31)
+    21,
+    22,
+    25,
+    26,
+    27,
+    28,
+    29,
+    30,
+    31,
+)
 
 
 class Peer:
@@ -104,8 +113,10 @@
     """The counters once every request has its answer; taken and answered or left must agree."""
     until(lambda: program.counters()["larchgw_open_requests"] == 0, "the last answer")
     counted = program.counters()
-    taken, answered, gone = (sum(v for k, v in counted.items() if k.startswith(f"larchgw_{name}_total"))
-                             for name in ("taken", "answered", "gone"))
+    taken, answered, gone = (
+        sum(v for k, v in counted.items() if k.startswith(f"larchgw_{name}_total"))
+        for name in ("taken", "answered", "gone")
+    )
     assert taken == answered + gone and taken > 0, "unanswered jobs"
     return counted
 
@@ -139,8 +150,11 @@
         worker.send(WARNING, task, b"ink low")
         worker.send(COMPLETE, task, b"press")
         assert [client.read() for _ in range(4)] == [
-            (STATUS, [handle, b"1", b"2"]), (DATA, [handle, b"half"]), (WARNING, [handle, b"ink low"]),
-            (COMPLETE, [handle, b"press"])]
+            (STATUS, [handle, b"1", b"2"]),
+            (DATA, [handle, b"half"]),
+            (WARNING, [handle, b"ink low"]),
+            (COMPLETE, [handle, b"press"]),
+        ]
         client.send(GET_STATUS, handle)
         assert client.expect(STATUS_RES) == [handle, b"0", b"0", b"0", b"0"]
         counted = settled(program)
@@ -405,14 +419,21 @@
     return lambda peer: peer.sock.sendall(data)
 
 
-@pytest.mark.parametrize("bad", [
-    send_raw(b"\0BAD" + bytes(8)), send_raw(b"\0RES" + bytes(8)), send_raw(b"\0X"),
-    send_raw(b"\0REQ" + struct.pack(">II", COMPLETE, 300 << 10)),
-    send_raw(b"\0REQ" + struct.pack(">II", 99, 0)),
-    lambda peer: peer.send(SUBMIT, b"proof"), lambda peer: peer.send(PRE_SLEEP, b"what"),
-    lambda peer: peer.send(SUBMIT, b"proof", b"", b"x" * 65537), lambda peer: peer.send(SET_ID, b"two words"),
-    send_raw(b"x" * 2000),
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        send_raw(b"\0BAD" + bytes(8)),
+        send_raw(b"\0RES" + bytes(8)),
+        send_raw(b"\0X"),
+        send_raw(b"\0REQ" + struct.pack(">II", COMPLETE, 300 << 10)),
+        send_raw(b"\0REQ" + struct.pack(">II", 99, 0)),
+        lambda peer: peer.send(SUBMIT, b"proof"),
+        lambda peer: peer.send(PRE_SLEEP, b"what"),
+        lambda peer: peer.send(SUBMIT, b"proof", b"", b"x" * 65537),
+        lambda peer: peer.send(SET_ID, b"two words"),
+        send_raw(b"x" * 2000),
+    ],
+)
 def test_bad_input_gets_an_error_and_a_closed_connection(tmp_path: Path, bad: Callable[[Peer], None]) -> None:
     with running(tmp_path) as (program, _):
         peer = Peer(program)
@@ -455,8 +476,15 @@
 
 
 def two_slots(program: Program, name: str, pool: ThreadPoolExecutor) -> Future[tuple[int, bytes]]:
-    return pool.submit(program.ask, "POST", "/release", name.encode(), X_Request_Id=name,
-                       X_Deadline_Ms="20000", X_Extras="slots=2")
+    return pool.submit(
+        program.ask,
+        "POST",
+        "/release",
+        name.encode(),
+        X_Request_Id=name,
+        X_Deadline_Ms="20000",
+        X_Extras="slots=2",
+    )
 
 
 def test_a_job_of_two_slots_keeps_a_second_connection_of_its_box_free(tmp_path: Path) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -26,9 +26,14 @@
     (folder / "test_x.py").write_text(TESTS)
     (folder / FILE).write_text("".join(line + "\n" for line in lines))
     plugins = ("-p", "no:cacheprovider", "-p", "known_red")
-    done = subprocess.run([sys.executable, "-m", "pytest", "-q", *plugins, *args], cwd=folder,
-                          capture_output=True, text=True, timeout=60,
-                          env=os.environ | {"PYTHONPATH": str(Path(__file__).parent)})
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", *plugins, *args],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env=os.environ | {"PYTHONPATH": str(Path(__file__).parent)},
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -40,16 +45,19 @@
     assert status == 1 and "1 failed" in told and "test_half[2]" in told
 
 
-@pytest.mark.parametrize("line, says", [
-    ("test_x.py::test_green | it does not fail | issue 7", "XPASS(strict)"),
-    ("test_x.py::test_half[1] | it does not fail | issue 7", "XPASS(strict)"),
-    ("test_x.py::test_half[3] | no such case | issue 7", "no test is named test_x.py::test_half[3]"),
-    ("test_y.py::test_red | no such file | issue 7", "no test is named test_y.py::test_red"),
-    ("test_x.py::test_red | no issue", f"{FILE}:3: "),
-    ("test_x.py::test_red || issue 7", f"{FILE}:3: "),
-    ("", f"{FILE}:3: "),
-    (RED, f"{FILE}:3: names a test again"),
-])
+@pytest.mark.parametrize(
+    "line, says",
+    [
+        ("test_x.py::test_green | it does not fail | issue 7", "XPASS(strict)"),
+        ("test_x.py::test_half[1] | it does not fail | issue 7", "XPASS(strict)"),
+        ("test_x.py::test_half[3] | no such case | issue 7", "no test is named test_x.py::test_half[3]"),
+        ("test_y.py::test_red | no such file | issue 7", "no test is named test_y.py::test_red"),
+        ("test_x.py::test_red | no issue", f"{FILE}:3: "),
+        ("test_x.py::test_red || issue 7", f"{FILE}:3: "),
+        ("", f"{FILE}:3: "),
+        (RED, f"{FILE}:3: names a test again"),
+    ],
+)
 def test_a_line_that_should_not_be_there_fails_the_run(tmp_path: Path, line: str, says: str) -> None:
     status, told = run(tmp_path, RED, HALF, line)
     assert status != 0 and says in told, told
--- a/tests/test_lab_charts.py
+++ b/tests/test_lab_charts.py
@@ -13,8 +13,10 @@
 
 
 def points(text: str) -> list[tuple[float, float]]:
-    return [(float(circle.attrib["cx"]), float(circle.attrib["cy"]))
-            for circle in ElementTree.fromstring(text).iter(f"{SVG}circle")]
+    return [
+        (float(circle.attrib["cx"]), float(circle.attrib["cy"]))
+        for circle in ElementTree.fromstring(text).iter(f"{SVG}circle")
+    ]
 
 
 @pytest.mark.parametrize("bound", [None, 0.5, 40.0])
--- a/tests/test_lab_distribution.py
+++ b/tests/test_lab_distribution.py
@@ -8,8 +8,16 @@
 
 
 def test_every_dispatcher_has_all_entries_and_idle_costs_are_small() -> None:
-    size = Size(dispatchers=12, control=3, runners=20, adapters=800, configuration_bytes=5000,
-                configurations_a_day=50_000, loads_an_hour=10_000, restarts_a_day=50_000)
+    size = Size(
+        dispatchers=12,
+        control=3,
+        runners=20,
+        adapters=800,
+        configuration_bytes=5000,
+        configurations_a_day=50_000,
+        loads_an_hour=10_000,
+        restarts_a_day=50_000,
+    )
     result = experiment(Options(1, 1, 8.0, 1), size)
     assert ["start", "ordinary day", "a control process lost"] == [row["phase"] for row in result.rows]
     assert result.figures["missing"] == 0
