--- a/larchgw/__init__.py
+++ b/larchgw/__init__.py
@@ -3,8 +3,8 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from .choice import Dispatcher
-    from .interface import Settings
+    from .dispatcher.scheduling.interface import Settings
+    from .dispatcher.scheduling.scheduler import Dispatcher
 
 __version__ = "0.6.0"
 __all__ = ["Dispatcher", "Settings", "__version__"]
@@ -15,11 +15,11 @@
     `__main__` has to ignore SIGHUP as soon as it can.
     """
     if name == "Dispatcher":
-        from .choice import Dispatcher
+        from .dispatcher.scheduling.scheduler import Dispatcher
 
         return Dispatcher
     if name == "Settings":
-        from .interface import Settings
+        from .dispatcher.scheduling.interface import Settings
 
         return Settings
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/larchgw/__main__.py
+++ b/larchgw/__main__.py
@@ -11,7 +11,7 @@
     """Roles and the plain start load nothing of the command line: limits on memory and time bind."""
     arguments = sys.argv[1:]
     if not arguments:
-        from .daemon import serve
+        from .dispatcher.daemon import serve
 
         return serve()
     from .roles import ROLES, run_role
--- a/larchgw/cli/check.py
+++ b/larchgw/cli/check.py
@@ -7,12 +7,12 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ..config import startup
-from ..config.settings_file import Fault, read
 from ..configuration import settings as process_settings
 from ..configuration.errors import ConfigurationError, SettingsError
 from ..configuration.settings_check import settings_faults
 from ..configuration.validation import decode, examine
+from ..dispatcher.config import startup
+from ..dispatcher.config.settings_file import Fault, read
 from .command import WRONG_CALL, Command, UsageError, textual
 
 # Fields that a configuration of the operator's has and PROXY_CONFIG's file has not.
--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .. import __version__
-from ..config.startup import ConfigError
+from ..dispatcher.config.startup import ConfigError
 from ..roles import run_role
 from .check import check, settings
 from .command import INTERRUPTED, WRONG_CALL, Command, UsageError, act, file, read, textual
@@ -31,8 +31,8 @@
 
 
 def _serve(fronts: Path | None, room: Path | None) -> int:
-    from .. import daemon
-    from ..config.settings_file import load_fronts, load_room
+    from ..dispatcher import daemon
+    from ..dispatcher.config.settings_file import load_fronts, load_room
 
     return daemon.serve(load_fronts(fronts) if fronts else None, load_room(room) if room else None)
 
--- a/larchgw/node.py
+++ b/larchgw/dispatcher/assembly.py
@@ -6,15 +6,15 @@
 
 import structlog
 
+from ..net.loop import Loop
+from ..net.timers import Clock, Deadlines
+from .capacity import NOTHING_HELD, Planner, RoomSettings
+from .capacity.report import RoomFigures
 from .config.startup import Config, ConfigError, check_reload
 from .core import Core
-from .core.deadlines import Clock, Deadlines
-from .interface import ListKind
-from .net.discovery import Discovery, ListReader
-from .net.loop import Loop
-from .net.runners import Runners
-from .room import NOTHING_HELD, Planner, RoomSettings
-from .room.report import RoomFigures
+from .scheduling.interface import ListKind
+from .workers.discovery import Discovery, ListReader
+from .workers.pool import Runners
 
 RESERVED = 64  # descriptors for the loop, listeners, discovery, logs and what closes slowly
 RUNNER_SHARE = 0.4  # of the descriptors left; the clients' connections have the rest
--- a/larchgw/room/interface.py
+++ b/larchgw/dispatcher/capacity/interface.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from ..records import Attempt, Job, Worker
+from ..scheduling.records import Attempt, Job, Worker
 
 
 class Room(Protocol):
--- a/larchgw/room/planner.py
+++ b/larchgw/dispatcher/capacity/planner.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from ..interface import Settings, Status
-from ..records import OUT, Attempt, Job, Mean, Worker
+from ..scheduling.interface import Settings, Status
+from ..scheduling.records import OUT, Attempt, Job, Mean, Worker
 from .estimates import Estimates
 from .settings import RoomSettings
 
--- a/larchgw/config/settings_file.py
+++ b/larchgw/dispatcher/config/settings_file.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from ..net.address import parse_address
-from ..room import RoomSettings
+from ...net.address import parse_address
+from ..capacity import RoomSettings
 from .startup import ConfigError, Fronts
 
 
--- a/larchgw/config/startup.py
+++ b/larchgw/dispatcher/config/startup.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from ..interface import Settings
-from ..net.address import parse_address
-from ..simwire.checks import check_settings
-from ..simwire.wire import EFFECTS, WireError, read_settings
+from ...net.address import parse_address
+from ..scheduling.interface import Settings
+from ..simulator_protocol.checks import check_settings
+from ..simulator_protocol.wire import EFFECTS, WireError, read_settings
 
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 128
 FIGURES = {
--- a/larchgw/bans.py
+++ b/larchgw/dispatcher/cordon_file.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from .interface import WorkerId
+from .scheduling.interface import WorkerId
 
 log = structlog.get_logger()
 
--- a/larchgw/core/boxes.py
+++ b/larchgw/dispatcher/core/boxes.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from ..interface import ListKind, Member, Presence, WorkerId
+from ..scheduling.interface import ListKind, Member, Presence, WorkerId
 
 
 class Boxes:
--- a/larchgw/core/dispatch.py
+++ b/larchgw/dispatcher/core/dispatch.py
@@ -7,12 +7,12 @@
 
 import structlog
 
-from ..choice import Dispatcher
-from ..interface import ListKind, Member, Note, Settings, Status, WorkerId
-from ..room.interface import NOTHING_HELD, Room
+from ...net.counters import Counters
+from ...net.timers import Clock, Deadlines
+from ..capacity.interface import NOTHING_HELD, Room
+from ..scheduling.interface import ListKind, Member, Note, Settings, Status, WorkerId
+from ..scheduling.scheduler import Dispatcher
 from .boxes import Boxes
-from .counters import Counters
-from .deadlines import Clock, Deadlines
 from .figures import Figures
 from .outcomes import Answer, AnswerKind, End
 from .requests import Attempt, News, Request, Transport
--- a/larchgw/core/figures.py
+++ b/larchgw/dispatcher/core/figures.py
@@ -9,7 +9,7 @@
 from prometheus_client.core import GaugeMetricFamily, UntypedMetricFamily
 from prometheus_client.registry import Collector
 
-from .counters import Counters
+from ...net.counters import Counters
 from .outcomes import AnswerKind
 
 COUNTS = {"answered": AnswerKind.SERVED, "deferred": AnswerKind.REFUSED, "errored": AnswerKind.FAILED}
--- a/larchgw/core/outcomes.py
+++ b/larchgw/dispatcher/core/outcomes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ..interface import Status
+from ..scheduling.interface import Status
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchgw/core/requests.py
+++ b/larchgw/dispatcher/core/requests.py
@@ -6,8 +6,8 @@
 from enum import Enum, IntEnum
 from typing import Any, Protocol
 
-from ..interface import Status, WorkerId
-from .deadlines import Deadline
+from ...net.timers import Deadline
+from ..scheduling.interface import Status, WorkerId
 from .outcomes import Answer
 
 PROOFS = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # these say that the attempt never ran
--- a/larchgw/core/stages/admit.py
+++ b/larchgw/dispatcher/core/stages/admit.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from ..counters import Counters
+from ....net.counters import Counters
 from ..outcomes import Answer, AnswerKind
 from ..requests import Request
 from .receive import Receive
--- a/larchgw/core/stages/receive.py
+++ b/larchgw/dispatcher/core/stages/receive.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from ..counters import Counters
+from ....net.counters import Counters
 from ..requests import Request
 
 # A deadline counts from the client's send, which we do not see, and the answer has a way to go as well.
--- a/larchgw/core/stages/record.py
+++ b/larchgw/dispatcher/core/stages/record.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ...choice import Dispatcher
-from ...interface import Outcome
-from ..counters import Counters
-from ..deadlines import Deadlines
+from ....net.counters import Counters
+from ....net.timers import Deadlines
+from ...scheduling.interface import Outcome
+from ...scheduling.scheduler import Dispatcher
 from ..outcomes import End
 from ..requests import Attempt, Request
 from .receive import Receive
--- a/larchgw/core/stages/relay.py
+++ b/larchgw/dispatcher/core/stages/relay.py
@@ -4,8 +4,8 @@
 
 import structlog
 
-from ..counters import Counters
-from ..deadlines import Deadlines
+from ....net.counters import Counters
+from ....net.timers import Deadlines
 from ..outcomes import Answer, AnswerKind
 from ..requests import Attempt, News, Request
 
--- a/larchgw/core/stages/route.py
+++ b/larchgw/dispatcher/core/stages/route.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ... import interface
-from ...choice import Dispatcher
+from ...scheduling import interface
+from ...scheduling.scheduler import Dispatcher
 from ..requests import Request
 
 
--- a/larchgw/core/stages/send.py
+++ b/larchgw/dispatcher/core/stages/send.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Sequence
 
-from ...interface import WorkerId
-from ..counters import Counters
-from ..deadlines import Deadlines
+from ....net.counters import Counters
+from ....net.timers import Deadlines
+from ...scheduling.interface import WorkerId
 from ..requests import Attempt, Reach, Request, Transport
 
 
--- a/larchgw/daemon.py
+++ b/larchgw/dispatcher/daemon.py
@@ -9,19 +9,19 @@
 
 import structlog
 
-from . import __version__
-from .bans import BanFile
+from .. import __version__
+from ..net.listener import Listener
+from .assembly import Node, wake_on_signals
+from .capacity import RoomSettings
 from .config import startup
+from .cordon_file import BanFile
 from .fronts.admin import Admin
 from .fronts.agentcheck import AgentCheck, Ops
 from .fronts.gearman import GearmanFront
 from .fronts.platform import PlatformFront
-from .interface import WorkerId
-from .net.listener import Listener
-from .node import Node, wake_on_signals
-from .room import RoomSettings
-from .upgrade import moving
-from .upgrade.handover import Handover
+from .hot_restart import moving
+from .hot_restart.handover import Handover
+from .scheduling.interface import WorkerId
 
 # After SIGTERM clients still come for a while, and use the connections that they have: the other dispatchers
 # may be down just then. Whoever is let in must be answered before SIGKILL. That comes no sooner than the
--- a/larchgw/estimates/cold.py
+++ b/larchgw/dispatcher/estimates/cold.py
@@ -19,8 +19,8 @@
 from itertools import accumulate
 from math import log2, sqrt
 
-from ..interface import Settings
-from ..records import Worker
+from ..scheduling.interface import Settings
+from ..scheduling.records import Worker
 from .mixing import MASK
 
 # Share of the rule's budget that is planned with, and roots of what arrives that are kept below that. Turns
--- a/larchgw/estimates/fleet.py
+++ b/larchgw/dispatcher/estimates/fleet.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from math import log
 
-from ..interface import Settings
-from ..records import Job, Worker
+from ..scheduling.interface import Settings
+from ..scheduling.records import Job, Worker
 from .cold import MANY, ColdTurns
 from .health import Health
 from .keys import Keys
--- a/larchgw/estimates/health.py
+++ b/larchgw/dispatcher/estimates/health.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable, Sequence
 
-from ..interface import Settings
-from ..records import Worker
+from ..scheduling.interface import Settings
+from ..scheduling.records import Worker
 
 BLAME, CLEAR = 0.5, 0.7  # what one failure adds to a worker's share of failures, and what one success leaves
 MEND = 8.0  # seconds in which what was seen of failures comes to count half
--- a/larchgw/estimates/loads.py
+++ b/larchgw/dispatcher/estimates/loads.py
@@ -11,8 +11,8 @@
 from collections import deque
 from collections.abc import Sequence
 
-from ..interface import WorkerId
-from ..records import Worker
+from ..scheduling.interface import WorkerId
+from ..scheduling.records import Worker
 
 CORES = 4.0  # of a worker, until its weights show it
 LEAST, SINGLE = 0.03, 0.6  # requests per core that can be the mark of one request alone
--- a/larchgw/estimates/quotas.py
+++ b/larchgw/dispatcher/estimates/quotas.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..interface import Settings
+from ..scheduling.interface import Settings
 
 BURST_S, BURST_LEAST = 2.0, 3.0  # a tenant may be ahead by so many seconds of its quota, or by so many jobs
 
--- a/larchgw/estimates/reports.py
+++ b/larchgw/dispatcher/estimates/reports.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable, Sequence
 from math import log2
 
-from ..interface import Settings, WorkerId
-from ..records import Worker
+from ..scheduling.interface import Settings, WorkerId
+from ..scheduling.records import Worker
 
 SPENT = 0.0008  # part of the result that probes may cost, by their price and the jobs that come
 OFTEN, SELDOM = 0.25, 2.0  # seconds between two probes of a worker by one dispatcher, at least and at most
--- a/larchgw/estimates/runs.py
+++ b/larchgw/dispatcher/estimates/runs.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from ..interface import JobClass
+from ..scheduling.interface import JobClass
 
 PRIOR = 3.0  # ends that a prior counts as
 OLD = 200.0  # ends from which on older ones fade
--- a/larchgw/estimates/works.py
+++ b/larchgw/dispatcher/estimates/works.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from ..records import Mean
+from ..scheduling.records import Mean
 
 PRIOR = 4.0  # jobs that the belief "all hints are off by the factor of the first" counts as
 SPREAD = 0.5  # spread of hints, over the first one, that it counts with
--- a/larchgw/fronts/admin.py
+++ b/larchgw/dispatcher/fronts/admin.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from urllib.parse import unquote_to_bytes
 
+from ...net.httpserver import Exchange, HttpServer
+from ...net.loop import Loop
 from ..core import Core
-from ..interface import WorkerId
-from ..net.httpserver import Exchange, HttpServer
-from ..net.loop import Loop
+from ..scheduling.interface import WorkerId
 
 CAP = 16  # connections, out of the descriptors that no client can reach
 MAX_BODY = 4096  # of a call, and of all that come in at a time: none needs one
--- a/larchgw/fronts/agentcheck.py
+++ b/larchgw/dispatcher/fronts/agentcheck.py
@@ -5,15 +5,15 @@
 import socket
 from collections.abc import Callable
 
+from ...net.connection import Connection
+from ...net.connection_outcome import ConnectionOutcome
+from ...net.counters import Counters
+from ...net.httpserver import MAX_BODY, Exchange, HttpServer
+from ...net.listener import Listener
+from ...net.loop import Loop
+from ..capacity import Planner
+from ..capacity.report import as_json
 from ..core import Core
-from ..core.counters import Counters
-from ..net.connection import Connection
-from ..net.connection_outcome import ConnectionOutcome
-from ..net.httpserver import MAX_BODY, Exchange, HttpServer
-from ..net.listener import Listener
-from ..net.loop import Loop
-from ..room import Planner
-from ..room.report import as_json
 
 CAP = 16
 
--- a/larchgw/fronts/gearman.py
+++ b/larchgw/dispatcher/fronts/gearman.py
@@ -8,14 +8,14 @@
 
 import structlog
 
-from .. import __version__
+from ... import __version__
+from ...net.connection import Connection
+from ...net.connection_outcome import ConnectionOutcome
+from ...net.listener import Listener
+from ...net.loop import Loop
+from ...net.timers import Deadline
 from ..core import Answer, AnswerKind, Core, Request
-from ..core.deadlines import Deadline
 from ..core.requests import News
-from ..net.connection import Connection
-from ..net.connection_outcome import ConnectionOutcome
-from ..net.listener import Listener
-from ..net.loop import Loop
 from .gearman_jobs import Job, Jobs, full_unique
 from .gearman_packets import BadPacket, Packet, PacketReader, Type, encode
 from .gearman_workers import GearmanWorkers, Slot
--- a/larchgw/fronts/gearman_jobs.py
+++ b/larchgw/dispatcher/fronts/gearman_jobs.py
@@ -11,10 +11,10 @@
 
 import structlog
 
+from ...net.counters import Counters
+from ...net.timers import Clock
 from ..core import Answer, AnswerKind, Request
-from ..core.counters import Counters
-from ..core.deadlines import Clock
-from ..interface import Settings
+from ..scheduling.interface import Settings
 
 MAX_REMEMBERED = 50_000
 MAX_RESULT_BYTES = 16 << 20  # of remembered releases
--- a/larchgw/fronts/gearman_workers.py
+++ b/larchgw/dispatcher/fronts/gearman_workers.py
@@ -11,12 +11,12 @@
 import structlog
 from sortedcontainers import SortedKeyList
 
+from ...net.connection_outcome import ConnectionOutcome, status_of
+from ...net.loop import Loop
+from ...net.timers import Deadline
 from ..core import Attempt, Core, End
-from ..core.deadlines import Deadline
 from ..core.requests import News, Reach
-from ..interface import Status, WorkerId
-from ..net.connection_outcome import ConnectionOutcome, status_of
-from ..net.loop import Loop
+from ..scheduling.interface import Status, WorkerId
 from .gearman_packets import Packet, Type, encode
 
 ASSIGN = {
--- a/larchgw/fronts/platform.py
+++ b/larchgw/dispatcher/fronts/platform.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
+from ...net.httpserver import Exchange, HttpServer
+from ...net.loop import Loop
 from ..core import Answer, Core, Request
 from ..core.requests import News
-from ..net.httpserver import Exchange, HttpServer
-from ..net.loop import Loop
 from .jobheaders import http_answer, read_job
 
 
--- a/larchgw/upgrade/handover.py
+++ b/larchgw/dispatcher/hot_restart/handover.py
@@ -17,12 +17,12 @@
 
 import structlog
 
+from ...net.connection import Connection
+from ...net.connection_outcome import ConnectionOutcome
+from ...net.loop import READ, Loop
+from ...net.timers import Deadline
 from ..core import Core
-from ..core.deadlines import Deadline
-from ..interface import WorkerId
-from ..net.connection import Connection
-from ..net.connection_outcome import ConnectionOutcome
-from ..net.loop import READ, Loop
+from ..scheduling.interface import WorkerId
 from . import learned
 from .moving import MAX_FDS, MAX_PACKET
 
--- a/larchgw/upgrade/learned.py
+++ b/larchgw/dispatcher/hot_restart/learned.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from ..choice import Dispatcher
-from ..records import Mean, Pair, Worker
+from ..scheduling.records import Mean, Pair, Worker
+from ..scheduling.scheduler import Dispatcher
 
 MEANS = ("fetch", "wait")
 FIGURES = ("window", "crowd")
--- a/larchgw/upgrade/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -11,12 +11,12 @@
 from base64 import b64decode, b64encode
 from typing import Any
 
+from ...net.httpserver import Exchange
 from ..core import Attempt, Core, Request
 from ..fronts.platform import PlatformFront
-from ..interface import Status
-from ..net.httpserver import Exchange
-from ..net.runnerlink import RunnerLink
-from ..net.runners import Runners
+from ..scheduling.interface import Status
+from ..workers.connection import RunnerLink
+from ..workers.pool import Runners
 
 MAX_PACKET = 192 << 10
 MAX_FDS = 2
--- /dev/null
+++ b/larchgw/dispatcher/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Which worker gets which job and when: pure decisions without any I/O."""
--- a/larchgw/records.py
+++ b/larchgw/dispatcher/scheduling/records.py
@@ -1,4 +1,4 @@
-"""The records that choice.py keeps: workers, keys held, jobs and attempts. No decisions."""
+"""Records of the scheduler: workers, keys held, jobs and attempts. No decisions."""
 
 from __future__ import annotations
 
--- a/larchgw/choice.py
+++ b/larchgw/dispatcher/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Every decision of the dispatcher. Its interface (settings, events, actions) is in interface.py.
+"""Every decision of the dispatcher. Its interface (settings, events, actions) is in `interface.py`.
 
 The ordinary path is the pod selection of "LLM Instance Gateway": a job goes to a worker that holds its key,
 the holder with the MOST own pending still under a threshold; else it spills to the worker with the fewest
@@ -13,14 +13,14 @@
 from collections.abc import Iterable, Mapping, Sequence
 from itertools import islice
 
-from .estimates import Fleet
-from .estimates.mixing import MASK, mix
-from .estimates.quotas import Quotas
+from ..capacity.interface import NOTHING_HELD, Room
+from ..estimates import Fleet
+from ..estimates.mixing import MASK, mix
+from ..estimates.quotas import Quotas
+from ..simulator_protocol.checks import check_settings
 from .interface import Actions, ListKind, Member, Note, Outcome, Presence, Request, Settings, Status, WorkerId
 from .records import MAYBE_RAN, NEVER_RAN, OUT, Attempt, Job, Mean, Pair, Worker
-from .repeats import may_refuse, may_send, window_end
-from .room.interface import NOTHING_HELD, Room
-from .simwire.checks import check_settings
+from .retry_rules import may_refuse, may_send, window_end
 
 Try = tuple[WorkerId, float, float, int | None]  # worker, when sent and begun, how it ended if it has
 PROOFS = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # outcomes that prove an attempt never ran
--- a/larchgw/simwire/checks.py
+++ b/larchgw/dispatcher/simulator_protocol/checks.py
@@ -2,7 +2,7 @@
 
 from typing import get_args
 
-from ..interface import Effect, Settings
+from ..scheduling.interface import Effect, Settings
 
 
 def check_settings(s: Settings) -> None:
--- a/larchgw/simwire/wire.py
+++ b/larchgw/dispatcher/simulator_protocol/wire.py
@@ -7,7 +7,17 @@
 from collections.abc import Iterator
 from typing import Any, get_args
 
-from ..interface import Effect, JobClass, Member, Note, Outcome, Request, Settings, Status, Tenant
+from ..scheduling.interface import (
+    Effect,
+    JobClass,
+    Member,
+    Note,
+    Outcome,
+    Request,
+    Settings,
+    Status,
+    Tenant,
+)
 
 
 class WireError(ValueError):
--- a/larchgw/simwire/wirehost.py
+++ b/larchgw/dispatcher/simulator_protocol/wirehost.py
@@ -1,4 +1,7 @@
-"""`python -m larchgw.simwire.wirehost`: dispatchers on the simulator's wire, over stdin and stdout."""
+"""Dispatchers on the simulator's wire, over stdin and stdout.
+
+Run as `python -m larchgw.dispatcher.simulator_protocol.wirehost`.
+"""
 
 from __future__ import annotations
 
@@ -6,8 +9,8 @@
 import sys
 from typing import Any, BinaryIO
 
-from ..choice import Dispatcher
-from ..interface import Member
+from ..scheduling.interface import Member
+from ..scheduling.scheduler import Dispatcher
 from . import wire
 
 
--- a/larchgw/net/runneranswer.py
+++ b/larchgw/dispatcher/workers/answer.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from .connection_outcome import ConnectionOutcome
-from .runnerreport import ReportReader
+from ...net.connection_outcome import ConnectionOutcome
+from .load_report import ReportReader
 
 MAX_RAW = 8192  # bytes of an answer that has not ended, kept as they came
 MAX_LINE = 8 * 65536  # of a runner's answer: a result of 64 KiB, escaped as JSON may be
--- a/larchgw/net/runnerlink.py
+++ b/larchgw/dispatcher/workers/connection.py
@@ -7,14 +7,14 @@
 
 import structlog
 
+from ...net.connection import Connection, connect
+from ...net.connection_outcome import ConnectionOutcome, status_of
+from ...net.loop import WORKERS, Loop
+from ...net.timers import Deadline
 from ..core import Attempt, Core, End, Request
-from ..core.deadlines import Deadline
-from ..interface import WorkerId
-from .connection import Connection, connect
-from .connection_outcome import ConnectionOutcome, status_of
-from .loop import WORKERS, Loop
-from .runneranswer import MAX_RAW, AnswerReader
-from .runnerreport import ReportReader
+from ..scheduling.interface import WorkerId
+from .answer import MAX_RAW, AnswerReader
+from .load_report import ReportReader
 
 PROBE_TIME = 0.3
 LAST_CHUNK_TIME = 0.5  # after the line that ends an attempt
--- a/larchgw/net/discovery.py
+++ b/larchgw/dispatcher/workers/discovery.py
@@ -11,13 +11,13 @@
 import httptools
 import structlog
 
+from ...net.address import parse_address
+from ...net.connection import Connection, connect
+from ...net.connection_outcome import ConnectionOutcome
+from ...net.loop import FIRST, Loop
+from ...net.timers import Deadline
 from ..core import Core
-from ..core.deadlines import Deadline
-from ..interface import ListKind, Member, Presence, WorkerId
-from .address import parse_address
-from .connection import Connection, connect
-from .connection_outcome import ConnectionOutcome
-from .loop import FIRST, Loop
+from ..scheduling.interface import ListKind, Member, Presence, WorkerId
 
 # What a watch that has fallen silent misses counts as told 6 s after it fell silent, or 2 s after its wait is
 # over if that is later. By then it must be known to be silent, opened anew and answered: so no watch may take
--- a/larchgw/net/runners.py
+++ b/larchgw/dispatcher/workers/pool.py
@@ -8,15 +8,15 @@
 
 import structlog
 
+from ...net.connection import Connection
+from ...net.connection_outcome import ConnectionOutcome, status_of
+from ...net.keepalive import SETTLE, KeepAliveLimit
+from ...net.loop import Loop
 from ..core import Attempt, Core, End
 from ..core.requests import Reach
-from ..interface import Status, WorkerId
-from .connection import Connection
-from .connection_outcome import ConnectionOutcome, status_of
-from .keepalive import SETTLE, KeepAliveLimit
-from .loop import Loop
-from .runnerlink import RunnerLink
-from .runnerreport import ReportReader
+from ..scheduling.interface import Status, WorkerId
+from .connection import RunnerLink
+from .load_report import ReportReader
 
 IDLE_CLOSE = 15.0  # seconds after which workers close idle connections, where the settings do not say
 log = structlog.get_logger()
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -6,11 +6,11 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 
-from ..core.deadlines import Deadline
 from ..directory.records import RunnerRecord, Stage
 from ..net.address import parse_address
 from ..net.connection import Connection
 from ..net.loop import EventLoop
+from ..net.timers import Deadline
 from .counters import EdgeCounters
 from .keep_time import KeepTime
 from .runner_link import RunnerLink
--- a/larchgw/edge/silence.py
+++ b/larchgw/edge/silence.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from ..core.deadlines import Deadline
 from ..net.loop import EventLoop
+from ..net.timers import Deadline
 
 # A silent stream is taken up elsewhere, well before its client gives it up (2 s and more): after this ...
 SILENCE_S = 1.0
--- a/larchgw/emulator/load.py
+++ b/larchgw/emulator/load.py
@@ -10,7 +10,7 @@
 from math import exp, log, pi, sin, sqrt
 from statistics import NormalDist
 
-from ..interface import Effect
+from ..dispatcher.scheduling.interface import Effect
 
 LONGEST = 0.6  # of the give-up time
 
--- a/larchgw/emulator/timeline.py
+++ b/larchgw/emulator/timeline.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..core.deadlines import Clock, Deadlines
+from ..net.timers import Clock, Deadlines
 
 START = 1_000_000.0  # seconds; a start time of 0 would read as "long ago"
 
--- a/larchgw/emulator/virtual/carrier.py
+++ b/larchgw/emulator/virtual/carrier.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping
 
-from ...core import Attempt, Core, End
-from ...core.requests import Reach
-from ...interface import Presence, Status, WorkerId
+from ...dispatcher.core import Attempt, Core, End
+from ...dispatcher.core.requests import Reach
+from ...dispatcher.scheduling.interface import Presence, Status, WorkerId
 from ..box import Box, Said, Work
 from ..load import Job
 from ..rules import Sent
--- a/larchgw/emulator/virtual/clients.py
+++ b/larchgw/emulator/virtual/clients.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Sequence
 
-from ...core import Answer, AnswerKind, Request
+from ...dispatcher.core import Answer, AnswerKind, Request
 from ..box import Begun
 from ..load import Job
 from ..rules import Try
--- a/larchgw/emulator/virtual/deployment.py
+++ b/larchgw/emulator/virtual/deployment.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from ...interface import WorkerId
+from ...dispatcher.scheduling.interface import WorkerId
 from ..box import Box
 from ..rules import Records
 from ..timeline import Virtual
--- a/larchgw/emulator/virtual/discovery.py
+++ b/larchgw/emulator/virtual/discovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from ...interface import ListKind, Member, Presence, WorkerId
+from ...dispatcher.scheduling.interface import ListKind, Member, Presence, WorkerId
 from ..box import Box
 from ..fleet import KINDS
 from .carrier import GONE
--- a/larchgw/emulator/virtual/dispatcher.py
+++ b/larchgw/emulator/virtual/dispatcher.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Sequence
 
-from ...core import Answer, Core, Request
-from ...core.requests import News
-from ...interface import ListKind, Member
+from ...dispatcher.core import Answer, Core, Request
+from ...dispatcher.core.requests import News
+from ...dispatcher.scheduling.interface import ListKind, Member
 from .carrier import Carrier, Told
 from .deployment import Deployment
 from .scenario import RoomMaker, settings_for
--- a/larchgw/emulator/virtual/faults.py
+++ b/larchgw/emulator/virtual/faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...interface import Presence
+from ...dispatcher.scheduling.interface import Presence
 from ..box import Box
 from ..fleet import Fault
 from .deployment import Deployment
--- a/larchgw/emulator/virtual/scenario.py
+++ b/larchgw/emulator/virtual/scenario.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ...interface import JobClass, Settings
-from ...room.interface import NOTHING_HELD, Room
+from ...dispatcher.capacity.interface import NOTHING_HELD, Room
+from ...dispatcher.scheduling.interface import JobClass, Settings
 from ..fleet import Fault, FleetSpec
 from ..load import LoadSpec
 
--- a/larchgw/emulator/virtual/world.py
+++ b/larchgw/emulator/virtual/world.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ...interface import Presence
+from ...dispatcher.scheduling.interface import Presence
 from ..box import Box
 from ..fleet import draw
 from ..load import arrivals
--- a/larchgw/lab/room.py
+++ b/larchgw/lab/room.py
@@ -9,12 +9,12 @@
 
 import structlog
 
+from ..dispatcher.capacity import Planner, Room, RoomSettings
+from ..dispatcher.scheduling.interface import Settings
 from ..emulator.box import Order
 from ..emulator.fleet import FleetSpec, capacity, draw
 from ..emulator.load import CLASSES, RELEASE, ClassSpec, LoadSpec, work_of
 from ..emulator.virtual import Scenario, World, no_room, summary
-from ..interface import Settings
-from ..room import Planner, Room, RoomSettings
 from .results import Options, Result, spread, spread_out
 
 LOADS = (0.7, 0.9, 1.0, 1.2)
--- a/larchgw/lab/room_cost.py
+++ b/larchgw/lab/room_cost.py
@@ -6,9 +6,18 @@
 import time
 from statistics import median
 
-from ..choice import Dispatcher
-from ..interface import JobClass, ListKind, Member, Note, Outcome, Request, Settings, Status
-from ..room import NOTHING_HELD, Planner, RoomSettings
+from ..dispatcher.capacity import NOTHING_HELD, Planner, RoomSettings
+from ..dispatcher.scheduling.interface import (
+    JobClass,
+    ListKind,
+    Member,
+    Note,
+    Outcome,
+    Request,
+    Settings,
+    Status,
+)
+from ..dispatcher.scheduling.scheduler import Dispatcher
 from .results import Options, Result
 
 BOXES = (10, 100, 1000)
--- a/larchgw/net/asyncloop.py
+++ b/larchgw/net/asyncloop.py
@@ -7,9 +7,9 @@
 import socket
 from collections.abc import Callable
 
-from ..core.counters import Counters
-from ..core.deadlines import Clock, Deadline, Deadlines
+from .counters import Counters
 from .loop import FIRST, READ, WRITE
+from .timers import Clock, Deadline, Deadlines
 
 log = logging.getLogger(__name__)
 
--- a/larchgw/net/bodymemory.py
+++ b/larchgw/net/bodymemory.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from ..core.counters import Counters
+from .counters import Counters
 
 log = structlog.get_logger()
 
--- a/larchgw/net/clientlink.py
+++ b/larchgw/net/clientlink.py
@@ -7,17 +7,17 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from ..core.counters import Counters
-from ..core.deadlines import Deadline
 from .bodymemory import BodyMemory
 from .connection import Connection
 from .connection_outcome import ConnectionOutcome
+from .counters import Counters
 from .exchange import Exchange, Handler
 from .heads import CLOSE, Fields
 from .limits import ServerLimits
 from .loop import EventLoop
 from .replywriter import ReplyWriter
 from .requestreader import RequestReader
+from .timers import Deadline
 
 MAX_WAITING = 8  # requests read ahead on one connection, or bodies of the greatest size; then reading waits
 LOOK = 0.1  # seconds between two looks for the end of a connection of which nothing is read for now
--- a/larchgw/net/connection.py
+++ b/larchgw/net/connection.py
@@ -7,9 +7,9 @@
 import socket
 from typing import Protocol
 
-from ..core.deadlines import Deadline
 from .connection_outcome import ConnectionOutcome
 from .loop import CLIENTS, READ, WRITE, EventLoop
+from .timers import Deadline
 
 CHUNK = 65536
 READS = 4  # chunks read in one turn: what came last may be the end
--- a/larchgw/net/connection_outcome.py
+++ b/larchgw/net/connection_outcome.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from ..interface import Status
+from ..dispatcher.scheduling.interface import Status
 
 
 class ConnectionOutcome(Enum):
--- a/larchgw/net/httpserver.py
+++ b/larchgw/net/httpserver.py
@@ -4,10 +4,10 @@
 
 import socket
 
-from ..core.counters import Counters
 from .bodymemory import BodyMemory
 from .clientlink import Link
 from .connection import Connection
+from .counters import Counters
 from .exchange import Exchange, Handler
 from .limits import MAX_BODY, ServerLimits
 from .listener import Listener
--- a/larchgw/net/listener.py
+++ b/larchgw/net/listener.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from ..core.counters import Counters
+from .counters import Counters
 from .loop import NEWCOMERS, READ, EventLoop
 
 BACKLOG = 1024
--- a/larchgw/net/loop.py
+++ b/larchgw/net/loop.py
@@ -10,8 +10,8 @@
 
 import structlog
 
-from ..core.counters import Counters
-from ..core.deadlines import Clock, Deadlines
+from .counters import Counters
+from .timers import Clock, Deadlines
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 # Whose news a turn hears first. A list, or a client that has left, must be known before a worker's answer
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -17,12 +17,12 @@
 from http import HTTPStatus
 from typing import Any
 
-from .config.startup import read
-from .core import Answer, AnswerKind, Request
-from .core.requests import News
-from .fronts.jobheaders import ONCE, http_answer, key_number, read_job
+from .dispatcher.assembly import Node
+from .dispatcher.config.startup import read
+from .dispatcher.core import Answer, AnswerKind, Request
+from .dispatcher.core.requests import News
+from .dispatcher.fronts.jobheaders import ONCE, http_answer, key_number, read_job
 from .net.httpserver import MAX_BODY
-from .node import Node
 
 GRACE = 0.5  # seconds beyond a job's time for its answer to cross threads
 StartResponse = Callable[..., Any]
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -5,7 +5,15 @@
 from typing import Any
 
 from larchgw import Dispatcher, Settings
-from larchgw.interface import JobClass, ListKind, Member, Outcome, Presence, Request, Status
+from larchgw.dispatcher.scheduling.interface import (
+    JobClass,
+    ListKind,
+    Member,
+    Outcome,
+    Presence,
+    Request,
+    Status,
+)
 
 
 class Recorder:
--- a/tests/test_asyncloop.py
+++ b/tests/test_asyncloop.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from larchgw.core.counters import Counters
 from larchgw.net.asyncloop import AsyncLoop
+from larchgw.net.counters import Counters
 from larchgw.net.loop import READ, WRITE
 
 PATIENCE = 20.0
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,7 +4,7 @@
 from bench import Rig
 
 from larchgw import Dispatcher
-from larchgw.interface import JobClass, ListKind, Member, Settings, Status
+from larchgw.dispatcher.scheduling.interface import JobClass, ListKind, Member, Settings, Status
 
 
 def test_a_key_stays_with_its_holder():
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 import pytest
 from stand_ins import PATIENCE, ROOT, settings
 
-from larchgw.config.settings_file import load_room, read
+from larchgw.dispatcher.config.settings_file import load_room, read
 
 
 def larchgw(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -91,7 +91,7 @@
 
 def test_without_arguments_nothing_of_the_command_line_is_loaded() -> None:
     heavy = ("click", "fire", "msgspec", "larchgw.cli", "larchgw.emulator")
-    script = f"import sys, larchgw.daemon; print([m for m in {heavy} if m in sys.modules])"
+    script = f"import sys, larchgw.dispatcher.daemon; print([m for m in {heavy} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", script], cwd=ROOT, text=True, capture_output=True)
     assert done.stdout.strip() == "[]", done.stderr
 
--- a/tests/test_cli_system.py
+++ b/tests/test_cli_system.py
@@ -12,13 +12,13 @@
 from configurations import EXAMPLE, example, with_value
 from stand_ins import PATIENCE, ROOT
 
-from larchgw import daemon
 from larchgw.cli import main
 from larchgw.cli.check import faults_of
 from larchgw.cli.command import UsageError
 from larchgw.cli.explore import PARTS
 from larchgw.cli.lab import EXPERIMENTS
 from larchgw.cli.main import call
+from larchgw.dispatcher import daemon
 
 SETTINGS: dict[str, Any] = {
     "node_name": "core-1",
@@ -75,8 +75,8 @@
         "larchgw.cli",
         "larchgw.lab",
         "larchgw.emulator",
-        "larchgw.choice",
-        "larchgw.daemon",
+        "larchgw.dispatcher.scheduling.scheduler",
+        "larchgw.dispatcher.daemon",
     }
     assert not heavy & set(told["loaded"])
     assert set(told["before"]) - {"runpy", "pkgutil"} == {"larchgw", "larchgw.__main__"}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from larchgw.core import Answer, AnswerKind, Attempt, Core, End, Request
-from larchgw.core.deadlines import Clock, Deadlines
-from larchgw.core.requests import News, Reach
-from larchgw.interface import JobClass, ListKind, Member, Settings, Status
+from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, Core, End, Request
+from larchgw.dispatcher.core.requests import News, Reach
+from larchgw.dispatcher.scheduling.interface import JobClass, ListKind, Member, Settings, Status
+from larchgw.dispatcher.workers.discovery import ListReader
 from larchgw.net.connection_outcome import ConnectionOutcome, status_of
-from larchgw.net.discovery import ListReader
+from larchgw.net.timers import Clock, Deadlines
 
 
 class HandClock(Clock):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -466,7 +466,7 @@
 
 EARLY = """
 import os, signal, sys
-from larchgw.config import startup
+from larchgw.dispatcher.config import startup
 whole = startup.load
 def load(environ):
     told = whole(environ)
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -8,14 +8,21 @@
 from hypothesis import strategies as st
 
 from larchgw import Dispatcher, Settings
-from larchgw.estimates import ColdTurns, Fleet, Loads, Reports, Runs, Shrunk
-from larchgw.estimates.keys import Keys
-from larchgw.estimates.mixing import mix
-from larchgw.estimates.quotas import Quotas
-from larchgw.estimates.reports import AGAIN, MOST, SELDOM, SPENT
-from larchgw.estimates.works import Line
-from larchgw.interface import JobClass, ListKind, Member, Request, Status, Tenant
-from larchgw.records import OUT, Worker
+from larchgw.dispatcher.estimates import ColdTurns, Fleet, Loads, Reports, Runs, Shrunk
+from larchgw.dispatcher.estimates.keys import Keys
+from larchgw.dispatcher.estimates.mixing import mix
+from larchgw.dispatcher.estimates.quotas import Quotas
+from larchgw.dispatcher.estimates.reports import AGAIN, MOST, SELDOM, SPENT
+from larchgw.dispatcher.estimates.works import Line
+from larchgw.dispatcher.scheduling.interface import (
+    JobClass,
+    ListKind,
+    Member,
+    Request,
+    Status,
+    Tenant,
+)
+from larchgw.dispatcher.scheduling.records import OUT, Worker
 
 SAFE = JobClass("proof", 1.0, 10.0, stretch=2.0, effect="idempotent")
 RELEASE = JobClass("release", 4.0, 25.0, worth=8.0, stretch=2.0, effect="at_most_once")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -2,7 +2,7 @@
 
 from bench import Rig
 
-from larchgw.interface import Member, Note, Outcome, Request, Status
+from larchgw.dispatcher.scheduling.interface import Member, Note, Outcome, Request, Status
 
 
 def end_after(rig: Rig, request: int, run: float) -> None:
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -18,15 +18,15 @@
 import pytest
 from stand_ins import PATIENCE, ROOT, Discovery, Program, Runner, job_class, running, settings, until
 
-from larchgw.config.settings_file import load_fronts
-from larchgw.config.startup import ConfigError
-from larchgw.core import Core
-from larchgw.core.deadlines import Clock, Deadlines
-from larchgw.fronts.platform import PlatformFront
-from larchgw.interface import JobClass, Settings, Tenant
-from larchgw.net import discovery as net_discovery
+from larchgw.dispatcher.config.settings_file import load_fronts
+from larchgw.dispatcher.config.startup import ConfigError
+from larchgw.dispatcher.core import Core
+from larchgw.dispatcher.fronts.platform import PlatformFront
+from larchgw.dispatcher.scheduling.interface import JobClass, Settings, Tenant
+from larchgw.dispatcher.workers import discovery as net_discovery
+from larchgw.dispatcher.workers.pool import Runners
 from larchgw.net.loop import Loop
-from larchgw.net.runners import Runners
+from larchgw.net.timers import Clock, Deadlines
 
 
 def raw(program: Program, *parts: bytes) -> bytes:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,8 +9,8 @@
 from stand_ins import PATIENCE, Program, Runner, running, until
 from test_core import SAFE, Desk
 
-from larchgw.core import End
-from larchgw.interface import ListKind, Member, Status
+from larchgw.dispatcher.core import End
+from larchgw.dispatcher.scheduling.interface import ListKind, Member, Status
 
 
 def test_the_calls_say_yes_and_no(tmp_path: Path) -> None:
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from larchgw.core.counters import Counters
 from larchgw.net.bodymemory import BodyMemory
+from larchgw.net.counters import Counters
 from larchgw.net.exchange import Exchange, ReplyChannel
 from larchgw.net.limits import ServerLimits
 from larchgw.net.requestreader import MAX_HEADERS, RequestReader
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,12 +10,21 @@
 from hypothesis import strategies as st
 
 from larchgw import Dispatcher, Settings
+from larchgw.dispatcher.capacity import Planner, RoomSettings
+from larchgw.dispatcher.capacity.estimates import Estimates, RunTimes
+from larchgw.dispatcher.scheduling.interface import (
+    JobClass,
+    ListKind,
+    Member,
+    Note,
+    Outcome,
+    Presence,
+    Request,
+    Status,
+)
 from larchgw.emulator.fleet import FAULTS, Fault, FleetSpec
 from larchgw.emulator.load import CLASSES, LoadSpec
 from larchgw.emulator.virtual import Scenario, World, summary
-from larchgw.interface import JobClass, ListKind, Member, Note, Outcome, Presence, Request, Status
-from larchgw.room import Planner, RoomSettings
-from larchgw.room.estimates import Estimates, RunTimes
 
 PROOF, RELEASE = 0, 1
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,9 +10,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw import Dispatcher, Settings, choice
-from larchgw.estimates import Fleet
-from larchgw.interface import JobClass, ListKind, Member, Note, Outcome, Presence, Request, Status
+from larchgw import Dispatcher, Settings
+from larchgw.dispatcher.estimates import Fleet
+from larchgw.dispatcher.scheduling import scheduler as choice
+from larchgw.dispatcher.scheduling.interface import (
+    JobClass,
+    ListKind,
+    Member,
+    Note,
+    Outcome,
+    Presence,
+    Request,
+    Status,
+)
 
 NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 CLASSES = [
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -11,19 +11,19 @@
 import pytest
 from stand_ins import delivered, settings, until
 
-from larchgw.config.startup import Config, read
-from larchgw.core import Core
-from larchgw.core.deadlines import Clock, Deadlines
-from larchgw.interface import JobClass, Settings, Status
+from larchgw.dispatcher.assembly import ASK_FIRST, Node
+from larchgw.dispatcher.config.startup import Config, read
+from larchgw.dispatcher.core import Core
+from larchgw.dispatcher.scheduling.interface import JobClass, Settings, Status
+from larchgw.dispatcher.workers import discovery as net_discovery
+from larchgw.dispatcher.workers.connection import RunnerLink
+from larchgw.dispatcher.workers.pool import Runners
 from larchgw.net import clientlink
-from larchgw.net import discovery as net_discovery
 from larchgw.net.connection_outcome import ConnectionOutcome
 from larchgw.net.httpserver import Exchange, HttpServer
 from larchgw.net.listener import Listener
 from larchgw.net.loop import CLIENTS, FIRST, NEWCOMERS, READ, WORKERS, Loop
-from larchgw.net.runnerlink import RunnerLink
-from larchgw.net.runners import Runners
-from larchgw.node import ASK_FIRST, Node
+from larchgw.net.timers import Clock, Deadlines
 
 
 def test_a_turn_hears_lists_and_clients_before_workers_and_newcomers() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,9 +19,9 @@
 from test_core import RELEASE, SAFE, Desk
 from test_gearman import COMPLETE, CREATED, FAIL, SUBMIT, Peer, Worker, boxes_joined
 
-from larchgw.core import AnswerKind, Attempt, End, Request
-from larchgw.interface import ListKind, Member, Status
-from larchgw.upgrade import learned
+from larchgw.dispatcher.core import AnswerKind, Attempt, End, Request
+from larchgw.dispatcher.hot_restart import learned
+from larchgw.dispatcher.scheduling.interface import ListKind, Member, Status
 
 
 class Platform:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from larchgw.interface import Status
-from larchgw.simwire import wire
-from larchgw.simwire.wirehost import Host, serve
+from larchgw.dispatcher.scheduling.interface import Status
+from larchgw.dispatcher.simulator_protocol import wire
+from larchgw.dispatcher.simulator_protocol.wirehost import Host, serve
 
 CLASS = {"name": "a", "aim": 0.4, "deadline": 6.0, "effect": "deduplicated", "group": "zone"}
 SETTINGS = {
@@ -127,7 +127,7 @@
 
 def test_end_of_input_is_a_clean_exit():
     root = Path(__file__).parent.parent
-    host = [sys.executable, "-m", "larchgw.simwire.wirehost"]
+    host = [sys.executable, "-m", "larchgw.dispatcher.simulator_protocol.wirehost"]
     done = subprocess.run(host, input=b"", cwd=root, capture_output=True)
     assert (done.returncode, done.stdout) == (0, b"")
     cut = subprocess.run(host, input=b"\x10", cwd=root, capture_output=True)
@@ -135,6 +135,6 @@
 
 
 def test_our_own_fault_is_said_on_the_wire(monkeypatch):
-    monkeypatch.setattr("larchgw.choice.Dispatcher.on_request", lambda *a: 1 / 0)
+    monkeypatch.setattr("larchgw.dispatcher.scheduling.scheduler.Dispatcher.on_request", lambda *a: 1 / 0)
     reply = Host().answer(frame(spawn(), LEDGER, SYNC, ORDER))
     assert any(code == 9 and b"ZeroDivisionError" in fields for code, fields in records(reply))
--- a/tests/test_wsgi.py
+++ b/tests/test_wsgi.py
@@ -10,7 +10,7 @@
 from flask import Flask
 from stand_ins import Discovery, Runner, settings, until
 
-from larchgw.core import AnswerKind
+from larchgw.dispatcher.core import AnswerKind
 from larchgw.wsgi import DispatchMiddleware, EmbeddedDispatcher
 
 
