--- a/larchgw/edge/context.py
+++ b/larchgw/edge/context.py
@@ -8,10 +8,10 @@
 from random import Random
 from typing import Protocol
 
-from ..decide.interface import Budget, RequestTraits, Selection
 from ..directory.records import RunnerRecord
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
+from ..routing.interface import Budget, RequestTraits, Selection
 from .counters import EdgeCounters
 from .runner_pool import RunnerPool
 
--- a/larchgw/edge/demand.py
+++ b/larchgw/edge/demand.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-from ..decide.interface import RequestTraits
+from ..routing.interface import RequestTraits
 from ..rpc.generated.ttypes import ModelDemand
 
 Key = tuple[str, str, str]
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -13,8 +13,6 @@
 from ..configuration.packing import unpack
 from ..configuration.settings import NodeSettings
 from ..configuration.validation import parse_committed
-from ..decide.budget import RetryBudget
-from ..decide.selection import Selector
 from ..directory.records import RunnerRecord
 from ..directory.view import RunnerView
 from ..distribution.interface import CONFIGURATION
@@ -25,6 +23,8 @@
 from ..membership.transport import SwimTransport
 from ..net.address import parse_address
 from ..net.asyncloop import AsyncLoop
+from ..routing.retry_budget import RetryBudget
+from ..routing.selection import Selector
 from ..rpc.client import RpcClient
 from ..rpc.generated.ttypes import Entry
 from ..runtime import http_status
--- a/larchgw/edge/requesthead.py
+++ b/larchgw/edge/requesthead.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from ..decide.interface import PromptPart
 from ..net.heads import Fields, end_to_end
+from ..routing.interface import PromptPart
 from .errors import BadRequest
 
 ATTEMPT_ID = b"x-attempt-id"
--- a/larchgw/edge/runner_link.py
+++ b/larchgw/edge/runner_link.py
@@ -8,12 +8,12 @@
 
 import httptools
 
-from ..decide.interface import AttemptOutcome
 from ..net.connection import Connection, connect
 from ..net.connection_outcome import ConnectionOutcome
 from ..net.heads import Fields
 from ..net.loop import WORKERS, EventLoop
 from ..net.timers import Deadline
+from ..routing.interface import AttemptOutcome
 from . import dead_peer
 from .requesthead import ATTEMPT_ID
 
--- a/larchgw/edge/trace.py
+++ b/larchgw/edge/trace.py
@@ -8,7 +8,7 @@
 
 import logging
 
-from ..decide.interface import AttemptOutcome, RequestTraits
+from ..routing.interface import AttemptOutcome, RequestTraits
 
 log = logging.getLogger(__name__)
 
--- a/larchgw/lab/fleet_dispatchers.py
+++ b/larchgw/lab/fleet_dispatchers.py
@@ -15,7 +15,6 @@
 from ..configuration.packing import unpack
 from ..configuration.routing import RouteTable
 from ..configuration.validation import parse_committed
-from ..decide.interface import RequestTraits
 from ..directory.view import RunnerView
 from ..distribution.interface import CONFIGURATION
 from ..distribution.puller import Puller
@@ -27,6 +26,7 @@
 from ..membership.settings import SwimSettings
 from ..membership.swim import Datagram, Swim
 from ..membership.transport import SwimTransport
+from ..routing.interface import RequestTraits
 from ..rpc.client import RpcClient
 from ..rpc.generated.ttypes import Entry, ModelDemand
 from ..runtime.clients import RpcClients
--- a/larchgw/lab/route.py
+++ b/larchgw/lab/route.py
@@ -6,8 +6,8 @@
 from random import Random
 from statistics import mean
 
-from ..decide.interface import Selection
-from ..decide.selection import Selector
+from ..routing.interface import Selection
+from ..routing.selection import Selector
 from .results import Options, Result, spread_out
 from .route_baselines import Baseline, DesignAlone, LeastPending
 from .route_draws import Deployment, draw
--- a/larchgw/lab/route_play.py
+++ b/larchgw/lab/route_play.py
@@ -7,9 +7,17 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ..decide.interface import Attempt, AttemptOutcome, PromptPart, RequestTraits, Selection, Send, Wait
 from ..emulator.engine import Engine, Generation
 from ..emulator.timeline import Virtual
+from ..routing.interface import (
+    Attempt,
+    AttemptOutcome,
+    PromptPart,
+    RequestTraits,
+    Selection,
+    Send,
+    Wait,
+)
 from .route_draws import ADAPTERS, SERVICE, Deployment, RequestKind
 
 CROSSING_S = 0.0014  # one way between zones
--- a/larchgw/decide/selection.py
+++ b/larchgw/routing/selection.py
@@ -15,16 +15,16 @@
 from ..configuration.model import Configuration
 from ..directory.records import RunnerRecord, Stage
 from .affinity import Rendezvous, shared_prefix
-from .ejection import Ejection
 from .interface import Attempt, AttemptOutcome, Choice, Refuse, RequestTraits, Send, Wait
-from .kept_parts import KeptParts, chains
-from .keys import KeyMarks
-from .load import LoadTable
-from .pace import PrefillPace
-from .pending import PendingTable
-from .silence import LEAST_S as LEAST_SILENCE_S
-from .silence import Silence, limit_s
-from .terms import UNKNOWN_SLOTS, ServiceTerms, all_terms
+from .outlier_ejection import Ejection
+from .pending_requests import PendingTable
+from .prefill_rate import PrefillPace
+from .prefix_cache import KeptParts, chains
+from .reported_load import LoadTable
+from .service_terms import UNKNOWN_SLOTS, ServiceTerms, all_terms
+from .stale_keys import KeyMarks
+from .stream_timeouts import LEAST_S as LEAST_SILENCE_S
+from .stream_timeouts import Silence, limit_s
 
 LEAST_PRIORITY = 9  # of the Priority header; 0 is the most urgent
 ASK_AGAIN_S = 0.2  # a waiting request asks at least this often, should a change go unnoticed
--- a/larchgw/decide/keys.py
+++ b/larchgw/routing/stale_keys.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..directory.records import RunnerRecord
-from .pending import Key
+from .pending_requests import Key
 
 
 class KeyMarks:
--- a/tests/decide_helpers.py
+++ b/tests/decide_helpers.py
@@ -1,4 +1,4 @@
-"""Records, requests and attempts for tests of `larchgw.decide`."""
+"""Records, requests and attempts for tests of `larchgw.routing`."""
 
 from __future__ import annotations
 
@@ -7,16 +7,9 @@
 from random import Random
 
 from larchgw.configuration.model import Configuration, Model, Route, Runtime, Service
-from larchgw.decide.interface import (
-    Attempt,
-    AttemptOutcome,
-    Choice,
-    PromptPart,
-    RequestTraits,
-    Send,
-)
-from larchgw.decide.selection import Selector
 from larchgw.directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.routing.interface import Attempt, AttemptOutcome, Choice, PromptPart, RequestTraits, Send
+from larchgw.routing.selection import Selector
 
 SERVICE = "models"
 CONFIGURATION = Configuration(
--- a/tests/edge_stand_ins.py
+++ b/tests/edge_stand_ins.py
@@ -14,7 +14,11 @@
 
 from larchgw.configuration.model import Configuration, Limits, Model, Route, Runtime, Service
 from larchgw.configuration.settings import NodeSettings
-from larchgw.decide.interface import (
+from larchgw.directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.edge.proxy import Proxy
+from larchgw.net.asyncloop import AsyncLoop
+from larchgw.net.timers import Clock
+from larchgw.routing.interface import (
     Attempt,
     AttemptOutcome,
     Choice,
@@ -23,10 +27,6 @@
     Send,
     Wait,
 )
-from larchgw.directory.records import HeldModel, RunnerRecord, Stage
-from larchgw.edge.proxy import Proxy
-from larchgw.net.asyncloop import AsyncLoop
-from larchgw.net.timers import Clock
 
 HOST = "desk.example"
 SMALL_BUFFER = 16384  # of a socket, so that a long body isn't with the kernels at once
--- a/tests/test_decide_budget.py
+++ b/tests/test_decide_budget.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from larchgw.configuration.settings import TimeLimits
-from larchgw.decide.budget import RetryBudget
+from larchgw.routing.retry_budget import RetryBudget
 
 LIMITS = TimeLimits(retry_ratio=0.2, retry_window_s=10.0, retry_extra=56.0)
 SERVICE = "s"
--- a/tests/test_decide_ejection.py
+++ b/tests/test_decide_ejection.py
@@ -8,14 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.decide.ejection import (
+from larchgw.routing.interface import AttemptOutcome
+from larchgw.routing.outlier_ejection import (
     BACKOFF_MOST_S,
     EJECTED_SHARE,
     EJECTION_MOST_S,
     EJECTION_S,
     Ejection,
 )
-from larchgw.decide.interface import AttemptOutcome
 
 RUNNERS = ["a", "b", "c", "d"]
 
--- a/tests/test_edge_answers.py
+++ b/tests/test_edge_answers.py
@@ -21,10 +21,10 @@
     until,
 )
 
-from larchgw.decide.interface import AttemptOutcome
 from larchgw.edge import dead_peer
 from larchgw.edge.relay import HELD_BYTES
 from larchgw.net.connection import Connection
+from larchgw.routing.interface import AttemptOutcome
 
 LONG = configuration(body_bytes=2 * len(LONG_BODY))
 
--- a/tests/test_edge_parsers.py
+++ b/tests/test_edge_parsers.py
@@ -9,7 +9,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.decide.interface import AttemptOutcome
 from larchgw.edge import events as events_module
 from larchgw.edge.events import EventSplitter, EventTooLong, parse
 from larchgw.edge.keep_time import KeepTime
@@ -19,6 +18,7 @@
 from larchgw.net.heads import end_to_end
 from larchgw.net.loop import READ
 from larchgw.net.timers import Clock, Deadlines
+from larchgw.routing.interface import AttemptOutcome
 
 LINES = st.lists(
     st.sampled_from(
--- a/tests/test_edge_streams.py
+++ b/tests/test_edge_streams.py
@@ -22,8 +22,8 @@
     until,
 )
 
-from larchgw.decide.interface import AttemptOutcome, Refuse, Send, Wait
 from larchgw.directory.records import HeldModel
+from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
 
 
 def events(*numbers: int) -> bytes:
--- a/tests/test_edge_trace.py
+++ b/tests/test_edge_trace.py
@@ -7,8 +7,8 @@
 import pytest
 from decide_helpers import world
 
-from larchgw.decide.interface import AttemptOutcome
 from larchgw.edge.trace import RequestTrace
+from larchgw.routing.interface import AttemptOutcome
 
 LOGGER = "larchgw.edge.trace"
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -23,7 +23,6 @@
 from larchgw.control import node
 from larchgw.control.node import ControlNode
 from larchgw.control.status import StatusService, as_object
-from larchgw.decide.budget import START_DISPATCHERS, RetryBudget
 from larchgw.directory.records import HeldModel, RunnerRecord
 from larchgw.directory.view import RunnerView
 from larchgw.distribution.interface import PLACER
@@ -40,6 +39,7 @@
 from larchgw.placement.reconciler import Reconciler
 from larchgw.placement.service import PlacementRuntime, PlacementService
 from larchgw.placement.summary import summarise
+from larchgw.routing.retry_budget import START_DISPATCHERS, RetryBudget
 from larchgw.rpc.codec import decode_struct, encode_struct
 from larchgw.rpc.generated import ttypes
 from larchgw.runtime import http_status
