--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -7,11 +7,11 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable, Sequence
 
-from ..directory.records import RunnerRecord
 from ..distribution.interface import EXPECTED, RUNNER
 from ..rpc.client import RpcClient
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import ControlStatus, Entry, PlacementStatus, PullRequest, StatusRequest
+from ..runner_directory.records import RunnerRecord
 from ..runtime.addresses import seed_rpc_addresses
 from .command import Command, textual
 from .system_common import Ending, addresses, columns, fail
--- a/larchgw/control/checkins.py
+++ b/larchgw/control/checkins.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from ..directory.checkins import parse_checkin
-from ..directory.directory import CheckinOutcome, Directory
 from ..distribution.interface import RUNNER
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
+from ..runner_directory.checkins import parse_checkin
+from ..runner_directory.directory import CheckinOutcome, Directory
 from .contact import MajorityContact
 
 HANDOFF_TIMEOUT_S = 0.4  # a runner waits a second for its acknowledgement
--- a/larchgw/control/explore_mutants.py
+++ b/larchgw/control/explore_mutants.py
@@ -4,11 +4,11 @@
 
 from typing import Any
 
-from ..directory.directory import CheckinOutcome
 from ..distribution.puller import Puller
 from ..replication import view
 from ..replication.explore_mutants import Mutant
 from ..rpc.generated.ttypes import PullReply
+from ..runner_directory.directory import CheckinOutcome
 from .checkins import RunnerCheckins
 from .contact import PullContact
 
--- a/larchgw/control/explore_processes.py
+++ b/larchgw/control/explore_processes.py
@@ -10,8 +10,6 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ..directory.directory import Directory
-from ..directory.records import Stage
 from ..distribution.handoff import Handoff
 from ..distribution.interface import CONFIGURATION
 from ..distribution.peers import PeerPullers
@@ -21,6 +19,8 @@
 from ..distribution.sources import PullSettings
 from ..replication.view import first_view
 from ..rpc.errors import RpcError
+from ..runner_directory.directory import Directory
+from ..runner_directory.records import Stage
 from .checkins import RunnerCheckins
 from .contact import PullContact
 from .explore_network import Connection, Network
--- a/larchgw/control/explore_world.py
+++ b/larchgw/control/explore_world.py
@@ -22,8 +22,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ..directory.records import RunnerRecord, Stage
 from ..distribution.interface import RUNNER
+from ..runner_directory.records import RunnerRecord, Stage
 from .contact import HEARD_WITHIN_S
 from .explore_network import Network
 from .explore_processes import ControlProcess, Edge, Runner, now
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -12,8 +12,8 @@
 
 from ..configuration.change import NOT_GIVEN
 from ..configuration.records import LARGEST
-from ..directory.checkins import CheckinError
 from ..net.address import parse_address
+from ..runner_directory.checkins import CheckinError
 from .operator import Answer
 
 MAX_BODY_BYTES = 64 << 20  # a configuration of many thousand routes
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -9,7 +9,6 @@
 
 from ..configuration.errors import SettingsError
 from ..configuration.settings import NodeSettings
-from ..directory.directory import Directory
 from ..distribution.handoff import Handoff
 from ..distribution.interface import EXPECTED, RUNNER
 from ..distribution.peers import PeerPullers
@@ -28,6 +27,7 @@
 from ..replication.settings import MemberSettings
 from ..rpc.client import RpcClient
 from ..rpc.server import RpcServer
+from ..runner_directory.directory import Directory
 from ..runtime import http_status
 from ..runtime.addresses import (
     CONTROL_GOSSIP_PORT,
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -7,7 +7,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..directory.directory import Directory
 from ..distribution.placer import known_placer
 from ..distribution.registry import Registry
 from ..membership.member import Member as Process
@@ -17,6 +16,7 @@
 from ..replication.member import Member
 from ..replication.view import View
 from ..rpc.generated import ttypes
+from ..runner_directory.directory import Directory
 from .contact import MajorityContact
 from .disk import ControlDisk
 from .state import ConfigurationState
--- a/larchgw/distribution/interface.py
+++ b/larchgw/distribution/interface.py
@@ -4,8 +4,8 @@
 
     configuration       the committed configuration (as configuration/packing.py packs it); major = index
                         of its log record
-    runner/<id>         a RunnerRecord (larchgw/directory/records.py); major = call_count (above all counts
-                        once it is gone), minor = its stage
+    runner/<id>         a RunnerRecord (larchgw/runner_directory/records.py); major = call_count (above
+                        all counts once it is gone), minor = its stage
     placer              JSON {"address": rpc address}; major = fence (placer.py)
     view                JSON of the newest accepted view (replication/view.py); major = its epoch
     expected/<id>       what the placer has ordered at a runner (JSON); major = fence, minor = serial
--- a/larchgw/edge/context.py
+++ b/larchgw/edge/context.py
@@ -8,10 +8,10 @@
 from random import Random
 from typing import Protocol
 
-from ..directory.records import RunnerRecord
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
 from ..routing.interface import Budget, RequestTraits, Selection
+from ..runner_directory.records import RunnerRecord
 from .counters import EdgeCounters
 from .runner_pool import RunnerPool
 
--- a/larchgw/edge/exchange.py
+++ b/larchgw/edge/exchange.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from ..directory.records import RunnerRecord, Stage
 from ..net.httpserver import Exchange
 from ..net.timers import Deadline
 from ..routing.interface import Attempt, AttemptOutcome, Refuse, RequestTraits, Send, Wait
+from ..runner_directory.records import RunnerRecord, Stage
 from .answers import Verdict, judge, runner_load
 from .context import ProxyContext
 from .events import EventTooLong
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -13,8 +13,6 @@
 from ..configuration.packing import unpack
 from ..configuration.settings import NodeSettings
 from ..configuration.validation import parse_committed
-from ..directory.records import RunnerRecord
-from ..directory.view import RunnerView
 from ..distribution.interface import CONFIGURATION
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
@@ -27,6 +25,8 @@
 from ..routing.selection import Selector
 from ..rpc.client import RpcClient
 from ..rpc.generated.ttypes import Entry
+from ..runner_directory.records import RunnerRecord
+from ..runner_directory.view import RunnerView
 from ..runtime import http_status
 from ..runtime.addresses import EDGE_GOSSIP_PORT, seed_gossip_addresses, seed_rpc_addresses
 from ..runtime.clients import RpcClients
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -11,7 +11,6 @@
 from ..configuration.model import Configuration, Limits, Route
 from ..configuration.routing import RouteTable
 from ..configuration.settings import NodeSettings
-from ..directory.records import RunnerRecord
 from ..net.address import parse_address
 from ..net.counters import Counters
 from ..net.httpserver import Exchange, HttpServer, ServerLimits
@@ -19,6 +18,7 @@
 from ..net.timers import Deadline
 from ..routing.interface import Budget, RequestTraits, Selection
 from ..rpc.generated.ttypes import ModelDemand
+from ..runner_directory.records import RunnerRecord
 from . import requesthead as head_of
 from .context import ProxyContext
 from .counters import EdgeCounters
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -6,11 +6,11 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 
-from ..directory.records import RunnerRecord, Stage
 from ..net.address import parse_address
 from ..net.connection import Connection
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
+from ..runner_directory.records import RunnerRecord, Stage
 from .counters import EdgeCounters
 from .keep_time import KeepTime
 from .runner_link import RunnerLink
--- a/larchgw/edge/status.py
+++ b/larchgw/edge/status.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from ..configuration.model import Configuration
-from ..directory.view import RunnerView
 from ..distribution.puller import Puller
 from ..membership.swim import Swim
 from ..routing.retry_budget import RetryBudget
+from ..runner_directory.view import RunnerView
 from .proxy import Proxy
 
 
--- a/larchgw/emulator/placing.py
+++ b/larchgw/emulator/placing.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from ..configuration.model import Configuration, Model, Runtime, Service
-from ..directory.records import HeldModel, RunnerRecord, Stage
 from ..rpc.generated.ttypes import DemandReport, ModelDemand
+from ..runner_directory.records import HeldModel, RunnerRecord, Stage
 from .modelrunner import Capacity, ModelRunner, WeightStore
 
 SERVICE = "models"
--- a/larchgw/lab/distribution_model.py
+++ b/larchgw/lab/distribution_model.py
@@ -16,9 +16,6 @@
 
 from thrift.Thrift import TMessageType
 
-from ..directory.directory import Directory
-from ..directory.records import HeldModel, RunnerRecord
-from ..directory.view import RunnerView
 from ..distribution.peers import PeerPullers
 from ..distribution.puller import Puller
 from ..distribution.pulls import PullService
@@ -28,6 +25,9 @@
 from ..rpc.errors import RpcConnectionLost, RpcTimeout
 from ..rpc.generated import Control
 from ..rpc.generated.ttypes import Entry
+from ..runner_directory.directory import Directory
+from ..runner_directory.records import HeldModel, RunnerRecord
+from ..runner_directory.view import RunnerView
 
 BEAT_S = 1.2
 ONE_WAY_S = 0.001  # between machines
--- a/larchgw/lab/fleet_dispatchers.py
+++ b/larchgw/lab/fleet_dispatchers.py
@@ -15,7 +15,6 @@
 from ..configuration.packing import unpack
 from ..configuration.routing import RouteTable
 from ..configuration.validation import parse_committed
-from ..directory.view import RunnerView
 from ..distribution.interface import CONFIGURATION
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
@@ -29,6 +28,7 @@
 from ..routing.interface import RequestTraits
 from ..rpc.client import RpcClient
 from ..rpc.generated.ttypes import Entry, ModelDemand
+from ..runner_directory.view import RunnerView
 from ..runtime.clients import RpcClients
 from ..runtime.tasks import Tasks
 from .fleet_size import SERVICE, FleetSize, Popularity
--- a/larchgw/lab/place.py
+++ b/larchgw/lab/place.py
@@ -14,13 +14,13 @@
 from typing import Any, Protocol
 
 from ..configuration.model import Model
-from ..directory.records import RunnerRecord
 from ..emulator.modelrunner import Capacity, ModelRunner
 from ..emulator.placing import SERVICE, Deployment, Stream, World
 from ..placement.model import LOADING, UNLOADING, Order, OrderOutcome, PlacementSettings, RunnerReport
 from ..placement.orders import outcome_of
 from ..placement.service import PlacementRuntime, PlacementService
 from ..rpc.generated.ttypes import DemandReport
+from ..runner_directory.records import RunnerRecord
 from .results import Options, Result, spread, spread_out
 
 WAYS = ("placer", "lru", "static")
--- a/larchgw/lab/route_baselines.py
+++ b/larchgw/lab/route_baselines.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping, Sequence
 from random import Random
 
-from ..directory.records import RunnerRecord
 from ..routing.interface import Attempt, AttemptOutcome, Choice, Refuse, RequestTraits, Send
 from ..routing.pending_requests import PendingTable
+from ..runner_directory.records import RunnerRecord
 
 DESIGN_THRESHOLD = 8  # pending of a key at a holder: an eighth of 64 slots
 
--- a/larchgw/lab/route_draws.py
+++ b/larchgw/lab/route_draws.py
@@ -10,8 +10,8 @@
 from random import Random
 
 from ..configuration.model import Configuration, Model, Route, Runtime, Service
-from ..directory.records import HeldModel, RunnerRecord
 from ..emulator.engine import EngineSettings
+from ..runner_directory.records import HeldModel, RunnerRecord
 
 SERVICE = "models"
 ADAPTERS = 8  # of each busy model
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -15,7 +15,7 @@
 from collections.abc import Container
 
 from ..configuration.model import Configuration
-from ..directory.records import RunnerRecord, Stage
+from ..runner_directory.records import RunnerRecord, Stage
 from .ceiling import LoadCeiling
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .state import PlacementState, RunnerState, Terms, UnderWay, held_by, names_of
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -22,7 +22,7 @@
 from typing import Any, Protocol
 
 from ..configuration.model import Configuration
-from ..directory.records import RunnerRecord, Stage
+from ..runner_directory.records import RunnerRecord, Stage
 from .ceiling import LoadCeiling
 from .demand import Demand, DemandReportLike
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
--- a/larchgw/placement/state.py
+++ b/larchgw/placement/state.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ..configuration.model import Runtime
-from ..directory.records import RunnerRecord, Stage
+from ..runner_directory.records import RunnerRecord, Stage
 from .ceiling import LoadCeiling
 from .model import Order, held_name
 
--- a/larchgw/routing/interface.py
+++ b/larchgw/routing/interface.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from ..configuration.model import Route
-from ..directory.records import RunnerRecord
+from ..runner_directory.records import RunnerRecord
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/decide_helpers.py
+++ b/tests/decide_helpers.py
@@ -7,9 +7,9 @@
 from random import Random
 
 from larchgw.configuration.model import Configuration, Model, Route, Runtime, Service
-from larchgw.directory.records import HeldModel, RunnerRecord, Stage
 from larchgw.routing.interface import Attempt, AttemptOutcome, Choice, PromptPart, RequestTraits, Send
 from larchgw.routing.selection import Selector
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 
 SERVICE = "models"
 CONFIGURATION = Configuration(
--- a/tests/edge_stand_ins.py
+++ b/tests/edge_stand_ins.py
@@ -14,7 +14,6 @@
 
 from larchgw.configuration.model import Configuration, Limits, Model, Route, Runtime, Service
 from larchgw.configuration.settings import NodeSettings
-from larchgw.directory.records import HeldModel, RunnerRecord, Stage
 from larchgw.edge.proxy import Proxy
 from larchgw.net.asyncloop import AsyncLoop
 from larchgw.net.timers import Clock
@@ -27,6 +26,7 @@
     Send,
     Wait,
 )
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 
 HOST = "desk.example"
 SMALL_BUFFER = 16384  # of a socket, so that a long body isn't with the kernels at once
--- a/tests/test_control_http.py
+++ b/tests/test_control_http.py
@@ -8,7 +8,7 @@
 from larchgw.control import http_api
 from larchgw.control.http_api import application
 from larchgw.control.operator import Answer
-from larchgw.directory.checkins import CheckinError
+from larchgw.runner_directory.checkins import CheckinError
 
 ADDRESS = "10.0.0.1:8146"
 
--- a/tests/test_control_owners.py
+++ b/tests/test_control_owners.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from larchgw.control.owners import is_watched, owner_name
-from larchgw.directory.directory import Directory
-from larchgw.directory.records import RunnerRecord, Stage
 from larchgw.distribution.registry import Registry
 from larchgw.membership.member import Member
+from larchgw.runner_directory.directory import Directory
+from larchgw.runner_directory.records import RunnerRecord, Stage
 
 HERE, THERE = "10.0.0.1:7660", "10.0.0.2:7660"
 BEAT_S = 1.0
--- a/tests/test_decide_selection.py
+++ b/tests/test_decide_selection.py
@@ -5,8 +5,8 @@
 import pytest
 from decide_helpers import parts, runner, world
 
-from larchgw.directory.records import Stage
 from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.runner_directory.records import Stage
 
 THRESHOLD = 2  # 16 slots x the default share
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchgw.directory.checkins import CheckinError, parse_checkin
-from larchgw.directory.directory import KEEP_S, Directory
-from larchgw.directory.records import HeldModel, RunnerRecord, Stage
 from larchgw.distribution.registry import Registry
+from larchgw.runner_directory.checkins import CheckinError, parse_checkin
+from larchgw.runner_directory.directory import KEEP_S, Directory
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 
 BEAT = 1.0
 
--- a/tests/test_edge_connections.py
+++ b/tests/test_edge_connections.py
@@ -23,9 +23,9 @@
 )
 
 from larchgw.configuration.model import Service, Share
-from larchgw.directory.records import RunnerRecord, Stage
 from larchgw.edge.runner_pool import LEAST_CONNECTIONS, UNEVEN
 from larchgw.routing.interface import AttemptOutcome, Wait
+from larchgw.runner_directory.records import RunnerRecord, Stage
 
 
 def counted(made: Edge, event: str) -> float:
--- a/tests/test_edge_cut_off.py
+++ b/tests/test_edge_cut_off.py
@@ -13,12 +13,12 @@
 
 from larchgw.configuration.packing import pack
 from larchgw.configuration.settings import Listen, NodeSettings
-from larchgw.directory.records import RunnerRecord
 from larchgw.distribution.interface import CONFIGURATION, RUNNER
 from larchgw.distribution.pulls import PullService
 from larchgw.distribution.registry import Registry
 from larchgw.edge.node import EdgeNode
 from larchgw.rpc.server import RpcServer
+from larchgw.runner_directory.records import RunnerRecord
 
 HOST = "127.0.0.1"
 UNCONFIGURED, NO_ROUTE = 503, 404
--- a/tests/test_edge_ready.py
+++ b/tests/test_edge_ready.py
@@ -12,10 +12,10 @@
 
 from larchgw.configuration.packing import pack
 from larchgw.configuration.settings import Listen, NodeSettings
-from larchgw.directory.records import RunnerRecord
 from larchgw.distribution.interface import CONFIGURATION, RUNNER
 from larchgw.edge import node as node_module
 from larchgw.edge.node import NOTICE_S, EdgeNode
+from larchgw.runner_directory.records import RunnerRecord
 
 IP = "127.55.0.1"  # of this test alone
 COUNTED_AFTER_S = 4.0  # seconds from SIGTERM in which the platform must have missed two answers
--- a/tests/test_edge_requests.py
+++ b/tests/test_edge_requests.py
@@ -20,9 +20,9 @@
 )
 
 from larchgw.configuration.model import Share
-from larchgw.directory.records import Stage
 from larchgw.edge.proxy import split_service
 from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.runner_directory.records import Stage
 
 
 @on_loop
--- a/tests/test_edge_streams.py
+++ b/tests/test_edge_streams.py
@@ -22,8 +22,8 @@
     until,
 )
 
-from larchgw.directory.records import HeldModel
 from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.runner_directory.records import HeldModel
 
 
 def events(*numbers: int) -> bytes:
--- a/tests/test_edge_terms.py
+++ b/tests/test_edge_terms.py
@@ -20,8 +20,8 @@
     until,
 )
 
-from larchgw.directory.records import RunnerRecord
 from larchgw.routing.interface import AttemptOutcome, Send, Wait
+from larchgw.runner_directory.records import RunnerRecord
 
 SLACK_MS = 500  # by which a runner may be told more than the client has left
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from larchgw.configuration.model import Configuration, Model, Runtime, Service
-from larchgw.directory.records import HeldModel, RunnerRecord, Stage
 from larchgw.emulator.modelrunner import Capacity
 from larchgw.emulator.placing import SERVICE, Deployment, Stream, World
 from larchgw.lab.place import Calls, HeldLease, run_at_once
@@ -30,6 +29,7 @@
 from larchgw.placement.service import GONE, PlacementRuntime, PlacementService
 from larchgw.placement.shifts import ShiftEstimate
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 
 WINDOW_S, CAP = 5.0, 1.1
 GB = 1000.0
--- a/tests/test_runner_checkins.py
+++ b/tests/test_runner_checkins.py
@@ -11,12 +11,12 @@
 from scripted_peers import Peer, connecting, now
 
 from larchgw.control.checkins import HANDOFF_TIMEOUT_S, RunnerCheckins
-from larchgw.directory.directory import SILENT_BEATS, Directory
-from larchgw.directory.records import Stage
 from larchgw.distribution.handoff import Handoff
 from larchgw.distribution.registry import Registry
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import PushReply, PushRequest
+from larchgw.runner_directory.directory import SILENT_BEATS, Directory
+from larchgw.runner_directory.records import Stage
 
 BEAT_S = 1.2
 PROMPT_S = 0.05  # an acknowledgement that waits for nobody
--- a/tests/test_runner_view.py
+++ b/tests/test_runner_view.py
@@ -8,10 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchgw.directory.directory import KEEP_S
-from larchgw.directory.records import HeldModel, RunnerRecord, Stage
-from larchgw.directory.view import RunnerView
 from larchgw.distribution.registry import Registry
+from larchgw.runner_directory.directory import KEEP_S
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.view import RunnerView
 
 
 class ViewTest(testtools.TestCase):
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -23,8 +23,6 @@
 from larchgw.control import node
 from larchgw.control.node import ControlNode
 from larchgw.control.status import StatusService, as_object
-from larchgw.directory.records import HeldModel, RunnerRecord
-from larchgw.directory.view import RunnerView
 from larchgw.distribution.interface import PLACER
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry
@@ -42,6 +40,8 @@
 from larchgw.routing.retry_budget import START_DISPATCHERS, RetryBudget
 from larchgw.rpc.codec import decode_struct, encode_struct
 from larchgw.rpc.generated import ttypes
+from larchgw.runner_directory.records import HeldModel, RunnerRecord
+from larchgw.runner_directory.view import RunnerView
 from larchgw.runtime import http_status
 
 ADDRESS = "127.0.0.1:7660"
--- a/tests/test_system_commands.py
+++ b/tests/test_system_commands.py
@@ -15,7 +15,6 @@
 from larchgw.cli.operator_client import Call, NoAnswer, Reply
 from larchgw.cli.system_common import columns
 from larchgw.cli.system_status import placement_lines, runner_lines, view_lines
-from larchgw.directory.records import HeldModel, RunnerRecord, Stage
 from larchgw.rpc.generated.ttypes import (
     ControlStatus,
     DiskStatus,
@@ -26,6 +25,7 @@
     ProcessStatus,
     View,
 )
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.log import Log
 
