--- a/larchgw/cli/explore.py
+++ b/larchgw/cli/explore.py
@@ -7,10 +7,10 @@
 from .command import Command, UsageError, decimal, textual, whole
 
 PARTS = {  # name -> the module whose `main` explores it
-    "replication": "larchgw.replication.explore",
-    "redundancy": "larchgw.replication.explore_redundancy",
-    "check-ins": "larchgw.control.explore",
-    "operator-calls": "larchgw.lab.operator_calls.explore",
+    "replication": "larchgw.model_checking.replication.main",
+    "redundancy": "larchgw.model_checking.replication.redundancy",
+    "check-ins": "larchgw.model_checking.check_ins.main",
+    "operator-calls": "larchgw.model_checking.operator_calls.main",
 }
 
 
--- /dev/null
+++ b/larchgw/model_checking/check_ins/__init__.py
@@ -0,0 +1,1 @@
+"""Exploration of runner check-ins at control processes that are cut off from each other."""
--- a/larchgw/control/explore_world.py
+++ b/larchgw/model_checking/check_ins/cluster.py
@@ -22,11 +22,11 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ..distribution.interface import RUNNER
-from ..runner_directory.records import RunnerRecord, Stage
-from .contact import HEARD_WITHIN_S
-from .explore_network import Network
-from .explore_processes import ControlProcess, Edge, Runner, now
+from ...control.contact import HEARD_WITHIN_S
+from ...distribution.interface import RUNNER
+from ...runner_directory.records import RunnerRecord, Stage
+from .network import Network
+from .processes import ControlProcess, Edge, Runner, now
 
 EDGES, RUNNERS = 3, 5
 STEP_S = 0.02  # between two looks
--- a/larchgw/control/explore.py
+++ b/larchgw/model_checking/check_ins/main.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from ..emulator.virtual_loop import run
-from ..replication.explore_mutants import Mutant
-from ..replication.explore_verdict import print_verdict
-from .explore_mutants import MUTANTS
-from .explore_world import Broken, World
+from ...emulator.virtual_loop import run
+from ..replication.mutants import Mutant
+from ..verdict import print_verdict
+from .cluster import Broken, World
+from .mutants import MUTANTS
 
 CONTROL = (3, 5)  # processes, by turns
 COURSE_SECONDS = 15.0
--- a/larchgw/control/explore_mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from ..distribution.puller import Puller
-from ..replication import view
-from ..replication.explore_mutants import Mutant
-from ..rpc.generated.ttypes import PullReply
-from ..runner_directory.directory import CheckinOutcome
-from .checkins import RunnerCheckins
-from .contact import PullContact
+from ...control.checkins import RunnerCheckins
+from ...control.contact import PullContact
+from ...distribution.puller import Puller
+from ...replication import view
+from ...rpc.generated.ttypes import PullReply
+from ...runner_directory.directory import CheckinOutcome
+from ..replication.mutants import Mutant
 
 
 def _acknowledges_while_isolated(original: Any) -> Any:
--- a/larchgw/control/explore_network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -8,7 +8,7 @@
 import random
 from typing import Any, Protocol
 
-from ..rpc.errors import RpcConnectionLost, RpcTimeout
+from ...rpc.errors import RpcConnectionLost, RpcTimeout
 
 FASTEST_S, SLOWEST_S = 0.001, 0.04  # one way
 
--- a/larchgw/control/explore_processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -10,20 +10,20 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ..distribution.handoff import Handoff
-from ..distribution.interface import CONFIGURATION
-from ..distribution.peers import PeerPullers
-from ..distribution.puller import Puller
-from ..distribution.pulls import PullService
-from ..distribution.registry import Registry
-from ..distribution.sources import PullSettings
-from ..replication.view import first_view
-from ..rpc.errors import RpcError
-from ..runner_directory.directory import Directory
-from ..runner_directory.records import Stage
-from .checkins import RunnerCheckins
-from .contact import PullContact
-from .explore_network import Connection, Network
+from ...control.checkins import RunnerCheckins
+from ...control.contact import PullContact
+from ...distribution.handoff import Handoff
+from ...distribution.interface import CONFIGURATION
+from ...distribution.peers import PeerPullers
+from ...distribution.puller import Puller
+from ...distribution.pulls import PullService
+from ...distribution.registry import Registry
+from ...distribution.sources import PullSettings
+from ...replication.view import first_view
+from ...rpc.errors import RpcError
+from ...runner_directory.directory import Directory
+from ...runner_directory.records import Stage
+from .network import Connection, Network
 
 BEAT_S = 0.5
 DIRECTORY_TICK_S = 0.25
--- a/larchgw/lab/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -17,7 +17,6 @@
 from ...control.operator_calls import OperatorCalls
 from ...control.replicated_log import TICK_S, ReplicatedLog
 from ...control.state import ConfigurationState
-from ...replication.explore_disk import Crashed, SimulatedDisk
 from ...replication.member import Member
 from ...replication.settings import MemberSettings
 from ...replication.view import View
@@ -25,7 +24,8 @@
 from ...rpc.errors import RpcConnectionLost, RpcTimeout
 from ...rpc.generated.ttypes import OperatorAnswer, OperatorCall, PeerMessage
 from ...runtime.clients import RpcClients
-from .checks import Checks
+from ..simulated_disk import Crashed, SimulatedDisk
+from .invariants import Checks
 
 COMPACT_RECORDS = 6  # so that snapshots are taken and sent all the time
 LEASE_TERM_S = 3.0
--- a/larchgw/lab/operator_calls/faults.py
+++ b/larchgw/model_checking/operator_calls/fault_injection.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from ...control.replicated_log import TICK_S
-from ...replication.explore_checks import Broken
+from ..replication.invariants import Broken
 from .cluster import CALM_DELAY_S, Cluster, Process, connected
 from .operators import Operators
 
--- a/larchgw/lab/operator_calls/checks.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -6,7 +6,7 @@
 
 from ...configuration.change import REPLACE
 from ...control.state import ConfigurationState, Order
-from ...replication.explore_checks import Broken
+from ..replication.invariants import Broken
 
 DONE = 200
 
--- a/larchgw/lab/operator_calls/explore.py
+++ b/larchgw/model_checking/operator_calls/main.py
@@ -8,10 +8,10 @@
 from functools import partial
 
 from ...emulator import virtual_loop
-from ...replication.explore_checks import Broken
-from ...replication.explore_verdict import print_verdict
+from ..replication.invariants import Broken
+from ..verdict import print_verdict
 from .cluster import Cluster
-from .faults import Course
+from .fault_injection import Course
 from .mutants import MUTANTS, Mutant
 from .operators import Operators
 
--- a/larchgw/lab/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -9,8 +9,8 @@
 from ...configuration.change import CHANGE, REPLACE
 from ...control.operator import Answer
 from ...control.state import Order
-from .checks import Sent
 from .cluster import Cluster
+from .invariants import Sent
 
 SILENCE_S = 1.0  # then another process is called
 MOST_AT_ONCE = 8  # orders under way
--- a/larchgw/replication/explore_world.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -13,15 +13,15 @@
 from math import inf
 from random import Random
 
-from ..rpc.codec import MAX_FRAME_BYTES
-from ..rpc.generated.ttypes import PeerMessage
-from .effects import Effects, NotPrimary, Outgoing
-from .explore_checks import Broken, Checks
-from .explore_disk import Crashed, SimulatedDisk
-from .member import Member
-from .messages import Accepted, Envelope, Promise, decode
-from .settings import MemberSettings
-from .view import View
+from ...replication.effects import Effects, NotPrimary, Outgoing
+from ...replication.member import Member
+from ...replication.messages import Accepted, Envelope, Promise, decode
+from ...replication.settings import MemberSettings
+from ...replication.view import View
+from ...rpc.codec import MAX_FRAME_BYTES
+from ...rpc.generated.ttypes import PeerMessage
+from ..simulated_disk import Crashed, SimulatedDisk
+from .invariants import Broken, Checks
 
 TICK = 0.02  # seconds
 LEASE = "placer"
--- a/larchgw/replication/explore_exhaustive.py
+++ b/larchgw/model_checking/replication/exhaustive_search.py
@@ -9,8 +9,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from .explore_walk import Walk
-from .explore_world import Machine
+from .cluster import Machine
+from .random_walk import Walk
 
 SUSPICION = 0.75  # seconds without the primary: enough for a backup to act
 MOST_TIMEOUTS = 3
--- a/larchgw/replication/explore_faults.py
+++ b/larchgw/model_checking/replication/fault_injection.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from .explore_checks import Broken
-from .explore_world import LEASE, TERM, Machine, World
+from .cluster import LEASE, TERM, Machine, World
+from .invariants import Broken
 
 STEP = 0.05  # seconds between two decisions
 FIRST_BOOT = 0.35  # seconds in which the machines start for the first time
--- a/larchgw/replication/explore.py
+++ b/larchgw/model_checking/replication/main.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from .explore_checks import Broken
-from .explore_exhaustive import Exhaustive
-from .explore_faults import Course
-from .explore_mutants import MUTANTS, Mutant
-from .explore_verdict import print_verdict
-from .explore_walk import Walk
-from .explore_world import World
+from ..verdict import print_verdict
+from .cluster import World
+from .exhaustive_search import Exhaustive
+from .fault_injection import Course
+from .invariants import Broken
+from .mutants import MUTANTS, Mutant
+from .random_walk import Walk
 
 # machines, seeds among them, machines that may be lost
 SHAPES = ((3, 3, 1), (5, 3, 2), (4, 3, 1), (5, 5, 2))
--- a/larchgw/replication/explore_mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -10,16 +10,16 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from . import identity, member, snapshot_transfer, view
-from .ballot import Ballot
-from .departure import Departure
-from .leadership import Leadership
-from .lease import LeaseHolder
-from .lease_witness import LeaseWitness
-from .replica import Replica
-from .snapshot_transfer import IncomingSnapshot, OutgoingSnapshot
-from .view_changes import ViewChanges
-from .witness import Witness
+from ...replication import identity, member, snapshot_transfer, view
+from ...replication.ballot import Ballot
+from ...replication.departure import Departure
+from ...replication.leadership import Leadership
+from ...replication.lease import LeaseHolder
+from ...replication.lease_witness import LeaseWitness
+from ...replication.replica import Replica
+from ...replication.snapshot_transfer import IncomingSnapshot, OutgoingSnapshot
+from ...replication.view_changes import ViewChanges
+from ...replication.witness import Witness
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchgw/replication/explore_walk.py
+++ b/larchgw/model_checking/replication/random_walk.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from .explore_world import Machine, World
-from .messages import Envelope
+from ...replication.messages import Envelope
+from .cluster import Machine, World
 
 LEAPS = (0.02, 0.02, 0.05, 0.12, 0.12, 0.55, 0.7)  # seconds by which a clock runs ahead of a tick
 MOST_PENDING = 60  # messages under way; beyond this the oldest are lost
--- a/larchgw/replication/explore_redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .explore_world import Machine, World
+from .cluster import Machine, World
 
 LINK_S = 0.0015
 WRITE_S = 0.005
--- a/larchgw/replication/explore_disk.py
+++ b/larchgw/model_checking/simulated_disk.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from random import Random
 
-from .ports import Ports
+from ..replication.ports import Ports
 
 
 class Crashed(Exception):
--- a/tests/test_checkins_explore.py
+++ b/tests/test_checkins_explore.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from larchgw.control import explore
-from larchgw.control.explore_mutants import MUTANTS
-from larchgw.replication.explore_mutants import Mutant
+from larchgw.model_checking.check_ins import main as explore
+from larchgw.model_checking.check_ins.mutants import MUTANTS
+from larchgw.model_checking.replication.mutants import Mutant
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_control_state_page.py
+++ b/tests/test_control_state_page.py
@@ -6,8 +6,8 @@
 
 from stand_ins import ROOT
 
-from larchgw.control import explore_mutants as checkins
-from larchgw.replication import explore_mutants as replication
+from larchgw.model_checking.check_ins import mutants as checkins
+from larchgw.model_checking.replication import mutants as replication
 
 SECTION = (ROOT / "docs/control-state.md").read_text().partition("\n## 1. Cut off\n")[2].partition("\n## ")[0]
 ROWS = [
--- a/tests/test_member_crashes.py
+++ b/tests/test_member_crashes.py
@@ -14,8 +14,8 @@
 import pytest
 from faulty_files import FaultyFiles, PowerLost
 
+from larchgw.model_checking.simulated_disk import Crashed, SimulatedDisk
 from larchgw.replication.effects import Effects
-from larchgw.replication.explore_disk import Crashed, SimulatedDisk
 from larchgw.replication.lease_witness import LeaseWitness
 from larchgw.replication.member import Member
 from larchgw.replication.messages import (
--- a/tests/test_operator_calls_explore.py
+++ b/tests/test_operator_calls_explore.py
@@ -7,10 +7,10 @@
 import pytest
 
 from larchgw.control.state import ConfigurationState, Order
-from larchgw.lab.operator_calls import explore
-from larchgw.lab.operator_calls.checks import Checks, Sent
-from larchgw.lab.operator_calls.mutants import MUTANTS, Mutant
-from larchgw.replication.explore_checks import Broken
+from larchgw.model_checking.operator_calls import main as explore
+from larchgw.model_checking.operator_calls.invariants import Checks, Sent
+from larchgw.model_checking.operator_calls.mutants import MUTANTS, Mutant
+from larchgw.model_checking.replication.invariants import Broken
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
--- a/tests/test_operator_failover.py
+++ b/tests/test_operator_failover.py
@@ -10,7 +10,7 @@
 
 from larchgw.control.state import ConfigurationState, Order
 from larchgw.emulator import virtual_loop
-from larchgw.lab.operator_calls.cluster import Cluster, Process, connected
+from larchgw.model_checking.operator_calls.cluster import Cluster, Process, connected
 
 SILENCE_S = 1.0  # of an operator
 FAILOVER_S = 2.0  # a new primary acts within this
--- a/tests/test_replication_departure.py
+++ b/tests/test_replication_departure.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from larchgw.replication.explore_world import LEASE, Machine, World
+from larchgw.model_checking.replication.cluster import LEASE, Machine, World
 from larchgw.replication.planning import Standing, failover_view, next_view
 from larchgw.replication.view import View, first_view
 
--- a/tests/test_replication_explore.py
+++ b/tests/test_replication_explore.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from larchgw.replication import explore
-from larchgw.replication.explore_checks import Broken, Checks
-from larchgw.replication.explore_exhaustive import Exhaustive
-from larchgw.replication.explore_mutants import MUTANTS, Mutant
+from larchgw.model_checking.replication import main as explore
+from larchgw.model_checking.replication.exhaustive_search import Exhaustive
+from larchgw.model_checking.replication.invariants import Broken, Checks
+from larchgw.model_checking.replication.mutants import MUTANTS, Mutant
 
 
 def test_no_interleaving_of_a_few_steps_breaks_a_property() -> None:
--- a/tests/test_replication_late_votes.py
+++ b/tests/test_replication_late_votes.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from larchgw.replication.explore_disk import SimulatedDisk
+from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.member import Member
 from larchgw.replication.messages import Accept, Accepted, Leave, Message, ProbeReply, Promise, encode
 from larchgw.replication.settings import MemberSettings
--- a/tests/test_replication_lease.py
+++ b/tests/test_replication_lease.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from larchgw.replication.explore_disk import SimulatedDisk
-from larchgw.replication.explore_world import LEASE, TERM, World
+from larchgw.model_checking.replication.cluster import LEASE, TERM, World
+from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.lease import Lease
 from larchgw.replication.lease_witness import NOBODY, UNKNOWN, LeaseWitness
 from larchgw.replication.messages import LeaseAsk, LeaseRelease
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from larchgw.model_checking.replication.cluster import DELIVER_BYTES, Machine, World
 from larchgw.replication.effects import Effects
-from larchgw.replication.explore_world import DELIVER_BYTES, Machine, World
 
 
 def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> World:
--- a/tests/test_replication_parts.py
+++ b/tests/test_replication_parts.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.replication.explore_disk import Crashed, SimulatedDisk
+from larchgw.model_checking.simulated_disk import Crashed, SimulatedDisk
 from larchgw.replication.leadership import Leadership
 from larchgw.replication.messages import (
     Accept,
--- a/tests/test_replication_redundancy.py
+++ b/tests/test_replication_redundancy.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from larchgw.replication.explore_redundancy import CASES, LARGE, SHAPES, Case, seconds_to_redundancy
+from larchgw.model_checking.replication.redundancy import (
+    CASES,
+    LARGE,
+    SHAPES,
+    Case,
+    seconds_to_redundancy,
+)
 
 ENOUGH = 2.0  # seconds; `larchgw explore redundancy` has the distribution
 
--- a/tests/test_replication_second_loss.py
+++ b/tests/test_replication_second_loss.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from larchgw.replication.explore_redundancy import is_redundant
-from larchgw.replication.explore_world import Machine, World
+from larchgw.model_checking.replication.cluster import Machine, World
+from larchgw.model_checking.replication.redundancy import is_redundant
 
 CATCH_UP = 4.0  # seconds after a machine's return in which it counts as lost
 
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -15,7 +15,7 @@
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.restore import RestoreError, check_empty, fresh_identity, read_source, write_folder
 from larchgw.control.state import ConfigurationState, Order
-from larchgw.replication.explore_world import World
+from larchgw.model_checking.replication.cluster import World
 from larchgw.replication.lease import FENCES_PER_EPOCH
 from larchgw.replication.member import Member
 from larchgw.replication.refound import Beginning, beginning, refound
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from larchgw.model_checking.replication.cluster import Machine, World
+from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
-from larchgw.replication.explore_disk import SimulatedDisk
-from larchgw.replication.explore_world import Machine, World
 from larchgw.replication.follower import Follower
 from larchgw.replication.leadership import Leadership
 from larchgw.replication.messages import AppendReply, DecodeError, Install, InstallReply, decode
