--- a/larchgw/cli/lab.py
+++ b/larchgw/cli/lab.py
@@ -5,61 +5,61 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ..lab.results import Options, Result, table
+from ..experiments.results import Options, Result, table
 from .command import Command, UsageError, decimal, textual, whole
 from .command import file as file_option
 
 
 def _room(options: Options) -> Result:
-    from ..lab.room import experiment
+    from ..experiments.room import experiment
 
     return experiment(options)
 
 
 def _room_cost(options: Options) -> Result:
-    from ..lab.room_cost import experiment
+    from ..experiments.room_cost import experiment
 
     return experiment(options)
 
 
 def _mass(options: Options) -> Result:
-    from ..lab.mass import experiment
+    from ..experiments.mass import experiment
 
     return experiment(options)
 
 
 def _distribution(options: Options) -> Result:
-    from ..lab.distribution import experiment
+    from ..experiments.distribution import experiment
 
     return experiment(options)
 
 
 def _membership(options: Options) -> Result:
-    from ..lab.membership import experiment
+    from ..experiments.membership import experiment
 
     return experiment(options)
 
 
 def _fleet(options: Options) -> Result:
-    from ..lab.fleet import experiment
+    from ..experiments.fleet import experiment
 
     return experiment(options)
 
 
 def _place(options: Options) -> Result:
-    from ..lab.place import experiment
+    from ..experiments.place import experiment
 
     return experiment(options)
 
 
 def _recovery(options: Options) -> Result:
-    from ..lab.recovery import experiment
+    from ..experiments.recovery import experiment
 
     return experiment(options)
 
 
 def _route(options: Options) -> Result:
-    from ..lab.route import experiment
+    from ..experiments.route import experiment
 
     return experiment(options)
 
--- a/larchgw/cli/system_trial.py
+++ b/larchgw/cli/system_trial.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from ..lab.results import table
+from ..experiments.results import table
 from .command import Command, UsageError, decimal, whole
 
 if TYPE_CHECKING:
--- a/larchgw/cli/trial.py
+++ b/larchgw/cli/trial.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..emulator.trial import Outcome, Trial, TrialSpec
-from ..lab.results import table
+from ..experiments.results import table
 from .command import Command, UsageError, decimal, file, flag, textual, whole
 from .system_trial import SystemSizes, system_trial
 
--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ...configuration.settings import VARIABLE, TimeLimits
-from ...faults.switchboard import Switchboard
+from ...fault_injection.switchboard import Switchboard
 from .network import CONTROL_OFFSET, FRONT_OFFSET, READY_OFFSET, Network
 from .records import Records, Trouble
 from .site import ZONE_NAMES, ZONES
@@ -28,7 +28,7 @@
 _PRIMARY = re.compile(r"primary of view (\d+) ")
 END_SLACK_S = 5.0  # beyond the time for an orderly end, on a busy machine
 SEEDS = 3
-LINKED = "larchgw.faults.linked"  # the program's entry under links that a test may cut
+LINKED = "larchgw.fault_injection.linked"  # the program's entry under links that a test may cut
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchgw/emulator/system/runner.py
+++ b/larchgw/emulator/system/runner.py
@@ -13,7 +13,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpserver import TCPServer
 
-from ...faults.streams import ABRUPT
+from ...fault_injection.streams import ABRUPT
 from ..sockets import RealTime
 from .httpstream import BadMessage, Request, head, read_body, read_head, send
 from .records import Arrival, Records
--- a/larchgw/lab/charts.py
+++ b/larchgw/experiments/charts.py
@@ -1,6 +1,6 @@
 """Line charts as SVG, of a measure against the size of a fleet.
 
-`python -m larchgw.lab.charts RESULT.json FOLDER` draws those of docs/CAPACITY.md from a result of
+`python -m larchgw.experiments.charts RESULT.json FOLDER` draws those of docs/CAPACITY.md from a result of
 `larchgw lab fleet --json RESULT.json`.
 """
 
--- a/larchgw/faults/linked.py
+++ b/larchgw/fault_injection/linked.py
@@ -1,4 +1,6 @@
-"""`python -m larchgw.faults.linked FD ARGUMENT...`: `python -m larchgw ARGUMENT...` under links of a test.
+"""Runs the program under links that a test may cut.
+
+`python -m larchgw.fault_injection.linked FD ARGUMENT...` runs `python -m larchgw ARGUMENT...`.
 
 FD is an inherited datagram socket from which orders come; the first one lies there before the start. Once
 its other end is closed, the program is told to end.
--- a/tests/test_cli_system.py
+++ b/tests/test_cli_system.py
@@ -73,7 +73,7 @@
         "rich",
         "msgspec",
         "larchgw.cli",
-        "larchgw.lab",
+        "larchgw.experiments",
         "larchgw.emulator",
         "larchgw.dispatcher.scheduling.scheduler",
         "larchgw.dispatcher.daemon",
@@ -139,7 +139,7 @@
 
 
 def test_options_reach_an_experiment_and_its_broken_rules_the_status(monkeypatch: pytest.MonkeyPatch) -> None:
-    from larchgw.lab.results import Options, Result
+    from larchgw.experiments.results import Options, Result
 
     seen: list[Options] = []
     monkeypatch.setitem(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,7 +15,7 @@
 from larchgw.emulator.trial import Trial, TrialSpec
 from larchgw.emulator.vault import Vault
 from larchgw.emulator.virtual import Scenario, World, summary
-from larchgw.lab.mass import LOADS, Day, scenario_of
+from larchgw.experiments.mass import LOADS, Day, scenario_of
 
 SPEC = BoxSpec("b", slots=4, cores=4, speed=1.0, noise=0.0, queue=3)
 
--- a/tests/test_faults_links.py
+++ b/tests/test_faults_links.py
@@ -12,12 +12,12 @@
 import pytest
 from asyncio_tests import PATIENCE, TEST_TIME, on_loop
 
-from larchgw.faults.datagrams import LinkedDatagrams
-from larchgw.faults.links import Links
-from larchgw.faults.loop import LinkedLoop
-from larchgw.faults.orders import Link, Order
-from larchgw.faults.streams import LinkedProtocol
-from larchgw.faults.switchboard import Switchboard
+from larchgw.fault_injection.datagrams import LinkedDatagrams
+from larchgw.fault_injection.links import Links
+from larchgw.fault_injection.loop import LinkedLoop
+from larchgw.fault_injection.orders import Link, Order
+from larchgw.fault_injection.streams import LinkedProtocol
+from larchgw.fault_injection.switchboard import Switchboard
 
 HOST, OTHER = "127.0.0.1", "127.0.0.2"
 SENT_HELD, ANSWERS_HELD = Link(hold_sent=True), Link(hold_received=True)
--- a/tests/test_lab_charts.py
+++ b/tests/test_lab_charts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from larchgw.lab.charts import HEIGHT, LEFT, TOP, WIDTH, Chart, draw
+from larchgw.experiments.charts import HEIGHT, LEFT, TOP, WIDTH, Chart, draw
 
 SVG = "{http://www.w3.org/2000/svg}"
 ROWS = [{"dispatchers": 60, "a": 7.0, "b": 0.0}, {"dispatchers": 30, "a": 3.0, "b": 9.0}]
--- a/tests/test_lab_distribution.py
+++ b/tests/test_lab_distribution.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from larchgw.lab.distribution import experiment
-from larchgw.lab.distribution_model import Size
-from larchgw.lab.results import Options
+from larchgw.experiments.distribution import experiment
+from larchgw.experiments.distribution_model import Size
+from larchgw.experiments.results import Options
 
 
 def test_every_dispatcher_has_all_entries_and_idle_costs_are_small() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,8 +11,8 @@
 from larchgw.configuration.model import Configuration, Model, Runtime, Service
 from larchgw.emulator.modelrunner import Capacity
 from larchgw.emulator.placing import SERVICE, Deployment, Stream, World
-from larchgw.lab.place import Calls, HeldLease, run_at_once
-from larchgw.lab.place import Service as Driver
+from larchgw.experiments.place import Calls, HeldLease, run_at_once
+from larchgw.experiments.place import Service as Driver
 from larchgw.placement.ceiling import LoadCeiling
 from larchgw.placement.demand import EXPIRY_S, Demand, ModelSummary
 from larchgw.placement.model import (
--- a/tests/test_route_lab.py
+++ b/tests/test_route_lab.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from larchgw.lab.route import Play, play
-from larchgw.lab.route_draws import draw
+from larchgw.experiments.route import Play, play
+from larchgw.experiments.route_draws import draw
 
 
 def test_every_model_of_a_draw_that_is_asked_for_has_a_holder() -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -18,9 +18,9 @@
 from larchgw.dispatcher.workers import discovery as net_discovery
 from larchgw.dispatcher.workers.connection import RunnerLink
 from larchgw.dispatcher.workers.pool import Runners
-from larchgw.net import clientlink
+from larchgw.net import client_connection
 from larchgw.net.connection_outcome import ConnectionOutcome
-from larchgw.net.httpserver import Exchange, HttpServer
+from larchgw.net.http_server import Exchange, HttpServer
 from larchgw.net.listener import Listener
 from larchgw.net.loop import CLIENTS, FIRST, NEWCOMERS, READ, WORKERS, Loop
 from larchgw.net.timers import Clock, Deadlines
@@ -245,7 +245,9 @@
 
 
 def test_a_client_that_is_not_read_is_looked_at_for_its_end_every_tenth_of_a_second() -> None:
-    assert clientlink.LOOK <= 0.15  # what waits on its connection may be sent on up to 0.3 s after its end
+    assert (
+        client_connection.LOOK <= 0.15
+    )  # what waits on its connection may be sent on up to 0.3 s after its end
 
 
 # A probe that hears what was meant for a job
