--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -99,7 +99,7 @@
 
 def _restore(source: Path, folder: Path, terms: NodeSettings, sure: bool) -> int:
     from ..control import restore as restoring
-    from ..replication.refound import beginning
+    from ..replication.forced_new_view import beginning
 
     address = rpc_address(terms)
     try:
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -2,7 +2,7 @@
 
 docs/operators-system.md has the steps.
 From what is left (a data folder, its log, a snapshot's file, or a configuration as JSON) the state is read,
-and a data folder is written with which one control process begins anew; see replication/refound.py.
+and a data folder is written with which one control process begins anew; see replication/forced_new_view.py.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
 from ..configuration.validation import decode, parse
-from ..replication.refound import Beginning, refound
+from ..replication.forced_new_view import Beginning, refound
 from ..replication.replica import unframed
 from ..storage.errors import StorageError
 from ..storage.files import DiskFiles, FilePort
--- a/larchgw/model_checking/replication/mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from ...replication import identity, member, snapshot_transfer, view
-from ...replication.ballot import Ballot
-from ...replication.departure import Departure
+from ...replication.graceful_leave import Departure
 from ...replication.leadership import Leadership
 from ...replication.lease import LeaseHolder
-from ...replication.lease_witness import LeaseWitness
+from ...replication.lease_acceptor import LeaseWitness
 from ...replication.replica import Replica
 from ...replication.snapshot_transfer import IncomingSnapshot, OutgoingSnapshot
+from ...replication.view_change_round import Ballot
 from ...replication.view_changes import ViewChanges
 from ...replication.witness import Witness
 
--- a/larchgw/replication/candidate.py
+++ b/larchgw/replication/candidate.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from .ballot import Ballot
 from .messages import Accept, Prepare, Probe
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .settings import Timing
 from .view import View
+from .view_change_round import Ballot
 
 
 @dataclass(slots=True)
--- a/larchgw/replication/follower.py
+++ b/larchgw/replication/follower.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from .messages import Append, AppendReply, Heartbeat, HeartbeatReply, Install, InstallReply, Join
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .replica import Replica
 from .settings import Timing
 from .snapshot_transfer import IncomingSnapshot
--- a/larchgw/replication/refound.py
+++ b/larchgw/replication/forced_new_view.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from .identity import store_identity
-from .lease_witness import LeaseWitness
+from .lease_acceptor import LeaseWitness
 from .ports import Ports
 from .replica import Replica
 from .view import View
--- a/larchgw/replication/departure.py
+++ b/larchgw/replication/graceful_leave.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from .messages import Leave, Left
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .settings import Timing
 from .view import View
 
--- a/larchgw/replication/identity.py
+++ b/larchgw/replication/identity.py
@@ -5,7 +5,7 @@
 import json
 from dataclasses import dataclass
 
-from .lease_witness import LeaseWitness
+from .lease_acceptor import LeaseWitness
 from .ports import Cell
 from .settings import MemberSettings
 from .view import first_view
--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from .messages import Accept, Append, AppendReply, Heartbeat, HeartbeatReply, InstallReply
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .planning import Standing
 from .replica import Replica
 from .settings import MemberSettings
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from .lease_witness import NOBODY, UNKNOWN
+from .lease_acceptor import NOBODY, UNKNOWN
 from .messages import LeaseAnswer, LeaseAsk, LeaseRelease
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .settings import MemberSettings
 from .view import View
 
--- a/larchgw/replication/leases.py
+++ b/larchgw/replication/lease_table.py
@@ -5,9 +5,9 @@
 from random import Random
 
 from .lease import Lease, LeaseHolder
-from .lease_witness import LeaseWitness
+from .lease_acceptor import LeaseWitness
 from .messages import LeaseAnswer, LeaseAsk, LeaseRelease
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .settings import MemberSettings
 from .view import View
 
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -9,13 +9,14 @@
 
 from .candidate import Candidate
 from .compaction import Compaction
-from .departure import Departure
 from .effects import Effects, NotPrimary, Role, Ticket
 from .follower import Follower
+from .graceful_leave import Departure
 from .identity import establish
 from .lease import Lease
-from .lease_witness import LeaseWitness
-from .leases import Leases
+from .lease_acceptor import LeaseWitness
+from .lease_table import Leases
+from .member_addresses import Roster
 from .messages import (
     Accept,
     Accepted,
@@ -41,12 +42,11 @@
     TakeOver,
     decode,
 )
-from .outbox import Outbox
+from .outbound_messages import Outbox
+from .pending_proposals import Tickets
 from .ports import Ports
 from .replica import Replica
-from .roster import Roster
 from .settings import MemberSettings
-from .tickets import Tickets
 from .view import View
 from .view_changes import ViewChanges
 from .witness import Witness
--- a/larchgw/replication/roster.py
+++ b/larchgw/replication/member_addresses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .view import View
 
 
--- a/larchgw/replication/view_changes.py
+++ b/larchgw/replication/view_changes.py
@@ -5,12 +5,12 @@
 import logging
 from collections.abc import Callable
 
-from .ballot import Ballot
 from .candidate import Candidate
-from .departure import Departures
 from .follower import Follower
+from .graceful_leave import Departures
 from .leadership import Leadership
-from .lease_witness import LeaseWitness
+from .lease_acceptor import LeaseWitness
+from .member_addresses import Roster
 from .messages import (
     Accept,
     Accepted,
@@ -24,12 +24,12 @@
     Promise,
     TakeOver,
 )
-from .outbox import Outbox
+from .outbound_messages import Outbox
 from .planning import failover_view, next_view, same_view
 from .replica import Replica
-from .roster import Roster
 from .settings import MemberSettings
 from .view import View
+from .view_change_round import Ballot
 from .witness import Witness
 
 log = logging.getLogger(__name__)
--- a/tests/test_member_crashes.py
+++ b/tests/test_member_crashes.py
@@ -16,7 +16,7 @@
 
 from larchgw.model_checking.simulated_disk import Crashed, SimulatedDisk
 from larchgw.replication.effects import Effects
-from larchgw.replication.lease_witness import LeaseWitness
+from larchgw.replication.lease_acceptor import LeaseWitness
 from larchgw.replication.member import Member
 from larchgw.replication.messages import (
     Accept,
--- a/tests/test_replication_lease.py
+++ b/tests/test_replication_lease.py
@@ -5,7 +5,7 @@
 from larchgw.model_checking.replication.cluster import LEASE, TERM, World
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.lease import Lease
-from larchgw.replication.lease_witness import NOBODY, UNKNOWN, LeaseWitness
+from larchgw.replication.lease_acceptor import NOBODY, UNKNOWN, LeaseWitness
 from larchgw.replication.messages import LeaseAsk, LeaseRelease
 from larchgw.replication.view import first_view
 
--- a/tests/test_replication_parts.py
+++ b/tests/test_replication_parts.py
@@ -22,7 +22,7 @@
     decode,
     encode,
 )
-from larchgw.replication.outbox import Outbox
+from larchgw.replication.outbound_messages import Outbox
 from larchgw.replication.planning import Standing, failover_view, next_view
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -16,9 +16,9 @@
 from larchgw.control.restore import RestoreError, check_empty, fresh_identity, read_source, write_folder
 from larchgw.control.state import ConfigurationState, Order
 from larchgw.model_checking.replication.cluster import World
+from larchgw.replication.forced_new_view import Beginning, beginning, refound
 from larchgw.replication.lease import FENCES_PER_EPOCH
 from larchgw.replication.member import Member
-from larchgw.replication.refound import Beginning, beginning, refound
 from larchgw.replication.settings import MemberSettings
 from larchgw.runtime.clients import RpcClients
 from larchgw.storage.files import DiskFiles
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -17,7 +17,7 @@
 from larchgw.replication.follower import Follower
 from larchgw.replication.leadership import Leadership
 from larchgw.replication.messages import AppendReply, DecodeError, Install, InstallReply, decode
-from larchgw.replication.outbox import Outbox
+from larchgw.replication.outbound_messages import Outbox
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings, Timing
 from larchgw.replication.snapshot_transfer import (
