--- a/larchgw/placement/demand.py
+++ b/larchgw/placement/demand.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .standings import Key, Standing, Standings
+from .demand_reports import Key, Standing, Standings
 
 FAST_S = 3.0  # time constant: a shift is half seen after two seconds
 SLOW_S = 20.0  # time constant: a model asked for every 25 s is still told apart from an idle one
--- a/larchgw/placement/needs.py
+++ b/larchgw/placement/load_candidates.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 from .demand import Demand, ModelSummary
+from .holder_value import ModelDemand, first_holder, replica, wanted_replicas
 from .model import PlacementSettings, held_name
-from .shifts import ShiftEstimate
+from .popularity_change import ShiftEstimate
 from .state import RunnerState, Terms
-from .valuation import ModelDemand, first_holder, replica, wanted_replicas
 
 RUN_S = 0.5  # a request's usual time at a runner: turns a rate into work where nothing is in flight yet
 CALM_IN_FLIGHT = 0.25  # share of a runner's slots in use from which runners count as busy
--- a/larchgw/placement/planner.py
+++ b/larchgw/placement/planner.py
@@ -15,9 +15,9 @@
 
 from ..configuration.model import Configuration
 from .demand import Demand
+from .load_candidates import Need, ServiceDemand
 from .model import LOADING, UNLOADING, Order, PlacementSettings, held_name
-from .needs import Need, ServiceDemand
-from .shifts import ShiftEstimate
+from .popularity_change import ShiftEstimate
 from .state import MEMORY_MARGIN_MB, PlacementState, RunnerState, Terms
 
 HYSTERESIS = 1.5  # a load that nobody waits for must be worth so many times its cost
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -16,7 +16,7 @@
 
 from ..configuration.model import Configuration
 from ..runner_directory.records import RunnerRecord, Stage
-from .ceiling import LoadCeiling
+from .load_rate_limit import LoadCeiling
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .state import PlacementState, RunnerState, Terms, UnderWay, held_by, names_of
 
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -23,8 +23,8 @@
 
 from ..configuration.model import Configuration
 from ..runner_directory.records import RunnerRecord, Stage
-from .ceiling import LoadCeiling
 from .demand import Demand, DemandReportLike
+from .load_rate_limit import LoadCeiling
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .orders import MOST_ORDERS
 from .planner import Planner
--- a/larchgw/placement/state.py
+++ b/larchgw/placement/state.py
@@ -13,7 +13,7 @@
 
 from ..configuration.model import Runtime
 from ..runner_directory.records import RunnerRecord, Stage
-from .ceiling import LoadCeiling
+from .load_rate_limit import LoadCeiling
 from .model import Order, held_name
 
 MEMORY_MARGIN_MB = 0.001  # against rounding at the runner
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,8 +13,8 @@
 from larchgw.emulator.placing import SERVICE, Deployment, Stream, World
 from larchgw.experiments.place import Calls, HeldLease, run_at_once
 from larchgw.experiments.place import Service as Driver
-from larchgw.placement.ceiling import LoadCeiling
 from larchgw.placement.demand import EXPIRY_S, Demand, ModelSummary
+from larchgw.placement.load_rate_limit import LoadCeiling
 from larchgw.placement.model import (
     LOADING,
     UNLOADING,
@@ -25,9 +25,9 @@
 )
 from larchgw.placement.orders import MOST_ORDERS, decode_report, encode_order, outcome_of
 from larchgw.placement.planner import RESIDENCE_S, Planner
+from larchgw.placement.popularity_change import ShiftEstimate
 from larchgw.placement.reconciler import LAST_POLL_S, REST_S, UNANSWERED_S, Reconciler
 from larchgw.placement.service import GONE, PlacementRuntime, PlacementService
-from larchgw.placement.shifts import ShiftEstimate
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
 from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 
--- a/tests/test_placement_standings.py
+++ b/tests/test_placement_standings.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.placement.standings import Key, Standing, Standings
+from larchgw.placement.demand_reports import Key, Standing, Standings
 
 EXPIRY_S, INTERVALS = 2.0, 3.0
 keys = st.tuples(st.just("llm"), st.sampled_from("mn"), st.sampled_from(["", "a1"]))
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -31,8 +31,8 @@
 from larchgw.membership.member import Member
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
-from larchgw.placement.ceiling import LoadCeiling
 from larchgw.placement.demand import Demand
+from larchgw.placement.load_rate_limit import LoadCeiling
 from larchgw.placement.model import Order, PlacementSettings
 from larchgw.placement.reconciler import Reconciler
 from larchgw.placement.service import PlacementRuntime, PlacementService
