--- a/larchgw/membership/knowledge.py
+++ b/larchgw/membership/member_states.py
@@ -7,9 +7,9 @@
 from random import Random
 
 from .codec import Update
+from .death_verification import Doubts
 from .dissemination import Dissemination
-from .doubts import Doubts
-from .health import LocalHealth
+from .local_health import LocalHealth
 from .member import Member, State
 from .probing import RoundRobin
 from .settings import SwimSettings
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -13,9 +13,9 @@
 from random import Random
 
 from .codec import Cursor, DecodeError, Draft, Kind, Message, Update, decode, encode_update, valid_address
-from .health import LocalHealth
-from .knowledge import Knowledge
+from .local_health import LocalHealth
 from .member import Member, Role, State, check_member
+from .member_states import Knowledge
 from .probing import Probe, Relays
 from .seeds import Seeds
 from .settings import SwimSettings
