--- a/larchgw/edge/forwarding.py
+++ b/larchgw/edge/forwarding.py
@@ -4,7 +4,7 @@
 
 from ..net.heads import Fields
 from ..net.httpserver import Exchange
-from .requesthead import EXPECT_VERSION, LAST_EVENT_ID, passed_on
+from .request_head import EXPECT_VERSION, LAST_EVENT_ID, passed_on
 from .stream_relay import StreamRelay
 
 FRAMED = (b"content-length", b"transfer-encoding")  # with one of these a request has a body, if an empty one
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -35,7 +35,7 @@
 from ..runtime.tasks import Tasks
 from . import readiness
 from .demand_reports import DemandReporter
-from .expectations import Expectations
+from .expected_loads import Expectations
 from .proxy import Proxy
 from .status import EdgeStatus
 
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -19,12 +19,12 @@
 from ..routing.interface import Budget, RequestTraits, Selection
 from ..rpc.generated.ttypes import ModelDemand
 from ..runner_directory.records import RunnerRecord
-from . import requesthead as head_of
+from . import request_head
 from .context import ProxyContext
 from .counters import EdgeCounters
 from .demand import DemandTally
 from .errors import BadRequest
-from .exchange import ProxyExchange
+from .request import ProxyExchange
 from .runner_pool import RunnerPool
 
 FILES_KEPT = 200  # descriptors for files outside the sockets
@@ -187,8 +187,8 @@
             self._own_answer(exchange, 503, "not configured yet", UNCONFIGURED_RETRY_S)
             return
         try:
-            name = head_of.attempt_id(exchange.headers)
-            head_of.check_single(exchange.fields)
+            name = request_head.attempt_id(exchange.headers)
+            request_head.check_single(exchange.fields)
         except BadRequest as error:
             self._own_answer(exchange, 400, str(error))
             return
@@ -224,8 +224,8 @@
         service = split_service(route, name)
         described = self._configuration.service(service) if self._configuration is not None else None
         pinned = route.pinned and described is not None and described.runtime is not None
-        model, adapter = head_of.model_of(headers) if pinned else ("", "")
-        tokens_in, tokens_out = head_of.tokens_of(headers)
+        model, adapter = request_head.model_of(headers) if pinned else ("", "")
+        tokens_in, tokens_out = request_head.tokens_of(headers)
         longest = route.deadline_ms / 1000.0
         target = (route.target_ms or route.deadline_ms) / 1000.0
         return RequestTraits(
@@ -233,13 +233,13 @@
             route=route,
             service=service,
             arrived_at=exchange.arrived,
-            deadline_at=began + head_of.time_left(headers, longest),
+            deadline_at=began + request_head.time_left(headers, longest),
             target_at=began + target,
             model=model,
             adapter=adapter,
             prompt_tokens=tokens_in,
             output_tokens=tokens_out,
-            parts=head_of.parts_of(headers),
+            parts=request_head.parts_of(headers),
         )
 
     def _own_answer(self, exchange: Exchange, status: int, reason: str, retry_after: float = 0.0) -> None:
--- a/larchgw/edge/exchange.py
+++ b/larchgw/edge/request.py
@@ -16,8 +16,8 @@
 from .forwarding import request_bytes
 from .relay import WholeRelay
 from .runner_link import AnswerHead, RunnerLink
-from .silence import SilenceWatch, silence_limit
 from .stream_relay import StreamMismatch, StreamRelay
+from .stream_timeout import SilenceWatch, silence_limit
 from .trace import RequestTrace
 
 DEADLINE_MARGIN_S = 0.02  # before the client gives up: our answer has to reach it
--- a/larchgw/edge/runner_link.py
+++ b/larchgw/edge/runner_link.py
@@ -14,8 +14,8 @@
 from ..net.loop import WORKERS, EventLoop
 from ..net.timers import Deadline
 from ..routing.interface import AttemptOutcome
-from . import dead_peer
-from .requesthead import ATTEMPT_ID
+from . import stale_connection
+from .request_head import ATTEMPT_ID
 
 CONNECT_S = 0.3  # for a connection to come up
 BODYLESS = (204, 304)
@@ -94,7 +94,7 @@
         self._body: list[bytes] = []
         self.connection: Connection | ConnectionOutcome = connect(owner.loop, address, self, WORKERS)
         if isinstance(self.connection, Connection):
-            dead_peer.watch_by_kernel(self.connection.sock)
+            stale_connection.watch_by_kernel(self.connection.sock)
             self.connection.reads_to_end = False  # each event would cost a second call
             self._timer = owner.loop.deadlines.add(owner.loop.clock.now() + CONNECT_S, self._never_up)
 
@@ -253,20 +253,20 @@
         assert isinstance(self.connection, Connection)
         self._length = len(request)
         self.connection.max_unsent = max(self.connection.max_unsent, len(request))
-        if len(request) > dead_peer.LONG_REQUEST_BYTES:
-            dead_peer.watch_by_looks(self.connection.sock)
+        if len(request) > stale_connection.LONG_REQUEST_BYTES:
+            stale_connection.watch_by_looks(self.connection.sock)
             self._look_later()
         self.connection.write(request)
 
     def _look_later(self) -> None:
         now = self.owner.loop.clock.now()
-        self._look = self.owner.loop.deadlines.add(now + dead_peer.LOOK_S, self._look_for_death)
+        self._look = self.owner.loop.deadlines.add(now + stale_connection.LOOK_S, self._look_for_death)
 
     def _look_for_death(self) -> None:
         """Until a long request is delivered: its runner may read slowly, but its machine must answer."""
         self._look = None
         assert isinstance(self.connection, Connection)
-        if dead_peer.is_dead(self.connection.sock):
+        if stale_connection.is_dead(self.connection.sock):
             self._lose(AttemptOutcome.CUT if self._head_told else AttemptOutcome.RESET)
         elif self._is_delivered():
             self._watch_by_kernel()
@@ -275,17 +275,19 @@
 
     def _watch_by_kernel(self) -> None:
         """The ways of a long request end, if this was one."""
-        if self._length > dead_peer.LONG_REQUEST_BYTES and isinstance(self.connection, Connection):
+        if self._length > stale_connection.LONG_REQUEST_BYTES and isinstance(self.connection, Connection):
             self.owner.loop.deadlines.drop(self._look)
             self._look = None
-            dead_peer.watch_by_kernel(self.connection.sock)
+            stale_connection.watch_by_kernel(self.connection.sock)
 
     def _is_delivered(self) -> bool:
         """Whether the runner's machine has all of the request. What it lacks may be read much later."""
         connection = self.connection
         if not isinstance(connection, Connection) or connection.unsent:
             return False
-        return self._length <= dead_peer.LONG_REQUEST_BYTES or not dead_peer.undelivered(connection.sock)
+        return self._length <= stale_connection.LONG_REQUEST_BYTES or not stale_connection.undelivered(
+            connection.sock
+        )
 
     def _tell(self, garbled: bool) -> None:
         """Hands on what the parser has noted."""
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -12,7 +12,7 @@
 from ..net.timers import Deadline
 from ..runner_directory.records import RunnerRecord, Stage
 from .counters import EdgeCounters
-from .keep_time import KeepTime
+from .keep_alive_limit import KeepTime
 from .runner_link import RunnerLink
 
 LEAST_CONNECTIONS = 4  # to one runner, however many dispatchers share its limit
--- a/tests/test_edge_answers.py
+++ b/tests/test_edge_answers.py
@@ -21,7 +21,7 @@
     until,
 )
 
-from larchgw.edge import dead_peer
+from larchgw.edge import stale_connection
 from larchgw.edge.relay import HELD_BYTES
 from larchgw.net.connection import Connection
 from larchgw.routing.interface import AttemptOutcome
@@ -138,7 +138,7 @@
         assert isinstance(link.connection, Connection)
         sock = link.connection.sock
         await until(lambda: made.selection.outcomes or probes(sock) >= 2)
-        made.move(dead_peer.LOOK_S)
+        made.move(stale_connection.LOOK_S)
         assert made.selection.outcomes == []
         call.answer()
         assert (await client.answer()).status == 200
@@ -152,10 +152,10 @@
     async with edge(first, second, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/read_only/x", body=LONG_BODY)
         await first.call()
-        made.move(dead_peer.LOOK_S)
+        made.move(stale_connection.LOOK_S)
         assert made.selection.outcomes == []
         monkeypatch.setattr(dead_peer, "is_dead", lambda sock: True)
-        made.move(dead_peer.LOOK_S)
+        made.move(stale_connection.LOOK_S)
         assert made.selection.outcomes == [AttemptOutcome.RESET]
         (await second.call()).answer()
         assert (await client.answer()).status == 200
@@ -171,9 +171,11 @@
         assert isinstance(link.connection, Connection)
         sock = link.connection.sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 0
-        await until(lambda: not dead_peer.undelivered(sock))
-        made.move(dead_peer.LOOK_S)
-        assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == dead_peer.USER_TIMEOUT_MS
+        await until(lambda: not stale_connection.undelivered(sock))
+        made.move(stale_connection.LOOK_S)
+        assert (
+            sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == stale_connection.USER_TIMEOUT_MS
+        )
         call.answer()
         assert (await client.answer()).status == 200
 
--- a/tests/test_edge_parsers.py
+++ b/tests/test_edge_parsers.py
@@ -11,8 +11,8 @@
 
 from larchgw.edge import events as events_module
 from larchgw.edge.events import EventSplitter, EventTooLong, parse
-from larchgw.edge.keep_time import KeepTime
-from larchgw.edge.requesthead import model_of, parts_of, time_left, tokens_of
+from larchgw.edge.keep_alive_limit import KeepTime
+from larchgw.edge.request_head import model_of, parts_of, time_left, tokens_of
 from larchgw.edge.runner_link import AnswerHead, RunnerLink
 from larchgw.net.connection_outcome import ConnectionOutcome
 from larchgw.net.heads import end_to_end
