--- a/larchgw/control/checkins.py
+++ b/larchgw/control/checkins.py
@@ -10,7 +10,7 @@
 from ..rpc.generated.ttypes import Entry
 from ..runner_directory.checkins import parse_checkin
 from ..runner_directory.directory import CheckinOutcome, Directory
-from .contact import MajorityContact
+from .majority_contact import MajorityContact
 
 HANDOFF_TIMEOUT_S = 0.4  # a runner waits a second for its acknowledgement
 
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -37,21 +37,21 @@
     seed_rpc_addresses,
 )
 from ..runtime.clients import RpcClients
-from ..runtime.dice import new_dice
 from ..runtime.gossip import make_swim
+from ..runtime.random_source import new_dice
 from ..runtime.tasks import Tasks
 from ..storage.files import DiskFiles
 from . import http_api
 from .checkins import RunnerCheckins
-from .contact import PullContact
 from .disk import ControlDisk
-from .newest_view import NewestView
+from .latest_view import NewestView
+from .majority_contact import PullContact
 from .operator import Answer, OperatorService
 from .operator_calls import OperatorCalls
-from .owners import is_watched, owner_name
 from .publication import ConfigurationPublisher
 from .replicated_log import TICK_S, ReplicatedLog
 from .rpc_service import RpcService
+from .runner_ownership import is_watched, owner_name
 from .state import ConfigurationState
 from .status import StatusService, StatusSources
 
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -17,8 +17,8 @@
 from ..replication.view import View
 from ..rpc.generated import ttypes
 from ..runner_directory.directory import Directory
-from .contact import MajorityContact
 from .disk import ControlDisk
+from .majority_contact import MajorityContact
 from .state import ConfigurationState
 
 
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -30,8 +30,8 @@
 from ..runtime import http_status
 from ..runtime.addresses import EDGE_GOSSIP_PORT, seed_gossip_addresses, seed_rpc_addresses
 from ..runtime.clients import RpcClients
-from ..runtime.dice import new_dice
 from ..runtime.gossip import make_swim
+from ..runtime.random_source import new_dice
 from ..runtime.tasks import Tasks
 from . import readiness
 from .demand_reports import DemandReporter
--- a/larchgw/model_checking/check_ins/cluster.py
+++ b/larchgw/model_checking/check_ins/cluster.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ...control.contact import HEARD_WITHIN_S
+from ...control.majority_contact import HEARD_WITHIN_S
 from ...distribution.interface import RUNNER
 from ...runner_directory.records import RunnerRecord, Stage
 from .network import Network
--- a/larchgw/model_checking/check_ins/mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ...control.checkins import RunnerCheckins
-from ...control.contact import PullContact
+from ...control.majority_contact import PullContact
 from ...distribution.puller import Puller
 from ...replication import view
 from ...rpc.generated.ttypes import PullReply
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ...control.checkins import RunnerCheckins
-from ...control.contact import PullContact
+from ...control.majority_contact import PullContact
 from ...distribution.handoff import Handoff
 from ...distribution.interface import CONFIGURATION
 from ...distribution.peers import PeerPullers
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -11,8 +11,8 @@
 import testtools
 from scripted_peers import Peer, connecting, now
 
-from larchgw.control.contact import HEARD_WITHIN_S, PullContact
-from larchgw.control.newest_view import NewestView
+from larchgw.control.latest_view import NewestView
+from larchgw.control.majority_contact import HEARD_WITHIN_S, PullContact
 from larchgw.distribution.peers import PeerPullers
 from larchgw.distribution.registry import Registry
 from larchgw.distribution.sources import PullSettings
--- a/tests/test_control_owners.py
+++ b/tests/test_control_owners.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from larchgw.control.owners import is_watched, owner_name
+from larchgw.control.runner_ownership import is_watched, owner_name
 from larchgw.distribution.registry import Registry
 from larchgw.membership.member import Member
 from larchgw.runner_directory.directory import Directory
