--- a/larchgw/dispatcher/fronts/admin.py
+++ b/larchgw/dispatcher/fronts/admin.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from urllib.parse import unquote_to_bytes
 
-from ...net.httpserver import Exchange, HttpServer
+from ...net.http_server import Exchange, HttpServer
 from ...net.loop import Loop
 from ..core import Core
 from ..scheduling.interface import WorkerId
--- a/larchgw/dispatcher/fronts/agentcheck.py
+++ b/larchgw/dispatcher/fronts/agentcheck.py
@@ -8,7 +8,7 @@
 from ...net.connection import Connection
 from ...net.connection_outcome import ConnectionOutcome
 from ...net.counters import Counters
-from ...net.httpserver import MAX_BODY, Exchange, HttpServer
+from ...net.http_server import MAX_BODY, Exchange, HttpServer
 from ...net.listener import Listener
 from ...net.loop import Loop
 from ..capacity import Planner
--- a/larchgw/dispatcher/fronts/platform.py
+++ b/larchgw/dispatcher/fronts/platform.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ...net.httpserver import Exchange, HttpServer
+from ...net.http_server import Exchange, HttpServer
 from ...net.loop import Loop
 from ..core import Answer, Core, Request
 from ..core.requests import News
--- a/larchgw/dispatcher/hot_restart/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -11,7 +11,7 @@
 from base64 import b64decode, b64encode
 from typing import Any
 
-from ...net.httpserver import Exchange
+from ...net.http_server import Exchange
 from ..core import Attempt, Core, Request
 from ..fronts.platform import PlatformFront
 from ..scheduling.interface import Status
--- a/larchgw/dispatcher/workers/pool.py
+++ b/larchgw/dispatcher/workers/pool.py
@@ -10,7 +10,7 @@
 
 from ...net.connection import Connection
 from ...net.connection_outcome import ConnectionOutcome, status_of
-from ...net.keepalive import SETTLE, KeepAliveLimit
+from ...net.keep_alive import SETTLE, KeepAliveLimit
 from ...net.loop import Loop
 from ..core import Attempt, Core, End
 from ..core.requests import Reach
--- a/larchgw/edge/forwarding.py
+++ b/larchgw/edge/forwarding.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..net.heads import Fields
-from ..net.httpserver import Exchange
+from ..net.http_server import Exchange
 from .request_head import EXPECT_VERSION, LAST_EVENT_ID, passed_on
 from .stream_relay import StreamRelay
 
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -20,7 +20,7 @@
 from ..distribution.vectors import new_origin
 from ..membership.transport import SwimTransport
 from ..net.address import parse_address
-from ..net.asyncloop import AsyncLoop
+from ..net.asyncio_loop import AsyncLoop
 from ..routing.retry_budget import RetryBudget
 from ..routing.selection import Selector
 from ..rpc.client import RpcClient
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -13,7 +13,7 @@
 from ..configuration.settings import NodeSettings
 from ..net.address import parse_address
 from ..net.counters import Counters
-from ..net.httpserver import Exchange, HttpServer, ServerLimits
+from ..net.http_server import Exchange, HttpServer, ServerLimits
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
 from ..routing.interface import Budget, RequestTraits, Selection
--- a/larchgw/edge/relay.py
+++ b/larchgw/edge/relay.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ..net.heads import Fields, end_to_end, phrase
-from ..net.httpserver import Exchange
+from ..net.http_server import Exchange
 from .runner_link import AnswerHead
 
 HELD_BYTES = 65536  # a shorter answer is passed on once it is whole: until then it can be fetched anew
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from ..net.httpserver import Exchange
+from ..net.http_server import Exchange
 from ..net.timers import Deadline
 from ..routing.interface import Attempt, AttemptOutcome, Refuse, RequestTraits, Send, Wait
 from ..runner_directory.records import RunnerRecord, Stage
--- a/larchgw/edge/stream_relay.py
+++ b/larchgw/edge/stream_relay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..net.httpserver import Exchange
+from ..net.http_server import Exchange
 from .events import Event, EventSplitter, parse
 from .relay import start
 from .runner_link import AnswerHead
--- a/larchgw/net/clientlink.py
+++ b/larchgw/net/client_connection.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from .bodymemory import BodyMemory
+from .body_memory import BodyMemory
 from .connection import Connection
 from .connection_outcome import ConnectionOutcome
 from .counters import Counters
@@ -15,8 +15,8 @@
 from .heads import CLOSE, Fields
 from .limits import ServerLimits
 from .loop import EventLoop
-from .replywriter import ReplyWriter
-from .requestreader import RequestReader
+from .request_reader import RequestReader
+from .response_writer import ReplyWriter
 from .timers import Deadline
 
 MAX_WAITING = 8  # requests read ahead on one connection, or bodies of the greatest size; then reading waits
--- a/larchgw/net/httpserver.py
+++ b/larchgw/net/http_server.py
@@ -4,8 +4,8 @@
 
 import socket
 
-from .bodymemory import BodyMemory
-from .clientlink import Link
+from .body_memory import BodyMemory
+from .client_connection import Link
 from .connection import Connection
 from .counters import Counters
 from .exchange import Exchange, Handler
--- a/larchgw/net/requestreader.py
+++ b/larchgw/net/request_reader.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from .bodymemory import BodyMemory
+from .body_memory import BodyMemory
 from .connection import CHUNK
 from .exchange import Exchange
 from .limits import ServerLimits
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -22,7 +22,7 @@
 from .dispatcher.core import Answer, AnswerKind, Request
 from .dispatcher.core.requests import News
 from .dispatcher.fronts.jobheaders import ONCE, http_answer, key_number, read_job
-from .net.httpserver import MAX_BODY
+from .net.http_server import MAX_BODY
 
 GRACE = 0.5  # seconds beyond a job's time for its answer to cross threads
 StartResponse = Callable[..., Any]
--- a/tests/edge_stand_ins.py
+++ b/tests/edge_stand_ins.py
@@ -15,7 +15,7 @@
 from larchgw.configuration.model import Configuration, Limits, Model, Route, Runtime, Service
 from larchgw.configuration.settings import NodeSettings
 from larchgw.edge.proxy import Proxy
-from larchgw.net.asyncloop import AsyncLoop
+from larchgw.net.asyncio_loop import AsyncLoop
 from larchgw.net.timers import Clock
 from larchgw.routing.interface import (
     Attempt,
--- a/tests/test_asyncloop.py
+++ b/tests/test_asyncloop.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from larchgw.net.asyncloop import AsyncLoop
+from larchgw.net.asyncio_loop import AsyncLoop
 from larchgw.net.counters import Counters
 from larchgw.net.loop import READ, WRITE
 
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from larchgw.net.bodymemory import BodyMemory
+from larchgw.net.body_memory import BodyMemory
 from larchgw.net.counters import Counters
 from larchgw.net.exchange import Exchange, ReplyChannel
 from larchgw.net.limits import ServerLimits
-from larchgw.net.requestreader import MAX_HEADERS, RequestReader
+from larchgw.net.request_reader import MAX_HEADERS, RequestReader
 
 NO_CHANNEL = cast(ReplyChannel, None)
 LIMITS = ServerLimits(head_bytes=2000, body_bytes=100)
--- a/tests/test_runner_answer.py
+++ b/tests/test_runner_answer.py
@@ -11,7 +11,7 @@
 from larchgw.dispatcher.workers.answer import MAX_ANSWER, MAX_LINE, MAX_RAW, MAX_REPORT, AnswerReader
 from larchgw.dispatcher.workers.load_report import ReportReader
 from larchgw.net.connection_outcome import ConnectionOutcome
-from larchgw.net.keepalive import DISTRUST, IDLE_MARGIN, IDLE_SHARE, REGAIN, SETTLE, KeepAliveLimit
+from larchgw.net.keep_alive import DISTRUST, IDLE_MARGIN, IDLE_SHARE, REGAIN, SETTLE, KeepAliveLimit
 
 
 @dataclass
