--- a/tests/test_edge_answers.py
+++ b/tests/test_edge_answers.py
@@ -129,7 +129,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The kernel's own time-out would end the connection at the second probe of the closed window."""
-    monkeypatch.setattr(dead_peer, "USER_TIMEOUT_MS", 1)
+    monkeypatch.setattr(stale_connection, "USER_TIMEOUT_MS", 1)
     runner = ScriptedRunner("i-1", reads_bodies=False)
     async with edge(runner, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/writing/x", body=LONG_BODY)
@@ -154,7 +154,7 @@
         await first.call()
         made.move(stale_connection.LOOK_S)
         assert made.selection.outcomes == []
-        monkeypatch.setattr(dead_peer, "is_dead", lambda sock: True)
+        monkeypatch.setattr(stale_connection, "is_dead", lambda sock: True)
         made.move(stale_connection.LOOK_S)
         assert made.selection.outcomes == [AttemptOutcome.RESET]
         (await second.call()).answer()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -245,9 +245,8 @@
 
 
 def test_a_client_that_is_not_read_is_looked_at_for_its_end_every_tenth_of_a_second() -> None:
-    assert (
-        client_connection.LOOK <= 0.15
-    )  # what waits on its connection may be sent on up to 0.3 s after its end
+    # what waits on its connection may be sent on up to 0.3 s after its end
+    assert client_connection.LOOK <= 0.15
 
 
 # A probe that hears what was meant for a job
