--- a/larchgw/storage/interface.py
+++ b/larchgw/storage/interface.py
@@ -1,7 +1,8 @@
 """The calls other packages make of this one. docs/storage.md says what is promised after each.
 
     files.FilePort (Protocol)           the calls on files that the rest is built on
-    files.DiskFiles                     the real one; tests/faulty_files.py has one that loses and tears
+    files.DiskFiles                     the real one; one that loses and tears is in
+                                        tests/support/faulty_files.py
 
     log.Log.open(port, folder, segment_bytes=..., limit_bytes=...) -> Log
         Recovers. Raises CorruptLog (file, offset, remedy) where a synced record is damaged; cuts a torn tail
--- a/tests/test_cli_system.py
+++ b/tests/cli/test_role_commands.py
@@ -9,8 +9,6 @@
 from typing import Any
 
 import pytest
-from configurations import EXAMPLE, example, with_value
-from stand_ins import PATIENCE, ROOT
 
 from larchgw.cli import main
 from larchgw.cli.check import faults_of
@@ -19,6 +17,8 @@
 from larchgw.cli.lab import EXPERIMENTS
 from larchgw.cli.main import call
 from larchgw.dispatcher import daemon
+from tests.support.configurations import EXAMPLE, example, with_value
+from tests.support.stand_ins import PATIENCE, ROOT
 
 SETTINGS: dict[str, Any] = {
     "node_name": "core-1",
--- a/tests/test_cli.py
+++ b/tests/cli/test_serve_commands.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 import pytest
-from stand_ins import PATIENCE, ROOT, settings
 
 from larchgw.dispatcher.config.settings_file import load_room, read
+from tests.support.stand_ins import PATIENCE, ROOT, settings
 
 
 def larchgw(*arguments: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_system_commands.py
+++ b/tests/cli/test_system_commands.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 import pytest
-from configurations import example
 
 from larchgw.cli import system_config, system_disk
 from larchgw.cli.command import UsageError
@@ -28,6 +27,7 @@
 from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.log import Log
+from tests.support.configurations import example
 
 SETTINGS: dict[str, Any] = {
     "node_name": "core-1",
--- a/tests/test_configuration_change.py
+++ b/tests/configuration/test_change.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 import pytest
-from configurations import EXAMPLE, body, configurations, example, routes_of, with_value
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -19,6 +18,7 @@
     StaleConfiguration,
 )
 from larchgw.configuration.validation import MOST_NESTED, parse
+from tests.support.configurations import EXAMPLE, body, configurations, example, routes_of, with_value
 
 CURRENT = parse(EXAMPLE)
 ADDED = {
--- a/tests/test_process_settings.py
+++ b/tests/configuration/test_process_settings.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 import pytest
-from configurations import with_value
 
 from larchgw.configuration.errors import SettingsError
 from larchgw.configuration.settings import VARIABLE, load, parse
 from larchgw.configuration.settings_check import is_address, settings_faults
+from tests.support.configurations import with_value
 
 CONTROL: dict[str, Any] = {
     "node_name": "core-1",
--- a/tests/test_configuration_routing.py
+++ b/tests/configuration/test_routing.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 import pytest
-from configurations import configurations, example
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from larchgw.configuration.model import Configuration, Route
 from larchgw.configuration.routing import RouteTable, normalised_host
 from larchgw.configuration.validation import parse
+from tests.support.configurations import configurations, example
 
 
 def table(*places: tuple[str, str]) -> RouteTable:
--- a/tests/test_configuration.py
+++ b/tests/configuration/test_validation.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 import pytest
-from configurations import EXAMPLE, body, configurations, example, with_value
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -14,6 +13,7 @@
 from larchgw.configuration.records import Findings
 from larchgw.configuration.route_reader import ordinary_route, route_by_record
 from larchgw.configuration.validation import decode, examine, parse, parse_committed
+from tests.support.configurations import EXAMPLE, body, configurations, example, with_value
 
 
 def test_every_field_of_a_valid_configuration_is_read() -> None:
--- a/tests/test_runner_checkins.py
+++ b/tests/control/test_checkins.py
@@ -8,7 +8,6 @@
 from typing import Any
 
 import testtools
-from scripted_peers import Peer, connecting, now
 
 from larchgw.control.checkins import HANDOFF_TIMEOUT_S, RunnerCheckins
 from larchgw.distribution.handoff import Handoff
@@ -17,6 +16,7 @@
 from larchgw.rpc.generated.ttypes import PushReply, PushRequest
 from larchgw.runner_directory.directory import SILENT_BEATS, Directory
 from larchgw.runner_directory.records import Stage
+from tests.support.scripted_peers import Peer, connecting, now
 
 BEAT_S = 1.2
 PROMPT_S = 0.05  # an acknowledgement that waits for nobody
--- a/tests/test_control_disk.py
+++ b/tests/control/test_disk.py
@@ -11,7 +11,6 @@
 from typing import Any
 
 import pytest
-from faulty_files import FaultyFiles
 from testtools import TestCase
 
 from larchgw.control.disk import ControlDisk
@@ -26,6 +25,7 @@
 from larchgw.storage.errors import DiskFailed, DiskFull
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.reserve import NAME, RESERVE_BYTES
+from tests.support.faulty_files import FaultyFiles
 
 ADDRESS = "10.0.0.1:7660"
 RESERVE = f"data/{NAME}"
--- a/tests/test_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -9,7 +9,6 @@
 import random
 
 import testtools
-from scripted_peers import Peer, connecting, now
 
 from larchgw.control.latest_view import NewestView
 from larchgw.control.majority_contact import HEARD_WITHIN_S, PullContact
@@ -19,6 +18,7 @@
 from larchgw.emulator.virtual_loop import run
 from larchgw.replication.view import View, first_view
 from larchgw.rpc.generated.ttypes import Entry
+from tests.support.scripted_peers import Peer, connecting, now
 
 SETTINGS = PullSettings().between_control()
 ANSWER_IN_TIME_S = SETTINGS.wait_s + SETTINGS.silence_s
--- a/tests/test_publication.py
+++ b/tests/control/test_publication.py
@@ -4,13 +4,13 @@
 import random
 
 import testtools
-from configurations import body, example
 
 from larchgw.configuration.packing import pack, unpack
 from larchgw.control.publication import PUBLISH_AFTER_S, ConfigurationPublisher
 from larchgw.control.state import ConfigurationState, Order
 from larchgw.distribution.interface import CONFIGURATION
 from larchgw.distribution.registry import Registry
+from tests.support.configurations import body, example
 
 
 class PublisherTest(testtools.TestCase):
--- a/tests/test_restore.py
+++ b/tests/control/test_restore.py
@@ -7,7 +7,6 @@
 from pathlib import Path
 
 import pytest
-from configurations import example
 from testtools import TestCase
 
 from larchgw.configuration.change import canonical
@@ -22,6 +21,7 @@
 from larchgw.replication.settings import MemberSettings
 from larchgw.runtime.clients import RpcClients
 from larchgw.storage.files import DiskFiles
+from tests.support.configurations import example
 
 ADDRESS = "10.0.0.1:7660"
 LATER = 1_800_000_000.0  # time of day
--- a/tests/test_state_size.py
+++ b/tests/control/test_state_size.py
@@ -7,10 +7,8 @@
 from typing import Any
 
 import pytest
-from faulty_files import FaultyFiles
 from hypothesis import given
 from hypothesis import strategies as st
-from test_control_operator import ScriptedReplication
 
 from larchgw.configuration.change import evaluate
 from larchgw.control.operator import MAX_ORDER_BYTES, Answer, OperatorService
@@ -22,6 +20,8 @@
 from larchgw.replication.snapshot_transfer import MOST_SNAPSHOT_BYTES
 from larchgw.storage.log import LIMIT_BYTES, Log
 from larchgw.storage.segments import MAX_RECORD_BYTES
+from tests.control.test_operator_service import ScriptedReplication
+from tests.support.faulty_files import FaultyFiles
 
 DISK_BYTES = 128 * 1000 * 1000  # the smallest disk of a control machine
 SMALL_LIMIT = 2000
--- a/tests/test_status.py
+++ b/tests/control/test_status.py
@@ -11,10 +11,6 @@
 from typing import Any
 
 import tornado.web
-from asyncio_tests import on_loop
-from configurations import example
-from edge_stand_ins import Edge
-from stand_ins import ROOT
 from testtools import TestCase
 from tornado.testing import AsyncHTTPTestCase
 
@@ -43,6 +39,10 @@
 from larchgw.runner_directory.records import HeldModel, RunnerRecord
 from larchgw.runner_directory.view import RunnerView
 from larchgw.runtime import http_status
+from tests.support.asyncio_tests import on_loop
+from tests.support.configurations import example
+from tests.support.edge_stand_ins import Edge
+from tests.support.stand_ins import ROOT
 
 ADDRESS = "127.0.0.1:7660"
 
--- a/tests/test_drawn_days.py
+++ b/tests/deploy/test_drawn_days.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-SCRIPT = Path(__file__).parent.parent / "deploy" / "days" / "draw.py"
+SCRIPT = Path(__file__).parents[2] / "deploy" / "days" / "draw.py"
 SEEDS = range(1, 4)
 
 
--- a/tests/test_play_days.py
+++ b/tests/deploy/test_play_days.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 import pytest
-from stand_ins import ROOT
+
+from tests.support.stand_ins import ROOT
 
 PRINTED = """built in 0.2 s; 32578 lines in 330 files
 day                  own/srv  score  worth served refused failed  weakest part
--- a/tests/test_system_packages.py
+++ b/tests/deploy/test_system_packages.py
@@ -16,10 +16,11 @@
 from types import ModuleType
 
 import pytest
-from elf import SharedObject, is_shared_object, read_shared_object
 from packaging.requirements import Requirement
 from packaging.specifiers import SpecifierSet
-from stand_ins import ROOT
+
+from tests.support.elf import SharedObject, is_shared_object, read_shared_object
+from tests.support.stand_ins import ROOT
 
 DEPLOY = tomllib.loads((ROOT / "deploy/system.toml").read_text())
 PACKAGES: list[str] = DEPLOY["packages"]
--- a/tests/test_operators.py
+++ b/tests/dispatcher/test_admin_address.py
@@ -6,11 +6,10 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from stand_ins import PATIENCE, Program, Runner, running, until
-from test_core import SAFE, Desk
-
 from larchgw.dispatcher.core import End
 from larchgw.dispatcher.scheduling.interface import ListKind, Member, Status
+from tests.dispatcher.test_core import SAFE, Desk
+from tests.support.stand_ins import PATIENCE, Program, Runner, running, until
 
 
 def test_the_calls_say_yes_and_no(tmp_path: Path) -> None:
--- a/tests/test_room.py
+++ b/tests/dispatcher/test_capacity.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 import pytest
-from bench import Recorder
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -25,6 +24,7 @@
 from larchgw.emulator.fleet import FAULTS, Fault, FleetSpec
 from larchgw.emulator.load import CLASSES, LoadSpec
 from larchgw.emulator.virtual import Scenario, World, summary
+from tests.support.bench import Recorder
 
 PROOF, RELEASE = 0, 1
 
--- a/tests/test_estimates.py
+++ b/tests/dispatcher/test_estimates.py
@@ -3,7 +3,6 @@
 import random
 
 import pytest
-from bench import Recorder, Rig
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -23,6 +22,7 @@
     Tenant,
 )
 from larchgw.dispatcher.scheduling.records import OUT, Worker
+from tests.support.bench import Recorder, Rig
 
 SAFE = JobClass("proof", 1.0, 10.0, stretch=2.0, effect="idempotent")
 RELEASE = JobClass("release", 4.0, 25.0, worth=8.0, stretch=2.0, effect="at_most_once")
--- a/tests/test_failures.py
+++ b/tests/dispatcher/test_failures.py
@@ -1,8 +1,7 @@
 """A small test for each failure found: the module alone, no bench."""
 
-from bench import Rig
-
 from larchgw.dispatcher.scheduling.interface import Member, Note, Outcome, Request, Status
+from tests.support.bench import Rig
 
 
 def end_after(rig: Rig, request: int, run: float) -> None:
--- a/tests/test_gearman.py
+++ b/tests/dispatcher/test_gearman.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 
 import pytest
-from stand_ins import PATIENCE, Program, Runner, delivered, frozen, job_class, running, until
 
 from larchgw.dispatcher.core import Answer, AnswerKind
 from larchgw.dispatcher.fronts import gearman_jobs
 from larchgw.dispatcher.scheduling.interface import JobClass, Settings
 from larchgw.net.counters import Counters
 from larchgw.net.timers import Clock
+from tests.support.stand_ins import PATIENCE, Program, Runner, delivered, frozen, job_class, running, until
 
 CAN_DO, CANT_DO, PRE_SLEEP, NOOP, SUBMIT, CREATED, GRAB, NO_JOB, ASSIGN = 1, 2, 4, 6, 7, 8, 9, 10, 11
 STATUS, COMPLETE, FAIL, GET_STATUS, ECHO, ECHO_RES, SUBMIT_BG, ERROR, STATUS_RES = range(12, 21)
--- a/tests/test_upgrade.py
+++ b/tests/dispatcher/test_hot_restart.py
@@ -15,13 +15,13 @@
 from typing import Any
 
 import pytest
-from stand_ins import PATIENCE, ROOT, Discovery, Program, Runner, settings, until
-from test_core import RELEASE, SAFE, Desk
-from test_gearman import COMPLETE, CREATED, FAIL, SUBMIT, Peer, Worker, boxes_joined
 
 from larchgw.dispatcher.core import AnswerKind, Attempt, End, Request
 from larchgw.dispatcher.hot_restart import learned
 from larchgw.dispatcher.scheduling.interface import ListKind, Member, Status
+from tests.dispatcher.test_core import RELEASE, SAFE, Desk
+from tests.dispatcher.test_gearman import COMPLETE, CREATED, FAIL, SUBMIT, Peer, Worker, boxes_joined
+from tests.support.stand_ins import PATIENCE, ROOT, Discovery, Program, Runner, settings, until
 
 
 class Platform:
--- a/tests/test_network.py
+++ b/tests/dispatcher/test_program.py
@@ -16,7 +16,6 @@
 from typing import Any
 
 import pytest
-from stand_ins import PATIENCE, ROOT, Discovery, Program, Runner, job_class, running, settings, until
 
 from larchgw.dispatcher.config.settings_file import load_fronts
 from larchgw.dispatcher.config.startup import ConfigError
@@ -27,6 +26,17 @@
 from larchgw.dispatcher.workers.pool import Runners
 from larchgw.net.loop import Loop
 from larchgw.net.timers import Clock, Deadlines
+from tests.support.stand_ins import (
+    PATIENCE,
+    ROOT,
+    Discovery,
+    Program,
+    Runner,
+    job_class,
+    running,
+    settings,
+    until,
+)
 
 
 def raw(program: Program, *parts: bytes) -> bytes:
--- a/tests/test_crossings.py
+++ b/tests/dispatcher/test_races.py
@@ -19,7 +19,8 @@
 from typing import Any
 
 import pytest
-from stand_ins import (
+
+from tests.support.stand_ins import (
     PATIENCE,
     ROOT,
     Call,
--- a/tests/test_refused_calls.py
+++ b/tests/dispatcher/test_refused_system_calls.py
@@ -3,7 +3,7 @@
 import signal
 import socket
 
-from stand_ins import Discovery, Program, Runner, until
+from tests.support.stand_ins import Discovery, Program, Runner, until
 
 REFUSE = """
 import errno, sys
--- a/tests/test_rules.py
+++ b/tests/dispatcher/test_rules.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 import pytest
-from bench import Recorder
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -23,6 +22,7 @@
     Request,
     Status,
 )
+from tests.support.bench import Recorder
 
 NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 CLASSES = [
--- a/tests/test_wire.py
+++ b/tests/dispatcher/test_simulator_protocol.py
@@ -126,7 +126,7 @@
 
 
 def test_end_of_input_is_a_clean_exit():
-    root = Path(__file__).parent.parent
+    root = Path(__file__).parents[2]
     host = [sys.executable, "-m", "larchgw.dispatcher.simulator_protocol.wirehost"]
     done = subprocess.run(host, input=b"", cwd=root, capture_output=True)
     assert (done.returncode, done.stdout) == (0, b"")
--- a/tests/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 import pytest
-from stand_ins import delivered, settings, until
 
 from larchgw.dispatcher.assembly import ASK_FIRST, Node
 from larchgw.dispatcher.config.startup import Config, read
@@ -24,6 +23,7 @@
 from larchgw.net.listener import Listener
 from larchgw.net.loop import CLIENTS, FIRST, NEWCOMERS, READ, WORKERS, Loop
 from larchgw.net.timers import Clock, Deadlines
+from tests.support.stand_ins import delivered, settings, until
 
 
 def test_a_turn_hears_lists_and_clients_before_workers_and_newcomers() -> None:
--- a/tests/test_choice.py
+++ b/tests/dispatcher/test_worker_selection.py
@@ -1,10 +1,10 @@
 """The ordinary path, exactly: holder, threshold, spill, ties, and what counts as held and pending."""
 
 import pytest
-from bench import Rig
 
 from larchgw import Dispatcher
 from larchgw.dispatcher.scheduling.interface import JobClass, ListKind, Member, Settings, Status
+from tests.support.bench import Rig
 
 
 def test_a_key_stays_with_its_holder():
--- a/tests/test_wsgi.py
+++ b/tests/dispatcher/test_wsgi.py
@@ -8,10 +8,10 @@
 
 import pytest
 from flask import Flask
-from stand_ins import Discovery, Runner, settings, until
 
 from larchgw.dispatcher.core import AnswerKind
 from larchgw.wsgi import DispatchMiddleware, EmbeddedDispatcher
+from tests.support.stand_ins import Discovery, Runner, settings, until
 
 
 @pytest.fixture
--- a/tests/test_distribution_faults.py
+++ b/tests/distribution/test_faults.py
@@ -6,7 +6,6 @@
 import random
 
 import pytest
-from scripted_peers import Peer, connecting, now
 
 from larchgw.distribution.handoff import Handoff
 from larchgw.distribution.peers import PeerPullers
@@ -14,6 +13,7 @@
 from larchgw.distribution.registry import Registry, rank
 from larchgw.distribution.sources import PullSettings
 from larchgw.emulator.virtual_loop import run
+from tests.support.scripted_peers import Peer, connecting, now
 
 SETTINGS = PullSettings()
 SETTLE_S = 4.0  # after the last fault: the longest backoff, a silence and a pull
--- a/tests/test_handoff.py
+++ b/tests/distribution/test_handoff.py
@@ -9,12 +9,12 @@
 import testtools
 from hypothesis import given
 from hypothesis import strategies as st
-from scripted_peers import Peer, connecting, now
 
 from larchgw.distribution.handoff import BATCH, PACE_S, Handoff
 from larchgw.distribution.hints import Hints
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import Entry
+from tests.support.scripted_peers import Peer, connecting, now
 
 
 def entry(key: str, major: int = 1) -> Entry:
--- a/tests/test_distribution_puller.py
+++ b/tests/distribution/test_puller.py
@@ -7,7 +7,6 @@
 from collections.abc import Callable, Sequence
 
 import testtools
-from scripted_peers import Peer, connecting, now
 
 from larchgw.configuration.settings import TimeLimits
 from larchgw.distribution.peers import PeerPullers
@@ -15,6 +14,7 @@
 from larchgw.distribution.registry import Registry
 from larchgw.distribution.sources import PullSettings, SourceChoice
 from larchgw.emulator.virtual_loop import run
+from tests.support.scripted_peers import Peer, connecting, now
 
 SETTINGS = PullSettings()
 
--- a/tests/test_distribution_pulls.py
+++ b/tests/distribution/test_pulls.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 import testtools
-from scripted_peers import Peer, now
 
 from larchgw.distribution.pulls import GATHER_S, PullService
 from larchgw.distribution.registry import Registry
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import Entry, PullReply, PullRequest, PushRequest
+from tests.support.scripted_peers import Peer, now
 
 
 def request(reply: PullReply | None = None, prefixes: tuple[str, ...] = ()) -> PullRequest:
--- a/tests/test_calls_page.py
+++ b/tests/docs/test_calls_page.py
@@ -4,7 +4,7 @@
 
 import re
 
-from stand_ins import ROOT
+from tests.support.stand_ins import ROOT
 
 PAGE = (ROOT / "docs/calls.md").read_text()
 ROWS = [
@@ -15,7 +15,7 @@
 
 
 def test_every_row_names_modules_and_tests_that_exist() -> None:
-    sources = "\n".join(path.read_text() for path in (ROOT / "tests").glob("test_*.py"))
+    sources = "\n".join(path.read_text() for path in (ROOT / "tests").rglob("test_*.py"))
     known = set(re.findall(r"def test_(\w+)", sources))
     assert len(ROWS) > 40
     for what, _, modules, tests in ROWS:
--- a/tests/test_control_state_page.py
+++ b/tests/docs/test_control_state_page.py
@@ -4,10 +4,9 @@
 
 import re
 
-from stand_ins import ROOT
-
 from larchgw.model_checking.check_ins import mutants as checkins
 from larchgw.model_checking.replication import mutants as replication
+from tests.support.stand_ins import ROOT
 
 SECTION = (ROOT / "docs/control-state.md").read_text().partition("\n## 1. Cut off\n")[2].partition("\n## ")[0]
 ROWS = [
@@ -18,7 +17,7 @@
 
 
 def test_every_claim_names_modules_and_tests_that_exist() -> None:
-    sources = "\n".join(path.read_text() for path in (ROOT / "tests").glob("test_*.py"))
+    sources = "\n".join(path.read_text() for path in (ROOT / "tests").rglob("test_*.py"))
     known = set(re.findall(r"def test_(\w+)", sources))
     assert len(ROWS) > 10
     for claim, _, _, modules, tests, _ in ROWS:
--- a/tests/test_oncall.py
+++ b/tests/docs/test_oncall_page.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from stand_ins import ROOT
+from tests.support.stand_ins import ROOT
 
 PACKAGES = (
     "control",
@@ -15,12 +15,12 @@
     "replication",
     "membership",
     "distribution",
-    "directory",
+    "runner_directory",
     "placement",
     "storage",
     "rpc",
     "runtime",
-    "decide",
+    "routing",
     "configuration",
 )
 LEVELS = {"warning": "warning", "error": "error", "exception": "error", "critical": "error"}
--- a/tests/test_protocol_page.py
+++ b/tests/docs/test_protocol_page.py
@@ -4,7 +4,7 @@
 
 import re
 
-from stand_ins import ROOT
+from tests.support.stand_ins import ROOT
 
 PAGE = (ROOT / "docs/protocol-system.md").read_text()
 ROWS = [
@@ -22,7 +22,7 @@
 
 
 def test_every_line_names_tests_that_exist_or_says_that_none_does() -> None:
-    sources = "\n".join(path.read_text() for path in (ROOT / "tests").glob("test_*.py"))
+    sources = "\n".join(path.read_text() for path in (ROOT / "tests").rglob("test_*.py"))
     known = set(re.findall(r"def test_(\w+)", sources))
     for what, _, held in ROWS:
         names = re.findall(r"`(\w+)`", held)
--- a/tests/test_edge_answers.py
+++ b/tests/edge/test_answers.py
@@ -8,8 +8,13 @@
 import socket
 
 import pytest
-from asyncio_tests import on_loop
-from edge_stand_ins import (
+
+from larchgw.edge import stale_connection
+from larchgw.edge.relay import HELD_BYTES
+from larchgw.net.connection import Connection
+from larchgw.routing.interface import AttemptOutcome
+from tests.support.asyncio_tests import on_loop
+from tests.support.edge_stand_ins import (
     LONG_BODY,
     Call,
     FakeClock,
@@ -21,11 +26,6 @@
     until,
 )
 
-from larchgw.edge import stale_connection
-from larchgw.edge.relay import HELD_BYTES
-from larchgw.net.connection import Connection
-from larchgw.routing.interface import AttemptOutcome
-
 LONG = configuration(body_bytes=2 * len(LONG_BODY))
 
 
--- a/tests/test_edge_connections.py
+++ b/tests/edge/test_connections.py
@@ -6,8 +6,13 @@
 import socket
 
 import pytest
-from asyncio_tests import on_loop
-from edge_stand_ins import (
+
+from larchgw.configuration.model import Service, Share
+from larchgw.edge.runner_pool import LEAST_CONNECTIONS, UNEVEN
+from larchgw.routing.interface import AttemptOutcome, Wait
+from larchgw.runner_directory.records import RunnerRecord, Stage
+from tests.support.asyncio_tests import on_loop
+from tests.support.edge_stand_ins import (
     HOST,
     PINNED,
     READING,
@@ -22,11 +27,6 @@
     until,
 )
 
-from larchgw.configuration.model import Service, Share
-from larchgw.edge.runner_pool import LEAST_CONNECTIONS, UNEVEN
-from larchgw.routing.interface import AttemptOutcome, Wait
-from larchgw.runner_directory.records import RunnerRecord, Stage
-
 
 def counted(made: Edge, event: str) -> float:
     value = made.proxy.net_counters.registry.get_sample_value(
--- a/tests/test_edge_fuzz.py
+++ b/tests/edge/test_fuzz.py
@@ -11,8 +11,9 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from asyncio_tests import on_loop
-from edge_stand_ins import HOST, Answer, Call, Client, Edge, ScriptedRunner, edge, soon
+
+from tests.support.asyncio_tests import on_loop
+from tests.support.edge_stand_ins import HOST, Answer, Call, Client, Edge, ScriptedRunner, edge, soon
 
 MUTANTS = 400
 VICTIM_BODY = b"the victim's own"
--- a/tests/test_edge_cut_off.py
+++ b/tests/edge/test_partitioned_control.py
@@ -7,8 +7,6 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from asyncio_tests import PATIENCE, on_loop
-from configurations import example
 from tornado.httpclient import AsyncHTTPClient
 
 from larchgw.configuration.packing import pack
@@ -19,6 +17,8 @@
 from larchgw.edge.node import EdgeNode
 from larchgw.rpc.server import RpcServer
 from larchgw.runner_directory.records import RunnerRecord
+from tests.support.asyncio_tests import PATIENCE, on_loop
+from tests.support.configurations import example
 
 HOST = "127.0.0.1"
 UNCONFIGURED, NO_ROUTE = 503, 404
--- a/tests/test_edge_ready.py
+++ b/tests/edge/test_readiness.py
@@ -5,9 +5,6 @@
 import asyncio
 
 import pytest
-from asyncio_tests import on_loop
-from configurations import example
-from edge_stand_ins import soon
 from tornado.httpclient import AsyncHTTPClient
 
 from larchgw.configuration.packing import pack
@@ -16,6 +13,9 @@
 from larchgw.edge import node as node_module
 from larchgw.edge.node import NOTICE_S, EdgeNode
 from larchgw.runner_directory.records import RunnerRecord
+from tests.support.asyncio_tests import on_loop
+from tests.support.configurations import example
+from tests.support.edge_stand_ins import soon
 
 IP = "127.55.0.1"  # of this test alone
 COUNTED_AFTER_S = 4.0  # seconds from SIGTERM in which the platform must have missed two answers
--- a/tests/test_edge_terms.py
+++ b/tests/edge/test_request_limits.py
@@ -7,8 +7,11 @@
 import dataclasses
 
 import pytest
-from asyncio_tests import on_loop
-from edge_stand_ins import (
+
+from larchgw.routing.interface import AttemptOutcome, Send, Wait
+from larchgw.runner_directory.records import RunnerRecord
+from tests.support.asyncio_tests import on_loop
+from tests.support.edge_stand_ins import (
     HOST,
     STREAM,
     FakeClock,
@@ -20,9 +23,6 @@
     until,
 )
 
-from larchgw.routing.interface import AttemptOutcome, Send, Wait
-from larchgw.runner_directory.records import RunnerRecord
-
 SLACK_MS = 500  # by which a runner may be told more than the client has left
 
 
--- a/tests/test_edge_requests.py
+++ b/tests/edge/test_requests.py
@@ -5,8 +5,13 @@
 import dataclasses
 
 import pytest
-from asyncio_tests import on_loop
-from edge_stand_ins import (
+
+from larchgw.configuration.model import Share
+from larchgw.edge.proxy import split_service
+from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.runner_directory.records import Stage
+from tests.support.asyncio_tests import on_loop
+from tests.support.edge_stand_ins import (
     HOST,
     SEAL,
     WRITING,
@@ -19,11 +24,6 @@
     until,
 )
 
-from larchgw.configuration.model import Share
-from larchgw.edge.proxy import split_service
-from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
-from larchgw.runner_directory.records import Stage
-
 
 @on_loop
 async def test_an_answer_is_passed_on_unchanged_with_its_seal() -> None:
--- a/tests/test_edge_streams.py
+++ b/tests/edge/test_streams.py
@@ -6,8 +6,11 @@
 import dataclasses
 
 import pytest
-from asyncio_tests import on_loop
-from edge_stand_ins import (
+
+from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.runner_directory.records import HeldModel
+from tests.support.asyncio_tests import on_loop
+from tests.support.edge_stand_ins import (
     ONCE,
     PINNED,
     STREAM,
@@ -22,9 +25,6 @@
     until,
 )
 
-from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
-from larchgw.runner_directory.records import HeldModel
-
 
 def events(*numbers: int) -> bytes:
     return b"".join(event(number) for number in numbers)
--- a/tests/test_edge_trace.py
+++ b/tests/edge/test_trace.py
@@ -5,10 +5,10 @@
 import logging
 
 import pytest
-from decide_helpers import world
 
 from larchgw.edge.trace import RequestTrace
 from larchgw.routing.interface import AttemptOutcome
+from tests.support.routing_factories import world
 
 LOGGER = "larchgw.edge.trace"
 
--- a/tests/test_system_clients.py
+++ b/tests/emulator/test_system_clients.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 import pytest
-from asyncio_tests import on_loop
 
 from larchgw.emulator.system.clientlink import ClientLink
 from larchgw.emulator.system.clients import Clients, Intent, draw
 from larchgw.emulator.system.histogram import PRECISION, Histogram
 from larchgw.emulator.system.records import Records, Try
 from larchgw.emulator.system.site import CLASSES, Site
+from tests.support.asyncio_tests import on_loop
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\nX-Server-Seal: s1\r\n"
 
--- a/tests/test_system_faults.py
+++ b/tests/emulator/test_system_faults.py
@@ -12,13 +12,13 @@
 from pathlib import Path
 
 import pytest
-from stand_ins import ROOT, until
 
 from larchgw.cli.command import UsageError
 from larchgw.cli.main import call
 from larchgw.emulator.system.plays import FAULTS, Lengths
 from larchgw.emulator.system.site import Site
 from larchgw.emulator.system.trial import SystemSpec, run
+from tests.support.stand_ins import ROOT, until
 
 SHORT = Lengths(hold_s=4.0, rounds=5, changes=200, rest_s=1.0)
 SITE = Site(controls=5, edges=3, runners=4, models=6, rate=8.0)
--- a/tests/test_system_operator.py
+++ b/tests/emulator/test_system_operator.py
@@ -8,13 +8,13 @@
 import random
 
 import pytest
-from asyncio_tests import PATIENCE, on_loop
-from system_runners import control
 
 from larchgw.configuration.change import apply_change
 from larchgw.emulator.system.operator import Operator, canonical, changed
 from larchgw.emulator.system.records import Records
 from larchgw.emulator.system.site import Site
+from tests.support.asyncio_tests import PATIENCE, on_loop
+from tests.support.system_runners import control
 
 
 def operator(records: Records, *addresses: str, lost_share: float = 0.0) -> Operator:
--- a/tests/test_system_runners.py
+++ b/tests/emulator/test_system_runners.py
@@ -8,8 +8,6 @@
 from typing import Any
 
 import pytest
-from asyncio_tests import PATIENCE, on_loop
-from system_runners import Caller, Reply, control, engine, plain, started, until
 
 from larchgw.emulator.system.checkins import Checkins
 from larchgw.emulator.system.judge_answers import event_number, split_events
@@ -19,6 +17,8 @@
 from larchgw.placement.orders import decode_report
 from larchgw.runner_directory.checkins import parse_checkin
 from larchgw.runner_directory.records import Stage
+from tests.support.asyncio_tests import PATIENCE, on_loop
+from tests.support.system_runners import Caller, Reply, control, engine, plain, started, until
 
 STREAM = {"X_Model": "m1", "X_Token_Count": f"40,{5 * STRIDE}", "X_Prompt_Start": "aa:30,bb:10"}
 
--- a/tests/test_system_trial.py
+++ b/tests/emulator/test_system_trial.py
@@ -14,7 +14,6 @@
 from pathlib import Path
 
 import pytest
-from stand_ins import PATIENCE, ROOT, until
 
 from larchgw.cli.command import UsageError
 from larchgw.cli.main import call
@@ -26,6 +25,7 @@
 from larchgw.emulator.system.rig import Rig
 from larchgw.emulator.system.site import ENGINES, Site
 from larchgw.emulator.system.trial import SystemSpec, run
+from tests.support.stand_ins import PATIENCE, ROOT, until
 
 
 def test_a_calm_day_breaks_no_rule_and_every_class_is_served(tmp_path: Path) -> None:
--- a/tests/test_system_watch.py
+++ b/tests/emulator/test_system_watch.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 import pytest
-from asyncio_tests import on_loop
-from system_runners import ScriptedControl, control
 
 from larchgw.emulator.system.watch import Watch
+from tests.support.asyncio_tests import on_loop
+from tests.support.system_runners import ScriptedControl, control
 
 
 def told(identity: str, epoch: int = 4, role: str = "backup", **changes: Any) -> dict[str, Any]:
--- a/tests/test_faults_links.py
+++ b/tests/fault_injection/test_links.py
@@ -10,7 +10,6 @@
 from typing import Any
 
 import pytest
-from asyncio_tests import PATIENCE, TEST_TIME, on_loop
 
 from larchgw.fault_injection.datagrams import LinkedDatagrams
 from larchgw.fault_injection.links import Links
@@ -18,6 +17,7 @@
 from larchgw.fault_injection.orders import Link, Order
 from larchgw.fault_injection.streams import LinkedProtocol
 from larchgw.fault_injection.switchboard import Switchboard
+from tests.support.asyncio_tests import PATIENCE, TEST_TIME, on_loop
 
 HOST, OTHER = "127.0.0.1", "127.0.0.2"
 SENT_HELD, ANSWERS_HELD = Link(hold_sent=True), Link(hold_received=True)
--- a/tests/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -12,7 +12,6 @@
 from random import Random
 
 import pytest
-from faulty_files import FaultyFiles, PowerLost
 
 from larchgw.model_checking.simulated_disk import Crashed, SimulatedDisk
 from larchgw.replication.effects import Effects
@@ -43,6 +42,7 @@
 from larchgw.storage.cell import Cell
 from larchgw.storage.log import Log
 from larchgw.storage.reserve import Reserve
+from tests.support.faulty_files import FaultyFiles, PowerLost
 
 SEEDS = ("a", "b", "c")
 FIRST = first_view(SEEDS)
--- a/tests/test_decide_selection.py
+++ b/tests/routing/test_selection.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
-from decide_helpers import parts, runner, world
 
 from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
 from larchgw.runner_directory.records import Stage
+from tests.support.routing_factories import parts, runner, world
 
 THRESHOLD = 2  # 16 slots x the default share
 
--- a/tests/test_rpc_calls.py
+++ b/tests/rpc/test_calls.py
@@ -13,8 +13,6 @@
 from typing import Any
 
 import pytest
-from asyncio_tests import on_loop
-from edge_stand_ins import soon
 from thrift.Thrift import TMessageType
 
 from larchgw.rpc.client import RpcClient
@@ -23,6 +21,8 @@
 from larchgw.rpc.generated import Control
 from larchgw.rpc.generated.ttypes import ControlStatus, DemandReport, PushReply, PushRequest, StatusRequest
 from larchgw.rpc.server import RpcServer
+from tests.support.asyncio_tests import on_loop
+from tests.support.edge_stand_ins import soon
 
 LONG_S = 20.0  # that no test waits for
 
--- a/tests/test_storage_crashes.py
+++ b/tests/storage/test_crashes.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 
 import pytest
-from faulty_files import FaultyFiles, PowerLost
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
-from storage_model import CheckedLog, record
 
 from larchgw.storage.errors import StorageError
+from tests.support.faulty_files import FaultyFiles, PowerLost
+from tests.support.storage_model import CheckedLog, record
 
 SEEDS = range(6)
 """Losses drawn for each place of a cut."""
--- a/tests/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -3,10 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from faulty_files import FaultyFiles, PowerLost
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from storage_model import FOLDER, SEGMENT_BYTES, contents, record
 from testtools import TestCase
 
 from larchgw.storage import inspect
@@ -16,6 +14,8 @@
 from larchgw.storage.log import Log
 from larchgw.storage.reserve import Reserve
 from larchgw.storage.segments import MAX_RECORD_BYTES, encode, segment_name
+from tests.support.faulty_files import FaultyFiles, PowerLost
+from tests.support.storage_model import FOLDER, SEGMENT_BYTES, contents, record
 
 
 class TestFullDisk(TestCase):
--- a/tests/edge_stand_ins.py
+++ b/tests/support/edge_stand_ins.py
@@ -10,8 +10,6 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from asyncio_tests import PATIENCE
-
 from larchgw.configuration.model import Configuration, Limits, Model, Route, Runtime, Service
 from larchgw.configuration.settings import NodeSettings
 from larchgw.edge.proxy import Proxy
@@ -27,6 +25,7 @@
     Wait,
 )
 from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from tests.support.asyncio_tests import PATIENCE
 
 HOST = "desk.example"
 SMALL_BUFFER = 16384  # of a socket, so that a long body isn't with the kernels at once
--- a/tests/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PATIENCE = 20.0  # for a condition; nothing is measured by it
 
 
--- a/tests/storage_model.py
+++ b/tests/support/storage_model.py
@@ -9,10 +9,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from faulty_files import FaultyFiles, PowerLost
-
 from larchgw.storage.errors import StorageError
 from larchgw.storage.log import Log
+from tests.support.faulty_files import FaultyFiles, PowerLost
 
 FOLDER = "data"
 SEGMENT_BYTES = 256
--- a/tests/system_runners.py
+++ b/tests/support/system_runners.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from asyncio_tests import PATIENCE
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine
 from tornado.netutil import bind_sockets
@@ -23,6 +22,7 @@
 from larchgw.emulator.system.plain_runner import PlainRunner
 from larchgw.emulator.system.records import Records
 from larchgw.emulator.system.runner import Described, Runner
+from tests.support.asyncio_tests import PATIENCE
 
 MODELS = {name: Model(name, 100.0, 0.01, 2, 1.0) for name in ("m1", "m2", "m3")}
 
--- a/tests/test_known_red.py
+++ b/tests/support/test_known_red.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 
 import pytest
-from known_red import FILE
+
+from tests.support.known_red import FILE
 
 TESTS = """
 import pytest
@@ -25,14 +26,14 @@
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "test_x.py").write_text(TESTS)
     (folder / FILE).write_text("".join(line + "\n" for line in lines))
-    plugins = ("-p", "no:cacheprovider", "-p", "known_red")
+    plugins = ("-p", "no:cacheprovider", "-p", "tests.support.known_red")
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", *plugins, *args],
         cwd=folder,
         capture_output=True,
         text=True,
         timeout=60,
-        env=os.environ | {"PYTHONPATH": str(Path(__file__).parent)},
+        env=os.environ | {"PYTHONPATH": str(Path(__file__).parents[2])},
     )
     return done.returncode, done.stdout + done.stderr
 
