--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -38,7 +38,7 @@
 )
 from ..runtime.clients import RpcClients
 from ..runtime.gossip import make_swim
-from ..runtime.random_source import new_dice
+from ..runtime.random_source import new_random_source
 from ..runtime.tasks import Tasks
 from ..storage.files import DiskFiles
 from . import http_api
@@ -72,12 +72,12 @@
             raise SettingsError("data_dir", "is not given", "control keeps its state on disk: name a folder")
         self.settings = settings
         self.address = rpc_address(settings)
-        self._dice = new_dice(settings.node_name)
+        self._random_source = new_random_source(settings.node_name)
         self._life = int(time.time() * 1000)
         self.clients = RpcClients()
         self.tasks = Tasks()
-        self.registry = Registry(new_origin(settings.node_name, self._dice))
-        self.swim = make_swim(settings, "control", self._life, self._dice, self.address)
+        self.registry = Registry(new_origin(settings.node_name, self._random_source))
+        self.swim = make_swim(settings, "control", self._life, self._random_source, self.address)
         self.state = ConfigurationState()
         self.disk = ControlDisk.open(DiskFiles(), settings.data_dir)
         self.member = self._make_member()
@@ -90,7 +90,7 @@
             RpcClient,
             self._peers_and_witnesses,
             pull_settings,
-            self._dice,
+            self._random_source,
             node_name=settings.node_name,
         )
         self.view = NewestView(lambda: self.member.view, self.registry)
@@ -248,7 +248,7 @@
 
     def _make_member(self) -> Member:
         settings = self.settings
-        fresh = f"{self.address}#{self._dice.getrandbits(64):016x}"
+        fresh = f"{self.address}#{self._random_source.getrandbits(64):016x}"
         member_settings = MemberSettings(
             address=self.address,
             seeds=tuple(seed_rpc_addresses(settings)),
@@ -258,7 +258,7 @@
             lease_term=settings.time_limits.lease_term_ms / 1000.0,
             all_decide=settings.survive.zones > 0 or settings.survive.regions > 0,
         )
-        return Member(member_settings, self.disk.ports, self.state.snapshot, self._dice)
+        return Member(member_settings, self.disk.ports, self.state.snapshot, self._random_source)
 
     def _make_placement(self) -> PlacementService:
         limits = self.settings.time_limits
@@ -268,7 +268,7 @@
                 lease=self._placer_lease,
                 calls=OrderClient(self.address),
                 publish=self._publish_expected,
-                rng=self._dice,
+                rng=self._random_source,
                 settings=PlacementSettings(limits.ceiling_window_s, limits.origin_rate_cap),
             )
         )
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -46,10 +46,10 @@
         clients: RpcClients,
         demand: Callable[[], list[ModelDemand]],
         dispatchers: Callable[[], int],
-        dice: Random,
+        random_source: Random,
     ) -> None:
         self._node_name, self._registry, self._clients, self._demand = node_name, registry, clients, demand
-        self._dispatchers, self._dice = dispatchers, dice
+        self._dispatchers, self._random_source = dispatchers, random_source
         self._urgent = asyncio.Event()
         self._waits, self._lines = False, 0  # of the last report: whether something waits, and its lines
 
@@ -75,7 +75,7 @@
 
     def _interval_s(self) -> float:
         interval = report_interval_s(self._dispatchers(), self._waits, self._lines)
-        return interval * self._dice.uniform(1.0 - JITTER, 1.0)
+        return interval * self._random_source.uniform(1.0 - JITTER, 1.0)
 
     async def _report(self, interval_ms: int) -> None:
         address, _ = known_placer(self._registry)
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -31,7 +31,7 @@
 from ..runtime.addresses import EDGE_GOSSIP_PORT, seed_gossip_addresses, seed_rpc_addresses
 from ..runtime.clients import RpcClients
 from ..runtime.gossip import make_swim
-from ..runtime.random_source import new_dice
+from ..runtime.random_source import new_random_source
 from ..runtime.tasks import Tasks
 from . import readiness
 from .demand_reports import DemandReporter
@@ -51,22 +51,22 @@
 
     def __init__(self, settings: NodeSettings) -> None:
         self.settings = settings
-        dice = new_dice(settings.node_name)
-        self.registry = Registry(new_origin(settings.node_name, dice))
+        random_source = new_random_source(settings.node_name)
+        self.registry = Registry(new_origin(settings.node_name, random_source))
         self.view = RunnerView(self.registry)
-        self.selector = Selector(settings.zone, dice)
+        self.selector = Selector(settings.zone, random_source)
         self.clients = RpcClients()
         self.tasks = Tasks()
-        self._dice = dice
+        self._random_source = random_source
         self._configuration: Configuration | None = None
         self._stopping = False
-        self.swim = make_swim(settings, "edge", int(time.time() * 1000), dice)
+        self.swim = make_swim(settings, "edge", int(time.time() * 1000), random_source)
         self.puller = Puller(
             self.registry,
             RpcClient,
             lambda: seed_rpc_addresses(self.settings),
             PullSettings.of(settings.time_limits),
-            dice,
+            random_source,
             node_name=settings.node_name,
             near=self._near,
             returns=True,
@@ -77,13 +77,18 @@
         settings = self.settings
         self.net = AsyncLoop(asyncio.get_running_loop())
         self.expectations = Expectations(self.registry, self.net.clock.now)
-        self.budget = RetryBudget(settings.time_limits, self._dice)
-        self.proxy = Proxy(self.net, settings, self.selector, self.budget, self._dice)
+        self.budget = RetryBudget(settings.time_limits, self._random_source)
+        self.proxy = Proxy(self.net, settings, self.selector, self.budget, self._random_source)
         self.proxy.runners = self.view.by_service
         self.proxy.expected = self._expected
         self.proxy.dispatchers = self._dispatchers
         self.demand = DemandReporter(
-            settings.node_name, self.registry, self.clients, self.proxy.demand, self._dispatchers, self._dice
+            settings.node_name,
+            self.registry,
+            self.clients,
+            self.proxy.demand,
+            self._dispatchers,
+            self._random_source,
         )
         self.proxy.on_wanted = lambda service, model, adapter: self.demand.wanted()
         self.registry.watch(CONFIGURATION, self._configure)
