--- /dev/null
+++ b/tests/distribution/test_recorded_bytes.py
@@ -0,0 +1,287 @@
+"""Bytes that the registry publishes and sends, against those recorded before names in the code were changed.
+
+The fixtures were made by running commit 0d35ed7. What is recorded must be read as it was, and written as it
+was: processes of both versions run side by side during an upgrade.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from larchgw.configuration.packing import pack, unpack
+from larchgw.control.latest_view import NewestView
+from larchgw.distribution import interface
+from larchgw.distribution.handoff import Handoff
+from larchgw.distribution.peers import PeerPullers
+from larchgw.distribution.placer import known_placer, publish_placer
+from larchgw.distribution.puller import Puller
+from larchgw.distribution.pulls import PullService
+from larchgw.distribution.registry import Registry, size
+from larchgw.distribution.sources import PullSettings
+from larchgw.distribution.vectors import cursors, new_origin, without_cursors
+from larchgw.edge.expected_loads import Expectations
+from larchgw.emulator.virtual_loop import run
+from larchgw.replication.view import View
+from larchgw.rpc.codec import decode_struct, encode_struct
+from larchgw.rpc.errors import RpcConnectionLost, RpcTimeout
+from larchgw.rpc.generated.ttypes import Entry, PullReply, PullRequest, PushReply, PushRequest
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "distribution"
+CONFIGURATION = {"version": "v7", "services": [{"name": "llm", "models": ["m1", "m2"]}], "limit": 0.5}
+VIEW = View(4, "c-1", ("c-2",), ("c-1", "c-2", "c-3"), ("c-1", "c-2", "c-3"), {"c-1": "10.0.0.1:7000"})
+EXPECTED = {"m1": 1500.0, "m1/a1": 0.0, "m2": -1}
+RUNNER = RunnerRecord(
+    "r-1", "llm", "10.0.0.9:8080", "z1", Stage.DRAINING, 8, "v7", "both", 250.5, 9000.0, 12,
+    (HeldModel("m1", 3, ("a1", "ä2")), HeldModel("m2")), "control-1.0123abcd",
+)  # fmt: skip
+REPLY_LIMIT_BYTES = 150  # so that replies are cut
+
+
+def recorded(name: str) -> Any:
+    return json.loads((FIXTURES / name).read_text(encoding="utf-8"))
+
+
+def filled_registry() -> Registry:
+    """A registry with one entry of every kind, as the processes publish them."""
+    registry = Registry(new_origin("control-1", random.Random(7)))
+    registry.put(interface.CONFIGURATION, pack(CONFIGURATION), 31)
+    registry.put(interface.RUNNER + RUNNER.id, RUNNER.encode(), RUNNER.call_count, int(RUNNER.stage))
+    publish_placer(registry, "10.0.0.1:7000", 5)
+    NewestView(lambda: VIEW, registry).publish()
+    registry.put(interface.EXPECTED + "r-1", json.dumps(EXPECTED).encode(), 5, 2)
+    return registry
+
+
+def produce_entries() -> dict[str, Any]:
+    registry = filled_registry()
+    return {
+        "origin": registry.origin,
+        "vector": registry.vector(),
+        "entries": {entry.key: encode_struct(entry).hex() for entry in registry.items()},
+        "sizes": {entry.key: size(entry) for entry in registry.items()},
+    }
+
+
+class Transcript:
+    """The calls between processes in virtual time: when, by whom, to whom, and the bytes both ways."""
+
+    def __init__(self) -> None:
+        self.calls: list[list[Any]] = []
+        self.services: dict[str, PullService] = {}
+        self.unreachable: set[str] = set()
+        self.hung: set[str] = set()
+
+    def connect_from(self, caller: str) -> Callable[[str], RecordingConnection]:
+        return lambda address: RecordingConnection(self, caller, address)
+
+
+class RecordingConnection:
+    """Carries a call as bytes and writes it down."""
+
+    def __init__(self, transcript: Transcript, caller: str, address: str) -> None:
+        self.transcript, self.caller, self.address = transcript, caller, address
+
+    async def call(self, method: str, argument: Any, timeout: float) -> Any:
+        sent = encode_struct(argument)
+        now = round(asyncio.get_running_loop().time(), 6)
+        line = [now, self.caller, self.address, method, timeout, sent.hex(), ""]
+        self.transcript.calls.append(line)
+        if self.address in self.transcript.unreachable:
+            raise RpcConnectionLost(f"{self.address} is down", sent=False)
+        service = self.transcript.services[self.address]
+        try:
+            async with asyncio.timeout(timeout):
+                reply = await getattr(service, method)(decode_struct(type(argument), sent))
+                while self.address in self.transcript.hung:
+                    await asyncio.sleep(0.01)
+        except TimeoutError:
+            raise RpcTimeout(f"{self.address} took too long") from None
+        answer = encode_struct(reply)
+        line[-1] = answer.hex()
+        return decode_struct(type(reply), answer)
+
+    def close(self) -> None:
+        pass
+
+
+def now() -> float:
+    return asyncio.get_running_loop().time()
+
+
+def produce_edge_pulls() -> list[list[Any]]:
+    """A dispatcher pulls from two control processes through cut replies, a loss, a cut-off, a restart and a
+    long silence after which it compares its registry with another.
+    """
+    transcript = Transcript()
+    isolated: set[str] = set()
+    registries = {name: Registry(f"{name}.1") for name in ("a", "b")}
+
+    def serve(name: str) -> None:
+        transcript.services[name] = PullService(
+            registries[name], lambda: name in isolated, lambda: ["a", "b"], limit_bytes=REPLY_LIMIT_BYTES
+        )
+
+    async def main() -> None:
+        for number, (name, registry) in enumerate(registries.items()):
+            serve(name)
+            for runner in range(3):
+                registry.put(f"runner/{name}{runner}", b"x" * 60, runner + 1, number)
+        puller = Puller(
+            Registry("edge.1"),
+            transcript.connect_from("edge"),
+            lambda: ["a", "b"],
+            PullSettings(),
+            random.Random(11),
+            node_name="edge-1",
+            prefixes=("configuration", "runner/"),
+            near=lambda address: address == "a",
+            returns=True,
+            clock=now,
+        )
+        task = asyncio.ensure_future(puller.run())
+        await asyncio.sleep(1.2)
+        registries["a"].put("configuration", b"first", 1)
+        await asyncio.sleep(0.4)
+        transcript.unreachable.add("a")
+        await asyncio.sleep(1.0)
+        isolated.add("b")
+        registries["b"].put("runner/b0", b"y", 9)
+        registries["b"].put("configuration", b"second", 2)
+        transcript.services["b"].wake()
+        await asyncio.sleep(1.5)
+        isolated.clear()
+        transcript.unreachable.clear()
+        registries["a"] = Registry("a.2")
+        serve("a")
+        await asyncio.sleep(8.0)
+        transcript.hung.update("ab")
+        await asyncio.sleep(2.0)
+        transcript.unreachable.update("ab")
+        transcript.hung.clear()
+        calls_before_silence = len(transcript.calls)
+        await asyncio.sleep(155.0)
+        del transcript.calls[calls_before_silence + 10 :]
+        registries["a"].remove_older("runner/b1", lambda entry: True)
+        registries["a"].put("runner/new", b"z", 1)
+        transcript.unreachable.clear()
+        await asyncio.sleep(2.0)
+        transcript.calls.append([entry.key for entry in puller.registry.items()])
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    run(main())
+    return transcript.calls
+
+
+def produce_control_exchange() -> list[list[Any]]:
+    """Two control processes pull from each other and hand over what one missed."""
+    transcript = Transcript()
+
+    async def main() -> None:
+        registries = {name: Registry(f"{name}.1") for name in "ab"}
+        tasks = []
+        handoffs = {}
+        for seed, (name, registry) in enumerate(registries.items()):
+            transcript.services[name] = PullService(registry, lambda: False, list)
+            others = [other for other in "ab" if other != name]
+            connect = transcript.connect_from(name)
+            pullers = PeerPullers(
+                registry,
+                connect,
+                lambda others=others: others,
+                PullSettings().between_control(),
+                random.Random(seed),
+                node_name=name,
+                clock=now,
+            )
+            handoffs[name] = Handoff(connect, lambda others=others: others, node_name=name)
+            tasks += [asyncio.ensure_future(pullers.run()), asyncio.ensure_future(handoffs[name].run())]
+        await asyncio.sleep(0.3)
+        registries["a"].put("runner/r-1", RUNNER.encode(), RUNNER.call_count, int(RUNNER.stage))
+        await handoffs["a"].replicate([registries["a"].get("runner/r-1")], 0.4)
+        transcript.unreachable.add("b")
+        registries["a"].put("runner/r-2", b"y", 2, 3)
+        await handoffs["a"].replicate([registries["a"].get("runner/r-2")], 0.4)
+        await asyncio.sleep(0.7)
+        transcript.unreachable.clear()
+        await asyncio.sleep(1.2)
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    run(main())
+    return transcript.calls
+
+
+def test_entries_of_every_kind_are_written_as_recorded() -> None:
+    assert produce_entries() == recorded("entries.json")
+
+
+def test_recorded_entries_are_read_to_what_was_published() -> None:
+    registry = Registry("edge.1")
+    saved = recorded("entries.json")
+    entries = [decode_struct(Entry, bytes.fromhex(data)) for data in saved["entries"].values()]
+    clock = [100.0]
+    expected = Expectations(registry, lambda: clock[0])
+    latest = NewestView(lambda: None, registry)
+    assert registry.merge(entries) == entries
+    configuration = registry.get("configuration")
+    runner = registry.get("runner/r-1")
+    assert configuration is not None
+    assert runner is not None
+    assert (configuration.major, json.loads(unpack(configuration.value))) == (31, CONFIGURATION)
+    assert (runner.major, runner.minor, RunnerRecord.decode(runner.value)) == (12, 2, RUNNER)
+    assert known_placer(registry) == ("10.0.0.1:7000", 5)
+    assert latest.get() == VIEW
+    assert expected.expected("m1", "") == {"r-1": 101.5}
+    assert expected.expected("m1", "a1") == {"r-1": 100.0}
+    assert expected.expected("m2", "") == {}
+
+
+def test_the_keys_of_the_registry_are_those_recorded() -> None:
+    assert sorted(recorded("entries.json")["entries"]) == [
+        "configuration", "expected/r-1", "placer", "runner/r-1", "view"
+    ]  # fmt: skip
+    assert (interface.CONFIGURATION, interface.RUNNER, interface.PLACER) == (
+        "configuration", "runner/", "placer"
+    )  # fmt: skip
+    assert (interface.VIEW, interface.EXPECTED) == ("view", "expected/")
+
+
+@pytest.mark.parametrize(
+    ("fixture", "produce"),
+    [("edge_pulls.json", produce_edge_pulls), ("control_exchange.json", produce_control_exchange)],
+)
+def test_pulls_and_pushes_are_sent_at_the_times_and_with_the_bytes_recorded(
+    fixture: str, produce: Callable[[], list[list[Any]]]
+) -> None:
+    calls, saved = produce(), recorded(fixture)
+    for call, expected in zip(calls, saved, strict=False):
+        assert call == expected
+    assert len(calls) == len(saved)
+
+
+def test_recorded_messages_are_read_to_their_fields() -> None:
+    calls = [call for call in recorded("edge_pulls.json") if len(call) == 7]
+    first = calls[0]
+    request = decode_struct(PullRequest, bytes.fromhex(first[5]))
+    assert request == PullRequest(
+        node_name="edge-1", have={}, wait_ms=500, prefixes=["configuration", "runner/"]
+    )
+    reply = decode_struct(PullReply, bytes.fromhex(first[6]))
+    assert (reply.more, reply.isolated, reply.control) == (True, False, ["a", "b"])
+    assert (cursors(reply.upto), without_cursors(reply.upto)) == ({"@a.1": 1}, {})
+    assert [(entry.key, entry.major, entry.origin) for entry in reply.entries] == [("runner/a0", 1, "a.1")]
+    pushes = [call for call in recorded("control_exchange.json") if call[3] == "push" and call[6]]
+    push = decode_struct(PushRequest, bytes.fromhex(pushes[0][5]))
+    assert push.node_name == "a"
+    assert RunnerRecord.decode(push.entries[0].value) == RUNNER
+    assert decode_struct(PushReply, bytes.fromhex(pushes[0][6])) == PushReply(have={})
