--- /dev/null
+++ b/tests/membership/test_recorded_bytes.py
@@ -0,0 +1,127 @@
+"""Recorded datagrams of every kind: they are read and written as when they were recorded."""
+
+from __future__ import annotations
+
+import hashlib
+import json
+from collections import Counter
+from collections.abc import Callable
+from pathlib import Path
+from random import Random
+
+import pytest
+
+from larchgw.emulator.datagrams import DatagramNetwork, Link
+from larchgw.membership.codec import BUCKETS, Cursor, Draft, Kind, Message, Update, decode
+from larchgw.membership.member import Member, State
+from larchgw.membership.swim import Datagram, Swim
+
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "membership"
+RECORDED: dict[str, str] = json.loads((FIXTURES / "datagrams.json").read_text())
+RECORDED_RUN = json.loads((FIXTURES / "virtual_run.json").read_text())
+
+EDGE = Member("edge-1", "10.0.0.1:7662", "edge", 1_764_600_000_123, "zone-a", "", 3)
+CONTROL = Member("core-2", "10.0.0.2:7661", "control", 1_764_600_001_000, "zone-b", "10.0.0.2:7660")
+UPDATES = [
+    Update(Member("edge-9", "10.0.0.9:7662", "edge", 77, "zone-é", "", 2, State.SUSPECT), "10.0.0.2:7661"),
+    Update(Member("core-3", "10.0.0.3:7661", "control", 78, "", "10.0.0.3:7660", 0, State.DEAD)),
+    Update(Member("edge-8", "10.0.0.8:7662", "edge", 79, "zone-a", "", 1, State.LEFT)),
+]
+DIGESTS = tuple(number * 0x01010101 for number in range(BUCKETS))
+CURSOR = Cursor(17, "10.0.0.9:7662")
+
+DATAGRAMS = {
+    "ping": Message(Kind.PING, 1, EDGE, 0xDEADBEEF),
+    "ping with updates": Message(Kind.PING, 2, CONTROL, 5, updates=UPDATES),
+    "ack": Message(Kind.ACK, 0xFFFFFFFF, CONTROL, 6, updates=UPDATES[:1]),
+    "ping request": Message(Kind.PING_REQUEST, 3, EDGE, 7, target="10.0.0.9:7662", updates=UPDATES[1:]),
+    "nack": Message(Kind.NACK, 4, EDGE, 8),
+    "gossip": Message(Kind.GOSSIP, 5, EDGE, 9, updates=UPDATES),
+    "pull": Message(Kind.PULL, 6, EDGE, 10, buckets=DIGESTS, cursor=CURSOR),
+    "first pull": Message(Kind.PULL, 7, EDGE, 11, buckets=DIGESTS, cursor=Cursor()),
+    "page": Message(Kind.PAGE, 8, CONTROL, 12, cursor=CURSOR, updates=UPDATES),
+    "last page": Message(Kind.PAGE, 9, CONTROL, 13, updates=UPDATES),
+}
+
+
+@pytest.mark.parametrize("name", sorted(DATAGRAMS))
+def test_recorded_datagram_is_read_to_the_same_message(name: str) -> None:
+    assert decode(bytes.fromhex(RECORDED[name])) == DATAGRAMS[name]
+
+
+@pytest.mark.parametrize("name", sorted(DATAGRAMS))
+def test_message_is_written_to_the_recorded_datagram(name: str) -> None:
+    assert Draft(DATAGRAMS[name]).finish().hex() == RECORDED[name]
+
+
+def test_every_kind_of_datagram_is_recorded() -> None:
+    assert {message.kind for message in DATAGRAMS.values()} == set(Kind)
+    assert set(RECORDED) == set(DATAGRAMS)
+
+
+class RecordedRun:
+    """Fifteen processes through loss, a freeze, a crash, a partition, a restart and a planned end.
+
+    Every datagram counts: who sends it, when, where to, and its bytes. A draw of the random source or an
+    iteration in another order shows as another digest.
+    """
+
+    def __init__(self) -> None:
+        self.sent: Counter[str] = Counter()
+        self._digest = hashlib.sha256()
+        self._network = DatagramNetwork(11, Link(delay=0.002, spread=0.05, loss=0.08, duplicates=0.05))
+        self._seeds = [self._address(number) for number in range(3)]
+
+    def play(self) -> dict[str, object]:
+        """Runs it all; returns what is compared with the recording."""
+        network, starts = self._network, Random(11)
+        for number in range(15):
+            self._start(number, starts.uniform(0.0, 0.3))
+        network.run(10.0)
+        network.freeze(self._address(6), 4.0)
+        network.kill(self._address(7))
+        network.run(25.0)
+        network.part([self._address(n) for n in range(5)], [self._address(n) for n in range(5, 15)])
+        network.run(40.0)
+        network.part()
+        network.run(40.0)
+        self._start(7, 0.0)
+        network.leave(self._address(9))
+        network.run(20.0)
+        changes = repr([(t, who, m.address, m.incarnation, int(m.state)) for t, who, m in network.changes])
+        return {
+            "datagrams": {kind.name: self.sent[kind.name] for kind in Kind},
+            "datagrams_sha256": self._digest.hexdigest(),
+            "changes": len(network.changes),
+            "changes_sha256": hashlib.sha256(changes.encode()).hexdigest(),
+        }
+
+    @staticmethod
+    def _address(number: int) -> str:
+        return f"10.0.0.{number + 1}:7661"
+
+    def _start(self, number: int, delay: float) -> None:
+        address = self._address(number)
+        if number < 3:
+            swim = self._network.start(address, "control", self._seeds, delay, f"10.0.0.{number + 1}:7660")
+        else:
+            swim = self._network.start(address, "edge", self._seeds, delay)
+        self._record(swim)
+
+    def _record(self, swim: Swim) -> None:
+        for name in ("tick", "receive", "leave"):
+            setattr(swim, name, self._recording(swim.me.address, getattr(swim, name)))
+
+    def _recording(self, sender: str, method: Callable[..., list[Datagram]]) -> Callable[..., list[Datagram]]:
+        def recorded(now: float, *arguments: object) -> list[Datagram]:
+            datagrams = method(now, *arguments)
+            for datagram in datagrams:
+                self.sent[Kind(datagram.data[3]).name] += 1
+                self._digest.update(f"{now!r} {sender} {datagram.address} {datagram.data.hex()}\n".encode())
+            return datagrams
+
+        return recorded
+
+
+def test_processes_in_virtual_time_send_the_recorded_datagrams_at_the_recorded_times() -> None:
+    assert RecordedRun().play() == RECORDED_RUN
