--- /dev/null
+++ b/tests/placement/scripted_play.py
@@ -0,0 +1,268 @@
+"""A scripted deployment in virtual time, played through the placement service; all that it does is recorded.
+
+Demand, lost runners, lost and late answers are drawn from one seed; the lease comes and goes at fixed
+times. Two versions of the service that decide alike give the same record to the last digit.
+"""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+import json
+import random
+from dataclasses import dataclass
+
+from larchgw.configuration.model import Configuration, Model, Runtime, Service
+from larchgw.emulator.modelrunner import Capacity, ModelRunner, WeightStore
+from larchgw.placement.model import OrderOutcome, PlacementSettings, RunnerReport
+from larchgw.placement.orders import encode_order, outcome_of
+from larchgw.placement.service import PlacementRuntime, PlacementService
+from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
+from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+
+TICK_S = 0.05
+CHECK_IN_TICKS = 24
+GB = 1000.0
+RUNNERS_BY_SERVICE = {"chat": 5, "code": 3}
+LEASES = ((1, 0.5, 9.0), (2, 10.0, 15.0), (4, 15.5, 99.0))  # fencing token, from, until
+LOSSES = ((6.0, 1, 8.0), (12.0, 6, 13.5))  # at, runner, back at
+
+
+class Delay:
+    """Awaited by a call: the player resumes it so many seconds later."""
+
+    def __init__(self, seconds):
+        self.seconds = seconds
+
+    def __await__(self):
+        yield self.seconds
+
+
+@dataclass(frozen=True)
+class ScriptedLease:
+    fence: int
+    until: float
+
+
+class ScriptedPlay:
+    """Plays `ticks` ticks and gives what the service did in `events`."""
+
+    def __init__(self, seed, ticks):
+        self.now, self.ticks = 0.0, ticks
+        self.random_source = random.Random(seed)
+        self.planner_random_source = random.Random(seed + 1)
+        self.events = []
+        self.waiting_calls = []
+        self.call_number = 0
+        self.configuration = make_configuration()
+        self.runners = make_runners(self.configuration)
+        self.down = set()
+        self.incarnation = 0
+        self.service = PlacementService(
+            PlacementRuntime(
+                lambda: self.now,
+                self.lease,
+                self,
+                self.publish,
+                self.spawn,
+                PlacementSettings(5.0, 1.1),
+                self.planner_random_source,
+            )
+        )
+
+    # ---- What the service calls ----
+
+    def lease(self):
+        return next(
+            (ScriptedLease(token, end) for token, begin, end in LEASES if begin <= self.now < end), None
+        )
+
+    def publish(self, runner, names):
+        self.events.append(["published", self.now, runner, json.dumps(names)])
+
+    def spawn(self, call):
+        self.resume(call)
+
+    def resume(self, call):
+        try:
+            delay_s = call.send(None)
+        except StopIteration:
+            return
+        self.call_number += 1
+        heapq.heappush(self.waiting_calls, (self.now + delay_s, self.call_number, call))
+
+    async def order(self, order, fence):
+        body = encode_order(order, "control-1", fence).decode()
+        self.events.append(["order", self.now, order.runner, order.address, order.purpose, body])
+        fate = self.random_source.random()
+        if fate < 0.05:
+            await Delay(0.8)
+            return OrderOutcome.UNKNOWN
+        if fate < 0.09:
+            return OrderOutcome.UNSENT
+        if fate < 0.1:
+            return OrderOutcome.OTHER_RUNNER
+        runner = self.find(order.runner)
+        if runner is None:
+            await Delay(0.8)
+            return OrderOutcome.UNKNOWN
+        status = runner.order(
+            self.now, order.runner, order.action, order.model, order.adapter, order.if_revision, fence
+        )
+        await Delay(0.8 if fate < 0.15 else round(self.random_source.uniform(0.0, 0.1), 3))
+        return OrderOutcome.UNKNOWN if fate < 0.15 else outcome_of(status)
+
+    async def report(self, runner, address):
+        self.events.append(["report", self.now, runner])
+        known = self.find(runner)
+        if known is None or self.random_source.random() < 0.1:
+            await Delay(0.3)
+            return None
+        seen = known.report(self.now)
+        return RunnerReport(seen.models, seen.occupied, seen.call_count)
+
+    # ---- What happens around it ----
+
+    def play(self):
+        self.service.configure(self.configuration)
+        next_round_at = 0.0
+        for tick in range(self.ticks):
+            self.now = round(tick * TICK_S, 3)
+            self.resume_due_calls()
+            self.lose_and_restart_runners()
+            if tick % CHECK_IN_TICKS == 0:
+                for index in range(len(self.runners)):
+                    self.service.see_runner(self.record(index))
+            self.report_demand(tick)
+            if self.now >= next_round_at:
+                self.service.step()
+                next_round_at = round(self.now + self.service.period(), 3)
+            if tick % 40 == 0:
+                self.events.append(["summary", self.now, describe(self.service.summary())])
+        self.events.append(["drawn", self.planner_random_source.random()])
+        return sort_withdrawals(self.events)
+
+    def resume_due_calls(self):
+        while self.waiting_calls and self.waiting_calls[0][0] <= self.now:
+            self.resume(heapq.heappop(self.waiting_calls)[2])
+
+    def lose_and_restart_runners(self):
+        for lost_at, index, back_at in LOSSES:
+            if lost_at == self.now:
+                self.down.add(index)
+                self.service.see_runner(self.record(index))
+            if back_at == self.now:
+                self.down.discard(index)
+                self.incarnation += 1
+                self.runners[index][1].restart(self.now, f"r{index}-{self.incarnation}")
+
+    def find(self, runner_id):
+        for index, (_, runner) in enumerate(self.runners):
+            if runner.id == runner_id and index not in self.down and not runner.fallen:
+                return runner
+        return None
+
+    def record(self, index):
+        service, runner = self.runners[index]
+        stage = Stage.GONE if index in self.down or runner.fallen else Stage.READY
+        held = tuple(
+            HeldModel(name, 1, tuple(sorted(adapters))) for name, adapters in sorted(runner.held.items())
+        )
+        return RunnerRecord(runner.id, service, runner.address, runner.zone, stage, 64, models=held)
+
+    def report_demand(self, tick):
+        for dispatcher, every, silent_from, silent_until in (
+            ("edge-1", 2, 7.0, 11.0),
+            ("edge-2", 6, 99.0, 99.0),
+            ("edge-3", 50, 99.0, 99.0),
+        ):
+            if tick % every or silent_from <= self.now < silent_until:
+                continue
+            lines = [line for service in ("chat", "code") for line in self.demand_lines(service)]
+            self.service.demand(DemandReport(dispatcher, round(every * TICK_S * 1000.0), lines))
+
+    def demand_lines(self, service):
+        draw = self.random_source
+        busy = (0, 1) if self.now < 8.0 else (4, 5)
+        lines = []
+        for number in range(10):
+            is_busy = number in busy
+            arrivals = draw.randint(0, 4) if is_busy else int(draw.random() < 0.05)
+            if not arrivals and draw.random() < 0.7:
+                continue
+            adapter = f"a{draw.randint(1, 12)}" if service == "chat" and draw.random() < 0.3 else ""
+            waiting = draw.randint(0, 2) if draw.random() < 0.3 else 0
+            in_flight = draw.randint(0, 12) if is_busy else 0
+            worth = arrivals * draw.choice([0.0, 1.0, 3.0])
+            urgency_ms = draw.choice([400, 2000, 5000]) if waiting else 0
+            lines.append(
+                ModelDemand(
+                    service, f"{service}-m{number}", adapter, arrivals, waiting, in_flight, urgency_ms, worth
+                )
+            )
+        return lines
+
+
+def is_withdrawal_event(event):
+    return event[0] == "published" and event[3] == "{}"
+
+
+def sort_withdrawals(events):
+    """Sorts what is withdrawn in one round by runner: its order comes from a set and differs by hash seed."""
+    ordered = []
+    for is_withdrawal, group in itertools.groupby(events, key=is_withdrawal_event):
+        members = list(group)
+        ordered.extend(sorted(members) if is_withdrawal else members)
+    return ordered
+
+
+def make_configuration():
+    services = []
+    for service, load_s, adapters in (("chat", 0.6, 12), ("code", 1.5, 0)):
+        models = tuple(
+            Model(f"{service}-m{number}", (65.1 if number % 3 else 72.7) * GB, load_s, adapters, 66.0)
+            for number in range(10)
+        )
+        runtime = Runtime(64, models=models, weights_mb=230 * GB, adapter_slots=4, loads_per_s=1.5)
+        services.append(Service(service, runtime=runtime))
+    return Configuration(1, services=(*services, Service("plain")))
+
+
+def make_runners(configuration):
+    runners, store = [], WeightStore(3)
+    for service, count in RUNNERS_BY_SERVICE.items():
+        runtime = next(known.runtime for known in configuration.services if known.name == service)
+        models = {model.name: model for model in runtime.models}
+        for _ in range(count):
+            index = len(runners)
+            capacity = Capacity(runtime.weights_mb, runtime.adapter_slots)
+            runner = ModelRunner(
+                f"r{index}-0", f"10.0.0.{index}:80", f"zone-{index % 3}", capacity, models, store
+            )
+            runner.preload(f"{service}-m{index % 4}")
+            runner.preload(f"{service}-m{index % 4 + 1}")
+            runners.append((service, runner))
+    return runners
+
+
+def describe(summary):
+    """The summary as plain values, in the order of the status on the wire."""
+    if summary is None:
+        return None
+    models = [
+        [
+            model.service,
+            model.model,
+            model.rate,
+            model.waiting,
+            model.in_flight,
+            list(model.holders),
+            list(model.coming),
+        ]
+        for model in summary.models
+        if model.rate or model.holders or model.coming
+    ]
+    orders = [
+        [order.runner, order.action, order.name, order.age_s, order.accepted] for order in summary.orders
+    ]
+    return [summary.fence, summary.load_limit, summary.load_room, models, orders]
--- /dev/null
+++ b/tests/placement/test_recorded_bytes.py
@@ -0,0 +1,160 @@
+"""Placement sends, reads and decides what the code of commit 0d35ed7 did.
+
+The fixtures were made by running that code: `wire.json` by the functions below, `decisions.json` by
+`ScriptedPlay(SEED, TICKS)`.
+"""
+
+import asyncio
+import json
+from pathlib import Path
+
+import pytest
+
+from larchgw.placement.demand import Demand
+from larchgw.placement.model import Order, OrderOutcome, RunnerReport
+from larchgw.placement.orders import OrderClient, decode_report, encode_order, outcome_of
+from larchgw.rpc.codec import decode_struct, encode_struct
+from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
+
+from .scripted_play import ScriptedPlay
+
+FIXTURES = Path(__file__).parent.parent / "fixtures" / "placement"
+SEED, TICKS = 7, 440
+
+ORDERS = [
+    Order("i-7", "10.0.0.1:80", "loading", "m"),
+    Order("i-7", "10.0.0.1:80", "loading", "m", "a3", 2),
+    Order("i-7", "10.0.0.1:80", "unloading", "m", "", 0, "n/a1"),
+    Order("i-7", "10.0.0.1:80", "unloading", "modèle", "a\u201d", 12),
+]
+REPORTS = [
+    '{"phase":"both","models":[{"name":"d","config_version":1,"adapters":["a1","a2"]},{"name":"e"}],'
+    '"occupied":true,"call_count":2,"queued":1,"in_progress":12,"cache_used":1,"takes":0}',
+    '{"models":[],"occupied":0,"call_count":"3"}',
+    '{"models":[{"adapters":[]}],"occupied":false,"call_count":1}',
+    '{"models":[],"call_count":1}',
+    '{"models":[],"occupied":false}',
+    "[]",
+]
+DEMAND_REPORTS = [
+    DemandReport(
+        "edge-1",
+        100,
+        [
+            ModelDemand("chat", "m0", "", 4, 2, 3, 1500, 7.5),
+            ModelDemand("chat", "m0", "a1", 1, 0, 1, 0, 0.0),
+            ModelDemand("code", "m1", "", 0, 1, 0, 0, 0.0),
+        ],
+    ),
+    DemandReport("edge-2", 2500, [ModelDemand("chat", "m2", "", 9, -1, -1, 10, 1.0)]),
+    DemandReport("edge-1", 100, []),
+]
+
+
+@pytest.fixture
+def recorded():
+    return json.loads((FIXTURES / "wire.json").read_text())
+
+
+def order_bodies():
+    return [encode_order(order, "node-7", 41).decode("latin-1") for order in ORDERS]
+
+
+def statuses():
+    return {str(status): outcome_of(status).name for status in range(100, 600)}
+
+
+def report_values():
+    return [report_fields(decode_report(body.encode())) for body in REPORTS]
+
+
+def report_fields(report):
+    if report is None:
+        return None
+    models = {name: sorted(adapters) for name, adapters in report.models.items()}
+    return [models, report.occupied, report.call_count, report.queued, report.in_progress]
+
+
+def demand_report_bytes():
+    return [encode_struct(report).hex() for report in DEMAND_REPORTS]
+
+
+def demand_values(reports):
+    """What is known of demand a second after each report."""
+    now = [100.0]
+    demand = Demand(lambda: now[0])
+    values = []
+    for encoded in reports:
+        demand.report(decode_struct(DemandReport, bytes.fromhex(encoded)))
+        now[0] += 1.0
+        models = {
+            f"{service}/{name}": [
+                model.rate,
+                model.worth,
+                model.waiting,
+                model.in_flight,
+                str(model.deadline),
+            ]
+            for service in ("chat", "code")
+            for name, model in demand.by_model(service).items()
+        }
+        adapter = ("chat", "m0", "a1")
+        values.append(
+            [models, demand.adapters("chat", "m0"), demand.rate(adapter), demand.in_flight(adapter)]
+        )
+    return values
+
+
+async def requests_on_the_wire():
+    """The bytes that a runner gets for an order and for a report, with its own address taken out."""
+    seen = []
+
+    async def answer(reader, writer):
+        head = await reader.readuntil(b"\r\n\r\n")
+        length = next(
+            (int(line[16:]) for line in head.split(b"\r\n") if line.startswith(b"Content-Length")), 0
+        )
+        seen.append(head + await reader.readexactly(length))
+        writer.write(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+        writer.close()
+
+    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    address = "{}:{}".format(*server.sockets[0].getsockname())
+    client = OrderClient("control-1")
+    try:
+        assert await client.order(Order("i-7", address, "loading", "m", "a1", 2), 41) is OrderOutcome.ACCEPTED
+        assert await client.report("i-7", address) is None
+    finally:
+        client.close()
+        server.close()
+    return [request.replace(address.encode(), b"ADDRESS").decode() for request in seen]
+
+
+def test_order_bodies_are_the_recorded_ones(recorded):
+    assert order_bodies() == recorded["order_bodies"]
+
+
+def test_requests_to_runners_are_the_recorded_ones(recorded):
+    assert asyncio.run(requests_on_the_wire()) == recorded["requests"]
+
+
+def test_each_status_is_read_as_the_recorded_outcome(recorded):
+    assert statuses() == recorded["statuses"]
+
+
+def test_reports_are_read_as_the_recorded_values(recorded):
+    assert report_values() == recorded["reports"]
+    assert isinstance(decode_report(REPORTS[0].encode()), RunnerReport)
+
+
+def test_demand_reports_are_the_recorded_bytes_and_are_read_as_the_recorded_demand(recorded):
+    assert demand_report_bytes() == recorded["demand_reports"]
+    assert demand_values(recorded["demand_reports"]) == recorded["demand"]
+
+
+def test_scripted_play_makes_the_recorded_orders_polls_and_publications_to_the_digit():
+    recorded = json.loads((FIXTURES / "decisions.json").read_text())
+    played = json.loads(json.dumps(ScriptedPlay(SEED, TICKS).play()))
+    assert len(played) == len(recorded)
+    for now, before in zip(played, recorded, strict=True):
+        assert now == before
