--- a/larchgw/experiments/distribution_model.py
+++ b/larchgw/experiments/distribution_model.py
@@ -22,7 +22,7 @@
 from ..distribution.registry import Registry
 from ..distribution.sources import PullSettings
 from ..rpc.codec import decode_message, encode_message
-from ..rpc.errors import RpcConnectionLost, RpcTimeout
+from ..rpc.errors import RpcConnectionError, RpcTimeoutError
 from ..rpc.generated import Control
 from ..rpc.generated.ttypes import Entry
 from ..runner_directory.directory import Directory
@@ -105,7 +105,7 @@
             async with asyncio.timeout(timeout):
                 return await self._exchange(method, argument)
         except TimeoutError:
-            raise RpcTimeout(f"{self._peer.name} is silent") from None
+            raise RpcTimeoutError(f"{self._peer.name} is silent") from None
 
     def close(self) -> None:
         """Nothing is open."""
@@ -118,13 +118,13 @@
         self._meter.calls += 1
         await asyncio.sleep(ONE_WAY_S)
         if self._peer.down:
-            raise RpcConnectionLost(f"{self._peer.name} is down", sent=False)
+            raise RpcConnectionError(f"{self._peer.name} is down", sent=False)
         asked = decode_message(frame[4:]).body.request
         result = getattr(Control, method + "_result")()
         result.success = await getattr(self._peer.service, method)(asked)
         answer = encode_message(method, TMessageType.REPLY, 1, result)
         if self._peer.down:
-            raise RpcConnectionLost(f"{self._peer.name} went down")
+            raise RpcConnectionError(f"{self._peer.name} went down")
         await asyncio.sleep(ONE_WAY_S)
         self._meter.received += len(answer)
         return self._count(lambda: decode_message(answer[4:])).body.success
--- a/larchgw/model_checking/check_ins/network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -8,7 +8,7 @@
 import random
 from typing import Any, Protocol
 
-from ...rpc.errors import RpcConnectionLost, RpcTimeout
+from ...rpc.errors import RpcConnectionError, RpcTimeoutError
 
 FASTEST_S, SLOWEST_S = 0.001, 0.04  # one way
 
@@ -75,7 +75,7 @@
             async with asyncio.timeout(timeout):
                 return await self._exchange(sender, receiver, method, argument)
         except TimeoutError:
-            raise RpcTimeout(f"{receiver} is silent") from None
+            raise RpcTimeoutError(f"{receiver} is silent") from None
 
     async def _exchange(self, sender: str, receiver: str, method: str, argument: Any) -> Any:
         service = self._services[receiver]
@@ -95,7 +95,7 @@
 
     def _check_life(self, service: Service, life: int, name: str) -> None:
         if not service.running or service.life != life:
-            raise RpcConnectionLost(f"{name} ended")
+            raise RpcConnectionError(f"{name} ended")
 
 
 class Connection:
--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -21,7 +21,7 @@
 from ...replication.settings import MemberSettings
 from ...replication.view import View
 from ...rpc.client import RpcClient
-from ...rpc.errors import RpcConnectionLost, RpcTimeout
+from ...rpc.errors import RpcConnectionError, RpcTimeoutError
 from ...rpc.generated.ttypes import OperatorAnswer, OperatorCall, PeerMessage
 from ...runtime.clients import RpcClients
 from ..simulated_disk import Crashed, SimulatedDisk
@@ -174,7 +174,7 @@
             async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
-            raise RpcTimeout(f"{self.address}: no answer in {timeout:.2f} s") from None
+            raise RpcTimeoutError(f"{self.address}: no answer in {timeout:.2f} s") from None
 
     async def _answer(
         self, receiver: Process, call: OperatorCall, future: asyncio.Future[OperatorAnswer]
@@ -182,7 +182,7 @@
         try:
             answer = await receiver.calls.passed_on(call)
         except asyncio.CancelledError:
-            _settle(future, RpcConnectionLost("the connection ended"))
+            _settle(future, RpcConnectionError("the connection ended"))
             raise
         if self._caller.is_alive:
             self._cluster.transmit(receiver, self._caller.address, lambda caller: _settle(future, answer))
--- a/larchgw/rpc/client.py
+++ b/larchgw/rpc/client.py
@@ -11,7 +11,7 @@
 from thrift.Thrift import TApplicationException, TMessageType
 
 from .codec import DecodeError, FrameReader, Message, decode_message, encode_message
-from .errors import RpcConnectionLost, RpcError, RpcRefused, RpcTimeout
+from .errors import RpcConnectionError, RpcError, RpcTimeoutError, RpcUnavailableError
 from .generated import Control
 
 log = logging.getLogger(__name__)
@@ -83,7 +83,7 @@
         waiting, self.waiting = self.waiting, {}
         for call in waiting.values():
             if not call.answer.done():
-                call.answer.set_exception(RpcConnectionLost(f"the connection ended: {error or 'closed'}"))
+                call.answer.set_exception(RpcConnectionError(f"the connection ended: {error or 'closed'}"))
 
     def close(self) -> None:
         if self.transport is not None:
@@ -116,13 +116,13 @@
                 connection = await self._connect()
                 return await self._exchange(connection, method, argument)
         except TimeoutError:
-            raise RpcTimeout(f"{method} at {self.address}: no answer in {timeout:.2f} s") from None
+            raise RpcTimeoutError(f"{method} at {self.address}: no answer in {timeout:.2f} s") from None
 
     async def send(self, method: str, argument: Any) -> None:
         """A call that has no answer. Raises RpcError if it could not be sent."""
         connection = await self._connect()
         if connection.transport is None:
-            raise RpcConnectionLost(f"{self.address}: the connection ended", sent=False)
+            raise RpcConnectionError(f"{self.address}: the connection ended", sent=False)
         connection.transport.write(self._frame(method, TMessageType.ONEWAY, 0, argument))
 
     def post(self, method: str, argument: Any) -> None:
@@ -161,7 +161,7 @@
 
     async def _exchange(self, connection: _Connection, method: str, argument: Any) -> Any:
         if connection.transport is None:
-            raise RpcConnectionLost(f"{self.address}: the connection ended", sent=False)
+            raise RpcConnectionError(f"{self.address}: the connection ended", sent=False)
         self._sequence = (self._sequence + 1) & 0x7FFFFFFF
         sequence = self._sequence
         future = asyncio.get_running_loop().create_future()
@@ -175,7 +175,9 @@
             raise RpcError(f"{method} at {self.address}: {result.message}")
         unavailable = getattr(result, "unavailable", None)
         if unavailable is not None:
-            raise RpcRefused(f"{method} at {self.address}: {unavailable.reason}; {unavailable.remedy}")
+            raise RpcUnavailableError(
+                f"{method} at {self.address}: {unavailable.reason}; {unavailable.remedy}"
+            )
         success = getattr(result, "success", None)
         if success is None and hasattr(result, "success"):
             raise RpcError(f"{method} at {self.address}: an answer without a result")
@@ -199,7 +201,7 @@
         except asyncio.CancelledError:
             caller = asyncio.current_task()
             if opening.cancelled() and caller is not None and not caller.cancelling():
-                raise RpcConnectionLost(f"{self.address}: the client was closed", sent=False) from None
+                raise RpcConnectionError(f"{self.address}: the client was closed", sent=False) from None
             raise
 
     async def _open(self) -> _Connection:
@@ -211,6 +213,6 @@
                     lambda: _Connection(self.traffic), host, int(port)
                 )
         except (OSError, TimeoutError) as error:
-            raise RpcConnectionLost(f"{self.address}: {error or 'no answer'}", sent=False) from error
+            raise RpcConnectionError(f"{self.address}: {error or 'no answer'}", sent=False) from error
         self._connection = connection
         return connection
--- a/larchgw/rpc/errors.py
+++ b/larchgw/rpc/errors.py
@@ -11,13 +11,13 @@
         self.sent = sent
 
 
-class RpcTimeout(RpcError):
+class RpcTimeoutError(RpcError):
     """No answer within the call's time."""
 
 
-class RpcConnectionLost(RpcError):
+class RpcConnectionError(RpcError):
     """The connection ended, or could not be opened (then `sent` is False)."""
 
 
-class RpcRefused(RpcError):
+class RpcUnavailableError(RpcError):
     """The other side answered that it cannot serve the call now; its reason and remedy are the text."""
--- a/tests/control/test_operator_calls.py
+++ b/tests/control/test_operator_calls.py
@@ -10,7 +10,7 @@
 from larchgw.control.operator import Answer
 from larchgw.control.operator_calls import PATIENCE_S, OperatorCalls
 from larchgw.emulator.virtual_loop import run
-from larchgw.rpc.errors import RpcConnectionLost
+from larchgw.rpc.errors import RpcConnectionError
 from larchgw.rpc.generated.ttypes import OperatorAnswer, OperatorCall
 
 PRIMARY, OTHER = "10.0.0.1:7660", "10.0.0.2:7660"
@@ -58,7 +58,7 @@
             async def call(self, method: str, call: OperatorCall, timeout: float) -> OperatorAnswer:
                 peers.called.append(address)
                 if not peers.answers[address]:
-                    raise RpcConnectionLost("gone")
+                    raise RpcConnectionError("gone")
                 return OperatorAnswer(peers.answers[address].pop(0), call.body, address)
 
         return Client()
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -30,7 +30,7 @@
 from larchgw.emulator.virtual_loop import run
 from larchgw.replication.view import View
 from larchgw.rpc.codec import decode_struct, encode_struct
-from larchgw.rpc.errors import RpcConnectionLost, RpcTimeout
+from larchgw.rpc.errors import RpcConnectionError, RpcTimeoutError
 from larchgw.rpc.generated.ttypes import Entry, PullReply, PullRequest, PushReply, PushRequest
 from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
 
@@ -95,7 +95,7 @@
         line = [now, self.caller, self.address, method, timeout, sent.hex(), ""]
         self.transcript.calls.append(line)
         if self.address in self.transcript.unreachable:
-            raise RpcConnectionLost(f"{self.address} is down", sent=False)
+            raise RpcConnectionError(f"{self.address} is down", sent=False)
         service = self.transcript.services[self.address]
         try:
             async with asyncio.timeout(timeout):
@@ -103,7 +103,7 @@
                 while self.address in self.transcript.hung:
                     await asyncio.sleep(0.01)
         except TimeoutError:
-            raise RpcTimeout(f"{self.address} took too long") from None
+            raise RpcTimeoutError(f"{self.address} took too long") from None
         answer = encode_struct(reply)
         line[-1] = answer.hex()
         return decode_struct(type(reply), answer)
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -17,7 +17,7 @@
 
 from larchgw.rpc.client import RpcClient
 from larchgw.rpc.codec import Message, decode_message, encode_message
-from larchgw.rpc.errors import RpcConnectionLost, RpcError, RpcTimeout
+from larchgw.rpc.errors import RpcConnectionError, RpcError, RpcTimeoutError
 from larchgw.rpc.generated import Control
 from larchgw.rpc.generated.ttypes import ControlStatus, DemandReport, PushReply, PushRequest, StatusRequest
 from larchgw.rpc.server import RpcServer
@@ -114,7 +114,7 @@
         call = ask(client)
         frames = await peer.connection()
         frames.answer(await frames.call(), "not this", method, kind)
-        with pytest.raises(RpcConnectionLost):
+        with pytest.raises(RpcConnectionError):
             await soon(call)
 
 
@@ -125,7 +125,7 @@
         frames = await peer.connection()
         seen = await frames.call()
         frames.writer.write(encode_message(seen.method, seen.kind, seen.sequence, seen.body))
-        with pytest.raises(RpcConnectionLost):
+        with pytest.raises(RpcConnectionError):
             await soon(call)
 
 
@@ -151,7 +151,7 @@
         call = ask(client)  # on the kept connection
         await frames.call()
         frames.reset()
-        with pytest.raises(RpcConnectionLost) as lost:
+        with pytest.raises(RpcConnectionError) as lost:
             await soon(call)
         assert lost.value.sent and peer.opened == 1
         again = ask(client)
@@ -180,7 +180,7 @@
 @on_loop
 async def test_silence_leaves_open_whether_the_call_was_carried_out() -> None:
     async with connected() as (client, _):
-        with pytest.raises(RpcTimeout) as silent:
+        with pytest.raises(RpcTimeoutError) as silent:
             await soon(ask(client, 0.0))
         assert silent.value.sent
 
@@ -192,7 +192,7 @@
         call = ask(client)
         await asyncio.sleep(0)
         client.close()
-        with pytest.raises(RpcConnectionLost) as lost:
+        with pytest.raises(RpcConnectionError) as lost:
             await soon(call)
         assert not lost.value.sent
 
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -8,7 +8,7 @@
 
 from larchgw.distribution.pulls import PullService
 from larchgw.distribution.registry import Registry
-from larchgw.rpc.errors import RpcConnectionLost, RpcTimeout
+from larchgw.rpc.errors import RpcConnectionError, RpcTimeoutError
 
 
 class Peer:
@@ -34,14 +34,14 @@
         self.calls.append((now(), method))
         self.arguments.append(argument)
         if self.down:
-            raise RpcConnectionLost(f"{self.name} is down", sent=False)
+            raise RpcConnectionError(f"{self.name} is down", sent=False)
         try:
             async with asyncio.timeout(timeout):
                 reply = await getattr(self.service, method)(argument)
                 await self._while_hung()
                 return reply
         except TimeoutError:
-            raise RpcTimeout(f"{self.name} took too long") from None
+            raise RpcTimeoutError(f"{self.name} took too long") from None
 
     async def _while_hung(self) -> None:
         """A process that hangs sends no answer, also to what it was asked before."""
