--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -10,6 +10,7 @@
 from .. import __version__
 from ..dispatcher.config.startup import ConfigError
 from ..roles import run_role
+from ..runtime import logs
 from .check import check, settings
 from .command import INTERRUPTED, WRONG_CALL, Command, UsageError, act, file, read, textual
 from .explore import explore
@@ -87,6 +88,7 @@
     """The console script's, and `python -m larchgw`'s with arguments. What a user got wrong is one line on
     standard error, and status 2.
     """
+    logs.configure_command()
     try:
         return call(sys.argv[1:])
     except KeyboardInterrupt:
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -4,9 +4,10 @@
 
 import asyncio
 import json
-import logging
 import time
 
+import structlog
+
 from ..configuration.errors import SettingsError
 from ..configuration.settings import NodeSettings
 from ..distribution.handoff import Handoff
@@ -55,7 +56,7 @@
 from .state import ConfigurationState
 from .status import StatusService, StatusSources
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 PLACER_LEASE = "placer"
 DIRECTORY_TICK_S = 0.25
 CONTACTS_TICK_S = 0.2
@@ -128,7 +129,7 @@
         self.tasks.start("peers", self.peers.run)
         self.tasks.start("handoff", self.handoff.run)
         self.tasks.start("placement", self.placement.run)
-        log.info("control: started as %s", self.member.id)
+        log.info("control.started", member=self.member.id)
 
     def reload(self, settings: NodeSettings) -> None:
         """Takes other seeds; addresses stay."""
@@ -145,9 +146,9 @@
         self.replicated.leave()
         self._gossip.leave()
         if await self._until_left(LEAVE_SHARE * self.settings.time_limits.grace_period_s):
-            log.info("control: the others go on without this process")
+            log.info("control.left")
         else:
-            log.warning("control: ends without the agreement of the others")
+            log.warning("control.left_without_agreement")
         self._http.stop()
         await asyncio.sleep(CALLS_END_S)
         self.tasks.stop()
@@ -204,9 +205,9 @@
     def _tick_directory(self) -> None:
         isolated = self.contact.isolated()
         if isolated and not self._was_isolated:
-            log.warning("cut off from the majority of the control processes: runners are sent to others")
+            log.warning("control.majority_lost")
         elif self._was_isolated and not isolated:
-            log.info("control: in contact with a majority")
+            log.info("control.majority_reached")
         self._was_isolated = isolated
         self.directory.tick(time.monotonic(), isolated)
 
--- a/larchgw/control/operator.py
+++ b/larchgw/control/operator.py
@@ -4,15 +4,16 @@
 
 import asyncio
 import json
-import logging
 from dataclasses import dataclass
 from typing import Protocol
 
+import structlog
+
 from ..configuration.errors import ConfigurationError
 from .state import ConfigurationState, Order
 from .state_size import ConfigurationTooLarge, SizeLimit
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 OK, NOT_FOUND, TOO_LARGE, UNCLEAR = 200, 404, 413, 503
 MAX_ORDER_BYTES = 7 << 20  # an order with its head is one record of the log, which takes 8 MiB
 
@@ -101,7 +102,7 @@
         return unclear("the order was overtaken by another one")
 
     def _refused(self, error: ConfigurationError) -> Answer:
-        log.info("refused an order of the operator: %s", error)
+        log.info("operator_call.rejected", error=str(error))
         detail = {"error": str(error), "field": error.field, "config_version": self.state.version}
         return Answer(error.status, json.dumps(detail).encode())
 
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import time
 from collections.abc import Callable
 
+import structlog
+
 from ..replication.effects import Effects, NotPrimary, Outgoing, Ticket
 from ..replication.lease import Lease
 from ..replication.member import Member
@@ -15,7 +16,7 @@
 from .operator import ReplicationUnavailable
 from .state import ConfigurationState
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 TICK_S = 0.02  # heartbeats and time-outs of the protocol are some times this
 DISK_RETRY_S = 1.0  # after the disk refused a write, before it is written to again
 
@@ -105,7 +106,7 @@
 
     def _disk_failed(self, error: OSError) -> None:
         """Nothing was promised. While the disk rests the others see us silent and go on without us."""
-        log.error("the disk refuses writes (%s): no part in replication for %.1f s", error, DISK_RETRY_S)
+        log.error("replication.paused", error=str(error), pause_s=DISK_RETRY_S)
         self._disk_rests_until = self._clock() + DISK_RETRY_S
 
     def _carry_out(self, effects: Effects) -> None:
@@ -123,7 +124,9 @@
         for outgoing in effects.messages:
             self._post(outgoing)
         if effects.role is not None:
-            log.info("role in the replicated log: %s, view %s", effects.role.name, self.member.view)
+            view = self.member.view
+            epoch = None if view is None else view.epoch
+            log.info("replication.role_changed", role=effects.role.name, view_epoch=epoch)
 
     def _post(self, outgoing: Outgoing) -> None:
         message = outgoing.message
--- a/larchgw/control/state.py
+++ b/larchgw/control/state.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import json
-import logging
 from dataclasses import dataclass
 
+import structlog
 from expression import Error, Ok, Result
 
 from ..configuration.change import digest, evaluate
@@ -14,7 +14,7 @@
 from ..configuration.validation import parse
 from .state_size import encoded
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 MOST_TAKEN = 20_000  # orders remembered; one sent again after so many others gets 412
 
 
@@ -82,7 +82,7 @@
         order = Order.decode(record)
         result = self.evaluate(order)
         if result.is_error():
-            log.warning("record %d is without effect: %s", index, result.error)
+            log.warning("record.without_effect", record_index=index, error=str(result.error))
             return
         self.current, self.index = result.ok, index
         self._taken[order.digest()] = self.current.config_version
--- a/larchgw/dispatcher/daemon.py
+++ b/larchgw/dispatcher/daemon.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import gc
+import logging
 import os
 import signal
 import sys
@@ -228,6 +229,7 @@
             structlog.processors.format_exc_info,
             structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
         ],
+        wrapper_class=structlog.make_filtering_bound_logger(logging.NOTSET),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=True,
     )
--- a/larchgw/distribution/handoff.py
+++ b/larchgw/distribution/handoff.py
@@ -13,12 +13,14 @@
 import logging
 from collections.abc import Callable, Sequence
 
+import structlog
+
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import Entry, PushRequest
 from .hints import Hints
 from .puller import Caller
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 MOST_HINTS = 5000  # a peer; some times the runners of a large deployment
 BATCH = 200  # entries in one handover, about 50 kB
 PACE_S = 0.05  # between two batches to one peer
@@ -117,6 +119,6 @@
         try:
             await self._callers[peer].call("push", request, timeout)
         except RpcError as error:
-            log.log(level, "handoff: %s did not take %d entries: %s", peer, len(entries), error)
+            log.log(level, "handoff.failed", address=peer, count=len(entries), error=str(error))
             return False
         return True
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -15,6 +15,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
+import structlog
+
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import PullReply, PullRequest, PushRequest
 from .interface import RUNNER
@@ -23,7 +25,7 @@
 from .sources import PullSettings, SourceChoice
 from .vectors import Vector, cursors, without_cursors
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 NO_ADDRESS_PAUSE_S = 0.1  # until the addresses are asked for again
 
 
@@ -136,12 +138,8 @@
             reply = await self._pull(session)
         except RpcError as error:
             # Once, until it answers again: a control process asks a lost witness several times a second.
-            log.log(
-                logging.DEBUG if source.address in self._silent else logging.INFO,
-                "pull: leaving %s: %s",
-                source.address,
-                error,
-            )
+            level = logging.DEBUG if source.address in self._silent else logging.INFO
+            log.log(level, "pull.failed", address=source.address, error=str(error))
             self._silent.add(source.address)
             self._choice.failed(source.address)
             self._leave()
@@ -214,13 +212,13 @@
         lacking = list(self.registry.beyond(session.vector, RUNNER))
         if not lacking:
             return
-        log.info("pull: giving %d entries to %s, which lacks them", len(lacking), session.address)
+        log.info("pull.entries_returned", address=session.address, count=len(lacking))
         try:
             await session.caller.call(
                 "push", PushRequest(node_name=self._node_name, entries=lacking), self._settings.silence_s
             )
         except RpcError as error:
-            log.info("pull: %s did not take entries: %s", session.address, error)
+            log.info("pull.entries_return_failed", address=session.address, error=str(error))
 
     def _open(self, address: str) -> _Session:
         if self._session is not None and self._session.address != address:
--- a/larchgw/distribution/resync.py
+++ b/larchgw/distribution/resync.py
@@ -7,14 +7,15 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Iterable
 
+import structlog
+
 from ..rpc.generated.ttypes import Entry
 from .interface import EXPECTED, RUNNER
 from .registry import Registry
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 FORGOTTEN_PREFIXES = (RUNNER, EXPECTED)  # keys that come and go; the others stay for ever
 
 
@@ -50,7 +51,7 @@
         for prefix in FORGOTTEN_PREFIXES:
             dropped = self._registry.remove_older(prefix, lambda entry: self._strange(entry, seen))
             if dropped:
-                log.info("resync: dropped %d entries under %s that are held nowhere else", dropped, prefix)
+                log.info("resync.entries_dropped", prefix=prefix, count=dropped)
 
     def _strange(self, entry: Entry, seen: set[str]) -> bool:
         return entry.key not in seen and entry.origin != self._registry.origin
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -3,17 +3,18 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Callable
 from random import Random
 
+import structlog
+
 from ..distribution.placer import known_placer
 from ..distribution.registry import Registry
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import DemandReport, ModelDemand
 from ..runtime.clients import RpcClients
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 INTERVAL_S = 0.5  # between reports; demand changes within seconds
 # That all dispatchers together send to the one placer: each takes it some milliseconds, and many dispatchers
 # show a change of demand together as soon as few do that report more often.
@@ -89,4 +90,4 @@
         try:
             await self._clients.get(address).call("demand", report, TIMEOUT_S)
         except RpcError as error:
-            log.info("demand was not reported: %s", error)
+            log.info("demand_report.failed", address=address, error=str(error))
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import time
 import zlib
 from collections.abc import Mapping
 
+import structlog
+
 from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
 from ..configuration.packing import unpack
@@ -39,7 +40,7 @@
 from .proxy import Proxy
 from .status import EdgeStatus
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 FORGET_EVERY_S = 30.0
 NOTICE_S = 2.2  # for the platform to see that we are not ready: it asks each second and counts to two
 LAST_WRITES_S = 0.1  # for the last answers to be written
@@ -104,7 +105,7 @@
         self.tasks.start("pull", self.puller.run)
         self.tasks.start("demand", self.demand.run)
         self.tasks.every("forget", FORGET_EVERY_S, self.view.forget)
-        log.info("edge: started")
+        log.info("edge.started")
 
     def is_ready(self) -> bool:
         """Whether new connections are welcome: it knows a configuration and runners, and does not stop."""
@@ -129,7 +130,7 @@
             async with asyncio.timeout(max(grace - (time.monotonic() - began), 0.1)):
                 await drained.wait()
         except TimeoutError:
-            log.warning("edge: ends with %d requests open", self.proxy.open_count)
+            log.warning("edge.requests_abandoned", count=self.proxy.open_count)
             self.proxy.abandon()
             await asyncio.sleep(LAST_WRITES_S)
         self.tasks.stop()
@@ -149,12 +150,12 @@
         try:
             configuration = parse_committed(unpack(entry.value), self._configuration)
         except (ConfigurationError, zlib.error) as error:
-            log.error("edge: a configuration that was taken cannot be read: %s", error)
+            log.error("configuration.unreadable", error=str(error))
             return
         self.selector.configure(configuration)
         self.proxy.configure(configuration)
         self._configuration = configuration
-        log.info("edge: configuration %d is in force", configuration.config_version)
+        log.info("configuration.in_force", config_version=configuration.config_version)
 
     def _expected(self, service: str, model: str, adapter: str) -> Mapping[str, float]:
         known: Mapping[str, RunnerRecord] = self.view.by_service(service)
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
-import logging
 import random
 import zlib
 from collections import Counter
 from collections.abc import Callable, Mapping
 
+import structlog
+
 from ..configuration.model import Configuration, Limits, Route
 from ..configuration.routing import RouteTable
 from ..configuration.settings import NodeSettings
@@ -37,7 +38,7 @@
 DRAIN_LOOK_S = 0.05  # between two looks whether all has been answered and written
 SLOW_PIECE_S = 2.0  # for the next piece of a body, once the time for a head is over ...
 SLOW_BODY_S = 30.0  # ... up to this, for the largest bodies on slow links
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 
 class Proxy:
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Mapping
 from dataclasses import replace
 
+import structlog
+
 from ..net.http_server import Exchange
 from ..net.timers import Deadline
 from ..routing.interface import Attempt, AttemptOutcome, Refuse, RequestTraits, Send, Wait
@@ -28,7 +29,7 @@
 RETRY_AFTER_SHARE = 1 / 3  # of the time left: clients honour no more
 RETRY_SPREAD = 0.2  # of the time told, by which it is lengthened at random: not all come back at once
 HIGH_WATER = 256 * 1024  # unsent bytes to a client at which its runner's answer is read no further
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 
 class ProxyExchange:
@@ -277,7 +278,7 @@
             self._silence.heard(now)
 
     def _mismatch(self, error: Exception) -> None:
-        log.warning("a runner's stream can't be passed on: %s", error)
+        log.warning("stream.invalid", error=str(error))
         self._break_off(AttemptOutcome.GARBLED)
 
     def _silent(self) -> None:
@@ -389,7 +390,7 @@
     def _cut(self, reason: str) -> None:
         """The answer has begun and can't be ended: the client must see that it isn't whole."""
         self._context.counters.cut.inc()
-        log.info("an answer is cut off: %s", reason)
+        log.info("answer.truncated", reason=reason)
         self._exchange.end(complete=False)
         self._finish()
 
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-import logging
 from collections import deque
 from collections.abc import Callable, Mapping
 
+import structlog
+
 from ..net.address import parse_address
 from ..net.connection import Connection
 from ..net.loop import EventLoop
@@ -18,7 +19,7 @@
 LEAST_CONNECTIONS = 4  # to one runner, however many dispatchers share its limit
 UNEVEN = 2  # times its part, which a dispatcher may use for a while: clients are not spread evenly
 SWEEP_S = 1.0  # between two looks for connections that have stood too long
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 
 class _Kept:
@@ -53,7 +54,7 @@
         try:
             address = parse_address(runner.address)
         except ValueError:
-            log.warning("runner %s has the address %r, which is not host:port", runner.id, runner.address)
+            log.warning("runner.address_invalid", runner=runner.id, address=runner.address)
             return None
         kept = self._kept.get(runner.id)
         if kept is None or kept.address != address:
--- a/larchgw/edge/trace.py
+++ b/larchgw/edge/trace.py
@@ -8,9 +8,11 @@
 
 import logging
 
+import structlog
+
 from ..routing.interface import AttemptOutcome, RequestTraits
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 
 class RequestTrace:
@@ -24,22 +26,13 @@
     @classmethod
     def of(cls, traits: RequestTraits, name: bytes) -> RequestTrace | None:
         """The trace of a request; None unless debug lines are written."""
-        return cls(traits, name) if log.isEnabledFor(logging.DEBUG) else None
+        return cls(traits, name) if log.is_enabled_for(logging.DEBUG) else None
 
     def waits(self, now: float, reason: str) -> None:
         """It waits; only a new reason is written."""
         if reason != self._reason:
             self._reason = reason
-            traits = self._traits
-            log.debug(
-                "request %s waits at %.0f: %s, %s model %s/%s",
-                self._name,
-                self._ms(now),
-                reason,
-                traits.route.name,
-                traits.model,
-                traits.adapter,
-            )
+            log.debug("request.waiting", reason=reason, **self._request(now))
 
     def sent(self, now: float) -> None:
         """It goes to a runner."""
@@ -52,25 +45,30 @@
     def ended(self, now: float, runner: str, outcome: AttemptOutcome) -> None:
         """The attempt at the runner is over."""
         traits = self._traits
-        began = f"{self._ms(self._began_at):.0f}" if self._began_at else "-"
         log.debug(
-            "request %s ended at %.0f: %s at %s, sent at %.0f, began at %s, %s model %s/%s tokens %d,%d",
-            self._name,
-            self._ms(now),
-            outcome.name,
-            runner,
-            self._ms(self._sent_at),
-            began,
-            traits.route.name,
-            traits.model,
-            traits.adapter,
-            traits.prompt_tokens,
-            traits.output_tokens,
+            "attempt.ended",
+            runner=runner,
+            outcome=outcome.name,
+            sent_ms=self._ms(self._sent_at),
+            began_ms=self._ms(self._began_at) if self._began_at else None,
+            prompt_tokens=traits.prompt_tokens,
+            output_tokens=traits.output_tokens,
+            **self._request(now),
         )
 
     def answered(self, now: float, status: int, reason: str) -> None:
         """The dispatcher itself gave the final answer."""
-        log.debug("request %s answered at %.0f: %d %s", self._name, self._ms(now), status, reason)
+        log.debug("request.answered", status=status, reason=reason, **self._request(now))
+
+    def _request(self, now: float) -> dict[str, object]:
+        traits = self._traits
+        return {
+            "request": self._name,
+            "at_ms": self._ms(now),
+            "route": traits.route.name,
+            "model": traits.model,
+            "adapter": traits.adapter,
+        }
 
-    def _ms(self, at: float) -> float:
-        return (at - self._traits.arrived_at) * 1000.0
+    def _ms(self, at: float) -> int:
+        return round((at - self._traits.arrived_at) * 1000.0)
--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -25,7 +25,7 @@
 BEAT_MS = 600
 FIRST_CONTROL, FIRST_EDGE = 10, 40  # numbers of machines in the network; spares follow the controls
 CONTROL, EDGE = "control", "edge"
-_PRIMARY = re.compile(r"primary of view (\d+) ")
+_PRIMARY = re.compile(r"event=primary\.acquired view_epoch=(\d+) ")
 END_SLACK_S = 5.0  # beyond the time for an orderly end, on a busy machine
 SEEDS = 3
 LINKED = "larchgw.fault_injection.linked"  # the program's entry under links that a test may cut
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -7,11 +7,12 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from random import Random
 
+import structlog
+
 from .codec import Cursor, DecodeError, Draft, Kind, Message, Update, decode, encode_update, valid_address
 from .local_health import LocalHealth
 from .member import Member, Role, State, check_member
@@ -21,7 +22,7 @@
 from .settings import SwimSettings
 from .synchronisation import Synchronisation
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 LEAVE_COPIES = 8  # members told of a planned end at once; they pass it on
 SEQUENCE_MASK = 0xFFFFFFFF
@@ -112,7 +113,9 @@
         try:
             message = decode(data)
         except DecodeError as error:
-            log.debug("membership: ignoring %d bytes from %s: %s", len(data), sender, error)
+            log.debug(
+                "membership.datagram_undecodable", size_bytes=len(data), address=sender, error=str(error)
+            )
             return []
         self._notice_freeze(now)
         if message.sender.address == self.me.address and message.sender.incarnation <= self.me.incarnation:
@@ -244,7 +247,8 @@
         self._ran_at = now
         if gap <= self._settings.freeze_gap:
             return
-        log.info("membership: this process did not run for %.1f s; failed probes are held to be its own", gap)
+        # failed probes of that time are this process's own fault
+        log.info("membership.process_paused", pause_s=round(gap, 1))
         self._probe = None
         self._relays.clear()
         self._health.froze(now, self._settings.doubt_after_freeze)
--- a/larchgw/membership/transport.py
+++ b/larchgw/membership/transport.py
@@ -3,14 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Iterable
 from time import monotonic
 from typing import cast
 
+import structlog
+
 from .swim import Datagram, Swim
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 TICK = 0.1  # seconds
 
@@ -55,7 +56,7 @@
 
     def error_received(self, exc: Exception) -> None:
         """A peer's port is closed, or a link is full: datagrams are lost now and then anyway."""
-        log.debug("membership: %s", exc)
+        log.debug("membership.send_failed", error=str(exc))
 
     def _tick(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
--- a/larchgw/model_checking/replication/redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-import logging
 import statistics
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from ...runtime.logs import muted
 from .cluster import Machine, World
 
 LINK_S = 0.0015
@@ -129,7 +129,14 @@
 
 def main(seconds: float, seed: int) -> int:
     """Prints a line for each case; the time is shared out among them. 0 if every run came to redundancy."""
-    logging.disable(logging.CRITICAL)
+    with muted():
+        late = _print_cases(seconds, seed)
+    print(f"redundancy: late={late}")
+    return 1 if late else 0
+
+
+def _print_cases(seconds: float, seed: int) -> int:
+    """Prints a line for each case; returns how many runs came to redundancy too late."""
     late = 0
     lines = [(case, shape, size) for size in (0, LARGE) for shape in SHAPES for case in CASES]
     print(f"{'case':24} machines survive state MB runs median s worst s")
@@ -144,6 +151,4 @@
             f"{statistics.median(taken):8.2f} {max(taken):7.2f}",
             flush=True,
         )
-    logging.disable(logging.NOTSET)
-    print(f"redundancy: late={late}")
-    return 1 if late else 0
+    return late
--- a/larchgw/model_checking/verdict.py
+++ b/larchgw/model_checking/verdict.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable, Iterable
 from typing import Protocol, TypeVar
 
+from ..runtime.logs import muted
+
 
 class Seen(Protocol):
     """What an exploration has seen."""
@@ -34,12 +35,9 @@
     """Explores, tries the mutants and prints what came of it; 0 if nothing is broken and every mutant is
     caught. Nothing is logged meanwhile."""
     tried = list(mutants)
-    logging.disable(logging.CRITICAL)
-    try:
+    with muted():
         found = explore()
         missed = [mutant.name for mutant in tried if not caught(mutant)]
-    finally:
-        logging.disable(logging.NOTSET)
     print(found.counts())
     for reason in found.broken:
         print(f"broken: {reason}")
--- a/larchgw/net/asyncio_loop.py
+++ b/larchgw/net/asyncio_loop.py
@@ -3,15 +3,16 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import socket
 from collections.abc import Callable
 
+import structlog
+
 from .counters import Counters
 from .loop import FIRST, READ, WRITE
 from .timers import Clock, Deadline, Deadlines
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 
 class _ScheduledDeadlines(Deadlines):
@@ -115,7 +116,7 @@
         """Counts and logs the error of a callback that is being handled."""
         if self.counters:
             self.counters.faults.labels("loop").inc()
-        log.exception("a callback of the loop failed")
+        log.exception("fault.loop")
 
     def _earlier(self, at: float) -> None:
         if self._closed or at >= self._due:
--- a/larchgw/placement/orders.py
+++ b/larchgw/placement/orders.py
@@ -7,19 +7,19 @@
 from __future__ import annotations
 
 import json
-import logging
 from collections.abc import Mapping
 from io import BytesIO
 from types import MappingProxyType
 from typing import Any
 
 import pycurl
+import structlog
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPClientError, HTTPResponse
 
 from .model import Order, OrderOutcome, RunnerReport
 
-logger = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 CONNECT_TIMEOUT_S = 0.3
 REQUEST_TIMEOUT_S = 0.8
@@ -142,7 +142,7 @@
             int(raw.get("in_progress", 0)),
         )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        logger.warning("unreadable report: %s", error)
+        log.warning("runner_report.unreadable", error=str(error))
         return None
 
 
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -10,17 +10,18 @@
 
 from __future__ import annotations
 
-import logging
 import math
 from collections.abc import Container
 
+import structlog
+
 from ..configuration.model import Configuration
 from ..runner_directory.records import RunnerRecord, Stage
 from .load_rate_limit import LoadCeiling
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .state import PlacementState, RunnerState, Terms, UnderWay, held_by, names_of
 
-logger = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 FIRST_POLL_S = 0.15  # between polls of a runner whose order should be done, growing to the next
 LAST_POLL_S = 0.4
@@ -176,9 +177,8 @@
         if report.occupied or under_way.accepted:
             return
         if now - under_way.sent_at >= UNANSWERED_S:
-            logger.info(
-                "order was not taken runner=%s %s %s", state.id, under_way.order.action, under_way.order.name
-            )
+            order = under_way.order
+            log.info("order.unanswered", runner=state.id, action=order.action, model=order.name)
             self.ceiling.settled(now, state.id)
             state.under_way = None
             self._adopt(state, report)
@@ -189,7 +189,7 @@
         state.under_way = None
         present = state.holds(order.model, order.adapter)
         if present != order.is_load:
-            logger.warning("order had no effect runner=%s %s %s", state.id, order.action, order.name)
+            log.warning("order.without_effect", runner=state.id, action=order.action, model=order.name)
             state.rest_until = now + REST_S
         elif present:
             self._arrived(now, state, order)
@@ -299,7 +299,7 @@
             return
         state.rest_until = now + REST_S
         state.poll_at = now + self._settings.report_lag_s
-        logger.info("order refused runner=%s outcome=%s", state.id, outcome.name)
+        log.info("order.rejected", runner=state.id, outcome=outcome.name)
 
     # ---- What dispatchers are told ----
 
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -13,7 +13,6 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import math
 import random
 from collections.abc import Callable, Coroutine
@@ -21,6 +20,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+import structlog
+
 from ..configuration.model import Configuration
 from ..runner_directory.records import RunnerRecord, Stage
 from .demand import Demand, DemandReportLike
@@ -32,7 +33,7 @@
 from .state import RunnerState
 from .summary import PlacementSummary, summarise
 
-logger = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 BUSY_PERIOD_S = 0.05  # between rounds while an order is under way or a request waits
 CALM_PERIOD_S = 0.25
@@ -205,7 +206,7 @@
         return lease
 
     def _taken(self, now: float, fence: int) -> None:
-        logger.info("placing models from now on fence=%d runners=%d", fence, len(self._reconciler.runners))
+        log.info("placement.started", fencing_token=fence, runners=len(self._reconciler.runners))
         self._held_since = now
         if now - self._started_at < self._runtime.settings.ceiling_window_s:
             self._reconciler.ceiling.assume_full(now)
@@ -251,12 +252,12 @@
             if self._clock() - planned_at > ORDER_WAIT_S:
                 outcome = OrderOutcome.UNSENT
             else:
-                logger.info("order runner=%s %s %s", order.runner, order.action, order.name)
+                log.info("order.sent", runner=order.runner, action=order.action, model=order.name)
                 outcome = await self._runtime.calls.order(order, fence)
         if fence != self._fence:
             return
         if outcome is OrderOutcome.FENCED:
-            logger.warning("a runner has seen a higher fence than %d: another process places models", fence)
+            log.warning("order.fenced", runner=order.runner, fencing_token=fence)
             self._lowest_fence = fence + 1
         self._reconciler.answered(self._clock(), order, outcome)
 
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -2,17 +2,18 @@
 
 from __future__ import annotations
 
-import logging
 from dataclasses import dataclass
 from random import Random
 
+import structlog
+
 from .lease_acceptor import NOBODY, UNKNOWN
 from .messages import LeaseAnswer, LeaseAsk, LeaseRelease
 from .outbound_messages import Outbox
 from .settings import MemberSettings
 from .view import View
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 USABLE_SHARE = 0.7  # of a term counted from before it was asked for: the rest covers clocks that differ
 RENEWALS_PER_TERM = 5
@@ -159,7 +160,7 @@
         self._until = attempt.asked_at + USABLE_SHARE * self._term
         if attempt.acting and not self._known:
             self._known = True
-            log.info("lease %s is held with fence %d", self.name, self._fence)
+            log.info("lease.acquired", lease=self.name, fencing_token=self._fence)
         renewal = attempt.asked_at + self._term / RENEWALS_PER_TERM
         self._next_at = renewal if self._known else min(renewal, max(now, self._acts_from))
 
@@ -187,7 +188,7 @@
         self._next_at = now + attempt.refused_until() + stagger
 
     def _lose(self, now: float) -> None:
-        log.warning("lease %s with fence %d was not renewed in time", self.name, self._fence)
+        log.warning("lease.expired", lease=self.name, fencing_token=self._fence)
         self._give_up()
         self._next_at = now
 
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable, Iterable
 from math import inf
 from random import Random
 
+import structlog
+
 from .candidate import Candidate
 from .compaction import Compaction
 from .effects import Effects, NotPrimary, Role, Ticket
@@ -51,7 +52,7 @@
 from .view_changes import ViewChanges
 from .witness import Witness
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 
 class Member:
@@ -185,7 +186,7 @@
         try:
             message, address = decode(envelope.kind, envelope.body)
         except DecodeError as error:
-            log.warning("dropping a message: %s", error)
+            log.warning("replication.message_undecodable", error=str(error))
             return self._finish(now)
         self._roster.meet(envelope.sender, address, self.view)
         return self._guarded(now, lambda: self._handle(now, envelope.sender, message))
@@ -410,7 +411,9 @@
 
     def _disk_trouble(self, now: float, error: OSError) -> None:
         if now >= self._views.rests_until:
-            log.error("the disk refuses writes (%s): free space in data_dir or replace the disk", error)
+            log.error(
+                "disk.write_failed", error=str(error), remedy="free space in data_dir or replace the disk"
+            )
         self.disk_error = error
         self._outbox.drain_own()
         self._rest(now, self._timing.rest)
--- a/larchgw/replication/snapshot_transfer.py
+++ b/larchgw/replication/snapshot_transfer.py
@@ -8,12 +8,13 @@
 from __future__ import annotations
 
 import hashlib
-import logging
 from dataclasses import dataclass
 
+import structlog
+
 from .messages import Install
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 PIECE_BYTES = 256 << 10  # 26 ms on the slowest link: a heartbeat waits no longer behind it
 MOST_SNAPSHOT_BYTES = 24 << 20  # what a member sets aside for one; control/state_size.py keeps states below
 
@@ -112,7 +113,7 @@
         A transfer of a higher epoch, or of a newer snapshot, takes the place of the one before.
         """
         if not 0 <= install.size <= MOST_SNAPSHOT_BYTES:
-            log.error("a snapshot of %d bytes is refused; the most is %d", install.size, MOST_SNAPSHOT_BYTES)
+            log.error("snapshot.too_large", size_bytes=install.size, max_bytes=MOST_SNAPSHOT_BYTES)
             return False
         transfer = _transfer_of(install)
         if transfer == self._transfer:
@@ -137,7 +138,7 @@
         whole = bytes(self._content) + install.piece
         if _is_genuine(whole, install.checksum):
             return whole
-        log.error("a snapshot up to record %d is not what was sent; it is fetched again", install.index)
+        log.error("snapshot.checksum_mismatch", record_index=install.index)
         self.discarded += 1
         self._content = bytearray()
         return None
--- a/larchgw/replication/view_changes.py
+++ b/larchgw/replication/view_changes.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable
 
+import structlog
+
 from .candidate import Candidate
 from .follower import Follower
 from .graceful_leave import Departures
@@ -32,7 +33,7 @@
 from .view_change_round import Ballot
 from .witness import Witness
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 REVIEW_SECONDS = 0.05  # between two looks of the primary at whether the view should change
 
@@ -187,7 +188,7 @@
             self.leading,
             self._departures.leaving(now),
         )
-        log.info("primary of view %d with backups %s, witnesses %s", view.epoch, view.backups, view.witnesses)
+        log.info("primary.acquired", view_epoch=view.epoch, backups=view.backups, witnesses=view.witnesses)
         self.leading.heartbeat(now)
         self.leading.replicate(now)
 
@@ -221,7 +222,7 @@
     def _resign(self, now: float, reason: str) -> None:
         if self.leading is None:
             return
-        log.info("no longer primary of view %d: %s", self.leading.view.epoch, reason)
+        log.info("primary.lost", view_epoch=self.leading.view.epoch, reason=reason)
         self.leading = None
         self._candidate.abandon(now)
         self._on_resign(reason)
--- a/larchgw/rpc/client.py
+++ b/larchgw/rpc/client.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import socket
 from dataclasses import dataclass
 from typing import Any
 
+import structlog
 from thrift.Thrift import TApplicationException, TMessageType
 
 from .codec import DecodeError, FrameReader, Message, decode_message, encode_message
 from .errors import RpcConnectionError, RpcError, RpcTimeoutError, RpcUnavailableError
 from .generated import Control
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 CONNECT_TIMEOUT = 0.5  # seconds
 ANSWERS = (TMessageType.REPLY, TMessageType.EXCEPTION)
 MOST_UNSENT_BYTES = 24 << 20  # of calls without an answer that wait to be sent to one peer
@@ -60,7 +60,7 @@
             for frame in self._frames.feed(data):
                 self._answered(decode_message(frame))
         except DecodeError as error:
-            log.warning("rpc: closing a connection: %s", error)
+            log.warning("rpc.answer_undecodable", error=str(error))
             self.close()
 
     def _answered(self, message: Message) -> None:
--- a/larchgw/rpc/server.py
+++ b/larchgw/rpc/server.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 from typing import Any
 
+import structlog
 from thrift.Thrift import TApplicationException, TMessageType
 
 from .client import tune
@@ -13,7 +13,7 @@
 from .generated import Control
 from .generated.ttypes import Unavailable
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 CALLS = (TMessageType.CALL, TMessageType.ONEWAY)
 
 
@@ -42,7 +42,7 @@
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
         except DecodeError as error:
-            log.warning("rpc: closing a caller's connection: %s", error)
+            log.warning("rpc.call_undecodable", error=str(error))
             if self.transport is not None:
                 self.transport.abort()
 
@@ -67,7 +67,7 @@
         except Unavailable as unavailable:
             body.unavailable = unavailable
         except Exception as error:  # a fault in one call must not end the connection of all others
-            log.exception("rpc: %s failed", message.method)
+            log.exception("rpc.call_failed", method=message.method)
             kind = TMessageType.EXCEPTION
             body = TApplicationException(TApplicationException.INTERNAL_ERROR, repr(error))
         if self.transport is not None:
--- a/larchgw/runner_directory/directory.py
+++ b/larchgw/runner_directory/directory.py
@@ -23,16 +23,17 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
+import structlog
+
 from ..distribution.interface import RUNNER
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
 from .records import RunnerRecord, Stage
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 SILENT_BEATS = 3.2  # beats without a check-in: two may be lost on their way, and the third be late
 KEEP_S = 300.0  # how long a runner that is gone or silent is remembered; longer than a process may be cut off
 FORGET_EVERY_S = 10.0  # how often old ones are looked for
@@ -228,7 +229,7 @@
     def _publish_silent(self, id: str, call_count: int) -> None:
         standing = self._records.get(id)
         if standing is not None and standing.stage is Stage.READY:
-            log.warning("runner %s at %s has stopped checking in", id, standing.address)
+            log.warning("runner.heartbeat_lost", runner=id, address=standing.address)
             self._publish(replace(standing, stage=Stage.SILENT, call_count=call_count, owner=self.owner))
 
     def _watch_owners(self, now: float) -> None:
--- a/larchgw/runtime/logs.py
+++ b/larchgw/runtime/logs.py
@@ -1,21 +1,92 @@
-"""Log lines of the system's processes: one a line on standard error, with the process's name."""
+"""Structured logs of the system's processes: one event a line on standard error, as `key=value` pairs.
+
+A line begins with `timestamp` (UTC), `level`, `node` and `event`; the event's own fields follow. Modules log
+through `structlog.get_logger()`; `docs/oncall.md` lists the events.
+"""
 
 from __future__ import annotations
 
 import logging
 import os
 import sys
+from collections.abc import Iterator, MutableMapping
+from contextlib import contextmanager
+from typing import Any
+
+import structlog
+from structlog.typing import Processor
 
-FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
-VARIABLE = "LARCHGW_LOG"  # a level's name; WARNING and above without it would hide a start and its settings
+LEVEL_VARIABLE = "LARCHGW_LOG"
+"""Environment variable that holds the lowest level to write."""
+
+DEFAULT_LEVEL = "INFO"  # at WARNING, a start and the settings that it runs by would not be seen
 
 
 def configure(node_name: str) -> None:
-    """Sends logs of INFO and above to standard error; LARCHGW_LOG names another level."""
-    level = os.environ.get(VARIABLE, "INFO").upper()
+    """Writes events of level INFO and above to standard error; LARCHGW_LOG names another level.
+
+    Args:
+        node_name: The process's name, which every line carries as `node`.
+    """
+    level = _level()
+
+    def add_node(_logger: object, _method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+        event["node"] = node_name
+        return event
+
+    fields: list[Processor] = [
+        add_node,
+        structlog.processors.add_log_level,
+        structlog.processors.TimeStamper(fmt="iso", utc=True),
+        structlog.processors.format_exc_info,
+    ]
+    renderer = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "node", "event"])
+    structlog.configure(
+        processors=[*fields, renderer],
+        wrapper_class=structlog.make_filtering_bound_logger(level),
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=True,
+    )
+    _configure_libraries(level, fields, renderer)
+
+
+def configure_command() -> None:
+    """For commands that are no role: warnings and errors only, on standard error."""
+    structlog.configure(
+        wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING),
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
+
+
+@contextmanager
+def muted() -> Iterator[None]:
+    """Writes nothing below CRITICAL inside the block: simulations bring faults about by the thousand."""
+    before = structlog.get_config()["wrapper_class"]
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
+    logging.disable(logging.CRITICAL)
+    try:
+        yield
+    finally:
+        logging.disable(logging.NOTSET)
+        structlog.configure(wrapper_class=before)
+
+
+def _level() -> int:
+    name = os.environ.get(LEVEL_VARIABLE, DEFAULT_LEVEL).upper()
+    levels = logging.getLevelNamesMapping()
+    return levels.get(name, levels[DEFAULT_LEVEL])
+
+
+def _configure_libraries(level: int, fields: list[Processor], renderer: Processor) -> None:
+    """Gives lines of libraries (asyncio, Tornado), which log by the standard library, the same form."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(logging.Formatter(f"{node_name} {FORMAT}"))
+    handler.setFormatter(
+        structlog.stdlib.ProcessorFormatter(
+            foreign_pre_chain=[structlog.stdlib.add_logger_name, *fields],
+            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, renderer],
+        )
+    )
     root = logging.getLogger()
     root.handlers[:] = [handler]
-    root.setLevel(level if level in logging.getLevelNamesMapping() else "INFO")
+    root.setLevel(level)
     logging.getLogger("tornado.access").setLevel(logging.ERROR)
--- a/larchgw/runtime/process.py
+++ b/larchgw/runtime/process.py
@@ -3,19 +3,20 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import signal
 import sys
 from collections.abc import Callable
 from typing import Protocol
 
+import structlog
+
 from ..configuration.errors import SettingsError
 from ..configuration.settings import NodeSettings, load
 from ..storage.errors import StorageError
 from . import logs
 from .tasks import Tasks
 
-log = logging.getLogger(__name__)
+log = structlog.get_logger()
 EXIT_USAGE = 2
 SETTINGS_CHECK_S = 5.0  # the file may change without a signal; only seeds do, and are needed seldom
 
@@ -44,7 +45,7 @@
         try:
             settings = self._read()
         except SettingsError as error:
-            log.warning("settings stay as they were: %s", error)
+            log.warning("settings.rejected", error=str(error))
             return
         if settings != self._settings:
             self._settings = settings
@@ -62,7 +63,7 @@
     tasks = Tasks()
     tasks.every("settings", SETTINGS_CHECK_S, watch.check)
     await ending.wait()
-    log.info("stopping")
+    log.info("process.stopping")
     tasks.stop()
     await role.stop()
 
@@ -84,9 +85,11 @@
         print(f"larchgw: {error}", file=sys.stderr)
         return EXIT_USAGE
     except StorageError as error:
-        log.error("cannot start: %s", error)
+        log.error("process.start_failed", cause="data_folder", error=str(error))
         return 1
     except OSError as error:
-        log.error("cannot start: %s; free the address or change the settings", error)
+        log.error(
+            "process.address_unusable", error=str(error), remedy="free the address or change the settings"
+        )
         return 1
     return 0
--- a/larchgw/runtime/tasks.py
+++ b/larchgw/runtime/tasks.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Awaitable, Callable
 
-log = logging.getLogger(__name__)
+import structlog
+
+log = structlog.get_logger()
 RESTART_AFTER = 0.5  # seconds
 
 
@@ -46,5 +47,5 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("%s failed; it starts again in %.1f s", name, RESTART_AFTER)
+                log.exception("task.failed", task=name, restart_after_s=RESTART_AFTER)
                 await asyncio.sleep(RESTART_AFTER)
--- a/larchgw/storage/log.py
+++ b/larchgw/storage/log.py
@@ -6,12 +6,13 @@
 
 from __future__ import annotations
 
-import logging
 import os
 import threading
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+import structlog
+
 from . import segments, snapshots
 from .errors import CorruptLog, DiskFull, RecordsGone, StorageError
 from .files import FilePort
@@ -19,7 +20,7 @@
 from .segments import MAX_RECORD_BYTES, Segment
 from .snapshots import TEMPORARY_SUFFIX, SnapshotId
 
-logger = logging.getLogger(__name__)
+log = structlog.get_logger()
 
 SEGMENT_BYTES = 1024 * 1024
 """A segment of this size is followed by a new one: compaction can free no less than a segment."""
@@ -209,7 +210,7 @@
         """Makes the records durable; the torn tail is cut before the next write: a full disk can be read."""
         if tail:
             last = segment.last_index
-            logger.warning("%s: %d bytes after record %d were never synced", segment.path, tail, last)
+            log.warning("log.torn_tail", path=segment.path, size_bytes=tail, record_index=last)
             self._tail_dirty = True
         self._port.sync_file(segment.path)
         self._named_path = segment.path
@@ -343,5 +344,5 @@
             try:
                 self._port.remove(path)
             except StorageError as error:
-                logger.warning("left for later: %s", error)
+                log.warning("log.remove_failed", path=path, error=str(error))
                 self._obsolete.append(path)
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 import pytest
+from structlog.testing import capture_logs
 from testtools import TestCase
 
 from larchgw.control.disk import ControlDisk
@@ -131,7 +132,7 @@
 
 @pytest.mark.usefixtures("hang_up_handler")
 def test_a_damaged_data_folder_ends_the_start_with_one_line_that_names_the_remedy(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     settings = tmp_path / "local.json"
     settings.write_text(json.dumps({"node_name": "c", "ip": "127.0.0.1", "zone": "a", "spare_ports": [1, 9]}))
@@ -144,6 +145,8 @@
     def make(_: object) -> Any:
         return ControlDisk.open(DiskFiles(), str(tmp_path / "data"))
 
-    assert process.run(make) == 1
-    (line,) = [record.getMessage() for record in caplog.records if record.levelname == "ERROR"]
-    assert line.startswith("cannot start: ") and "witness-a" in line and "move the data folder" in line
+    with capture_logs() as lines:
+        assert process.run(make) == 1
+    (line,) = [line for line in lines if line["log_level"] == "error"]
+    assert line["event"] == "process.start_failed" and line["cause"] == "data_folder"
+    assert "witness-a" in line["error"] and "move the data folder" in line["error"]
--- a/tests/distribution/test_puller.py
+++ b/tests/distribution/test_puller.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable, Sequence
 
 import testtools
+from structlog.testing import capture_logs
 
 from larchgw.configuration.settings import TimeLimits
 from larchgw.distribution.peers import PeerPullers
@@ -282,14 +283,15 @@
     def test_a_source_that_stays_down_is_told_once_until_it_has_answered(self) -> None:
         puller = self.puller(addresses=("a",))
         self.peer("a").down = True
-        with self.assertLogs("larchgw.distribution.puller", "INFO") as told:
+        with capture_logs() as lines:
             self.play(
                 puller,
                 12.0,
                 (5.0, lambda: setattr(self.peer("a"), "down", False)),
                 (8.0, lambda: setattr(self.peer("a"), "down", True)),
             )
-        self.assertEqual(2, len(told.output), told.output)
+        written = [line for line in lines if line["log_level"] != "debug"]
+        self.assertEqual(["pull.failed"] * 2, [line["event"] for line in written], lines)
 
     def test_connections_that_are_left_are_closed(self) -> None:
         puller = self.puller(near="a")
--- a/tests/docs/test_oncall_page.py
+++ b/tests/docs/test_oncall_page.py
@@ -1,4 +1,4 @@
-"""docs/oncall.md names every warning and error that the system's processes can log, and no others."""
+"""docs/oncall.md names every event that the system's processes can log, at each level, and no others."""
 
 from __future__ import annotations
 
@@ -23,8 +23,16 @@
     "routing",
     "configuration",
 )
-LEVELS = {"warning": "warning", "error": "error", "exception": "error", "critical": "error"}
-ROW = re.compile(r"^\| `(.+)` \((warning|error)\) \| .+ \| .+ \|$", re.MULTILINE)
+LEVELS = {
+    "info": "info",
+    "warning": "warning",
+    "error": "error",
+    "exception": "error",
+    "critical": "error",
+    "log": "info",
+}
+ROW = re.compile(r"^\| `(.+)` \((info|warning|error)\) \| .+ \| .+ \|$", re.MULTILINE)
+EVENT = re.compile(r"[a-z_]+\.[a-z_]+")
 
 
 def calls(path: Path) -> Iterator[ast.Call]:
@@ -34,7 +42,7 @@
             isinstance(found, ast.Call)
             and isinstance(found.func, ast.Attribute)
             and isinstance(found.func.value, ast.Name)
-            and found.func.value.id in ("log", "logger")
+            and found.func.value.id == "log"
             and found.func.attr in LEVELS
         ):
             yield found
@@ -46,9 +54,10 @@
     for package in PACKAGES:
         for path in (ROOT / "larchgw" / package).rglob("*.py"):
             for call in calls(path):
-                message, where = call.args[0], f"{path.name}:{call.lineno}"
-                assert isinstance(message, ast.Constant), f"{where}: make the message a literal"
                 assert isinstance(call.func, ast.Attribute)
+                message = call.args[1 if call.func.attr == "log" else 0]
+                where = f"{path.name}:{call.lineno}"
+                assert isinstance(message, ast.Constant), f"{where}: make the event a literal"
                 found[str(message.value), LEVELS[call.func.attr]] = where
     return found
 
@@ -58,7 +67,7 @@
     return {(message, level) for message, level in ROW.findall(section.partition("\n## ")[0])}
 
 
-def test_whoever_is_on_call_finds_every_warning_and_error_with_what_to_do() -> None:
+def test_whoever_is_on_call_finds_every_event_with_what_to_do() -> None:
     lacking = {where: key for key, where in logged().items() if key not in documented()}
     assert not lacking, f"add to docs/oncall.md, section The system: {lacking}"
 
@@ -67,5 +76,5 @@
     assert documented() - logged().keys() == set()
 
 
-def test_no_message_says_nothing_but_an_error() -> None:
-    assert [where for (message, _), where in logged().items() if message.strip() == "%s"] == []
+def test_each_event_names_its_subject_and_what_happened() -> None:
+    assert [where for (event, _), where in logged().items() if not EVENT.fullmatch(event)] == []
--- a/tests/edge/test_trace.py
+++ b/tests/edge/test_trace.py
@@ -4,20 +4,17 @@
 
 import logging
 
-import pytest
+import structlog
+from structlog.testing import capture_logs
 
 from larchgw.edge.trace import RequestTrace
 from larchgw.routing.interface import AttemptOutcome
 from tests.support.routing_factories import world
 
-LOGGER = "larchgw.edge.trace"
 
-
-def test_a_request_that_was_lost_and_repeated_can_be_followed_line_by_line(
-    caplog: pytest.LogCaptureFixture,
-) -> None:
+def test_a_request_that_was_lost_and_repeated_can_be_followed_line_by_line() -> None:
     w = world()
-    with caplog.at_level(logging.DEBUG, LOGGER):
+    with capture_logs() as lines:
         trace = RequestTrace.of(w.request("m", "a1"), b"id7")
         assert trace is not None
         trace.waits(w.now, "loading")
@@ -28,15 +25,21 @@
         trace.began(w.now + 0.5)
         trace.ended(w.now + 0.9, "i-2", AttemptOutcome.DONE)
         trace.answered(w.now + 1.0, 503, "full")
-    lines = [record.getMessage() for record in caplog.records]
+    request = {"request": "id7", "route": "r", "model": "m", "adapter": "a1", "log_level": "debug"}
+    tokens = {"prompt_tokens": 0, "output_tokens": 50}
+    ended = {"event": "attempt.ended"} | request | tokens
     assert lines == [
-        "request id7 waits at 0: loading, r model m/a1",
-        "request id7 ended at 300: RESET at i-1, sent at 200, began at -, r model m/a1 tokens 0,50",
-        "request id7 ended at 900: DONE at i-2, sent at 400, began at 500, r model m/a1 tokens 0,50",
-        "request id7 answered at 1000: 503 full",
+        {"event": "request.waiting", "at_ms": 0, "reason": "loading"} | request,
+        ended | {"at_ms": 300, "outcome": "RESET", "runner": "i-1", "sent_ms": 200, "began_ms": None},
+        ended | {"at_ms": 900, "outcome": "DONE", "runner": "i-2", "sent_ms": 400, "began_ms": 500},
+        {"event": "request.answered", "at_ms": 1000, "status": 503, "reason": "full"} | request,
     ]
 
 
-def test_no_trace_is_kept_where_debug_lines_are_not_written(caplog: pytest.LogCaptureFixture) -> None:
-    with caplog.at_level(logging.INFO, LOGGER):
+def test_no_trace_is_kept_where_debug_lines_are_not_written() -> None:
+    before = structlog.get_config()["wrapper_class"]
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.INFO))
+    try:
         assert RequestTrace.of(world().request(), b"id7") is None
+    finally:
+        structlog.configure(wrapper_class=before)
--- a/tests/emulator/test_system_faults.py
+++ b/tests/emulator/test_system_faults.py
@@ -64,8 +64,8 @@
     trial = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     try:
         logs = [tmp_path / f"control-{number}" / "log" for number in range(1, 6)]
-        until(lambda: all(log.exists() and "control: started" in log.read_text() for log in logs))
+        until(lambda: all(log.exists() and "event=control.started" in log.read_text() for log in logs))
     finally:
         trial.kill()
         trial.wait()
-    until(lambda: all("stopping" in log.read_text() for log in logs))
+    until(lambda: all("event=process.stopping" in log.read_text() for log in logs))
--- a/tests/net/test_asyncio_loop.py
+++ b/tests/net/test_asyncio_loop.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import socket
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -84,17 +83,14 @@
     run(test)
 
 
-def test_one_callback_that_fails_ends_neither_the_sweep_nor_the_loop(
-    caplog: pytest.LogCaptureFixture,
-) -> None:
+def test_one_callback_that_fails_ends_neither_the_sweep_nor_the_loop() -> None:
     async def test(loop: AsyncLoop) -> None:
         loop.counters = Counters()
         done = asyncio.Event()
         now = loop.clock.now()
         loop.deadlines.add(now, lambda: 1 / 0)  # type: ignore[arg-type,return-value]
         loop.deadlines.add(now, done.set)
-        with caplog.at_level(logging.CRITICAL):
-            await done.wait()
+        await done.wait()
         assert loop.counters.figures()["larchgw_faults_total_loop"] == 1
 
     run(test)
