--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable, Sequence
 
-from ..distribution.interface import EXPECTED, RUNNER
+from ..distribution.keys import EXPECTED_LOADS_PREFIX, RUNNER_PREFIX
 from ..rpc.client import RpcClient
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import ControlStatus, Entry, PlacementStatus, PullRequest, StatusRequest
@@ -106,7 +106,7 @@
 
 
 async def _runners(address: str) -> int:
-    print("\n".join(runner_lines(await entries_of(address, [RUNNER, EXPECTED]))))
+    print("\n".join(runner_lines(await entries_of(address, [RUNNER_PREFIX, EXPECTED_LOADS_PREFIX]))))
     return Ending.DONE
 
 
@@ -160,11 +160,11 @@
 
 def runner_lines(entries: Sequence[Entry]) -> list[str]:
     """A table of the runners in these registry entries, and their number by stage."""
-    records = [RunnerRecord.decode(entry.value) for entry in entries if entry.key.startswith(RUNNER)]
+    records = [RunnerRecord.decode(entry.value) for entry in entries if entry.key.startswith(RUNNER_PREFIX)]
     expected = {
-        entry.key.removeprefix(EXPECTED): json.loads(entry.value)
+        entry.key.removeprefix(EXPECTED_LOADS_PREFIX): json.loads(entry.value)
         for entry in entries
-        if entry.key.startswith(EXPECTED)
+        if entry.key.startswith(EXPECTED_LOADS_PREFIX)
     }
     records.sort(key=lambda record: (record.service, record.stage, record.id))
     rows = [
--- a/larchgw/control/checkins.py
+++ b/larchgw/control/checkins.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from ..distribution.interface import RUNNER
+from ..distribution.keys import RUNNER_PREFIX
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
 from ..runner_directory.checkins import parse_checkin
@@ -16,7 +16,7 @@
 
 
 class Replicator(Protocol):
-    """Brings entries to the other control processes; distribution.handoff.Handoff is the real one."""
+    """Brings entries to the other control processes; hinted_handoff.HintedHandoff is the real one."""
 
     async def replicate(
         self, entries: Sequence[Entry], timeout: float, enough: Callable[[set[str]], bool]
@@ -58,7 +58,7 @@
         return not outcome.urgent or await self._replicate(runner)
 
     async def _replicate(self, runner: str) -> bool:
-        entry = self._registry.get(RUNNER + runner)
+        entry = self._registry.get(RUNNER_PREFIX + runner)
         record = self._directory.get(runner)
         if entry is None or record is None:
             return False
--- a/larchgw/control/latest_view.py
+++ b/larchgw/control/latest_view.py
@@ -12,7 +12,7 @@
 import json
 from collections.abc import Callable
 
-from ..distribution.interface import VIEW
+from ..distribution.keys import VIEW_KEY
 from ..distribution.registry import Registry
 from ..replication.view import View
 from ..rpc.generated.ttypes import Entry
@@ -24,13 +24,13 @@
     def __init__(self, accepted: Callable[[], View | None], registry: Registry) -> None:
         self._accepted, self._registry = accepted, registry
         self._heard: View | None = None
-        registry.watch(VIEW, self._hear)
+        registry.watch(VIEW_KEY, self._hear)
 
     def publish(self) -> None:
         """Tells the other processes; without effect if they know it, or a later one."""
         view = self._accepted()
         if view is not None and (self._heard is None or self._heard.epoch < view.epoch):
-            self._registry.put(VIEW, json.dumps(view.to_json()).encode(), view.epoch)
+            self._registry.put(VIEW_KEY, json.dumps(view.to_json()).encode(), view.epoch)
 
     def get(self) -> View | None:
         """The view of the highest epoch; None while none is known."""
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -10,14 +10,14 @@
 
 from ..configuration.errors import SettingsError
 from ..configuration.settings import NodeSettings
-from ..distribution.handoff import Handoff
-from ..distribution.interface import EXPECTED, RUNNER
-from ..distribution.peers import PeerPullers
-from ..distribution.placer import publish_placer
-from ..distribution.pulls import PullService
+from ..distribution.hinted_handoff import HintedHandoff
+from ..distribution.keys import EXPECTED_LOADS_PREFIX, RUNNER_PREFIX
+from ..distribution.peer_pullers import PeerPullers
+from ..distribution.placer_entry import publish_placer
+from ..distribution.pull_service import PullService
 from ..distribution.registry import Registry
 from ..distribution.sources import PullSettings
-from ..distribution.vectors import new_origin
+from ..distribution.version_vectors import new_origin
 from ..membership.member import Member as Process
 from ..membership.transport import SwimTransport
 from ..placement.model import PlacementSettings
@@ -97,7 +97,7 @@
         self.view = NewestView(lambda: self.member.view, self.registry)
         self.contact = PullContact(self.member.id, self.view.get, self.peers.proven_at)
         self.pulls = PullService(self.registry, self.contact.isolated, self._control_addresses)
-        self.handoff = Handoff(RpcClient, self._peers_and_witnesses, node_name=settings.node_name)
+        self.handoff = HintedHandoff(RpcClient, self._peers_and_witnesses, node_name=settings.node_name)
         self.directory = Directory(
             self.registry, time.monotonic, settings.beat_ms / 1000.0, self._owner(), self._owner_lives
         )
@@ -111,7 +111,9 @@
         """Listens and begins its work. Raises OSError."""
         settings = self.settings
         self.placement = self._make_placement()
-        self.registry.watch(RUNNER, lambda entry: self._runner_changed(entry.key.removeprefix(RUNNER)))
+        self.registry.watch(
+            RUNNER_PREFIX, lambda entry: self._runner_changed(entry.key.removeprefix(RUNNER_PREFIX))
+        )
         self.replicated.start()
         self.publisher.restored()
         status = self._make_status()
@@ -190,7 +192,9 @@
         lease = self._placer_lease()
         if lease is not None:
             self._serial += 1
-            self.registry.put(EXPECTED + runner, json.dumps(names).encode(), lease.fence, self._serial)
+            self.registry.put(
+                EXPECTED_LOADS_PREFIX + runner, json.dumps(names).encode(), lease.fence, self._serial
+            )
 
     def _runner_changed(self, runner: str) -> None:
         record = self.directory.get(runner)
--- a/larchgw/control/publication.py
+++ b/larchgw/control/publication.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..configuration.packing import pack
-from ..distribution.interface import CONFIGURATION
+from ..distribution.keys import CONFIGURATION_KEY
 from ..distribution.registry import Registry
 from .state import ConfigurationState
 
@@ -42,6 +42,6 @@
             self._publish()
 
     def _publish(self) -> None:
-        current, held = self._state.current, self._registry.get(CONFIGURATION)
+        current, held = self._state.current, self._registry.get(CONFIGURATION_KEY)
         if current is not None and (held is None or held.major < self._state.index):
-            self._registry.put(CONFIGURATION, pack(current.raw), self._state.index)
+            self._registry.put(CONFIGURATION_KEY, pack(current.raw), self._state.index)
--- a/larchgw/control/rpc_service.py
+++ b/larchgw/control/rpc_service.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ..distribution.pulls import PullService
+from ..distribution.pull_service import PullService
 from ..placement.service import PlacementService
 from ..rpc.generated.ttypes import (
     ControlStatus,
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..distribution.placer import known_placer
+from ..distribution.placer_entry import known_placer
 from ..distribution.registry import Registry
 from ..membership.member import Member as Process
 from ..membership.swim import Swim
--- a/larchgw/distribution/handoff.py
+++ b/larchgw/distribution/hinted_handoff.py
@@ -2,7 +2,7 @@
 
 `replicate` pushes entries to every peer and tells which of them have it, without waiting for the slowest once
 those are enough. What a peer did not take is kept as
-a hint and handed over by `run` when the peer takes calls again, a batch at a time. Hints shorten the time
+a hint and handed over by `run` when the peer takes calls again, a batch at a time. HintStore shorten the time
 until a returning peer knows what is urgent; nothing rests on them alone, since peers also pull from one
 another.
 """
@@ -17,7 +17,7 @@
 
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import Entry, PushRequest
-from .hints import Hints
+from .hints import HintStore
 from .puller import Caller
 
 log = structlog.get_logger()
@@ -28,7 +28,7 @@
 HANDOVER_TIMEOUT_S = 1.0
 
 
-class Handoff:
+class HintedHandoff:
     """Pushes to the peers that `peers` names (rpc addresses of the live control processes, the own one left
     out).
     """
@@ -46,7 +46,7 @@
         self._node_name = node_name
         self._callers: dict[str, Caller] = {}
         self._under_way: set[asyncio.Task[bool]] = set()
-        self.hints = Hints(most_hints)
+        self.hints = HintStore(most_hints)
 
     async def replicate(
         self,
--- a/larchgw/distribution/hints.py
+++ b/larchgw/distribution/hints.py
@@ -10,7 +10,7 @@
 MOST_PEERS = 32  # that hints are kept for; more than can return, since replaced ones never do
 
 
-class Hints:
+class HintStore:
     """Per peer the newest entry of each key, oldest dropped first where there are more than `most`.
 
     Of peers, those that first missed something longest ago are dropped first.
--- /dev/null
+++ b/larchgw/distribution/keys.py
@@ -0,0 +1,22 @@
+"""Keys of the registry, as they are on the wire: `<kind>` or `<kind>/<name>`.
+
+Of two entries with one key the one with the higher `(major, minor)` wins, so each kind says what these are.
+Where no minor number is named it is 0.
+
+    configuration    The committed configuration, packed (configuration/packing.py). Written by control
+                     processes; major: index of its log record.
+    runner/<id>      A RunnerRecord (runner_directory/records.py). Written by control processes; major: the
+                     runner's `call_count`, and above all counts once it is gone; minor: its stage.
+    placer           JSON {"address": rpc address} (placer_entry.py). Written by the placer; major: fencing
+                     token.
+    view             JSON of the latest accepted view (replication/view.py). Written by control processes;
+                     major: its epoch.
+    expected/<id>    JSON {model or "model/adapter": ms until the runner is expected to hold it; below 0 while
+                     it is unloaded}. Written by the placer; major: fencing token; minor: serial number.
+"""
+
+CONFIGURATION_KEY = "configuration"
+RUNNER_PREFIX = "runner/"
+PLACER_KEY = "placer"
+VIEW_KEY = "view"
+EXPECTED_LOADS_PREFIX = "expected/"
--- a/larchgw/distribution/pulls.py
+++ b/larchgw/distribution/pull_service.py
@@ -11,7 +11,7 @@
 
 from ..rpc.generated.ttypes import Entry, PullReply, PullRequest, PushReply, PushRequest
 from .registry import Registry
-from .vectors import cursor_name
+from .version_vectors import cursor_name
 
 GATHER_S = 0.010  # changes that come together go out in one reply; small against the 2 s a change may take
 MAX_WAIT_S = 5.0  # the longest wait that a caller may ask for
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -19,11 +19,11 @@
 
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import PullReply, PullRequest, PushRequest
-from .interface import RUNNER
+from .keys import RUNNER_PREFIX
 from .registry import Registry
 from .resync import Resync
-from .sources import PullSettings, SourceChoice
-from .vectors import Vector, cursors, without_cursors
+from .sources import PullSettings, SourceSelector
+from .version_vectors import Vector, cursors, without_cursors
 
 log = structlog.get_logger()
 NO_ADDRESS_PAUSE_S = 0.1  # until the addresses are asked for again
@@ -99,7 +99,7 @@
         self._addresses = addresses
         self._settings = settings
         self._dice = dice
-        self._choice = SourceChoice(settings, dice, near)
+        self._choice = SourceSelector(settings, dice, near)
         self._node_name = node_name
         self._prefixes = list(prefixes)
         self._only_source = only_source
@@ -170,7 +170,7 @@
 
     def _take_from_cut_off(self, session: _Session, reply: PullReply) -> None:
         """Takes the runners. Nothing is claimed, so that what is left out is sent again."""
-        self.registry.merge([entry for entry in reply.entries or [] if entry.key.startswith(RUNNER)])
+        self.registry.merge([entry for entry in reply.entries or [] if entry.key.startswith(RUNNER_PREFIX)])
         self._choice.failed(session.address)
         self._leave()
 
@@ -209,7 +209,7 @@
         if session.returns_at is None or self._clock() < session.returns_at:
             return
         session.returns_at = None
-        lacking = list(self.registry.beyond(session.vector, RUNNER))
+        lacking = list(self.registry.beyond(session.vector, RUNNER_PREFIX))
         if not lacking:
             return
         log.info("pull.entries_returned", address=session.address, count=len(lacking))
--- a/larchgw/distribution/registry.py
+++ b/larchgw/distribution/registry.py
@@ -41,7 +41,7 @@
 from sortedcontainers import SortedDict, SortedList
 
 from ..rpc.generated.ttypes import Entry, PullReply
-from .vectors import CURSOR, Vector, cursor_name, without_cursors
+from .version_vectors import CURSOR, Vector, cursor_name, without_cursors
 
 ENTRY_OVERHEAD_BYTES = 40  # numbers and lengths around an encoded entry's strings
 AFTER_ANY_KEY = "\U0010ffff"
--- a/larchgw/distribution/resync.py
+++ b/larchgw/distribution/resync.py
@@ -12,11 +12,11 @@
 import structlog
 
 from ..rpc.generated.ttypes import Entry
-from .interface import EXPECTED, RUNNER
+from .keys import EXPECTED_LOADS_PREFIX, RUNNER_PREFIX
 from .registry import Registry
 
 log = structlog.get_logger()
-FORGOTTEN_PREFIXES = (RUNNER, EXPECTED)  # keys that come and go; the others stay for ever
+FORGOTTEN_PREFIXES = (RUNNER_PREFIX, EXPECTED_LOADS_PREFIX)  # keys that come and go; the others stay for ever
 
 
 class Resync:
@@ -46,7 +46,7 @@
         nothing.
         """
         seen, self._seen = self._seen or set(), None
-        if not any(key.startswith(RUNNER) for key in seen):
+        if not any(key.startswith(RUNNER_PREFIX) for key in seen):
             return
         for prefix in FORGOTTEN_PREFIXES:
             dropped = self._registry.remove_older(prefix, lambda entry: self._strange(entry, seen))
--- a/larchgw/distribution/sources.py
+++ b/larchgw/distribution/sources.py
@@ -48,7 +48,7 @@
     pause: float
 
 
-class SourceChoice:
+class SourceSelector:
     """Stays with one process while it serves; tries every other one before it comes back to one that did not.
 
     `near` says of an address whether it is in the own zone. `fallback` addresses are tried after all others.
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from ..distribution.placer import known_placer
+from ..distribution.placer_entry import known_placer
 from ..distribution.registry import Registry
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import DemandReport, ModelDemand
--- a/larchgw/edge/expected_loads.py
+++ b/larchgw/edge/expected_loads.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from ..distribution.interface import EXPECTED
+from ..distribution.keys import EXPECTED_LOADS_PREFIX
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
 
@@ -19,9 +19,9 @@
     def __init__(self, registry: Registry, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._by_runner: dict[str, dict[str, float]] = {}
-        for entry in registry.items(EXPECTED):
+        for entry in registry.items(EXPECTED_LOADS_PREFIX):
             self._learn(entry)
-        registry.watch(EXPECTED, self._learn)
+        registry.watch(EXPECTED_LOADS_PREFIX, self._learn)
 
     def expected(self, model: str, adapter: str) -> dict[str, float]:
         """Runner -> when it is expected to hold the model and the adapter, if one is named."""
@@ -31,7 +31,7 @@
         return {runner: at for runner, at in found.items() if at > oldest}
 
     def _learn(self, entry: Entry) -> None:
-        runner = entry.key.removeprefix(EXPECTED)
+        runner = entry.key.removeprefix(EXPECTED_LOADS_PREFIX)
         now = self._clock()
         # Below 0 it is being unloaded: nothing to wait for.
         times = {name: now + ms / 1000.0 for name, ms in json.loads(entry.value).items() if ms >= 0}
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -14,11 +14,11 @@
 from ..configuration.packing import unpack
 from ..configuration.settings import NodeSettings
 from ..configuration.validation import parse_committed
-from ..distribution.interface import CONFIGURATION
+from ..distribution.keys import CONFIGURATION_KEY
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
 from ..distribution.sources import PullSettings
-from ..distribution.vectors import new_origin
+from ..distribution.version_vectors import new_origin
 from ..membership.transport import SwimTransport
 from ..net.address import parse_address
 from ..net.asyncio_loop import AsyncLoop
@@ -92,7 +92,7 @@
             self._random_source,
         )
         self.proxy.on_wanted = lambda service, model, adapter: self.demand.wanted()
-        self.registry.watch(CONFIGURATION, self._configure)
+        self.registry.watch(CONFIGURATION_KEY, self._configure)
         self.view.on_change(lambda record: self.proxy.runners_changed())
         self.proxy.listen(settings.listen.front)
         self._ready_server = readiness.serve(
--- a/larchgw/experiments/distribution.py
+++ b/larchgw/experiments/distribution.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from statistics import median
 
-from ..distribution.interface import CONFIGURATION, RUNNER
+from ..distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
 from ..emulator.virtual_loop import run
 from .distribution_model import BEAT_S, ControlProcess, Deployment, Size
 from .results import Options, Result, spread_out
@@ -78,8 +78,8 @@
         value = json.dumps(
             {"config_version": self.version, "routes": "r" * self.deployment.size.configuration_bytes}
         ).encode()
-        self.deployment.control[0].registry.put(CONFIGURATION, value, self.version)
-        self._note("configuration", CONFIGURATION, self.version)
+        self.deployment.control[0].registry.put(CONFIGURATION_KEY, value, self.version)
+        self._note("configuration", CONFIGURATION_KEY, self.version)
 
     def load(self) -> None:
         """A runner holds another model."""
@@ -88,14 +88,14 @@
         models = (*record.models[1:], self.deployment.model())
         self.deployment.runners[number] = replace(record, models=models)
         self.check_in(number)
-        self._note("load", RUNNER + record.id, record.call_count + 1)
+        self._note("load", RUNNER_PREFIX + record.id, record.call_count + 1)
 
     def restart(self) -> None:
         """A runner leaves, and its next life comes up empty."""
         number = self.deployment.dice.randrange(len(self.deployment.runners))
         record = self.deployment.runners[number]
         self._process(number).directory.leave(record.id)
-        gone = self._process(number).registry.get(RUNNER + record.id)
+        gone = self._process(number).registry.get(RUNNER_PREFIX + record.id)
         assert gone is not None
         self._note("leave", gone.key, gone.major)
         self.deployment.runners[number] = replace(record, id=record.id + "n", call_count=0, models=())
--- a/larchgw/experiments/distribution_model.py
+++ b/larchgw/experiments/distribution_model.py
@@ -16,9 +16,9 @@
 
 from thrift.Thrift import TMessageType
 
-from ..distribution.peers import PeerPullers
+from ..distribution.peer_pullers import PeerPullers
+from ..distribution.pull_service import PullService
 from ..distribution.puller import Puller
-from ..distribution.pulls import PullService
 from ..distribution.registry import Registry
 from ..distribution.sources import PullSettings
 from ..rpc.codec import decode_message, encode_message
--- a/larchgw/experiments/fleet.py
+++ b/larchgw/experiments/fleet.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from statistics import median
 
-from ..distribution.interface import CONFIGURATION
+from ..distribution.keys import CONFIGURATION_KEY
 from ..emulator.system.network import Network
 from .fleet_control import ControlProcesses
 from .fleet_dispatchers import Bytes, HollowDispatcher
@@ -140,7 +140,7 @@
         self.dispatchers = []
         for number, address in enumerate(self._addresses(self.size.dispatchers, GOSSIP_OFFSET)):
             dispatcher = HollowDispatcher(number, address, seeds, self.size, self._in_force)
-            dispatcher.registry.watch(CONFIGURATION, lambda entry: self._arrived())
+            dispatcher.registry.watch(CONFIGURATION_KEY, lambda entry: self._arrived())
             self.dispatchers.append(dispatcher)
             await dispatcher.start(gossip)
 
--- a/larchgw/experiments/fleet_dispatchers.py
+++ b/larchgw/experiments/fleet_dispatchers.py
@@ -15,7 +15,7 @@
 from ..configuration.packing import unpack
 from ..configuration.routing import RouteTable
 from ..configuration.validation import parse_committed
-from ..distribution.interface import CONFIGURATION
+from ..distribution.keys import CONFIGURATION_KEY
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
 from ..distribution.sources import PullSettings
@@ -127,7 +127,7 @@
         self._tasks = Tasks()
         self.registry = Registry(f"{name}.{time.time_ns()}")
         self.view = RunnerView(self.registry)
-        self.registry.watch(CONFIGURATION, self._configure)
+        self.registry.watch(CONFIGURATION_KEY, self._configure)
         me = Member(name, address, "edge", int(time.time() * 1000))
         self.swim = MeteredSwim(me, dice)
         host, _, port = address.rpartition(":")
@@ -173,7 +173,7 @@
     @property
     def record(self) -> int:
         """Which record of control's log made the configuration that it has; 0 before one has come."""
-        entry = self.registry.get(CONFIGURATION)
+        entry = self.registry.get(CONFIGURATION_KEY)
         return entry.major if entry is not None else 0
 
     def _connect(self, address: str) -> RpcClient:
--- a/larchgw/model_checking/check_ins/cluster.py
+++ b/larchgw/model_checking/check_ins/cluster.py
@@ -23,7 +23,7 @@
 from functools import partial
 
 from ...control.majority_contact import HEARD_WITHIN_S
-from ...distribution.interface import RUNNER
+from ...distribution.keys import RUNNER_PREFIX
 from ...runner_directory.records import RunnerRecord, Stage
 from .network import Network
 from .processes import ControlProcess, Edge, Runner, now
@@ -288,5 +288,5 @@
 
 
 def _stage_at(edge: Edge, runner: str) -> Stage | None:
-    entry = edge.registry.get(RUNNER + runner)
+    entry = edge.registry.get(RUNNER_PREFIX + runner)
     return RunnerRecord.decode(entry.value).stage if entry is not None else None
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -12,11 +12,11 @@
 
 from ...control.checkins import RunnerCheckins
 from ...control.majority_contact import PullContact
-from ...distribution.handoff import Handoff
-from ...distribution.interface import CONFIGURATION
-from ...distribution.peers import PeerPullers
+from ...distribution.hinted_handoff import HintedHandoff
+from ...distribution.keys import CONFIGURATION_KEY
+from ...distribution.peer_pullers import PeerPullers
+from ...distribution.pull_service import PullService
 from ...distribution.puller import Puller
-from ...distribution.pulls import PullService
 from ...distribution.registry import Registry
 from ...distribution.sources import PullSettings
 from ...replication.view import first_view
@@ -74,11 +74,11 @@
         self.pulls = PullService(
             self.registry, self.contact.isolated, lambda: self._names, limit_bytes=REPLY_LIMIT_BYTES
         )
-        self.handoff = Handoff(self._connect, lambda: self._others)
+        self.handoff = HintedHandoff(self._connect, lambda: self._others)
         self.directory = Directory(self.registry, now, BEAT_S, self.registry.origin)
         self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
         if self.disk is not None:
-            self.registry.put(CONFIGURATION, self.disk[1], self.disk[0])
+            self.registry.put(CONFIGURATION_KEY, self.disk[1], self.disk[0])
         self._tasks = [asyncio.ensure_future(work()) for work in (peers.run, self.handoff.run, self._tick)]
 
     async def end(self) -> None:
@@ -91,7 +91,7 @@
     def configure(self, version: int) -> None:
         """Takes a configuration, as the primary does once it is committed."""
         self.disk = (version, b"configuration")
-        self.registry.put(CONFIGURATION, b"configuration", version)
+        self.registry.put(CONFIGURATION_KEY, b"configuration", version)
 
     def stage(self, runner: str) -> Stage | None:
         """What it knows of a runner."""
@@ -156,7 +156,7 @@
 
     def configuration(self) -> int:
         """The version in force; 0: none, and every request is answered 503."""
-        entry = self.registry.get(CONFIGURATION)
+        entry = self.registry.get(CONFIGURATION_KEY)
         return entry.major if entry is not None else 0
 
     async def serve(self, method: str, argument: Any) -> Any:
--- a/larchgw/runner_directory/directory.py
+++ b/larchgw/runner_directory/directory.py
@@ -28,7 +28,7 @@
 
 import structlog
 
-from ..distribution.interface import RUNNER
+from ..distribution.keys import RUNNER_PREFIX
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
 from .records import RunnerRecord, Stage
@@ -101,10 +101,10 @@
         self._lost: dict[str, float] = {}  # owner -> since when it is known to be lost
         self._last_tick = clock()
         self._forgot_at = self._last_tick
-        for entry in registry.items(RUNNER):
+        for entry in registry.items(RUNNER_PREFIX):
             self._learn(entry)
-        registry.watch(RUNNER, self._learn)
-        registry.watch_removals(RUNNER, self._forgotten)
+        registry.watch(RUNNER_PREFIX, self._learn)
+        registry.watch_removals(RUNNER_PREFIX, self._forgotten)
 
     @property
     def silent_after_s(self) -> float:
@@ -181,7 +181,7 @@
 
     def _publish(self, record: RunnerRecord) -> bool:
         major = GONE_MAJOR if record.stage is Stage.GONE else record.call_count
-        return self._registry.put(RUNNER + record.id, record.encode(), major, int(record.stage))
+        return self._registry.put(RUNNER_PREFIX + record.id, record.encode(), major, int(record.stage))
 
     def _learn(self, entry: Entry) -> None:
         """An entry of a runner is news, made here or elsewhere."""
@@ -250,10 +250,10 @@
         }
         if not old:
             return
-        self._registry.remove_older(RUNNER, lambda entry: entry.key.removeprefix(RUNNER) in old)
+        self._registry.remove_older(RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in old)
 
     def _forgotten(self, entry: Entry) -> None:
-        id = entry.key.removeprefix(RUNNER)
+        id = entry.key.removeprefix(RUNNER_PREFIX)
         self._unnote(id)
         self._replicated.pop(id, None)
 
--- a/larchgw/runner_directory/view.py
+++ b/larchgw/runner_directory/view.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..distribution.interface import RUNNER
+from ..distribution.keys import RUNNER_PREFIX
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
 from .directory import KEEP_S
@@ -36,10 +36,10 @@
         self._services: dict[str, dict[str, RunnerRecord]] = {}
         self._at_address: dict[str, list[str]] = {}  # ids, the newest last
         self._watchers: list[Watcher] = []
-        for entry in registry.items(RUNNER):
+        for entry in registry.items(RUNNER_PREFIX):
             self._learn(entry)
-        registry.watch(RUNNER, self._learn)
-        registry.watch_removals(RUNNER, self._forgotten)
+        registry.watch(RUNNER_PREFIX, self._learn)
+        registry.watch_removals(RUNNER_PREFIX, self._forgotten)
 
     def __len__(self) -> int:
         return len(self._listed)
@@ -74,7 +74,7 @@
         }
         if not old:
             return
-        self._registry.remove_older(RUNNER, lambda entry: entry.key.removeprefix(RUNNER) in old)
+        self._registry.remove_older(RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in old)
 
     def _learn(self, entry: Entry) -> None:
         record = RunnerRecord.decode(entry.value)
@@ -95,7 +95,7 @@
                 self._list(id, tell=False)
 
     def _forgotten(self, entry: Entry) -> None:
-        record = self._known.pop(entry.key.removeprefix(RUNNER))
+        record = self._known.pop(entry.key.removeprefix(RUNNER_PREFIX))
         del self._changed_at[record.id]
         listed = record.id in self._listed
         self._unlist(record.id)
--- a/tests/control/test_checkins.py
+++ b/tests/control/test_checkins.py
@@ -10,7 +10,7 @@
 import testtools
 
 from larchgw.control.checkins import HANDOFF_TIMEOUT_S, RunnerCheckins
-from larchgw.distribution.handoff import Handoff
+from larchgw.distribution.hinted_handoff import HintedHandoff
 from larchgw.distribution.registry import Registry
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import PushReply, PushRequest
@@ -46,7 +46,7 @@
 
     def play(self, main: Coroutine[Any, Any, None]) -> None:
         async def played() -> None:
-            self.handoff = Handoff(connecting(self.peers), lambda: ["b", "c"])
+            self.handoff = HintedHandoff(connecting(self.peers), lambda: ["b", "c"])
             self.directory = Directory(self.registry, now, BEAT_S, "a/1")
             self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
             try:
--- a/tests/control/test_majority_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -12,7 +12,7 @@
 
 from larchgw.control.latest_view import NewestView
 from larchgw.control.majority_contact import HEARD_WITHIN_S, PullContact
-from larchgw.distribution.peers import PeerPullers
+from larchgw.distribution.peer_pullers import PeerPullers
 from larchgw.distribution.registry import Registry
 from larchgw.distribution.sources import PullSettings
 from larchgw.emulator.virtual_loop import run
--- a/tests/control/test_publication.py
+++ b/tests/control/test_publication.py
@@ -8,7 +8,7 @@
 from larchgw.configuration.packing import pack, unpack
 from larchgw.control.publication import PUBLISH_AFTER_S, ConfigurationPublisher
 from larchgw.control.state import ConfigurationState, Order
-from larchgw.distribution.interface import CONFIGURATION
+from larchgw.distribution.keys import CONFIGURATION_KEY
 from larchgw.distribution.registry import Registry
 from tests.support.configurations import body, example
 
@@ -25,7 +25,7 @@
         self.publisher.committed(now)
 
     def published(self):
-        entry = self.registry.get(CONFIGURATION)
+        entry = self.registry.get(CONFIGURATION_KEY)
         return entry.major if entry is not None else None
 
     def test_the_primary_publishes_at_once(self):
@@ -52,7 +52,7 @@
         self.assertEqual(3, self.published())
 
     def test_nothing_older_replaces_what_another_has_published(self):
-        self.registry.put(CONFIGURATION, b"newer", 9)
+        self.registry.put(CONFIGURATION_KEY, b"newer", 9)
         self.is_primary = True
         self.commit(3, 7, now=1.0)
         self.assertEqual(9, self.published())
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -30,7 +30,7 @@
 from larchgw.control.runner_ownership import owner_name
 from larchgw.control.state import ConfigurationState, Order
 from larchgw.control.status import StatusService, StatusSources
-from larchgw.distribution.placer import publish_placer
+from larchgw.distribution.placer_entry import publish_placer
 from larchgw.distribution.registry import Registry
 from larchgw.membership.member import Member as Process
 from larchgw.membership.settings import SwimSettings
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -19,7 +19,7 @@
 from larchgw.control import node
 from larchgw.control.node import ControlNode
 from larchgw.control.status import StatusService, as_object
-from larchgw.distribution.interface import PLACER
+from larchgw.distribution.keys import PLACER_KEY
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry
 from larchgw.distribution.sources import PullSettings
@@ -110,7 +110,7 @@
         self.assertEqual((1, 0), (status.disk.first_index, status.disk.last_index))
 
     def test_the_placer_and_the_runners_are_those_of_the_registry(self) -> None:
-        self.node.registry.put(PLACER, json.dumps({"address": "10.0.0.3:7660"}).encode(), 70_001)
+        self.node.registry.put(PLACER_KEY, json.dumps({"address": "10.0.0.3:7660"}).encode(), 70_001)
         self.node.directory.checkin(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
         status = self.service.read()
         self.assertEqual(("10.0.0.3:7660", 70_001), (status.placer, status.placer_fence))
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from larchgw.distribution.handoff import Handoff
-from larchgw.distribution.peers import PeerPullers
+from larchgw.distribution.hinted_handoff import HintedHandoff
+from larchgw.distribution.peer_pullers import PeerPullers
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry, rank
 from larchgw.distribution.sources import PullSettings
@@ -30,7 +30,7 @@
         self.pullers = PeerPullers(
             self.registry, connecting(others), lambda: names, SETTINGS, dice, clock=now
         )
-        self.handoff = Handoff(connecting(others), lambda: names)
+        self.handoff = HintedHandoff(connecting(others), lambda: names)
         self.tasks = [asyncio.ensure_future(self.pullers.run()), asyncio.ensure_future(self.handoff.run())]
 
     async def end(self) -> None:
--- a/tests/distribution/test_handoff.py
+++ b/tests/distribution/test_hinted_handoff.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.distribution.handoff import BATCH, PACE_S, Handoff
-from larchgw.distribution.hints import Hints
+from larchgw.distribution.hinted_handoff import BATCH, PACE_S, HintedHandoff
+from larchgw.distribution.hints import HintStore
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import Entry
 from tests.support.scripted_peers import Peer, connecting, now
@@ -27,19 +27,19 @@
 
 class HintsTest(testtools.TestCase):
     def test_only_the_newest_of_a_key_is_kept(self) -> None:
-        hints = Hints(10)
+        hints = HintStore(10)
         hints.keep("a", [entry("runner/x", 3)])
         hints.keep("a", [entry("runner/x", 2)])
         self.assertEqual([3], [hint.major for hint in hints.first("a", 10)])
 
     def test_the_oldest_is_dropped_and_counted_where_there_are_too_many(self) -> None:
-        hints = Hints(3)
+        hints = HintStore(3)
         hints.keep("a", entries(5))
         self.assertEqual([3, 4, 5], [hint.major for hint in hints.first("a", 10)])
         self.assertEqual(2, hints.dropped)
 
     def test_what_changed_during_a_handover_stays(self) -> None:
-        hints = Hints(10)
+        hints = HintStore(10)
         hints.keep("a", [entry("runner/x", 1)])
         under_way = hints.first("a", 10)
         hints.keep("a", [entry("runner/x", 2)])
@@ -47,7 +47,7 @@
         self.assertEqual([2], [hint.major for hint in hints.first("a", 10)])
 
     def test_hints_for_ever_more_lost_peers_stay_bounded(self) -> None:
-        hints = Hints(10, most_peers=4)
+        hints = HintStore(10, most_peers=4)
         for number in range(100):
             hints.keep(f"peer{number}", entries(2))
         self.assertEqual(["peer96", "peer97", "peer98", "peer99"], hints.peers())
@@ -55,7 +55,7 @@
 
     @given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 5), st.integers(1, 50)), max_size=60))
     def test_bounds_hold_and_the_newest_survives(self, kept: list[tuple[str, int, int]]) -> None:
-        hints = Hints(3)
+        hints = HintStore(3)
         newest: dict[tuple[str, int], int] = {}
         for peer, key, major in kept:
             hints.keep(peer, [entry(f"runner/{key}", major)])
@@ -70,7 +70,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.peers = [Peer("a"), Peer("b")]
-        self.handoff = Handoff(connecting(self.peers), lambda: ["a", "b"], node_name="me")
+        self.handoff = HintedHandoff(connecting(self.peers), lambda: ["a", "b"], node_name="me")
 
     def test_all_live_peers_have_it_when_replicate_returns(self) -> None:
         async def main() -> None:
@@ -147,7 +147,7 @@
 
     def test_without_peers_replicate_returns_at_once(self) -> None:
         async def main() -> None:
-            alone = Handoff(connecting([]), list)
+            alone = HintedHandoff(connecting([]), list)
             self.assertEqual(set(), await alone.replicate([entry("runner/x")], 0.4))
 
         run(main())
--- a/tests/distribution/test_pulls.py
+++ b/tests/distribution/test_pull_service.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from larchgw.distribution.pulls import GATHER_S, PullService
+from larchgw.distribution.pull_service import GATHER_S, PullService
 from larchgw.distribution.registry import Registry
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import Entry, PullReply, PullRequest, PushRequest
--- a/tests/distribution/test_puller.py
+++ b/tests/distribution/test_puller.py
@@ -10,18 +10,18 @@
 from structlog.testing import capture_logs
 
 from larchgw.configuration.settings import TimeLimits
-from larchgw.distribution.peers import PeerPullers
+from larchgw.distribution.peer_pullers import PeerPullers
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry
-from larchgw.distribution.sources import PullSettings, SourceChoice
+from larchgw.distribution.sources import PullSettings, SourceSelector
 from larchgw.emulator.virtual_loop import run
 from tests.support.scripted_peers import Peer, connecting, now
 
 SETTINGS = PullSettings()
 
 
-def choice(near: Callable[[str], bool] | None = None, seed: int = 1) -> SourceChoice:
-    return SourceChoice(SETTINGS, random.Random(seed), near)
+def choice(near: Callable[[str], bool] | None = None, seed: int = 1) -> SourceSelector:
+    return SourceSelector(SETTINGS, random.Random(seed), near)
 
 
 class SourceChoiceTest(testtools.TestCase):
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -17,15 +17,15 @@
 
 from larchgw.configuration.packing import pack, unpack
 from larchgw.control.latest_view import NewestView
-from larchgw.distribution import interface
-from larchgw.distribution.handoff import Handoff
-from larchgw.distribution.peers import PeerPullers
-from larchgw.distribution.placer import known_placer, publish_placer
+from larchgw.distribution import keys
+from larchgw.distribution.hinted_handoff import HintedHandoff
+from larchgw.distribution.peer_pullers import PeerPullers
+from larchgw.distribution.placer_entry import known_placer, publish_placer
+from larchgw.distribution.pull_service import PullService
 from larchgw.distribution.puller import Puller
-from larchgw.distribution.pulls import PullService
 from larchgw.distribution.registry import Registry, size
 from larchgw.distribution.sources import PullSettings
-from larchgw.distribution.vectors import cursors, new_origin, without_cursors
+from larchgw.distribution.version_vectors import cursors, new_origin, without_cursors
 from larchgw.edge.expected_loads import Expectations
 from larchgw.emulator.virtual_loop import run
 from larchgw.replication.view import View
@@ -52,11 +52,11 @@
 def filled_registry() -> Registry:
     """A registry with one entry of every kind, as the processes publish them."""
     registry = Registry(new_origin("control-1", random.Random(7)))
-    registry.put(interface.CONFIGURATION, pack(CONFIGURATION), 31)
-    registry.put(interface.RUNNER + RUNNER.id, RUNNER.encode(), RUNNER.call_count, int(RUNNER.stage))
+    registry.put(keys.CONFIGURATION_KEY, pack(CONFIGURATION), 31)
+    registry.put(keys.RUNNER_PREFIX + RUNNER.id, RUNNER.encode(), RUNNER.call_count, int(RUNNER.stage))
     publish_placer(registry, "10.0.0.1:7000", 5)
     NewestView(lambda: VIEW, registry).publish()
-    registry.put(interface.EXPECTED + "r-1", json.dumps(EXPECTED).encode(), 5, 2)
+    registry.put(keys.EXPECTED_LOADS_PREFIX + "r-1", json.dumps(EXPECTED).encode(), 5, 2)
     return registry
 
 
@@ -202,7 +202,7 @@
                 node_name=name,
                 clock=now,
             )
-            handoffs[name] = Handoff(connect, lambda others=others: others, node_name=name)
+            handoffs[name] = HintedHandoff(connect, lambda others=others: others, node_name=name)
             tasks += [asyncio.ensure_future(pullers.run()), asyncio.ensure_future(handoffs[name].run())]
         await asyncio.sleep(0.3)
         registries["a"].put("runner/r-1", RUNNER.encode(), RUNNER.call_count, int(RUNNER.stage))
@@ -250,10 +250,10 @@
     assert sorted(recorded("entries.json")["entries"]) == [
         "configuration", "expected/r-1", "placer", "runner/r-1", "view"
     ]  # fmt: skip
-    assert (interface.CONFIGURATION, interface.RUNNER, interface.PLACER) == (
+    assert (keys.CONFIGURATION_KEY, keys.RUNNER_PREFIX, keys.PLACER_KEY) == (
         "configuration", "runner/", "placer"
     )  # fmt: skip
-    assert (interface.VIEW, interface.EXPECTED) == ("view", "expected/")
+    assert (keys.VIEW_KEY, keys.EXPECTED_LOADS_PREFIX) == ("view", "expected/")
 
 
 @pytest.mark.parametrize(
--- a/tests/distribution/test_registry.py
+++ b/tests/distribution/test_registry.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from larchgw.distribution.registry import Registry, rank
-from larchgw.distribution.vectors import cursor_name, cursors, without_cursors
+from larchgw.distribution.version_vectors import cursor_name, cursors, without_cursors
 from larchgw.rpc.generated.ttypes import Entry, PullReply
 
 KEYS = ["runner/a", "runner/b", "expected/a", "configuration"]
--- a/tests/edge/test_partitioned_control.py
+++ b/tests/edge/test_partitioned_control.py
@@ -11,8 +11,8 @@
 
 from larchgw.configuration.packing import pack
 from larchgw.configuration.settings import Listen, NodeSettings
-from larchgw.distribution.interface import CONFIGURATION, RUNNER
-from larchgw.distribution.pulls import PullService
+from larchgw.distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
+from larchgw.distribution.pull_service import PullService
 from larchgw.distribution.registry import Registry
 from larchgw.edge.node import EdgeNode
 from larchgw.rpc.server import RpcServer
@@ -58,9 +58,9 @@
 
     def publish(self, version: int) -> None:
         raw = example(config_version=version)
-        self.registry.put(CONFIGURATION, pack(raw), version)
+        self.registry.put(CONFIGURATION_KEY, pack(raw), version)
         record = RunnerRecord("i-1", "models", f"{HOST}:9", "a", call_count=version)
-        self.registry.put(RUNNER + "i-1", record.encode(), version)
+        self.registry.put(RUNNER_PREFIX + "i-1", record.encode(), version)
 
     async def until(self, status: int) -> None:
         """Waits until the edge answers the platform so."""
@@ -118,5 +118,5 @@
         await system.until_runner_is_known(call_count=4)
         assert await system.get(system.ready, "/ready") == 200
         assert await system.get(system.front, "/nowhere") == NO_ROUTE
-        held = system.edge.registry.get(CONFIGURATION)
+        held = system.edge.registry.get(CONFIGURATION_KEY)
         assert held is not None and held.major == 3
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -9,7 +9,7 @@
 
 from larchgw.configuration.packing import pack
 from larchgw.configuration.settings import Listen, NodeSettings
-from larchgw.distribution.interface import CONFIGURATION, RUNNER
+from larchgw.distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
 from larchgw.edge import node as node_module
 from larchgw.edge.node import NOTICE_S, EdgeNode
 from larchgw.runner_directory.records import RunnerRecord
@@ -48,9 +48,9 @@
     node = EdgeNode(settings)
     await node.start()
     assert await status(node) == 503
-    node.registry.put(CONFIGURATION, pack(example()), 1)
+    node.registry.put(CONFIGURATION_KEY, pack(example()), 1)
     assert await status(node) == 503  # it knows no runner
-    node.registry.put(RUNNER + "i-1", RunnerRecord("i-1", "s", "10.0.0.1:1", "z").encode(), 1)
+    node.registry.put(RUNNER_PREFIX + "i-1", RunnerRecord("i-1", "s", "10.0.0.1:1", "z").encode(), 1)
     assert await status(node) == 200
     stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0)  # the handler of the signal has run; nothing else has
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from larchgw.distribution.pulls import PullService
+from larchgw.distribution.pull_service import PullService
 from larchgw.distribution.registry import Registry
 from larchgw.rpc.errors import RpcConnectionError, RpcTimeoutError
 
