--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -32,8 +32,8 @@
 class Caller(Protocol):
     """A connection to one process; rpc.client.RpcClient is the real one."""
 
-    async def call(self, method: str, argument: Any, timeout: float) -> Any:
-        """The answer. `timeout` is in seconds. Raises RpcError."""
+    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
+        """The answer. `timeout_s` is in seconds. Raises RpcError."""
 
     def close(self) -> None:
         """Ends the connection."""
--- a/larchgw/experiments/distribution_model.py
+++ b/larchgw/experiments/distribution_model.py
@@ -100,9 +100,9 @@
         self._peer = peer
         self._meter = meter
 
-    async def call(self, method: str, argument: Any, timeout: float) -> Any:
+    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 return await self._exchange(method, argument)
         except TimeoutError:
             raise RpcTimeoutError(f"{self._peer.name} is silent") from None
--- a/larchgw/model_checking/check_ins/network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -69,10 +69,10 @@
             and self.passes(other, one)
         )
 
-    async def call(self, sender: str, receiver: str, method: str, argument: Any, timeout: float) -> Any:
+    async def call(self, sender: str, receiver: str, method: str, argument: Any, timeout_s: float) -> Any:
         """The answer. Raises RpcError."""
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 return await self._exchange(sender, receiver, method, argument)
         except TimeoutError:
             raise RpcTimeoutError(f"{receiver} is silent") from None
@@ -104,9 +104,9 @@
     def __init__(self, network: Network, sender: str, receiver: str) -> None:
         self._network, self._sender, self._receiver = network, sender, receiver
 
-    async def call(self, method: str, argument: Any, timeout: float) -> Any:
+    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
         """See Caller."""
-        return await self._network.call(self._sender, self._receiver, method, argument, timeout)
+        return await self._network.call(self._sender, self._receiver, method, argument, timeout_s)
 
     def close(self) -> None:
         """Nothing is kept open."""
--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -161,7 +161,7 @@
         for _ in range(copies):
             self._cluster.transmit(self._caller, self.address, lambda receiver: receiver.log.receive(message))
 
-    async def call(self, method: str, argument: Any, timeout: float) -> Any:
+    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
         """A call that is passed on. Raises RpcError."""
         call: OperatorCall = argument
         future: asyncio.Future[OperatorAnswer] = self._cluster.loop.create_future()
@@ -171,10 +171,10 @@
             lambda receiver: receiver.serve(lambda: self._answer(receiver, call, future)),
         )
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            raise RpcTimeoutError(f"{self.address}: no answer in {timeout:.2f} s") from None
+            raise RpcTimeoutError(f"{self.address}: no answer in {timeout_s:.2f} s") from None
 
     async def _answer(
         self, receiver: Process, call: OperatorCall, future: asyncio.Future[OperatorAnswer]
--- a/larchgw/rpc/client.py
+++ b/larchgw/rpc/client.py
@@ -109,14 +109,14 @@
         self._sequence = 0
         self._posted: list[bytes] = []  # until the connection is up
 
-    async def call(self, method: str, argument: Any, timeout: float) -> Any:
-        """What `method` returned. `timeout` is in seconds. Raises RpcError."""
+    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
+        """What `method` returned. `timeout_s` is in seconds. Raises RpcError."""
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 connection = await self._connect()
                 return await self._exchange(connection, method, argument)
         except TimeoutError:
-            raise RpcTimeoutError(f"{method} at {self.address}: no answer in {timeout:.2f} s") from None
+            raise RpcTimeoutError(f"{method} at {self.address}: no answer in {timeout_s:.2f} s") from None
 
     async def send(self, method: str, argument: Any) -> None:
         """A call that has no answer. Raises RpcError if it could not be sent."""
--- a/tests/control/test_operator_calls.py
+++ b/tests/control/test_operator_calls.py
@@ -55,7 +55,7 @@
         peers = self
 
         class Client:
-            async def call(self, method: str, call: OperatorCall, timeout: float) -> OperatorAnswer:
+            async def call(self, method: str, call: OperatorCall, timeout_s: float) -> OperatorAnswer:
                 peers.called.append(address)
                 if not peers.answers[address]:
                     raise RpcConnectionError("gone")
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -89,16 +89,16 @@
     def __init__(self, transcript: Transcript, caller: str, address: str) -> None:
         self.transcript, self.caller, self.address = transcript, caller, address
 
-    async def call(self, method: str, argument: Any, timeout: float) -> Any:
+    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
         sent = encode_struct(argument)
         now = round(asyncio.get_running_loop().time(), 6)
-        line = [now, self.caller, self.address, method, timeout, sent.hex(), ""]
+        line = [now, self.caller, self.address, method, timeout_s, sent.hex(), ""]
         self.transcript.calls.append(line)
         if self.address in self.transcript.unreachable:
             raise RpcConnectionError(f"{self.address} is down", sent=False)
         service = self.transcript.services[self.address]
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 reply = await getattr(service, method)(decode_struct(type(argument), sent))
                 while self.address in self.transcript.hung:
                     await asyncio.sleep(0.01)
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -30,13 +30,13 @@
         self.registry = Registry(f"{self.name}.{life}")
         self.service = PullService(self.registry, lambda: self.isolated, lambda: self.known)
 
-    async def answer(self, method: str, argument: Any, timeout: float) -> Any:
+    async def answer(self, method: str, argument: Any, timeout_s: float) -> Any:
         self.calls.append((now(), method))
         self.arguments.append(argument)
         if self.down:
             raise RpcConnectionError(f"{self.name} is down", sent=False)
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 reply = await getattr(self.service, method)(argument)
                 await self._while_hung()
                 return reply
@@ -54,8 +54,8 @@
         self.peer = peer
         peer.connections += 1
 
-    async def call(self, method: str, argument: Any, timeout: float) -> Any:
-        return await self.peer.answer(method, argument, timeout)
+    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
+        return await self.peer.answer(method, argument, timeout_s)
 
     def close(self) -> None:
         self.peer.connections -= 1
