--- a/larchgw/experiments/membership.py
+++ b/larchgw/experiments/membership.py
@@ -11,7 +11,7 @@
 from statistics import median, quantiles
 
 from ..emulator.datagrams import DatagramNetwork, Link
-from ..membership.member import Role, State
+from ..membership.member import MemberState, Role
 from .results import Options, Result
 
 SIZES = (30, 100, 300, 500)
@@ -103,8 +103,8 @@
     network.run(seconds)
     after = _sent(network)
     share = len(network.processes) * seconds
-    suspected = {(m.address, m.refutations) for _, _, m in network.changes if m.state is State.SUSPECT}
-    dead = {m.address for _, _, m in network.changes if m.state is State.DEAD}
+    suspected = {(m.address, m.refutations) for _, _, m in network.changes if m.state is MemberState.SUSPECT}
+    dead = {m.address for _, _, m in network.changes if m.state is MemberState.DEAD}
     return Quiet(
         seconds, (after[0] - before[0]) / share, (after[1] - before[1]) / share, len(suspected), len(dead)
     )
@@ -122,7 +122,7 @@
     return [
         time - killed[member.address]
         for time, who, member in network.changes
-        if member.state is State.DEAD and member.address in killed and who not in killed
+        if member.state is MemberState.DEAD and member.address in killed and who not in killed
     ]
 
 
--- a/larchgw/membership/codec.py
+++ b/larchgw/membership/codec.py
@@ -13,7 +13,7 @@
 from enum import IntEnum
 from zlib import crc32
 
-from .member import InvalidMember, Member, Role, State, pack_address, unpack_address
+from .member import InvalidMemberError, Member, MemberState, Role, pack_address, unpack_address
 
 MAX_DATAGRAM_BYTES = 1200  # below every usual MTU, so that nothing is fragmented
 MAGIC = b"lM"
@@ -234,7 +234,7 @@
             zone,
             rpc,
             refutations,
-            State(flags & STATE_MASK),
+            MemberState(flags & STATE_MASK),
         )
         return Update(member, accuser)
 
@@ -243,6 +243,6 @@
     """Whether a datagram can be sent there."""
     try:
         pack_address(address)
-    except InvalidMember:
+    except InvalidMemberError:
         return False
     return True
--- a/larchgw/membership/dissemination.py
+++ b/larchgw/membership/dissemination.py
@@ -6,14 +6,14 @@
 from math import ceil, log10
 
 from .codec import Update, encode_update
-from .member import State
+from .member import MemberState
 from .settings import SwimSettings
 
 
 @dataclass(slots=True)
 class _Queued:
     record: bytes
-    state: State
+    state: MemberState
     sends: int = 0
 
     @property
--- a/larchgw/membership/interface.py
+++ b/larchgw/membership/interface.py
@@ -3,7 +3,7 @@
     member.Member(name, address, role, incarnation, zone="", address_rpc="")
         what is known of one life of a process: `state` ALIVE, SUSPECT, DEAD, LEFT; `present` for the first
         two. `address` is that of its membership socket, `incarnation` the time of day at its start in ms.
-    swim.Swim(me: Member, settings: SwimSettings, random)  pure: fed datagrams and time; InvalidMember
+    swim.Swim(me: Member, settings: SwimSettings, random)  pure: fed datagrams and time; InvalidMemberError
         .join(addresses)                                   seeds, as membership addresses; again on a change
         .receive(now, sender, datagram) -> list[Datagram], .tick(now) -> list[Datagram]
         .leave(now) -> list[Datagram]
--- a/larchgw/membership/member.py
+++ b/larchgw/membership/member.py
@@ -13,11 +13,11 @@
 MAX_TEXT_BYTES = 64  # of a name or a zone, so that several records fit into a datagram
 
 
-class InvalidMember(ValueError):
+class InvalidMemberError(ValueError):
     """A member cannot be described in a datagram; the message says what to change."""
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """The order is that of precedence among reports on the same incarnation and refutation."""
 
     ALIVE = 0
@@ -42,7 +42,7 @@
     zone: str = ""
     address_rpc: str = ""
     refutations: int = 0
-    state: State = State.ALIVE
+    state: MemberState = MemberState.ALIVE
 
     @property
     def precedence(self) -> tuple[int, int, int]:
@@ -50,31 +50,33 @@
         return (self.incarnation, self.refutations, self.state)
 
     @property
-    def present(self) -> bool:
+    def is_present(self) -> bool:
         """Whether it counts as a member: alive or suspect."""
-        return self.state <= State.SUSPECT
+        return self.state <= MemberState.SUSPECT
 
 
 def check_member(member: Member) -> None:
-    """Raises InvalidMember if it cannot be described in a datagram."""
+    """Raises InvalidMemberError if it cannot be described in a datagram."""
     for text, what in ((member.name, "name"), (member.zone, "zone")):
         if len(text.encode()) > MAX_TEXT_BYTES:
-            raise InvalidMember(f"{what} {text!r} is over {MAX_TEXT_BYTES} bytes; shorten it")
+            raise InvalidMemberError(f"{what} {text!r} is over {MAX_TEXT_BYTES} bytes; shorten it")
     pack_address(member.address)
     if member.address_rpc:
         pack_address(member.address_rpc)
     if not 0 <= member.incarnation < 1 << 63:
-        raise InvalidMember(f"incarnation {member.incarnation} is out of range; give milliseconds")
+        raise InvalidMemberError(f"incarnation {member.incarnation} is out of range; give milliseconds")
 
 
 @lru_cache(maxsize=2048)
 def pack_address(address: str) -> bytes:
-    """Six bytes: IPv4 and port. Raises InvalidMember."""
+    """Six bytes: IPv4 and port. Raises InvalidMemberError."""
     host, _, port = address.rpartition(":")
     try:
         return socket.inet_aton(host) + int(port).to_bytes(2, "big")
     except (OSError, ValueError, OverflowError):
-        raise InvalidMember(f"{address!r} is no IPv4 address and port; give one as 10.0.0.1:7660") from None
+        raise InvalidMemberError(
+            f"{address!r} is no IPv4 address and port; give one as 10.0.0.1:7660"
+        ) from None
 
 
 @lru_cache(maxsize=2048)
--- a/larchgw/membership/member_states.py
+++ b/larchgw/membership/member_states.py
@@ -10,7 +10,7 @@
 from .death_verification import Doubts
 from .dissemination import Dissemination
 from .local_health import LocalHealth
-from .member import Member, State
+from .member import Member, MemberState
 from .probing import RoundRobin
 from .settings import SwimSettings
 from .suspicion import Suspicions
@@ -60,14 +60,14 @@
     def suspect(self, now: float, address: str, incarnation: int) -> None:
         """This process's own probe of that life failed."""
         known = self.table.get(address)
-        if known is None or not known.present or known.incarnation != incarnation:
+        if known is None or not known.is_present or known.incarnation != incarnation:
             return
-        suspect = replace(known, state=State.SUSPECT)
+        suspect = replace(known, state=MemberState.SUSPECT)
         self._merge(now, Update(suspect, self.me.address), gossiped=True)
 
     def leave(self) -> None:
         """This process ends by plan."""
-        self._describe_self(replace(self.me, state=State.LEFT))
+        self._describe_self(replace(self.me, state=MemberState.LEFT))
 
     def postpone(self, seconds: float) -> None:
         """This process did not run for so long: suspicions go on that much longer."""
@@ -78,11 +78,11 @@
         self.news.refill(now)
         for dead, source in self.doubts.unanswered(now):
             if self._is_death_of_present(dead):
-                self._merge(now, Update(replace(dead, state=State.SUSPECT), source), gossiped=True)
+                self._merge(now, Update(replace(dead, state=MemberState.SUSPECT), source), gossiped=True)
         for address in self.suspicions.expired(now):
             known = self.table.get(address)
             if known is not None:
-                self._accept(now, known, Update(replace(known, state=State.DEAD)), gossiped=True)
+                self._accept(now, known, Update(replace(known, state=MemberState.DEAD)), gossiped=True)
         while self._gone_since:
             address, since = next(iter(self._gone_since.items()))
             if now - since < self._settings.dead_retention:
@@ -96,15 +96,15 @@
     def dead(self) -> list[Member]:
         """Members that ended without leaving, as long as they are remembered."""
         gone = (self.table.get(address) for address in self._gone_since)
-        return [member for member in gone if member is not None and member.state is State.DEAD]
+        return [member for member in gone if member is not None and member.state is MemberState.DEAD]
 
     def _is_death_of_present(self, heard: Member) -> bool:
         """Whether it ends a life that is present here and has not contradicted it."""
         known = self.table.get(heard.address)
         return (
-            heard.state is State.DEAD
+            heard.state is MemberState.DEAD
             and known is not None
-            and known.present
+            and known.is_present
             and known.address != self.me.address
             and known.incarnation == heard.incarnation
             and known.precedence < heard.precedence
@@ -116,22 +116,22 @@
             return self._hear_of_self(heard)
         known = self.table.get(heard.address)
         if known is None:
-            if not heard.present:  # nothing to end; a stale report must not keep a forgotten member known
+            if not heard.is_present:  # nothing to end; a stale report must not keep a forgotten member known
                 return False
             self._accept(now, None, update, gossiped)
             return True
         if heard.precedence > known.precedence:
             self._accept(now, known, update, gossiped)
             return True
-        if heard.precedence == known.precedence and heard.state is State.SUSPECT:
+        if heard.precedence == known.precedence and heard.state is MemberState.SUSPECT:
             self._confirm(update)
-        elif heard.present and known.state is State.DEAD and not gossiped:
+        elif heard.is_present and known.state is MemberState.DEAD and not gossiped:
             self.reconnect[heard.address] = None
         return False
 
     def _hear_of_self(self, heard: Member) -> bool:
         me = self.me
-        if me.state is State.LEFT or heard.precedence <= me.precedence:
+        if me.state is MemberState.LEFT or heard.precedence <= me.precedence:
             return False
         if heard.incarnation > me.incarnation:  # an earlier life had a clock that ran ahead
             self._describe_self(replace(me, incarnation=heard.incarnation + 1, refutations=0))
@@ -152,17 +152,17 @@
     def _accept(self, now: float, known: Member | None, update: Update, gossiped: bool) -> None:
         member = update.member
         address = member.address
-        if known is not None and known.present and known.incarnation != member.incarnation:
-            self._report(replace(known, state=State.DEAD))
+        if known is not None and known.is_present and known.incarnation != member.incarnation:
+            self._report(replace(known, state=MemberState.DEAD))
         self.table.put(member)
         self._gone_since.pop(address, None)
         self.suspicions.clear(address)
-        if member.present:
+        if member.is_present:
             self.order.add(address)
             self.reconnect.pop(address, None)
         else:
             self._gone_since[address] = now
-        if member.state is State.SUSPECT:
+        if member.state is MemberState.SUSPECT:
             self.suspicions.start(now, address, update.accuser, self.table.present_count())
         if gossiped:
             self.news.add(update)
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -15,7 +15,7 @@
 
 from .codec import Cursor, DecodeError, Draft, Kind, Message, Update, decode, encode_update, valid_address
 from .local_health import LocalHealth
-from .member import Member, Role, State, check_member
+from .member import Member, MemberState, Role, check_member
 from .member_states import Knowledge
 from .probing import Probe, Relays
 from .seeds import Seeds
@@ -40,7 +40,7 @@
     """One process's part in the protocol.
 
     `receive` and `tick` return the datagrams to send; `tick` must be called every 0.1 s. Times are seconds on
-    a clock that goes on while the process is frozen. Raises InvalidMember if `me` cannot be described.
+    a clock that goes on while the process is frozen. Raises InvalidMemberError if `me` cannot be described.
     """
 
     def __init__(self, me: Member, settings: SwimSettings, random: Random) -> None:
@@ -108,7 +108,7 @@
 
     def receive(self, now: float, sender: str, data: bytes) -> list[Datagram]:
         """A datagram came from `sender`. Bytes that are none of this protocol are ignored."""
-        if self.me.state is State.LEFT:
+        if self.me.state is MemberState.LEFT:
             return []
         try:
             message = decode(data)
@@ -132,7 +132,7 @@
 
     def tick(self, now: float) -> list[Datagram]:
         """Lets time pass."""
-        if self.me.state is State.LEFT:
+        if self.me.state is MemberState.LEFT:
             return []
         self._notice_freeze(now)
         self._knowledge.tick(now)
@@ -317,7 +317,7 @@
         message = Message(kind, sequence, self.me, self._table.digest, target, cursor=cursor)
         if kind is Kind.PULL:
             message.buckets = tuple(self._table.buckets)
-        if about is not None and about.state is not State.ALIVE:
+        if about is not None and about.state is not MemberState.ALIVE:
             message.updates.append(Update(about))
         draft = Draft(message)
         for record in self._knowledge.news.take(draft.room, self._table.present_count()):
@@ -337,7 +337,7 @@
 
     def _is_present(self, address: str) -> bool:
         member = self._table.get(address)
-        return member is not None and member.present
+        return member is not None and member.is_present
 
     def _is_present_peer(self, address: str) -> bool:
         return address != self.me.address and self._is_present(address)
--- a/larchgw/membership/table.py
+++ b/larchgw/membership/table.py
@@ -44,7 +44,7 @@
         if member.address not in self._members:
             insort(self._order, (bucket_of(member.address), member.address))
         self._members[member.address] = member
-        if member.present:
+        if member.is_present:
             self._count(member, 1)
             self._position[member.address] = len(self._present)
             self._present.append(member.address)
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -21,7 +21,7 @@
     encode_update,
 )
 from larchgw.membership.dissemination import Dissemination
-from larchgw.membership.member import InvalidMember, Member, State, check_member
+from larchgw.membership.member import InvalidMemberError, Member, MemberState, check_member
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
 
@@ -37,7 +37,7 @@
     zone=st.text(max_size=16),
     address_rpc=st.one_of(st.just(""), ADDRESSES),
     refutations=st.integers(0, 1000),
-    state=st.sampled_from(list(State)),
+    state=st.sampled_from(list(MemberState)),
 )
 UPDATES = st.builds(Update, MEMBERS, st.one_of(st.just(""), ADDRESSES))
 ME = Member("edge-1", "10.0.0.1:7662", "edge", 1000, "zone-a")
@@ -127,7 +127,7 @@
     ],
 )
 def test_a_member_that_no_datagram_can_describe_is_refused_at_the_start(member):
-    with pytest.raises(InvalidMember):
+    with pytest.raises(InvalidMemberError):
         check_member(member)
 
 
@@ -163,7 +163,7 @@
 
 def test_refutations_go_before_suspicions():
     news = Dissemination(SwimSettings())
-    suspect = Update(replace(ME, address="10.0.0.8:1", state=State.SUSPECT), "10.0.0.7:1")
+    suspect = Update(replace(ME, address="10.0.0.8:1", state=MemberState.SUSPECT), "10.0.0.7:1")
     refuted = Update(replace(ME, address="10.0.0.9:1", refutations=1))
     news.add(suspect)
     news.add(refuted)
--- a/tests/membership/test_recorded_bytes.py
+++ b/tests/membership/test_recorded_bytes.py
@@ -13,7 +13,7 @@
 
 from larchgw.emulator.datagrams import DatagramNetwork, Link
 from larchgw.membership.codec import BUCKETS, Cursor, Draft, Kind, Message, Update, decode
-from larchgw.membership.member import Member, State
+from larchgw.membership.member import Member, MemberState
 from larchgw.membership.swim import Datagram, Swim
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "membership"
@@ -23,9 +23,11 @@
 EDGE = Member("edge-1", "10.0.0.1:7662", "edge", 1_764_600_000_123, "zone-a", "", 3)
 CONTROL = Member("core-2", "10.0.0.2:7661", "control", 1_764_600_001_000, "zone-b", "10.0.0.2:7660")
 UPDATES = [
-    Update(Member("edge-9", "10.0.0.9:7662", "edge", 77, "zone-é", "", 2, State.SUSPECT), "10.0.0.2:7661"),
-    Update(Member("core-3", "10.0.0.3:7661", "control", 78, "", "10.0.0.3:7660", 0, State.DEAD)),
-    Update(Member("edge-8", "10.0.0.8:7662", "edge", 79, "zone-a", "", 1, State.LEFT)),
+    Update(
+        Member("edge-9", "10.0.0.9:7662", "edge", 77, "zone-é", "", 2, MemberState.SUSPECT), "10.0.0.2:7661"
+    ),
+    Update(Member("core-3", "10.0.0.3:7661", "control", 78, "", "10.0.0.3:7660", 0, MemberState.DEAD)),
+    Update(Member("edge-8", "10.0.0.8:7662", "edge", 79, "zone-a", "", 1, MemberState.LEFT)),
 ]
 DIGESTS = tuple(number * 0x01010101 for number in range(BUCKETS))
 CURSOR = Cursor(17, "10.0.0.9:7662")
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -7,7 +7,7 @@
 
 from larchgw.emulator.datagrams import DatagramNetwork, Link
 from larchgw.membership.codec import Draft, Kind, Message, Update, decode
-from larchgw.membership.member import Member, State
+from larchgw.membership.member import Member, MemberState
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
 
@@ -49,7 +49,9 @@
 
 
 def others_that_saw_dead(network, of):
-    return {who for _, who, member in network.changes if member.address == of and member.state is State.DEAD}
+    return {
+        who for _, who, member in network.changes if member.address == of and member.state is MemberState.DEAD
+    }
 
 
 def test_processes_started_together_find_each_other_from_seeds():
@@ -82,7 +84,7 @@
     network.kill(address(7))
     network.run(15.0)
     assert sizes(network) == {19}
-    dead = {member.address for _, _, member in network.changes if member.state is State.DEAD}
+    dead = {member.address for _, _, member in network.changes if member.state is MemberState.DEAD}
     assert dead == {address(7)}
     assert [m.name for m in network.processes[address(0)].swim.dead("edge")] == [f"edge-{address(7)}"]
 
@@ -90,7 +92,7 @@
 def test_a_suspect_counts_until_it_is_dead():
     network, swims = fleet(11)
     network.kill(address(10))
-    while not any(m.state is State.SUSPECT for m in swims[3].members()):
+    while not any(m.state is MemberState.SUSPECT for m in swims[3].members()):
         network.run(0.1)
     assert swims[3].count("edge") == 8
 
@@ -99,8 +101,8 @@
     network, _ = fleet(11)
     network.freeze(address(6), 3.0)
     network.run(30.0)
-    assert states(network, address(6)) >= {State.ALIVE, State.SUSPECT}
-    assert not any(member.state is State.DEAD for _, _, member in network.changes)
+    assert states(network, address(6)) >= {MemberState.ALIVE, MemberState.SUSPECT}
+    assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
     assert sizes(network) == {11}
 
 
@@ -116,7 +118,7 @@
     network, _ = fleet(11)
     network.lost_paths.add((address(4), address(5)))
     network.run(120.0)
-    assert not any(member.state is State.DEAD for _, _, member in network.changes)
+    assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
 
 
 def test_a_thawed_process_declares_nobody_dead_and_comes_back():
@@ -128,7 +130,7 @@
     assert all(
         member.address == address(3)
         for _, _, member in network.changes
-        if member.state in (State.SUSPECT, State.DEAD)
+        if member.state in (MemberState.SUSPECT, MemberState.DEAD)
     )
     assert sizes(network) == {20}
 
@@ -138,7 +140,7 @@
     for n in range(20):
         network.freeze(address(n), 20.0)
     network.run(60.0)
-    assert not any(member.state is State.DEAD for _, _, member in network.changes)
+    assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
 
 
 def test_a_restarted_process_is_a_new_life_at_the_same_address():
@@ -152,7 +154,7 @@
         for _, who, member in network.changes
         if who == address(2) and member.address == address(8)
     ]
-    assert seen[-2:] == [(old, State.DEAD), (new.me.incarnation, State.ALIVE)]
+    assert seen[-2:] == [(old, MemberState.DEAD), (new.me.incarnation, MemberState.ALIVE)]
     assert sizes(network) == {11}
     assert swims[0].count("edge") == 8
 
@@ -171,7 +173,7 @@
     network.leave(address(12))
     network.run(3.0)
     assert sizes(network) == {29}
-    assert states(network, address(12), since=network.now - 3.0) == {State.LEFT}
+    assert states(network, address(12), since=network.now - 3.0) == {MemberState.LEFT}
 
 
 def test_parted_halves_find_each_other_again():
@@ -205,7 +207,7 @@
     blamed = {
         m.address
         for t, who, m in network.changes
-        if m.state is State.DEAD and t >= healed and who != address(5)
+        if m.state is MemberState.DEAD and t >= healed and who != address(5)
     }
     assert blamed == set()
 
@@ -252,7 +254,7 @@
 def test_loss_duplicates_and_disorder_lose_no_member(seed):
     network, _ = fleet(30, seed, Link(delay=0.002, spread=0.2, loss=0.05, duplicates=0.1))
     network.run(180.0)
-    assert not any(member.state is State.DEAD for _, _, member in network.changes)
+    assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
     assert sizes(network) == {30}
     network.kill(address(20))
     network.run(25.0)
@@ -286,24 +288,24 @@
 
 def test_a_suspicion_of_oneself_is_refuted_in_the_next_datagram():
     swim = alone()
-    told(swim, 0.1, replace(ME, state=State.SUSPECT), accuser=PEER.address)
+    told(swim, 0.1, replace(ME, state=MemberState.SUSPECT), accuser=PEER.address)
     answers = [decode(d.data) for d in swim.tick(0.2)]
-    assert answers and all(a.sender.refutations == 1 and a.sender.state is State.ALIVE for a in answers)
+    assert answers and all(a.sender.refutations == 1 and a.sender.state is MemberState.ALIVE for a in answers)
     assert swim.health_score == 1
 
 
 def test_an_old_suspicion_of_oneself_is_ignored():
     swim = alone()
-    told(swim, 0.1, replace(ME, state=State.SUSPECT, refutations=4))
-    told(swim, 0.1, replace(ME, state=State.SUSPECT, refutations=2))
-    told(swim, 0.1, replace(ME, state=State.DEAD, incarnation=900))
+    told(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=4))
+    told(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=2))
+    told(swim, 0.1, replace(ME, state=MemberState.DEAD, incarnation=900))
     assert (swim.me.refutations, swim.me.incarnation) == (5, 1000)
 
 
 def test_a_death_that_no_suspicion_preceded_is_asked_about_and_then_a_suspicion():
     swim = alone()
     victim = replace(ME, address="10.0.0.9:7662")
-    dead = replace(victim, state=State.DEAD)
+    dead = replace(victim, state=MemberState.DEAD)
     told(swim, 0.1, victim)
     told(swim, 0.2, dead)
     assert victim in swim.members()
@@ -311,14 +313,14 @@
     assert Update(dead) in asked
     for step in range(4, 15):
         swim.tick(step / 10)
-    assert [m.state for m in swim.members() if m.address == victim.address] == [State.SUSPECT]
+    assert [m.state for m in swim.members() if m.address == victim.address] == [MemberState.SUSPECT]
 
 
 def test_a_death_that_its_member_contradicts_changes_nothing():
     swim = alone()
     victim = replace(ME, address="10.0.0.9:7662")
     told(swim, 0.1, victim)
-    told(swim, 0.2, replace(victim, state=State.DEAD))
+    told(swim, 0.2, replace(victim, state=MemberState.DEAD))
     swim.tick(0.3)
     refuted = replace(victim, refutations=1)
     told(swim, 0.4, kind=Kind.ACK, sender=refuted)
@@ -333,18 +335,18 @@
 def test_a_death_of_a_suspect_is_believed():
     swim = alone()
     victim = replace(ME, address="10.0.0.9:7662")
-    told(swim, 0.1, replace(victim, state=State.SUSPECT), accuser=PEER.address)
-    told(swim, 0.2, replace(victim, state=State.DEAD))
+    told(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
+    told(swim, 0.2, replace(victim, state=MemberState.DEAD))
     assert swim.dead() == []  # too soon: it had no time to refute the suspicion
     for step in range(3, 23):
         swim.tick(step / 10)
-    told(swim, 2.3, replace(victim, state=State.DEAD))
+    told(swim, 2.3, replace(victim, state=MemberState.DEAD))
     assert [m.address for m in swim.dead()] == [victim.address]
 
 
 def test_a_stale_report_does_not_bring_a_forgotten_member_back():
     swim = alone()
-    told(swim, 0.1, replace(ME, address="10.0.0.9:7662", state=State.DEAD))
+    told(swim, 0.1, replace(ME, address="10.0.0.9:7662", state=MemberState.DEAD))
     assert swim.members() == [ME, PEER] and swim.dead() == []
 
 
@@ -353,7 +355,7 @@
     victim = replace(ME, address="10.0.0.99:7662")
     told(swim, 0.1, *(replace(ME, address=f"10.0.0.{n}:7662") for n in range(10, 16)))
     for accuser in accusers:
-        told(swim, 0.1, replace(victim, state=State.SUSPECT), accuser=accuser)
+        told(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=accuser)
     step = 1
     while swim.dead() == []:
         swim.tick(step / 10)
@@ -374,7 +376,7 @@
     victim = replace(ME, address="10.0.0.9:7662")
     for n in range(20):  # so many that the round of probes does not come to the victim by chance
         told(swim, 0.1, *(replace(ME, address=f"10.1.{n}.{m}:7662") for m in range(10)))
-    told(swim, 0.1, replace(victim, state=State.SUSPECT), accuser=PEER.address)
+    told(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
     asked = []
     step = 2
     while not swim.dead():
@@ -389,7 +391,7 @@
 
 def test_however_many_are_suspect_none_is_declared_dead_before_it_was_asked():
     swim = alone()
-    victims = [replace(ME, address=f"10.0.1.{n}:7662", state=State.SUSPECT) for n in range(40)]
+    victims = [replace(ME, address=f"10.0.1.{n}:7662", state=MemberState.SUSPECT) for n in range(40)]
     for n in range(0, 40, 10):
         told(swim, 0.1, *victims[n : n + 10], accuser=PEER.address)
     asked = set()
@@ -406,7 +408,7 @@
     swim.tick(0.2)  # begins a probe of the peer
     swim.tick(30.0)
     swim.tick(30.1)
-    assert all(m.state is State.ALIVE for m in swim.members())
+    assert all(m.state is MemberState.ALIVE for m in swim.members())
     assert swim.health_score > 0
 
 
@@ -414,7 +416,7 @@
     swim = alone()
     told(swim, 0.1, PEER)
     for refutations in range(3):
-        told(swim, 0.1, replace(ME, state=State.SUSPECT, refutations=refutations))
+        told(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=refutations))
     pings = []
     for step in range(2, 62):
         pings += [step for d in swim.tick(step / 10) if decode(d.data).kind is Kind.PING]
@@ -444,5 +446,5 @@
 def test_one_that_left_says_nothing_more():
     swim = alone()
     told(swim, 0.1, PEER)
-    assert [decode(d.data).sender.state for d in swim.leave(0.2)] == [State.LEFT]
+    assert [decode(d.data).sender.state for d in swim.leave(0.2)] == [MemberState.LEFT]
     assert swim.tick(0.3) == [] and told(swim, 0.4, PEER, kind=Kind.PING) == []
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from larchgw.membership.codec import Draft, Kind, Message, decode
-from larchgw.membership.member import Member, State
+from larchgw.membership.member import Member, MemberState
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
 from larchgw.membership.transport import SwimTransport
@@ -69,7 +69,7 @@
     ping(transport)
     stand_in.sent.clear()
     transport.leave()
-    assert [(to, m.sender.state) for to, m in stand_in.sent] == [(("127.0.0.1", 7661), State.LEFT)]
+    assert [(to, m.sender.state) for to, m in stand_in.sent] == [(("127.0.0.1", 7661), MemberState.LEFT)]
     assert stand_in.closed
     ping(transport)
     assert len(stand_in.sent) == 1
