--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -199,7 +199,7 @@
     def _runner_changed(self, runner: str) -> None:
         record = self.directory.get(runner)
         if record is not None:
-            self.placement.see_runner(record)
+            self.placement.update_runner(record)
 
     def _tick_replication(self) -> None:
         self.replicated.tick()
@@ -273,7 +273,7 @@
                 lease=self._placer_lease,
                 calls=OrderClient(self.address),
                 publish=self._publish_expected,
-                rng=self._random_source,
+                random_source=self._random_source,
                 settings=PlacementSettings(limits.ceiling_window_s, limits.origin_rate_cap),
             )
         )
--- a/larchgw/control/rpc_service.py
+++ b/larchgw/control/rpc_service.py
@@ -53,7 +53,7 @@
 
     async def demand(self, report: DemandReport) -> None:
         """What a dispatcher is asked for."""
-        self._placement.demand(report)
+        self._placement.receive_demand_report(report)
 
     async def submit(self, call: OperatorCall) -> OperatorAnswer:
         """An operator's call."""
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -127,18 +127,20 @@
         ttypes.ModelStatus(
             model.service,
             model.model,
-            model.rate,
+            model.requests_per_s,
             model.waiting,
             model.in_flight,
             list(model.holders),
-            list(model.coming),
+            list(model.loading),
         )
         for model in summary.models
     ]
     orders = [
         ttypes.OrderStatus(
-            order.runner, order.action, order.name, round(order.age_s * 1000.0), order.accepted
+            order.runner_id, order.action, order.name, round(order.age_s * 1000.0), order.is_accepted
         )
         for order in summary.orders
     ]
-    return ttypes.PlacementStatus(summary.fence, summary.load_limit, summary.load_room, models, orders)
+    return ttypes.PlacementStatus(
+        summary.fencing_token, summary.load_limit, summary.available_loads, models, orders
+    )
--- a/larchgw/experiments/place.py
+++ b/larchgw/experiments/place.py
@@ -16,7 +16,7 @@
 from ..configuration.model import Model
 from ..emulator.modelrunner import Capacity, ModelRunner
 from ..emulator.placing import SERVICE, Deployment, Stream, World
-from ..placement.model import LOADING, UNLOADING, Order, OrderOutcome, PlacementSettings, RunnerReport
+from ..placement.model import Order, OrderAction, OrderOutcome, PlacementSettings, RunnerReport
 from ..placement.orders import outcome_of
 from ..placement.service import PlacementRuntime, PlacementService
 from ..rpc.generated.ttypes import DemandReport
@@ -97,13 +97,13 @@
     async def order(self, order: Order, fence: int) -> OrderOutcome:
         """As the runner's status says."""
         self._world.orders += 1
-        runner = self._world.find(order.runner, order.address)
+        runner = self._world.find(order.runner_id, order.address)
         if runner is None:
             return OrderOutcome.UNKNOWN
         return outcome_of(
             runner.order(
                 self._world.now,
-                order.runner,
+                order.runner_id,
                 order.action,
                 order.model,
                 order.adapter,
@@ -145,10 +145,10 @@
     def step(self) -> None:
         """Each tick."""
 
-    def see_runner(self, record: RunnerRecord) -> None:
+    def update_runner(self, record: RunnerRecord) -> None:
         """A check-in."""
 
-    def demand(self, report: DemandReport) -> None:
+    def receive_demand_report(self, report: DemandReport) -> None:
         """A report of demand."""
 
 
@@ -156,18 +156,21 @@
     """The system's placer; it skips ticks as its loop would."""
 
     def __init__(self, world: World, seed: int) -> None:
-        settings = PlacementSettings(ceiling_window_s=WINDOW_S, origin_rate_cap=CAP)
+        settings = PlacementSettings(load_window_s=WINDOW_S, load_rate_factor=CAP)
         runtime = PlacementRuntime(
             lambda: world.now,
             HeldLease,
             Calls(world),
             settings=settings,
             spawn=run_at_once,
-            rng=random.Random(seed),
+            random_source=random.Random(seed),
         )
         self.service = PlacementService(runtime)
         self.service.configure(world.deployment.configuration())
-        self.see_runner, self.demand = self.service.see_runner, self.service.demand
+        self.update_runner, self.receive_demand_report = (
+            self.service.update_runner,
+            self.service.receive_demand_report,
+        )
         self._world, self._next = world, 0.0
 
     def step(self) -> None:
@@ -184,10 +187,10 @@
         self._world = world
         self._used: dict[str, float] = {}
 
-    def see_runner(self, record: RunnerRecord) -> None:
+    def update_runner(self, record: RunnerRecord) -> None:
         """Looks at runners itself."""
 
-    def demand(self, report: DemandReport) -> None:
+    def receive_demand_report(self, report: DemandReport) -> None:
         """Notes what is used, and loads what waits."""
         for line in report.models:
             if line.arrivals or line.in_flight:
@@ -222,17 +225,19 @@
         if any(runner.is_loading(model) for runner in world.runners):
             return
         if with_room:
-            self._order(with_room[0], LOADING, model)
+            self._order(with_room[0], OrderAction.LOADING, model)
             return
         runner = min(free, key=lambda r: min(self._used.get(name, 0.0) for name in r.held))
-        self._order(runner, UNLOADING, min(runner.held, key=lambda name: self._used.get(name, 0.0)))
+        self._order(
+            runner, OrderAction.UNLOADING, min(runner.held, key=lambda name: self._used.get(name, 0.0))
+        )
 
     def _load_adapter(self, runner: ModelRunner, model: str, adapter: str) -> None:
         held = [(name, other) for name, adapters in runner.held.items() for other in sorted(adapters)]
         if len(held) >= runner.capacity.adapter_slots:
-            self._order(runner, UNLOADING, *held[0])
+            self._order(runner, OrderAction.UNLOADING, *held[0])
         else:
-            self._order(runner, LOADING, model, adapter)
+            self._order(runner, OrderAction.LOADING, model, adapter)
 
     def _order(self, runner: ModelRunner, action: str, model: str, adapter: str = "") -> None:
         self._world.orders += 1
@@ -245,10 +250,10 @@
     def step(self) -> None:
         """Nothing."""
 
-    def see_runner(self, record: RunnerRecord) -> None:
+    def update_runner(self, record: RunnerRecord) -> None:
         """Nothing."""
 
-    def demand(self, report: DemandReport) -> None:
+    def receive_demand_report(self, report: DemandReport) -> None:
         """Nothing."""
 
 
@@ -275,7 +280,7 @@
     """Figures of one run."""
     world = World(draw(run.seed, run.seconds), run.seed)
     placer = placer_of(world, run)
-    world.play(placer.step, placer.see_runner, placer.demand)
+    world.play(placer.step, placer.update_runner, placer.receive_demand_report)
     return figures(world)
 
 
--- a/larchgw/placement/holder_value.py
+++ b/larchgw/placement/holder_value.py
@@ -51,5 +51,5 @@
 def wanted_replicas(share: float, rate: float, runners: int, settings: PlacementSettings) -> float:
     """Replicas by share of the service's work; a busy model has two, for the loss of a runner."""
     by_share = share * runners * settings.headroom
-    spare = min(1.0 + rate / settings.busy_rate, 2.0)
+    spare = min(1.0 + rate / settings.busy_requests_per_s, 2.0)
     return min(max(by_share, spare, 1.0), float(max(runners, 1)))
--- a/larchgw/placement/interface.py
+++ b/larchgw/placement/interface.py
@@ -1,7 +1,7 @@
 """The calls other packages make of this one; the control role needs only the first.
 
     service.PlacementService(service.PlacementRuntime(clock, lease, calls, publish, settings))
-        .configure(Configuration), .see_runner(RunnerRecord), .demand(DemandReport)     news, at any time
+        .configure(Configuration), .update_runner(RunnerRecord), .demand(DemandReport)     news, at any time
         .summary() -> PlacementSummary | None     for people to look at (summary.py); None: others place
         .run()                                    the loop; orders only while `lease()` gives a Lease
         `publish(runner_id, {"model" or "model/adapter": ms})` is called with what expected/<runner_id>
--- a/larchgw/placement/load_candidates.py
+++ b/larchgw/placement/load_candidates.py
@@ -7,7 +7,7 @@
 
 from .demand import Demand, ModelSummary
 from .holder_value import ModelDemand, first_holder, replica, wanted_replicas
-from .model import PlacementSettings, held_name
+from .model import PlacementSettings, loadable_name
 from .popularity_change import ShiftEstimate
 from .state import RunnerState, Terms
 
@@ -34,7 +34,7 @@
     @property
     def name(self) -> str:
         """The model, or model and adapter."""
-        return held_name(self.model, self.adapter)
+        return loadable_name(self.model, self.adapter)
 
     @property
     def is_urgent(self) -> bool:
@@ -81,7 +81,7 @@
             for model, adapters in state.held.items():
                 for adapter in ("", *adapters):
                     if state.holds(model, adapter):
-                        name = held_name(model, adapter)
+                        name = loadable_name(model, adapter)
                         self.holders[name] = self.holders.get(name, 0) + 1
             if state.under_way is not None:
                 order = state.under_way.order
@@ -147,7 +147,7 @@
     def _adapter_needs(self, model: str, adapter: str) -> list[Need]:
         key = (self.service, model, adapter)
         rate, waiting = self._demand.rate(key), self._demand.waiting(key)
-        count = self.count(held_name(model, adapter))
+        count = self.count(loadable_name(model, adapter))
         if count > 0 and count >= min(rate / ADAPTER_BUSY_RATE, self.holders.get(model, 0)):
             return []
         value = self._adapter_value(rate) + (waiting if count == 0 else 0) * self.models[model].worth
@@ -176,7 +176,7 @@
     def adapter_loss(self, model: str, adapter: str) -> float:
         """The same for an adapter."""
         key = (self.service, model, adapter)
-        alone = self.holders.get(held_name(model, adapter), 0) <= 1
+        alone = self.holders.get(loadable_name(model, adapter), 0) <= 1
         if alone and self._demand.waiting(key) > 0:
             return math.inf
         value = self._adapter_value(self._demand.rate(key))
@@ -188,7 +188,7 @@
             running = self._demand.in_flight((self.service, model, adapter))
         else:
             running = self.models[model].in_flight if model in self.models else 0
-        return running / max(self.holders.get(held_name(model, adapter), 0), 1)
+        return running / max(self.holders.get(loadable_name(model, adapter), 0), 1)
 
     def _adapter_value(self, rate: float) -> float:
         asked = 1.0 - math.exp(-rate * self._settings.horizon_s)
--- a/larchgw/placement/load_rate_limit.py
+++ b/larchgw/placement/load_rate_limit.py
@@ -1,73 +1,81 @@
-"""How many loads from the weight store may begin now. Pure.
-
-The store's bound slides: in any window of `window_s`, no more than loads_per_s x window_s x cap + 3 loads may
-begin. When
-an order begins to load is known only within a span: after it was sent, and before its outcome was seen. Each
-load counts
-until a window after the end of that span, and the one just sent is the last of them to be sent; so no window
-can hold
-more than were counted together, whatever the delays on the way.
+"""How many loads from the weight store may begin now. Pure: time is an argument (seconds, monotonic clock).
+
+The store's limit slides: in any window of `window_s`, no more than loads_per_s x window_s x rate_factor + 3
+loads may begin. When an ordered load begins is known only within a span: after its order was sent, and before
+its outcome was seen. Each load counts until one window after the end of that span, and an order that is sent
+now is the last of those counted to have been sent; so no window can hold more loads than were counted
+together, whatever the delays on the way.
 """
 
 from __future__ import annotations
 
 import math
 
-BOUND_EXTRA = 3  # loads that the rule allows on top of the rate
-MARGIN_SHARE = 0.1  # of the bound, kept back for loads that a predecessor began unseen; one at least
+EXTRA_LOADS = 3  # that the rule allows in a window on top of the rate
+MARGIN_SHARE = 0.1  # of the limit, kept back for loads that a predecessor began unseen; one at least
+
+
+class LoadRateLimiter:
+    """Sliding-window limit on loads from the weight store.
 
+    Source: the rule COST of the rules; `loads_per_s` of the configuration.
+    """
 
-class LoadCeiling:
-    """A sliding window over loads from the store."""
+    def __init__(self, loads_per_s: float, window_s: float, rate_factor: float) -> None:
+        """Makes a limiter whose window is empty.
 
-    def __init__(self, loads_per_s: float, window_s: float, cap: float) -> None:
-        self._window, self._cap = window_s, cap
+        Args:
+            loads_per_s: The store's rate.
+            window_s: Length of the window.
+            rate_factor: Loads that a window may hold, over the rate.
+        """
+        self._window_s, self._rate_factor = window_s, rate_factor
         self._limit = 1
-        self._open: dict[str, float] = {}  # runner -> when its order was sent
-        self._settled: list[float] = []  # latest times at which loads can have begun
-        self._full_until = -math.inf
+        self._reserved_at: dict[str, float] = {}  # runner id -> when its order was sent; outcome not seen
+        self._begun_by: list[float] = []  # latest times at which loads can have begun
+        self._exhausted_until = -math.inf
         self.set_rate(loads_per_s)
 
     def set_rate(self, loads_per_s: float) -> None:
-        """The store's rate is another from now on."""
-        bound = math.floor(loads_per_s * self._window * self._cap + BOUND_EXTRA + 1e-9)
-        self._limit = max(bound - max(1, math.floor(bound * MARGIN_SHARE)), 1)
+        """Changes the store's rate from now on."""
+        allowed = math.floor(loads_per_s * self._window_s * self._rate_factor + EXTRA_LOADS + 1e-9)
+        self._limit = max(allowed - max(1, math.floor(allowed * MARGIN_SHARE)), 1)
 
     @property
     def limit(self) -> int:
-        """Loads that this placer begins in a window at most."""
+        """Loads that this process begins in a window at most."""
         return self._limit
 
-    def room(self, now: float) -> int:
-        """Loads that may be ordered now."""
-        if now <= self._full_until:
+    def available(self, now_s: float) -> int:
+        """Returns how many loads may be ordered at `now_s`; below zero after the rate was lowered."""
+        if now_s <= self._exhausted_until:
             return 0
-        self._settled = [at for at in self._settled if at + self._window >= now]
-        return self._limit - len(self._settled) - len(self._open)
-
-    def sent(self, now: float, runner: str) -> None:
-        """An order to load is being sent; it may begin from now on."""
-        if runner in self._open:
-            self.settled(now, runner)
-        self._open[runner] = now
-
-    def settled(self, now: float, runner: str) -> None:
-        """The load has begun, or never will: it can not begin later than now."""
-        if self._open.pop(runner, None) is not None:
-            self._settled.append(now)
-
-    def cancelled(self, runner: str) -> None:
-        """The order was not taken and never will be."""
-        self._open.pop(runner, None)
-
-    def observed(self, now: float, loads: int = 1) -> None:
-        """Loads that another placer ordered, begun at `now` at the latest."""
-        self._settled.extend([now] * min(loads, self._limit))
-
-    def assume_full(self, now: float) -> None:
-        """A predecessor may have used all of the window until now: nothing may begin before it has passed."""
-        self._full_until = now + self._window
-
-    def assume_nothing(self) -> None:
-        """It is known that no predecessor has ordered anything."""
-        self._full_until = -math.inf
+        self._begun_by = [at for at in self._begun_by if at + self._window_s >= now_s]
+        return self._limit - len(self._begun_by) - len(self._reserved_at)
+
+    def reserve(self, now_s: float, runner_id: str) -> None:
+        """Counts a load whose order is about to be sent: it may begin from now on."""
+        if runner_id in self._reserved_at:
+            self.confirm(now_s, runner_id)
+        self._reserved_at[runner_id] = now_s
+
+    def confirm(self, now_s: float, runner_id: str) -> None:
+        """Ends a reservation whose load has begun, or never will: it can not begin later than now."""
+        if self._reserved_at.pop(runner_id, None) is not None:
+            self._begun_by.append(now_s)
+
+    def release(self, runner_id: str) -> None:
+        """Gives a reservation back: the order was not taken and never will be."""
+        self._reserved_at.pop(runner_id, None)
+
+    def observe_loads(self, now_s: float, loads: int = 1) -> None:
+        """Counts loads that another process ordered, begun at `now_s` at the latest."""
+        self._begun_by.extend([now_s] * min(loads, self._limit))
+
+    def assume_exhausted(self, now_s: float) -> None:
+        """Allows nothing for one window: a predecessor may have used all of it until now."""
+        self._exhausted_until = now_s + self._window_s
+
+    def assume_unused(self) -> None:
+        """Ends `assume_exhausted`: it is known that no predecessor has ordered anything."""
+        self._exhausted_until = -math.inf
--- a/larchgw/placement/model.py
+++ b/larchgw/placement/model.py
@@ -1,29 +1,41 @@
-"""Values that the parts of this package hand to each other: keys, orders, reports and settings."""
+"""Values that the modules of this package exchange: orders, their outcomes, runners' reports and settings."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum, auto
+from enum import Enum, StrEnum, auto
 
-LOADING = "loading"
-UNLOADING = "unloading"
 
+class OrderAction(StrEnum):
+    """What an order asks a runner to do; the value is the text of "order" in the body of POST /order."""
 
-def held_name(model: str, adapter: str = "") -> str:
-    """A model, or an adapter of it, as the X-Model header names it."""
+    LOADING = "loading"
+    UNLOADING = "unloading"
+
+
+def loadable_name(model: str, adapter: str = "") -> str:
+    """Returns the name of a model, or of one of its adapters, as the X-Model header writes it."""
     return f"{model}/{adapter}" if adapter else model
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order for one runner. `if_revision` is the number of orders that the runner must have taken before.
-
-    `purpose` names, for an unload, what is to be loaded into the room that it gives (`held_name`).
+    """One load or unload, ordered at one runner.
+
+    Attributes:
+        runner_id: The incarnation of the runner that is to carry it out.
+        address: `host:port` of that runner.
+        action: Load or unload.
+        model: The model that is loaded or unloaded, or whose adapter is.
+        adapter: The adapter; empty for the model itself.
+        if_revision: How many orders the runner must have taken before this one, or it refuses it; None for
+            any.
+        purpose: For an unload, the `loadable_name` of what is to be loaded into the memory that it frees.
     """
 
-    runner: str
+    runner_id: str
     address: str
-    action: str
+    action: OrderAction
     model: str
     adapter: str = ""
     if_revision: int | None = None
@@ -31,22 +43,22 @@
 
     @property
     def name(self) -> str:
-        """What is loaded or unloaded, as `held_name` writes it."""
-        return held_name(self.model, self.adapter)
+        """The `loadable_name` of what is loaded or unloaded."""
+        return loadable_name(self.model, self.adapter)
 
     @property
     def is_load(self) -> bool:
         """Whether it loads a model or adapter."""
-        return self.action == LOADING
+        return self.action == OrderAction.LOADING
 
 
 class OrderOutcome(Enum):
-    """How one order ended."""
+    """What is known of an order after it was sent."""
 
     ACCEPTED = auto()  # 202: being carried out
     ALREADY_HELD = auto()  # 200: nothing to do
-    CONFLICT = auto()  # 409: another order is under way, or if_revision differs
-    FENCED = auto()  # 412: a holder with a higher fence has sent an order
+    CONFLICT = auto()  # 409: another order is in progress, or if_revision differs
+    FENCED = auto()  # 412: a lease holder with a higher fencing token has sent an order
     REJECTED = auto()  # 400 or another answer that says it was not taken
     OTHER_RUNNER = auto()  # 421: the address belongs to another runner now
     UNSENT = auto()  # no connection came up, so that no byte was sent
@@ -55,33 +67,49 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerReport:
-    """What a runner answers to GET /report, as of a few hundred ms before.
-
-    `models` holds the adapters of each model; `call_count` the orders taken; `occupied` whether one is under
-    way.
+    """A runner's answer to GET /report, as of a few hundred milliseconds before.
+
+    Attributes:
+        models: The adapters that are held of each model that is held.
+        is_occupied: Whether an order is in progress there.
+        order_count: Orders that this incarnation of the runner has taken ("call_count" on the wire).
+        queued: Requests that wait at the runner.
+        in_progress: Requests that run there.
     """
 
     models: dict[str, frozenset[str]]
-    occupied: bool
-    call_count: int
+    is_occupied: bool
+    order_count: int
     queued: int = 0
     in_progress: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementSettings:
-    """Terms of a deployment and constants of the planner. Seconds, unless the name says otherwise.
-
-    Prices and worth are in the unit of a request's worth: what one served request earns.
+    """Limits of a deployment and constants of the planner.
+
+    Prices and values are in one unit: a request of the lowest priority that is served in time earns 1.
+
+    Attributes:
+        load_window_s: Length of the sliding window over loads from the weight store ("ceiling_window_s").
+        load_rate_factor: Loads that a window may hold, over the store's rate ("origin_rate_cap").
+        load_price: Price of one load of weights.
+        order_price: Price of one order.
+        late_cost: Share of its value that a request loses when it waits for a load.
+        horizon_s: For how long a placement is expected to be of use.
+        headroom: Replicas of a busy model, over its share of all work.
+        busy_requests_per_s: From this rate on a model gets a second replica.
+        order_timeout_s: An order that is not answered by then has an unknown outcome.
+        report_lag_s: How old the content of a report may be.
     """
 
-    ceiling_window_s: float = 5.0
-    origin_rate_cap: float = 1.1
-    load_price: float = 0.36  # of one load of weights, against a request's worth of 1 to 3
+    load_window_s: float = 5.0
+    load_rate_factor: float = 1.1
+    load_price: float = 0.36
     order_price: float = 0.036
-    late_cost: float = 0.5  # share of its worth that a request loses when it waits for a load
-    horizon_s: float = 15.0  # for how long a placement is expected to be of use
-    headroom: float = 1.3  # replicas of a busy model over its share of the work
-    busy_rate: float = 0.5  # requests a second from which a model gets a second replica
+    late_cost: float = 0.5
+    horizon_s: float = 15.0
+    headroom: float = 1.3
+    busy_requests_per_s: float = 0.5
     order_timeout_s: float = 0.8
-    report_lag_s: float = 0.2  # how old a report's content may be
+    report_lag_s: float = 0.2
--- a/larchgw/placement/orders.py
+++ b/larchgw/placement/orders.py
@@ -23,12 +23,12 @@
 
 CONNECT_TIMEOUT_S = 0.3
 REQUEST_TIMEOUT_S = 0.8
-MOST_ORDERS = 64  # under way at once
-MOST_REPORTS = 64  # the same; a call above these would wait inside the client, past the time it was meant for
+MAX_ORDERS = 64  # in flight at once
+MAX_REPORTS = 64  # the same; a call above these would wait inside the client, past the time it was meant for
 
 NO_HEADERS: Mapping[str, str] = MappingProxyType({})
 
-_OUTCOMES = {
+_OUTCOME_BY_STATUS = {
     200: OrderOutcome.ALREADY_HELD,
     202: OrderOutcome.ACCEPTED,
     409: OrderOutcome.CONFLICT,
@@ -38,18 +38,23 @@
 
 
 class OrderClient:
-    """Calls to runners; needs a running event loop. `owner` names this placer in its orders."""
+    """Calls to runners over HTTP; needs a running event loop."""
 
     def __init__(self, owner: str) -> None:
+        """Makes a client.
+
+        Args:
+            owner: Names this process in its orders.
+        """
         self._owner = owner
-        self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MOST_ORDERS + MOST_REPORTS)
+        self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_ORDERS + MAX_REPORTS)
 
-    async def order(self, order: Order, fence: int) -> OrderOutcome:
-        """Sends an order and tells what is known of its end. Raises nothing."""
-        body = _OrderBody(encode_order(order, self._owner, fence))
+    async def order(self, order: Order, fencing_token: int) -> OrderOutcome:
+        """Sends an order and returns what is known of it then; raises nothing."""
+        body = _OrderBody(encode_order(order, self._owner, fencing_token))
         try:
             response = await self._call(
-                order.runner,
+                order.runner_id,
                 order.address,
                 "/order",
                 method="POST",
@@ -61,10 +66,10 @@
             return _failure(error, body)
         return outcome_of(response.code)
 
-    async def report(self, runner: str, address: str) -> RunnerReport | None:
-        """A runner's report; None if it gave none."""
+    async def report(self, runner_id: str, address: str) -> RunnerReport | None:
+        """Reads a runner's report; None if it gave none."""
         try:
-            response = await self._call(runner, address, "/report")
+            response = await self._call(runner_id, address, "/report")
         except (HTTPClientError, OSError):
             return None
         return decode_report(response.body) if response.code == 200 else None
@@ -74,11 +79,17 @@
         self._client.close()
 
     async def _call(
-        self, runner: str, address: str, path: str, *, headers: Mapping[str, str] = NO_HEADERS, **options: Any
+        self,
+        runner_id: str,
+        address: str,
+        path: str,
+        *,
+        headers: Mapping[str, str] = NO_HEADERS,
+        **options: object,
     ) -> HTTPResponse:
         return await self._client.fetch(
             f"http://{address}{path}",
-            headers={"X-Target-Runner": runner, **headers},
+            headers={"X-Target-Runner": runner_id, **headers},
             raise_error=False,
             follow_redirects=False,
             connect_timeout=CONNECT_TIMEOUT_S,
@@ -109,9 +120,14 @@
     return int(pycurl.SEEKFUNC_FAIL)
 
 
-def encode_order(order: Order, owner: str, fence: int) -> bytes:
-    """The body of POST /order."""
-    body: dict[str, Any] = {"order": order.action, "model": order.model, "owner": owner, "fence": fence}
+def encode_order(order: Order, owner: str, fencing_token: int) -> bytes:
+    """Returns the body of POST /order; its keys are the wire's names."""
+    body: dict[str, str | int] = {
+        "order": order.action,
+        "model": order.model,
+        "owner": owner,
+        "fence": fencing_token,
+    }
     if order.adapter:
         body["adapter"] = order.adapter
     if order.if_revision is not None:
@@ -120,33 +136,36 @@
 
 
 def outcome_of(status: int) -> OrderOutcome:
-    """What a status says. Tornado gives 599 where there was none."""
-    if status in _OUTCOMES:
-        return _OUTCOMES[status]
+    """Returns what an HTTP status says of an order. Tornado gives 599 where there was none."""
+    if status in _OUTCOME_BY_STATUS:
+        return _OUTCOME_BY_STATUS[status]
     return OrderOutcome.REJECTED if 400 <= status < 500 else OrderOutcome.UNKNOWN
 
 
 def decode_report(body: bytes) -> RunnerReport | None:
-    """A report from its JSON; None if it is none."""
+    """Reads a report from its JSON; None if the bytes are no report."""
     try:
-        raw = json.loads(body)
-        models = {
-            str(model["name"]): frozenset(str(name) for name in model.get("adapters", ()))
-            for model in raw["models"]
-        }
-        return RunnerReport(
-            models,
-            bool(raw["occupied"]),
-            int(raw["call_count"]),
-            int(raw.get("queued", 0)),
-            int(raw.get("in_progress", 0)),
-        )
+        return _read_report(json.loads(body))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         log.warning("runner_report.unreadable", error=str(error))
         return None
 
 
+def _read_report(fields: Any) -> RunnerReport:
+    models = {
+        str(model["name"]): frozenset(str(name) for name in model.get("adapters", ()))
+        for model in fields["models"]
+    }
+    return RunnerReport(
+        models,
+        is_occupied=bool(fields["occupied"]),
+        order_count=int(fields["call_count"]),
+        queued=int(fields.get("queued", 0)),
+        in_progress=int(fields.get("in_progress", 0)),
+    )
+
+
 def _failure(error: Exception, body: _OrderBody) -> OrderOutcome:
-    """Not sent only if no connection came up, and curl had not given it to one that ended before."""
+    """Unsent only if no connection came up, and curl had not given the order to one that ended before."""
     has_no_connection = getattr(error, "errno", None) == pycurl.E_COULDNT_CONNECT
     return OrderOutcome.UNSENT if has_no_connection and not body.was_read else OrderOutcome.UNKNOWN
--- a/larchgw/placement/planner.py
+++ b/larchgw/placement/planner.py
@@ -16,7 +16,7 @@
 from ..configuration.model import Configuration
 from .demand import Demand
 from .load_candidates import Need, ServiceDemand
-from .model import LOADING, UNLOADING, Order, PlacementSettings, held_name
+from .model import Order, OrderAction, PlacementSettings, loadable_name
 from .popularity_change import ShiftEstimate
 from .state import MEMORY_MARGIN_MB, PlacementState, RunnerState, Terms
 
@@ -53,8 +53,8 @@
 class Planner:
     """Chooses orders; between rounds it keeps only how demand has moved so far."""
 
-    def __init__(self, settings: PlacementSettings, rng: random.Random) -> None:
-        self._settings, self._rng = settings, rng
+    def __init__(self, settings: PlacementSettings, random_source: random.Random) -> None:
+        self._settings, self._random_source = settings, random_source
         self._shifts: dict[str, ShiftEstimate] = {}
 
     def plan(
@@ -67,7 +67,7 @@
     ) -> list[Order]:
         """The next orders, most pressing first, at most one for each runner."""
         orders: list[Order] = []
-        room = state.ceiling.room(now)
+        room = state.load_limiter.available(now)
         parallel = state.parallel_loads
         for service in configuration.services:
             if service.name not in terms:
@@ -77,14 +77,14 @@
             wanted = ServiceDemand(
                 now, service.name, terms[service.name], runners, demand, shifts, self._settings
             )
-            round_ = Round(now, wanted, state, self._settings, self._rng, room, parallel)
+            round_ = Round(now, wanted, state, self._settings, self._random_source, room, parallel)
             orders.extend(round_.orders())
             room, parallel = round_.room, round_.parallel
         return orders
 
     def _observed_shifts(self, now: float, service: str, terms: Terms, demand: Demand) -> ShiftEstimate:
         if service not in self._shifts:
-            self._shifts[service] = ShiftEstimate(self._settings.busy_rate)
+            self._shifts[service] = ShiftEstimate(self._settings.busy_requests_per_s)
         self._shifts[service].observe(now, terms.models, demand.by_model(service))
         return self._shifts[service]
 
@@ -98,17 +98,17 @@
         wanted: ServiceDemand,
         state: PlacementState,
         settings: PlacementSettings,
-        rng: random.Random,
+        random_source: random.Random,
         room: int,
         parallel: int,
     ) -> None:
-        self._now, self._wanted, self._settings, self._rng = now, wanted, settings, rng
+        self._now, self._wanted, self._settings, self._random_source = now, wanted, settings, random_source
         self._terms = wanted.terms
         self._free = {runner.id: runner for runner in wanted.runners if runner.may_order(now)}
         self._work = self._work_by_runner()
         self._used_mb = {runner.id: runner.used_mb(self._terms) for runner in self._free.values()}
         self._victims: dict[str, list[Eviction]] = {}  # of models, by runner
-        self._reserve = math.ceil(RESERVE_SHARE * state.ceiling.limit)
+        self._reserve = math.ceil(RESERVE_SHARE * state.load_limiter.limit)
         self._unasked = math.ceil(len(wanted.runners) / 2)  # runners that may load what nobody waits for
         self._unasked -= sum(runner.under_way is not None for runner in wanted.runners)
         self.room, self.parallel = room, parallel
@@ -133,7 +133,7 @@
                 break
             order = self._order_for(need)
             if order is not None:
-                del self._free[order.runner]
+                del self._free[order.runner_id]
                 orders.append(order)
         return orders
 
@@ -149,7 +149,7 @@
             return Order(
                 runner.id,
                 runner.record.address,
-                UNLOADING,
+                OrderAction.UNLOADING,
                 first.model,
                 first.adapter,
                 runner.order_count,
@@ -157,7 +157,14 @@
             )
         if not need.adapter:
             self._book_load(need, runner)
-        return Order(runner.id, runner.record.address, LOADING, need.model, need.adapter, runner.order_count)
+        return Order(
+            runner.id,
+            runner.record.address,
+            OrderAction.LOADING,
+            need.model,
+            need.adapter,
+            runner.order_count,
+        )
 
     def _may_load(self, need: Need) -> bool:
         """Whether the store has room; what nobody waits for leaves a reserve and runners at rest."""
@@ -212,7 +219,7 @@
         if evictions is None:
             return None
         cost = sum(eviction.loss + self._settings.order_price for eviction in evictions)
-        cost += WORK_COST * self._work[runner.id] + self._rng.random() * TIE_COST
+        cost += WORK_COST * self._work[runner.id] + self._random_source.random() * TIE_COST
         if runner.record.zone in zones:
             cost += ZONE_COST
         return Candidate(runner, tuple(evictions), cost)
@@ -256,7 +263,7 @@
         )
 
     def _loss(self, runner: RunnerState, model: str, adapter: str = "") -> float:
-        since = runner.since.get(held_name(model, adapter), -math.inf)
+        since = runner.since.get(loadable_name(model, adapter), -math.inf)
         if self._now - since < (ADAPTER_RESIDENCE_S if adapter else RESIDENCE_S):
             return math.inf
         lost = self._wanted.adapter_loss(model, adapter) if adapter else self._wanted.model_loss(model)
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -17,7 +17,7 @@
 
 from ..configuration.model import Configuration
 from ..runner_directory.records import RunnerRecord, Stage
-from .load_rate_limit import LoadCeiling
+from .load_rate_limit import LoadRateLimiter
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .state import PlacementState, RunnerState, Terms, UnderWay, held_by, names_of
 
@@ -39,8 +39,8 @@
 class Reconciler:
     """State of all runners, fed with check-ins, reports and the outcomes of orders."""
 
-    def __init__(self, settings: PlacementSettings, ceiling: LoadCeiling) -> None:
-        self._settings, self.ceiling = settings, ceiling
+    def __init__(self, settings: PlacementSettings, load_limiter: LoadRateLimiter) -> None:
+        self._settings, self.load_limiter = settings, load_limiter
         self._runners: dict[str, RunnerState] = {}
         self._disks: dict[tuple[str, str], set[str]] = {}  # (service, address) -> models loaded there
         self.terms: dict[str, Terms] = {}  # by service
@@ -55,7 +55,7 @@
     def state(self) -> PlacementState:
         """For the planner."""
         loads = sum(self._from_store(state) for state in self._runners.values())
-        return PlacementState(self._runners, self.ceiling, loads)
+        return PlacementState(self._runners, self.load_limiter, loads)
 
     def configure(self, configuration: Configuration) -> None:
         """Takes the terms of the services that place models."""
@@ -65,7 +65,7 @@
             if service.runtime is not None and service.runtime.models
         }
 
-    def see_runner(self, now: float, record: RunnerRecord, holding_lease: bool = True) -> None:
+    def update_runner(self, now: float, record: RunnerRecord, holding_lease: bool = True) -> None:
         """A runner's record is new or has changed. One that is gone is forgotten.
 
         A process that does not hold the lease counts what others load, so that it knows the store's budget
@@ -90,21 +90,21 @@
         state.departed = {name: at for name, at in state.departed.items() if name in names}
         if not state.is_known:
             if not holding_lease:
-                self.ceiling.observed(now, len(told.keys() - state.held.keys()))
+                self.load_limiter.observe_loads(now, len(told.keys() - state.held.keys()))
             state.held = told
             self._remember(state)
 
     def lease_lost(self, now: float) -> None:
         """Another placer may order from now on: nothing that was known of runners counts."""
         for state in self._runners.values():
-            self.ceiling.settled(now, state.id)
+            self.load_limiter.confirm(now, state.id)
             state.order_count, state.under_way = None, None
             state.poll_at, state.polls, state.predecessor_counted = now, 0, False
             state.arrived.clear()
             state.departed.clear()
 
     def _forget(self, now: float, state: RunnerState) -> None:
-        self.ceiling.settled(now, state.id)
+        self.load_limiter.confirm(now, state.id)
         del self._runners[state.id]
 
     def _remember(self, state: RunnerState) -> None:
@@ -157,29 +157,31 @@
     def _learn(self, now: float, state: RunnerState, report: RunnerReport) -> None:
         state.held = {model: set(adapters) for model, adapters in report.models.items()}
         self._remember(state)
-        if report.occupied:
+        if report.is_occupied:
             if not state.predecessor_counted:
-                self.ceiling.observed(now)  # what a predecessor ordered may be a load from the store
+                self.load_limiter.observe_loads(
+                    now
+                )  # what a predecessor ordered may be a load from the store
             state.predecessor_counted = True
             return
-        state.order_count, state.polls = report.call_count, 0
+        state.order_count, state.polls = report.order_count, 0
 
     def _progress(self, now: float, state: RunnerState, under_way: UnderWay, report: RunnerReport) -> None:
         base = under_way.order.if_revision
-        if base is None or report.call_count > base:
+        if base is None or report.order_count > base:
             under_way.accepted = True
-            self.ceiling.settled(now, state.id)
-            if report.occupied:
+            self.load_limiter.confirm(now, state.id)
+            if report.is_occupied:
                 under_way.ready_at = max(under_way.ready_at, now + FIRST_POLL_S)
             else:
                 self._finish(now, state, under_way, report)
             return
-        if report.occupied or under_way.accepted:
+        if report.is_occupied or under_way.accepted:
             return
         if now - under_way.sent_at >= UNANSWERED_S:
             order = under_way.order
-            log.info("order.unanswered", runner=state.id, action=order.action, model=order.name)
-            self.ceiling.settled(now, state.id)
+            log.info("order.unanswered", runner=state.id, action=order.action.value, model=order.name)
+            self.load_limiter.confirm(now, state.id)
             state.under_way = None
             self._adopt(state, report)
 
@@ -189,7 +191,7 @@
         state.under_way = None
         present = state.holds(order.model, order.adapter)
         if present != order.is_load:
-            log.warning("order.without_effect", runner=state.id, action=order.action, model=order.name)
+            log.warning("order.without_effect", runner=state.id, action=order.action.value, model=order.name)
             state.rest_until = now + REST_S
         elif present:
             self._arrived(now, state, order)
@@ -210,7 +212,7 @@
 
     def _adopt(self, state: RunnerState, report: RunnerReport) -> None:
         state.held = {model: set(adapters) for model, adapters in report.models.items()}
-        state.order_count = report.call_count
+        state.order_count = report.order_count
         self._remember(state)
 
     def assume_adapters(self, now: float) -> None:
@@ -235,15 +237,15 @@
 
     def ordering(self, now: float, order: Order) -> None:
         """The order is about to be sent; from here it counts as taken until the contrary is seen."""
-        state = self._runners[order.runner]
+        state = self._runners[order.runner_id]
         if self.needs_store(order):
-            self.ceiling.sent(now, order.runner)
+            self.load_limiter.reserve(now, order.runner_id)
         ready = now + self.duration(order)
         state.under_way = UnderWay(order, now, ready, ready + self._settings.report_lag_s)
 
     def needs_store(self, order: Order) -> bool:
         """Whether it loads weights that this incarnation is not known to have held."""
-        state = self._runners[order.runner]
+        state = self._runners[order.runner_id]
         return order.is_load and not order.adapter and order.model not in state.was_held
 
     def duration(self, order: Order) -> float:
@@ -252,7 +254,7 @@
             return UNLOAD_S
         if order.adapter:
             return ADAPTER_S
-        record = self._runners[order.runner].record
+        record = self._runners[order.runner_id].record
         terms = self.terms.get(record.service)
         model = terms.models.get(order.model) if terms else None
         if terms is None or model is None:
@@ -268,13 +270,13 @@
 
     def answered(self, now: float, order: Order, outcome: OrderOutcome) -> None:
         """The runner's answer, or that there is none."""
-        state = self._runners.get(order.runner)
+        state = self._runners.get(order.runner_id)
         if state is None or state.under_way is None or state.under_way.order is not order:
             return
         under_way = state.under_way
         if outcome is OrderOutcome.ACCEPTED:
             under_way.accepted = True
-            self.ceiling.settled(now, order.runner)
+            self.load_limiter.confirm(now, order.runner_id)
             return
         if outcome is OrderOutcome.UNKNOWN:
             under_way.poll_at = now + self._settings.report_lag_s
@@ -292,7 +294,7 @@
 
     def _refused(self, now: float, state: RunnerState, outcome: OrderOutcome) -> None:
         """It was not taken: what the runner holds must be learned anew."""
-        self.ceiling.cancelled(state.id)
+        self.load_limiter.release(state.id)
         state.under_way, state.order_count = None, None
         state.poll_at, state.polls = now, 0
         if outcome is OrderOutcome.ALREADY_HELD:
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -2,8 +2,8 @@
 
     service = PlacementService(PlacementRuntime(...))
     service.configure(configuration)        on each new configuration
-    service.see_runner(record)              on each news of a runner
-    service.demand(report)                  on each dispatcher's report
+    service.update_runner(record)              on each news of a runner
+    service.receive_demand_report(report)                  on each dispatcher's report
     task = asyncio.create_task(service.run())
 
 After the lease was taken, every runner's report is read before its first order; until then nothing is ordered
@@ -25,9 +25,9 @@
 from ..configuration.model import Configuration
 from ..runner_directory.records import RunnerRecord, Stage
 from .demand import Demand, DemandReportLike
-from .load_rate_limit import LoadCeiling
+from .load_rate_limit import LoadRateLimiter
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
-from .orders import MOST_ORDERS
+from .orders import MAX_ORDERS
 from .planner import Planner
 from .reconciler import MOST_POLLS, Reconciler
 from .state import RunnerState
@@ -95,7 +95,7 @@
     publish: Callable[[str, dict[str, float]], None] = _not_published
     spawn: Callable[[Coroutine[Any, Any, None]], None] = spawn_task
     settings: PlacementSettings = field(default_factory=PlacementSettings)
-    rng: random.Random = field(default_factory=random.Random)
+    random_source: random.Random = field(default_factory=random.Random)
 
 
 class PlacementService:
@@ -104,10 +104,10 @@
     def __init__(self, runtime: PlacementRuntime) -> None:
         self._runtime, self._clock = runtime, runtime.clock
         self._demand = Demand(runtime.clock)
-        self._planner = Planner(runtime.settings, runtime.rng)
+        self._planner = Planner(runtime.settings, runtime.random_source)
         settings = runtime.settings
-        ceiling = LoadCeiling(0.0, settings.ceiling_window_s, settings.origin_rate_cap)
-        self._reconciler = Reconciler(settings, ceiling)
+        load_limiter = LoadRateLimiter(0.0, settings.load_window_s, settings.load_rate_factor)
+        self._reconciler = Reconciler(settings, load_limiter)
         self._configuration: Configuration | None = None
         self._records: dict[str, RunnerRecord] = {}
         self._started_at = runtime.clock()
@@ -118,7 +118,7 @@
         self._held_since = math.inf
         self._published: dict[str, dict[str, float]] = {}
         self._asked: set[str] = set()  # runners whose reports are awaited
-        self._places = asyncio.Semaphore(MOST_ORDERS)
+        self._places = asyncio.Semaphore(MAX_ORDERS)
 
     # ---- News ----
 
@@ -127,18 +127,18 @@
         self._configuration = configuration
         self._reconciler.configure(configuration)
         rates = [terms.runtime.loads_per_s for terms in self._reconciler.terms.values()]
-        self._reconciler.ceiling.set_rate(min(rates, default=0.0))
+        self._reconciler.load_limiter.set_rate(min(rates, default=0.0))
         for record in self._records.values():
-            self._reconciler.see_runner(self._clock(), record, self._fence is not None)
+            self._reconciler.update_runner(self._clock(), record, self._fence is not None)
 
-    def see_runner(self, record: RunnerRecord) -> None:
+    def update_runner(self, record: RunnerRecord) -> None:
         """A runner's record is new or has changed."""
         self._records[record.id] = record
         if record.stage is Stage.GONE:
             del self._records[record.id]
-        self._reconciler.see_runner(self._clock(), record, self._fence is not None)
+        self._reconciler.update_runner(self._clock(), record, self._fence is not None)
 
-    def demand(self, report: DemandReportLike) -> None:
+    def receive_demand_report(self, report: DemandReportLike) -> None:
         """A dispatcher reports."""
         self._demand.report(report)
         if any(line.waiting > 0 for line in report.models):
@@ -208,15 +208,15 @@
     def _taken(self, now: float, fence: int) -> None:
         log.info("placement.started", fencing_token=fence, runners=len(self._reconciler.runners))
         self._held_since = now
-        if now - self._started_at < self._runtime.settings.ceiling_window_s:
-            self._reconciler.ceiling.assume_full(now)
+        if now - self._started_at < self._runtime.settings.load_window_s:
+            self._reconciler.load_limiter.assume_exhausted(now)
 
     def _has_learned(self, now: float) -> bool:
         """Whether reports of the runners have come, or those that are missing had time enough."""
         runners = self._reconciler.runners.values()
         if all(state.is_known or not state.is_ready for state in runners):
             if runners and not any(state.order_count for state in runners):
-                self._reconciler.ceiling.assume_nothing()
+                self._reconciler.load_limiter.assume_unused()
             return True
         return now - self._held_since >= LEARN_S
 
@@ -252,12 +252,12 @@
             if self._clock() - planned_at > ORDER_WAIT_S:
                 outcome = OrderOutcome.UNSENT
             else:
-                log.info("order.sent", runner=order.runner, action=order.action, model=order.name)
+                log.info("order.sent", runner=order.runner_id, action=order.action.value, model=order.name)
                 outcome = await self._runtime.calls.order(order, fence)
         if fence != self._fence:
             return
         if outcome is OrderOutcome.FENCED:
-            log.warning("order.fenced", runner=order.runner, fencing_token=fence)
+            log.warning("order.fenced", runner=order.runner_id, fencing_token=fence)
             self._lowest_fence = fence + 1
         self._reconciler.answered(self._clock(), order, outcome)
 
--- a/larchgw/placement/state.py
+++ b/larchgw/placement/state.py
@@ -13,8 +13,8 @@
 
 from ..configuration.model import Runtime
 from ..runner_directory.records import RunnerRecord, Stage
-from .load_rate_limit import LoadCeiling
-from .model import Order, held_name
+from .load_rate_limit import LoadRateLimiter
+from .model import Order, loadable_name
 
 MEMORY_MARGIN_MB = 0.001  # against rounding at the runner
 
@@ -153,7 +153,7 @@
     """All runners, and the store's budget."""
 
     runners: Mapping[str, RunnerState]
-    ceiling: LoadCeiling
+    load_limiter: LoadRateLimiter
     parallel_loads: int = 0  # loads from the store that are under way
 
     def of_service(self, service: str) -> list[RunnerState]:
@@ -165,4 +165,4 @@
 
 def names_of(held: Mapping[str, Iterable[str]]) -> set[str]:
     """All models and adapters, as held_name writes them."""
-    return {held_name(model, adapter) for model, adapters in held.items() for adapter in ("", *adapters)}
+    return {loadable_name(model, adapter) for model, adapters in held.items() for adapter in ("", *adapters)}
--- a/larchgw/placement/summary.py
+++ b/larchgw/placement/summary.py
@@ -1,4 +1,4 @@
-"""What the placer knows, for people to look at: models with their demand and holders, and the open orders."""
+"""A snapshot of placement for people: models with their demand and holders, and the orders in progress."""
 
 from __future__ import annotations
 
@@ -12,68 +12,107 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedModel:
-    """One model that the configuration names. `rate` is in requests a second; runners are told by id."""
+    """One model that the configuration names.
+
+    Attributes:
+        service: The service that it belongs to.
+        model: Its name.
+        requests_per_s: Expected rate of requests for it.
+        waiting: Requests that wait for it to be loaded.
+        in_flight: Requests for it at runners.
+        holders: Ids of the runners that hold it.
+        loading: Ids of the runners that are loading it.
+    """
 
     service: str
     model: str
-    rate: float
+    requests_per_s: float
     waiting: int
     in_flight: int
     holders: tuple[str, ...]
-    coming: tuple[str, ...]
+    loading: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class OpenOrder:
-    """An order whose end has not been seen, sent `age_s` seconds ago."""
+    """An order that was sent `age_s` seconds ago and whose end has not been seen.
 
-    runner: str
+    Attributes:
+        runner_id: The runner that it was sent to.
+        action: "loading" or "unloading".
+        name: The model, or "model/adapter".
+        age_s: Seconds since it was sent.
+        is_accepted: Whether the runner is known to have taken it.
+    """
+
+    runner_id: str
     action: str
     name: str
     age_s: float
-    accepted: bool
+    is_accepted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementSummary:
-    """`load_room` of `load_limit` loads from the weight store may begin now."""
+    """What the process that places models knows.
+
+    Attributes:
+        fencing_token: Of the lease under which it orders.
+        load_limit: Loads from the weight store that it begins in a window at most.
+        available_loads: How many of these may begin now.
+        models: All models of all services, by service and name.
+        orders: The orders in progress.
+    """
 
-    fence: int
+    fencing_token: int
     load_limit: int
-    load_room: int
+    available_loads: int
     models: tuple[PlacedModel, ...]
     orders: tuple[OpenOrder, ...]
 
 
-def summarise(now: float, fence: int, demand: Demand, reconciler: Reconciler) -> PlacementSummary:
-    """The placer's knowledge at `now`, on the clock of the demand."""
+def summarise(now_s: float, fencing_token: int, demand: Demand, reconciler: Reconciler) -> PlacementSummary:
+    """Returns what is known at `now_s`, on the clock of `demand`."""
     models = [
         model
         for service, terms in sorted(reconciler.terms.items())
-        for model in _models(service, sorted(terms.models), demand, reconciler)
+        for model in _placed_models(service, sorted(terms.models), demand, reconciler)
     ]
-    orders = [
+    load_limiter = reconciler.load_limiter
+    return PlacementSummary(
+        fencing_token,
+        load_limit=load_limiter.limit,
+        available_loads=max(load_limiter.available(now_s), 0),
+        models=tuple(models),
+        orders=tuple(_open_orders(now_s, reconciler)),
+    )
+
+
+def _open_orders(now_s: float, reconciler: Reconciler) -> list[OpenOrder]:
+    return [
         OpenOrder(
             state.id,
-            state.under_way.order.action,
+            state.under_way.order.action.value,
             state.under_way.order.name,
-            now - state.under_way.sent_at,
+            now_s - state.under_way.sent_at,
             state.under_way.accepted,
         )
         for state in reconciler.runners.values()
         if state.under_way is not None
     ]
-    ceiling = reconciler.ceiling
-    return PlacementSummary(fence, ceiling.limit, max(ceiling.room(now), 0), tuple(models), tuple(orders))
 
 
-def _models(service: str, names: list[str], demand: Demand, reconciler: Reconciler) -> list[PlacedModel]:
-    asked = demand.by_model(service)
+def _placed_models(
+    service: str, names: list[str], demand: Demand, reconciler: Reconciler
+) -> list[PlacedModel]:
+    demand_by_model = demand.by_model(service)
     runners = [state for state in reconciler.runners.values() if state.record.service == service]
-    found = []
+    placed = []
     for name in names:
-        seen = asked.get(name, _NO_DEMAND)
+        known = demand_by_model.get(name, _NO_DEMAND)
         holders = tuple(state.id for state in runners if state.holds(name))
-        coming = tuple(state.id for state in runners if state.is_coming(name))
-        found.append(PlacedModel(service, name, seen.rate, seen.waiting, seen.in_flight, holders, coming))
-    return found
+        loading = tuple(state.id for state in runners if state.is_coming(name))
+        placed.append(
+            PlacedModel(service, name, known.rate, known.waiting, known.in_flight, holders, loading)
+        )
+    return placed
--- a/tests/emulator/test_system_runners.py
+++ b/tests/emulator/test_system_runners.py
@@ -173,7 +173,7 @@
         reply = await (await connect()).ask("/report", "", method="GET")
     report = decode_report(reply.body)
     assert report is not None and report.models == {"m1": frozenset()}
-    assert (report.occupied, report.call_count) == (False, 0)
+    assert (report.is_occupied, report.order_count) == (False, 0)
 
 
 @on_loop
--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -93,7 +93,7 @@
 
     async def order(self, order, fence):
         body = encode_order(order, "control-1", fence).decode()
-        self.events.append(["order", self.now, order.runner, order.address, order.purpose, body])
+        self.events.append(["order", self.now, order.runner_id, order.address, order.purpose, body])
         fate = self.random_source.random()
         if fate < 0.05:
             await Delay(0.8)
@@ -102,12 +102,12 @@
             return OrderOutcome.UNSENT
         if fate < 0.1:
             return OrderOutcome.OTHER_RUNNER
-        runner = self.find(order.runner)
+        runner = self.find(order.runner_id)
         if runner is None:
             await Delay(0.8)
             return OrderOutcome.UNKNOWN
         status = runner.order(
-            self.now, order.runner, order.action, order.model, order.adapter, order.if_revision, fence
+            self.now, order.runner_id, order.action, order.model, order.adapter, order.if_revision, fence
         )
         await Delay(0.8 if fate < 0.15 else round(self.random_source.uniform(0.0, 0.1), 3))
         return OrderOutcome.UNKNOWN if fate < 0.15 else outcome_of(status)
@@ -132,7 +132,7 @@
             self.lose_and_restart_runners()
             if tick % CHECK_IN_TICKS == 0:
                 for index in range(len(self.runners)):
-                    self.service.see_runner(self.record(index))
+                    self.service.update_runner(self.record(index))
             self.report_demand(tick)
             if self.now >= next_round_at:
                 self.service.step()
@@ -150,7 +150,7 @@
         for lost_at, index, back_at in LOSSES:
             if lost_at == self.now:
                 self.down.add(index)
-                self.service.see_runner(self.record(index))
+                self.service.update_runner(self.record(index))
             if back_at == self.now:
                 self.down.discard(index)
                 self.incarnation += 1
@@ -179,7 +179,9 @@
             if tick % every or silent_from <= self.now < silent_until:
                 continue
             lines = [line for service in ("chat", "code") for line in self.demand_lines(service)]
-            self.service.demand(DemandReport(dispatcher, round(every * TICK_S * 1000.0), lines))
+            self.service.receive_demand_report(
+                DemandReport(dispatcher, round(every * TICK_S * 1000.0), lines)
+            )
 
     def demand_lines(self, service):
         draw = self.random_source
@@ -253,16 +255,17 @@
         [
             model.service,
             model.model,
-            model.rate,
+            model.requests_per_s,
             model.waiting,
             model.in_flight,
             list(model.holders),
-            list(model.coming),
+            list(model.loading),
         ]
         for model in summary.models
-        if model.rate or model.holders or model.coming
+        if model.requests_per_s or model.holders or model.loading
     ]
     orders = [
-        [order.runner, order.action, order.name, order.age_s, order.accepted] for order in summary.orders
+        [order.runner_id, order.action, order.name, order.age_s, order.is_accepted]
+        for order in summary.orders
     ]
-    return [summary.fence, summary.load_limit, summary.load_room, models, orders]
+    return [summary.fencing_token, summary.load_limit, summary.available_loads, models, orders]
--- a/tests/placement/test_orders.py
+++ b/tests/placement/test_orders.py
@@ -9,7 +9,7 @@
 
 from larchgw.configuration.settings import NodeSettings
 from larchgw.control import node as control_node
-from larchgw.placement.model import LOADING, Order, OrderOutcome
+from larchgw.placement.model import Order, OrderAction, OrderOutcome
 from larchgw.placement.orders import OrderClient
 
 
@@ -47,7 +47,7 @@
 
 
 def order_at(address):
-    return Order("i-7", address, LOADING, "m", if_revision=2)
+    return Order("i-7", address, OrderAction.LOADING, "m", if_revision=2)
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
 def test_a_report_comes_from_the_runner_that_was_asked_for():
     runner = Runner(200, b'{"models":[],"occupied":false,"call_count":2}')
     report = asyncio.run(runner.serve(lambda client, address: client.report("i-7", address)))
-    assert report is not None and report.call_count == 2
+    assert report is not None and report.order_count == 2
     assert runner.seen[0][:3] == ("GET", "/report", "i-7")
 
 
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -14,16 +14,15 @@
 from larchgw.experiments.place import Calls, HeldLease, run_at_once
 from larchgw.experiments.place import Service as Driver
 from larchgw.placement.demand import EXPIRY_S, Demand, ModelSummary
-from larchgw.placement.load_rate_limit import LoadCeiling
+from larchgw.placement.load_rate_limit import LoadRateLimiter
 from larchgw.placement.model import (
-    LOADING,
-    UNLOADING,
     Order,
+    OrderAction,
     OrderOutcome,
     PlacementSettings,
     RunnerReport,
 )
-from larchgw.placement.orders import MOST_ORDERS, decode_report, encode_order, outcome_of
+from larchgw.placement.orders import MAX_ORDERS, decode_report, encode_order, outcome_of
 from larchgw.placement.planner import RESIDENCE_S, Planner
 from larchgw.placement.popularity_change import ShiftEstimate
 from larchgw.placement.reconciler import LAST_POLL_S, REST_S, UNANSWERED_S, Reconciler
@@ -51,14 +50,14 @@
 
 
 def reconciler(config=None, loads_per_s=2.0):
-    made = Reconciler(PlacementSettings(), LoadCeiling(loads_per_s, WINDOW_S, CAP))
+    made = Reconciler(PlacementSettings(), LoadRateLimiter(loads_per_s, WINDOW_S, CAP))
     made.configure(config or configuration())
     return made
 
 
 def learned(held=("m0",), call_count=0, id="r0"):
     made = reconciler()
-    made.see_runner(0.0, record(id, held))
+    made.update_runner(0.0, record(id, held))
     made.report(0.0, id, told(held, call_count=call_count))
     return made
 
@@ -68,11 +67,11 @@
 
 
 def load(model, runner="r0", revision=0):
-    return Order(runner, "10.0.0.1:80", LOADING, model, if_revision=revision)
+    return Order(runner, "10.0.0.1:80", OrderAction.LOADING, model, if_revision=revision)
 
 
 def unload(model, runner="r0", revision=0, purpose=""):
-    return Order(runner, "10.0.0.1:80", UNLOADING, model, if_revision=revision, purpose=purpose)
+    return Order(runner, "10.0.0.1:80", OrderAction.UNLOADING, model, if_revision=revision, purpose=purpose)
 
 
 class Clock:
@@ -153,15 +152,15 @@
 )
 def test_no_window_has_more_loads_than_the_store_allows_however_late_they_begin(sends, loads_per_s):
     """Each load begins at some time between its send and when its outcome is seen."""
-    ceiling = LoadCeiling(loads_per_s, WINDOW_S, CAP)
+    load_limiter = LoadRateLimiter(loads_per_s, WINDOW_S, CAP)
     now, outcomes, begun = 0.0, [], []
     for number, (gap, seen_after, begin_share) in enumerate(sends):
         now += gap
         for at, runner in sorted(entry for entry in outcomes if entry[0] <= now):
-            ceiling.settled(at, runner)
+            load_limiter.confirm(at, runner)
         outcomes = [entry for entry in outcomes if entry[0] > now]
-        if ceiling.room(now) > 0:
-            ceiling.sent(now, f"r{number}")
+        if load_limiter.available(now) > 0:
+            load_limiter.reserve(now, f"r{number}")
             begun.append(now + begin_share * seen_after)
             outcomes.append((now + seen_after, f"r{number}"))
     begun.sort()
@@ -171,18 +170,18 @@
 
 
 def test_a_new_placer_begins_nothing_while_its_predecessor_may_have_used_the_window():
-    ceiling = LoadCeiling(2.0, WINDOW_S, CAP)
-    ceiling.assume_full(10.0)
-    assert ceiling.room(10.0 + WINDOW_S) == 0
-    assert ceiling.room(10.1 + WINDOW_S) == ceiling.limit
+    load_limiter = LoadRateLimiter(2.0, WINDOW_S, CAP)
+    load_limiter.assume_exhausted(10.0)
+    assert load_limiter.available(10.0 + WINDOW_S) == 0
+    assert load_limiter.available(10.1 + WINDOW_S) == load_limiter.limit
 
 
 def test_loads_that_another_placer_was_seen_to_begin_count():
     made = reconciler()
-    made.see_runner(0.0, record(held=("m0",)), holding_lease=False)
-    before = made.ceiling.room(0.0)
-    made.see_runner(1.0, record(held=("m0", "m1", "m2")), holding_lease=False)
-    assert made.ceiling.room(1.0) == before - 2
+    made.update_runner(0.0, record(held=("m0",)), holding_lease=False)
+    before = made.load_limiter.available(0.0)
+    made.update_runner(1.0, record(held=("m0", "m1", "m2")), holding_lease=False)
+    assert made.load_limiter.available(1.0) == before - 2
 
 
 # ---- Reconciler ----
@@ -224,7 +223,7 @@
     assert not made.runners["r0"].may_order(1.0)
     made.report(UNANSWERED_S, "r0", told(("m0", "m1"), call_count=0))
     assert made.runners["r0"].may_order(UNANSWERED_S)
-    assert made.ceiling.room(UNANSWERED_S) == made.ceiling.limit - 1
+    assert made.load_limiter.available(UNANSWERED_S) == made.load_limiter.limit - 1
 
 
 def test_an_order_without_an_answer_that_was_taken_is_followed_to_its_end():
@@ -241,7 +240,7 @@
 
 def test_an_accepted_adapter_takes_its_place_before_any_report_and_the_next_order_counts_it():
     made = learned(("m0",))
-    order = Order("r0", "10.0.0.1:80", LOADING, "m0", "a1", 0)
+    order = Order("r0", "10.0.0.1:80", OrderAction.LOADING, "m0", "a1", 0)
     made.ordering(0.0, order)
     made.assume_adapters(1.0)
     assert made.runners["r0"].under_way is not None
@@ -268,7 +267,7 @@
     order = load("m1")
     made.ordering(0.0, order)
     made.answered(0.01, order, OrderOutcome.UNSENT)
-    assert made.ceiling.room(0.01) == made.ceiling.limit
+    assert made.load_limiter.available(0.01) == made.load_limiter.limit
     made.report(0.3, "r0", told(("m0",)))
     assert not made.runners["r0"].may_order(0.3) and made.runners["r0"].may_order(REST_S + 0.1)
 
@@ -283,7 +282,7 @@
 
 def test_a_missing_model_for_an_adapter_is_no_other_runner():
     made = learned(("m0",))
-    order = Order("r0", "10.0.0.1:80", LOADING, "m0", "a1", 0)
+    order = Order("r0", "10.0.0.1:80", OrderAction.LOADING, "m0", "a1", 0)
     made.ordering(0.0, order)
     made.answered(0.01, order, OrderOutcome.OTHER_RUNNER)
     assert [state.id for state in made.polls(5.0)] == ["r0"]
@@ -291,7 +290,7 @@
 
 def test_a_runner_still_occupied_by_a_predecessors_order_gets_none():
     made = reconciler()
-    made.see_runner(0.0, record(held=("m0",)))
+    made.update_runner(0.0, record(held=("m0",)))
     made.report(0.0, "r0", told(("m0",), occupied=True, call_count=3))
     assert not made.runners["r0"].may_order(0.0)
     made.report(1.0, "r0", told(("m0", "m1"), call_count=3))
@@ -300,8 +299,8 @@
 
 def test_a_restarted_runner_is_another_one_whose_orders_are_forgotten():
     made = learned(("m0", "m1"), call_count=4)
-    made.see_runner(1.0, record("r0", stage=Stage.GONE))
-    made.see_runner(2.0, record("r1"))
+    made.update_runner(1.0, record("r0", stage=Stage.GONE))
+    made.update_runner(2.0, record("r1"))
     assert "r0" not in made.runners and made.runners["r1"].order_count is None
     made.report(2.1, "r1", told())
     assert made.runners["r1"].order_count == 0
@@ -314,7 +313,7 @@
     made.ordering(0.0, unload("m1"))
     made.report(0.5, "r0", told(("m0",), call_count=1))
     made.ordering(1.0, load("m1", revision=1))
-    assert made.ceiling.room(1.0) == made.ceiling.limit
+    assert made.load_limiter.available(1.0) == made.load_limiter.limit
 
 
 def test_after_the_lease_was_lost_nothing_is_ordered_before_reports_have_come():
@@ -327,7 +326,7 @@
 def test_a_large_deployment_is_not_polled_faster_than_it_answers():
     made = reconciler()
     for number in range(300):
-        made.see_runner(0.0, record(f"r{number}"))
+        made.update_runner(0.0, record(f"r{number}"))
     asked = {state.id for state in made.polls(0.0, most=64)}
     assert len(asked) == 64
     assert made.polls(10.0, asked, most=0) == []
@@ -337,7 +336,7 @@
 def test_a_runner_with_an_order_under_way_is_polled_before_those_that_are_not_known():
     made = learned()
     for number in range(1, 100):
-        made.see_runner(0.0, record(f"r{number}"))
+        made.update_runner(0.0, record(f"r{number}"))
     made.ordering(0.0, load("m1"))
     assert [state.id for state in made.polls(10.0, most=1)] == ["r0"]
 
@@ -355,7 +354,7 @@
     assert made.expected(0.1) == {"r0": {"m1": pytest.approx(1.03)}}
     made.report(1.2, "r0", told(("m0", "m1"), call_count=1))
     assert made.expected(1.2)["r0"]["m1"] <= 1.2
-    made.see_runner(1.5, record(held=("m0", "m1")))
+    made.update_runner(1.5, record(held=("m0", "m1")))
     assert made.expected(1.5) == {}
 
 
@@ -365,7 +364,7 @@
     assert made.expected(0.0)["r0"]["m1"] == float("inf")
     made.report(0.5, "r0", told(("m0",), call_count=1))
     assert made.expected(0.5)["r0"]["m1"] == float("inf")
-    made.see_runner(1.0, record(held=("m0",)))
+    made.update_runner(1.0, record(held=("m0",)))
     assert made.expected(1.0) == {}
 
 
@@ -373,7 +372,7 @@
 
 
 def test_an_order_names_its_owner_fence_and_the_orders_before_it():
-    order = Order("r0", "a:1", LOADING, "m", "a3", 2)
+    order = Order("r0", "a:1", OrderAction.LOADING, "m", "a3", 2)
     assert encode_order(order, "node-7", 41) == (
         b'{"order":"loading","model":"m","owner":"node-7","fence":41,"adapter":"a3","if_revision":2}'
     )
@@ -460,7 +459,7 @@
     if calls is not None:
         driver.service._runtime.calls = calls(world)
     step = driver.step if around is None else lambda: around(world, driver)
-    world.play(step, driver.see_runner, driver.demand)
+    world.play(step, driver.update_runner, driver.receive_demand_report)
     return world
 
 
@@ -576,7 +575,7 @@
     runtime = PlacementRuntime(lambda: world.now, lambda: None, Calls(world), spawn=run_at_once)
     service = PlacementService(runtime)
     service.configure(world.deployment.configuration())
-    world.play(service.step, service.see_runner, service.demand)
+    world.play(service.step, service.update_runner, service.receive_demand_report)
     assert (world.orders, world.probes) == (0, 0)
 
 
@@ -585,7 +584,7 @@
     runtime = PlacementRuntime(lambda: world.now, lambda: HeldLease(1, 5.0), Calls(world), spawn=run_at_once)
     service = PlacementService(runtime)
     service.configure(world.deployment.configuration())
-    world.play(service.step, service.see_runner, service.demand)
+    world.play(service.step, service.update_runner, service.receive_demand_report)
     sent = [order[0] for runner in world.runners for order in runner.orders]
     assert sent and max(sent) <= 5.0 - runtime.settings.order_timeout_s
 
@@ -604,11 +603,11 @@
         service = PlacementService(runtime)
         tasks = [
             asyncio.ensure_future(service._order(load("m", f"r{number}"), 1))
-            for number in range(MOST_ORDERS + 1)
+            for number in range(MAX_ORDERS + 1)
         ]
         service.step()
         await asyncio.sleep(0)
-        assert len(sent) == MOST_ORDERS
+        assert len(sent) == MAX_ORDERS
         lease[0] = None
         released.set()
         await asyncio.gather(*tasks)
@@ -617,7 +616,7 @@
     world = World(deployment([rare(names(0, 20), 0.2)], models=20, seconds=9.0), 1)
     runtime = PlacementRuntime(lambda: world.now, lambda: lease[0], Silent(world), spawn=run_at_once)
     asyncio.run(play())
-    assert len(sent) == MOST_ORDERS
+    assert len(sent) == MAX_ORDERS
 
 
 def test_a_placer_that_a_runner_has_refused_for_a_newer_one_orders_nothing_more():
@@ -647,19 +646,19 @@
         )
     )
     made = reconciler(config)
-    made.see_runner(0.0, record(held=("m0", "m1", "m2")))
+    made.update_runner(0.0, record(held=("m0", "m1", "m2")))
     made.report(0.0, "r0", told(("m0", "m1", "m2")))
     plan = Planner(PlacementSettings(), random.Random(1)).plan
     orders = plan(clock.now, config, made.terms, demand, made.state())
-    assert [(order.action, order.purpose) for order in orders] == [(UNLOADING, "m6")]
+    assert [(order.action, order.purpose) for order in orders] == [(OrderAction.UNLOADING, "m6")]
 
 
 def test_a_predecessors_order_under_way_is_counted_once_however_often_it_is_seen():
     made = reconciler()
-    made.see_runner(0.0, record(held=("m0",)))
+    made.update_runner(0.0, record(held=("m0",)))
     for second in range(4):
         made.report(float(second), "r0", told(("m0",), occupied=True, call_count=3))
-    assert made.ceiling.room(4.0) == made.ceiling.limit - 1
+    assert made.load_limiter.available(4.0) == made.load_limiter.limit - 1
 
 
 def test_a_new_holder_reads_every_report_before_its_first_order_there():
@@ -667,7 +666,7 @@
 
     class Watched(Calls):
         async def order(self, order, fence):
-            seen.append(("order", order.runner))
+            seen.append(("order", order.runner_id))
             return await super().order(order, fence)
 
         async def report(self, runner, address):
@@ -695,8 +694,8 @@
         services.append(service)
     world.play(
         lambda: [service.step() for service in services],
-        lambda known: [service.see_runner(known) for service in services],
-        lambda report: [service.demand(report) for service in services],
+        lambda known: [service.update_runner(known) for service in services],
+        lambda report: [service.receive_demand_report(report) for service in services],
     )
     assert any(at > 8.0 for runner in world.runners for at, *_ in runner.orders)
     no_rule_broken(world)
@@ -714,7 +713,7 @@
     )
     service = PlacementService(runtime)
     service.configure(world.deployment.configuration())
-    world.play(service.step, service.see_runner, service.demand)
+    world.play(service.step, service.update_runner, service.receive_demand_report)
     assert any(0 < ms < 5000 for _, names in published for ms in names.values())
     assert any(ms == GONE for _, names in published for ms in names.values())
     assert any(names == {} for _, names in published)
@@ -766,7 +765,7 @@
         DemandReport("e", 100, [line(name, arrivals=1, waiting=1, left_ms=4000) for name in waiting])
     )
     made = reconciler(config)
-    made.see_runner(clock.now, record(held=("m0", "m1", "m2")))
+    made.update_runner(clock.now, record(held=("m0", "m1", "m2")))
     made.report(clock.now, "r0", told(("m0", "m1", "m2")))
     return demand, config, made
 
--- a/tests/placement/test_recorded_bytes.py
+++ b/tests/placement/test_recorded_bytes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from larchgw.placement.demand import Demand
-from larchgw.placement.model import Order, OrderOutcome, RunnerReport
+from larchgw.placement.model import Order, OrderAction, OrderOutcome, RunnerReport
 from larchgw.placement.orders import OrderClient, decode_report, encode_order, outcome_of
 from larchgw.rpc.codec import decode_struct, encode_struct
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
@@ -22,10 +22,10 @@
 SEED, TICKS = 7, 440
 
 ORDERS = [
-    Order("i-7", "10.0.0.1:80", "loading", "m"),
-    Order("i-7", "10.0.0.1:80", "loading", "m", "a3", 2),
-    Order("i-7", "10.0.0.1:80", "unloading", "m", "", 0, "n/a1"),
-    Order("i-7", "10.0.0.1:80", "unloading", "modèle", "a\u201d", 12),
+    Order("i-7", "10.0.0.1:80", OrderAction.LOADING, "m"),
+    Order("i-7", "10.0.0.1:80", OrderAction.LOADING, "m", "a3", 2),
+    Order("i-7", "10.0.0.1:80", OrderAction.UNLOADING, "m", "", 0, "n/a1"),
+    Order("i-7", "10.0.0.1:80", OrderAction.UNLOADING, "modèle", "a\u201d", 12),
 ]
 REPORTS = [
     '{"phase":"both","models":[{"name":"d","config_version":1,"adapters":["a1","a2"]},{"name":"e"}],'
@@ -72,7 +72,7 @@
     if report is None:
         return None
     models = {name: sorted(adapters) for name, adapters in report.models.items()}
-    return [models, report.occupied, report.call_count, report.queued, report.in_progress]
+    return [models, report.is_occupied, report.order_count, report.queued, report.in_progress]
 
 
 def demand_report_bytes():
@@ -122,7 +122,10 @@
     address = "{}:{}".format(*server.sockets[0].getsockname())
     client = OrderClient("control-1")
     try:
-        assert await client.order(Order("i-7", address, "loading", "m", "a1", 2), 41) is OrderOutcome.ACCEPTED
+        assert (
+            await client.order(Order("i-7", address, OrderAction.LOADING, "m", "a1", 2), 41)
+            is OrderOutcome.ACCEPTED
+        )
         assert await client.report("i-7", address) is None
     finally:
         client.close()
