--- a/larchgw/configuration/change.py
+++ b/larchgw/configuration/change.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .errors import InvalidConfiguration, MalformedConfiguration, StaleConfiguration
+from .errors import InvalidConfigurationError, MalformedConfigurationError, StaleConfigurationError
 from .model import Configuration
 from .records import shown
 from .validation import decode, parse
@@ -31,12 +31,12 @@
 def evaluate(current: Configuration | None, operation: str, built_on: int, body: bytes) -> Configuration:
     """The version that a "replace" or "change" order asks for.
 
-    Raises StaleConfiguration where it builds on another version than the current one (0 stands for none),
-    MalformedConfiguration or InvalidConfiguration where it cannot be taken at all.
+    Raises StaleConfigurationError where it builds on another version than the current one (0 stands for
+    none), MalformedConfigurationError or InvalidConfigurationError where it cannot be taken at all.
     """
     version = current.config_version if current else 0
     if built_on not in (NOT_GIVEN, version):
-        raise StaleConfiguration(
+        raise StaleConfigurationError(
             "X-Built-On",
             f"{built_on} is not the current version, {version}",
             "read the configuration and build on it",
@@ -45,10 +45,12 @@
     if operation == CHANGE:
         raw = apply_change(current.raw if current else _EMPTY, raw)
     elif operation != REPLACE:
-        raise InvalidConfiguration("operation", f"{operation!r} is unknown", f"use {REPLACE} or {CHANGE}")
+        raise InvalidConfigurationError(
+            "operation", f"{operation!r} is unknown", f"use {REPLACE} or {CHANGE}"
+        )
     wanted = parse(raw, current)
     if wanted.config_version <= version:
-        raise InvalidConfiguration(
+        raise InvalidConfigurationError(
             "config_version",
             f"{wanted.config_version} is not above {version}",
             f"number it from {version + 1}",
@@ -61,7 +63,7 @@
 
     Items named under `remove` go first, and names that are not there are passed over. Those under `add` take
     the place of the item of their name, or stand at the end. `limits` replace the fields they name.
-    Raises MalformedConfiguration.
+    Raises MalformedConfigurationError.
     """
     removals = _mapping(_given(change, "remove"), "remove")
     additions = _mapping(_given(change, "add"), "add")
@@ -80,13 +82,13 @@
 
 def _mapping(value: object, path: str) -> Mapping[str, Any]:
     if not isinstance(value, dict):
-        raise MalformedConfiguration(path, f"{shown(value)} is no JSON object", "give an object")
+        raise MalformedConfigurationError(path, f"{shown(value)} is no JSON object", "give an object")
     return value
 
 
 def _sequence(value: object, path: str) -> list[Any]:
     if not isinstance(value, list):
-        raise MalformedConfiguration(path, f"{shown(value)} is no list", "give a list")
+        raise MalformedConfigurationError(path, f"{shown(value)} is no list", "give a list")
     return value
 
 
@@ -98,7 +100,7 @@
 def _list_of(raw: Mapping[str, Any], field: str) -> list[Any]:
     value = raw.get(field)
     if value is not None and not isinstance(value, list):
-        raise MalformedConfiguration(field, "is no list of named items", "send the whole configuration")
+        raise MalformedConfigurationError(field, "is no list of named items", "send the whole configuration")
     return value or []
 
 
@@ -116,7 +118,7 @@
     gone = set()
     for index, name in enumerate(_sequence(names, path)):
         if not isinstance(name, str):
-            raise MalformedConfiguration(f"{path}[{index}]", f"{shown(name)} is no name", "list names")
+            raise MalformedConfigurationError(f"{path}[{index}]", f"{shown(name)} is no name", "list names")
         gone.add(name)
     return [item for item in items if _name(item) not in gone]
 
@@ -129,9 +131,9 @@
         name = _mapping(item, f"{path}[{index}]").get("name")
         where = f"{path}[{index}].name"
         if not isinstance(name, str):
-            raise MalformedConfiguration(where, f"{shown(name)} is no name", "name the item")
+            raise MalformedConfigurationError(where, f"{shown(name)} is no name", "name the item")
         if name in added:
-            raise InvalidConfiguration(where, f"{name!r} is added twice", "keep one of them")
+            raise InvalidConfigurationError(where, f"{name!r} is added twice", "keep one of them")
         added.add(name)
         if name in places:
             found[places[name]] = item
--- a/larchgw/configuration/errors.py
+++ b/larchgw/configuration/errors.py
@@ -13,15 +13,15 @@
         self.field, self.problem, self.remedy = field, problem, remedy
 
 
-class MalformedConfiguration(ConfigurationError):
+class MalformedConfigurationError(ConfigurationError):
     """It cannot be read whole: not JSON, a field missing or of another type."""
 
 
-class InvalidConfiguration(ConfigurationError):
+class InvalidConfigurationError(ConfigurationError):
     """It can be read, but contradicts itself or the rules for configurations."""
 
 
-class StaleConfiguration(ConfigurationError):
+class StaleConfigurationError(ConfigurationError):
     """It builds on another version than the current one."""
 
     status = 412
--- a/larchgw/configuration/records.py
+++ b/larchgw/configuration/records.py
@@ -12,7 +12,7 @@
 
 import dacite
 
-from .errors import ConfigurationError, InvalidConfiguration, MalformedConfiguration
+from .errors import ConfigurationError, InvalidConfigurationError, MalformedConfigurationError
 
 LARGEST = 2**63 - 1  # what the 64-bit integers of the internal protocol hold; versions, times and sizes alike
 _SHOWN = 60  # characters of a wrong value that a message repeats
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 
-class UnfitValue(dacite.DaciteFieldError):
+class InvalidValueError(dacite.DaciteFieldError):
     """A value that a hook refuses; dacite adds the path of its field."""
 
     def __init__(self, problem: str, remedy: str) -> None:
@@ -36,12 +36,12 @@
 
     def malformed(self, path: str, problem: str, remedy: str) -> None:
         """Notes a field that is missing or of another type."""
-        self.faults.append(MalformedConfiguration(path, problem, remedy))
+        self.faults.append(MalformedConfigurationError(path, problem, remedy))
 
     def require(self, holds: bool, path: str, problem: str, remedy: str) -> None:
         """Notes a contradiction unless `holds`."""
         if not holds:
-            self.faults.append(InvalidConfiguration(path, problem, remedy))
+            self.faults.append(InvalidConfigurationError(path, problem, remedy))
 
     def mapping(self, value: object, path: str) -> Mapping[str, Any] | None:
         """A JSON object; None, and a note, where it is something else."""
@@ -61,7 +61,7 @@
         """A whole number from 0 to LARGEST; None, and a note, where it is something else."""
         try:
             return _integer(value)
-        except UnfitValue as error:
+        except InvalidValueError as error:
             self.malformed(path, error.problem, error.remedy)
             return None
 
@@ -88,28 +88,28 @@
 
 def _number(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise UnfitValue(f"{shown(value)} is no number", "give a number that is not negative")
+        raise InvalidValueError(f"{shown(value)} is no number", "give a number that is not negative")
     if not 0 <= value <= LARGEST:  # NaN compares as false
-        raise UnfitValue(f"{shown(value)} is out of range", f"give a number from 0 to {LARGEST}")
+        raise InvalidValueError(f"{shown(value)} is out of range", f"give a number from 0 to {LARGEST}")
     return float(value)
 
 
 def _integer(value: object) -> int:
     number = _number(value)
     if not number.is_integer():
-        raise UnfitValue(f"{shown(value)} is no whole number", "give a whole number")
+        raise InvalidValueError(f"{shown(value)} is no whole number", "give a whole number")
     return value if isinstance(value, int) else int(number)
 
 
 def _text(value: object) -> str:
     if not isinstance(value, str):
-        raise UnfitValue(f"{shown(value)} is no text", "give a string")
+        raise InvalidValueError(f"{shown(value)} is no text", "give a string")
     return value
 
 
 def _flag(value: object) -> bool:
     if not isinstance(value, bool):
-        raise UnfitValue(f"{shown(value)} is neither true nor false", "give true or false")
+        raise InvalidValueError(f"{shown(value)} is neither true nor false", "give true or false")
     return value
 
 
@@ -128,6 +128,6 @@
             continue
         try:
             _HOOKS.get(hints[field.name], lambda value: value)(present[field.name])
-        except UnfitValue as error:
+        except InvalidValueError as error:
             found.append((field.name, error.problem, error.remedy))
     return found
--- a/larchgw/configuration/settings.py
+++ b/larchgw/configuration/settings.py
@@ -11,7 +11,7 @@
 import dacite
 
 from .errors import SettingsError
-from .records import UnfitValue, shown
+from .records import InvalidValueError, shown
 
 VARIABLE = "LARCHGW_NODE_FILE"
 
@@ -110,14 +110,14 @@
     try:
         return float(value)
     except (TypeError, ValueError):
-        raise UnfitValue(f"{shown(value)} is no number", "give a number") from None
+        raise InvalidValueError(f"{shown(value)} is no number", "give a number") from None
 
 
 def _integer(value: Any) -> int:
     try:
         return int(value)
     except (TypeError, ValueError, OverflowError):
-        raise UnfitValue(f"{shown(value)} is no whole number", "give a whole number") from None
+        raise InvalidValueError(f"{shown(value)} is no whole number", "give a whole number") from None
 
 
 # Lenient, as a process that does not start helps nobody; `settings_check` is what finds fault.
@@ -135,7 +135,7 @@
     """The settings in a decoded file; unknown fields are ignored. Raises SettingsError."""
     try:
         settings = dacite.from_dict(NodeSettings, _given(raw), _LENIENT)
-    except UnfitValue as error:
+    except InvalidValueError as error:
         raise SettingsError(str(error.field_path), error.problem, error.remedy) from None
     except dacite.MissingValueError as error:
         raise SettingsError(str(error.field_path), "is missing", "add it") from None
--- a/larchgw/configuration/validation.py
+++ b/larchgw/configuration/validation.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any, NoReturn, TypeVar
 
-from .errors import ConfigurationError, MalformedConfiguration
+from .errors import ConfigurationError, MalformedConfigurationError
 from .model import Configuration, Limits, Model, Route, Runtime, Service
 from .records import Findings, shown
 from .route_reader import read_route
@@ -24,7 +24,7 @@
 
 
 def decode(body: bytes) -> dict[str, Any]:
-    """The JSON object in a body. Raises MalformedConfiguration."""
+    """The JSON object in a body. Raises MalformedConfigurationError."""
     try:
         raw = json.loads(
             body.decode(), object_pairs_hook=_unique, parse_constant=_no_constant, parse_float=_finite
@@ -32,9 +32,13 @@
         if b"\\ud" in body.lower():  # half of a surrogate pair would fail later, wherever text is sent on
             json.dumps(raw, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
-        raise MalformedConfiguration(WHOLE, f"is not JSON ({error})", "send one whole JSON object") from None
+        raise MalformedConfigurationError(
+            WHOLE, f"is not JSON ({error})", "send one whole JSON object"
+        ) from None
     if _is_too_deep(raw):
-        raise MalformedConfiguration(WHOLE, f"is nested over {MOST_NESTED} levels deep", "send it flatter")
+        raise MalformedConfigurationError(
+            WHOLE, f"is nested over {MOST_NESTED} levels deep", "send it flatter"
+        )
     return _object(raw)
 
 
@@ -59,7 +63,7 @@
 
 def _object(value: object) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise MalformedConfiguration(WHOLE, f"{shown(value)} is no JSON object", "send an object")
+        raise MalformedConfigurationError(WHOLE, f"{shown(value)} is no JSON object", "send an object")
     return value
 
 
@@ -69,26 +73,28 @@
     if len(fields) < len(pairs):
         names = [name for name, _ in pairs]
         twice = next(name for name in names if names.count(name) > 1)
-        raise MalformedConfiguration(twice, "is given twice in one object", "keep one of them")
+        raise MalformedConfigurationError(twice, "is given twice in one object", "keep one of them")
     return fields
 
 
 def _finite(text: str) -> float:
     number = float(text)
     if math.isinf(number):
-        raise MalformedConfiguration(WHOLE, f"holds {text}, which is too large", "give a smaller number")
+        raise MalformedConfigurationError(WHOLE, f"holds {text}, which is too large", "give a smaller number")
     return number
 
 
 def _no_constant(text: str) -> NoReturn:
-    raise MalformedConfiguration(WHOLE, f"holds {text}, which is not JSON", "give a finite number")
+    raise MalformedConfigurationError(WHOLE, f"holds {text}, which is not JSON", "give a finite number")
 
 
 def parse(raw: Mapping[str, Any], known: Configuration | None = None) -> Configuration:
     """The configuration in a decoded body.
 
     Routes and services of `known` whose JSON objects are the very ones in `raw`, as after
-    `change.apply_change`, are not read again. Raises MalformedConfiguration or InvalidConfiguration.
+    `change.apply_change`, are not read again.
+
+    Raises MalformedConfigurationError or InvalidConfigurationError.
     """
     return _whole(raw, _unless_same(known, "routes", read_route), _unless_same(known, "services", _service))
 
@@ -97,12 +103,14 @@
     """A configuration that a control process has checked already, as it comes to the other processes.
 
     Routes and services that are equal in `known` are not read again, which is not enough for an operator's
-    order: JSON's true equals 1 here. Raises MalformedConfiguration or InvalidConfiguration.
+    order: JSON's true equals 1 here. Raises MalformedConfigurationError or InvalidConfigurationError.
     """
     try:
         raw = json.loads(body)
     except ValueError as error:
-        raise MalformedConfiguration(WHOLE, f"is not JSON ({error})", "send one whole JSON object") from None
+        raise MalformedConfigurationError(
+            WHOLE, f"is not JSON ({error})", "send one whole JSON object"
+        ) from None
     return _whole(
         _object(raw), _unless_equal(known, "routes", read_route), _unless_equal(known, "services", _service)
     )
--- a/larchgw/control/disk.py
+++ b/larchgw/control/disk.py
@@ -27,7 +27,7 @@
 
     @classmethod
     def open(cls, files: FilePort, folder: str) -> ControlDisk:
-        """Recovers the files. Raises DiskFull, DiskFailed, CorruptLog and CorruptCell."""
+        """Recovers the files. Raises DiskFullError, DiskFailedError, CorruptLogError and CorruptCellError."""
         reserve = Reserve(files, folder)
         log = Log.open(files, os.path.join(folder, LOG_FOLDER))
 
--- a/larchgw/storage/cell.py
+++ b/larchgw/storage/cell.py
@@ -10,7 +10,7 @@
 import struct
 import zlib
 
-from .errors import CorruptCell, DiskFull
+from .errors import CorruptCellError, DiskFullError
 from .files import FilePort
 from .reserve import Reserve
 
@@ -27,7 +27,7 @@
     def __init__(self, port: FilePort, folder: str, name: str, reserve: Reserve | None = None) -> None:
         """Recovers the value. `reserve` is released when the disk is full.
 
-        Raises CorruptCell, DiskFull or DiskFailed; it may be tried again.
+        Raises CorruptCellError, DiskFullError or DiskFailedError; it may be tried again.
         """
         self._port = port
         self._folder = folder
@@ -48,14 +48,14 @@
     def store(self, value: bytes) -> None:
         """Replaces the value; durable once it returns.
 
-        Raises DiskFull or DiskFailed: `load` gives the old value, a crash leaves the old or the new one,
-        and the call may be repeated. ValueError if the value is longer than MAX_VALUE_BYTES.
+        Raises DiskFullError or DiskFailedError: `load` gives the old value, a crash leaves the old or the new
+        one, and the call may be repeated. ValueError if the value is longer than MAX_VALUE_BYTES.
         """
         if len(value) > MAX_VALUE_BYTES:
             raise ValueError(f"a value of {len(value)} bytes; the most is {MAX_VALUE_BYTES}: use the log")
         try:
             self._write(value)
-        except DiskFull:
+        except DiskFullError:
             if self._reserve is None or not self._reserve.release():
                 raise
             self._write(value)
@@ -88,7 +88,7 @@
     def _check_never_stored(self, contents: list[bytes | None]) -> None:
         """The second file is begun only when the first is whole, so it cannot stand beside a torn first."""
         if contents[1] is not None:
-            raise CorruptCell(self._paths[0], 0, "neither copy of the value can be read")
+            raise CorruptCellError(self._paths[0], 0, "neither copy of the value can be read")
 
     def _read(self, path: str) -> bytes | None:
         size = self._port.size(path)
--- a/larchgw/storage/errors.py
+++ b/larchgw/storage/errors.py
@@ -15,25 +15,25 @@
         self.path, self.problem, self.remedy = path, problem, remedy
 
 
-class DiskFull(StorageError, OSError):
+class DiskFullError(StorageError, OSError):
     """There is no room. Nothing was promised by the call that raised it, and the store stays usable.
 
     An OSError, as the ports of larchgw/replication ask for, so that a member gives up its role and goes on.
     """
 
 
-class DiskFailed(StorageError, OSError):
+class DiskFailedError(StorageError, OSError):
     """The disk refused a call for another reason. Nothing was promised, and the call may be repeated.
 
-    An OSError for the same reason as DiskFull.
+    An OSError for the same reason as DiskFullError.
     """
 
 
-class RecordsGone(StorageError):
+class CompactedRecordsError(StorageError):
     """The records asked for were replaced by a snapshot."""
 
 
-class CorruptData(StorageError):
+class CorruptDataError(StorageError):
     """Data that was synced cannot be read back. `offset` is its place in the file, in bytes."""
 
     def __init__(self, path: str, offset: int, problem: str, remedy: str) -> None:
@@ -41,7 +41,7 @@
         self.offset = offset
 
 
-class CorruptLog(CorruptData):
+class CorruptLogError(CorruptDataError):
     """A synced record or snapshot is damaged or missing."""
 
     REMEDY = (
@@ -53,10 +53,10 @@
         super().__init__(path, offset, problem, remedy)
 
 
-class CorruptCell(CorruptData):
+class CorruptCellError(CorruptDataError):
     """Neither copy of a small value can be read."""
 
-    REMEDY = CorruptLog.REMEDY
+    REMEDY = CorruptLogError.REMEDY
 
     def __init__(self, path: str, offset: int, problem: str, remedy: str = REMEDY) -> None:
         super().__init__(path, offset, problem, remedy)
@@ -66,5 +66,5 @@
     """The typed form of what a system call raised."""
     reason = error.strerror or str(error)
     if error.errno in FULL_ERRNOS:
-        return DiskFull(path, reason, "compact the log or free space on the disk, then repeat the call")
-    return DiskFailed(path, reason, "check the disk and the rights of the folder, then repeat the call")
+        return DiskFullError(path, reason, "compact the log or free space on the disk, then repeat the call")
+    return DiskFailedError(path, reason, "check the disk and the rights of the folder, then repeat the call")
--- a/larchgw/storage/files.py
+++ b/larchgw/storage/files.py
@@ -13,14 +13,14 @@
 from contextlib import contextmanager
 from typing import Protocol
 
-from .errors import DiskFailed, StorageError, from_os_error
+from .errors import DiskFailedError, StorageError, from_os_error
 
 FOLDER_MODE = 0o750
 FILE_MODE = 0o640
 
 
 class FilePort(Protocol):
-    """Calls on files by path. Each raises DiskFull or DiskFailed."""
+    """Calls on files by path. Each raises DiskFullError or DiskFailedError."""
 
     def make_folder(self, folder: str) -> None:
         """Makes a folder with its parents; durable once it returns. Nothing happens if it is there."""
@@ -117,7 +117,9 @@
             while rest:
                 written = os.pwrite(descriptor, rest, offset)
                 if written == 0:
-                    raise DiskFailed(path, "a write made no progress", "check the disk, then repeat the call")
+                    raise DiskFailedError(
+                        path, "a write made no progress", "check the disk, then repeat the call"
+                    )
                 rest = rest[written:]
                 offset += written
 
--- a/larchgw/storage/inspect.py
+++ b/larchgw/storage/inspect.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from . import segments
-from .errors import CorruptLog, StorageError
+from .errors import CorruptLogError, StorageError
 from .files import DiskFiles, FilePort
 from .recovery import NO_SNAPSHOT, Recovery, read_snapshot, recover
 from .snapshots import parse_snapshot_name
@@ -69,7 +69,7 @@
 
 
 def dump(folder: str, port: FilePort | None = None) -> Iterator[str]:
-    """A line for the snapshot and one for each record. Raises CorruptLog, DiskFailed."""
+    """A line for the snapshot and one for each record. Raises CorruptLogError, DiskFailedError."""
     port = port or DiskFiles()
     found = recover(port, folder)
     if found.snapshot != NO_SNAPSHOT:
@@ -80,7 +80,7 @@
 
 
 def contents(folder: str, port: FilePort | None = None) -> Contents:
-    """All that the log of a folder holds. Raises CorruptLog, DiskFailed."""
+    """All that the log of a folder holds. Raises CorruptLogError, DiskFailedError."""
     port = port or DiskFiles()
     found = recover(port, folder)
     snapshot = None if found.snapshot == NO_SNAPSHOT else read_snapshot(port, folder, found.snapshot)
@@ -91,11 +91,11 @@
 
 
 def snapshot_file(path: str, port: FilePort | None = None) -> Contents:
-    """What a snapshot's file alone holds. Raises CorruptLog, DiskFailed."""
+    """What a snapshot's file alone holds. Raises CorruptLogError, DiskFailedError."""
     folder, name = os.path.split(path)
     identity = parse_snapshot_name(name)
     if identity is None:
-        raise CorruptLog(path, 0, "its name is not that of a snapshot", "give the file its name back")
+        raise CorruptLogError(path, 0, "its name is not that of a snapshot", "give the file its name back")
     return Contents(identity.index, read_snapshot(port or DiskFiles(), folder, identity), [])
 
 
@@ -105,7 +105,7 @@
             start, size = segment.place(index)
             record = segments.decode(segment.first_index, port.read(segment.path, start, size), 0, start)
             if record is None:
-                raise CorruptLog(segment.path, start, f"record {index} is damaged")
+                raise CorruptLogError(segment.path, start, f"record {index} is damaged")
             yield index, record
 
 
--- a/larchgw/storage/log.py
+++ b/larchgw/storage/log.py
@@ -14,7 +14,7 @@
 import structlog
 
 from . import segments, snapshots
-from .errors import CorruptLog, DiskFull, RecordsGone, StorageError
+from .errors import CompactedRecordsError, CorruptLogError, DiskFullError, StorageError
 from .files import FilePort
 from .recovery import NO_SNAPSHOT, read_snapshot, recover
 from .segments import MAX_RECORD_BYTES, Segment
@@ -70,7 +70,8 @@
     ) -> Log:
         """Recovers the log, which is empty if the folder is. Everything it then holds is durable.
 
-        Raises CorruptLog where synced data is damaged, DiskFull or DiskFailed; it may be called again.
+        Raises CorruptLogError where synced data is damaged, DiskFullError or DiskFailedError; it may be
+        called again.
         """
         log = cls(port, folder, segment_bytes, limit_bytes)
         port.make_folder(folder)
@@ -100,8 +101,8 @@
     def append(self, record: bytes) -> int:
         """Adds a record and returns its index. It is durable once a `sync` called after this has returned.
 
-        Raises DiskFull (also at the limit of the log) or DiskFailed; the record is then not in the log and
-        its index is free again. ValueError if the record is longer than MAX_RECORD_BYTES.
+        Raises DiskFullError (also at the limit of the log) or DiskFailedError; the record is then not in the
+        log and its index is free again. ValueError if the record is longer than MAX_RECORD_BYTES.
         """
         if len(record) > MAX_RECORD_BYTES:
             raise ValueError(f"a record of {len(record)} bytes; the most is {MAX_RECORD_BYTES}: split it")
@@ -120,8 +121,8 @@
     def sync(self) -> None:
         """Makes all records durable that were appended before the call.
 
-        Raises DiskFull or DiskFailed: nothing more is durable than before, the records stay appended, and a
-        later sync writes them again.
+        Raises DiskFullError or DiskFailedError: nothing more is durable than before, the records stay
+        appended, and a later sync writes them again.
         """
         with self._sync_lock:
             self._sync()
@@ -129,8 +130,8 @@
     def truncate_after(self, index: int) -> None:
         """Drops the records above `index`; durable once it returns.
 
-        Raises DiskFull or DiskFailed: any number of records above `index` may then remain, none of them
-        after a gap, and the call may be repeated. ValueError if the snapshot stands for records above
+        Raises DiskFullError or DiskFailedError: any number of records above `index` may then remain, none of
+        them after a gap, and the call may be repeated. ValueError if the snapshot stands for records above
         `index`.
         """
         with self._sync_lock:
@@ -145,12 +146,12 @@
     def read(self, first: int, last: int) -> Iterator[tuple[int, bytes]]:
         """The records from `first` to `last`, in order, whether durable or not; none if `first > last`.
 
-        Raises RecordsGone if some are part of the snapshot, ValueError if some do not exist yet; while
-        iterating CorruptLog or DiskFailed. Records must not be dropped while it iterates.
+        Raises CompactedRecordsError if some are part of the snapshot, ValueError if some do not exist yet;
+        while iterating CorruptLogError or DiskFailedError. Records must not be dropped while it iterates.
         """
         if first < self.first_index:
             remedy = f"use the snapshot up to {self._snapshot.index}"
-            raise RecordsGone(self._folder, f"record {first} was compacted", remedy)
+            raise CompactedRecordsError(self._folder, f"record {first} was compacted", remedy)
         if last > self.last_index:
             raise ValueError(f"record {last} does not exist; the last one is {self.last_index}")
         return self._records(first, last)
@@ -159,8 +160,8 @@
         """Lets a snapshot stand for the records up to `up_to`; durable once it returns. Segments go after
         that.
 
-        Nothing happens if the present snapshot reaches as far. Raises DiskFull or DiskFailed: all records
-        stay. ValueError if there is no record `up_to`.
+        Nothing happens if the present snapshot reaches as far. Raises DiskFullError or DiskFailedError: all
+        records stay. ValueError if there is no record `up_to`.
         """
         with self._sync_lock:
             self._settle()
@@ -176,7 +177,7 @@
             self._discard([segment.path for segment in covered])
 
     def snapshot(self) -> tuple[int, bytes] | None:
-        """Index and content of the snapshot, if there is one. Raises CorruptLog, DiskFailed."""
+        """Index and content of the snapshot, if there is one. Raises CorruptLogError, DiskFailedError."""
         if self._snapshot == NO_SNAPSHOT:
             return None
         return self._snapshot.index, read_snapshot(self._port, self._folder, self._snapshot)
@@ -184,7 +185,7 @@
     def install(self, index: int, snapshot: bytes) -> None:
         """Replaces everything by a snapshot from another replica; durable, as a whole, once it returns.
 
-        Raises DiskFull or DiskFailed: everything is as before.
+        Raises DiskFullError or DiskFailedError: everything is as before.
         """
         with self._sync_lock:
             self._settle()
@@ -218,7 +219,7 @@
     def _check_limit(self, size: int) -> None:
         if self.size_bytes + size > self._limit_bytes:
             problem = f"the log has reached its limit of {self._limit_bytes} bytes"
-            raise DiskFull(self._folder, problem, "compact it, then append again")
+            raise DiskFullError(self._folder, problem, "compact it, then append again")
 
     def _writable_segment(self, index: int) -> Segment:
         """The last segment, or a new one. A new one is begun only when everything before it is durable."""
@@ -313,7 +314,7 @@
         data = self._port.read(segment.path, start, size)
         record = segments.decode(segment.first_index, data, 0, start)
         if record is None or record.index != index:
-            raise CorruptLog(segment.path, start, f"record {index} is damaged")
+            raise CorruptLogError(segment.path, start, f"record {index} is damaged")
         return record.payload
 
     def _write_snapshot(self, snapshot: SnapshotId, payload: bytes) -> None:
--- a/larchgw/storage/recovery.py
+++ b/larchgw/storage/recovery.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from . import segments, snapshots
-from .errors import CorruptLog
+from .errors import CorruptLogError
 from .files import FilePort
 from .segments import Segment
 from .snapshots import SnapshotId
@@ -32,7 +32,7 @@
 
 
 def recover(port: FilePort, folder: str) -> Recovery:
-    """Reads the folder. Raises CorruptLog, DiskFailed."""
+    """Reads the folder. Raises CorruptLogError, DiskFailedError."""
     found = Recovery()
     names = port.list(folder)
     _choose_snapshot(port, folder, names, found)
@@ -47,11 +47,11 @@
 
 
 def read_snapshot(port: FilePort, folder: str, snapshot: SnapshotId) -> bytes:
-    """The payload of a snapshot that was synced. Raises CorruptLog, DiskFailed."""
+    """The payload of a snapshot that was synced. Raises CorruptLogError, DiskFailedError."""
     path = os.path.join(folder, snapshot.name)
     payload = snapshots.decode(snapshot, port.read(path, 0, port.size(path) or 0))
     if payload is None:
-        raise CorruptLog(path, 0, "the snapshot is damaged or missing")
+        raise CorruptLogError(path, 0, "the snapshot is damaged or missing")
     return payload
 
 
@@ -78,7 +78,7 @@
             continue
         path = os.path.join(folder, name)
         if parsed[0] > found.snapshot.generation:
-            raise CorruptLog(path, 0, "the snapshot that this segment builds on is missing")
+            raise CorruptLogError(path, 0, "the snapshot that this segment builds on is missing")
         if parsed[0] < found.snapshot.generation:
             found.obsolete.append(path)
         else:
@@ -98,7 +98,7 @@
         return
     damaged_index = segment.last_index + 1
     if not is_last or damaged_index <= max(found.snapshot.index, scanned.proof):
-        raise CorruptLog(segment.path, segment.end, f"record {damaged_index} was synced and is damaged")
+        raise CorruptLogError(segment.path, segment.end, f"record {damaged_index} was synced and is damaged")
     found.tail = len(data) - scanned.end
 
 
@@ -106,7 +106,9 @@
     expected = found.live[-1].last_index + 1 if found.live else found.snapshot.index + 1
     missing = segment.first_index > expected or (found.live and segment.first_index != expected)
     if missing:
-        raise CorruptLog(segment.path, 0, f"the records from {expected} on are missing before this segment")
+        raise CorruptLogError(
+            segment.path, 0, f"the records from {expected} on are missing before this segment"
+        )
 
 
 def _drop_covered(found: Recovery) -> None:
--- a/tests/configuration/test_change.py
+++ b/tests/configuration/test_change.py
@@ -13,9 +13,9 @@
 from larchgw.configuration.change import CHANGE, REPLACE, apply_change, canonical, digest, evaluate
 from larchgw.configuration.errors import (
     ConfigurationError,
-    InvalidConfiguration,
-    MalformedConfiguration,
-    StaleConfiguration,
+    InvalidConfigurationError,
+    MalformedConfigurationError,
+    StaleConfigurationError,
 )
 from larchgw.configuration.validation import MOST_NESTED, parse
 from tests.support.configurations import EXAMPLE, body, configurations, example, routes_of, with_value
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("operation", [REPLACE, CHANGE])
 @pytest.mark.parametrize("built_on", [0, 6, 8])
 def test_of_two_orders_on_one_version_the_second_is_stale(operation: str, built_on: int) -> None:
-    with pytest.raises(StaleConfiguration) as caught:
+    with pytest.raises(StaleConfigurationError) as caught:
         evaluate(CURRENT, operation, built_on, body(example(config_version=9)))
     assert caught.value.status == 412
 
@@ -47,13 +47,13 @@
 @pytest.mark.parametrize("built_on", [7, -1])
 def test_a_version_that_does_not_rise_is_refused(version: int, built_on: int) -> None:
     for operation in (REPLACE, CHANGE):
-        with pytest.raises(InvalidConfiguration, match="config_version"):
+        with pytest.raises(InvalidConfigurationError, match="config_version"):
             evaluate(CURRENT, operation, built_on, body(example(config_version=version)))
 
 
 def test_the_first_configuration_builds_on_nothing() -> None:
     assert evaluate(None, REPLACE, 0, body(EXAMPLE)) == CURRENT
-    with pytest.raises(StaleConfiguration):
+    with pytest.raises(StaleConfigurationError):
         evaluate(None, REPLACE, 3, body(EXAMPLE))
 
 
@@ -109,7 +109,7 @@
 
 
 def test_an_unknown_operation_is_refused() -> None:
-    with pytest.raises(InvalidConfiguration, match="operation"):
+    with pytest.raises(InvalidConfigurationError, match="operation"):
         evaluate(CURRENT, "patch", 7, change())
 
 
@@ -169,11 +169,11 @@
     assert evaluate(None, REPLACE, 0, at_most) == below(600, at_most)
     for levels in (MOST_NESTED, 850, 100_000):
         for frames in (0, 600):
-            with pytest.raises(MalformedConfiguration):
+            with pytest.raises(MalformedConfigurationError):
                 below(frames, nested(levels))
 
 
 def test_a_number_that_json_cannot_give_back_is_refused_in_any_field() -> None:
     order = json.dumps({**EXAMPLE, "notes": 0}).replace('"notes": 0', '"notes": -1e999').encode()
-    with pytest.raises(MalformedConfiguration, match="1e999"):
+    with pytest.raises(MalformedConfigurationError, match="1e999"):
         evaluate(None, REPLACE, 0, order)
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchgw.configuration.errors import ConfigurationError, MalformedConfiguration
+from larchgw.configuration.errors import ConfigurationError, MalformedConfigurationError
 from larchgw.configuration.records import Findings
 from larchgw.configuration.route_reader import ordinary_route, route_by_record
 from larchgw.configuration.validation import decode, examine, parse, parse_committed
@@ -150,7 +150,7 @@
     ],
 )
 def test_a_body_that_cannot_be_read_whole_is_refused(spoilt: bytes) -> None:
-    with pytest.raises(MalformedConfiguration):
+    with pytest.raises(MalformedConfigurationError):
         parse(decode(spoilt))
 
 
@@ -266,7 +266,7 @@
 @given(configurations(), st.data())
 def test_a_body_that_is_cut_short_anywhere_is_refused(raw: dict[str, Any], data: st.DataObject) -> None:
     whole = body(raw)
-    with pytest.raises(MalformedConfiguration):
+    with pytest.raises(MalformedConfigurationError):
         parse(decode(whole[: data.draw(st.integers(0, len(whole) - 1))]))
 
 
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -23,7 +23,7 @@
 from larchgw.replication.settings import MemberSettings
 from larchgw.runtime import process
 from larchgw.runtime.clients import RpcClients
-from larchgw.storage.errors import DiskFailed, DiskFull
+from larchgw.storage.errors import DiskFailedError, DiskFullError
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.reserve import NAME, RESERVE_BYTES
 from tests.support.faulty_files import FaultyFiles
@@ -109,7 +109,7 @@
     assert answer.status == 413 and b"several changes" in answer.body
 
 
-@pytest.mark.parametrize("kind", [DiskFull, DiskFailed])
+@pytest.mark.parametrize("kind", [DiskFullError, DiskFailedError])
 def test_what_a_disk_refuses_is_an_os_error_and_still_names_file_and_remedy(kind: type[Exception]) -> None:
     error = kind("log/segment", "no room", "free some")
     assert isinstance(error, OSError)
@@ -117,7 +117,7 @@
 
 
 def test_a_write_refused_by_the_system_is_typed(tmp_path: Path) -> None:
-    with pytest.raises(DiskFailed) as caught:
+    with pytest.raises(DiskFailedError) as caught:
         DiskFiles().write(str(tmp_path), 0, b"a folder is no file")
     assert str(tmp_path) in str(caught.value)
 
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -9,7 +9,13 @@
 
 from larchgw.storage import inspect
 from larchgw.storage.cell import Cell
-from larchgw.storage.errors import CorruptCell, CorruptLog, DiskFailed, DiskFull, RecordsGone
+from larchgw.storage.errors import (
+    CompactedRecordsError,
+    CorruptCellError,
+    CorruptLogError,
+    DiskFailedError,
+    DiskFullError,
+)
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.log import Log
 from larchgw.storage.reserve import Reserve
@@ -28,7 +34,7 @@
         self.log.append(b"one")
         self.log.sync()
         self.port.refuses_writes = True
-        self.assertRaises(DiskFull, self.log.append, b"two")
+        self.assertRaises(DiskFullError, self.log.append, b"two")
         self.assertEqual([(1, b"one")], list(self.log.read(1, 1)))
         self.port.refuses_writes = False
         self.assertEqual(2, self.log.append(b"deux"))
@@ -39,7 +45,7 @@
     def test_a_record_written_in_part_does_not_spoil_the_segment_that_follows(self) -> None:
         self.log.append(b"x" * SEGMENT_BYTES)
         self.port.capacity = self.port.used() + 40
-        self.assertRaises(DiskFull, self.log.append, b"y" * 100)
+        self.assertRaises(DiskFullError, self.log.append, b"y" * 100)
         self.port.capacity *= 100
         self.log.sync()
         self.log.append(b"in the next segment")
@@ -55,7 +61,7 @@
         self.port.refuses_writes = True
         log = Log.open(self.port, FOLDER)
         self.assertEqual((b"one",), contents(log).records)
-        self.assertRaises(DiskFull, log.append, b"two")
+        self.assertRaises(DiskFullError, log.append, b"two")
         self.port.refuses_writes = False
         log.append(b"two")
         log.sync()
@@ -66,7 +72,7 @@
             self.log.append(b"x" * 60)
         self.log.sync()
         self.port.capacity = self.port.used() + 40
-        self.assertRaises(DiskFull, self.log.append, b"y" * 100)
+        self.assertRaises(DiskFullError, self.log.append, b"y" * 100)
         self.port.capacity *= 100
         self.log.truncate_after(1)
         for _ in range(2):
@@ -79,13 +85,13 @@
         self.log.append(b"one")
         self.log.sync()
         self.port.failing.update(sync_file=1, remove=1)
-        self.assertRaises(DiskFailed, self.log.compact, 1, b"long" * 50)
+        self.assertRaises(DiskFailedError, self.log.compact, 1, b"long" * 50)
         self.log.compact(1, b"short")
         self.assertEqual((1, b"short"), Log.open(self.port, FOLDER).snapshot())
 
     def test_the_limit_refuses_appends_until_the_log_is_compacted(self) -> None:
         log = Log.open(self.port, "small", segment_bytes=SEGMENT_BYTES, limit_bytes=1000)
-        error = self.assertRaises(DiskFull, lambda: [log.append(b"r" * 100) for _ in range(20)])
+        error = self.assertRaises(DiskFullError, lambda: [log.append(b"r" * 100) for _ in range(20)])
         self.assertIn("compact", error.remedy)
         log.compact(log.last_index, b"all")
         self.assertTrue(log.size_bytes < 100)
@@ -96,7 +102,7 @@
         self.log.sync()
         before = self.port.paths()
         self.port.capacity = self.port.used() + 50
-        self.assertRaises(DiskFull, self.log.compact, 1, b"s" * 500)
+        self.assertRaises(DiskFullError, self.log.compact, 1, b"s" * 500)
         self.assertEqual(before, self.port.paths())
         self.assertIs(None, self.log.snapshot())
 
@@ -105,13 +111,15 @@
         self.assertTrue(reserve.refill())
         cell = Cell(self.port, FOLDER, "epoch", reserve)
         self.port.capacity = self.port.used()
-        self.assertRaises(DiskFull, self.log.append, b"refused")
+        self.assertRaises(DiskFullError, self.log.append, b"refused")
         cell.store(b"stepped down")
         self.port.lose_power()
         self.assertEqual(b"stepped down", Cell(self.port, FOLDER, "epoch").load())
         self.port.capacity = self.port.used()
         self.assertFalse(reserve.refill())
-        self.assertRaises(DiskFull, Cell(self.port, FOLDER, "other", Reserve(self.port, "none")).store, b"x")
+        self.assertRaises(
+            DiskFullError, Cell(self.port, FOLDER, "other", Reserve(self.port, "none")).store, b"x"
+        )
 
 
 class TestSyncs(TestCase):
@@ -144,7 +152,7 @@
     def test_records_of_a_sync_that_failed_are_written_again(self) -> None:
         self.log.append(b"one")
         self.port.failing["sync_file"] = 1
-        self.assertRaises(DiskFailed, self.log.sync)
+        self.assertRaises(DiskFailedError, self.log.sync)
         self.assertEqual(0, self.log.durable_index)
         self.port.log.clear()
         self.log.sync()
@@ -171,7 +179,7 @@
         self.fill(20)
         path = self.first_segment()
         self.port.flip_bit(path, 30)
-        error = self.assertRaises(CorruptLog, Log.open, self.port, FOLDER)
+        error = self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
         self.assertEqual((path, 0), (error.path, error.offset))
         self.assertIn("new replica", str(error))
         self.assertFalse(inspect.verify(FOLDER, self.port).ok)
@@ -179,7 +187,7 @@
     def test_damage_before_a_record_that_proves_it_synced_is_told(self) -> None:
         self.fill(3)
         self.port.flip_bit(self.first_segment(), 5)
-        self.assertRaises(CorruptLog, Log.open, self.port, FOLDER)
+        self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
 
     def test_damage_below_the_snapshot_in_the_segment_that_reaches_above_it_is_told(self) -> None:
         for number in range(3):
@@ -187,27 +195,27 @@
         self.log.sync()
         self.log.compact(2, b"two")
         self.port.flip_bit(self.first_segment(), 5)
-        self.assertRaises(CorruptLog, Log.open, self.port, FOLDER)
+        self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
 
     def test_bytes_behind_the_last_record_of_an_earlier_segment_are_told(self) -> None:
         self.fill(20)
         path = self.first_segment()
         self.port.set_content(path, self.port.read(path, 0, 10_000) + b"noise")
-        self.assertRaises(CorruptLog, Log.open, self.port, FOLDER)
+        self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
 
     def test_a_missing_segment_is_told(self) -> None:
         self.fill(30)
         segments = [path for path in self.port.paths() if path.endswith(".seg")]
         self.port.remove(segments[1])
-        self.assertRaises(CorruptLog, Log.open, self.port, FOLDER)
+        self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
 
     def test_a_damaged_snapshot_is_told(self) -> None:
         self.fill(5)
         self.log.compact(5, b"five")
         path = next(path for path in self.port.paths() if path.endswith(".snap"))
         self.port.flip_bit(path, 30)
-        self.assertRaises(CorruptLog, Log.open, self.port, FOLDER)
-        self.assertRaises(CorruptLog, self.log.snapshot)
+        self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
+        self.assertRaises(CorruptLogError, self.log.snapshot)
 
     def test_a_lost_snapshot_is_told(self) -> None:
         self.fill(5)
@@ -215,12 +223,12 @@
         self.log.append(b"ten")
         self.log.sync()
         self.port.remove(next(path for path in self.port.paths() if path.endswith(".snap")))
-        self.assertRaises(CorruptLog, Log.open, self.port, FOLDER)
+        self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
 
     def test_damage_found_while_reading_is_told(self) -> None:
         self.fill(2)
         self.port.flip_bit(self.first_segment(), 30)
-        self.assertRaises(CorruptLog, list, self.log.read(1, 2))
+        self.assertRaises(CorruptLogError, list, self.log.read(1, 2))
 
     def test_a_record_inside_a_torn_payload_does_not_pass_for_a_later_one(self) -> None:
         self.fill(3)
@@ -234,7 +242,7 @@
     def test_compacted_and_future_records_are_refused_with_the_remedy(self) -> None:
         self.fill(5)
         self.log.compact(3, b"three")
-        error = self.assertRaises(RecordsGone, self.log.read, 3, 5)
+        error = self.assertRaises(CompactedRecordsError, self.log.read, 3, 5)
         self.assertIn("snapshot up to 3", error.remedy)
         self.assertRaises(ValueError, self.log.read, 4, 6)
         self.assertRaises(ValueError, self.log.truncate_after, 2)
@@ -259,7 +267,7 @@
     port.set_content(path, spoiled)
     try:
         found = contents(Log.open(port, FOLDER, segment_bytes=SEGMENT_BYTES))
-    except CorruptLog:
+    except CorruptLogError:
         return
     assert found.records == tuple(record(number) for number in range(2, 2 + len(found.records)))
 
@@ -271,7 +279,7 @@
     port.set_content(path, noise)
     assert Log.open(port, FOLDER).last_index == 0
     port.set_content(f"{FOLDER}/{segment_name(0, 7)}", noise)
-    with pytest.raises(CorruptLog):
+    with pytest.raises(CorruptLogError):
         Log.open(port, FOLDER)
 
 
@@ -318,7 +326,7 @@
         cell = Cell(port, FOLDER, "vote")
         cell.store(b"one")
         port.failing["sync_file"] = 1
-        self.assertRaises(DiskFailed, cell.store, b"two")
+        self.assertRaises(DiskFailedError, cell.store, b"two")
         self.assertEqual(b"one", cell.load())
         cell.store(b"three")
         port.lose_power()
@@ -331,7 +339,7 @@
         cell.store(b"two")
         for path in port.paths():
             port.flip_bit(path, 10)
-        error = self.assertRaises(CorruptCell, Cell, port, FOLDER, "vote")
+        error = self.assertRaises(CorruptCellError, Cell, port, FOLDER, "vote")
         self.assertIn("new replica", str(error))
 
     def test_a_value_that_belongs_in_the_log_is_refused(self) -> None:
@@ -363,10 +371,10 @@
 
 def test_a_missing_folder_or_file_is_told_as_a_disk_that_failed(tmp_path: object) -> None:
     assert "check the disk" in inspect.verify(f"{tmp_path}/none").problem
-    with pytest.raises(DiskFailed):
+    with pytest.raises(DiskFailedError):
         DiskFiles().sync_file(f"{tmp_path}/none")
 
 
 def test_a_full_device_is_told_as_a_full_disk() -> None:
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         DiskFiles().write("/dev/full", 0, b"x")
--- a/tests/support/faulty_files.py
+++ b/tests/support/faulty_files.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass, field
 
-from larchgw.storage.errors import DiskFailed, DiskFull
+from larchgw.storage.errors import DiskFailedError, DiskFullError
 
 TEAR_BYTES = 16
 """Unit of a torn write: small, so that the short records of tests are torn as well."""
@@ -64,7 +64,7 @@
         self.capacity = capacity
         self.refuses_writes = False
         self.failing: dict[str, int] = {}
-        """By call, how many of the next ones raise DiskFailed."""
+        """By call, how many of the next ones raise DiskFailedError."""
         self.calls = 0
         self.cut_at = 0
         """Number of the changing call at which power is lost; 0 for never."""
@@ -102,12 +102,12 @@
         if cut:
             raise PowerLost
         if written < len(data):
-            raise DiskFull(path, "no room", "free some")
+            raise DiskFullError(path, "no room", "free some")
 
     def truncate(self, path: str, size: int) -> None:
         cut = self._begin("truncate", path)
         if self.refuses_writes:
-            raise DiskFull(path, "no room", "free some")
+            raise DiskFullError(path, "no room", "free some")
         self._change(self._inode(path), Truncation(size))
         if cut:
             raise PowerLost
@@ -137,7 +137,7 @@
         inode = self._inode(path)
         try:
             cut = self._begin("sync_file", path)
-        except DiskFailed:
+        except DiskFailedError:
             for change in inode.changes:
                 if isinstance(change, Write):
                     change.forgotten = True
@@ -202,7 +202,7 @@
             return True
         if self.failing.get(call, 0) > 0:
             self.failing[call] -= 1
-            raise DiskFailed(path, f"{call} failed", "try again")
+            raise DiskFailedError(path, f"{call} failed", "try again")
         return False
 
     def _check_power(self) -> None:
@@ -213,7 +213,7 @@
         self._check_power()
         inode = self._names.get(path)
         if inode is None:
-            raise DiskFailed(path, "no such file", "make it")
+            raise DiskFailedError(path, "no such file", "make it")
         return inode
 
     def _make(self, path: str) -> Inode:
