--- a/larchgw/storage/__init__.py
+++ b/larchgw/storage/__init__.py
@@ -1,4 +1,12 @@
-"""A log in segments with snapshots beside it, and small values replaced atomically.
+"""Durable storage of a control process: a record log with snapshots, and small values replaced atomically.
 
-What is promised after which call stands in docs/storage.md.
+- `files`: the port to the disk (`FilePort`), and its implementation by system calls (`DiskFiles`).
+- `log`: the record log (`Log`), in segment files with a snapshot in place of its oldest records.
+- `segments`, `snapshots`: names and codecs of the log's files.
+- `recovery`: what a folder holds after a crash, and which damage is a torn write.
+- `cell`, `reserve`: a small value replaced atomically (`Cell`), and disk space set aside for it (`Reserve`).
+- `inspect`: read-only views of a log's folder for the command line and for a restore.
+- `errors`: `StorageError` and its subclasses, each with path, problem and remedy.
+
+Which guarantees hold after which call stands in docs/storage.md.
 """
