--- a/larchgw/dispatcher/fronts/gearman_workers.py
+++ b/larchgw/dispatcher/fronts/gearman_workers.py
@@ -11,12 +11,13 @@
 import structlog
 from sortedcontainers import SortedKeyList
 
-from ...net.connection_outcome import ConnectionOutcome, status_of
+from ...net.connection_outcome import ConnectionOutcome
 from ...net.loop import Loop
 from ...net.timers import Deadline
 from ..core import Attempt, Core, End
 from ..core.requests import News, Reach
 from ..scheduling.interface import Status, WorkerId
+from ..workers.attempt_status import status_of
 from .gearman_packets import Packet, Type, encode
 
 ASSIGN = {
--- a/larchgw/dispatcher/workers/connection.py
+++ b/larchgw/dispatcher/workers/connection.py
@@ -8,12 +8,13 @@
 import structlog
 
 from ...net.connection import Connection, connect
-from ...net.connection_outcome import ConnectionOutcome, status_of
+from ...net.connection_outcome import ConnectionOutcome
 from ...net.loop import WORKERS, Loop
 from ...net.timers import Deadline
 from ..core import Attempt, Core, End, Request
 from ..scheduling.interface import WorkerId
 from .answer import MAX_RAW, AnswerReader
+from .attempt_status import status_of
 from .load_report import ReportReader
 
 PROBE_TIME = 0.3
--- a/larchgw/dispatcher/workers/pool.py
+++ b/larchgw/dispatcher/workers/pool.py
@@ -9,12 +9,13 @@
 import structlog
 
 from ...net.connection import Connection
-from ...net.connection_outcome import ConnectionOutcome, status_of
+from ...net.connection_outcome import ConnectionOutcome
 from ...net.keep_alive import SETTLE, KeepAliveLimit
 from ...net.loop import Loop
 from ..core import Attempt, Core, End
 from ..core.requests import Reach
 from ..scheduling.interface import Status, WorkerId
+from .attempt_status import status_of
 from .connection import RunnerLink
 from .load_report import ReportReader
 
--- a/larchgw/net/connection_outcome.py
+++ b/larchgw/net/connection_outcome.py
@@ -1,11 +1,9 @@
-"""Every way in which a connection, or what it carries, can end, and what that means to the module."""
+"""Every way in which a connection, or what it carries, can end."""
 
 from __future__ import annotations
 
 from enum import Enum
 
-from ..dispatcher.scheduling.interface import Status
-
 
 class ConnectionOutcome(Enum):
     """How a connection ended, or the attempt that it carried."""
@@ -33,40 +31,3 @@
     SLOW = "the other side was too slow with a message"
     CLOGGED = "the other side does not read"
     STOPPED = "we stop"
-
-
-_STATUS = {
-    ConnectionOutcome.DONE: Status.OK,
-    ConnectionOutcome.FAILED: Status.ERROR,
-    ConnectionOutcome.TURNED_AWAY: Status.FULL,
-    ConnectionOutcome.KILLED: Status.RESET,
-    ConnectionOutcome.REFUSED: Status.CONNECT_FAILED,
-    ConnectionOutcome.NEVER_UP: Status.CONNECT_FAILED,
-    ConnectionOutcome.NEVER_GRABBED: Status.CONNECT_FAILED,
-    ConnectionOutcome.NO_SOCKET: Status.MOOT,
-    ConnectionOutcome.NO_WAY: Status.FULL,
-    ConnectionOutcome.BROKE_UNSENT: Status.CONNECT_FAILED,
-    ConnectionOutcome.BROKE: Status.RESET,
-    ConnectionOutcome.CUT_SHORT: Status.RESET,
-    ConnectionOutcome.GARBLED: Status.RESET,
-    ConnectionOutcome.STRANGER: Status.RESET,
-    ConnectionOutcome.SILENT: Status.TIMEOUT,
-    ConnectionOutcome.GIVEN_UP: Status.CANCELLED,
-    ConnectionOutcome.WITHDRAWN: Status.MOOT,
-    # Should one of these meet an attempt all the same, it may have run.
-    ConnectionOutcome.CLOSED: Status.RESET,
-    ConnectionOutcome.IDLE: Status.RESET,
-    ConnectionOutcome.SLOW: Status.TIMEOUT,
-    ConnectionOutcome.CLOGGED: Status.RESET,
-    ConnectionOutcome.STOPPED: Status.RESET,
-}
-
-
-def status_of(ending: ConnectionOutcome, written: bool = True) -> Status:
-    """The module's outcome; `written`: whether the request's last byte had been written."""
-    status = _STATUS[ending]
-    if not written and status in (Status.RESET, Status.TIMEOUT):
-        return Status.CONNECT_FAILED  # a runner begins with the last byte: without it, it never ran
-    if not written and status == Status.CANCELLED:
-        return Status.MOOT  # nor was it its worker's fault
-    return status
--- a/tests/dispatcher/test_core.py
+++ b/tests/dispatcher/test_core.py
@@ -7,8 +7,9 @@
 from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, Core, End, Request
 from larchgw.dispatcher.core.requests import News, Reach
 from larchgw.dispatcher.scheduling.interface import JobClass, ListKind, Member, Settings, Status
+from larchgw.dispatcher.workers.attempt_status import status_of
 from larchgw.dispatcher.workers.discovery import ListReader
-from larchgw.net.connection_outcome import ConnectionOutcome, status_of
+from larchgw.net.connection_outcome import ConnectionOutcome
 from larchgw.net.timers import Clock, Deadlines
 
 
