--- a/larchgw/control/checkins.py
+++ b/larchgw/control/checkins.py
@@ -30,7 +30,7 @@
     A runner that is not acknowledged calls another process. What it said is kept all the same, so that edges
     that can reach no other process than this one know the runner. That a runner drains or has left is at a
     majority of the witnesses before it is acknowledged: each control process that edges may pull from then
-    knows it within HEARD_WITHIN_S (contact.py).
+    knows it within MAX_CONTACT_AGE_S (contact.py).
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         return await self._acknowledge(runner, self._directory.leave(runner))
 
     async def _acknowledge(self, runner: str, outcome: CheckinOutcome) -> bool:
-        if self._is_closed or self._contact.isolated():
+        if self._is_closed or self._contact.is_isolated():
             return False
         return not outcome.urgent or await self._replicate(runner)
 
--- a/larchgw/control/state_size.py
+++ b/larchgw/control/configuration_size.py
@@ -12,41 +12,43 @@
 from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
 
-MOST_CONFIGURATION_BYTES = 8 << 20  # as JSON; the memory that it takes stands in docs/storage.md
+MAX_CONFIGURATION_BYTES = 8 << 20  # as JSON; the memory that it takes stands in docs/storage.md
 _MOST_GROWTH = 4  # bytes of JSON that one byte of an order becomes at most: 1e15 -> 1000000000000000.0
 _HEAD_BYTES = 64  # a configuration's version, and names of fields that an order left out
 
 
-class ConfigurationTooLarge(ConfigurationError):
+class ConfigurationTooLargeError(ConfigurationError):
     """The order is proper, but the configuration that it makes is too large to be kept and passed on."""
 
     status = 413
 
 
-def encoded(raw: Mapping[str, object]) -> bytes:
+def encode_json(raw: Mapping[str, object]) -> bytes:
     """The JSON text whose length counts, and of which snapshots are made. `json.loads` reads it back, halves
     of surrogate pairs included."""
     return json.dumps(raw, separators=(",", ":"), ensure_ascii=False).encode("utf-8", "surrogatepass")
 
 
-class SizeLimit:
+class ConfigurationSizeLimit:
     """Refuses configurations that are too large, without writing each one out as JSON: from the size of the
     one before and of the order it knows a bound, and measures only where that does not do."""
 
-    def __init__(self, most_bytes: int = MOST_CONFIGURATION_BYTES) -> None:
+    def __init__(self, most_bytes: int = MAX_CONFIGURATION_BYTES) -> None:
         self._most_bytes = most_bytes
         self._bound_of: Configuration | None = None
         self._bound = 0
-        self.measured = 0
+        self.measurements = 0
 
     def check(self, current: Configuration | None, body: bytes, wanted: Configuration) -> None:
-        """Raises ConfigurationTooLarge if `wanted`, which an order with this body makes of `current`, is too
-        large."""
+        """Raises ConfigurationTooLargeError if `wanted` is too large.
+
+        An order with this body makes it of `current`.
+        """
         bound = self._size_of(current) + _MOST_GROWTH * len(body) + _HEAD_BYTES
         if bound > self._most_bytes:
             bound = self._measure(wanted)
         if bound > self._most_bytes:
-            raise ConfigurationTooLarge(
+            raise ConfigurationTooLargeError(
                 "configuration",
                 f"{bound} bytes as JSON are over {self._most_bytes}",
                 "remove routes and services that are not used, in the same order or in one before",
@@ -61,5 +63,5 @@
         return self._bound
 
     def _measure(self, configuration: Configuration) -> int:
-        self.measured += 1
-        return len(encoded(configuration.raw))
+        self.measurements += 1
+        return len(encode_json(configuration.raw))
--- a/larchgw/control/disk.py
+++ b/larchgw/control/disk.py
@@ -37,7 +37,7 @@
         ports = Ports(identity=cell("identity"), witness=cell("witness"), leases=cell("leases"), journal=log)
         return cls(folder, log, reserve, ports)
 
-    def keep_reserve(self) -> None:
+    def refill_reserve(self) -> None:
         """Fills the reserve up at the first call, and whenever a compaction has freed room since.
 
         At no other time: room that a cell has taken from the reserve on a full disk would be fought over
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -14,7 +14,7 @@
 from ..configuration.records import LARGEST
 from ..net.address import parse_address
 from ..runner_directory.checkins import CheckinError
-from .operator import Answer
+from .operator_service import OperatorResponse
 
 MAX_BODY_BYTES = 64 << 20  # a configuration of many thousand routes
 SERVER_OPTIONS: dict[str, int] = {  # of Tornado's server; the times are seconds
@@ -28,7 +28,7 @@
 class ControlService(Protocol):
     """What the interface asks of the process behind it."""
 
-    async def operator_call(self, operation: str, built_on: int, body: bytes) -> Answer:
+    async def operator_call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse:
         """An operator's "replace", "change" or "read"."""
 
     async def checkin(self, runner: str, body: bytes) -> bool:
@@ -51,7 +51,7 @@
         return None
 
 
-def _built_on(text: str) -> int | None:
+def _base_version(text: str) -> int | None:
     """The version in the header, NOT_GIVEN if it is left out, None where it can be no version."""
     if not text:
         return NOT_GIVEN
@@ -62,11 +62,11 @@
 
 class _OperatorHandler(_Handler):
     async def call(self, operation: str) -> None:
-        built_on = _built_on(self.request.headers.get("X-Built-On", "").strip())
-        if built_on is None:
+        base_version = _base_version(self.request.headers.get("X-Built-On", "").strip())
+        if base_version is None:
             self.answer(400, b'{"error": "X-Built-On: is no whole number; give the version it builds on"}')
             return
-        answer = await self.service.operator_call(operation, built_on, self.request.body)
+        answer = await self.service.operator_call(operation, base_version, self.request.body)
         self.answer(answer.status, answer.body)
 
 
--- a/larchgw/control/latest_view.py
+++ b/larchgw/control/latest_view.py
@@ -18,7 +18,7 @@
 from ..rpc.generated.ttypes import Entry
 
 
-class NewestView:
+class LatestView:
     """`accepted` gives the view that this member has accepted last; the registry holds what others have."""
 
     def __init__(self, accepted: Callable[[], View | None], registry: Registry) -> None:
--- a/larchgw/control/majority_contact.py
+++ b/larchgw/control/majority_contact.py
@@ -2,9 +2,9 @@
 
 The proof is an answered pull. A pull that began at T and whose reply left nothing more to send shows two
 things: the other process ran after T, and everything it knew at T is known here. So a process that is not
-isolated at a time U knows every entry that a majority of the witnesses held HEARD_WITHIN_S before U, because
-two majorities have a member in common. What counts is the begin of the pull, not the arrival of its answer:
-an answer may have been held up by a cut, or lain unread while this process was frozen.
+isolated at a time U knows every entry that a majority of the witnesses held MAX_CONTACT_AGE_S before U,
+because two majorities have a member in common. What counts is the begin of the pull, not the arrival of its
+answer: an answer may have been held up by a cut, or lain unread while this process was frozen.
 
 While no majority can reach one another anywhere, every control process is isolated. Runners are then turned
 away by all of them and go round; what they report is kept and reaches the edges near them, which go on with
@@ -19,13 +19,13 @@
 
 from ..replication.view import View
 
-HEARD_WITHIN_S = 1.3  # two pulls between control processes wait 0.25 s each; the rest is for lost segments
+MAX_CONTACT_AGE_S = 1.3  # two pulls between control processes wait 0.25 s each; the rest is for lost segments
 
 
 class MajorityContact(Protocol):
     """What a control process knows of its own contact with the others."""
 
-    def isolated(self) -> bool:
+    def is_isolated(self) -> bool:
         """True unless a majority of the witnesses, this process included, has lately answered a call; also
         while nothing has been proven since the start of this process."""
 
@@ -50,7 +50,7 @@
     ) -> None:
         self._me, self._view, self._proven_at, self._clock = me, view, proven_at, clock
 
-    def isolated(self) -> bool:
+    def is_isolated(self) -> bool:
         """See MajorityContact. A process that knows no view does not know who decides, and is isolated."""
         view = self._view()
         return view is None or not self._has_quorum(view, self._is_proven)
@@ -69,4 +69,4 @@
 
     def _is_proven(self, address: str) -> bool:
         began = self._proven_at(address)
-        return began is not None and self._clock() - began <= HEARD_WITHIN_S
+        return began is not None and self._clock() - began <= MAX_CONTACT_AGE_S
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -44,16 +44,16 @@
 from ..storage.files import DiskFiles
 from . import http_api
 from .checkins import RunnerCheckins
+from .configuration_state import ConfigurationState
 from .disk import ControlDisk
-from .latest_view import NewestView
+from .latest_view import LatestView
 from .majority_contact import PullContact
-from .operator import Answer, OperatorService
-from .operator_calls import OperatorCalls
+from .operator_calls import OperatorCallRouter
+from .operator_service import OperatorResponse, OperatorService
 from .publication import ConfigurationPublisher
 from .replicated_log import TICK_S, ReplicatedLog
 from .rpc_service import RpcService
-from .runner_ownership import is_watched, owner_name
-from .state import ConfigurationState
+from .runner_ownership import is_owner_present, owner_name
 from .status import StatusService, StatusSources
 
 log = structlog.get_logger()
@@ -84,7 +84,9 @@
         self.member = self._make_member()
         self.replicated = ReplicatedLog(self.member, self.state, self.clients, self._configuration_changed)
         self.publisher = ConfigurationPublisher(self.state, self.registry, lambda: self.member.is_primary)
-        self.operator = OperatorCalls(self.member, OperatorService(self.state, self.replicated), self.clients)
+        self.operator = OperatorCallRouter(
+            self.member, OperatorService(self.state, self.replicated), self.clients
+        )
         pull_settings = PullSettings.of(settings.time_limits).between_control()
         self.peers = PeerPullers(
             self.registry,
@@ -94,9 +96,9 @@
             self._random_source,
             node_name=settings.node_name,
         )
-        self.view = NewestView(lambda: self.member.view, self.registry)
+        self.view = LatestView(lambda: self.member.view, self.registry)
         self.contact = PullContact(self.member.id, self.view.get, self.peers.proven_at)
-        self.pulls = PullService(self.registry, self.contact.isolated, self._control_addresses)
+        self.pulls = PullService(self.registry, self.contact.is_isolated, self._control_addresses)
         self.handoff = HintedHandoff(RpcClient, self._peers_and_witnesses, node_name=settings.node_name)
         self.directory = Directory(
             self.registry, time.monotonic, settings.beat_ms / 1000.0, self._owner(), self._owner_lives
@@ -115,7 +117,7 @@
             RUNNER_PREFIX, lambda entry: self._runner_changed(entry.key.removeprefix(RUNNER_PREFIX))
         )
         self.replicated.start()
-        self.publisher.restored()
+        self.publisher.on_restored()
         status = self._make_status()
         self._rpc = RpcServer(RpcService(self.pulls, self.replicated, self.placement, self.operator, status))
         await self._rpc.start(settings.ip, settings.port(RPC_PORT))
@@ -127,7 +129,7 @@
         self.tasks.every("replication", TICK_S, self._tick_replication)
         self.tasks.every("directory", DIRECTORY_TICK_S, self._tick_directory)
         self.tasks.every("contacts", CONTACTS_TICK_S, self._tell_contacts)
-        self.tasks.every("reserve", RESERVE_TICK_S, self.disk.keep_reserve)
+        self.tasks.every("reserve", RESERVE_TICK_S, self.disk.refill_reserve)
         self.tasks.start("peers", self.peers.run)
         self.tasks.start("handoff", self.handoff.run)
         self.tasks.start("placement", self.placement.run)
@@ -167,9 +169,9 @@
 
     # ---- Calls from outside: http_api.ControlService ----
 
-    async def operator_call(self, operation: str, built_on: int, body: bytes) -> Answer:
+    async def operator_call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse:
         """See http_api.ControlService."""
-        return await self.operator.operator_call(operation, built_on, body)
+        return await self.operator.operator_call(operation, base_version, body)
 
     async def checkin(self, runner: str, body: bytes) -> bool:
         """See http_api.ControlService."""
@@ -186,7 +188,7 @@
         if current is None:
             return
         self.placement.configure(current)
-        self.publisher.committed(time.monotonic())
+        self.publisher.on_committed(time.monotonic())
 
     def _publish_expected(self, runner: str, names: dict[str, float]) -> None:
         lease = self._placer_lease()
@@ -207,7 +209,7 @@
         self.publisher.tick(time.monotonic())
 
     def _tick_directory(self) -> None:
-        isolated = self.contact.isolated()
+        isolated = self.contact.is_isolated()
         if isolated and not self._was_isolated:
             log.warning("control.majority_lost")
         elif self._was_isolated and not isolated:
@@ -242,9 +244,9 @@
         return owner_name(self.address, self._life)
 
     def _owner_lives(self, owner: str) -> bool:
-        if self.contact.isolated():
+        if self.contact.is_isolated():
             return True
-        return is_watched(owner, self.address, self._processes())
+        return is_owner_present(owner, self.address, self._processes())
 
     # ---- Parts ----
 
--- a/larchgw/control/publication.py
+++ b/larchgw/control/publication.py
@@ -7,9 +7,9 @@
 from ..configuration.packing import pack
 from ..distribution.keys import CONFIGURATION_KEY
 from ..distribution.registry import Registry
-from .state import ConfigurationState
+from .configuration_state import ConfigurationState
 
-PUBLISH_AFTER_S = 0.5  # after which a backup publishes a configuration that the primary has not
+BACKUP_PUBLISH_DELAY_S = 0.5  # after which a backup publishes a configuration that the primary has not
 
 
 class ConfigurationPublisher:
@@ -26,17 +26,17 @@
         self._state, self._registry, self._is_primary = state, registry, is_primary
         self._due_at: float | None = None
 
-    def restored(self) -> None:
+    def on_restored(self) -> None:
         """What the state holds by now came from the disk."""
         self._due_at = None
 
-    def committed(self, now: float) -> None:
+    def on_committed(self, now: float) -> None:
         """The state has changed."""
-        self._due_at = now + PUBLISH_AFTER_S
+        self._due_at = now + BACKUP_PUBLISH_DELAY_S
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        """To be called several times in PUBLISH_AFTER_S."""
+        """To be called several times in BACKUP_PUBLISH_DELAY_S."""
         if self._is_primary() or (self._due_at is not None and now >= self._due_at):
             self._due_at = None
             self._publish()
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -13,8 +13,8 @@
 from ..replication.member import Member
 from ..rpc.generated.ttypes import PeerMessage
 from ..runtime.clients import RpcClients
-from .operator import ReplicationUnavailable
-from .state import ConfigurationState
+from .configuration_state import ConfigurationState
+from .operator_service import ReplicationUnavailableError
 
 log = structlog.get_logger()
 TICK_S = 0.02  # heartbeats and time-outs of the protocol are some times this
@@ -65,29 +65,32 @@
         """The lease, while it is held here."""
         return self.member.lease(self._clock(), name)
 
-    async def settle(self) -> None:
-        """See operator.Replication. A backup's log may hold undecided records for ever, a primary's not."""
+    async def wait_until_decided(self) -> None:
+        """See operator_service.Replication.
+
+        A backup's log may hold undecided records for ever, a primary's not.
+        """
         while self.member.is_primary and self.member.committed_index < self.member.last_index:
             await asyncio.sleep(TICK_S)
         if not self.member.is_primary:
-            raise ReplicationUnavailable(f"{self.member.id} is not primary")
+            raise ReplicationUnavailableError(f"{self.member.id} is not primary")
 
-    async def confirm(self) -> None:
-        """See operator.Replication."""
+    async def confirm_primary(self) -> None:
+        """See operator_service.Replication."""
         await self._call(self.member.confirm)
 
     async def propose(self, record: bytes) -> int:
-        """See operator.Replication."""
+        """See operator_service.Replication."""
         return await self._call(lambda now: self.member.propose(now, record))
 
     async def _call(self, begin: Callable[[float], tuple[Ticket, Effects]]) -> int:
         try:
             ticket, effects = begin(self._clock())
         except NotPrimary as error:
-            raise ReplicationUnavailable(str(error)) from error
+            raise ReplicationUnavailableError(str(error)) from error
         except OSError as error:
             self._disk_failed(error)
-            raise ReplicationUnavailable(f"the disk refuses writes: {error}") from error
+            raise ReplicationUnavailableError(f"the disk refuses writes: {error}") from error
         future = self._waiting[ticket] = asyncio.get_running_loop().create_future()
         try:
             self._carry_out(effects)
@@ -141,4 +144,4 @@
     def _fail(self, ticket: Ticket, reason: str) -> None:
         future = self._waiting.get(ticket)
         if future is not None and not future.done():
-            future.set_exception(ReplicationUnavailable(reason))
+            future.set_exception(ReplicationUnavailableError(reason))
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -20,8 +20,8 @@
 from ..storage.errors import StorageError
 from ..storage.files import DiskFiles, FilePort
 from ..storage.inspect import Contents, contents, snapshot_file
+from .configuration_state import ConfigurationState
 from .disk import LOG_FOLDER, ControlDisk
-from .state import ConfigurationState
 
 
 class RestoreError(Exception):
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restorable:
+class RestorableState:
     """What was found: the state, and the highest epoch and index in the log that it came from (0: none).
 
     Of several copies the one with the highest (last_epoch, last_index) is the newest.
@@ -44,7 +44,7 @@
     last_index: int
 
 
-def read_source(source: Path) -> Restorable:
+def read_source(source: Path) -> RestorableState:
     """The state in a data folder, a log's folder, a snapshot's file or a JSON configuration.
 
     All records of a log are taken, also those whose acknowledgement is not known: an operator who got no
@@ -68,14 +68,16 @@
         raise RestoreError(folder, "is not empty", "move what it holds aside; it may still be needed")
 
 
-def write_folder(folder: Path, found: Restorable, begin: Beginning, files: FilePort | None = None) -> None:
+def write_folder(
+    folder: Path, found: RestorableState, begin: Beginning, files: FilePort | None = None
+) -> None:
     """Writes the data folder of the process that begins anew. Raises StorageError; remove the folder then."""
     state = ConfigurationState()
     state.restore(found.state.snapshot())
     state.index = begin.index
     disk = ControlDisk.open(files or DiskFiles(), str(folder))
     refound(disk.ports, begin, state.snapshot())
-    disk.keep_reserve()
+    disk.refill_reserve()
 
 
 def _log_folder(source: Path) -> Path:
@@ -83,7 +85,7 @@
     return inner if inner.is_dir() else source
 
 
-def _from_log(source: Path, held: Contents) -> Restorable:
+def _from_log(source: Path, held: Contents) -> RestorableState:
     state, epoch, index = ConfigurationState(), 0, held.snapshot_index
     if held.snapshot is not None:
         epoch, snapshot = unframed(held.snapshot)
@@ -93,10 +95,10 @@
         state.apply(index, record)
     if state.current is None:
         raise RestoreError(source, "holds no configuration", "restore from another copy")
-    return Restorable(state, state.current, epoch, index)
+    return RestorableState(state, state.current, epoch, index)
 
 
-def _from_json(source: Path) -> Restorable:
+def _from_json(source: Path) -> RestorableState:
     state = ConfigurationState()
     try:
         state.current = parse(decode(source.read_bytes()))
@@ -104,10 +106,10 @@
         raise RestoreError(
             source, f"is no valid configuration: {error}", "mend it or restore from another copy"
         ) from error
-    return Restorable(state, state.current, 0, 0)
+    return RestorableState(state, state.current, 0, 0)
 
 
-def describe(found: Restorable) -> str:
+def describe(found: RestorableState) -> str:
     """One line on what would be restored."""
     configuration = found.configuration
     size = len(json.dumps(configuration.raw))
--- a/larchgw/control/rpc_service.py
+++ b/larchgw/control/rpc_service.py
@@ -22,10 +22,10 @@
 from .status import StatusService
 
 
-class OperatorCalls(Protocol):
+class OperatorCallRouter(Protocol):
     """Serves an operator's call that another control process passes on."""
 
-    async def passed_on(self, call: OperatorCall) -> OperatorAnswer:
+    async def serve_forwarded(self, call: OperatorCall) -> OperatorAnswer:
         """The answer of this process, which the caller takes for the primary."""
 
 
@@ -37,7 +37,7 @@
         pulls: PullService,
         replicated: ReplicatedLog,
         placement: PlacementService,
-        operator: OperatorCalls,
+        operator: OperatorCallRouter,
         status: StatusService,
     ) -> None:
         self._pulls, self._replicated, self._placement = pulls, replicated, placement
@@ -57,7 +57,7 @@
 
     async def submit(self, call: OperatorCall) -> OperatorAnswer:
         """An operator's call."""
-        return await self._operator.passed_on(call)
+        return await self._operator.serve_forwarded(call)
 
     async def deliver(self, message: PeerMessage) -> None:
         """A message of the replication protocol."""
--- a/larchgw/control/runner_ownership.py
+++ b/larchgw/control/runner_ownership.py
@@ -12,7 +12,7 @@
     return f"{address}/{life}"
 
 
-def is_watched(owner: str, own_address: str, present: Iterable[Member]) -> bool:
+def is_owner_present(owner: str, own_address: str, present: Iterable[Member]) -> bool:
     """True if a process answers for the runners that `owner`, which is not this life, has acknowledged.
 
     A process that has started again answers for its own earlier lives: it alone knows for certain that they
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -17,9 +17,9 @@
 from ..replication.view import View
 from ..rpc.generated import ttypes
 from ..runner_directory.directory import Directory
+from .configuration_state import ConfigurationState
 from .disk import ControlDisk
 from .majority_contact import MajorityContact
-from .state import ConfigurationState
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
             view=_view(view),
             config_version=sources.state.version,
             committed_index=sources.member.committed_index,
-            isolated=sources.contact.isolated(),
+            isolated=sources.contact.is_isolated(),
             processes=[_process(process) for process in self._processes()],
             placer=placer,
             placer_fence=fence,
--- a/larchgw/experiments/recovery.py
+++ b/larchgw/experiments/recovery.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
+from ..control.configuration_state import ConfigurationState, OperatorOrder
 from ..control.disk import ControlDisk
-from ..control.state import ConfigurationState, Order
 from ..replication.compaction import Compaction
 from ..replication.replica import Replica
 from ..replication.settings import MemberSettings
@@ -176,15 +176,15 @@
     return MemberSettings("10.0.0.1:1", ("10.0.0.1:1",), True, "", 0, 1.0)
 
 
-def _order(case: Case, number: int) -> Order:
+def _order(case: Case, number: int) -> OperatorOrder:
     """The first order gives the whole configuration, each later one changes a route."""
     version = number + 1
     if number == 0:
         routes = [_route(each, version) for each in range(case.routes)]
         body: dict[str, Any] = {"config_version": version, "services": [{"name": "s"}], "routes": routes}
-        return Order("replace", 0, json.dumps(body).encode())
+        return OperatorOrder("replace", 0, json.dumps(body).encode())
     body = {"config_version": version, "add": {"routes": [_route(number % case.routes, version)]}}
-    return Order("change", number, json.dumps(body).encode())
+    return OperatorOrder("change", number, json.dumps(body).encode())
 
 
 def _route(number: int, version: int) -> dict[str, Any]:
--- a/larchgw/model_checking/check_ins/cluster.py
+++ b/larchgw/model_checking/check_ins/cluster.py
@@ -2,11 +2,11 @@
 
 What is checked
     - A control process that is not isolated knows of every drain and Leave that was acknowledged more than
-      HEARD_WITHIN_S ago, by whomever.
-    - An edge knows of those that were acknowledged HEARD_WITHIN_S before its last pull from a process in
+      MAX_CONTACT_AGE_S ago, by whomever.
+    - An edge knows of those that were acknowledged MAX_CONTACT_AGE_S before its last pull from a process in
       contact began, and its configuration is no older than the one that a majority held then.
     - When a drain or Leave is acknowledged, a majority holds it.
-    - Whoever acknowledges anything could exchange messages with a majority within HEARD_WITHIN_S before.
+    - Whoever acknowledges anything could exchange messages with a majority within MAX_CONTACT_AGE_S before.
     - After the faults everybody is in contact and knows the newest configuration, and runners are
       acknowledged.
 
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ...control.majority_contact import HEARD_WITHIN_S
+from ...control.majority_contact import MAX_CONTACT_AGE_S
 from ...distribution.keys import RUNNER_PREFIX
 from ...runner_directory.records import RunnerRecord, Stage
 from .network import Network
@@ -175,7 +175,7 @@
         able = [
             process
             for process in self.control
-            if not process.contact.isolated() and not self.network.is_frozen(process.name)
+            if not process.contact.is_isolated() and not self.network.is_frozen(process.name)
         ]
         if not able:
             return
@@ -190,7 +190,7 @@
             process.name
             for process in self.control
             if process.name == by
-            or now() - self._connected_at.get((by, process.name), -1.0) <= HEARD_WITHIN_S + STEP_S
+            or now() - self._connected_at.get((by, process.name), -1.0) <= MAX_CONTACT_AGE_S + STEP_S
         ]
         if 2 * len(lately) <= len(self.control):
             self._broken.append(f"{by} acknowledged {runner} without a majority")
@@ -218,7 +218,7 @@
             self._majority_versions.append((now(), version))
         self.states.add(
             (
-                tuple(process.contact.isolated() for process in self.control),
+                tuple(process.contact.is_isolated() for process in self.control),
                 tuple(process.registry.vector().get(process.registry.origin, 0) for process in self.control),
                 tuple(edge.configuration() for edge in self.edges),
             )
@@ -226,8 +226,8 @@
 
     def _check(self) -> None:
         for process in self.control:
-            if not process.contact.isolated() and not self.network.is_frozen(process.name):
-                self._check_knows(process.name, process.stage, now() - HEARD_WITHIN_S)
+            if not process.contact.is_isolated() and not self.network.is_frozen(process.name):
+                self._check_knows(process.name, process.stage, now() - MAX_CONTACT_AGE_S)
         for edge in self.edges:
             self._check_edge(edge)
         if self._broken:
@@ -239,11 +239,11 @@
         proven = edge.puller.proven_at
         if proven is None:
             return
-        self._check_knows(edge.name, partial(_stage_at, edge), proven - HEARD_WITHIN_S)
+        self._check_knows(edge.name, partial(_stage_at, edge), proven - MAX_CONTACT_AGE_S)
         least = max(
             version
             for since, version in self._majority_versions
-            if since <= max(proven - HEARD_WITHIN_S, 0.0)
+            if since <= max(proven - MAX_CONTACT_AGE_S, 0.0)
         )
         if 0 < edge.configuration() < least:
             raise Broken(f"{edge.name} serves with {edge.configuration()}, a majority had {least}")
@@ -271,7 +271,7 @@
         while now() < end:
             await self._step()
         for process in self.control:
-            if process.contact.isolated():
+            if process.contact.is_isolated():
                 raise Broken(f"{process.name} is still isolated")
         for edge in self.edges:
             if edge.configuration() != self._majority_versions[-1][1]:
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -72,7 +72,7 @@
         )
         self.contact = PullContact(self.name, lambda: first_view(self._names), peers.proven_at, now)
         self.pulls = PullService(
-            self.registry, self.contact.isolated, lambda: self._names, limit_bytes=REPLY_LIMIT_BYTES
+            self.registry, self.contact.is_isolated, lambda: self._names, limit_bytes=REPLY_LIMIT_BYTES
         )
         self.handoff = HintedHandoff(self._connect, lambda: self._others)
         self.directory = Directory(self.registry, now, BEAT_S, self.registry.origin)
@@ -120,7 +120,7 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(DIRECTORY_TICK_S)
-            self.directory.tick(now(), self.contact.isolated())
+            self.directory.tick(now(), self.contact.is_isolated())
 
 
 class Edge:
--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -13,10 +13,10 @@
 from random import Random
 from typing import Any
 
-from ...control.operator import Answer, OperatorService
-from ...control.operator_calls import OperatorCalls
+from ...control.configuration_state import ConfigurationState
+from ...control.operator_calls import OperatorCallRouter
+from ...control.operator_service import OperatorResponse, OperatorService
 from ...control.replicated_log import TICK_S, ReplicatedLog
-from ...control.state import ConfigurationState
 from ...replication.member import Member
 from ...replication.settings import MemberSettings
 from ...replication.view import View
@@ -57,7 +57,7 @@
         self.member = Member(settings, disk.ports(), self.state.snapshot, cluster.random)
         clients = SimulatedClients(self)
         self.log = ReplicatedLog(self.member, self.state, clients, self._changed, self._clock)
-        self.calls = OperatorCalls(self.member, OperatorService(self.state, self.log), clients)
+        self.calls = OperatorCallRouter(self.member, OperatorService(self.state, self.log), clients)
 
     def _clock(self) -> float:
         return self.cluster.loop.time() + self._offset
@@ -180,7 +180,7 @@
         self, receiver: Process, call: OperatorCall, future: asyncio.Future[OperatorAnswer]
     ) -> None:
         try:
-            answer = await receiver.calls.passed_on(call)
+            answer = await receiver.calls.serve_forwarded(call)
         except asyncio.CancelledError:
             _settle(future, RpcConnectionError("the connection ended"))
             raise
@@ -318,13 +318,13 @@
             process.do(partial(step, process))
 
     async def call(
-        self, address: str, operation: str, built_on: int, body: bytes, patience: float
-    ) -> Answer | None:
+        self, address: str, operation: str, base_version: int, body: bytes, patience: float
+    ) -> OperatorResponse | None:
         """An operator's call to a machine; None where no answer came."""
-        future: asyncio.Future[Answer] = self.loop.create_future()
+        future: asyncio.Future[OperatorResponse] = self.loop.create_future()
 
         async def serve(process: Process) -> None:
-            answer = await process.calls.operator_call(operation, built_on, body)
+            answer = await process.calls.operator_call(operation, base_version, body)
             if process.is_frozen:
                 process.held.append(partial(self._reply, future, answer))
             else:
@@ -342,7 +342,7 @@
         except TimeoutError:
             return None
 
-    def _reply(self, future: asyncio.Future[Answer], answer: Answer) -> None:
+    def _reply(self, future: asyncio.Future[OperatorResponse], answer: OperatorResponse) -> None:
         if self.random.random() >= self.links.lost_answers:
             self.loop.call_later(self.random.uniform(*CALM_DELAY_S), _settle, future, answer)
 
--- a/larchgw/model_checking/operator_calls/invariants.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ...configuration.change import REPLACE
-from ...control.state import ConfigurationState, Order
+from ...control.configuration_state import ConfigurationState, OperatorOrder
 from ..replication.invariants import Broken
 
 DONE = 200
@@ -15,13 +15,13 @@
 class Sent:
     """One order, however often it is sent. `version` is the number that it asks for."""
 
-    order: Order
+    order: OperatorOrder
     version: int
     is_valid: bool
 
     def __str__(self) -> str:
         sort = "whole" if self.order.operation == REPLACE else "change"
-        return f"{sort} {self.version} on {self.order.built_on} ({self.order.digest()[:6]})"
+        return f"{sort} {self.version} on {self.order.base_version} ({self.order.digest()[:6]})"
 
 
 class Checks:
@@ -60,7 +60,7 @@
         if digest in self._refused:
             raise Broken(f"{sent} was refused, and acknowledged later")
         for other in self._acknowledged.values():
-            if other.order.built_on == sent.order.built_on and other != sent:
+            if other.order.base_version == sent.order.base_version and other != sent:
                 raise Broken(f"{other} and {sent} were both acknowledged")
         self._acknowledged.setdefault(digest, sent)
         self.newest_acknowledged = max(self.newest_acknowledged, sent.version)
@@ -84,14 +84,14 @@
     def in_force(self, process: str, state: ConfigurationState) -> None:
         """A process has applied records."""
         for sent in self._sent.get(state.version, []):
-            if state.taken(sent.order):
+            if state.is_accepted(sent.order):
                 self._comes_into_force(process, sent)
 
     def _comes_into_force(self, process: str, sent: Sent) -> None:
         other = self._in_force.setdefault(sent.version, sent)
         if other != sent:
             raise Broken(f"{sent} is in force at {process}, {other} elsewhere")
-        winner = self._won.setdefault(sent.order.built_on, sent)
+        winner = self._won.setdefault(sent.order.base_version, sent)
         if winner != sent:
             raise Broken(f"{sent} is in force at {process}, and so was {winner}")
         if not sent.is_valid:
--- a/larchgw/model_checking/operator_calls/mutants.py
+++ b/larchgw/model_checking/operator_calls/mutants.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from ...configuration.change import NOT_GIVEN
-from ...control import state as state_module
-from ...control.operator import Answer, OperatorService
+from ...control import configuration_state as state_module
+from ...control.configuration_state import ConfigurationState, OperatorOrder
+from ...control.operator_service import OperatorResponse, OperatorService
 from ...control.replicated_log import ReplicatedLog
-from ...control.state import ConfigurationState, Order
 from ...replication.leadership import Leadership
 
 
@@ -72,14 +72,14 @@
 
 
 def _by_operation_and_base(original: Any) -> Any:
-    def digest(operation: str, built_on: int, body: bytes) -> str:
-        return str(original(operation, built_on, b""))
+    def digest(operation: str, base_version: int, body: bytes) -> str:
+        return str(original(operation, base_version, b""))
 
     return digest
 
 
 def _by_text(original: Any) -> Any:
-    def digest(operation: str, built_on: int, body: bytes) -> str:
+    def digest(operation: str, base_version: int, body: bytes) -> str:
         return str(original(operation, NOT_GIVEN, body))
 
     return digest
@@ -88,10 +88,10 @@
 def _without_looking_back(propose: Callable[[OperatorService, bytes], Coroutine[Any, Any, None]]) -> Any:
     """OperatorService._submit, but for its look at what came of the proposal."""
 
-    async def submit(self: OperatorService, order: Order) -> Answer:
-        await self.replication.settle()
-        await self.replication.confirm()
-        if self.state.taken(order):
+    async def submit(self: OperatorService, order: OperatorOrder) -> OperatorResponse:
+        await self.replication.wait_until_decided()
+        await self.replication.confirm_primary()
+        if self.state.is_accepted(order):
             return self._accepted()
         fits = self.state.evaluate(order)
         if fits.is_error():
@@ -112,8 +112,8 @@
 
 
 def _evaluates_first(original: Any) -> Any:
-    async def submit(self: OperatorService, order: Order) -> Answer:
-        await self.replication.confirm()
+    async def submit(self: OperatorService, order: OperatorOrder) -> OperatorResponse:
+        await self.replication.confirm_primary()
         fits = self.state.evaluate(order)
         if fits.is_error():
             return self._refused(fits.error)
@@ -123,15 +123,15 @@
 
 
 def _refuses_what_fails(original: Any) -> Any:
-    async def submit(self: OperatorService, order: Order) -> Answer:
-        answer: Answer = await original(self, order)
-        return Answer(409, answer.body) if answer.status == 503 else answer
+    async def submit(self: OperatorService, order: OperatorOrder) -> OperatorResponse:
+        answer: OperatorResponse = await original(self, order)
+        return OperatorResponse(409, answer.body) if answer.status == 503 else answer
 
     return submit
 
 
 def _without_regard_to_the_base(original: Any) -> Any:
-    def evaluate(current: Any, operation: str, built_on: int, body: bytes) -> Any:
+    def evaluate(current: Any, operation: str, base_version: int, body: bytes) -> Any:
         return original(current, operation, NOT_GIVEN, body)
 
     return evaluate
@@ -139,8 +139,8 @@
 
 def _takes_anything_committed(original: Any) -> Any:
     def apply(self: ConfigurationState, index: int, record: bytes) -> None:
-        order = Order.decode(record)
-        self._taken[order.digest()] = self.version
+        order = OperatorOrder.decode(record)
+        self._accepted_versions[order.digest()] = self.version
         original(self, index, record)
 
     return apply
@@ -150,12 +150,12 @@
     Mutant(
         "judges an order without a proof that it is primary",
         1,
-        (Patch(ReplicatedLog, "confirm", _does_nothing),),
+        (Patch(ReplicatedLog, "confirm_primary", _does_nothing),),
     ),
     Mutant(
         "forgets taken orders at a snapshot", 1, (Patch(ConfigurationState, "restore", _forgets_at_restore),)
     ),
-    Mutant("remembers one taken order", 1, (Patch(state_module, "MOST_TAKEN", _remembers_one),)),
+    Mutant("remembers one taken order", 1, (Patch(state_module, "MAX_REMEMBERED_ORDERS", _remembers_one),)),
     Mutant(
         "recognises an order by what it builds on",
         1,
@@ -167,7 +167,7 @@
         15,
         (
             Patch(OperatorService, "_submit", _without_looking_back(_and_waits)),
-            Patch(ReplicatedLog, "settle", _does_nothing),
+            Patch(ReplicatedLog, "wait_until_decided", _does_nothing),
         ),
     ),
     Mutant(
@@ -198,7 +198,7 @@
         7,
         (
             Patch(ConfigurationState, "apply", _takes_anything_committed),
-            Patch(ReplicatedLog, "settle", _does_nothing),
+            Patch(ReplicatedLog, "wait_until_decided", _does_nothing),
         ),
     ),
 )
--- a/larchgw/model_checking/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from ...configuration.change import CHANGE, REPLACE
-from ...control.operator import Answer
-from ...control.state import Order
+from ...control.configuration_state import OperatorOrder
+from ...control.operator_service import OperatorResponse
 from .cluster import Cluster
 from .invariants import Sent
 
@@ -66,15 +66,15 @@
 
     async def _send_once(self, sent: Sent) -> int | None:
         order = sent.order
-        answer = await self._call(order.operation, order.built_on, order.body)
+        answer = await self._call(order.operation, order.base_version, order.body)
         if answer is None:
             return None
         self._checks.answered(sent, answer.status)
         return answer.status
 
-    async def _call(self, operation: str, built_on: int, body: bytes) -> Answer | None:
+    async def _call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse | None:
         address = self._random.choice(self._cluster.addresses)
-        return await self._cluster.call(address, operation, built_on, body, SILENCE_S)
+        return await self._cluster.call(address, operation, base_version, body, SILENCE_S)
 
     # ---- orders ----
 
@@ -83,7 +83,7 @@
         orders = [self._order(base) for _ in range(count)]
         if self._random.random() < OTHER_BASE_SHARE and base > 1:
             order = orders[0].order
-            elsewhere = Order(order.operation, base - 1, order.body)
+            elsewhere = OperatorOrder(order.operation, base - 1, order.body)
             orders.append(Sent(elsewhere, orders[0].version, orders[0].is_valid))
         for sent in orders:
             self._checks.sends(sent)
@@ -101,7 +101,7 @@
         text, is_valid = json.dumps(body), True
         if self._random.random() < INVALID_SHARE:
             text, is_valid = self._spoiled(body, base), False
-        return Sent(Order(operation, base, text.encode()), version, is_valid)
+        return Sent(OperatorOrder(operation, base, text.encode()), version, is_valid)
 
     def _spoiled(self, body: dict[str, Any], base: int) -> str:
         """The same order, but invalid."""
--- a/larchgw/replication/snapshot_transfer.py
+++ b/larchgw/replication/snapshot_transfer.py
@@ -16,7 +16,7 @@
 
 log = structlog.get_logger()
 PIECE_BYTES = 256 << 10  # 26 ms on the slowest link: a heartbeat waits no longer behind it
-MOST_SNAPSHOT_BYTES = 24 << 20  # what a member sets aside for one; control/state_size.py keeps states below
+MOST_SNAPSHOT_BYTES = 24 << 20  # set aside for one; control/configuration_size.py keeps states below
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/control/test_checkins.py
+++ b/tests/control/test_checkins.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.cut_off = False
 
-    def isolated(self) -> bool:
+    def is_isolated(self) -> bool:
         return self.cut_off
 
     def is_majority(self, addresses: Collection[str]) -> bool:
--- a/tests/control/test_state_size.py
+++ b/tests/control/test_configuration_size.py
@@ -11,9 +11,14 @@
 from hypothesis import strategies as st
 
 from larchgw.configuration.change import evaluate
-from larchgw.control.operator import MAX_ORDER_BYTES, Answer, OperatorService
-from larchgw.control.state import MOST_TAKEN, ConfigurationState, Order
-from larchgw.control.state_size import MOST_CONFIGURATION_BYTES, ConfigurationTooLarge, SizeLimit, encoded
+from larchgw.control.configuration_size import (
+    MAX_CONFIGURATION_BYTES,
+    ConfigurationSizeLimit,
+    ConfigurationTooLargeError,
+    encode_json,
+)
+from larchgw.control.configuration_state import MAX_REMEMBERED_ORDERS, ConfigurationState, OperatorOrder
+from larchgw.control.operator_service import MAX_ORDER_BYTES, OperatorResponse, OperatorService
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings
@@ -39,21 +44,21 @@
     }
 
 
-def whole(version: int, routes: int, filling: int) -> Order:
+def whole(version: int, routes: int, filling: int) -> OperatorOrder:
     body = {
         "config_version": version,
         "services": [{"name": "s"}],
         "routes": [route(f"r{number}", filling) for number in range(routes)],
     }
-    return Order("replace", -1, json.dumps(body).encode())
+    return OperatorOrder("replace", -1, json.dumps(body).encode())
 
 
-def addition(version: int, name: str, filling: int) -> Order:
+def addition(version: int, name: str, filling: int) -> OperatorOrder:
     body = {"config_version": version, "add": {"routes": [route(name, filling)]}}
-    return Order("change", -1, json.dumps(body).encode())
+    return OperatorOrder("change", -1, json.dumps(body).encode())
 
 
-def submit(service: OperatorService, order: Order) -> Answer:
+def submit(service: OperatorService, order: OperatorOrder) -> OperatorResponse:
     return asyncio.run(service.submit(order))
 
 
@@ -67,25 +72,25 @@
     refused = submit(service, addition(3, "b", 1 << 20))
     detail = json.loads(refused.body)
     assert (refused.status, detail["field"], detail["config_version"]) == (413, "configuration", 2)
-    assert str(MOST_CONFIGURATION_BYTES) in detail["error"] and "remove" in detail["error"]
+    assert str(MAX_CONFIGURATION_BYTES) in detail["error"] and "remove" in detail["error"]
     assert replication.index == taken
     shrunk = {
         "config_version": 3,
         "remove": {"routes": ["r0", "r1"]},
         "add": {"routes": [route("b", 1 << 20)]},
     }
-    assert submit(service, Order("change", -1, json.dumps(shrunk).encode())).status == 200
+    assert submit(service, OperatorOrder("change", -1, json.dumps(shrunk).encode())).status == 200
 
 
 def test_the_size_is_measured_only_where_the_bound_does_not_do() -> None:
-    limit = SizeLimit(SMALL_LIMIT)
+    limit = ConfigurationSizeLimit(SMALL_LIMIT)
     current = None
     for version in range(1, 6):
         order = whole(version, 1, 10)
-        wanted = evaluate(current, order.operation, order.built_on, order.body)
+        wanted = evaluate(current, order.operation, order.base_version, order.body)
         limit.check(current, order.body, wanted)
         current = wanted
-    assert limit.measured <= 2
+    assert limit.measurements <= 2
 
 
 JSON = st.recursive(
@@ -100,30 +105,30 @@
     """The bound is of the order's own bytes, so that nothing too large passes unmeasured."""
     body = f'{{"config_version":1,"routes":[],"services":[],"other":[{json.dumps(value)},{number}]}}'.encode()
     raw = json.loads(body)
-    assert len(encoded(raw)) <= 4 * len(body) + 64
+    assert len(encode_json(raw)) <= 4 * len(body) + 64
 
 
 @given(st.text(st.characters(exclude_categories=()), max_size=20))
 def test_any_text_of_a_configuration_survives_a_snapshot(text: str) -> None:
-    assert json.loads(encoded({"text": text})) == {"text": text}
+    assert json.loads(encode_json({"text": text})) == {"text": text}
 
 
 def test_a_configuration_at_the_limit_passes_and_one_byte_more_does_not() -> None:
     order = whole(1, 1, 1000)
-    wanted = evaluate(None, order.operation, order.built_on, order.body)
-    size = len(encoded(wanted.raw))
-    SizeLimit(size).check(None, order.body, wanted)
-    with pytest.raises(ConfigurationTooLarge):
-        SizeLimit(size - 1).check(None, order.body, wanted)
+    wanted = evaluate(None, order.operation, order.base_version, order.body)
+    size = len(encode_json(wanted.raw))
+    ConfigurationSizeLimit(size).check(None, order.body, wanted)
+    with pytest.raises(ConfigurationTooLargeError):
+        ConfigurationSizeLimit(size - 1).check(None, order.body, wanted)
 
 
 def test_the_bounds_fit_each_other() -> None:
     """The largest order is a record; the largest state is a snapshot that a member sets room aside for."""
     taken = {"f" * 64: 10**15}
-    most_taken_bytes = MOST_TAKEN * len(encoded(taken))
-    assert MAX_ORDER_BYTES <= MOST_CONFIGURATION_BYTES
+    most_taken_bytes = MAX_REMEMBERED_ORDERS * len(encode_json(taken))
+    assert MAX_ORDER_BYTES <= MAX_CONFIGURATION_BYTES
     assert MAX_ORDER_BYTES + 4096 <= MAX_RECORD_BYTES
-    snapshot = MOST_CONFIGURATION_BYTES + most_taken_bytes + 4096
+    snapshot = MAX_CONFIGURATION_BYTES + most_taken_bytes + 4096
     assert snapshot <= MOST_SNAPSHOT_BYTES
     settings = MemberSettings("a", ("a",), True, "", 1, 3.0)
     log = POSTPONED_FACTOR * settings.compact_bytes + 2 * MAX_RECORD_BYTES
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -14,11 +14,11 @@
 from structlog.testing import capture_logs
 from testtools import TestCase
 
+from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.control.disk import ControlDisk
-from larchgw.control.operator import MAX_ORDER_BYTES, ReplicationUnavailable
-from larchgw.control.operator_calls import OperatorCalls
+from larchgw.control.operator_calls import OperatorCallRouter
+from larchgw.control.operator_service import MAX_ORDER_BYTES, ReplicationUnavailableError
 from larchgw.control.replicated_log import ReplicatedLog
-from larchgw.control.state import ConfigurationState, Order
 from larchgw.replication.member import Member
 from larchgw.replication.settings import MemberSettings
 from larchgw.runtime import process
@@ -32,9 +32,9 @@
 RESERVE = f"data/{NAME}"
 
 
-def order(version: int, built_on: int) -> Order:
+def order(version: int, base_version: int) -> OperatorOrder:
     body = {"config_version": version, "routes": [], "services": []}
-    return Order("replace", built_on, json.dumps(body).encode())
+    return OperatorOrder("replace", base_version, json.dumps(body).encode())
 
 
 class ReserveTest(TestCase):
@@ -44,22 +44,22 @@
         self.disk = ControlDisk.open(self.files, "data")
 
     def test_an_epoch_finds_room_on_a_disk_that_became_full(self) -> None:
-        self.disk.keep_reserve()
+        self.disk.refill_reserve()
         self.files.capacity = self.files.used()
         self.disk.ports.witness.store(b"epoch 7")
         self.assertEqual(b"epoch 7", ControlDisk.open(self.files, "data").ports.witness.load())
         self.assertIsNone(self.files.size(RESERVE))
 
     def test_the_reserve_is_not_taken_back_before_a_compaction_has_freed_room(self) -> None:
-        self.disk.keep_reserve()
+        self.disk.refill_reserve()
         self.files.capacity = self.files.used()
         self.disk.ports.witness.store(b"epoch 7")
-        self.disk.keep_reserve()
+        self.disk.refill_reserve()
         self.assertIsNone(self.files.size(RESERVE))
         self.files.capacity += 4 * RESERVE_BYTES
         self.disk.ports.journal.append(b"record")
         self.disk.ports.journal.compact(1, b"snapshot")
-        self.disk.keep_reserve()
+        self.disk.refill_reserve()
         self.assertEqual(RESERVE_BYTES, self.files.size(RESERVE))
 
 
@@ -88,7 +88,7 @@
     def test_a_full_disk_leaves_a_change_unclear_and_the_process_running(self) -> None:
         self.run_call(self.log.propose(order(1, 0).encode()))
         self.files.refuses_writes = True
-        self.assertRaises(ReplicationUnavailable, self.run_call, self.log.propose(order(2, 1).encode()))
+        self.assertRaises(ReplicationUnavailableError, self.run_call, self.log.propose(order(2, 1).encode()))
         self.pass_time(10.0)
         self.assertEqual(1, self.state.version)
         self.files.refuses_writes = False
@@ -99,12 +99,12 @@
 
 def test_the_largest_order_that_is_taken_fits_into_a_record_of_the_log() -> None:
     log = ControlDisk.open(FaultyFiles(), "data").log
-    log.append(bytes(64) + Order("replace", 2**62, bytes(MAX_ORDER_BYTES)).encode())
+    log.append(bytes(64) + OperatorOrder("replace", 2**62, bytes(MAX_ORDER_BYTES)).encode())
     assert log.last_index == 1
 
 
 def test_an_order_that_no_record_can_hold_is_refused_before_it_is_passed_on() -> None:
-    calls = OperatorCalls(None, None, None)  # type: ignore[arg-type]
+    calls = OperatorCallRouter(None, None, None)  # type: ignore[arg-type]
     answer = asyncio.run(calls.operator_call("replace", 1, bytes(MAX_ORDER_BYTES + 1)))
     assert answer.status == 413 and b"several changes" in answer.body
 
--- a/tests/control/test_http_api.py
+++ b/tests/control/test_http_api.py
@@ -7,7 +7,7 @@
 
 from larchgw.control import http_api
 from larchgw.control.http_api import application
-from larchgw.control.operator import Answer
+from larchgw.control.operator_service import OperatorResponse
 from larchgw.runner_directory.checkins import CheckinError
 
 ADDRESS = "10.0.0.1:8146"
@@ -16,12 +16,12 @@
 class ScriptedService:
     def __init__(self):
         self.calls = []
-        self.answer = Answer(200, b'{"config_version": 7}')
+        self.answer = OperatorResponse(200, b'{"config_version": 7}')
         self.acknowledges = True
         self.error = None
 
-    async def operator_call(self, operation, built_on, body):
-        self.calls.append((operation, built_on, body))
+    async def operator_call(self, operation, base_version, body):
+        self.calls.append((operation, base_version, body))
         return self.answer
 
     async def checkin(self, runner, body):
@@ -81,7 +81,7 @@
     def test_a_version_may_have_zeros_in_front_and_be_as_large_as_versions_are(self):
         self.post("/Config.Replace", **{"X-Built-On": "007"})
         self.post("/Config.Replace", **{"X-Built-On": str(2**63 - 1)})
-        self.assertEqual([7, 2**63 - 1], [built_on for _, built_on, _ in self.service.calls])
+        self.assertEqual([7, 2**63 - 1], [base_version for _, base_version, _ in self.service.calls])
 
     def test_a_body_longer_than_any_that_is_read_is_refused_whatever_the_state_is(self):
         answer = self.raw(
@@ -100,11 +100,11 @@
 
     def test_what_the_service_refuses_or_leaves_unclear_is_answered_so(self):
         for status in (400, 412, 503):
-            self.service.answer = Answer(status, b"{}")
+            self.service.answer = OperatorResponse(status, b"{}")
             self.assertEqual(status, self.post("/Config.Replace").code)
 
     def test_the_configuration_is_read_whole(self):
-        self.service.answer = Answer(200, b'{"routes": []}')
+        self.service.answer = OperatorResponse(200, b'{"routes": []}')
         self.assertEqual(b'{"routes": []}', self.fetch("/Config.Read").body)
 
     def test_a_runner_is_acknowledged_and_told_to_stay_with_this_process(self):
--- a/tests/control/test_operator_calls.py
+++ b/tests/control/test_operator_calls.py
@@ -7,8 +7,8 @@
 
 from testtools import TestCase
 
-from larchgw.control.operator import Answer
-from larchgw.control.operator_calls import PATIENCE_S, OperatorCalls
+from larchgw.control.operator_calls import CALL_TIMEOUT_S, OperatorCallRouter
+from larchgw.control.operator_service import OperatorResponse
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.errors import RpcConnectionError
 from larchgw.rpc.generated.ttypes import OperatorAnswer, OperatorCall
@@ -32,15 +32,15 @@
 class ScriptedService:
     """Answers in turn as the primary's own service; counts what it was given."""
 
-    def __init__(self, *answers: Answer) -> None:
+    def __init__(self, *answers: OperatorResponse) -> None:
         self.answers = list(answers)
         self.orders: list[Any] = []
 
-    async def submit(self, order: Any) -> Answer:
+    async def submit(self, order: Any) -> OperatorResponse:
         self.orders.append(order)
         return self.answers.pop(0)
 
-    async def read(self) -> Answer:
+    async def read(self) -> OperatorResponse:
         return self.answers.pop(0)
 
 
@@ -64,8 +64,8 @@
         return Client()
 
 
-def calls(member: Any, service: Any, peers: Any) -> OperatorCalls:
-    return OperatorCalls(member, service, peers)
+def calls(member: Any, service: Any, peers: Any) -> OperatorCallRouter:
+    return OperatorCallRouter(member, service, peers)
 
 
 class OperatorCallsTest(TestCase):
@@ -82,7 +82,7 @@
         self.assertEqual((200, [PRIMARY, OTHER, OTHER]), (answer.status, peers.called))
 
     def test_one_that_becomes_primary_meanwhile_serves_the_call_itself(self) -> None:
-        member, service = ScriptedMember(PRIMARY), ScriptedService(Answer(200, b"mine"))
+        member, service = ScriptedMember(PRIMARY), ScriptedService(OperatorResponse(200, b"mine"))
 
         class Deposed(ScriptedPeers):
             def get(self, address: str) -> Any:
@@ -93,7 +93,7 @@
         self.assertEqual((200, b"mine"), (answer.status, answer.body))
         self.assertEqual(
             [("replace", 4, b"x")],
-            [(order.operation, order.built_on, order.body) for order in service.orders],
+            [(order.operation, order.base_version, order.body) for order in service.orders],
         )
 
     def test_without_a_primary_the_call_is_left_unclear_before_the_operator_goes_on(self) -> None:
@@ -105,28 +105,29 @@
 
         status, seconds = run(timed())
         self.assertEqual(503, status)
-        self.assertLessEqual(seconds, PATIENCE_S + 0.001)
-        self.assertLess(PATIENCE_S, 1.0)
+        self.assertLessEqual(seconds, CALL_TIMEOUT_S + 0.001)
+        self.assertLess(CALL_TIMEOUT_S, 1.0)
 
     def test_a_call_passed_on_ends_when_the_one_that_passed_it_on_has_given_it_up(self) -> None:
         class SilentService:
-            async def submit(self, order: Any) -> Answer:
+            async def submit(self, order: Any) -> OperatorResponse:
                 await asyncio.Event().wait()
                 raise AssertionError
 
         async def timed() -> tuple[int, float]:
             member = ScriptedMember(PRIMARY)
             member.is_primary = True
-            answer = await calls(member, SilentService(), None).passed_on(OperatorCall("replace", 1, b"x"))
+            call = OperatorCall("replace", 1, b"x")
+            answer = await calls(member, SilentService(), None).serve_forwarded(call)
             return answer.status, asyncio.get_running_loop().time()
 
-        self.assertEqual((503, PATIENCE_S), run(timed()))
+        self.assertEqual((503, CALL_TIMEOUT_S), run(timed()))
 
     def test_a_call_passed_on_to_one_that_is_not_primary_comes_back_unclear_and_is_not_taken(self) -> None:
-        service = ScriptedService(Answer(200))
+        service = ScriptedService(OperatorResponse(200))
         member = ScriptedMember(PRIMARY)
-        answer = run(calls(member, service, None).passed_on(OperatorCall("replace", 1, b"x")))
+        answer = run(calls(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
         self.assertEqual((503, []), (answer.status, service.orders))
         member.is_primary = True
-        answer = run(calls(member, service, None).passed_on(OperatorCall("replace", 1, b"x")))
+        answer = run(calls(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
         self.assertEqual((200, "me", 1), (answer.status, answer.primary, len(service.orders)))
--- a/tests/control/test_operator_failover.py
+++ b/tests/control/test_operator_failover.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from larchgw.control.state import ConfigurationState, Order
+from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.emulator import virtual_loop
 from larchgw.model_checking.operator_calls.cluster import Cluster, Process, connected
 
@@ -18,14 +18,14 @@
 UNCLEAR = 503
 
 
-def order(version: int, built_on: int, mark: str, operation: str = "replace") -> Order:
+def order(version: int, base_version: int, mark: str, operation: str = "replace") -> OperatorOrder:
     services = [{"name": "s", "health_path": f"/{mark}"}]
     body = (
         {"config_version": version, "add": {"services": services}}
         if operation == "change"
         else {"config_version": version, "routes": [], "services": services}
     )
-    return Order(operation, built_on, json.dumps(body).encode())
+    return OperatorOrder(operation, base_version, json.dumps(body).encode())
 
 
 FIRST, LOST, RIVAL = order(1, 0, "first"), order(3, 1, "lost"), order(3, 1, "rival")
@@ -54,8 +54,8 @@
     def others(self, process: Process) -> list[str]:
         return [address for address in self.cluster.addresses if address != process.address]
 
-    async def send(self, address: str, sent: Order) -> int:
-        answer = await self.cluster.call(address, sent.operation, sent.built_on, sent.body, SILENCE_S)
+    async def send(self, address: str, sent: OperatorOrder) -> int:
+        answer = await self.cluster.call(address, sent.operation, sent.base_version, sent.body, SILENCE_S)
         return UNCLEAR if answer is None else answer.status
 
     async def read(self, address: str) -> tuple[int, int]:
@@ -129,7 +129,7 @@
         for address in playing.cluster.addresses:
             assert await playing.send(address, LOST) == 412
             assert await playing.send(address, RIVAL) == 200
-        taken = [(state.taken(LOST), state.taken(RIVAL)) for state in playing.states()]
+        taken = [(state.is_accepted(LOST), state.is_accepted(RIVAL)) for state in playing.states()]
         assert taken == [(False, True)] * machines
 
     played(machines, scene)
@@ -208,8 +208,8 @@
         rivals = [
             order(3, 1, f"{sort}-{number}", sort) for sort in ("replace", "change") for number in range(3)
         ]
-        bad = Order("replace", 1, rivals[0].body[:-1])
-        again = Order("change", 1, rivals[0].body)  # the same text as another sort of order: adds nothing
+        bad = OperatorOrder("replace", 1, rivals[0].body[:-1])
+        again = OperatorOrder("change", 1, rivals[0].body)  # the same text as a change adds nothing
         sent = [*rivals, bad, again]
         everywhere = playing.cluster.addresses
         statuses = await asyncio.gather(
@@ -227,8 +227,8 @@
     async def scene(playing: Scene) -> None:
         address = playing.cluster.addresses[0]
         assert await playing.send(address, LOST) == 200
-        assert await playing.send(address, Order("replace", 3, LOST.body)) == 400  # 3 is not above 3
-        assert await playing.send(address, Order("replace", 2, LOST.body)) == 412
+        assert await playing.send(address, OperatorOrder("replace", 3, LOST.body)) == 400  # 3 is not above 3
+        assert await playing.send(address, OperatorOrder("replace", 2, LOST.body)) == 412
         assert await playing.send(address, order(5, 3, "next")) == 200
         assert await playing.send(address, LOST) == 200  # superseded, and sent again
 
--- a/tests/control/test_operator_service.py
+++ b/tests/control/test_operator_service.py
@@ -5,10 +5,10 @@
 
 import testtools
 
-from larchgw.control import state as state_module
-from larchgw.control.operator import OperatorService, ReplicationUnavailable
+from larchgw.control import configuration_state as state_module
+from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.operator_service import OperatorService, ReplicationUnavailableError
 from larchgw.control.replicated_log import ReplicatedLog
-from larchgw.control.state import ConfigurationState, Order
 from larchgw.emulator import virtual_loop
 
 
@@ -25,8 +25,8 @@
     return {"config_version": version, "routes": [route], "services": [{"name": "s"}]}
 
 
-def replace(version, built_on, path="/a/"):
-    return Order("replace", built_on, json.dumps(configuration(version, path)).encode())
+def replace(version, base_version, path="/a/"):
+    return OperatorOrder("replace", base_version, json.dumps(configuration(version, path)).encode())
 
 
 class ScriptedReplication:
@@ -42,27 +42,27 @@
         self.before_confirm = lambda: None
         self.before_commit = lambda: None
 
-    async def settle(self):
+    async def wait_until_decided(self):
         while self.undecided:
             await asyncio.sleep(0.02)
 
-    async def confirm(self):
+    async def confirm_primary(self):
         await asyncio.sleep(0)
         self.before_confirm()
         if self.deposed:
-            raise ReplicationUnavailable("another is primary")
+            raise ReplicationUnavailableError("another is primary")
 
     async def propose(self, record):
         await asyncio.sleep(0)
         if self.deposed:
-            raise ReplicationUnavailable("another is primary")
+            raise ReplicationUnavailableError("another is primary")
         self.before_commit()
         if self.copies_missing:
             self.undecided.append(record)
             await asyncio.Event().wait()
         self.commit(record)
         if self.answer_lost:
-            raise ReplicationUnavailable("the view has changed")
+            raise ReplicationUnavailableError("the view has changed")
         return self.index
 
     def decide(self):
@@ -128,7 +128,7 @@
         order = replace(5, 0)
 
         def taken_elsewhere():
-            if not self.state.taken(order):
+            if not self.state.is_accepted(order):
                 self.replication.commit(order.encode())
 
         self.replication.before_confirm = taken_elsewhere
@@ -145,7 +145,7 @@
         self.submit(replace(5, 0))
         base = configuration(6)
         base["services"].append({"name": "t"})
-        self.submit(Order("replace", 5, json.dumps(base).encode()))
+        self.submit(OperatorOrder("replace", 5, json.dumps(base).encode()))
         route = {
             "name": "q",
             "hostname": "q.example",
@@ -156,7 +156,7 @@
             "tries": 1,
         }
         removal, return_, use = (
-            Order("change", -1, json.dumps(body).encode())
+            OperatorOrder("change", -1, json.dumps(body).encode())
             for body in (
                 {"config_version": 7, "remove": {"services": ["t"]}},
                 {"config_version": 8, "add": {"services": [{"name": "t"}]}},
@@ -177,7 +177,8 @@
             self.assertEqual((["no answer"] * 3, 1), (answers, len(self.replication.undecided)))
             self.replication.copies_missing = False
             self.replication.decide()
-            return await given_up(use), self.state.taken(use), await given_up(return_), await given_up(use)
+            answer, accepted = await given_up(use), self.state.is_accepted(use)
+            return answer, accepted, await given_up(return_), await given_up(use)
 
         # Had all three been proposed, `use` would be refused after the first one and come into force later.
         self.assertEqual((400, False, 200, 200), virtual_loop.run(play()))
@@ -204,7 +205,7 @@
     def test_an_invalid_configuration_is_refused_and_not_proposed(self):
         body = configuration(5)
         body["routes"][0]["service"] = "unknown"
-        self.assertEqual([400], self.submit(Order("replace", 0, json.dumps(body).encode())))
+        self.assertEqual([400], self.submit(OperatorOrder("replace", 0, json.dumps(body).encode())))
         self.assertEqual(0, self.replication.index)
 
     def test_read_gives_the_whole_configuration_and_nothing_while_the_view_is_in_doubt(self):
@@ -230,7 +231,7 @@
 
     def settled_after(self, **changes):
         async def play():
-            waiting = asyncio.ensure_future(self.log.settle())
+            waiting = asyncio.ensure_future(self.log.wait_until_decided())
             await asyncio.sleep(0.5)
             self.assertFalse(waiting.done())
             for name, value in changes.items():
@@ -243,7 +244,7 @@
         self.settled_after(committed_index=3)
 
     def test_one_that_is_primary_no_more_cannot_tell(self):
-        self.assertRaises(ReplicationUnavailable, self.settled_after, is_primary=False)
+        self.assertRaises(ReplicationUnavailableError, self.settled_after, is_primary=False)
 
 
 class ConfigurationStateTest(testtools.TestCase):
@@ -254,10 +255,10 @@
         other.restore(state.snapshot())
         self.assertEqual(5, other.version)
         self.assertEqual(3, other.index)
-        self.assertTrue(other.taken(order))
+        self.assertTrue(other.is_accepted(order))
 
     def test_the_oldest_taken_orders_are_forgotten_first_also_after_a_restore(self):
-        self.patch(state_module, "MOST_TAKEN", 3)
+        self.patch(state_module, "MAX_REMEMBERED_ORDERS", 3)
         orders = [replace(version, version - 1) for version in range(1, 7)]
         kept, restored = ConfigurationState(), ConfigurationState()
         for index, order in enumerate(orders[:4]):
@@ -266,16 +267,16 @@
         for state in (kept, restored):
             for index, order in enumerate(orders[4:]):
                 state.apply(index + 5, order.encode())
-            self.assertEqual([False] * 3 + [True] * 3, [state.taken(order) for order in orders])
+            self.assertEqual([False] * 3 + [True] * 3, [state.is_accepted(order) for order in orders])
         self.assertEqual(kept.snapshot(), restored.snapshot())
 
     def test_an_order_is_known_by_what_was_sent_not_by_what_it_means(self):
         state = ConfigurationState()
         state.apply(1, replace(5, 0).encode())
         for body in (json.dumps(configuration(5), indent=1), json.dumps(configuration(5), sort_keys=True)):
-            self.assertFalse(state.taken(Order("replace", 0, body.encode())))
-        self.assertFalse(state.taken(Order("change", 0, replace(5, 0).body)))
-        self.assertFalse(state.taken(Order("replace", 4, replace(5, 0).body)))
+            self.assertFalse(state.is_accepted(OperatorOrder("replace", 0, body.encode())))
+        self.assertFalse(state.is_accepted(OperatorOrder("change", 0, replace(5, 0).body)))
+        self.assertFalse(state.is_accepted(OperatorOrder("replace", 4, replace(5, 0).body)))
 
     def test_an_empty_state_is_restored_as_empty(self):
         state = ConfigurationState()
--- a/tests/control/test_publication.py
+++ b/tests/control/test_publication.py
@@ -6,8 +6,8 @@
 import testtools
 
 from larchgw.configuration.packing import pack, unpack
-from larchgw.control.publication import PUBLISH_AFTER_S, ConfigurationPublisher
-from larchgw.control.state import ConfigurationState, Order
+from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.publication import BACKUP_PUBLISH_DELAY_S, ConfigurationPublisher
 from larchgw.distribution.keys import CONFIGURATION_KEY
 from larchgw.distribution.registry import Registry
 from tests.support.configurations import body, example
@@ -21,8 +21,8 @@
         self.publisher = ConfigurationPublisher(self.state, self.registry, lambda: self.is_primary)
 
     def commit(self, index, version, now):
-        self.state.apply(index, Order("replace", -1, body(example(config_version=version))).encode())
-        self.publisher.committed(now)
+        self.state.apply(index, OperatorOrder("replace", -1, body(example(config_version=version))).encode())
+        self.publisher.on_committed(now)
 
     def published(self):
         entry = self.registry.get(CONFIGURATION_KEY)
@@ -35,15 +35,15 @@
 
     def test_a_backup_publishes_what_the_primary_has_not(self):
         self.commit(3, 7, now=1.0)
-        self.publisher.tick(1.0 + PUBLISH_AFTER_S - 0.01)
+        self.publisher.tick(1.0 + BACKUP_PUBLISH_DELAY_S - 0.01)
         self.assertIsNone(self.published())
-        self.publisher.tick(1.0 + PUBLISH_AFTER_S)
+        self.publisher.tick(1.0 + BACKUP_PUBLISH_DELAY_S)
         self.assertEqual(3, self.published())
 
     def test_what_a_start_finds_on_the_disk_is_left_to_the_primary(self):
         """It is as old as the last snapshot; all may have started at once, with edges that know nothing."""
         self.commit(3, 7, now=1.0)
-        self.publisher.restored()
+        self.publisher.on_restored()
         for tenth in range(100):
             self.publisher.tick(1.0 + tenth / 10.0)
         self.assertIsNone(self.published())
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -20,15 +20,15 @@
 from larchgw.configuration.packing import pack
 from larchgw.configuration.settings import NodeSettings
 from larchgw.control import http_api, restore
+from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.control.disk import ControlDisk
-from larchgw.control.latest_view import NewestView
+from larchgw.control.latest_view import LatestView
 from larchgw.control.node import ControlNode
-from larchgw.control.operator import Answer, OperatorService, ReplicationUnavailable
-from larchgw.control.operator_calls import OperatorCalls
+from larchgw.control.operator_calls import OperatorCallRouter
+from larchgw.control.operator_service import OperatorResponse, OperatorService, ReplicationUnavailableError
 from larchgw.control.publication import ConfigurationPublisher
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.runner_ownership import owner_name
-from larchgw.control.state import ConfigurationState, Order
 from larchgw.control.status import StatusService, StatusSources
 from larchgw.distribution.placer_entry import publish_placer
 from larchgw.distribution.registry import Registry
@@ -61,9 +61,9 @@
     "tries": 1,
 }
 CONFIGURATION = {"config_version": 5, "routes": [ROUTE], "services": [{"name": "s"}], "note": "h\u00e9"}
-FIRST = Order("replace", 0, json.dumps(CONFIGURATION).encode())
-SECOND = Order("change", 5, b'{"config_version": 7,\n "add": {"services": [{"name": "t"}]}}')
-UNREADABLE = Order("replace", -1, b"\x00\xff\n{")
+FIRST = OperatorOrder("replace", 0, json.dumps(CONFIGURATION).encode())
+SECOND = OperatorOrder("change", 5, b'{"config_version": 7,\n "add": {"services": [{"name": "t"}]}}')
+UNREADABLE = OperatorOrder("replace", -1, b"\x00\xff\n{")
 VIEW = View(7, "a#1", ("b#2",), ("a#1", "b#2", "c#3"), ("a#1",), {"a#1": ADDRESS, "b#2": "b:1", "c#3": "c:1"})
 
 
@@ -91,7 +91,7 @@
 def test_operator_orders_are_written_and_read_as_recorded() -> None:
     recorded = fixture("log_records.json")
     assert written_records() == recorded
-    decoded = [Order.decode(bytes.fromhex(line["record"])) for line in recorded]
+    decoded = [OperatorOrder.decode(bytes.fromhex(line["record"])) for line in recorded]
     assert decoded == [FIRST, SECOND, UNREADABLE]
 
 
@@ -110,7 +110,7 @@
     assert (empty.current, empty.index, empty.version) == (None, 0, 0)
     state.restore(bytes.fromhex(recorded["both orders"]))
     assert (state.index, state.version) == (9, 7)
-    assert [state.taken(order) for order in (FIRST, SECOND, UNREADABLE)] == [True, True, False]
+    assert [state.is_accepted(order) for order in (FIRST, SECOND, UNREADABLE)] == [True, True, False]
     assert state.snapshot().hex() == recorded["both orders"]
 
 
@@ -144,8 +144,8 @@
 def published_entries() -> dict[str, Any]:
     """Key -> major, minor and value of all that control puts into the registry itself."""
     registry, state = Registry("a.1"), state_with_both_orders()
-    ConfigurationPublisher(state, registry, lambda: True).committed(1.0)
-    NewestView(lambda: VIEW, registry).publish()
+    ConfigurationPublisher(state, registry, lambda: True).on_committed(1.0)
+    LatestView(lambda: VIEW, registry).publish()
     publish_placer(registry, ADDRESS, 70_001)
     owner = owner_name(ADDRESS, 1_700_000_000_123)
     directory = Directory(registry, lambda: 0.0, 1.0, owner, lambda other: True)
@@ -182,7 +182,7 @@
 def test_a_recorded_view_is_read() -> None:
     entry = fixture("registry_entries.json")["view"]
     registry = Registry("b.1")
-    latest = NewestView(lambda: None, registry)
+    latest = LatestView(lambda: None, registry)
     registry.put("view", bytes.fromhex(entry[2]), entry[0])
     assert latest.get() == VIEW
 
@@ -209,7 +209,7 @@
     directory.checkin(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
     me = Process("core-1", "10.0.0.1:7661", "control", 1, "a", ADDRESS)
     swim = Swim(me, SwimSettings(), random.Random(1))
-    contact: Any = SimpleNamespace(isolated=lambda: True)
+    contact: Any = SimpleNamespace(is_isolated=lambda: True)
     models = (PlacedModel("s", "m", 0.5, 1, 2, ("i-1",), ("i-2",)),)
     orders = (OpenOrder("i-2", "loading", "m", 0.0404, True),)
     summary = PlacementSummary(9, 13, 12, models, orders)
@@ -238,12 +238,12 @@
     def __init__(self, state: ConfigurationState) -> None:
         self.state, self.index, self.problem = state, 0, ""
 
-    async def settle(self) -> None:
+    async def wait_until_decided(self) -> None:
         return None
 
-    async def confirm(self) -> None:
+    async def confirm_primary(self) -> None:
         if self.problem:
-            raise ReplicationUnavailable(self.problem)
+            raise ReplicationUnavailableError(self.problem)
 
     async def propose(self, record: bytes) -> int:
         self.index += 1
@@ -256,10 +256,10 @@
     replication = ScriptedReplication(state)
     service = OperatorService(state, replication)
     refused = [
-        Order("replace", 5, FIRST.body),
-        Order("replace", 0, b'{"config_version": 9, "routes": [], "services": []}'),
-        Order("replace", -1, b"{}"),
-        Order("replace", -1, b"["),
+        OperatorOrder("replace", 5, FIRST.body),
+        OperatorOrder("replace", 0, b'{"config_version": 9, "routes": [], "services": []}'),
+        OperatorOrder("replace", -1, b"{}"),
+        OperatorOrder("replace", -1, b"["),
         UNREADABLE,
     ]
     answers = [await service.read()]
@@ -268,11 +268,11 @@
     replication.problem = "a#1 is not primary"
     answers += [await service.read(), await service.submit(SECOND)]
     primary: Any = SimpleNamespace(is_primary=False, primary=None, id="a#1")
-    calls = OperatorCalls(primary, service, RpcClients())
+    calls = OperatorCallRouter(primary, service, RpcClients())
     answers.append(await calls.operator_call("replace", 1, bytes((7 << 20) + 1)))
     answers.append(await calls.operator_call("read", -1, b""))
-    rejected = await calls.passed_on(ttypes.OperatorCall("read", -1, b""))
-    answers.append(Answer(rejected.status, rejected.body))
+    rejected = await calls.serve_forwarded(ttypes.OperatorCall("read", -1, b""))
+    answers.append(OperatorResponse(rejected.status, rejected.body))
     return [{"status": answer.status, "body": answer.body.decode()} for answer in answers]
 
 
@@ -288,9 +288,11 @@
         self.acknowledges = True
         self.error: Exception | None = None
 
-    async def operator_call(self, operation: str, built_on: int, body: bytes) -> Answer:
-        self.calls.append([operation, built_on, body.decode()])
-        return Answer(503, b'{"error": "scripted"}') if operation == "change" else Answer(200)
+    async def operator_call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse:
+        self.calls.append([operation, base_version, body.decode()])
+        if operation == "change":
+            return OperatorResponse(503, b'{"error": "scripted"}')
+        return OperatorResponse(200)
 
     async def checkin(self, runner: str, body: bytes) -> bool:
         self.calls.append(["checkin", runner, body.decode()])
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -10,10 +10,10 @@
 from testtools import TestCase
 
 from larchgw.configuration.change import canonical
+from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.control.disk import ControlDisk
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.restore import RestoreError, check_empty, fresh_identity, read_source, write_folder
-from larchgw.control.state import ConfigurationState, Order
 from larchgw.model_checking.replication.cluster import World
 from larchgw.replication.forced_new_view import Beginning, beginning, refound
 from larchgw.replication.lease import FENCES_PER_EPOCH
@@ -44,9 +44,9 @@
             self.now += 0.02
             self.log.tick()
 
-    def replace(self, version: int, built_on: int) -> None:
+    def replace(self, version: int, base_version: int) -> None:
         body = canonical(example() | {"config_version": version})
-        asyncio.run(self.log.propose(Order("replace", built_on, body).encode()))
+        asyncio.run(self.log.propose(OperatorOrder("replace", base_version, body).encode()))
 
 
 def restored(source: Path, target: Path) -> Beginning:
@@ -85,7 +85,7 @@
     restored(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
     body = canonical(example() | {"config_version": 4})
-    assert process.state.taken(Order("replace", 0, body))
+    assert process.state.is_accepted(OperatorOrder("replace", 0, body))
 
 
 def test_all_forms_of_what_is_left_give_the_same_configuration(tmp_path: Path) -> None:
--- a/tests/control/test_runner_ownership.py
+++ b/tests/control/test_runner_ownership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from larchgw.control.runner_ownership import is_watched, owner_name
+from larchgw.control.runner_ownership import is_owner_present, owner_name
 from larchgw.distribution.registry import Registry
 from larchgw.membership.member import Member
 from larchgw.runner_directory.directory import Directory
@@ -22,7 +22,11 @@
     present = [process(EARLIER + 1)]  # the incarnation that it took when it heard of its earlier life
     registry = Registry("here#1")
     directory = Directory(
-        registry, lambda: now, BEAT_S, owner_name(HERE, 5), lambda owner: is_watched(owner, HERE, present)
+        registry,
+        lambda: now,
+        BEAT_S,
+        owner_name(HERE, 5),
+        lambda owner: is_owner_present(owner, HERE, present),
     )
     record = RunnerRecord("i-1", "service", "10.1.0.1:80", "a", call_count=3, owner=owner_name(THERE, LATER))
     registry.put("runner/i-1", record.encode(), 3, int(Stage.READY))
@@ -34,9 +38,9 @@
 
 
 def test_a_process_that_started_again_answers_for_runners_that_went_silent_while_it_was_down() -> None:
-    assert not is_watched(owner_name(HERE, EARLIER), HERE, [process(EARLIER, HERE)])
+    assert not is_owner_present(owner_name(HERE, EARLIER), HERE, [process(EARLIER, HERE)])
 
 
 def test_runners_of_a_lost_process_are_taken_for_unwatched() -> None:
     others = [process(EARLIER, "10.0.0.3:7660")]
-    assert not is_watched(owner_name(THERE, EARLIER), HERE, others)
+    assert not is_owner_present(owner_name(THERE, EARLIER), HERE, others)
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -118,7 +118,7 @@
 
     def test_the_reserve_is_told_only_while_it_is_there(self) -> None:
         self.assertFalse(self.service.read().disk.has_reserve)
-        self.node.disk.keep_reserve()
+        self.node.disk.refill_reserve()
         self.assertTrue(self.service.read().disk.has_reserve)
 
     def test_what_is_placed_is_told_only_to_who_asks_and_only_by_the_placer(self) -> None:
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -16,7 +16,7 @@
 import pytest
 
 from larchgw.configuration.packing import pack, unpack
-from larchgw.control.latest_view import NewestView
+from larchgw.control.latest_view import LatestView
 from larchgw.distribution import keys
 from larchgw.distribution.hinted_handoff import HintedHandoff
 from larchgw.distribution.peer_pullers import PeerPullers
@@ -55,7 +55,7 @@
     registry.put(keys.CONFIGURATION_KEY, pack(CONFIGURATION), 31)
     registry.put(keys.RUNNER_PREFIX + RUNNER.id, RUNNER.encode(), RUNNER.call_count, int(RUNNER.stage))
     publish_placer(registry, "10.0.0.1:7000", 5)
-    NewestView(lambda: VIEW, registry).publish()
+    LatestView(lambda: VIEW, registry).publish()
     registry.put(keys.EXPECTED_LOADS_PREFIX + "r-1", json.dumps(EXPECTED).encode(), 5, 2)
     return registry
 
@@ -231,7 +231,7 @@
     entries = [decode_struct(Entry, bytes.fromhex(data)) for data in saved["entries"].values()]
     clock = [100.0]
     expected = Expectations(registry, lambda: clock[0])
-    latest = NewestView(lambda: None, registry)
+    latest = LatestView(lambda: None, registry)
     assert registry.merge(entries) == entries
     configuration = registry.get("configuration")
     runner = registry.get("runner/r-1")
--- a/tests/model_checking/test_operator_calls.py
+++ b/tests/model_checking/test_operator_calls.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from larchgw.control.state import ConfigurationState, Order
+from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.model_checking.operator_calls import main as explore
 from larchgw.model_checking.operator_calls.invariants import Checks, Sent
 from larchgw.model_checking.operator_calls.mutants import MUTANTS, Mutant
@@ -30,9 +30,9 @@
     assert len(first.states) == len(second.states)
 
 
-def sent(version: int, built_on: int, mark: str = "a", is_valid: bool = True) -> Sent:
+def sent(version: int, base_version: int, mark: str = "a", is_valid: bool = True) -> Sent:
     body = {"config_version": version, "routes": [], "services": [{"name": mark}]}
-    return Sent(Order("replace", built_on, json.dumps(body).encode()), version, is_valid)
+    return Sent(OperatorOrder("replace", base_version, json.dumps(body).encode()), version, is_valid)
 
 
 def in_force(*orders: Sent) -> ConfigurationState:
