--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -79,18 +79,18 @@
 
 
 def _verify(folder: Path) -> int:
-    from ..storage.inspect import verify as examine
+    from ..storage.log_inspection import verify_log
 
-    found = examine(str(folder))
+    found = verify_log(str(folder))
     print(found)
-    return Ending.DONE if found.ok else Ending.REFUSED
+    return Ending.DONE if found.is_ok else Ending.REFUSED
 
 
 def _dump(folder: Path) -> int:
-    from ..storage.inspect import dump as lines
+    from ..storage.log_inspection import dump_log
 
     try:
-        for line in lines(str(folder)):
+        for line in dump_log(str(folder)):
             print(line)
     except StorageError as error:
         return fail(str(error), Ending.REFUSED)
--- a/larchgw/control/disk.py
+++ b/larchgw/control/disk.py
@@ -55,7 +55,7 @@
             last_index=self.log.last_index,
             durable_index=self.log.durable_index,
             free_bytes=_free_bytes(self.folder),
-            has_reserve=self.reserve.is_kept(),
+            has_reserve=self.reserve.is_allocated(),
         )
 
 
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -19,7 +19,7 @@
 from ..replication.replica import unframed
 from ..storage.errors import StorageError
 from ..storage.files import DiskFiles, FilePort
-from ..storage.inspect import Contents, contents, snapshot_file
+from ..storage.log_inspection import LogContents, read_log, read_snapshot_file
 from .configuration_state import ConfigurationState
 from .disk import LOG_FOLDER, ControlDisk
 
@@ -52,10 +52,10 @@
     """
     try:
         if source.is_dir():
-            return _from_log(source, contents(str(_log_folder(source))))
+            return _from_log(source, read_log(str(_log_folder(source))))
         if source.suffix == ".json":
             return _from_json(source)
-        return _from_log(source, snapshot_file(str(source)))
+        return _from_log(source, read_snapshot_file(str(source)))
     except StorageError as error:
         raise RestoreError(
             source, f"cannot be read: {error.path}: {error.problem}", "restore from another copy"
@@ -85,7 +85,7 @@
     return inner if inner.is_dir() else source
 
 
-def _from_log(source: Path, held: Contents) -> RestorableState:
+def _from_log(source: Path, held: LogContents) -> RestorableState:
     state, epoch, index = ConfigurationState(), 0, held.snapshot_index
     if held.snapshot is not None:
         epoch, snapshot = unframed(held.snapshot)
--- a/larchgw/storage/__init__.py
+++ b/larchgw/storage/__init__.py
@@ -5,7 +5,7 @@
 - `segments`, `snapshots`: names and codecs of the log's files.
 - `recovery`: what a folder holds after a crash, and which damage is a torn write.
 - `cell`, `reserve`: a small value replaced atomically (`Cell`), and disk space set aside for it (`Reserve`).
-- `inspect`: read-only views of a log's folder for the command line and for a restore.
+- `log_inspection`: read-only views of a log's folder for the command line and for a restore.
 - `errors`: `StorageError` and its subclasses, each with path, problem and remedy.
 
 Which guarantees hold after which call stands in docs/storage.md.
--- a/larchgw/storage/log.py
+++ b/larchgw/storage/log.py
@@ -22,9 +22,9 @@
 
 log = structlog.get_logger()
 
-SEGMENT_BYTES = 1024 * 1024
+DEFAULT_SEGMENT_BYTES = 1024 * 1024
 """A segment of this size is followed by a new one: compaction can free no less than a segment."""
-LIMIT_BYTES = 64 * 1024 * 1024
+DEFAULT_LIMIT_BYTES = 64 * 1024 * 1024
 """Half of a disk of 128 MB, the smallest in use: a snapshot has to find room before segments go."""
 
 
@@ -66,7 +66,11 @@
 
     @classmethod
     def open(
-        cls, port: FilePort, folder: str, segment_bytes: int = SEGMENT_BYTES, limit_bytes: int = LIMIT_BYTES
+        cls,
+        port: FilePort,
+        folder: str,
+        segment_bytes: int = DEFAULT_SEGMENT_BYTES,
+        limit_bytes: int = DEFAULT_LIMIT_BYTES,
     ) -> Log:
         """Recovers the log, which is empty if the folder is. Everything it then holds is durable.
 
@@ -112,7 +116,7 @@
         self._check_limit(len(record))
         index = self.last_index + 1
         segment = self._writable_segment(index)
-        data = segments.encode(segment.first_index, segment.end, index, self._durable, record)
+        data = segments.encode_record(segment.first_index, segment.end, index, self._durable, record)
         self._write_record(segment, data)
         self._unsynced.append(_Unsynced(index, segment.path, segment.end, data))
         segment.add(len(data))
@@ -312,7 +316,7 @@
     def _read_record(self, segment: Segment, index: int) -> bytes:
         start, size = segment.place(index)
         data = self._port.read(segment.path, start, size)
-        record = segments.decode(segment.first_index, data, 0, start)
+        record = segments.decode_record(segment.first_index, data, 0, start)
         if record is None or record.index != index:
             raise CorruptLogError(segment.path, start, f"record {index} is damaged")
         return record.payload
@@ -322,7 +326,7 @@
         temporary = path + TEMPORARY_SUFFIX
         try:
             self._port.remove(temporary)
-            self._port.write(temporary, 0, snapshots.encode(snapshot, payload))
+            self._port.write(temporary, 0, snapshots.encode_snapshot(snapshot, payload))
             self._port.sync_file(temporary)
         except StorageError:
             self._discard([temporary])
--- a/larchgw/storage/inspect.py
+++ b/larchgw/storage/log_inspection.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Verification:
+class LogVerification:
     """Whether a log can be opened. `problem` is empty if so; `tail_bytes` would be cut, never having been
     synced.
     """
@@ -32,7 +32,7 @@
     obsolete_files: int
 
     @property
-    def ok(self) -> bool:
+    def is_ok(self) -> bool:
         """True if all that was synced can be read back."""
         return not self.problem
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Contents:
+class LogContents:
     """A snapshot, which stands for the records up to its index, and the records after it."""
 
     snapshot_index: int
@@ -55,20 +55,20 @@
     records: list[tuple[int, bytes]]
 
 
-def verify(folder: str, port: FilePort | None = None) -> Verification:
+def verify_log(folder: str, port: FilePort | None = None) -> LogVerification:
     """Reads every record and the snapshot."""
     try:
         found = recover(port or DiskFiles(), folder)
     except StorageError as error:
-        return Verification(str(error), 0, 0, 0, 0, 0, 0)
+        return LogVerification(str(error), 0, 0, 0, 0, 0, 0)
     snapshot_index = found.snapshot.index
     last = found.live[-1].last_index if found.live else snapshot_index
-    return Verification(
+    return LogVerification(
         "", snapshot_index, snapshot_index + 1, last, len(found.live), found.tail, len(found.obsolete)
     )
 
 
-def dump(folder: str, port: FilePort | None = None) -> Iterator[str]:
+def dump_log(folder: str, port: FilePort | None = None) -> Iterator[str]:
     """A line for the snapshot and one for each record. Raises CorruptLogError, DiskFailedError."""
     port = port or DiskFiles()
     found = recover(port, folder)
@@ -79,7 +79,7 @@
         yield f"record {index} (durable up to {record.durable}): {_describe(record.payload)}"
 
 
-def contents(folder: str, port: FilePort | None = None) -> Contents:
+def read_log(folder: str, port: FilePort | None = None) -> LogContents:
     """All that the log of a folder holds. Raises CorruptLogError, DiskFailedError."""
     port = port or DiskFiles()
     found = recover(port, folder)
@@ -87,23 +87,25 @@
     records = [
         (index, record.payload) for index, record in _records(port, found) if index > found.snapshot.index
     ]
-    return Contents(found.snapshot.index, snapshot, records)
+    return LogContents(found.snapshot.index, snapshot, records)
 
 
-def snapshot_file(path: str, port: FilePort | None = None) -> Contents:
+def read_snapshot_file(path: str, port: FilePort | None = None) -> LogContents:
     """What a snapshot's file alone holds. Raises CorruptLogError, DiskFailedError."""
     folder, name = os.path.split(path)
     identity = parse_snapshot_name(name)
     if identity is None:
         raise CorruptLogError(path, 0, "its name is not that of a snapshot", "give the file its name back")
-    return Contents(identity.index, read_snapshot(port or DiskFiles(), folder, identity), [])
+    return LogContents(identity.index, read_snapshot(port or DiskFiles(), folder, identity), [])
 
 
 def _records(port: FilePort, found: Recovery) -> Iterator[tuple[int, segments.Record]]:
     for segment in found.live:
         for index in range(segment.first_index, segment.last_index + 1):
             start, size = segment.place(index)
-            record = segments.decode(segment.first_index, port.read(segment.path, start, size), 0, start)
+            record = segments.decode_record(
+                segment.first_index, port.read(segment.path, start, size), 0, start
+            )
             if record is None:
                 raise CorruptLogError(segment.path, start, f"record {index} is damaged")
             yield index, record
--- a/larchgw/storage/recovery.py
+++ b/larchgw/storage/recovery.py
@@ -49,7 +49,7 @@
 def read_snapshot(port: FilePort, folder: str, snapshot: SnapshotId) -> bytes:
     """The payload of a snapshot that was synced. Raises CorruptLogError, DiskFailedError."""
     path = os.path.join(folder, snapshot.name)
-    payload = snapshots.decode(snapshot, port.read(path, 0, port.size(path) or 0))
+    payload = snapshots.decode_snapshot(snapshot, port.read(path, 0, port.size(path) or 0))
     if payload is None:
         raise CorruptLogError(path, 0, "the snapshot is damaged or missing")
     return payload
@@ -92,7 +92,7 @@
 
 def _read_segment(port: FilePort, segment: Segment, is_last: bool, found: Recovery) -> None:
     data = port.read(segment.path, 0, port.size(segment.path) or 0)
-    scanned = segments.scan(segment.first_index, data)
+    scanned = segments.scan_segment(segment.first_index, data)
     segment.starts, segment.end = scanned.starts, scanned.end
     if not scanned.damaged:
         return
--- a/larchgw/storage/reserve.py
+++ b/larchgw/storage/reserve.py
@@ -9,7 +9,7 @@
 
 RESERVE_BYTES = 256 * 1024
 """Some dozens of stored epochs, with the blocks that a file system takes for each."""
-NAME = "reserve"
+RESERVE_FILE_NAME = "reserve"
 
 
 class Reserve:
@@ -19,7 +19,7 @@
         """Does not touch the disk; call `refill` at start and from time to time."""
         self._port = port
         self._folder = folder
-        self._path = os.path.join(folder, NAME)
+        self._path = os.path.join(folder, RESERVE_FILE_NAME)
         self._size = size
 
     def refill(self) -> bool:
@@ -34,7 +34,7 @@
             return False
         return True
 
-    def is_kept(self) -> bool:
+    def is_allocated(self) -> bool:
         """Whether the room is set aside now."""
         try:
             return self._port.size(self._path) == self._size
--- a/larchgw/storage/segments.py
+++ b/larchgw/storage/segments.py
@@ -94,13 +94,13 @@
     return (int(match[1]), int(match[2])) if match else None
 
 
-def encode(first_index: int, offset: int, index: int, durable: int, payload: bytes) -> bytes:
+def encode_record(first_index: int, offset: int, index: int, durable: int, payload: bytes) -> bytes:
     """The bytes of a record at `offset` of the segment that starts with `first_index`."""
     start = HEADER.pack(MAGIC, len(payload), index, durable, 0)[:-CRC_BYTES]
     return start + _crc(first_index, offset, start, payload).to_bytes(CRC_BYTES, "big") + payload
 
 
-def decode(first_index: int, data: bytes, offset: int, base: int = 0) -> Record | None:
+def decode_record(first_index: int, data: bytes, offset: int, base: int = 0) -> Record | None:
     """The record at `offset` of `data`, which starts at byte `base` of the segment; None if there is none."""
     if len(data) - offset < HEADER.size:
         return None
@@ -114,12 +114,12 @@
     return Record(index, durable, payload, HEADER.size + length)
 
 
-def scan(first_index: int, data: bytes) -> Scan:
+def scan_segment(first_index: int, data: bytes) -> Scan:
     """Reads a segment from its start up to the first byte that is not part of the next record."""
     starts: list[int] = []
     offset = 0
     while True:
-        record = decode(first_index, data, offset)
+        record = decode_record(first_index, data, offset)
         if record is None or record.index != first_index + len(starts):
             break
         starts.append(offset)
@@ -132,7 +132,7 @@
     proof = 0
     offset = data.find(MAGIC, offset)
     while offset >= 0:
-        record = decode(first_index, data, offset)
+        record = decode_record(first_index, data, offset)
         if record is not None:
             proof = max(proof, record.durable)
         offset = data.find(MAGIC, offset + 1)
--- a/larchgw/storage/snapshots.py
+++ b/larchgw/storage/snapshots.py
@@ -37,13 +37,13 @@
     return SnapshotId(int(match[1]), int(match[2])) if match else None
 
 
-def encode(snapshot: SnapshotId, payload: bytes) -> bytes:
+def encode_snapshot(snapshot: SnapshotId, payload: bytes) -> bytes:
     """The bytes of its file."""
     start = HEADER.pack(MAGIC, snapshot.index, snapshot.generation, len(payload))
     return start + zlib.crc32(payload, zlib.crc32(start)).to_bytes(CRC_BYTES, "big") + payload
 
 
-def decode(snapshot: SnapshotId, data: bytes) -> bytes | None:
+def decode_snapshot(snapshot: SnapshotId, data: bytes) -> bytes | None:
     """The payload; None if these are not the bytes of that snapshot."""
     body = HEADER.size + CRC_BYTES
     if len(data) < body:
--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -23,7 +23,7 @@
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings
 from larchgw.replication.snapshot_transfer import MOST_SNAPSHOT_BYTES
-from larchgw.storage.log import LIMIT_BYTES, Log
+from larchgw.storage.log import DEFAULT_LIMIT_BYTES, Log
 from larchgw.storage.segments import MAX_RECORD_BYTES
 from tests.control.test_operator_service import ScriptedReplication
 from tests.support.faulty_files import FaultyFiles
@@ -132,7 +132,7 @@
     assert snapshot <= MOST_SNAPSHOT_BYTES
     settings = MemberSettings("a", ("a",), True, "", 1, 3.0)
     log = POSTPONED_FACTOR * settings.compact_bytes + 2 * MAX_RECORD_BYTES
-    assert snapshot + log <= LIMIT_BYTES
+    assert snapshot + log <= DEFAULT_LIMIT_BYTES
     assert 2 * snapshot + log <= 0.6 * DISK_BYTES
 
 
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -25,11 +25,11 @@
 from larchgw.runtime.clients import RpcClients
 from larchgw.storage.errors import DiskFailedError, DiskFullError
 from larchgw.storage.files import DiskFiles
-from larchgw.storage.reserve import NAME, RESERVE_BYTES
+from larchgw.storage.reserve import RESERVE_BYTES, RESERVE_FILE_NAME
 from tests.support.faulty_files import FaultyFiles
 
 ADDRESS = "10.0.0.1:7660"
-RESERVE = f"data/{NAME}"
+RESERVE = f"data/{RESERVE_FILE_NAME}"
 
 
 def order(version: int, base_version: int) -> OperatorOrder:
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -7,7 +7,6 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from larchgw.storage import inspect
 from larchgw.storage.cell import Cell
 from larchgw.storage.errors import (
     CompactedRecordsError,
@@ -18,8 +17,9 @@
 )
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.log import Log
+from larchgw.storage.log_inspection import dump_log, verify_log
 from larchgw.storage.reserve import Reserve
-from larchgw.storage.segments import MAX_RECORD_BYTES, encode, segment_name
+from larchgw.storage.segments import MAX_RECORD_BYTES, encode_record, segment_name
 from tests.support.faulty_files import FaultyFiles, PowerLost
 from tests.support.storage_model import FOLDER, SEGMENT_BYTES, contents, record
 
@@ -182,7 +182,7 @@
         error = self.assertRaises(CorruptLogError, Log.open, self.port, FOLDER)
         self.assertEqual((path, 0), (error.path, error.offset))
         self.assertIn("new replica", str(error))
-        self.assertFalse(inspect.verify(FOLDER, self.port).ok)
+        self.assertFalse(verify_log(FOLDER, self.port).is_ok)
 
     def test_damage_before_a_record_that_proves_it_synced_is_told(self) -> None:
         self.fill(3)
@@ -232,7 +232,7 @@
 
     def test_a_record_inside_a_torn_payload_does_not_pass_for_a_later_one(self) -> None:
         self.fill(3)
-        inner = encode(first_index=1, offset=0, index=99, durable=98, payload=b"not of this log")
+        inner = encode_record(first_index=1, offset=0, index=99, durable=98, payload=b"not of this log")
         self.log.append(inner)
         path = self.first_segment()
         last_byte_of_the_header = (self.port.size(path) or 0) - len(inner) - 1
@@ -363,14 +363,14 @@
     again = Log.open(DiskFiles(), folder)
     assert contents(again) == expected
     assert Cell(DiskFiles(), folder, "vote").load() == b"7"
-    assert inspect.verify(folder).ok and inspect.verify(folder).last_index == 35
-    lines = list(inspect.dump(folder))
+    assert verify_log(folder).is_ok and verify_log(folder).last_index == 35
+    lines = list(dump_log(folder))
     assert lines[0].startswith("snapshot up to 20: 6 bytes 'twenty'")
     assert lines[-1].startswith("record 35 ")
 
 
 def test_a_missing_folder_or_file_is_told_as_a_disk_that_failed(tmp_path: object) -> None:
-    assert "check the disk" in inspect.verify(f"{tmp_path}/none").problem
+    assert "check the disk" in verify_log(f"{tmp_path}/none").problem
     with pytest.raises(DiskFailedError):
         DiskFiles().sync_file(f"{tmp_path}/none")
 
