--- a/larchgw/placement/demand_reports.py
+++ b/larchgw/placement/demand_reports.py
@@ -1,7 +1,7 @@
 """What waits and runs at each dispatcher now, with totals by key and by model. Pure: time is an argument.
 
 Totals are kept up with each report: summing over hundreds of dispatchers for each of many thousand keys would
-take a plan seconds.
+take seconds for each plan.
 """
 
 from __future__ import annotations
@@ -12,119 +12,147 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-Name = TypeVar("Name")
-Key = tuple[str, str, str]  # service, model, adapter ("" for the model itself)
+CountKey = TypeVar("CountKey")
+DemandKey = tuple[str, str, str]  # service, model, adapter ("" for the model itself)
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """What one dispatcher said last of one key."""
+class KeyDemand:
+    """What one dispatcher reported last for one key.
+
+    Attributes:
+        waiting: Requests that wait for it to be loaded.
+        in_flight: Requests for it at runners.
+        deadline_s: When the first of those that wait gives up, on the tracker's clock; infinite if none
+            waits.
+    """
 
     waiting: int
     in_flight: int
-    deadline: float  # when the first of those that wait gives up; infinite if none waits
+    deadline_s: float
 
 
 @dataclass(slots=True)
-class _Source:
-    interval_s: float  # since its report before
-    silent_at: float  # from then on it counts as silent
-    standing: Mapping[Key, Standing] = field(default_factory=dict)
+class _DispatcherDemand:
+    """One dispatcher's newest report; after `expires_at_s` the dispatcher counts as silent."""
+
+    interval_s: float
+    expires_at_s: float
+    demand: Mapping[DemandKey, KeyDemand] = field(default_factory=dict)
 
 
-class Standings:
-    """The newest report of each dispatcher.
+class DemandReports:
+    """The newest report of each dispatcher, with totals over all of them.
 
-    One that is silent for `expiry_s`, and for `expiry_intervals` of the longer of its last two intervals,
-    counts for nothing.
+    A dispatcher that is silent for `expiry_s`, and for `expiry_intervals` of the longer of its last two
+    intervals, counts for nothing.
     """
 
     def __init__(self, expiry_s: float, expiry_intervals: float) -> None:
+        """Makes an empty table.
+
+        Args:
+            expiry_s: How long a report counts at least.
+            expiry_intervals: How many intervals between its reports a dispatcher may be silent.
+        """
         self._expiry_s, self._expiry_intervals = expiry_s, expiry_intervals
-        self._sources: dict[str, _Source] = {}
-        self._in_flight: Counter[Key] = Counter()
+        self._dispatchers: dict[str, _DispatcherDemand] = {}
+        self._in_flight: Counter[DemandKey] = Counter()
         self._model_in_flight: Counter[tuple[str, str]] = Counter()
-        self._waits: dict[Key, dict[str, Standing]] = {}  # by dispatcher; only where something waits
-        self._named: Counter[Key] = Counter()  # dispatchers that name the key
-        self._next_silent = math.inf
+        self._waiting: dict[DemandKey, dict[str, KeyDemand]] = {}  # by dispatcher; only where something waits
+        self._reporters: Counter[DemandKey] = Counter()  # dispatchers whose report names the key
+        self._next_expiry_s = math.inf
 
     def replace(
-        self, now: float, dispatcher: str, interval_s: float, standing: Mapping[Key, Standing]
+        self, now_s: float, dispatcher: str, interval_s: float, demand: Mapping[DemandKey, KeyDemand]
     ) -> None:
-        """A report has come; it replaces the one before."""
-        before = self._sources.get(dispatcher)
-        longest = max(interval_s, before.interval_s if before else 0.0)
-        self._drop(dispatcher)
-        silent_at = now + max(self._expiry_s, self._expiry_intervals * longest)
-        self._sources[dispatcher] = _Source(interval_s, silent_at, standing)
-        self._next_silent = min(self._next_silent, silent_at)
-        for key, said in standing.items():
-            self._named[key] += 1
-            if said.in_flight:
-                self._in_flight[key] += said.in_flight
-                self._model_in_flight[key[:2]] += said.in_flight
-            if said.waiting:
-                self._waits.setdefault(key, {})[dispatcher] = said
-
-    def drop_silent(self, now: float) -> None:
-        """Dispatchers that are silent by now count for nothing from here on."""
-        if now <= self._next_silent:
+        """Puts a dispatcher's new report in the place of the one before.
+
+        Args:
+            now_s: The time of the report.
+            dispatcher: Who sent it.
+            interval_s: Time since its report before.
+            demand: All that waits or runs there.
+        """
+        previous = self._dispatchers.get(dispatcher)
+        longest_s = max(interval_s, previous.interval_s if previous else 0.0)
+        self._remove(dispatcher)
+        expires_at_s = now_s + max(self._expiry_s, self._expiry_intervals * longest_s)
+        self._dispatchers[dispatcher] = _DispatcherDemand(interval_s, expires_at_s, demand)
+        self._next_expiry_s = min(self._next_expiry_s, expires_at_s)
+        for key, reported in demand.items():
+            self._reporters[key] += 1
+            if reported.in_flight:
+                self._in_flight[key] += reported.in_flight
+                self._model_in_flight[key[:2]] += reported.in_flight
+            if reported.waiting:
+                self._waiting.setdefault(key, {})[dispatcher] = reported
+
+    def drop_silent(self, now_s: float) -> None:
+        """Removes the reports of dispatchers that are silent by now."""
+        if now_s <= self._next_expiry_s:
             return
-        for name in [name for name, source in self._sources.items() if now > source.silent_at]:
-            self._drop(name)
-        self._next_silent = min((source.silent_at for source in self._sources.values()), default=math.inf)
-
-    def names(self, key: Key) -> bool:
+        silent = [name for name, known in self._dispatchers.items() if now_s > known.expires_at_s]
+        for name in silent:
+            self._remove(name)
+        self._next_expiry_s = min(
+            (known.expires_at_s for known in self._dispatchers.values()), default=math.inf
+        )
+
+    def is_reported(self, key: DemandKey) -> bool:
         """Whether any dispatcher's report names the key."""
-        return key in self._named
+        return key in self._reporters
 
-    def waiting(self, key: Key) -> int:
-        """Requests that wait for this very key."""
-        return sum(said.waiting for said in self._waits.get(key, {}).values())
+    def waiting(self, key: DemandKey) -> int:
+        """Returns how many requests wait for this very key."""
+        return sum(reported.waiting for reported in self._waiting.get(key, {}).values())
 
-    def in_flight(self, key: Key) -> int:
-        """Requests for this very key at runners."""
+    def in_flight(self, key: DemandKey) -> int:
+        """Returns how many requests for this very key are at runners."""
         return self._in_flight.get(key, 0)
 
-    def deadline(self, key: Key) -> float:
-        """When the first of those that wait gives up; infinite if none waits."""
-        return min((said.deadline for said in self._waits.get(key, {}).values()), default=math.inf)
+    def deadline_s(self, key: DemandKey) -> float:
+        """Returns when the first of those that wait gives up; infinite if none waits."""
+        return min(
+            (reported.deadline_s for reported in self._waiting.get(key, {}).values()), default=math.inf
+        )
 
     def model_in_flight(self, service: str, model: str) -> int:
-        """Requests at runners for the model, with and without adapters."""
+        """Returns how many requests for the model, with and without adapters, are at runners."""
         return self._model_in_flight.get((service, model), 0)
 
-    def waits_by_model(self, service: str) -> dict[str, tuple[int, float]]:
-        """How many wait for each model, with and without adapters, and when the first gives up."""
+    def waiting_by_model(self, service: str) -> dict[str, tuple[int, float]]:
+        """Returns how many wait for each model, with and without adapters, and when the first gives up."""
         totals: dict[str, tuple[int, float]] = {}
-        for (owner, model, _), said in self._waits.items():
-            if owner == service:
-                for one in said.values():
-                    waiting, deadline = totals.get(model, (0, math.inf))
-                    totals[model] = waiting + one.waiting, min(deadline, one.deadline)
+        for (reported_service, model, _), by_dispatcher in self._waiting.items():
+            if reported_service != service:
+                continue
+            for reported in by_dispatcher.values():
+                waiting, deadline_s = totals.get(model, (0, math.inf))
+                totals[model] = waiting + reported.waiting, min(deadline_s, reported.deadline_s)
         return totals
 
     def anyone_waits(self) -> bool:
         """Whether a request waits, for any key."""
-        return bool(self._waits)
+        return bool(self._waiting)
 
-    def _drop(self, dispatcher: str) -> None:
-        source = self._sources.pop(dispatcher, None)
-        if source is None:
+    def _remove(self, dispatcher: str) -> None:
+        known = self._dispatchers.pop(dispatcher, None)
+        if known is None:
             return
-        for key, said in source.standing.items():
-            _less(self._named, key, 1)
-            if said.in_flight:
-                _less(self._in_flight, key, said.in_flight)
-                _less(self._model_in_flight, key[:2], said.in_flight)
-            if said.waiting:
-                waits = self._waits[key]
-                del waits[dispatcher]
-                if not waits:
-                    del self._waits[key]
-
-
-def _less(counts: Counter[Name], name: Name, by: int) -> None:
-    counts[name] -= by
-    if not counts[name]:
-        del counts[name]
+        for key, reported in known.demand.items():
+            _subtract(self._reporters, key, 1)
+            if reported.in_flight:
+                _subtract(self._in_flight, key, reported.in_flight)
+                _subtract(self._model_in_flight, key[:2], reported.in_flight)
+            if reported.waiting:
+                by_dispatcher = self._waiting[key]
+                del by_dispatcher[dispatcher]
+                if not by_dispatcher:
+                    del self._waiting[key]
+
+
+def _subtract(counts: Counter[CountKey], key: CountKey, amount: int) -> None:
+    counts[key] -= amount
+    if not counts[key]:
+        del counts[key]
--- /dev/null
+++ b/larchgw/placement/demand_tracker.py
@@ -0,0 +1,174 @@
+"""Demand by service, model and adapter, from the dispatchers' reports. Pure: the clock is an argument."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from .demand_reports import DemandKey, DemandReports, KeyDemand
+from .request_rate import RequestRate
+
+EXPIRY_S = 2.0  # a dispatcher that has reported nothing for so long has nobody waiting as far as we know ...
+EXPIRY_INTERVALS = 3.0  # ... and for so many of the longer of its last two intervals
+MIN_REQUESTS_PER_S = 1e-4  # below which an idle key is forgotten
+
+
+class ModelDemandLike(Protocol):
+    """The fields of thrift's ModelDemand, by their names there."""
+
+    service_name: str
+    model: str
+    adapter: str
+    arrivals: int
+    waiting: int
+    in_flight: int
+    urgency_ms: int
+    worth: float
+
+
+class DemandReportLike(Protocol):
+    """The fields of thrift's DemandReport, by their names there."""
+
+    node_name: str
+    interval_ms: int
+    models: list[ModelDemandLike]
+
+
+@dataclass(frozen=True, slots=True)
+class ModelSummary:
+    """Demand for one model and its adapters together.
+
+    Attributes:
+        requests_per_s: Expected rate.
+        request_value: Mean value of a request.
+        waiting: Requests that wait for a load.
+        in_flight: Requests at runners.
+        deadline_s: When the first of those that wait gives up, on the clock; infinite if none waits.
+    """
+
+    requests_per_s: float
+    request_value: float
+    waiting: int
+    in_flight: int
+    deadline_s: float
+
+
+class DemandTracker:
+    """Requests by key, over all dispatchers."""
+
+    def __init__(self, clock: Callable[[], float], expiry_s: float = EXPIRY_S) -> None:
+        """Starts with no demand.
+
+        Args:
+            clock: The time in seconds.
+            expiry_s: After how long a silence a dispatcher's report counts for nothing.
+        """
+        self._clock = clock
+        self._observed_since_s: float | None = None
+        self._reports = DemandReports(expiry_s, EXPIRY_INTERVALS)
+        self._rates: dict[DemandKey, RequestRate] = {}
+        self._model_rates: dict[tuple[str, str], RequestRate] = {}  # sums over the adapters of each model
+        self._adapters: dict[tuple[str, str], set[str]] = {}  # asked for, by model; "" for the model itself
+
+    def receive_report(self, report: DemandReportLike) -> None:
+        """Counts what a dispatcher has seen since its last report, and replaces what waits and runs there."""
+        now_s = self._clock()
+        interval_s = max(report.interval_ms, 0) / 1000.0
+        if self._observed_since_s is None:
+            self._observed_since_s = now_s - interval_s
+        demand = {}
+        for line in report.models:
+            key = (line.service_name, line.model, line.adapter or "")
+            self._count_arrivals(now_s, key, line)
+            left_s = line.urgency_ms / 1000.0 if line.waiting > 0 and line.urgency_ms > 0 else math.inf
+            demand[key] = KeyDemand(max(line.waiting, 0), max(line.in_flight, 0), now_s + left_s)
+        self._reports.replace(now_s, report.node_name, interval_s, demand)
+
+    def _count_arrivals(self, now_s: float, key: DemandKey, line: ModelDemandLike) -> None:
+        model_key = key[:2]
+        if key not in self._rates:
+            self._rates[key] = RequestRate(now_s)
+            self._adapters.setdefault(model_key, set()).add(key[2])
+            if model_key not in self._model_rates:
+                self._model_rates[model_key] = RequestRate(now_s)
+        if line.arrivals > 0:
+            value = line.worth if line.worth > 0.0 else float(line.arrivals)
+            self._rates[key].add(now_s, line.arrivals, value)
+            self._model_rates[model_key].add(now_s, line.arrivals, value)
+
+    def requests_per_s(self, key: DemandKey) -> float:
+        """Returns the expected rate for this very key."""
+        return self._expected_rate(self._rates.get(key))
+
+    def model_requests_per_s(self, service: str, model: str) -> float:
+        """Returns the expected rate for the model, with and without adapters."""
+        return self._expected_rate(self._model_rates.get((service, model)))
+
+    def model_request_value(self, service: str, model: str) -> float:
+        """Returns the mean value of a request for the model; 1 where none came."""
+        rate = self._model_rates.get((service, model))
+        return 1.0 if rate is None else rate.mean_value(self._clock())
+
+    def waiting(self, key: DemandKey) -> int:
+        """Returns how many requests wait for this very key to be loaded."""
+        return self._current_reports().waiting(key)
+
+    def in_flight(self, key: DemandKey) -> int:
+        """Returns how many requests for this very key are at runners."""
+        return self._current_reports().in_flight(key)
+
+    def deadline_s(self, key: DemandKey) -> float:
+        """Returns when the first of those that wait gives up, on the clock; infinite if none waits."""
+        return self._current_reports().deadline_s(key)
+
+    def by_model(self, service: str) -> dict[str, ModelSummary]:
+        """Returns the demand for each model of a service that was asked for."""
+        reports = self._current_reports()
+        waiting_by_model = reports.waiting_by_model(service)
+        summaries = {}
+        for (model_service, model), adapters in self._adapters.items():
+            if model_service != service or not adapters:
+                continue
+            waiting, deadline_s = waiting_by_model.get(model, (0, math.inf))
+            summaries[model] = ModelSummary(
+                self.model_requests_per_s(service, model),
+                self.model_request_value(service, model),
+                waiting,
+                reports.model_in_flight(service, model),
+                deadline_s,
+            )
+        return summaries
+
+    def adapters(self, service: str, model: str) -> list[str]:
+        """Returns the adapters of the model that were asked for, sorted."""
+        return sorted(name for name in self._adapters.get((service, model), set()) if name)
+
+    def anyone_waits(self) -> bool:
+        """Whether a request waits for a load, at any dispatcher."""
+        return self._current_reports().anyone_waits()
+
+    def expire(self) -> None:
+        """Forgets dispatchers that went silent and keys that nobody has asked for in a long time."""
+        now_s, reports = self._clock(), self._current_reports()
+        for key, rate in list(self._rates.items()):
+            if not reports.is_reported(key) and rate.long_term_requests_per_s(now_s) < MIN_REQUESTS_PER_S:
+                self._forget(key)
+
+    def _forget(self, key: DemandKey) -> None:
+        del self._rates[key]
+        model_key = key[:2]
+        adapters = self._adapters[model_key]
+        adapters.discard(key[2])
+        if not adapters:
+            del self._adapters[model_key], self._model_rates[model_key]
+
+    def _current_reports(self) -> DemandReports:
+        self._reports.drop_silent(self._clock())
+        return self._reports
+
+    def _expected_rate(self, rate: RequestRate | None) -> float:
+        if rate is None or self._observed_since_s is None:
+            return 0.0
+        return rate.requests_per_s(self._clock(), self._observed_since_s)
--- a/larchgw/placement/load_candidates.py
+++ b/larchgw/placement/load_candidates.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from .demand import Demand, ModelSummary
+from .demand_tracker import DemandTracker, ModelSummary
 from .holder_value import ModelDemand, first_holder, replica, wanted_replicas
 from .model import PlacementSettings, loadable_name
 from .popularity_change import ShiftEstimate
@@ -58,7 +58,7 @@
         service: str,
         terms: Terms,
         runners: list[RunnerState],
-        demand: Demand,
+        demand: DemandTracker,
         shifts: ShiftEstimate,
         settings: PlacementSettings,
     ) -> None:
@@ -91,10 +91,10 @@
     def _model(self, name: str, asked: ModelSummary) -> ModelDemand:
         return ModelDemand(
             name,
-            asked.rate,
-            asked.worth,
+            asked.requests_per_s,
+            asked.request_value,
             asked.waiting,
-            asked.deadline,
+            asked.deadline_s,
             asked.in_flight,
             self.terms.models[name].load_s,
             self._rise_worth(name),
@@ -146,12 +146,12 @@
 
     def _adapter_needs(self, model: str, adapter: str) -> list[Need]:
         key = (self.service, model, adapter)
-        rate, waiting = self._demand.rate(key), self._demand.waiting(key)
+        rate, waiting = self._demand.requests_per_s(key), self._demand.waiting(key)
         count = self.count(loadable_name(model, adapter))
         if count > 0 and count >= min(rate / ADAPTER_BUSY_RATE, self.holders.get(model, 0)):
             return []
         value = self._adapter_value(rate) + (waiting if count == 0 else 0) * self.models[model].worth
-        return [Need(model, adapter, value, waiting if count == 0 else 0, self._demand.deadline(key))]
+        return [Need(model, adapter, value, waiting if count == 0 else 0, self._demand.deadline_s(key))]
 
     # ---- What is lost ----
 
@@ -179,7 +179,7 @@
         alone = self.holders.get(loadable_name(model, adapter), 0) <= 1
         if alone and self._demand.waiting(key) > 0:
             return math.inf
-        value = self._adapter_value(self._demand.rate(key))
+        value = self._adapter_value(self._demand.requests_per_s(key))
         return value if alone else value * 0.5
 
     def in_flight_at_holder(self, model: str, adapter: str = "") -> float:
--- a/larchgw/placement/planner.py
+++ b/larchgw/placement/planner.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from ..configuration.model import Configuration
-from .demand import Demand
+from .demand_tracker import DemandTracker
 from .load_candidates import Need, ServiceDemand
 from .model import Order, OrderAction, PlacementSettings, loadable_name
 from .popularity_change import ShiftEstimate
@@ -62,7 +62,7 @@
         now: float,
         configuration: Configuration,
         terms: Mapping[str, Terms],
-        demand: Demand,
+        demand: DemandTracker,
         state: PlacementState,
     ) -> list[Order]:
         """The next orders, most pressing first, at most one for each runner."""
@@ -82,7 +82,9 @@
             room, parallel = round_.room, round_.parallel
         return orders
 
-    def _observed_shifts(self, now: float, service: str, terms: Terms, demand: Demand) -> ShiftEstimate:
+    def _observed_shifts(
+        self, now: float, service: str, terms: Terms, demand: DemandTracker
+    ) -> ShiftEstimate:
         if service not in self._shifts:
             self._shifts[service] = ShiftEstimate(self._settings.busy_requests_per_s)
         self._shifts[service].observe(now, terms.models, demand.by_model(service))
--- a/larchgw/placement/popularity_change.py
+++ b/larchgw/placement/popularity_change.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from .demand import ModelSummary
+from .demand_tracker import ModelSummary
 
 PRIOR_RISES, PRIOR_S = 1.0, 30.0  # of one rise in 30 s, before any was seen
 RISE_SHARE = 0.25  # weight of the newest busy rate in the average of what a model that rises brings
@@ -44,20 +44,20 @@
         names = list(names)
         first = self._started is None
         self._started = now if self._started is None else self._started
-        mean = sum(model.rate for model in asked.values()) / max(len(names), 1)
+        mean = sum(model.requests_per_s for model in asked.values()) / max(len(names), 1)
         busy_rate = max(self._busy_rate, BUSY_OVER_MEAN * mean)
         for name, model in asked.items():
             self._asked.add(name)
-            if model.rate >= busy_rate:
+            if model.requests_per_s >= busy_rate:
                 self._see_busy(name, model, first)
-            elif model.rate < self._busy_rate * IDLE_SHARE:
+            elif model.requests_per_s < self._busy_rate * IDLE_SHARE:
                 self._busy.discard(name)
         self._rate = (PRIOR_RISES + self._rises) / (PRIOR_S + now - self._started)
         self._odds = {name: self._odds_of(name) for name in names}
         self._total = sum(odds for name, odds in self._odds.items() if name not in self._busy)
 
     def _see_busy(self, name: str, model: ModelSummary, first: bool) -> None:
-        worth = model.rate * model.worth
+        worth = model.requests_per_s * model.request_value
         self._rise_worth += (worth - self._rise_worth) * (RISE_SHARE if self._rise_worth else 1.0)
         if name in self._busy:
             return
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -24,7 +24,7 @@
 
 from ..configuration.model import Configuration
 from ..runner_directory.records import RunnerRecord, Stage
-from .demand import Demand, DemandReportLike
+from .demand_tracker import DemandReportLike, DemandTracker
 from .load_rate_limit import LoadRateLimiter
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .orders import MAX_ORDERS
@@ -103,7 +103,7 @@
 
     def __init__(self, runtime: PlacementRuntime) -> None:
         self._runtime, self._clock = runtime, runtime.clock
-        self._demand = Demand(runtime.clock)
+        self._demand = DemandTracker(runtime.clock)
         self._planner = Planner(runtime.settings, runtime.random_source)
         settings = runtime.settings
         load_limiter = LoadRateLimiter(0.0, settings.load_window_s, settings.load_rate_factor)
@@ -140,7 +140,7 @@
 
     def receive_demand_report(self, report: DemandReportLike) -> None:
         """A dispatcher reports."""
-        self._demand.report(report)
+        self._demand.receive_report(report)
         if any(line.waiting > 0 for line in report.models):
             self._wake.set()
 
--- a/larchgw/placement/summary.py
+++ b/larchgw/placement/summary.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .demand import Demand, ModelSummary
+from .demand_tracker import DemandTracker, ModelSummary
 from .reconciler import Reconciler
 
 _NO_DEMAND = ModelSummary(0.0, 1.0, 0, 0, float("inf"))
@@ -71,7 +71,9 @@
     orders: tuple[OpenOrder, ...]
 
 
-def summarise(now_s: float, fencing_token: int, demand: Demand, reconciler: Reconciler) -> PlacementSummary:
+def summarise(
+    now_s: float, fencing_token: int, demand: DemandTracker, reconciler: Reconciler
+) -> PlacementSummary:
     """Returns what is known at `now_s`, on the clock of `demand`."""
     models = [
         model
@@ -103,7 +105,7 @@
 
 
 def _placed_models(
-    service: str, names: list[str], demand: Demand, reconciler: Reconciler
+    service: str, names: list[str], demand: DemandTracker, reconciler: Reconciler
 ) -> list[PlacedModel]:
     demand_by_model = demand.by_model(service)
     runners = [state for state in reconciler.runners.values() if state.record.service == service]
@@ -113,6 +115,6 @@
         holders = tuple(state.id for state in runners if state.holds(name))
         loading = tuple(state.id for state in runners if state.is_coming(name))
         placed.append(
-            PlacedModel(service, name, known.rate, known.waiting, known.in_flight, holders, loading)
+            PlacedModel(service, name, known.requests_per_s, known.waiting, known.in_flight, holders, loading)
         )
     return placed
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -27,7 +27,7 @@
 from larchgw.membership.member import Member
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
-from larchgw.placement.demand import Demand
+from larchgw.placement.demand_tracker import DemandTracker
 from larchgw.placement.load_rate_limit import LoadRateLimiter
 from larchgw.placement.model import Order, OrderAction, PlacementSettings
 from larchgw.placement.reconciler import Reconciler
@@ -126,7 +126,10 @@
         self.assertIsNone(asyncio.run(self.service.status(ask)).placement)
         service = PlacementService(PlacementRuntime(Clock(), lambda: None, None))  # type: ignore[arg-type]
         self.assertIsNone(service.summary())
-        demand, reconciler = Demand(Clock()), Reconciler(PlacementSettings(), LoadRateLimiter(2.0, 5.0, 1.1))
+        demand, reconciler = (
+            DemandTracker(Clock()),
+            Reconciler(PlacementSettings(), LoadRateLimiter(2.0, 5.0, 1.1)),
+        )
         self.placed = summarise(1000.0, 7, demand, reconciler)
         self.assertEqual(7, asyncio.run(self.service.status(ask)).placement.fence)
         self.assertIsNone(asyncio.run(self.service.status(ttypes.StatusRequest(False))).placement)
@@ -177,14 +180,14 @@
 def test_a_summary_tells_holders_loads_under_way_and_what_the_store_allows() -> None:
     configuration, service, model = models_configuration()
     clock = Clock()
-    demand, reconciler = Demand(clock), Reconciler(PlacementSettings(), LoadRateLimiter(2.0, 5.0, 1.1))
+    demand, reconciler = DemandTracker(clock), Reconciler(PlacementSettings(), LoadRateLimiter(2.0, 5.0, 1.1))
     reconciler.configure(configuration)
     held = (HeldModel(model),)
     reconciler.update_runner(clock(), RunnerRecord("i-1", service, "10.0.0.1:1", "z", models=held))
     reconciler.update_runner(clock(), RunnerRecord("i-2", service, "10.0.0.2:1", "z"))
     line = ttypes.ModelDemand(service, model, "", arrivals=5, waiting=2, in_flight=1, urgency_ms=900)
     line.worth = 5.0
-    demand.report(ttypes.DemandReport("edge-1", 250, [line]))
+    demand.receive_report(ttypes.DemandReport("edge-1", 250, [line]))
     reconciler.ordering(clock(), Order("i-2", "10.0.0.2:1", OrderAction.LOADING, model))
     found = summarise(clock() + 0.5, 9, demand, reconciler)
     (placed,) = [line for line in found.models if line.model == model]
--- a/tests/placement/test_demand_reports.py
+++ b/tests/placement/test_demand_reports.py
@@ -7,47 +7,54 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.placement.demand_reports import Key, Standing, Standings
+from larchgw.placement.demand_reports import DemandKey, DemandReports, KeyDemand
 
-EXPIRY_S, INTERVALS = 2.0, 3.0
+EXPIRY_S, EXPIRY_INTERVALS = 2.0, 3.0
 keys = st.tuples(st.just("llm"), st.sampled_from("mn"), st.sampled_from(["", "a1"]))
-standings = st.builds(Standing, st.integers(0, 2), st.integers(0, 3), st.sampled_from([4.0, 9.0, math.inf]))
+key_demands = st.builds(
+    KeyDemand, st.integers(0, 2), st.integers(0, 3), st.sampled_from([4.0, 9.0, math.inf])
+)
 reports = st.lists(
     st.tuples(
-        st.floats(0.0, 3.0), st.sampled_from("xyz"), st.floats(0.0, 2.0), st.dictionaries(keys, standings)
+        st.floats(0.0, 3.0), st.sampled_from("xyz"), st.floats(0.0, 2.0), st.dictionaries(keys, key_demands)
     ),
     max_size=20,
 )
 
 
 @given(reports)
-def test_totals_never_drift_from_what_the_dispatchers_said_last(
-    played: list[tuple[float, str, float, dict[Key, Standing]]],
+def test_totals_equal_sums_over_the_newest_report_of_each_dispatcher_that_is_not_silent(
+    played: list[tuple[float, str, float, dict[DemandKey, KeyDemand]]],
 ) -> None:
-    kept = Standings(EXPIRY_S, INTERVALS)
-    newest: dict[str, tuple[float, float, dict[Key, Standing]]] = {}
-    now = 0.0
-    for pause, dispatcher, interval, said in played:
-        now += pause
-        before = newest.get(dispatcher)
-        longest = max(interval, before[1] if before else 0.0)
-        if before is not None and now > before[0]:
-            longest = interval
-        kept.drop_silent(now)
-        kept.replace(now, dispatcher, interval, said)
-        newest[dispatcher] = now + max(EXPIRY_S, INTERVALS * longest), interval, said
-        heard = [last for silent_at, _, last in newest.values() if now <= silent_at]
-        assert kept.anyone_waits() == any(one.waiting for last in heard for one in last.values())
-        for model in "mn":
-            for adapter in ("", "a1"):
-                key = ("llm", model, adapter)
-                here = [last[key] for last in heard if key in last]
-                assert kept.names(key) == bool(here)
-                assert kept.waiting(key) == sum(one.waiting for one in here)
-                assert kept.in_flight(key) == sum(one.in_flight for one in here)
-                deadlines = [one.deadline for one in here if one.waiting]
-                assert kept.deadline(key) == min(deadlines, default=math.inf)
-            of_model = [one for last in heard for key, one in last.items() if key[1] == model]
-            assert kept.model_in_flight("llm", model) == sum(one.in_flight for one in of_model)
-            waiting, _ = kept.waits_by_model("llm").get(model, (0, math.inf))
-            assert waiting == sum(one.waiting for one in of_model)
+    table = DemandReports(EXPIRY_S, EXPIRY_INTERVALS)
+    newest: dict[str, tuple[float, float, dict[DemandKey, KeyDemand]]] = {}
+    now_s = 0.0
+    for pause_s, dispatcher, interval_s, demand in played:
+        now_s += pause_s
+        previous = newest.get(dispatcher)
+        longest_s = max(interval_s, previous[1] if previous else 0.0)
+        if previous is not None and now_s > previous[0]:
+            longest_s = interval_s
+        table.drop_silent(now_s)
+        table.replace(now_s, dispatcher, interval_s, demand)
+        expires_at_s = now_s + max(EXPIRY_S, EXPIRY_INTERVALS * longest_s)
+        newest[dispatcher] = expires_at_s, interval_s, demand
+        counted = [last for expires_at_s, _, last in newest.values() if now_s <= expires_at_s]
+        assert_totals(table, counted)
+
+
+def assert_totals(table: DemandReports, counted: list[dict[DemandKey, KeyDemand]]) -> None:
+    assert table.anyone_waits() == any(known.waiting for demand in counted for known in demand.values())
+    for model in "mn":
+        for adapter in ("", "a1"):
+            key = ("llm", model, adapter)
+            of_key = [demand[key] for demand in counted if key in demand]
+            assert table.is_reported(key) == bool(of_key)
+            assert table.waiting(key) == sum(known.waiting for known in of_key)
+            assert table.in_flight(key) == sum(known.in_flight for known in of_key)
+            deadlines = [known.deadline_s for known in of_key if known.waiting]
+            assert table.deadline_s(key) == min(deadlines, default=math.inf)
+        of_model = [known for demand in counted for key, known in demand.items() if key[1] == model]
+        assert table.model_in_flight("llm", model) == sum(known.in_flight for known in of_model)
+        waiting, _ = table.waiting_by_model("llm").get(model, (0, math.inf))
+        assert waiting == sum(known.waiting for known in of_model)
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -13,7 +13,7 @@
 from larchgw.emulator.placing import SERVICE, Deployment, Stream, World
 from larchgw.experiments.place import Calls, HeldLease, run_at_once
 from larchgw.experiments.place import Service as Driver
-from larchgw.placement.demand import EXPIRY_S, Demand, ModelSummary
+from larchgw.placement.demand_tracker import EXPIRY_S, DemandTracker, ModelSummary
 from larchgw.placement.load_rate_limit import LoadRateLimiter
 from larchgw.placement.model import (
     Order,
@@ -87,60 +87,62 @@
 
 def test_rate_of_a_model_asked_for_every_25_s_is_not_lost_between_its_requests():
     clock = Clock()
-    demand = Demand(clock)
+    demand = DemandTracker(clock)
     for second in range(100):
         clock.now = 100.0 + second
-        demand.report(DemandReport("e", 1000, [line(arrivals=1)] if second % 25 == 0 else []))
-    assert 0.01 < demand.model_rate(SERVICE, "m0") < 0.1
+        demand.receive_report(DemandReport("e", 1000, [line(arrivals=1)] if second % 25 == 0 else []))
+    assert 0.01 < demand.model_requests_per_s(SERVICE, "m0") < 0.1
 
 
 def test_demand_that_has_moved_away_is_seen_to_be_gone_within_seconds():
     clock = Clock()
-    demand = Demand(clock)
+    demand = DemandTracker(clock)
     for tick in range(400):
         clock.now = 100.0 + tick * 0.1
-        demand.report(DemandReport("e", 100, [line(arrivals=1)] if tick < 300 else [line("m1", arrivals=1)]))
-    assert demand.model_rate(SERVICE, "m0") < 2.0
-    assert 7.0 < demand.model_rate(SERVICE, "m1") < 13.0
+        demand.receive_report(
+            DemandReport("e", 100, [line(arrivals=1)] if tick < 300 else [line("m1", arrivals=1)])
+        )
+    assert demand.model_requests_per_s(SERVICE, "m0") < 2.0
+    assert 7.0 < demand.model_requests_per_s(SERVICE, "m1") < 13.0
 
 
 def test_requests_that_waited_at_a_dispatcher_that_went_silent_do_not_wait_for_ever():
     clock = Clock()
-    demand = Demand(clock)
-    demand.report(DemandReport("e", 100, [line(arrivals=1, waiting=3, left_ms=4000)]))
+    demand = DemandTracker(clock)
+    demand.receive_report(DemandReport("e", 100, [line(arrivals=1, waiting=3, left_ms=4000)]))
     asked = demand.by_model(SERVICE)["m0"]
-    assert (asked.waiting, asked.deadline) == (3, 104.0) == (3, demand.deadline((SERVICE, "m0", "")))
+    assert (asked.waiting, asked.deadline_s) == (3, 104.0) == (3, demand.deadline_s((SERVICE, "m0", "")))
     clock.now += EXPIRY_S + 0.1
     assert demand.by_model(SERVICE)["m0"].waiting == 0 and not demand.anyone_waits()
 
 
 def test_a_dispatcher_that_reports_seldom_does_not_count_as_silent_between_two_reports():
     clock = Clock()
-    demand = Demand(clock)
+    demand = DemandTracker(clock)
     for _ in range(4):
-        demand.report(DemandReport("d1", 2450, [line(in_flight=3)]))
+        demand.receive_report(DemandReport("d1", 2450, [line(in_flight=3)]))
         clock.now += 2.45
         assert demand.in_flight((SERVICE, "m0", "")) == 3
-    demand.report(DemandReport("d1", 20, [line(in_flight=3)]))  # an urgent one in between
+    demand.receive_report(DemandReport("d1", 20, [line(in_flight=3)]))  # an urgent one in between
     clock.now += 2.45
     assert demand.in_flight((SERVICE, "m0", "")) == 3
 
 
 def test_a_dispatcher_that_says_nothing_of_a_model_any_more_has_nobody_waiting_for_it():
     clock = Clock()
-    demand = Demand(clock)
-    demand.report(DemandReport("e", 100, [line(waiting=3, in_flight=2, left_ms=4000)]))
-    demand.report(DemandReport("e", 100, []))
+    demand = DemandTracker(clock)
+    demand.receive_report(DemandReport("e", 100, [line(waiting=3, in_flight=2, left_ms=4000)]))
+    demand.receive_report(DemandReport("e", 100, []))
     assert (demand.waiting((SERVICE, "m0", "")), demand.in_flight((SERVICE, "m0", ""))) == (0, 0)
 
 
 def test_many_idle_keys_are_forgotten():
     clock = Clock()
-    demand = Demand(clock)
-    demand.report(DemandReport("e", 100, [line(f"m{n}", arrivals=1) for n in range(800)]))
+    demand = DemandTracker(clock)
+    demand.receive_report(DemandReport("e", 100, [line(f"m{n}", arrivals=1) for n in range(800)]))
     clock.now += 300.0
     demand.expire()
-    assert demand.model_rate(SERVICE, "m7") == 0.0 and demand.adapters(SERVICE, "m7") == []
+    assert demand.model_requests_per_s(SERVICE, "m7") == 0.0 and demand.adapters(SERVICE, "m7") == []
 
 
 # ---- Ceiling ----
@@ -633,9 +635,9 @@
 
 def test_requests_that_a_load_can_still_serve_go_before_those_that_it_can_not():
     clock = Clock()
-    demand = Demand(clock)
+    demand = DemandTracker(clock)
     config = configuration(count=8, load_s=3.0)
-    demand.report(
+    demand.receive_report(
         DemandReport(
             "e",
             100,
@@ -760,8 +762,8 @@
 
 def full_runner(clock, waiting):
     """One runner with three models, and requests that wait for the named ones."""
-    demand, config = Demand(clock), configuration(count=8)
-    demand.report(
+    demand, config = DemandTracker(clock), configuration(count=8)
+    demand.receive_report(
         DemandReport("e", 100, [line(name, arrivals=1, waiting=1, left_ms=4000) for name in waiting])
     )
     made = reconciler(config)
--- a/tests/placement/test_recorded_bytes.py
+++ b/tests/placement/test_recorded_bytes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from larchgw.placement.demand import Demand
+from larchgw.placement.demand_tracker import DemandTracker
 from larchgw.placement.model import Order, OrderAction, OrderOutcome, RunnerReport
 from larchgw.placement.orders import OrderClient, decode_report, encode_order, outcome_of
 from larchgw.rpc.codec import decode_struct, encode_struct
@@ -82,25 +82,25 @@
 def demand_values(reports):
     """What is known of demand a second after each report."""
     now = [100.0]
-    demand = Demand(lambda: now[0])
+    demand = DemandTracker(lambda: now[0])
     values = []
     for encoded in reports:
-        demand.report(decode_struct(DemandReport, bytes.fromhex(encoded)))
+        demand.receive_report(decode_struct(DemandReport, bytes.fromhex(encoded)))
         now[0] += 1.0
         models = {
             f"{service}/{name}": [
-                model.rate,
-                model.worth,
+                model.requests_per_s,
+                model.request_value,
                 model.waiting,
                 model.in_flight,
-                str(model.deadline),
+                str(model.deadline_s),
             ]
             for service in ("chat", "code")
             for name, model in demand.by_model(service).items()
         }
         adapter = ("chat", "m0", "a1")
         values.append(
-            [models, demand.adapters("chat", "m0"), demand.rate(adapter), demand.in_flight(adapter)]
+            [models, demand.adapters("chat", "m0"), demand.requests_per_s(adapter), demand.in_flight(adapter)]
         )
     return values
 
