--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -52,6 +52,7 @@
         self.folder.mkdir()
         self.process: asyncio.subprocess.Process | None = None
         self.exits: list[int] = []  # statuses of ends that were asked for by SIGTERM
+        self.source = ROOT  # folder of the checkout whose program it runs from its next start on
 
     @property
     def ip(self) -> str:
@@ -127,7 +128,7 @@
         file.write_text(json.dumps(settings))
         if settings["data_dir"]:
             Path(settings["data_dir"]).mkdir(exist_ok=True)
-        paths = filter(None, (str(ROOT), os.environ.get("PYTHONPATH")))
+        paths = filter(None, (str(self.source), os.environ.get("PYTHONPATH")))
         environment = os.environ | {VARIABLE: str(file), "PYTHONPATH": os.pathsep.join(paths)}
         with self.log.open("ab") as log, ExitStack() as inherited:
             program, descriptors = ["larchgw"], []
