--- a/tests/emulator/test_system_trial.py
+++ b/tests/emulator/test_system_trial.py
@@ -51,7 +51,7 @@
     trial = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL)
     try:
         log = tmp_path / "control-3" / "log"
-        until(lambda: log.exists() and "control: started" in log.read_text())
+        until(lambda: log.exists() and "event=control.started" in log.read_text())
         trial.terminate()
         assert trial.wait(3 * PATIENCE) == TERMINATED
     finally:
