--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -11,7 +11,7 @@
 from ..rpc.client import RpcClient
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import ControlStatus, Entry, PlacementStatus, PullRequest, StatusRequest
-from ..runner_directory.records import RunnerRecord
+from ..runner_directory.runner_record import RunnerRecord
 from ..runtime.addresses import seed_rpc_addresses
 from .command import Command, textual
 from .system_common import Ending, addresses, columns, fail
--- a/larchgw/control/checkins.py
+++ b/larchgw/control/checkins.py
@@ -8,8 +8,8 @@
 from ..distribution.keys import RUNNER_PREFIX
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
-from ..runner_directory.checkins import parse_checkin
-from ..runner_directory.directory import CheckinOutcome, Directory
+from ..runner_directory.check_in_parser import parse_check_in
+from ..runner_directory.directory import CheckInOutcome, RunnerDirectory
 from .majority_contact import MajorityContact
 
 HANDOFF_TIMEOUT_S = 0.4  # a runner waits a second for its acknowledgement
@@ -34,7 +34,7 @@
     """
 
     def __init__(
-        self, directory: Directory, registry: Registry, contact: MajorityContact, replicator: Replicator
+        self, directory: RunnerDirectory, registry: Registry, contact: MajorityContact, replicator: Replicator
     ) -> None:
         self._directory, self._registry = directory, registry
         self._contact, self._replicator = contact, replicator
@@ -46,16 +46,16 @@
 
     async def checkin(self, runner: str, body: bytes) -> bool:
         """See http_api.ControlService."""
-        return await self._acknowledge(runner, self._directory.checkin(parse_checkin(runner, body)))
+        return await self._acknowledge(runner, self._directory.check_in(parse_check_in(runner, body)))
 
     async def leave(self, runner: str) -> bool:
         """See http_api.ControlService."""
         return await self._acknowledge(runner, self._directory.leave(runner))
 
-    async def _acknowledge(self, runner: str, outcome: CheckinOutcome) -> bool:
+    async def _acknowledge(self, runner: str, outcome: CheckInOutcome) -> bool:
         if self._is_closed or self._contact.is_isolated():
             return False
-        return not outcome.urgent or await self._replicate(runner)
+        return not outcome.needs_replication or await self._replicate(runner)
 
     async def _replicate(self, runner: str) -> bool:
         entry = self._registry.get(RUNNER_PREFIX + runner)
@@ -65,5 +65,5 @@
         enough = self._contact.is_majority
         if not enough(await self._replicator.replicate([entry], HANDOFF_TIMEOUT_S, enough)):
             return False
-        self._directory.replicated(runner, record.stage)
+        self._directory.mark_replicated(runner, record.stage)
         return True
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -13,7 +13,7 @@
 from ..configuration.change import NOT_GIVEN
 from ..configuration.records import LARGEST
 from ..net.address import parse_address
-from ..runner_directory.checkins import CheckinError
+from ..runner_directory.errors import CheckInError
 from .operator_service import OperatorResponse
 
 MAX_BODY_BYTES = 64 << 20  # a configuration of many thousand routes
@@ -32,7 +32,7 @@
         """An operator's "replace", "change" or "read"."""
 
     async def checkin(self, runner: str, body: bytes) -> bool:
-        """A runner's check-in; False if we must not acknowledge it now. Raises CheckinError."""
+        """A runner's check-in; False if we must not acknowledge it now. Raises CheckInError."""
 
     async def leave(self, runner: str) -> bool:
         """A runner's end; False if we must not acknowledge it now."""
@@ -89,7 +89,7 @@
     async def post(self, runner: str) -> None:
         try:
             taken = await self.service.checkin(runner, self.request.body)
-        except CheckinError as error:
+        except CheckInError as error:
             self.answer(400, json.dumps({"error": str(error)}).encode())
             return
         self.acknowledge(taken)
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -28,7 +28,7 @@
 from ..replication.settings import MemberSettings
 from ..rpc.client import RpcClient
 from ..rpc.server import RpcServer
-from ..runner_directory.directory import Directory
+from ..runner_directory.directory import RunnerDirectory
 from ..runtime import http_status
 from ..runtime.addresses import (
     CONTROL_GOSSIP_PORT,
@@ -87,7 +87,7 @@
         self.operator = OperatorCallRouter(
             self.member, OperatorService(self.state, self.replicated), self.clients
         )
-        pull_settings = PullSettings.of(settings.time_limits).between_control()
+        pull_settings = PullSettings.from_time_limits(settings.time_limits).for_control_peers()
         self.peers = PeerPullers(
             self.registry,
             RpcClient,
@@ -97,10 +97,10 @@
             node_name=settings.node_name,
         )
         self.view = LatestView(lambda: self.member.view, self.registry)
-        self.contact = PullContact(self.member.id, self.view.get, self.peers.proven_at)
+        self.contact = PullContact(self.member.id, self.view.get, self.peers.contact_proven_at)
         self.pulls = PullService(self.registry, self.contact.is_isolated, self._control_addresses)
         self.handoff = HintedHandoff(RpcClient, self._peers_and_witnesses, node_name=settings.node_name)
-        self.directory = Directory(
+        self.directory = RunnerDirectory(
             self.registry, time.monotonic, settings.beat_ms / 1000.0, self._owner(), self._owner_lives
         )
         self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -16,7 +16,7 @@
 from ..replication.member import Member
 from ..replication.view import View
 from ..rpc.generated import ttypes
-from ..runner_directory.directory import Directory
+from ..runner_directory.directory import RunnerDirectory
 from .configuration_state import ConfigurationState
 from .disk import ControlDisk
 from .majority_contact import MajorityContact
@@ -31,7 +31,7 @@
     state: ConfigurationState
     swim: Swim
     registry: Registry
-    directory: Directory
+    directory: RunnerDirectory
     disk: ControlDisk
     contact: MajorityContact
     placement: Callable[[], PlacementSummary | None]
@@ -55,7 +55,7 @@
         """All but what is placed."""
         sources = self._from
         view = sources.member.view
-        placer, fence = known_placer(sources.registry)
+        placer = known_placer(sources.registry)
         stages = Counter(record.stage.name.lower() for record in sources.directory.runners())
         return ttypes.ControlStatus(
             node_name=sources.node_name,
@@ -66,8 +66,8 @@
             committed_index=sources.member.committed_index,
             isolated=sources.contact.is_isolated(),
             processes=[_process(process) for process in self._processes()],
-            placer=placer,
-            placer_fence=fence,
+            placer=placer.address,
+            placer_fence=placer.fencing_token,
             runners=dict(stages),
             disk=sources.disk.status(),
         )
--- a/larchgw/distribution/peer_pullers.py
+++ b/larchgw/distribution/peer_pullers.py
@@ -57,11 +57,11 @@
             if address not in self._tasks or self._tasks[address].done():
                 self._start(address)
 
-    def proven_at(self, address: str) -> float | None:
+    def contact_proven_at(self, address: str) -> float | None:
         """When the last pull from that peer began that was answered in full; also if the peer was cut off
         from the majority itself."""
         puller = self._pullers.get(address)
-        return puller.proven_at if puller is not None else None
+        return puller.contact_proven_at if puller is not None else None
 
     def _start(self, address: str) -> None:
         puller = Puller(
@@ -71,7 +71,7 @@
             self._settings,
             self._dice,
             node_name=self._node_name,
-            only_source=False,
+            is_only_source=False,
             clock=self._clock,
         )
         self._pullers[address] = puller
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -67,11 +67,11 @@
     """Pulls entries with `prefixes` (none: all) into the registry until it is cancelled.
 
     `connect` opens a connection to an address; `addresses` gives the control processes to start from. Where
-    this puller is the registry's `only_source`, later ones are learned from the replies, and after a silence
-    of `stale_s` the registry is compared with the whole of another (resync.py). With `returns` set, entries
-    of runners that the process pulled from turns out to lack some time after the change to it are given to
-    it: after a restart of all control processes the dispatchers are the only ones who know of a runner that
-    crashed meanwhile.
+    this puller `is_only_source` of the registry, later ones are learned from the replies, and after a silence
+    of `resync_after_s` the registry is compared with the whole of another (resync.py). With
+    `hands_back_runners` set, entries of runners that the process pulled from turns out to lack some time
+    after the change to it are given to it: after a restart of all control processes the dispatchers are the
+    only ones who know of a runner that crashed meanwhile.
     """
 
     def __init__(
@@ -84,27 +84,28 @@
         *,
         node_name: str = "",
         prefixes: Sequence[str] = (),
-        near: Callable[[str], bool] | None = None,
-        only_source: bool = True,
-        returns: bool = False,
+        is_near: Callable[[str], bool] | None = None,
+        is_only_source: bool = True,
+        hands_back_runners: bool = False,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.registry = registry
-        self.last_heard: float | None = None  # by `clock`: the last answer of a process that is not cut off
+        # By `clock`: the last answer of a process that is not cut off.
+        self.last_heard_at: float | None = None
         # By `clock`: begin of the last pull that was answered in full, also by one that is cut off. All that
         # the process held then has been merged.
-        self.proven_at: float | None = None
-        self.changes = 0  # of the process pulled from
+        self.contact_proven_at: float | None = None
+        self.source_changes = 0  # of the process pulled from
         self._connect = connect
         self._addresses = addresses
         self._settings = settings
         self._dice = dice
-        self._choice = SourceSelector(settings, dice, near)
+        self._choice = SourceSelector(settings, dice, is_near)
         self._node_name = node_name
         self._prefixes = list(prefixes)
-        self._only_source = only_source
+        self._is_only_source = is_only_source
         self._resync = Resync(registry)
-        self._returns = returns
+        self._hands_back_runners = hands_back_runners
         self._clock = clock
         self._learned: list[str] = []
         self._silent: set[str] = set()  # addresses whose last call had no answer
@@ -145,7 +146,7 @@
             self._leave()
             return
         self._silent.discard(source.address)
-        if self._only_source and not self._is_current(reply, began):
+        if self._is_only_source and not self._is_current(reply, began):
             self._take_from_cut_off(session, reply)
             return
         self._take(session, reply, began)
@@ -162,7 +163,7 @@
 
     @property
     def _timeout(self) -> float:
-        return self._settings.wait_s + self._settings.silence_s
+        return self._settings.wait_s + self._settings.reply_grace_s
 
     def _is_current(self, reply: PullReply, began: float) -> bool:
         """Whether its sender was in contact with the majority, and that so lately that it still holds."""
@@ -178,19 +179,19 @@
         now = self._clock()
         self._merge(reply)
         if not reply.more:
-            self.proven_at = began
-        if session.read(reply) and self._returns:
-            session.returns_at = now + self._settings.return_after_s * self._dice.uniform(1.0, 1.5)
-        if self._only_source and reply.control:
+            self.contact_proven_at = began
+        if session.read(reply) and self._hands_back_runners:
+            session.returns_at = now + self._settings.hand_back_after_s * self._dice.uniform(1.0, 1.5)
+        if self._is_only_source and reply.control:
             self._learned = list(reply.control)
         if reply.isolated:
             self._choice.failed(session.address)
             return
         self._choice.served(now, session.address)
-        if self._only_source and self._stale(now):
+        if self._is_only_source and self._stale(now):
             self._resync.begin()
             session.cursors = {}
-        self.last_heard = now
+        self.last_heard_at = now
 
     def _merge(self, reply: PullReply) -> None:
         entries = reply.entries or []
@@ -203,19 +204,19 @@
             self._resync.finish()
 
     def _stale(self, now: float) -> bool:
-        return self.last_heard is not None and now - self.last_heard > self._settings.stale_s
+        return self.last_heard_at is not None and now - self.last_heard_at > self._settings.resync_after_s
 
     async def _return_entries(self, session: _Session) -> None:
         if session.returns_at is None or self._clock() < session.returns_at:
             return
         session.returns_at = None
-        lacking = list(self.registry.beyond(session.vector, RUNNER_PREFIX))
+        lacking = list(self.registry.not_covered_by(session.vector, RUNNER_PREFIX))
         if not lacking:
             return
         log.info("pull.entries_returned", address=session.address, count=len(lacking))
         try:
             await session.caller.call(
-                "push", PushRequest(node_name=self._node_name, entries=lacking), self._settings.silence_s
+                "push", PushRequest(node_name=self._node_name, entries=lacking), self._settings.reply_grace_s
             )
         except RpcError as error:
             log.info("pull.entries_return_failed", address=session.address, error=str(error))
@@ -227,7 +228,7 @@
             self._session = _Session(address, self._connect(address))
             if self._resync.under_way:
                 self._resync.begin()
-            self.changes += 1
+            self.source_changes += 1
         return self._session
 
     def _leave(self) -> None:
--- a/larchgw/distribution/registry.py
+++ b/larchgw/distribution/registry.py
@@ -106,7 +106,7 @@
             if origin in self._by_origin and origin != self.origin:
                 self._vector[origin] = max(self._vector.get(origin, 0), sequence)
 
-    def disclaim(self) -> None:
+    def reset_vector(self) -> None:
         """Claims nothing that others made, so that all of it is sent again."""
         self._vector = {self.origin: self._sequence} if self._sequence else {}
 
@@ -149,7 +149,7 @@
             if entry is not None:
                 yield entry
 
-    def beyond(self, vector: Mapping[str, int], prefix: str = "") -> Iterator[Entry]:
+    def not_covered_by(self, vector: Mapping[str, int], prefix: str = "") -> Iterator[Entry]:
         """The entries under the prefix that a process at this vector does not claim to hold."""
         return (entry for entry in self.items(prefix) if entry.sequence > vector.get(entry.origin, 0))
 
@@ -164,7 +164,7 @@
         """Calls back for each entry under the prefix that is forgotten from now on."""
         self._removal_watchers.append((prefix, callback))
 
-    def remove_older(self, prefix: str, predicate: Callable[[Entry], bool]) -> int:
+    def remove_if(self, prefix: str, predicate: Callable[[Entry], bool]) -> int:
         """Forgets the entries under the prefix for which the predicate holds; how many they were.
 
         For tombstones that every process has had time to see. An older entry of such a key that a process cut
--- a/larchgw/distribution/resync.py
+++ b/larchgw/distribution/resync.py
@@ -33,7 +33,7 @@
 
     def begin(self) -> None:
         """From now on another registry's entries come from its first one."""
-        self._registry.disclaim()
+        self._registry.reset_vector()
         self._seen = set()
 
     def saw(self, entries: Iterable[Entry]) -> None:
@@ -49,7 +49,7 @@
         if not any(key.startswith(RUNNER_PREFIX) for key in seen):
             return
         for prefix in FORGOTTEN_PREFIXES:
-            dropped = self._registry.remove_older(prefix, lambda entry: self._strange(entry, seen))
+            dropped = self._registry.remove_if(prefix, lambda entry: self._strange(entry, seen))
             if dropped:
                 log.info("resync.entries_dropped", prefix=prefix, count=dropped)
 
--- a/larchgw/distribution/sources.py
+++ b/larchgw/distribution/sources.py
@@ -21,23 +21,23 @@
     """Times of pulls, in seconds."""
 
     wait_s: float = 0.5  # how long a control process may keep a pull waiting
-    silence_s: float = 0.7  # beyond the wait; then the process counts as lost
-    start_spread_s: float = 0.1  # the first pull comes within this, so that a start of all at once is spread
-    first_backoff_s: float = 0.05  # pause once every process was tried in vain; doubles
-    last_backoff_s: float = 0.8  # where doubling ends
-    reconsider_s: float = 60.0  # after this, one in the own zone is taken again if the current one is not
-    stale_s: float = 150.0  # out of touch for longer, tombstones may be missed: half of their time
-    return_after_s: float = 5.0  # after a change, when entries that the new process lacks are given to it
+    reply_grace_s: float = 0.7  # beyond the wait; then the process counts as lost
+    start_jitter_s: float = 0.1  # the first pull comes within this, so that a start of all at once is spread
+    min_backoff_s: float = 0.05  # pause once every process was tried in vain; doubles
+    max_backoff_s: float = 0.8  # where doubling ends
+    zone_recheck_s: float = 60.0  # after this, one in the own zone is taken again if the current one is not
+    resync_after_s: float = 150.0  # out of touch for longer, tombstones may be missed: half of their time
+    hand_back_after_s: float = 5.0  # after a change, when entries that the new process lacks are given to it
 
     @classmethod
-    def of(cls, limits: TimeLimits) -> PullSettings:
+    def from_time_limits(cls, limits: TimeLimits) -> PullSettings:
         """Waits short enough that news is here in time although one control process has just been lost."""
         bound = min(limits.apply_ms, limits.drain_end_ms) / 1000.0
-        return cls(wait_s=WAIT_SHARE * bound, silence_s=SILENCE_SHARE * bound)
+        return cls(wait_s=WAIT_SHARE * bound, reply_grace_s=SILENCE_SHARE * bound)
 
-    def between_control(self) -> PullSettings:
+    def for_control_peers(self) -> PullSettings:
         """For pulls of one control process from another."""
-        return replace(self, wait_s=min(self.wait_s, PEER_WAIT_S), last_backoff_s=PEER_BACKOFF_S)
+        return replace(self, wait_s=min(self.wait_s, PEER_WAIT_S), max_backoff_s=PEER_BACKOFF_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,18 +103,18 @@
     def _stays(self, now: float, addresses: Sequence[str]) -> bool:
         if not self._current:
             return False
-        if self._near(self._current) or now - self._since < self._settings.reconsider_s:
+        if self._near(self._current) or now - self._since < self._settings.zone_recheck_s:
             return True
-        self._since = now + self._dice.random() * self._settings.reconsider_s
+        self._since = now + self._dice.random() * self._settings.zone_recheck_s
         return not any(self._near(address) for address in addresses)
 
     def _first_pause(self) -> float:
         if self._started:
             return 0.0
         self._started = True
-        return self._dice.random() * self._settings.start_spread_s
+        return self._dice.random() * self._settings.start_jitter_s
 
     def _backoff(self) -> float:
-        longest = min(self._settings.first_backoff_s * 2.0**self._rounds, self._settings.last_backoff_s)
+        longest = min(self._settings.min_backoff_s * 2.0**self._rounds, self._settings.max_backoff_s)
         self._rounds += 1
         return longest * self._dice.uniform(0.5, 1.0)
--- a/larchgw/edge/context.py
+++ b/larchgw/edge/context.py
@@ -11,7 +11,7 @@
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
 from ..routing.interface import Budget, RequestTraits, Selection
-from ..runner_directory.records import RunnerRecord
+from ..runner_directory.runner_record import RunnerRecord
 from .counters import EdgeCounters
 from .runner_pool import RunnerPool
 
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -79,7 +79,7 @@
         return interval * self._random_source.uniform(1.0 - JITTER, 1.0)
 
     async def _report(self, interval_ms: int) -> None:
-        address, _ = known_placer(self._registry)
+        address = known_placer(self._registry).address
         if not address:
             return
         models = self._demand()
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -26,8 +26,8 @@
 from ..routing.selection import Selector
 from ..rpc.client import RpcClient
 from ..rpc.generated.ttypes import Entry
-from ..runner_directory.records import RunnerRecord
-from ..runner_directory.view import RunnerView
+from ..runner_directory.runner_record import RunnerRecord
+from ..runner_directory.runner_view import RunnerView
 from ..runtime import http_status
 from ..runtime.addresses import EDGE_GOSSIP_PORT, seed_gossip_addresses, seed_rpc_addresses
 from ..runtime.clients import RpcClients
@@ -66,11 +66,11 @@
             self.registry,
             RpcClient,
             lambda: seed_rpc_addresses(self.settings),
-            PullSettings.of(settings.time_limits),
+            PullSettings.from_time_limits(settings.time_limits),
             random_source,
             node_name=settings.node_name,
-            near=self._near,
-            returns=True,
+            is_near=self._near,
+            hands_back_runners=True,
         )
 
     async def start(self) -> None:
@@ -93,7 +93,7 @@
         )
         self.proxy.on_wanted = lambda service, model, adapter: self.demand.wanted()
         self.registry.watch(CONFIGURATION_KEY, self._configure)
-        self.view.on_change(lambda record: self.proxy.runners_changed())
+        self.view.watch(lambda record: self.proxy.runners_changed())
         self.proxy.listen(settings.listen.front)
         self._ready_server = readiness.serve(
             self.is_ready,
@@ -104,7 +104,7 @@
         await self._gossip.start()
         self.tasks.start("pull", self.puller.run)
         self.tasks.start("demand", self.demand.run)
-        self.tasks.every("forget", FORGET_EVERY_S, self.view.forget)
+        self.tasks.every("forget", FORGET_EVERY_S, self.view.remove_expired)
         log.info("edge.started")
 
     def is_ready(self) -> bool:
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -19,7 +19,7 @@
 from ..net.timers import Deadline
 from ..routing.interface import Budget, RequestTraits, Selection
 from ..rpc.generated.ttypes import ModelDemand
-from ..runner_directory.records import RunnerRecord
+from ..runner_directory.runner_record import RunnerRecord
 from . import request_head
 from .context import ProxyContext
 from .counters import EdgeCounters
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -10,7 +10,7 @@
 from ..net.http_server import Exchange
 from ..net.timers import Deadline
 from ..routing.interface import Attempt, AttemptOutcome, Refuse, RequestTraits, Send, Wait
-from ..runner_directory.records import RunnerRecord, Stage
+from ..runner_directory.runner_record import RunnerRecord, Stage
 from .answers import Verdict, judge, runner_load
 from .context import ProxyContext
 from .events import EventTooLong
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -11,7 +11,7 @@
 from ..net.connection import Connection
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
-from ..runner_directory.records import RunnerRecord, Stage
+from ..runner_directory.runner_record import RunnerRecord, Stage
 from .counters import EdgeCounters
 from .keep_alive_limit import KeepTime
 from .runner_link import RunnerLink
--- a/larchgw/edge/status.py
+++ b/larchgw/edge/status.py
@@ -12,7 +12,7 @@
 from ..distribution.puller import Puller
 from ..membership.swim import Swim
 from ..routing.retry_budget import RetryBudget
-from ..runner_directory.view import RunnerView
+from ..runner_directory.runner_view import RunnerView
 from .proxy import Proxy
 
 
@@ -31,7 +31,7 @@
 
     def read(self) -> dict[str, Any]:
         """The status now. `silent_s`: seconds since a control process that is not cut off last answered."""
-        configuration, heard = self.configuration(), self.puller.last_heard
+        configuration, heard = self.configuration(), self.puller.last_heard_at
         dispatchers = max(self.swim.count("edge"), 1)
         now = self.proxy.loop.clock.now()
         return {
@@ -40,7 +40,7 @@
             "config_version": configuration.config_version if configuration is not None else 0,
             "control": {
                 "source": self.puller.source,
-                "changes": self.puller.changes,
+                "changes": self.puller.source_changes,
                 "silent_s": None if heard is None else round(time.monotonic() - heard, 3),
             },
             "dispatchers": dispatchers,
--- a/larchgw/emulator/placing.py
+++ b/larchgw/emulator/placing.py
@@ -15,7 +15,7 @@
 
 from ..configuration.model import Configuration, Model, Runtime, Service
 from ..rpc.generated.ttypes import DemandReport, ModelDemand
-from ..runner_directory.records import HeldModel, RunnerRecord, Stage
+from ..runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 from .modelrunner import Capacity, ModelRunner, WeightStore
 
 SERVICE = "models"
--- a/larchgw/experiments/distribution.py
+++ b/larchgw/experiments/distribution.py
@@ -48,7 +48,7 @@
         record = deployment.runners[number]
         later = replace(record, call_count=record.call_count + 1)
         deployment.runners[number] = later
-        self._process(number).directory.checkin(later)
+        self._process(number).directory.check_in(later)
 
     def _process(self, number: int) -> ControlProcess:
         """Where the runner beats: at its own control process, or at another one while that is down."""
@@ -182,7 +182,7 @@
     phases.append(await observe("ordinary day", deployment, seconds))
     deployment.control[-1].down = True
     phases.append(await observe("a control process lost", deployment, FAULT_S))
-    heard = min(puller.last_heard or 0.0 for puller in deployment.pullers)
+    heard = min(puller.last_heard_at or 0.0 for puller in deployment.pullers)
     stale = asyncio.get_running_loop().time() - heard
     for task in tasks:
         task.cancel()
--- a/larchgw/experiments/distribution_model.py
+++ b/larchgw/experiments/distribution_model.py
@@ -25,9 +25,9 @@
 from ..rpc.errors import RpcConnectionError, RpcTimeoutError
 from ..rpc.generated import Control
 from ..rpc.generated.ttypes import Entry
-from ..runner_directory.directory import Directory
-from ..runner_directory.records import HeldModel, RunnerRecord
-from ..runner_directory.view import RunnerView
+from ..runner_directory.directory import RunnerDirectory
+from ..runner_directory.runner_record import HeldModel, RunnerRecord
+from ..runner_directory.runner_view import RunnerView
 
 BEAT_S = 1.2
 ONE_WAY_S = 0.001  # between machines
@@ -89,7 +89,7 @@
     name: str
     registry: Registry
     service: PullService
-    directory: Directory
+    directory: RunnerDirectory
     down: bool = False
 
 
@@ -163,7 +163,7 @@
     def _control(self, name: str, names: list[str]) -> ControlProcess:
         registry = Registry(f"{name}.1")
         loop = asyncio.get_running_loop()
-        directory = Directory(registry, loop.time, BEAT_S, registry.origin)
+        directory = RunnerDirectory(registry, loop.time, BEAT_S, registry.origin)
         return ControlProcess(name, registry, PullService(registry, lambda: False, lambda: names), directory)
 
     def _dispatcher(self, number: int, names: list[str]) -> None:
--- a/larchgw/experiments/fleet_dispatchers.py
+++ b/larchgw/experiments/fleet_dispatchers.py
@@ -28,7 +28,7 @@
 from ..routing.interface import RequestTraits
 from ..rpc.client import RpcClient
 from ..rpc.generated.ttypes import Entry, ModelDemand
-from ..runner_directory.view import RunnerView
+from ..runner_directory.runner_view import RunnerView
 from ..runtime.clients import RpcClients
 from ..runtime.tasks import Tasks
 from .fleet_size import SERVICE, FleetSize, Popularity
@@ -139,7 +139,7 @@
             PullSettings(),
             dice,
             node_name=name,
-            returns=True,
+            hands_back_runners=True,
         )
         self._requests = Requests(size, dice)
         self._reporter = DemandReporter(
--- a/larchgw/experiments/place.py
+++ b/larchgw/experiments/place.py
@@ -20,7 +20,7 @@
 from ..placement.orders import outcome_of
 from ..placement.service import PlacementRuntime, PlacementService
 from ..rpc.generated.ttypes import DemandReport
-from ..runner_directory.records import RunnerRecord
+from ..runner_directory.runner_record import RunnerRecord
 from .results import Options, Result, spread, spread_out
 
 WAYS = ("placer", "lru", "static")
--- a/larchgw/experiments/route_baselines.py
+++ b/larchgw/experiments/route_baselines.py
@@ -7,7 +7,7 @@
 
 from ..routing.interface import Attempt, AttemptOutcome, Choice, Refuse, RequestTraits, Send
 from ..routing.pending_requests import PendingTable
-from ..runner_directory.records import RunnerRecord
+from ..runner_directory.runner_record import RunnerRecord
 
 DESIGN_THRESHOLD = 8  # pending of a key at a holder: an eighth of 64 slots
 
--- a/larchgw/experiments/route_draws.py
+++ b/larchgw/experiments/route_draws.py
@@ -11,7 +11,7 @@
 
 from ..configuration.model import Configuration, Model, Route, Runtime, Service
 from ..emulator.engine import EngineSettings
-from ..runner_directory.records import HeldModel, RunnerRecord
+from ..runner_directory.runner_record import HeldModel, RunnerRecord
 
 SERVICE = "models"
 ADAPTERS = 8  # of each busy model
--- a/larchgw/model_checking/check_ins/cluster.py
+++ b/larchgw/model_checking/check_ins/cluster.py
@@ -24,7 +24,7 @@
 
 from ...control.majority_contact import MAX_CONTACT_AGE_S
 from ...distribution.keys import RUNNER_PREFIX
-from ...runner_directory.records import RunnerRecord, Stage
+from ...runner_directory.runner_record import RunnerRecord, Stage
 from .network import Network
 from .processes import ControlProcess, Edge, Runner, now
 
@@ -234,9 +234,9 @@
             raise Broken(self._broken[0])
 
     def _check_edge(self, edge: Edge) -> None:
-        if edge.configuration() and edge.puller.last_heard is None:
+        if edge.configuration() and edge.puller.last_heard_at is None:
             raise Broken(f"{edge.name} serves without a source in contact")
-        proven = edge.puller.proven_at
+        proven = edge.puller.contact_proven_at
         if proven is None:
             return
         self._check_knows(edge.name, partial(_stage_at, edge), proven - MAX_CONTACT_AGE_S)
--- a/larchgw/model_checking/check_ins/mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -9,13 +9,13 @@
 from ...distribution.puller import Puller
 from ...replication import view
 from ...rpc.generated.ttypes import PullReply
-from ...runner_directory.directory import CheckinOutcome
+from ...runner_directory.directory import CheckInOutcome
 from ..replication.mutants import Mutant
 
 
 def _acknowledges_while_isolated(original: Any) -> Any:
-    async def acknowledge(self: RunnerCheckins, runner: str, outcome: CheckinOutcome) -> bool:
-        return not outcome.urgent or bool(await original(self, runner, outcome))
+    async def acknowledge(self: RunnerCheckins, runner: str, outcome: CheckInOutcome) -> bool:
+        return not outcome.needs_replication or bool(await original(self, runner, outcome))
 
     return acknowledge
 
@@ -45,7 +45,7 @@
 def _takes_a_part_for_the_whole(original: Any) -> Any:
     def take(self: Puller, session: Any, reply: PullReply, began: float) -> None:
         original(self, session, reply, began)
-        self.proven_at = began
+        self.contact_proven_at = began
 
     return take
 
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -21,8 +21,8 @@
 from ...distribution.sources import PullSettings
 from ...replication.view import first_view
 from ...rpc.errors import RpcError
-from ...runner_directory.directory import Directory
-from ...runner_directory.records import Stage
+from ...runner_directory.directory import RunnerDirectory
+from ...runner_directory.runner_record import Stage
 from .network import Connection, Network
 
 BEAT_S = 0.5
@@ -66,16 +66,16 @@
             self.registry,
             self._connect,
             lambda: self._others,
-            PullSettings().between_control(),
+            PullSettings().for_control_peers(),
             self._dice,
             clock=now,
         )
-        self.contact = PullContact(self.name, lambda: first_view(self._names), peers.proven_at, now)
+        self.contact = PullContact(self.name, lambda: first_view(self._names), peers.contact_proven_at, now)
         self.pulls = PullService(
             self.registry, self.contact.is_isolated, lambda: self._names, limit_bytes=REPLY_LIMIT_BYTES
         )
         self.handoff = HintedHandoff(self._connect, lambda: self._others)
-        self.directory = Directory(self.registry, now, BEAT_S, self.registry.origin)
+        self.directory = RunnerDirectory(self.registry, now, BEAT_S, self.registry.origin)
         self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
         if self.disk is not None:
             self.registry.put(CONFIGURATION_KEY, self.disk[1], self.disk[0])
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -16,7 +16,7 @@
 import structlog
 
 from ..configuration.model import Configuration
-from ..runner_directory.records import RunnerRecord, Stage
+from ..runner_directory.runner_record import RunnerRecord, Stage
 from .load_rate_limit import LoadRateLimiter
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .state import PlacementState, RunnerState, Terms, UnderWay, held_by, names_of
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -23,7 +23,7 @@
 import structlog
 
 from ..configuration.model import Configuration
-from ..runner_directory.records import RunnerRecord, Stage
+from ..runner_directory.runner_record import RunnerRecord, Stage
 from .demand_tracker import DemandReportLike, DemandTracker
 from .load_rate_limit import LoadRateLimiter
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
--- a/larchgw/placement/state.py
+++ b/larchgw/placement/state.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ..configuration.model import Runtime
-from ..runner_directory.records import RunnerRecord, Stage
+from ..runner_directory.runner_record import RunnerRecord, Stage
 from .load_rate_limit import LoadRateLimiter
 from .model import Order, loadable_name
 
--- a/larchgw/routing/interface.py
+++ b/larchgw/routing/interface.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from ..configuration.model import Route
-from ..runner_directory.records import RunnerRecord
+from ..runner_directory.runner_record import RunnerRecord
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchgw/routing/selection.py
+++ b/larchgw/routing/selection.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from ..configuration.model import Configuration
-from ..runner_directory.records import RunnerRecord, Stage
+from ..runner_directory.runner_record import RunnerRecord, Stage
 from .affinity import Rendezvous, shared_prefix
 from .interface import Attempt, AttemptOutcome, Choice, Refuse, RequestTraits, Send, Wait
 from .outlier_ejection import Ejection
--- a/larchgw/routing/stale_keys.py
+++ b/larchgw/routing/stale_keys.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..runner_directory.records import RunnerRecord
+from ..runner_directory.runner_record import RunnerRecord
 from .pending_requests import Key
 
 
--- a/larchgw/runner_directory/checkins.py
+++ b/larchgw/runner_directory/check_in_parser.py
@@ -9,26 +9,17 @@
 import json
 from typing import Any
 
-from .records import HeldModel, RunnerRecord, Stage
+from .errors import CheckInError
+from .runner_record import HeldModel, RunnerRecord, Stage
 
 MOST = 2.0**53  # above it numbers of JSON are not exact
 STAGES = {"ready": Stage.READY, "draining": Stage.DRAINING}
 
 
-class CheckinError(Exception):
-    """A check-in that cannot be used. `field` names what is wrong with it."""
-
-    status = 400
-
-    def __init__(self, field: str, problem: str, remedy: str) -> None:
-        super().__init__(f"{field}: {problem}; {remedy}")
-        self.field, self.problem, self.remedy = field, problem, remedy
-
-
-def parse_checkin(id: str, body: bytes) -> RunnerRecord:
-    """The runner as it describes itself; `id` is from the path. Raises CheckinError."""
+def parse_check_in(id: str, body: bytes) -> RunnerRecord:
+    """The runner as it describes itself; `id` is from the path. Raises CheckInError."""
     if not id:
-        raise CheckinError("id", "is empty", "put the runner's id into the path")
+        raise CheckInError("id", "is empty", "put the runner's id into the path")
     raw = _decode(body)
     return RunnerRecord(
         id=id,
@@ -50,9 +41,9 @@
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise CheckinError("body", str(error), "send a JSON object") from error
+        raise CheckInError("body", str(error), "send a JSON object") from error
     if not isinstance(raw, dict):
-        raise CheckinError("body", "is no JSON object", "send an object with service and address")
+        raise CheckInError("body", "is no JSON object", "send an object with service and address")
     return raw
 
 
@@ -63,7 +54,7 @@
     if isinstance(value, (int, float)) and not isinstance(value, bool) and not required:
         return str(value)
     if not isinstance(value, str) or (required and not value):
-        raise CheckinError(field, f"is {value!r}", "send a text")
+        raise CheckInError(field, f"is {value!r}", "send a text")
     return value
 
 
@@ -72,7 +63,7 @@
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < MOST:
-        raise CheckinError(field, f"is {value!r}", "send a number")
+        raise CheckInError(field, f"is {value!r}", "send a number")
     return float(value)
 
 
@@ -80,7 +71,7 @@
     address = _text(raw, "address", required=True)
     host, colon, port = address.rpartition(":")
     if not (host and colon and port.isdecimal() and 0 < int(port) < 65536):
-        raise CheckinError("address", f"is {address!r}", 'send "host:port"')
+        raise CheckInError("address", f"is {address!r}", 'send "host:port"')
     return address
 
 
@@ -88,22 +79,22 @@
     state = raw.get("state", "ready")
     stage = STAGES.get(state) if isinstance(state, str) else None
     if stage is None:
-        raise CheckinError("state", f"is {state!r}", f"send one of {', '.join(STAGES)}")
+        raise CheckInError("state", f"is {state!r}", f"send one of {', '.join(STAGES)}")
     return stage
 
 
 def _models(raw: dict[str, Any]) -> tuple[HeldModel, ...]:
     models = raw.get("models") or []
     if not isinstance(models, list):
-        raise CheckinError("models", "is no list", "send a list of models")
+        raise CheckInError("models", "is no list", "send a list of models")
     return tuple(_model(model, f"models[{index}]") for index, model in enumerate(models))
 
 
 def _model(raw: object, field: str) -> HeldModel:
     if not isinstance(raw, dict):
-        raise CheckinError(field, "is no JSON object", "send an object with a name")
+        raise CheckInError(field, "is no JSON object", "send an object with a name")
     adapters = raw.get("adapters") or []
     if not isinstance(adapters, list) or not all(isinstance(name, str) for name in adapters):
-        raise CheckinError(f"{field}.adapters", "is no list of names", "send a list of texts")
+        raise CheckInError(f"{field}.adapters", "is no list of names", "send a list of texts")
     version = int(_number(raw, "config_version", 0.0))
     return HeldModel(_text(raw, "name", required=True), version, tuple(adapters))
--- a/larchgw/runner_directory/directory.py
+++ b/larchgw/runner_directory/directory.py
@@ -10,11 +10,11 @@
 
 Who watches whom
     A record names as its owner the process that acknowledged the runner's last check-in. The owner publishes
-    SILENT when no check-in has come for SILENT_BEATS beats. A runner that takes its check-ins elsewhere is
-    published by the new owner, since its owner is part of its content, and the former stops watching. Should
-    a record of an earlier check-in than the last one heard here come in, this process publishes what it
-    heard. When an owner is lost, every other process gives its runners as long again to check in elsewhere,
-    then publishes them as SILENT.
+    SILENT when no check-in has come for SILENCE_TIMEOUT_HEARTBEATS beats. A runner that takes its check-ins
+    elsewhere is published by the new owner, since its owner is part of its content, and the former stops
+    watching. Should a record of an earlier check-in than the last one heard here come in, this process
+    publishes what it heard. When an owner is lost, every other process gives its runners as long again to
+    check in elsewhere, then publishes them as SILENT.
 
     A pause of this process itself (freeze) is no silence of the runners: clocks stand still over it. Neither
     is a time in which it is cut off from the majority, since the runners that it turns away then are heard by
@@ -31,25 +31,27 @@
 from ..distribution.keys import RUNNER_PREFIX
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
-from .records import RunnerRecord, Stage
+from .runner_record import RunnerRecord, Stage
 
 log = structlog.get_logger()
-SILENT_BEATS = 3.2  # beats without a check-in: two may be lost on their way, and the third be late
-KEEP_S = 300.0  # how long a runner that is gone or silent is remembered; longer than a process may be cut off
+SILENCE_TIMEOUT_HEARTBEATS = 3.2  # two check-ins may be lost on their way, and the third be late
+TOMBSTONE_RETENTION_S = 300.0  # of runners that are gone or silent; longer than a process may be cut off
 FORGET_EVERY_S = 10.0  # how often old ones are looked for
 GONE_MAJOR = 2**62  # above every call_count
 
 
 @dataclass(frozen=True, slots=True)
-class CheckinOutcome:
+class CheckInOutcome:
     """What a check-in or Leave changed.
 
-    Urgent: the runner drains or is gone, and nobody has said by `Directory.replicated` that a majority of the
-    control processes has that; it must, before it is acknowledged.
+    Attributes:
+        is_published: An entry was published for it.
+        needs_replication: The runner drains or is gone, and `RunnerDirectory.mark_replicated` has not been
+            called for that yet: a majority of the control processes must have it before it is acknowledged.
     """
 
-    news: bool
-    urgent: bool
+    is_published: bool
+    needs_replication: bool
 
 
 @dataclass(slots=True)
@@ -72,7 +74,7 @@
     )
 
 
-class Directory:
+class RunnerDirectory:
     """The runners that this control process knows, and those that it watches.
 
     `owner` names this life of the process. `alive` tells whether a process still answers for the runners of
@@ -84,15 +86,15 @@
         self,
         registry: Registry,
         clock: Callable[[], float],
-        beat_s: float,
+        heartbeat_interval_s: float,
         owner: str,
-        alive: Callable[[str], bool] = lambda owner: True,
+        is_owner_alive: Callable[[str], bool] = lambda owner: True,
     ) -> None:
         self.owner = owner
         self._registry = registry
         self._clock = clock
-        self._beat_s = beat_s
-        self._alive = alive
+        self._beat_s = heartbeat_interval_s
+        self._alive = is_owner_alive
         self._records: dict[str, RunnerRecord] = {}
         self._changed_at: dict[str, float] = {}
         self._by_owner: dict[str, set[str]] = {}
@@ -107,9 +109,9 @@
         registry.watch_removals(RUNNER_PREFIX, self._forgotten)
 
     @property
-    def silent_after_s(self) -> float:
+    def silence_timeout_s(self) -> float:
         """Seconds without a check-in after which a runner counts as silent."""
-        return SILENT_BEATS * self._beat_s
+        return SILENCE_TIMEOUT_HEARTBEATS * self._beat_s
 
     def get(self, id: str) -> RunnerRecord | None:
         """The record of a runner, whatever its stage."""
@@ -123,28 +125,28 @@
             if record.stage is not Stage.GONE and service in (None, record.service)
         ]
 
-    def checkin(self, record: RunnerRecord) -> CheckinOutcome:
-        """A check-in as `parse_checkin` read it. One that is overtaken by a later one changes nothing."""
+    def check_in(self, record: RunnerRecord) -> CheckInOutcome:
+        """A check-in as `parse_check_in` read it. One that is overtaken by a later one changes nothing."""
         standing = self._records.get(record.id)
         gone = standing is not None and standing.stage is Stage.GONE
         if gone or record.call_count < self._last_count(record.id):
-            return self._outcome(record.id, news=False)
+            return self._outcome(record.id, is_published=False)
         self._heard(record)
         new = replace(record, stage=_later_stage(record, standing), owner=self.owner)
         if standing is not None and same_content(standing, new):
-            return self._outcome(record.id, news=False)
+            return self._outcome(record.id, is_published=False)
         return self._outcome(record.id, self._publish(new))
 
-    def leave(self, id: str) -> CheckinOutcome:
+    def leave(self, id: str) -> CheckInOutcome:
         """The runner ends. Also published for a runner that is not known here: its record may yet come."""
         standing = self._records.get(id)
         if standing is not None and standing.stage is Stage.GONE:
-            return self._outcome(id, news=False)
+            return self._outcome(id, is_published=False)
         record = standing or RunnerRecord(id, service="", address="", zone="")
         gone = replace(record, stage=Stage.GONE, models=(), owner=self.owner)
         return self._outcome(id, self._publish(gone))
 
-    def replicated(self, id: str, stage: Stage) -> None:
+    def mark_replicated(self, id: str, stage: Stage) -> None:
         """A majority of the control processes knows that the runner has come to `stage`; saying it again is
         not urgent. A later stage may have come meanwhile, and still is.
         """
@@ -165,10 +167,10 @@
             self._forgot_at = now
             self._forget(now)
 
-    def _outcome(self, id: str, news: bool) -> CheckinOutcome:
+    def _outcome(self, id: str, is_published: bool) -> CheckInOutcome:
         record = self._records.get(id)
         stage = record.stage if record is not None else Stage.READY
-        return CheckinOutcome(news, stage >= Stage.DRAINING and self._replicated.get(id) is not stage)
+        return CheckInOutcome(is_published, stage >= Stage.DRAINING and self._replicated.get(id) is not stage)
 
     def _last_count(self, id: str) -> int:
         """The highest call_count known of the runner."""
@@ -219,7 +221,7 @@
     def _mark_silent(self, now: float) -> None:
         overdue = []
         for id, beat in self._beats.items():
-            if now - beat.heard_at < self.silent_after_s:
+            if now - beat.heard_at < self.silence_timeout_s:
                 break
             overdue.append(id)
         for id in overdue:
@@ -236,7 +238,7 @@
         others = [owner for owner in self._by_owner if owner != self.owner]
         self._lost = {owner: self._lost.get(owner, now) for owner in others if not self._alive(owner)}
         for owner, since in self._lost.items():
-            if now - since >= self.silent_after_s:
+            if now - since >= self.silence_timeout_s:
                 for id in list(self._by_owner.get(owner, ())):
                     self._publish_silent(id, self._records[id].call_count)
 
@@ -246,11 +248,11 @@
             for id, record in self._records.items()
             if record.stage is not Stage.READY
             and id not in self._beats
-            and now - self._changed_at[id] >= KEEP_S
+            and now - self._changed_at[id] >= TOMBSTONE_RETENTION_S
         }
         if not old:
             return
-        self._registry.remove_older(RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in old)
+        self._registry.remove_if(RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in old)
 
     def _forgotten(self, entry: Entry) -> None:
         id = entry.key.removeprefix(RUNNER_PREFIX)
--- a/larchgw/runner_directory/view.py
+++ b/larchgw/runner_directory/runner_view.py
@@ -14,8 +14,8 @@
 from ..distribution.keys import RUNNER_PREFIX
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
-from .directory import KEEP_S
-from .records import RunnerRecord, Stage
+from .directory import TOMBSTONE_RETENTION_S
+from .runner_record import RunnerRecord, Stage
 
 Watcher = Callable[[RunnerRecord], None]
 AT_ITS_ADDRESS = (Stage.READY, Stage.DRAINING)  # stages in which a runner is known to be at its address
@@ -60,13 +60,13 @@
             if record.stage is Stage.READY and record.holds(model, adapter)
         ]
 
-    def on_change(self, callback: Watcher) -> None:
+    def watch(self, callback: Watcher) -> None:
         """Calls back with each record that has changed, also one that is now gone (its stage says so)."""
         self._watchers.append(callback)
 
-    def forget(self) -> None:
-        """Drops runners that have not been ready for KEEP_S seconds; to be called now and then."""
-        before = self._clock() - KEEP_S
+    def remove_expired(self) -> None:
+        """Drops runners that have not been ready for TOMBSTONE_RETENTION_S; to be called now and then."""
+        before = self._clock() - TOMBSTONE_RETENTION_S
         old = {
             id
             for id, record in self._known.items()
@@ -74,7 +74,7 @@
         }
         if not old:
             return
-        self._registry.remove_older(RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in old)
+        self._registry.remove_if(RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in old)
 
     def _learn(self, entry: Entry) -> None:
         record = RunnerRecord.decode(entry.value)
--- a/tests/cli/test_system_commands.py
+++ b/tests/cli/test_system_commands.py
@@ -24,7 +24,7 @@
     ProcessStatus,
     View,
 )
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.log import Log
 from tests.support.configurations import example
--- a/tests/control/test_checkins.py
+++ b/tests/control/test_checkins.py
@@ -14,8 +14,8 @@
 from larchgw.distribution.registry import Registry
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import PushReply, PushRequest
-from larchgw.runner_directory.directory import SILENT_BEATS, Directory
-from larchgw.runner_directory.records import Stage
+from larchgw.runner_directory.directory import SILENCE_TIMEOUT_HEARTBEATS, RunnerDirectory
+from larchgw.runner_directory.runner_record import Stage
 from tests.support.scripted_peers import Peer, connecting, now
 
 BEAT_S = 1.2
@@ -47,7 +47,7 @@
     def play(self, main: Coroutine[Any, Any, None]) -> None:
         async def played() -> None:
             self.handoff = HintedHandoff(connecting(self.peers), lambda: ["b", "c"])
-            self.directory = Directory(self.registry, now, BEAT_S, "a/1")
+            self.directory = RunnerDirectory(self.registry, now, BEAT_S, "a/1")
             self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
             try:
                 await main
@@ -129,7 +129,7 @@
             self.directory.leave("i-1")  # as it comes in over another connection
             slow.proceed.set()
             self.assertTrue(await draining)
-            self.assertTrue(self.directory.leave("i-1").urgent)
+            self.assertTrue(self.directory.leave("i-1").needs_replication)
             self.assertTrue(await self.checkins.leave("i-1"))
             self.assertIs(Stage.GONE, self.stage_at(self.peers[0]))
 
@@ -140,7 +140,7 @@
             self.assertTrue(await self.checkin())
             await self.tick_for(20.0, isolated=True)
             self.assertIs(Stage.READY, self.stage())
-            await self.tick_for(SILENT_BEATS * BEAT_S + 0.5, isolated=False)
+            await self.tick_for(SILENCE_TIMEOUT_HEARTBEATS * BEAT_S + 0.5, isolated=False)
             self.assertIs(Stage.SILENT, self.stage())
 
         self.play(main())
--- a/tests/control/test_http_api.py
+++ b/tests/control/test_http_api.py
@@ -8,7 +8,7 @@
 from larchgw.control import http_api
 from larchgw.control.http_api import application
 from larchgw.control.operator_service import OperatorResponse
-from larchgw.runner_directory.checkins import CheckinError
+from larchgw.runner_directory.errors import CheckInError
 
 ADDRESS = "10.0.0.1:8146"
 
@@ -118,7 +118,7 @@
         self.assertEqual(503, self.post("/Runners.Leave/i-1").code)
 
     def test_a_check_in_that_cannot_be_read_names_the_fault(self):
-        self.service.error = CheckinError("service", "is missing", "send it")
+        self.service.error = CheckInError("service", "is missing", "send it")
         answer = self.post("/Runners.Checkin/i-1")
         self.assertEqual(400, answer.code)
         self.assertIn("service", json.loads(answer.body)["error"])
--- a/tests/control/test_majority_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -20,8 +20,8 @@
 from larchgw.rpc.generated.ttypes import Entry
 from tests.support.scripted_peers import Peer, connecting, now
 
-SETTINGS = PullSettings().between_control()
-ANSWER_IN_TIME_S = SETTINGS.wait_s + SETTINGS.silence_s
+SETTINGS = PullSettings().for_control_peers()
+ANSWER_IN_TIME_S = SETTINGS.wait_s + SETTINGS.reply_grace_s
 
 
 class PullContactTest(testtools.TestCase):
@@ -123,7 +123,7 @@
             self.registry, connecting(self.peers), lambda: ["b", "c"], SETTINGS, random.Random(1), clock=now
         )
         self.view = LatestView(lambda: first_view(["a", "b", "c"]), self.registry)
-        self.contact = PullContact("a", self.view.get, self.pullers.proven_at, now)
+        self.contact = PullContact("a", self.view.get, self.pullers.contact_proven_at, now)
 
     def play(self, main: object) -> None:
         async def played() -> None:
@@ -142,7 +142,7 @@
 
     def test_contact_is_proven_soon_after_a_start_and_stays_proven(self) -> None:
         async def main() -> None:
-            await asyncio.sleep(SETTINGS.start_spread_s + 0.01)
+            await asyncio.sleep(SETTINGS.start_jitter_s + 0.01)
             for _ in range(1000):
                 self.assertFalse(self.contact.is_isolated(), now())
                 await asyncio.sleep(0.01)
@@ -154,7 +154,7 @@
         self.both("isolated", True)
 
         async def main() -> None:
-            await asyncio.sleep(SETTINGS.start_spread_s + 0.01)
+            await asyncio.sleep(SETTINGS.start_jitter_s + 0.01)
             for _ in range(500):
                 self.assertFalse(self.contact.is_isolated(), now())
                 await asyncio.sleep(0.01)
@@ -193,7 +193,7 @@
             await asyncio.sleep(2.0)
             self.peers[0].registry.merge([Entry("runner/x", 1, 2, "z.1", 1, b"x")])
             put = now()
-            while (began := self.pullers.proven_at("b")) is None or began < put:
+            while (began := self.pullers.contact_proven_at("b")) is None or began < put:
                 await asyncio.sleep(0.001)
             self.assertIsNotNone(self.registry.get("runner/x"))
             self.assertLess(now() - put, MAX_CONTACT_AGE_S)
@@ -231,7 +231,7 @@
             self.both("hung", False)  # the answers to pulls from before arrive now
             await asyncio.sleep(0.02)
             for peer in self.peers:
-                began = self.pullers.proven_at(peer.name)
+                began = self.pullers.contact_proven_at(peer.name)
                 assert began is not None
                 self.assertLessEqual(began, held_up_from)
 
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -43,9 +43,9 @@
 from larchgw.replication.view import View
 from larchgw.rpc.codec import encode_struct
 from larchgw.rpc.generated import ttypes
-from larchgw.runner_directory.checkins import CheckinError
-from larchgw.runner_directory.directory import Directory
-from larchgw.runner_directory.records import RunnerRecord
+from larchgw.runner_directory.directory import RunnerDirectory
+from larchgw.runner_directory.errors import CheckInError
+from larchgw.runner_directory.runner_record import RunnerRecord
 from larchgw.runtime.clients import RpcClients
 from tests.support.faulty_files import FaultyFiles
 
@@ -148,8 +148,8 @@
     LatestView(lambda: VIEW, registry).publish()
     publish_placer(registry, ADDRESS, 70_001)
     owner = owner_name(ADDRESS, 1_700_000_000_123)
-    directory = Directory(registry, lambda: 0.0, 1.0, owner, lambda other: True)
-    directory.checkin(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
+    directory = RunnerDirectory(registry, lambda: 0.0, 1.0, owner, lambda other: True)
+    directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
     entries = list(registry.items(""))
     return {entry.key: [entry.major, entry.minor, entry.value.hex()] for entry in entries}
 
@@ -205,8 +205,8 @@
     asyncio.run(log.propose(FIRST.encode()))
     registry = Registry("a.1")
     publish_placer(registry, ADDRESS, 70_001)
-    directory = Directory(registry, lambda: 0.0, 1.0, "a/1", lambda other: True)
-    directory.checkin(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
+    directory = RunnerDirectory(registry, lambda: 0.0, 1.0, "a/1", lambda other: True)
+    directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
     me = Process("core-1", "10.0.0.1:7661", "control", 1, "a", ADDRESS)
     swim = Swim(me, SwimSettings(), random.Random(1))
     contact: Any = SimpleNamespace(is_isolated=lambda: True)
@@ -328,7 +328,7 @@
     service.acknowledges = False
     call("/Runners.Checkin/i-1")
     call("/Runners.Leave/i-1")
-    service.error = CheckinError("service", "is missing", "send it")
+    service.error = CheckInError("service", "is missing", "send it")
     call("/Runners.Checkin/i-1")
     call("/Config")
     call("/Config.Replace", None)
--- a/tests/control/test_runner_ownership.py
+++ b/tests/control/test_runner_ownership.py
@@ -5,8 +5,8 @@
 from larchgw.control.runner_ownership import is_owner_present, owner_name
 from larchgw.distribution.registry import Registry
 from larchgw.membership.member import Member
-from larchgw.runner_directory.directory import Directory
-from larchgw.runner_directory.records import RunnerRecord, Stage
+from larchgw.runner_directory.directory import RunnerDirectory
+from larchgw.runner_directory.runner_record import RunnerRecord, Stage
 
 HERE, THERE = "10.0.0.1:7660", "10.0.0.2:7660"
 BEAT_S = 1.0
@@ -21,7 +21,7 @@
     now = 0.0
     present = [process(EARLIER + 1)]  # the incarnation that it took when it heard of its earlier life
     registry = Registry("here#1")
-    directory = Directory(
+    directory = RunnerDirectory(
         registry,
         lambda: now,
         BEAT_S,
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -36,8 +36,8 @@
 from larchgw.routing.retry_budget import START_DISPATCHERS, RetryBudget
 from larchgw.rpc.codec import decode_struct, encode_struct
 from larchgw.rpc.generated import ttypes
-from larchgw.runner_directory.records import HeldModel, RunnerRecord
-from larchgw.runner_directory.view import RunnerView
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord
+from larchgw.runner_directory.runner_view import RunnerView
 from larchgw.runtime import http_status
 from tests.support.asyncio_tests import on_loop
 from tests.support.configurations import example
@@ -111,7 +111,7 @@
 
     def test_the_placer_and_the_runners_are_those_of_the_registry(self) -> None:
         self.node.registry.put(PLACER_KEY, json.dumps({"address": "10.0.0.3:7660"}).encode(), 70_001)
-        self.node.directory.checkin(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
+        self.node.directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
         status = self.service.read()
         self.assertEqual(("10.0.0.3:7660", 70_001), (status.placer, status.placer_fence))
         self.assertEqual({"ready": 1}, status.runners)
@@ -208,7 +208,7 @@
         registry,
         lambda address: None,
         list,  # type: ignore[arg-type, return-value]
-        PullSettings.of(TimeLimits()),
+        PullSettings.from_time_limits(TimeLimits()),
         random.Random(1),
     )
     budget = RetryBudget(TimeLimits(), random.Random(1))
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -18,7 +18,7 @@
 SETTINGS = PullSettings()
 SETTLE_S = 4.0  # after the last fault: the longest backoff, a silence and a pull
 KINDS = ("put", "put", "urgent", "urgent", "hang", "down", "isolated", "restart", "well")
-HEALTHY_FOR_S = SETTINGS.wait_s + SETTINGS.silence_s + 2 * SETTINGS.last_backoff_s
+HEALTHY_FOR_S = SETTINGS.wait_s + SETTINGS.reply_grace_s + 2 * SETTINGS.max_backoff_s
 
 
 class Control(Peer):
@@ -53,7 +53,7 @@
                 lambda: ["a", "b", "c"],
                 SETTINGS,
                 random.Random(seed * 100 + number),
-                returns=True,
+                hands_back_runners=True,
                 clock=now,
             )
             for number, registry in enumerate(self.edges)
@@ -111,8 +111,8 @@
         """At most one control process is in trouble at a time, so every dispatcher hears of another soon."""
         for puller in self.pullers:
             if now() > HEALTHY_FOR_S:
-                assert puller.last_heard is not None
-                assert now() - puller.last_heard < HEALTHY_FOR_S
+                assert puller.last_heard_at is not None
+                assert now() - puller.last_heard_at < HEALTHY_FOR_S
 
     def check_agreement(self) -> None:
         best: dict[str, tuple[int, int, str, int]] = {}
@@ -142,7 +142,7 @@
             await world.step()
         world.heal()
         await asyncio.sleep(SETTLE_S)
-        await asyncio.sleep(SETTINGS.return_after_s * 1.5 + SETTLE_S)  # dispatchers may know more
+        await asyncio.sleep(SETTINGS.hand_back_after_s * 1.5 + SETTLE_S)  # dispatchers may know more
         world.check_agreement()
         await world.end()
 
--- a/tests/distribution/test_puller.py
+++ b/tests/distribution/test_puller.py
@@ -79,13 +79,13 @@
             source = sources.choose(0.0, ["a"])
             pauses.append(source.pause)
             sources.failed("a")
-        self.assertLess(pauses[1], SETTINGS.first_backoff_s + 1e-9)
-        self.assertGreaterEqual(pauses[-1], SETTINGS.last_backoff_s / 2)
-        self.assertLessEqual(max(pauses), SETTINGS.last_backoff_s)
+        self.assertLess(pauses[1], SETTINGS.min_backoff_s + 1e-9)
+        self.assertGreaterEqual(pauses[-1], SETTINGS.max_backoff_s / 2)
+        self.assertLessEqual(max(pauses), SETTINGS.max_backoff_s)
 
     def test_processes_that_start_together_do_not_ask_together(self) -> None:
         first = [choice(seed=seed).choose(0.0, ["a", "b", "c"]) for seed in range(100)]
-        self.assertGreater(max(source.pause for source in first), 0.8 * SETTINGS.start_spread_s)
+        self.assertGreater(max(source.pause for source in first), 0.8 * SETTINGS.start_jitter_s)
         self.assertGreater(min(sum(source.address == name for source in first) for name in "abc"), 15)
 
     def test_one_in_the_own_zone_comes_first(self) -> None:
@@ -98,8 +98,8 @@
     def test_it_comes_back_to_its_zone_after_a_while(self) -> None:
         sources = choice(lambda address: address == "c")
         sources.served(0.0, "a")
-        self.assertEqual("a", sources.choose(SETTINGS.reconsider_s / 2, ["a", "c"]).address)
-        self.assertEqual("c", sources.choose(SETTINGS.reconsider_s + 1.0, ["a", "c"]).address)
+        self.assertEqual("a", sources.choose(SETTINGS.zone_recheck_s / 2, ["a", "c"]).address)
+        self.assertEqual("c", sources.choose(SETTINGS.zone_recheck_s + 1.0, ["a", "c"]).address)
 
     def test_seeds_are_asked_only_when_those_known_now_have_failed(self) -> None:
         sources = choice()
@@ -108,8 +108,8 @@
         self.assertEqual("seed", sources.choose(0.0, ["new"], ["seed"]).address)
 
     def test_waits_follow_from_the_shorter_of_the_bounds(self) -> None:
-        settings = PullSettings.of(TimeLimits(apply_ms=2000, drain_end_ms=1000))
-        self.assertLess(settings.wait_s + settings.silence_s, 0.7)
+        settings = PullSettings.from_time_limits(TimeLimits(apply_ms=2000, drain_end_ms=1000))
+        self.assertLess(settings.wait_s + settings.reply_grace_s, 0.7)
 
 
 class PullerTest(testtools.TestCase):
@@ -119,7 +119,10 @@
         self.registry = Registry("edge.1")
 
     def puller(
-        self, addresses: Sequence[str] = ("a", "b", "c"), near: str = "", returns: bool = False
+        self,
+        addresses: Sequence[str] = ("a", "b", "c"),
+        near_address: str = "",
+        hands_back_runners: bool = False,
     ) -> Puller:
         return Puller(
             self.registry,
@@ -128,8 +131,8 @@
             SETTINGS,
             random.Random(3),
             node_name="edge",
-            near=(lambda address: address == near) if near else None,
-            returns=returns,
+            is_near=(lambda address: address == near_address) if near_address else None,
+            hands_back_runners=hands_back_runners,
             clock=now,
         )
 
@@ -150,7 +153,7 @@
         return next(peer for peer in self.peers if peer.name == name)
 
     def test_news_is_here_within_its_bound_though_the_source_falls_silent(self) -> None:
-        puller = self.puller(near="a")
+        puller = self.puller(near_address="a")
         seen: list[float] = []
         self.registry.watch("configuration", lambda entry: seen.append(now()))
 
@@ -164,7 +167,7 @@
         self.assertLess(seen[0] - 3.0, 1.3)
 
     def test_a_source_that_is_down_is_left_at_once(self) -> None:
-        puller = self.puller(near="a")
+        puller = self.puller(near_address="a")
 
         def change() -> None:
             self.peer("a").down = True
@@ -179,7 +182,7 @@
         self.peer("a").isolated = True
         self.peer("a").registry.put("runner/x", b"x", 1)
         self.peer("a").registry.put("configuration", b"old", 1)
-        puller = self.puller(near="a")
+        puller = self.puller(near_address="a")
         self.play(puller, 2.0)
         self.assertIsNotNone(self.registry.get("runner/x"))
         self.assertIsNone(self.registry.get("configuration"))
@@ -196,7 +199,7 @@
         self.registry.watch("configuration", lambda entry: seen.append(now()))
         self.play(puller, 12.0, (9.0, lambda: setattr(peer, "isolated", False)))
         self.assertEqual(1, len(seen))
-        self.assertTrue(9.0 < seen[0] < 9.0 + SETTINGS.last_backoff_s, seen)
+        self.assertTrue(9.0 < seen[0] < 9.0 + SETTINGS.max_backoff_s, seen)
 
     def test_a_cut_off_process_changes_no_configuration_that_is_in_force(self) -> None:
         peer = self.peer("a")
@@ -243,8 +246,8 @@
         puller = self.puller()
         self.play(puller, 20.0, (10.0, lambda: self.peer("b").registry.put("runner/x", b"x", 1)))
         self.assertIsNotNone(self.registry.get("runner/x"))
-        self.assertIsNone(puller.last_heard)
-        rounds = 20.0 / (SETTINGS.last_backoff_s / 2)
+        self.assertIsNone(puller.last_heard_at)
+        rounds = 20.0 / (SETTINGS.max_backoff_s / 2)
         self.assertLess(sum(len(peer.calls) for peer in self.peers), 3 * rounds + 30)
 
     def test_an_idle_puller_asks_about_twice_a_second(self) -> None:
@@ -259,8 +262,8 @@
                 peer.hung = True
 
         self.play(puller, 8.0, (3.0, fall))
-        self.assertLessEqual(puller.last_heard, 3.0)
-        self.assertGreater(puller.last_heard, 2.0)
+        self.assertLessEqual(puller.last_heard_at, 3.0)
+        self.assertGreater(puller.last_heard_at, 2.0)
 
     def test_addresses_are_learned_and_the_given_ones_are_the_last_resort(self) -> None:
         self.peer("a").known = ["b", "c"]
@@ -294,7 +297,7 @@
         self.assertEqual(["pull.failed"] * 2, [line["event"] for line in written], lines)
 
     def test_connections_that_are_left_are_closed(self) -> None:
-        puller = self.puller(near="a")
+        puller = self.puller(near_address="a")
         self.play(
             puller,
             10.0,
@@ -304,7 +307,7 @@
         self.assertEqual([0, 0, 0], [peer.connections for peer in self.peers])
 
     def test_after_a_restart_of_all_control_a_runner_that_nobody_else_knows_is_given_back(self) -> None:
-        puller = self.puller(addresses=("a",), returns=True)
+        puller = self.puller(addresses=("a",), hands_back_runners=True)
         peer = self.peer("a")
         peer.registry.put("runner/crashed", b"x", 5)
         peer.registry.put("runner/beats", b"x", 5)
@@ -339,12 +342,12 @@
 
     def test_a_runner_whose_tombstone_was_forgotten_during_a_long_silence_is_dropped(self) -> None:
         peer = self.peer("a")
-        self.out_of_touch(200.0, lambda: peer.registry.remove_older("runner/x", lambda entry: True))
+        self.out_of_touch(200.0, lambda: peer.registry.remove_if("runner/x", lambda entry: True))
         self.assertEqual(["configuration", "runner/y"], [entry.key for entry in self.registry.items()])
 
     def test_nothing_is_compared_after_a_short_silence(self) -> None:
         peer = self.peer("a")
-        self.out_of_touch(60.0, lambda: peer.registry.remove_older("runner/x", lambda entry: True))
+        self.out_of_touch(60.0, lambda: peer.registry.remove_if("runner/x", lambda entry: True))
         self.assertIsNotNone(self.registry.get("runner/x"))
 
     def test_an_empty_control_process_does_not_take_all_runners_away(self) -> None:
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -20,7 +20,7 @@
 from larchgw.distribution import keys
 from larchgw.distribution.hinted_handoff import HintedHandoff
 from larchgw.distribution.peer_pullers import PeerPullers
-from larchgw.distribution.placer_entry import known_placer, publish_placer
+from larchgw.distribution.placer_entry import Placer, known_placer, publish_placer
 from larchgw.distribution.pull_service import PullService
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry, size
@@ -32,7 +32,7 @@
 from larchgw.rpc.codec import decode_struct, encode_struct
 from larchgw.rpc.errors import RpcConnectionError, RpcTimeoutError
 from larchgw.rpc.generated.ttypes import Entry, PullReply, PullRequest, PushReply, PushRequest
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "distribution"
 CONFIGURATION = {"version": "v7", "services": [{"name": "llm", "models": ["m1", "m2"]}], "limit": 0.5}
@@ -142,8 +142,8 @@
             random.Random(11),
             node_name="edge-1",
             prefixes=("configuration", "runner/"),
-            near=lambda address: address == "a",
-            returns=True,
+            is_near=lambda address: address == "a",
+            hands_back_runners=True,
             clock=now,
         )
         task = asyncio.ensure_future(puller.run())
@@ -169,7 +169,7 @@
         calls_before_silence = len(transcript.calls)
         await asyncio.sleep(155.0)
         del transcript.calls[calls_before_silence + 10 :]
-        registries["a"].remove_older("runner/b1", lambda entry: True)
+        registries["a"].remove_if("runner/b1", lambda entry: True)
         registries["a"].put("runner/new", b"z", 1)
         transcript.unreachable.clear()
         await asyncio.sleep(2.0)
@@ -197,7 +197,7 @@
                 registry,
                 connect,
                 lambda others=others: others,
-                PullSettings().between_control(),
+                PullSettings().for_control_peers(),
                 random.Random(seed),
                 node_name=name,
                 clock=now,
@@ -239,7 +239,7 @@
     assert runner is not None
     assert (configuration.major, json.loads(unpack(configuration.value))) == (31, CONFIGURATION)
     assert (runner.major, runner.minor, RunnerRecord.decode(runner.value)) == (12, 2, RUNNER)
-    assert known_placer(registry) == ("10.0.0.1:7000", 5)
+    assert known_placer(registry) == Placer("10.0.0.1:7000", 5)
     assert latest.get() == VIEW
     assert expected.expected("m1", "") == {"r-1": 101.5}
     assert expected.expected("m1", "a1") == {"r-1": 100.0}
--- a/tests/distribution/test_registry.py
+++ b/tests/distribution/test_registry.py
@@ -272,7 +272,7 @@
         registry = Registry("a.1")
         registry.put("runner/0", b"x", 1)
         registry.put("runner/1", b"x", 2)
-        self.assertEqual(1, registry.remove_older("runner/", lambda entry: entry.major == 1))
+        self.assertEqual(1, registry.remove_if("runner/", lambda entry: entry.major == 1))
         self.assertEqual(["runner/1"], [entry.key for entry in registry.delta({}, (), 10**6).entries])
 
     def test_an_origin_that_looks_like_a_cursor_is_refused(self) -> None:
--- a/tests/edge/test_connections.py
+++ b/tests/edge/test_connections.py
@@ -10,7 +10,7 @@
 from larchgw.configuration.model import Service, Share
 from larchgw.edge.runner_pool import LEAST_CONNECTIONS, UNEVEN
 from larchgw.routing.interface import AttemptOutcome, Wait
-from larchgw.runner_directory.records import RunnerRecord, Stage
+from larchgw.runner_directory.runner_record import RunnerRecord, Stage
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import (
     HOST,
--- a/tests/edge/test_partitioned_control.py
+++ b/tests/edge/test_partitioned_control.py
@@ -16,7 +16,7 @@
 from larchgw.distribution.registry import Registry
 from larchgw.edge.node import EdgeNode
 from larchgw.rpc.server import RpcServer
-from larchgw.runner_directory.records import RunnerRecord
+from larchgw.runner_directory.runner_record import RunnerRecord
 from tests.support.asyncio_tests import PATIENCE, on_loop
 from tests.support.configurations import example
 
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -12,7 +12,7 @@
 from larchgw.distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
 from larchgw.edge import node as node_module
 from larchgw.edge.node import NOTICE_S, EdgeNode
-from larchgw.runner_directory.records import RunnerRecord
+from larchgw.runner_directory.runner_record import RunnerRecord
 from tests.support.asyncio_tests import on_loop
 from tests.support.configurations import example
 from tests.support.edge_stand_ins import soon
--- a/tests/edge/test_request_limits.py
+++ b/tests/edge/test_request_limits.py
@@ -9,7 +9,7 @@
 import pytest
 
 from larchgw.routing.interface import AttemptOutcome, Send, Wait
-from larchgw.runner_directory.records import RunnerRecord
+from larchgw.runner_directory.runner_record import RunnerRecord
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import (
     HOST,
--- a/tests/edge/test_requests.py
+++ b/tests/edge/test_requests.py
@@ -9,7 +9,7 @@
 from larchgw.configuration.model import Share
 from larchgw.edge.proxy import split_service
 from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
-from larchgw.runner_directory.records import Stage
+from larchgw.runner_directory.runner_record import Stage
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import (
     HOST,
--- a/tests/edge/test_streams.py
+++ b/tests/edge/test_streams.py
@@ -8,7 +8,7 @@
 import pytest
 
 from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
-from larchgw.runner_directory.records import HeldModel
+from larchgw.runner_directory.runner_record import HeldModel
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import (
     ONCE,
--- a/tests/emulator/test_system_runners.py
+++ b/tests/emulator/test_system_runners.py
@@ -15,8 +15,8 @@
 from larchgw.emulator.system.runner import Mischief
 from larchgw.emulator.system.site import STRIDE
 from larchgw.placement.orders import decode_report
-from larchgw.runner_directory.checkins import parse_checkin
-from larchgw.runner_directory.records import Stage
+from larchgw.runner_directory.check_in_parser import parse_check_in
+from larchgw.runner_directory.runner_record import Stage
 from tests.support.asyncio_tests import PATIENCE, on_loop
 from tests.support.system_runners import Caller, Reply, control, engine, plain, started, until
 
@@ -279,7 +279,7 @@
         first.will_answer(200, json.dumps({"beat_to": second.address}).encode())
         assert await checkins.tell() and await checkins.drain(left_ms=500.0) and await checkins.leave()
         checkins.close()
-    before, after = (parse_checkin(runner.id, call.body) for call in (first.calls[0], second.calls[0]))
+    before, after = (parse_check_in(runner.id, call.body) for call in (first.calls[0], second.calls[0]))
     assert first.calls[0].path == f"/Runners.Checkin/{runner.id}"
     assert before.service == "lm" and before.holds("m1", "") and before.stage is Stage.READY
     assert (after.stage, after.left_ms) == (Stage.DRAINING, 500.0)
--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -18,7 +18,7 @@
 from larchgw.placement.orders import encode_order, outcome_of
 from larchgw.placement.service import PlacementRuntime, PlacementService
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
 TICK_S = 0.05
 CHECK_IN_TICKS = 24
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -28,7 +28,7 @@
 from larchgw.placement.reconciler import LAST_POLL_S, REST_S, UNANSWERED_S, Reconciler
 from larchgw.placement.service import GONE, PlacementRuntime, PlacementService
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
 WINDOW_S, CAP = 5.0, 1.1
 GB = 1000.0
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -5,7 +5,7 @@
 import pytest
 
 from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
-from larchgw.runner_directory.records import Stage
+from larchgw.runner_directory.runner_record import Stage
 from tests.support.routing_factories import parts, runner, world
 
 THRESHOLD = 2  # 16 slots x the default share
--- a/tests/runner_directory/test_directory.py
+++ b/tests/runner_directory/test_directory.py
@@ -11,9 +11,10 @@
 from hypothesis import strategies as st
 
 from larchgw.distribution.registry import Registry
-from larchgw.runner_directory.checkins import CheckinError, parse_checkin
-from larchgw.runner_directory.directory import KEEP_S, Directory
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.check_in_parser import parse_check_in
+from larchgw.runner_directory.directory import TOMBSTONE_RETENTION_S, RunnerDirectory
+from larchgw.runner_directory.errors import CheckInError
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
 BEAT = 1.0
 
@@ -50,7 +51,7 @@
 class CheckinsTest(testtools.TestCase):
     def test_a_whole_checkin_is_read(self) -> None:
         models = [{"name": "m", "config_version": 3, "adapters": ["a1", "a2"], "more": 1}]
-        got = parse_checkin(
+        got = parse_check_in(
             "i-1",
             body(
                 config_version="v1",
@@ -83,12 +84,12 @@
         )
 
     def test_what_is_missing_gets_a_default(self) -> None:
-        got = parse_checkin("i-1", b'{"service":"s","address":"h:1"}')
+        got = parse_check_in("i-1", b'{"service":"s","address":"h:1"}')
         self.assertEqual((Stage.READY, 1, -1.0, ()), (got.stage, got.slots, got.left_ms, got.models))
 
     def test_what_cannot_be_used_names_field_and_remedy(self) -> None:
         for field, sent in UNUSABLE:
-            error = self.assertRaises(CheckinError, parse_checkin, "i-1", sent)
+            error = self.assertRaises(CheckInError, parse_check_in, "i-1", sent)
             self.assertEqual((field, 400), (error.field, error.status))
             self.assertIn("; send", str(error))
 
@@ -106,8 +107,8 @@
     )
     def test_no_bytes_make_it_fail_otherwise(self, sent: bytes) -> None:
         try:
-            parse_checkin("i-1", sent)
-        except CheckinError:
+            parse_check_in("i-1", sent)
+        except CheckInError:
             pass
 
     def test_a_record_survives_the_registry(self) -> None:
@@ -122,8 +123,12 @@
         self.registry = Registry(name)
         self.published: list[RunnerRecord] = []
         self.registry.watch("runner/", lambda entry: self.published.append(RunnerRecord.decode(entry.value)))
-        self.directory = Directory(
-            self.registry, lambda: clock[0], BEAT, name, alive=lambda owner: owner not in (lost or set())
+        self.directory = RunnerDirectory(
+            self.registry,
+            lambda: clock[0],
+            BEAT,
+            name,
+            is_owner_alive=lambda owner: owner not in (lost or set()),
         )
 
     def stage(self, id: str = "i-1") -> Stage:
@@ -155,125 +160,127 @@
                 process.directory.tick(self.clock[0])
 
     def test_a_beat_that_changes_nothing_is_not_published(self) -> None:
-        self.assertTrue(self.a.directory.checkin(record(count=1)).news)
+        self.assertTrue(self.a.directory.check_in(record(count=1)).is_published)
         for count in range(2, 30):
-            self.assertFalse(self.a.directory.checkin(record(count=count)).news)
+            self.assertFalse(self.a.directory.check_in(record(count=count)).is_published)
         self.assertEqual(1, len(self.a.published))
 
     def test_times_that_run_down_are_no_news_but_their_end_is(self) -> None:
-        self.a.directory.checkin(record(count=1, cold_left_ms=900.0))
-        self.assertFalse(self.a.directory.checkin(record(count=2, cold_left_ms=400.0)).news)
-        self.assertTrue(self.a.directory.checkin(record(count=3, cold_left_ms=0.0)).news)
+        self.a.directory.check_in(record(count=1, cold_left_ms=900.0))
+        self.assertFalse(self.a.directory.check_in(record(count=2, cold_left_ms=400.0)).is_published)
+        self.assertTrue(self.a.directory.check_in(record(count=3, cold_left_ms=0.0)).is_published)
 
     def test_a_model_loaded_is_news_and_not_urgent(self) -> None:
-        self.a.directory.checkin(record(count=1))
-        outcome = self.a.directory.checkin(record(count=2, models=(HeldModel("m"),)))
-        self.assertEqual((True, False), (outcome.news, outcome.urgent))
+        self.a.directory.check_in(record(count=1))
+        outcome = self.a.directory.check_in(record(count=2, models=(HeldModel("m"),)))
+        self.assertEqual((True, False), (outcome.is_published, outcome.needs_replication))
 
     def test_a_late_checkin_does_not_bring_back_what_was_unloaded(self) -> None:
-        self.a.directory.checkin(record(count=7))
-        self.assertFalse(self.a.directory.checkin(record(count=5, models=(HeldModel("m"),))).news)
+        self.a.directory.check_in(record(count=7))
+        self.assertFalse(self.a.directory.check_in(record(count=5, models=(HeldModel("m"),))).is_published)
 
     def test_a_late_checkin_counts_as_late_against_beats_that_were_not_published(self) -> None:
         for count in range(1, 9):
-            self.a.directory.checkin(record(count=count))
-        self.assertFalse(self.a.directory.checkin(record(count=5, models=(HeldModel("m"),))).news)
+            self.a.directory.check_in(record(count=count))
+        self.assertFalse(self.a.directory.check_in(record(count=5, models=(HeldModel("m"),))).is_published)
         self.assertEqual((), self.a.published[-1].models)
 
     def test_draining_is_urgent_until_the_others_have_it_and_leaving_is_once_more(self) -> None:
-        self.a.directory.checkin(record(count=1))
+        self.a.directory.check_in(record(count=1))
         for count in (2, 3):  # the first was not acknowledged
-            self.assertTrue(self.a.directory.checkin(record(count=count, stage=Stage.DRAINING)).urgent)
-        self.assertTrue(self.a.directory.checkin(record(count=2, stage=Stage.DRAINING)).urgent)
-        self.a.directory.replicated("i-1", Stage.DRAINING)
-        self.assertFalse(self.a.directory.checkin(record(count=4, stage=Stage.DRAINING)).urgent)
-        self.assertTrue(self.a.directory.leave("i-1").urgent)
-        self.assertTrue(self.a.directory.leave("i-1").urgent)
-        self.a.directory.replicated("i-1", Stage.DRAINING)  # of before the leave
-        self.assertTrue(self.a.directory.leave("i-1").urgent)
-        self.a.directory.replicated("i-1", Stage.GONE)
-        self.assertFalse(self.a.directory.leave("i-1").urgent)
+            self.assertTrue(
+                self.a.directory.check_in(record(count=count, stage=Stage.DRAINING)).needs_replication
+            )
+        self.assertTrue(self.a.directory.check_in(record(count=2, stage=Stage.DRAINING)).needs_replication)
+        self.a.directory.mark_replicated("i-1", Stage.DRAINING)
+        self.assertFalse(self.a.directory.check_in(record(count=4, stage=Stage.DRAINING)).needs_replication)
+        self.assertTrue(self.a.directory.leave("i-1").needs_replication)
+        self.assertTrue(self.a.directory.leave("i-1").needs_replication)
+        self.a.directory.mark_replicated("i-1", Stage.DRAINING)  # of before the leave
+        self.assertTrue(self.a.directory.leave("i-1").needs_replication)
+        self.a.directory.mark_replicated("i-1", Stage.GONE)
+        self.assertFalse(self.a.directory.leave("i-1").needs_replication)
 
     def test_draining_sticks(self) -> None:
-        self.a.directory.checkin(record(count=2, stage=Stage.DRAINING))
-        self.a.directory.checkin(record(count=4, stage=Stage.READY, models=(HeldModel("m"),)))
+        self.a.directory.check_in(record(count=2, stage=Stage.DRAINING))
+        self.a.directory.check_in(record(count=4, stage=Stage.READY, models=(HeldModel("m"),)))
         self.assertEqual(Stage.DRAINING, self.a.stage())
 
     def test_draining_said_again_elsewhere_is_urgent_there_too(self) -> None:
-        self.a.directory.checkin(record(count=2, stage=Stage.DRAINING))
+        self.a.directory.check_in(record(count=2, stage=Stage.DRAINING))
         exchange(self.a, self.b)
-        self.assertTrue(self.b.directory.checkin(record(count=3, stage=Stage.DRAINING)).urgent)
+        self.assertTrue(self.b.directory.check_in(record(count=3, stage=Stage.DRAINING)).needs_replication)
 
     def test_nothing_brings_back_a_runner_that_left(self) -> None:
-        self.a.directory.checkin(record(count=5))
+        self.a.directory.check_in(record(count=5))
         exchange(self.a, self.b)
-        self.assertTrue(self.a.directory.leave("i-1").urgent)
-        self.assertFalse(self.a.directory.checkin(record(count=6)).news)
-        self.b.directory.checkin(record(count=9, models=(HeldModel("m"),)))
+        self.assertTrue(self.a.directory.leave("i-1").needs_replication)
+        self.assertFalse(self.a.directory.check_in(record(count=6)).is_published)
+        self.b.directory.check_in(record(count=9, models=(HeldModel("m"),)))
         exchange(self.a, self.b)
         self.assertEqual([Stage.GONE, Stage.GONE], [self.a.stage(), self.b.stage()])
         self.assertEqual([], self.a.directory.runners())
 
     def test_leave_at_a_process_that_does_not_know_the_runner_still_counts(self) -> None:
-        self.a.directory.checkin(record(count=5))
-        self.assertTrue(self.b.directory.leave("i-1").urgent)
+        self.a.directory.check_in(record(count=5))
+        self.assertTrue(self.b.directory.leave("i-1").needs_replication)
         exchange(self.a, self.b)
         self.assertEqual(Stage.GONE, self.a.stage())
 
     def test_silence_shows_after_three_beats_and_not_before(self) -> None:
-        self.a.directory.checkin(record(count=1))
+        self.a.directory.check_in(record(count=1))
         self.pass_time(3.0 * BEAT)
         self.assertEqual(Stage.READY, self.a.stage())
         self.pass_time(0.5 * BEAT)
         self.assertEqual(Stage.SILENT, self.a.stage())
 
     def test_a_later_checkin_ends_a_silence_and_an_older_one_does_not(self) -> None:
-        self.a.directory.checkin(record(count=8))
+        self.a.directory.check_in(record(count=8))
         self.pass_time(4.0)
-        self.a.directory.checkin(record(count=7))
+        self.a.directory.check_in(record(count=7))
         self.assertEqual(Stage.SILENT, self.a.stage())
-        self.a.directory.checkin(record(count=9))
+        self.a.directory.check_in(record(count=9))
         self.assertEqual(Stage.READY, self.a.stage())
 
     def test_a_draining_runner_that_falls_silent_stays_draining(self) -> None:
         for count in range(1, 5):
-            self.a.directory.checkin(record(count=count, stage=Stage.DRAINING))
+            self.a.directory.check_in(record(count=count, stage=Stage.DRAINING))
         self.pass_time(10.0)
         self.assertEqual(Stage.DRAINING, self.a.stage())
 
     def test_a_runner_that_beats_elsewhere_is_not_declared_silent_by_its_former_process(self) -> None:
-        self.a.directory.checkin(record(count=1))
+        self.a.directory.check_in(record(count=1))
         exchange(self.a, self.b)
         for count in range(2, 15):
-            self.b.directory.checkin(record(count=count))
+            self.b.directory.check_in(record(count=count))
             exchange(self.a, self.b)
             self.pass_time(BEAT)
         self.assertNotIn(Stage.SILENT, [seen.stage for seen in self.a.published + self.b.published])
 
     def test_one_call_heard_by_two_processes_leaves_one_of_them_watching(self) -> None:
-        self.a.directory.checkin(record(count=1))
-        self.b.directory.checkin(record(count=1))
+        self.a.directory.check_in(record(count=1))
+        self.b.directory.check_in(record(count=1))
         exchange(self.a, self.b)
         for count in range(2, 8):
-            self.b.directory.checkin(record(count=count))
+            self.b.directory.check_in(record(count=count))
             self.pass_time(BEAT)
         self.assertNotIn(Stage.SILENT, [seen.stage for seen in self.a.published])
 
     def test_a_move_heard_late_wins_over_the_silence_declared_meanwhile(self) -> None:
-        self.a.directory.checkin(record(count=1))
+        self.a.directory.check_in(record(count=1))
         exchange(self.a, self.b)
-        self.b.directory.checkin(record(count=2))
+        self.b.directory.check_in(record(count=2))
         for count in range(3, 9):  # cut from one another
             self.pass_time(BEAT)
-            self.b.directory.checkin(record(count=count))
+            self.b.directory.check_in(record(count=count))
         self.assertEqual(Stage.SILENT, self.a.stage())
         exchange(self.a, self.b)
         self.assertEqual([Stage.READY, Stage.READY], [self.a.stage(), self.b.stage()])
 
     def test_an_older_checkin_delivered_late_elsewhere_does_not_move_the_runner(self) -> None:
         for count in range(1, 9):
-            self.a.directory.checkin(record(count=count))
-        self.b.directory.checkin(record(count=4, models=(HeldModel("old"),)))
+            self.a.directory.check_in(record(count=count))
+        self.b.directory.check_in(record(count=4, models=(HeldModel("old"),)))
         exchange(self.a, self.b)
         for process in (self.a, self.b):
             found = process.directory.get("i-1")
@@ -281,17 +288,17 @@
             self.assertEqual(("a.1", 8, ()), (found.owner, found.call_count, found.models))
 
     def test_runners_of_a_lost_process_are_watched_by_the_others(self) -> None:
-        self.a.directory.checkin(record("i-1", count=5))
-        self.a.directory.checkin(record("i-2", count=5))
+        self.a.directory.check_in(record("i-1", count=5))
+        self.a.directory.check_in(record("i-2", count=5))
         exchange(self.a, self.b)
         self.lost.add("a.1")
         self.pass_time(2.0, self.b)
-        self.b.directory.checkin(record("i-2", count=7))
+        self.b.directory.check_in(record("i-2", count=7))
         self.pass_time(1.5, self.b)
         self.assertEqual((Stage.SILENT, Stage.READY), (self.b.stage("i-1"), self.b.stage("i-2")))
 
     def test_a_process_that_returns_in_time_keeps_its_runners(self) -> None:
-        self.a.directory.checkin(record(count=5))
+        self.a.directory.check_in(record(count=5))
         exchange(self.a, self.b)
         self.lost.add("a.1")
         self.pass_time(2.0, self.b)
@@ -302,19 +309,19 @@
         self.assertEqual(Stage.READY, self.b.stage())
 
     def test_an_adopted_silence_yields_to_the_owner_that_still_hears_the_runner(self) -> None:
-        self.a.directory.checkin(record(count=1))
+        self.a.directory.check_in(record(count=1))
         exchange(self.a, self.b)
         for count in range(2, 9):
-            self.a.directory.checkin(record(count=count))
+            self.a.directory.check_in(record(count=count))
         self.lost.add("a.1")
         self.pass_time(4.0, self.b)
         self.assertEqual(Stage.SILENT, self.b.stage())
-        self.a.directory.checkin(record(count=9))
+        self.a.directory.check_in(record(count=9))
         exchange(self.a, self.b)
         self.assertEqual([Stage.READY, Stage.READY], [self.a.stage(), self.b.stage()])
 
     def test_a_process_that_was_frozen_declares_nobody_silent_at_its_thaw(self) -> None:
-        self.a.directory.checkin(record(count=1))
+        self.a.directory.check_in(record(count=1))
         self.pass_time(1.0)
         self.clock[0] += 20.0
         self.pass_time(1.0)
@@ -323,31 +330,31 @@
         self.assertEqual(Stage.SILENT, self.a.stage())
 
     def test_a_restarted_process_takes_its_runners_over_with_their_next_beats(self) -> None:
-        self.a.directory.checkin(record(count=5))
+        self.a.directory.check_in(record(count=5))
         exchange(self.a, self.b)
         again = Process("a.2", self.clock, self.lost)
         self.lost.add("a.1")
         exchange(self.b, again)
-        self.assertTrue(again.directory.checkin(record(count=6)).news)
+        self.assertTrue(again.directory.check_in(record(count=6)).is_published)
         exchange(self.b, again)
         self.pass_time(2.0, self.b, again)
-        again.directory.checkin(record(count=7))
+        again.directory.check_in(record(count=7))
         self.pass_time(2.0, self.b, again)
         self.assertEqual(Stage.READY, self.b.stage())
 
     def test_old_ones_are_forgotten_and_ready_ones_are_not(self) -> None:
-        self.a.directory.checkin(record("gone", count=1))
+        self.a.directory.check_in(record("gone", count=1))
         self.a.directory.leave("gone")
-        self.a.directory.checkin(record("silent", count=1))
-        for count in range(1, round(KEEP_S) + 30):
-            self.a.directory.checkin(record("beats", count=count))
+        self.a.directory.check_in(record("silent", count=1))
+        for count in range(1, round(TOMBSTONE_RETENTION_S) + 30):
+            self.a.directory.check_in(record("beats", count=count))
             self.pass_time(BEAT, self.a)
         self.assertEqual(["runner/beats"], [entry.key for entry in self.a.registry.items()])
         self.assertEqual(["beats"], [found.id for found in self.a.directory.runners()])
 
     def test_runners_of_one_service(self) -> None:
-        self.a.directory.checkin(record("x"))
-        self.a.directory.checkin(record("y", service="other"))
+        self.a.directory.check_in(record("x"))
+        self.a.directory.check_in(record("y", service="other"))
         self.assertEqual(["y"], [found.id for found in self.a.directory.runners("other")])
 
 
@@ -377,7 +384,7 @@
         if kind == "beat":  # `two` calls ago: those are late
             sent.append(record(count=len(sent) + 1, stage=Stage.DRAINING if draining else Stage.READY))
             late = sent[max(len(sent) - 1 - two, 0)]
-            processes[one].directory.checkin(late)
+            processes[one].directory.check_in(late)
             delivered = max(delivered, late.call_count)
         elif kind == "sync":
             processes[one].registry.merge(list(processes[two].registry.items()))
--- a/tests/runner_directory/test_recorded_bytes.py
+++ b/tests/runner_directory/test_recorded_bytes.py
@@ -14,10 +14,11 @@
 from larchgw.distribution.registry import Registry
 from larchgw.rpc.codec import decode_struct, encode_struct
 from larchgw.rpc.generated.ttypes import Entry
-from larchgw.runner_directory.checkins import CheckinError, parse_checkin
-from larchgw.runner_directory.directory import Directory
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
-from larchgw.runner_directory.view import RunnerView
+from larchgw.runner_directory.check_in_parser import parse_check_in
+from larchgw.runner_directory.directory import RunnerDirectory
+from larchgw.runner_directory.errors import CheckInError
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_view import RunnerView
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "runner_directory"
 BEAT_S = 1.0
@@ -68,7 +69,7 @@
     """The body of each check-in, and what is stored for it."""
     bodies = [json.dumps(fields) for fields in CHECK_INS]
     return [
-        {"body": body, "stored": parse_checkin("i-1", body.encode()).encode().decode()} for body in bodies
+        {"body": body, "stored": parse_check_in("i-1", body.encode()).encode().decode()} for body in bodies
     ]
 
 
@@ -77,8 +78,8 @@
     answers = []
     for body in REJECTED:
         try:
-            parse_checkin("i-1", body)
-        except CheckinError as error:
+            parse_check_in("i-1", body)
+        except CheckInError as error:
             answers.append({"body": body.decode(), "error": str(error)})
     return answers
 
@@ -91,11 +92,11 @@
     registries = [Registry("a.1"), Registry("b.1")]
     for registry in registries:
         registry.watch("runner/", lambda entry: published.append(encode_struct(entry).hex()))
-        directories.append(Directory(registry, lambda: clock[0], BEAT_S, registry.origin))
+        directories.append(RunnerDirectory(registry, lambda: clock[0], BEAT_S, registry.origin))
 
     def check_in(directory: int, runner: str, count: int, **changed: object) -> None:
         fields = {"service": "llm", "address": "10.0.0.9:8080", "call_count": count} | changed
-        directories[directory].checkin(parse_checkin(runner, json.dumps(fields).encode()))
+        directories[directory].check_in(parse_check_in(runner, json.dumps(fields).encode()))
 
     check_in(0, "r-1", 1, models=[{"name": "m"}], cold_left_ms=500)
     check_in(0, "r-2", 1)
@@ -125,7 +126,7 @@
         "i-1", "llm", "10.0.0.9:8080", "z1", Stage.DRAINING, 64, "v7", "both", 10.5, 900.0, 4,
         (HeldModel("m1", 3, ("a1", "ä2")), HeldModel("m2")), "",
     )  # fmt: skip
-    assert parse_checkin("i-1", saved["body"].encode()) == expected
+    assert parse_check_in("i-1", saved["body"].encode()) == expected
     assert RunnerRecord.decode(saved["stored"].encode()) == expected
 
 
--- a/tests/runner_directory/test_view.py
+++ b/tests/runner_directory/test_runner_view.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from larchgw.distribution.registry import Registry
-from larchgw.runner_directory.directory import KEEP_S
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
-from larchgw.runner_directory.view import RunnerView
+from larchgw.runner_directory.directory import TOMBSTONE_RETENTION_S
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_view import RunnerView
 
 
 class ViewTest(testtools.TestCase):
@@ -58,7 +58,7 @@
 
     def test_a_new_runner_at_an_address_shows_that_the_older_one_is_gone(self) -> None:
         told: list[tuple[str, Stage]] = []
-        self.view.on_change(lambda record: told.append((record.id, record.stage)))
+        self.view.watch(lambda record: told.append((record.id, record.stage)))
         self.publish("old", models=(HeldModel("m"),))
         self.publish("new", service="other")
         self.assertIsNone(self.view.get("old"))
@@ -92,16 +92,16 @@
         self.publish("x", address="h:1")
         self.publish("y", Stage.SILENT, address="h:2")
         self.publish("z", Stage.GONE, address="h:3")
-        self.clock[0] = KEEP_S + 1.0
-        self.view.forget()
+        self.clock[0] = TOMBSTONE_RETENTION_S + 1.0
+        self.view.remove_expired()
         self.assertEqual(["runner/x"], [entry.key for entry in self.registry.items()])
         self.assertEqual(1, len(self.view))
 
     def test_one_that_is_dropped_from_the_registry_is_told_as_gone(self) -> None:
         told: list[tuple[str, Stage]] = []
         self.publish("x", models=(HeldModel("m"),))
-        self.view.on_change(lambda record: told.append((record.id, record.stage)))
-        self.registry.remove_older("runner/", lambda entry: True)
+        self.view.watch(lambda record: told.append((record.id, record.stage)))
+        self.registry.remove_if("runner/", lambda entry: True)
         self.assertEqual(([], []), (self.holders("m"), list(self.view.by_service("llm"))))
         self.assertEqual([("x", Stage.GONE)], told)
 
@@ -126,7 +126,7 @@
     registry = Registry("c.1")
     view = RunnerView(registry)
     told: dict[str, RunnerRecord] = {}
-    view.on_change(lambda record: told.__setitem__(record.id, record))
+    view.watch(lambda record: told.__setitem__(record.id, record))
     for number, (id, stage, address, service, models) in enumerate(published, start=1):
         held = tuple(HeldModel(name, 0, ("a1",)) for name in models)
         record = RunnerRecord(id, service, address, "z", stage=stage, call_count=number, models=held)
--- a/tests/support/edge_stand_ins.py
+++ b/tests/support/edge_stand_ins.py
@@ -24,7 +24,7 @@
     Send,
     Wait,
 )
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 from tests.support.asyncio_tests import PATIENCE
 
 HOST = "desk.example"
--- a/tests/support/routing_factories.py
+++ b/tests/support/routing_factories.py
@@ -9,7 +9,7 @@
 from larchgw.configuration.model import Configuration, Model, Route, Runtime, Service
 from larchgw.routing.interface import Attempt, AttemptOutcome, Choice, PromptPart, RequestTraits, Send
 from larchgw.routing.selection import Selector
-from larchgw.runner_directory.records import HeldModel, RunnerRecord, Stage
+from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
 SERVICE = "models"
 CONFIGURATION = Configuration(
