--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -15,7 +15,8 @@
 
 from ...replication.effects import Effects, NotPrimary, Outgoing
 from ...replication.member import Member
-from ...replication.messages import Accepted, Envelope, Promise, decode
+from ...replication.message_codec import decode
+from ...replication.messages import Accepted, Envelope, Promise
 from ...replication.settings import MemberSettings
 from ...replication.view import View
 from ...rpc.codec import MAX_FRAME_BYTES
--- a/larchgw/replication/lease_acceptor.py
+++ b/larchgw/replication/lease_acceptor.py
@@ -4,7 +4,8 @@
 from __future__ import annotations
 
 import json
-from dataclasses import asdict, dataclass, replace
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
 from typing import Any
 
 from .messages import LeaseAnswer, LeaseAsk, LeaseRelease
@@ -24,6 +25,20 @@
     acting_fence: int = 0
     actor: str = UNKNOWN
 
+    def to_json(self) -> dict[str, Any]:
+        """As it is stored; the keys never change."""
+        return {
+            "fence": self.fence,
+            "holder": self.holder,
+            "acting_fence": self.acting_fence,
+            "actor": self.actor,
+        }
+
+    @classmethod
+    def from_json(cls, value: Mapping[str, Any]) -> StoredLease:
+        """Reads what `to_json` gave."""
+        return cls(value["fence"], value["holder"], value["acting_fence"], value["actor"])
+
 
 @dataclass(slots=True)
 class _Grant:
@@ -47,7 +62,7 @@
         if stored is not None:
             value = json.loads(stored)
         self._from_first_boot = bool(value["from_first_boot"])
-        self._leases = {name: StoredLease(**lease) for name, lease in value["leases"].items()}
+        self._leases = {name: StoredLease.from_json(lease) for name, lease in value["leases"].items()}
 
     def reset(self, from_first_boot: bool) -> None:
         """Begins anew with a new identity. `from_first_boot`: no lease can have been granted before."""
@@ -114,7 +129,7 @@
     def _store(self, leases: dict[str, StoredLease]) -> None:
         value = {
             "from_first_boot": self._from_first_boot,
-            "leases": {name: asdict(lease) for name, lease in leases.items()},
+            "leases": {name: lease.to_json() for name, lease in leases.items()},
         }
         self._cell.store(json.dumps(value).encode())
         self._leases = leases
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -18,12 +18,12 @@
 from .lease_acceptor import LeaseWitness
 from .lease_table import Leases
 from .member_addresses import Roster
+from .message_codec import DecodeError, decode
 from .messages import (
     Accept,
     Accepted,
     Append,
     AppendReply,
-    DecodeError,
     Envelope,
     Heartbeat,
     HeartbeatReply,
@@ -41,7 +41,6 @@
     ProbeReply,
     Promise,
     TakeOver,
-    decode,
 )
 from .outbound_messages import Outbox
 from .pending_proposals import Tickets
--- /dev/null
+++ b/larchgw/replication/message_codec.py
@@ -0,0 +1,228 @@
+"""Encoding of replication messages: a JSON header followed by the records as they are.
+
+Every body is a big-endian 32-bit header length, the header, and the bytes that do not go into JSON: the
+records of an append, or the piece of a snapshot. Every header carries the sender's address under "from", so
+that a member can answer a newcomer that no view names.
+
+The names on the wire are written out here, in the order in which they are sent. They never change, whatever
+the Python names become: members of several versions run side by side during an upgrade.
+"""
+
+from __future__ import annotations
+
+import json
+import struct
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from .messages import (
+    Accept,
+    Accepted,
+    Append,
+    AppendReply,
+    Heartbeat,
+    HeartbeatReply,
+    Install,
+    InstallReply,
+    Join,
+    LeaseAnswer,
+    LeaseAsk,
+    LeaseRelease,
+    Leave,
+    Left,
+    Message,
+    Prepare,
+    Probe,
+    ProbeReply,
+    Promise,
+    TakeOver,
+)
+from .view import View
+
+_HEADER_LENGTH = struct.Struct(">I")
+_SENDER_KEY = "from"
+_RECORD_LENGTHS_KEY = "lengths"
+_VIEW_KEY = "view"
+_EPOCHS_KEY = "epochs"
+
+
+class DecodeError(Exception):
+    """A body that is no message of this protocol; it is dropped. Check that all members run one version."""
+
+
+@dataclass(frozen=True, slots=True)
+class _WireFormat:
+    """How one type of message is sent.
+
+    Attributes:
+        kind: The kind under which the transport carries it.
+        message_type: The class it is read into.
+        keys: Attribute name -> key in the JSON header, in the order in which they are written. What follows
+            the header (`Append.records`, `Install.piece`) is not among them.
+    """
+
+    kind: str
+    message_type: type[Any]
+    keys: Mapping[str, str]
+
+    @property
+    def attributes(self) -> Mapping[str, str]:
+        """Key in the JSON header -> attribute name."""
+        return {key: attribute for attribute, key in self.keys.items()}
+
+
+_FORMATS = (
+    _WireFormat("probe", Probe, {"round": "round"}),
+    _WireFormat(
+        "probe_reply",
+        ProbeReply,
+        {"round": "round", "granted": "granted", "promised": "promised", "view": _VIEW_KEY},
+    ),
+    _WireFormat("prepare", Prepare, {"epoch": "epoch"}),
+    _WireFormat(
+        "promise",
+        Promise,
+        {"epoch": "epoch", "granted": "granted", "promised": "promised", "view": _VIEW_KEY},
+    ),
+    _WireFormat("accept", Accept, {"view": _VIEW_KEY}),
+    _WireFormat("accepted", Accepted, {"epoch": "epoch", "granted": "granted", "promised": "promised"}),
+    _WireFormat("heartbeat", Heartbeat, {"epoch": "epoch", "round": "round", "commit": "commit"}),
+    _WireFormat(
+        "heartbeat_reply",
+        HeartbeatReply,
+        {
+            "epoch": "epoch",
+            "round": "round",
+            "granted": "granted",
+            "promised": "promised",
+            "view_epoch": "view_epoch",
+            "view": _VIEW_KEY,
+        },
+    ),
+    _WireFormat(
+        "append",
+        Append,
+        {
+            "epoch": "epoch",
+            "previous_index": "previous_index",
+            "previous_epoch": "previous_epoch",
+            "commit": "commit",
+            "epochs": _EPOCHS_KEY,
+        },
+    ),
+    _WireFormat(
+        "install",
+        Install,
+        {
+            "epoch": "epoch",
+            "index": "index",
+            "index_epoch": "index_epoch",
+            "offset": "offset",
+            "size": "size",
+            "checksum": "checksum",
+        },
+    ),
+    _WireFormat("install_reply", InstallReply, {"epoch": "epoch", "index": "index", "offset": "offset"}),
+    _WireFormat("append_reply", AppendReply, {"epoch": "epoch", "matched": "matched", "index": "index"}),
+    _WireFormat("join", Join, {"member": "member", "address": "address"}),
+    _WireFormat("leave", Leave, {"member": "member"}),
+    _WireFormat("left", Left, {"epoch": "epoch"}),
+    _WireFormat("take_over", TakeOver, {"epoch": "epoch"}),
+    _WireFormat(
+        "lease_ask",
+        LeaseAsk,
+        {
+            "name": "name",
+            "fence": "fence",
+            "renewal": "renewal",
+            "view_epoch": "view_epoch",
+            "attempt": "attempt",
+            "acting": "acting",
+        },
+    ),
+    _WireFormat(
+        "lease_answer",
+        LeaseAnswer,
+        {
+            "name": "name",
+            "attempt": "attempt",
+            "granted": "granted",
+            "fence": "fence",
+            "actor": "actor",
+            "acting_fence": "acting_fence",
+            "remaining": "remaining",
+            "view": _VIEW_KEY,
+        },
+    ),
+    _WireFormat("lease_release", LeaseRelease, {"name": "name", "fence": "fence"}),
+)
+_FORMAT_BY_TYPE = {wire_format.message_type: wire_format for wire_format in _FORMATS}
+_FORMAT_BY_KIND = {wire_format.kind: wire_format for wire_format in _FORMATS}
+_ATTRIBUTES_BY_KIND = {wire_format.kind: wire_format.attributes for wire_format in _FORMATS}
+
+
+def encode(message: Message, address: str) -> tuple[str, bytes]:
+    """The kind and the body of a message from the member at `address`."""
+    wire_format = _FORMAT_BY_TYPE[type(message)]
+    header: dict[str, Any] = {_SENDER_KEY: address}
+    for attribute, key in wire_format.keys.items():
+        value = getattr(message, attribute)
+        header[key] = value.to_json() if isinstance(value, View) else value
+    payload: Sequence[bytes] = ()
+    if isinstance(message, Append):
+        payload = message.records
+        header[_RECORD_LENGTHS_KEY] = [len(record) for record in payload]
+    elif isinstance(message, Install):
+        payload = (message.piece,)
+    encoded = json.dumps(header, separators=(",", ":")).encode()
+    return wire_format.kind, b"".join((_HEADER_LENGTH.pack(len(encoded)), encoded, *payload))
+
+
+def decode(kind: str, body: bytes) -> tuple[Message, str]:
+    """The message and its sender's address.
+
+    Raises:
+        DecodeError: The kind is not known, or the body is not one of that kind.
+    """
+    try:
+        wire_format = _FORMAT_BY_KIND[kind]
+        (length,) = _HEADER_LENGTH.unpack_from(body)
+        payload_start = _HEADER_LENGTH.size + length
+        header = json.loads(body[_HEADER_LENGTH.size : payload_start])
+        address = str(header.pop(_SENDER_KEY))
+        arguments = _payload_arguments(kind, header, body, payload_start)
+        attributes = _ATTRIBUTES_BY_KIND[kind]
+        for key, value in header.items():
+            arguments[attributes[key]] = _from_json(key, value)
+        return wire_format.message_type(**arguments), address
+    except (KeyError, TypeError, ValueError, AttributeError, struct.error) as error:
+        reason = f"a {kind!r} message cannot be read: {error}; do all members run one version?"
+        raise DecodeError(reason) from error
+
+
+def _payload_arguments(kind: str, header: dict[str, Any], body: bytes, start: int) -> dict[str, Any]:
+    """What follows the header in a body of this kind."""
+    if kind == "append":
+        return {"records": _records(header.pop(_RECORD_LENGTHS_KEY), body, start)}
+    if kind == "install":
+        return {"piece": bytes(body[start:])}
+    return {}
+
+
+def _from_json(key: str, value: Any) -> Any:
+    if key == _VIEW_KEY and value is not None:
+        return View.from_json(value)
+    if key == _EPOCHS_KEY:
+        return tuple(value)
+    return value
+
+
+def _records(lengths: list[int], body: bytes, start: int) -> tuple[bytes, ...]:
+    records = []
+    for length in lengths:
+        records.append(bytes(body[start : start + length]))
+        start += length
+    if start != len(body):
+        raise ValueError("the lengths of its records are wrong")
+    return tuple(records)
--- a/larchgw/replication/messages.py
+++ b/larchgw/replication/messages.py
@@ -1,23 +1,15 @@
-"""What members say to each other, and its encoding: a JSON header followed by the records as they are.
+"""The messages that members of the replicated control state exchange.
 
-Every body carries the sender's address, so that a member can answer a newcomer that no view names.
+Their names and the names of their fields are free to change: `message_codec` holds the names on the wire.
 """
 
 from __future__ import annotations
 
-import json
-import struct
-from dataclasses import dataclass, fields
-from typing import Any, Protocol
+from dataclasses import dataclass
+from typing import Protocol
 
 from .view import View
 
-_HEADER_LENGTH = struct.Struct(">I")
-
-
-class DecodeError(Exception):
-    """A body that is no message of this protocol; it is dropped. Check that all members run one version."""
-
 
 class Envelope(Protocol):
     """What the transport carries: thrift's PeerMessage. `receiver` is empty where only an address is
@@ -231,80 +223,3 @@
     | LeaseAnswer
     | LeaseRelease
 )
-
-_KINDS: dict[str, type[Any]] = {
-    "probe": Probe,
-    "probe_reply": ProbeReply,
-    "prepare": Prepare,
-    "promise": Promise,
-    "accept": Accept,
-    "accepted": Accepted,
-    "heartbeat": Heartbeat,
-    "heartbeat_reply": HeartbeatReply,
-    "append": Append,
-    "install": Install,
-    "install_reply": InstallReply,
-    "append_reply": AppendReply,
-    "join": Join,
-    "leave": Leave,
-    "left": Left,
-    "take_over": TakeOver,
-    "lease_ask": LeaseAsk,
-    "lease_answer": LeaseAnswer,
-    "lease_release": LeaseRelease,
-}
-_KIND_OF = {cls: kind for kind, cls in _KINDS.items()}
-
-
-def encode(message: Message, address: str) -> tuple[str, bytes]:
-    """The kind and the body of a message from the member at `address`."""
-    header: dict[str, Any] = {"from": address}
-    blobs: list[bytes] = []
-    for field in fields(message):
-        value = getattr(message, field.name)
-        if field.name == "records":
-            header["lengths"] = [len(record) for record in value]
-            blobs.extend(value)
-        elif field.name == "piece":
-            blobs.append(value)
-        elif isinstance(value, View):
-            header[field.name] = value.to_json()
-        else:
-            header[field.name] = value
-    head = json.dumps(header, separators=(",", ":")).encode()
-    return _KIND_OF[type(message)], b"".join((_HEADER_LENGTH.pack(len(head)), head, *blobs))
-
-
-def decode(kind: str, body: bytes) -> tuple[Message, str]:
-    """The message and its sender's address; raises DecodeError."""
-    try:
-        cls = _KINDS[kind]
-        (length,) = _HEADER_LENGTH.unpack_from(body)
-        start = _HEADER_LENGTH.size + length
-        header = json.loads(body[_HEADER_LENGTH.size : start])
-        address = str(header.pop("from"))
-        return cls(**_arguments(header, body, start, kind)), address
-    except (KeyError, TypeError, ValueError, AttributeError, struct.error) as error:
-        reason = f"a {kind!r} message cannot be read: {error}; do all members run one version?"
-        raise DecodeError(reason) from error
-
-
-def _arguments(header: dict[str, Any], body: bytes, start: int, kind: str) -> dict[str, Any]:
-    if kind == "append":
-        header["epochs"] = tuple(header["epochs"])
-        header["records"] = _records(header.pop("lengths"), body, start)
-    elif kind == "install":
-        header["piece"] = bytes(body[start:])
-    if header.get("view") is not None:
-        header["view"] = View.from_json(header["view"])
-    return header
-
-
-def _records(lengths: list[int], body: bytes, start: int) -> tuple[bytes, ...]:
-    records = []
-    for length in lengths:
-        records.append(bytes(body[start : start + length]))
-        start += length
-    if start != len(body):
-        raise ValueError("the lengths of its records are wrong")
-    return tuple(records)
--- a/larchgw/replication/outbound_messages.py
+++ b/larchgw/replication/outbound_messages.py
@@ -4,7 +4,8 @@
 
 from ..rpc.generated.ttypes import PeerMessage
 from .effects import Outgoing
-from .messages import Message, encode
+from .message_codec import encode
+from .messages import Message
 
 
 class Outbox:
--- a/tests/replication/test_late_votes.py
+++ b/tests/replication/test_late_votes.py
@@ -6,7 +6,8 @@
 
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.member import Member
-from larchgw.replication.messages import Accept, Accepted, Leave, Message, ProbeReply, Promise, encode
+from larchgw.replication.message_codec import encode
+from larchgw.replication.messages import Accept, Accepted, Leave, Message, ProbeReply, Promise
 from larchgw.replication.settings import MemberSettings
 from larchgw.replication.view import View, first_view
 from larchgw.rpc.generated.ttypes import PeerMessage
--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -17,6 +17,7 @@
 from larchgw.replication.effects import Effects
 from larchgw.replication.lease_acceptor import LeaseWitness
 from larchgw.replication.member import Member
+from larchgw.replication.message_codec import decode, encode
 from larchgw.replication.messages import (
     Accept,
     Accepted,
@@ -30,8 +31,6 @@
     Message,
     Prepare,
     Promise,
-    decode,
-    encode,
 )
 from larchgw.replication.ports import Ports
 from larchgw.replication.settings import MemberSettings
--- a/tests/replication/test_parts.py
+++ b/tests/replication/test_parts.py
@@ -11,16 +11,14 @@
 
 from larchgw.model_checking.simulated_disk import Crashed, SimulatedDisk
 from larchgw.replication.leadership import Leadership
+from larchgw.replication.message_codec import DecodeError, decode, encode
 from larchgw.replication.messages import (
     Accept,
     Append,
     AppendReply,
-    DecodeError,
     Install,
     InstallReply,
     Promise,
-    decode,
-    encode,
 )
 from larchgw.replication.outbound_messages import Outbox
 from larchgw.replication.planning import Standing, failover_view, next_view
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -16,7 +16,8 @@
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
 from larchgw.replication.follower import Follower
 from larchgw.replication.leadership import Leadership
-from larchgw.replication.messages import AppendReply, DecodeError, Install, InstallReply, decode
+from larchgw.replication.message_codec import DecodeError, decode
+from larchgw.replication.messages import AppendReply, Install, InstallReply
 from larchgw.replication.outbound_messages import Outbox
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings, Timing
