--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -203,11 +203,28 @@
         """Plays all events of the next seconds."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
-            at, _, address, message = heapq.heappop(self._queue)
-            self.now = max(self.now, at)
-            self._event(self.machines[address], message)
+            self._play_next_event()
         self.now = end
 
+    def run_until(self, condition: Callable[[], bool], limit_s: float) -> bool:
+        """Plays events until right after the one that makes the condition true.
+
+        Returns:
+            Whether it is true; if not, `limit_s` seconds have passed.
+        """
+        end = self.now + limit_s
+        while not condition():
+            if not self._queue or self._queue[0][0] > end:
+                self.now = end
+                return False
+            self._play_next_event()
+        return True
+
+    def _play_next_event(self) -> None:
+        at, _, address, message = heapq.heappop(self._queue)
+        self.now = max(self.now, at)
+        self._event(self.machines[address], message)
+
     def _event(self, machine: Machine, message: Envelope | None) -> None:
         if machine.member is None:
             return
