--- a/larchgw/membership/death_verification.py
+++ b/larchgw/membership/death_verification.py
@@ -40,7 +40,7 @@
                 del self._doubts[address]
             elif doubt.asked_at is None:
                 doubt.asked_at = now
-                self._ask_at = now + self._settings.ask_period
+                self._ask_at = now + self._settings.verification_period_s
                 return doubt.dead
         return None
 
@@ -49,7 +49,7 @@
         over = [
             doubt
             for doubt in self._doubts.values()
-            if doubt.asked_at is not None and now - doubt.asked_at >= self._settings.probe_period
+            if doubt.asked_at is not None and now - doubt.asked_at >= self._settings.probe_period_s
         ]
         for doubt in over:
             del self._doubts[doubt.dead.address]
--- a/larchgw/membership/dissemination.py
+++ b/larchgw/membership/dissemination.py
@@ -28,7 +28,7 @@
     def __init__(self, settings: SwimSettings) -> None:
         self._settings = settings
         self._queue: dict[str, _Queued] = {}
-        self._allowance = settings.news_burst
+        self._allowance = settings.update_burst_bytes
         self._refilled_at = 0.0
 
     def __len__(self) -> int:
@@ -38,15 +38,15 @@
         """Replaces an older update for the same address. Over the limit the last in rank is dropped."""
         self._queue.pop(update.member.address, None)
         self._queue[update.member.address] = _Queued(encode_update(update), update.member.state)
-        if len(self._queue) > self._settings.queued_updates:
+        if len(self._queue) > self._settings.max_queued_updates:
             most_sent = max(self._queue, key=lambda address: self._queue[address].rank)
             del self._queue[most_sent]
 
     def refill(self, now: float) -> None:
         """Allows what the rate gives for the time since the last call."""
         settings = self._settings
-        added = settings.news_rate * (now - self._refilled_at)
-        self._allowance = min(self._allowance + added, settings.news_burst)
+        added = settings.update_bytes_per_s * (now - self._refilled_at)
+        self._allowance = min(self._allowance + added, settings.update_burst_bytes)
         self._refilled_at = now
 
     def take(self, room: int, members: int) -> list[bytes]:
@@ -54,7 +54,7 @@
         if not self._queue:
             return []
         taken: list[bytes] = []
-        sends = self._settings.retransmit_factor * ceil(log10(members + 1))
+        sends = self._settings.retransmit_multiplier * ceil(log10(members + 1))
         room = min(room, int(self._allowance))
         for address, queued in sorted(self._queue.items(), key=lambda item: item[1].rank):
             if len(queued.record) > room:
--- a/larchgw/membership/member_states.py
+++ b/larchgw/membership/member_states.py
@@ -85,7 +85,7 @@
                 self._accept(now, known, Update(replace(known, state=MemberState.DEAD)), gossiped=True)
         while self._gone_since:
             address, since = next(iter(self._gone_since.items()))
-            if now - since < self._settings.dead_retention:
+            if now - since < self._settings.dead_retention_s:
                 break
             self._forget(address)
 
--- a/larchgw/membership/seeds.py
+++ b/larchgw/membership/seeds.py
@@ -18,7 +18,7 @@
         self._random = random
         self._addresses: list[str] = []
         self._next = 0
-        self._period = settings.join_period_min
+        self._period = settings.min_join_period_s
         self._due_at: float | None = None  # not before the first turn has drawn it
 
     def set(self, addresses: Sequence[str]) -> None:
@@ -29,22 +29,22 @@
         self._random.shuffle(wanted)
         self._addresses = wanted
         self._next = 0
-        self._period = self._settings.join_period_min
+        self._period = self._settings.min_join_period_s
         self._due_at = None
 
     def due(self, now: float, alone: bool, is_member: Callable[[str], bool]) -> str | None:
         """The seed to ask now, if any."""
         if self._due_at is None:  # processes started together must not ask all at once
-            self._due_at = now + self._random.uniform(0.0, self._settings.join_period_min)
+            self._due_at = now + self._random.uniform(0.0, self._settings.min_join_period_s)
         if now < self._due_at:
             return None
         address = self._turn(is_member)
         if alone:
             self._wait(now, self._period)
-            self._period = min(self._period * BACKOFF, self._settings.join_period_max)
+            self._period = min(self._period * BACKOFF, self._settings.max_join_period_s)
         else:
-            self._period = self._settings.join_period_min
-            self._wait(now, self._settings.seed_period)
+            self._period = self._settings.min_join_period_s
+            self._wait(now, self._settings.seed_period_s)
         return address
 
     def _turn(self, is_member: Callable[[str], bool]) -> str | None:
--- a/larchgw/membership/suspicion.py
+++ b/larchgw/membership/suspicion.py
@@ -38,9 +38,9 @@
     def start(self, now: float, address: str, accuser: str, members: int) -> None:
         """Begins, or begins anew, the suspicion of a member; `members` are present."""
         settings = self._settings
-        shortest = settings.suspicion_factor * settings.probe_period * max(log10(max(members, 1)), 1.0)
+        shortest = settings.suspicion_multiplier * settings.probe_period_s * max(log10(max(members, 1)), 1.0)
         wanted = min(settings.suspicion_confirmations, members - 3)  # not it, its accuser or this one
-        longest = shortest * settings.suspicion_spread
+        longest = shortest * settings.max_suspicion_multiplier
         self._running[address] = _Suspicion(now, shortest, longest, wanted, {accuser})
 
     def confirm(self, address: str, accuser: str) -> bool:
@@ -70,7 +70,7 @@
 
     def last_call(self, now: float) -> str | None:
         """A member whose suspicion ends soon and that was not named here before."""
-        soon = now + self._settings.last_call
+        soon = now + self._settings.final_ping_lead_s
         for address, suspicion in self._running.items():
             if suspicion.called_at is None and suspicion.deadline <= soon:
                 suspicion.called_at = now
@@ -79,7 +79,7 @@
 
     def expired(self, now: float) -> list[str]:
         """Addresses whose suspicion was not refuted in time, nor the last call answered."""
-        called_before = now - self._settings.probe_timeout
+        called_before = now - self._settings.probe_timeout_s
         return [
             address
             for address, suspicion in self._running.items()
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -47,7 +47,7 @@
         check_member(me)
         self._settings = settings
         self._random = random
-        self._health = LocalHealth(settings.health_limit)
+        self._health = LocalHealth(settings.max_local_health_score)
         self._knowledge = Knowledge(me, settings, random, self._health)
         self._table = self._knowledge.table
         self._seeds = Seeds(settings, random)
@@ -178,9 +178,9 @@
         if member is None:
             return
         stretch = self._health.multiplier
-        period = self._settings.probe_period * stretch
+        period = self._settings.probe_period_s * stretch
         sequence = self._next_sequence()
-        helpers_at = now + self._settings.probe_timeout * stretch
+        helpers_at = now + self._settings.probe_timeout_s * stretch
         self._probe = Probe(sequence, member.address, member.incarnation, helpers_at, now + period)
         self._probe_at = now + period * self._random.uniform(0.95, 1.05)
         self._send(member.address, Kind.PING, sequence, about=member)
@@ -220,8 +220,8 @@
 
     def _relay(self, now: float, origin: str, message: Message) -> None:
         sequence = self._next_sequence()
-        nack_at = now + self._settings.nack_delay
-        if self._relays.add(sequence, origin, message.sequence, nack_at, now + self._settings.probe_period):
+        nack_at = now + self._settings.nack_delay_s
+        if self._relays.add(sequence, origin, message.sequence, nack_at, now + self._settings.probe_period_s):
             self._send(message.target, Kind.PING, sequence, about=self._table.get(message.target))
 
     def _tick_relays(self, now: float) -> None:
@@ -234,7 +234,7 @@
             return
         address = self._knowledge.suspicions.last_call(now)
         if address is not None:
-            self._last_call_at = now + self._settings.ask_period
+            self._last_call_at = now + self._settings.verification_period_s
             self._send(address, Kind.PING, self._next_sequence(), about=self._table.get(address))
 
     def _tick_doubts(self, now: float) -> None:
@@ -245,13 +245,13 @@
     def _notice_freeze(self, now: float) -> None:
         gap = 0.0 if self._ran_at is None else now - self._ran_at
         self._ran_at = now
-        if gap <= self._settings.freeze_gap:
+        if gap <= self._settings.freeze_threshold_s:
             return
         # failed probes of that time are this process's own fault
         log.info("membership.process_paused", pause_s=round(gap, 1))
         self._probe = None
         self._relays.clear()
-        self._health.froze(now, self._settings.doubt_after_freeze)
+        self._health.froze(now, self._settings.freeze_recovery_s)
         self._knowledge.postpone(gap)
 
     # Seeds, synchronisation, dead members, gossip
@@ -284,12 +284,12 @@
 
     def _tick_dead(self, now: float) -> None:
         if now >= self._reconnect_at and self._knowledge.reconnect:
-            self._reconnect_at = now + self._settings.reconnect_period
+            self._reconnect_at = now + self._settings.reconnect_period_s
             address = next(iter(self._knowledge.reconnect))
             del self._knowledge.reconnect[address]
             self._send(address, Kind.PING, self._next_sequence(), about=self._table.get(address))
         if now >= self._dead_probe_at:
-            self._dead_probe_at = now + self._settings.dead_probe_period * self._random.uniform(0.5, 1.5)
+            self._dead_probe_at = now + self._settings.dead_probe_period_s * self._random.uniform(0.5, 1.5)
             dead = self._knowledge.dead()
             if dead:
                 chosen = self._random.choice(dead)
@@ -298,7 +298,7 @@
     def _tick_gossip(self, now: float) -> None:
         if now < self._gossip_at or not self._knowledge.news:
             return
-        self._gossip_at = now + self._settings.gossip_period
+        self._gossip_at = now + self._settings.gossip_period_s
         for address in self._peers(1):
             self._send(address, Kind.GOSSIP, self._next_sequence())
 
--- a/larchgw/membership/synchronisation.py
+++ b/larchgw/membership/synchronisation.py
@@ -33,7 +33,7 @@
         self._request: PageRequest | None = None
         self._due_at = 0.0
         self._tries_left = 0
-        self._period = settings.pull_period_min
+        self._period = settings.min_pull_period_s
         self._next_pull_at = float("-inf")
         self._news = False
 
@@ -59,7 +59,7 @@
             self._request = None
             return None
         self._tries_left -= 1
-        self._due_at = now + self._settings.page_timeout
+        self._due_at = now + self._settings.page_timeout_s
         request.sequence = sequence
         return request
 
@@ -83,8 +83,8 @@
 
     def _adapt(self, now: float) -> None:
         settings = self._settings
-        doubled = min(self._period * 2, settings.pull_period_max)
-        self._period = settings.pull_period_min if self._news else doubled
+        doubled = min(self._period * 2, settings.max_pull_period_s)
+        self._period = settings.min_pull_period_s if self._news else doubled
         self._schedule(now)
 
     def _schedule(self, now: float) -> None:
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -132,7 +132,7 @@
 
 
 def test_an_update_is_sent_a_bounded_number_of_times():
-    news = Dissemination(SwimSettings(retransmit_factor=4))
+    news = Dissemination(SwimSettings(retransmit_multiplier=4))
     news.add(Update(ME))
     sends = 0
     while news.take(1000, 500):
@@ -141,7 +141,7 @@
 
 
 def test_a_flood_of_updates_is_bounded_and_keeps_those_not_yet_sent():
-    news = Dissemination(SwimSettings(queued_updates=3))
+    news = Dissemination(SwimSettings(max_queued_updates=3))
     members = [replace(ME, address=f"10.0.0.{n}:1") for n in range(4)]
     for member in members[:3]:
         news.add(Update(member))
@@ -151,7 +151,7 @@
 
 
 def test_many_updates_at_once_are_sent_at_a_bounded_rate():
-    news = Dissemination(SwimSettings(news_rate=100.0, news_burst=300.0))
+    news = Dissemination(SwimSettings(update_bytes_per_s=100.0, update_burst_bytes=300.0))
     for n in range(60):
         news.add(Update(replace(ME, address=f"10.0.0.{n}:1")))
     sent = 0
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -189,7 +189,7 @@
 def test_parted_halves_heal_after_the_dead_were_forgotten():
     network, swims = fleet(11)
     network.part([address(n) for n in range(5)], [address(n) for n in range(5, 11)])
-    network.run(SETTINGS.dead_retention + 60.0)
+    network.run(SETTINGS.dead_retention_s + 60.0)
     assert swims[0].dead() == []
     network.part()
     network.run(40.0)
@@ -238,7 +238,7 @@
     network = DatagramNetwork(1)
     network.start(address(3), "edge", [address(100)])
     network.run(100.0)
-    assert 100.0 / SETTINGS.join_period_max * 0.7 < network.processes[address(3)].datagrams < 60
+    assert 100.0 / SETTINGS.max_join_period_s * 0.7 < network.processes[address(3)].datagrams < 60
 
 
 def test_a_replaced_control_process_is_known_at_its_new_address():
@@ -386,7 +386,7 @@
             if d.address == victim.address and decode(d.data).updates[:1]
         ]
         step += 1
-    assert asked and step / 10 - asked[-1] <= SETTINGS.last_call + 0.2
+    assert asked and step / 10 - asked[-1] <= SETTINGS.final_ping_lead_s + 0.2
 
 
 def test_however_many_are_suspect_none_is_declared_dead_before_it_was_asked():
