--- a/larchgw/membership/codec.py
+++ b/larchgw/membership/codec.py
@@ -1,4 +1,4 @@
-"""The datagrams of the protocol as bytes.
+"""Messages of the membership protocol as the bytes of datagrams.
 
 A datagram is: magic (2 bytes), version, kind, CRC-32 of what follows (4 bytes), sequence (4), digest (4), the
 sender's record, the fields of its kind, and records until its end. A record is: state and flags, role,
@@ -9,18 +9,33 @@
 from __future__ import annotations
 
 import struct
-from dataclasses import dataclass, field
-from enum import IntEnum
+from collections.abc import Callable
+from dataclasses import dataclass
 from zlib import crc32
 
-from .member import InvalidMemberError, Member, MemberState, Role, pack_address, unpack_address
+from .addresses import ADDRESS_BYTES, pack_address, unpack_address
+from .errors import DatagramDecodeError
+from .member import Member, MemberState, Role
+from .messages import (
+    Ack,
+    Cursor,
+    Gossip,
+    Message,
+    MessageKind,
+    Nack,
+    Page,
+    Ping,
+    PingRequest,
+    Pull,
+    Update,
+)
 
 MAX_DATAGRAM_BYTES = 1200  # below every usual MTU, so that nothing is fragmented
 MAGIC = b"lM"
 VERSION = 1
 BUCKETS = 32  # into which addresses are divided when tables are compared
 
-ROLES: tuple[Role, ...] = ("edge", "control")
+ROLES: tuple[Role, ...] = ("edge", "control")  # by their number on the wire
 HAS_RPC = 0x10
 HAS_ACCUSER = 0x20
 STATE_MASK = 0x0F
@@ -30,67 +45,17 @@
 _RECORD = struct.Struct(">BB6sQI")
 _BUCKET_DIGESTS = struct.Struct(f">{BUCKETS}I")
 _CURSOR = struct.Struct(">B6s")
-_NO_ADDRESS = bytes(6)
-
-
-class DecodeError(Exception):
-    """Bytes that are no datagram of this protocol. They are to be ignored."""
-
-
-class Kind(IntEnum):
-    """What a datagram is for, as its fourth byte says."""
-
-    PING = 1
-    ACK = 2
-    PING_REQUEST = 3
-    NACK = 4
-    GOSSIP = 5
-    PULL = 6
-    PAGE = 7
-
+_NO_ADDRESS = bytes(ADDRESS_BYTES)
 
 _FIELD_BYTES = {
-    Kind.PING_REQUEST: 6,
-    Kind.PULL: _BUCKET_DIGESTS.size + _CURSOR.size,
-    Kind.PAGE: 1 + _CURSOR.size,
+    MessageKind.PING_REQUEST: ADDRESS_BYTES,
+    MessageKind.PULL: _BUCKET_DIGESTS.size + _CURSOR.size,
+    MessageKind.PAGE: 1 + _CURSOR.size,
 }
 
 
-@dataclass(frozen=True, slots=True)
-class Update:
-    """A report on a member. `accuser` is the address of who suspects it."""
-
-    member: Member
-    accuser: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Cursor:
-    """A place in a table ordered by bucket and address; an empty address stands before all of its bucket."""
-
-    bucket: int = 0
-    address: str = ""
-
-
-@dataclass(slots=True)
-class Message:
-    """One datagram. `target` belongs to PING_REQUEST, `buckets` to PULL, `cursor` to PULL and PAGE.
-
-    `digest` is that of the sender's table. A PAGE without cursor is the last one.
-    """
-
-    kind: Kind
-    sequence: int
-    sender: Member
-    digest: int = 0
-    target: str = ""
-    buckets: tuple[int, ...] = ()
-    cursor: Cursor | None = None
-    updates: list[Update] = field(default_factory=list)
-
-
 def encode_update(update: Update) -> bytes:
-    """One record."""
+    """Returns the record of an update."""
     member = update.member
     flags = member.state | (HAS_RPC if member.address_rpc else 0) | (HAS_ACCUSER if update.accuser else 0)
     name, zone = member.name.encode(), member.zone.encode()
@@ -113,28 +78,34 @@
     )
 
 
-class Draft:
-    """A datagram being filled with encoded updates, those of `message` first."""
+class DatagramBuilder:
+    """A datagram that is filled with records up to its limit.
+
+    Attributes:
+        message: What is sent; its fields, but not its updates, may be replaced until `build`.
+        free_bytes: Bytes left for records.
+    """
 
     def __init__(self, message: Message) -> None:
+        """Begins with the updates of `message`, as far as they fit."""
         self.message = message
         self._sender = encode_update(Update(message.sender))
         self._records: list[bytes] = []
         head = _FRONT.size + _BODY.size + len(self._sender) + _FIELD_BYTES.get(message.kind, 0)
-        self.room = MAX_DATAGRAM_BYTES - head  # bytes left for records
+        self.free_bytes = MAX_DATAGRAM_BYTES - head
         for update in message.updates:
             self.add(encode_update(update))
 
     def add(self, record: bytes) -> bool:
-        """Takes an encoded update, if it fits."""
-        if len(record) > self.room:
+        """Adds an encoded update if it fits; returns whether it did."""
+        if len(record) > self.free_bytes:
             return False
-        self.room -= len(record)
+        self.free_bytes -= len(record)
         self._records.append(record)
         return True
 
-    def finish(self) -> bytes:
-        """The datagram."""
+    def build(self) -> bytes:
+        """Returns the datagram."""
         message = self.message
         body = b"".join(
             (
@@ -147,21 +118,14 @@
         return _FRONT.pack(MAGIC, VERSION, message.kind, crc32(body)) + body
 
 
-def decode(data: bytes) -> Message:
-    """What a datagram says. Raises DecodeError."""
-    try:
-        return _decode(data)
-    except (struct.error, IndexError, ValueError) as error:
-        raise DecodeError(f"not a datagram of this protocol: {error}") from error
-
-
 def _encode_fields(message: Message) -> bytes:
-    if message.kind is Kind.PING_REQUEST:
+    if isinstance(message, PingRequest):
         return pack_address(message.target)
-    if message.kind is Kind.PULL:
-        return _BUCKET_DIGESTS.pack(*message.buckets) + _encode_cursor(message.cursor or Cursor())
-    if message.kind is Kind.PAGE:
-        return bytes((message.cursor is not None,)) + _encode_cursor(message.cursor or Cursor())
+    if isinstance(message, Pull):
+        return _BUCKET_DIGESTS.pack(*message.buckets) + _encode_cursor(message.cursor)
+    if isinstance(message, Page):
+        has_next = message.next_cursor is not None
+        return bytes((has_next,)) + _encode_cursor(message.next_cursor or Cursor())
     return b""
 
 
@@ -169,62 +133,75 @@
     return _CURSOR.pack(cursor.bucket, pack_address(cursor.address) if cursor.address else _NO_ADDRESS)
 
 
+def decode(data: bytes) -> Message:
+    """Returns the message of a datagram.
+
+    Raises:
+        DatagramDecodeError: If it is none of this protocol.
+    """
+    try:
+        return _decode(data)
+    except (struct.error, IndexError, ValueError) as error:
+        raise DatagramDecodeError(f"not a datagram of this protocol: {error}") from error
+
+
 def _decode(data: bytes) -> Message:
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise DecodeError(f"{len(data)} bytes are over {MAX_DATAGRAM_BYTES}")
+        raise DatagramDecodeError(f"{len(data)} bytes are over {MAX_DATAGRAM_BYTES}")
     magic, version, kind, checksum = _FRONT.unpack_from(data)
     if magic != MAGIC or version != VERSION or checksum != crc32(data[_FRONT.size :]):
-        raise DecodeError("its magic, version or checksum is another")
+        raise DatagramDecodeError("its magic, version or checksum is another")
     reader = _Reader(data, _FRONT.size)
-    sequence, digest = reader.take(_BODY)
-    message = Message(Kind(kind), sequence, reader.update().member, digest)
-    if message.kind is Kind.PING_REQUEST:
-        message.target = unpack_address(reader.bytes(6))
-    elif message.kind is Kind.PULL:
-        message.buckets = reader.take(_BUCKET_DIGESTS)
-        message.cursor = reader.cursor()
-    elif message.kind is Kind.PAGE:
-        unfinished = reader.bytes(1) != b"\0"
-        following = reader.cursor()
-        message.cursor = following if unfinished else None
-    while reader.at < len(data):
-        message.updates.append(reader.update())
-    return message
+    sequence, digest = reader.unpack(_BODY)
+    read_message = _MESSAGE_READERS[MessageKind(kind)]
+    return read_message(reader, _Header(sequence, reader.update().member, digest))
+
+
+@dataclass(frozen=True, slots=True)
+class _Header:
+    """What stands before the fields of a message's kind."""
+
+    sequence: int
+    sender: Member
+    digest: int
 
 
 class _Reader:
-    """Takes fields from a datagram in turn."""
+    """Reads the fields of a datagram one after the other."""
 
-    __slots__ = ("at", "data")
+    __slots__ = ("data", "offset")
 
-    def __init__(self, data: bytes, at: int) -> None:
+    def __init__(self, data: bytes, offset: int) -> None:
         self.data = data
-        self.at = at
+        self.offset = offset
 
-    def take(self, fields: struct.Struct) -> tuple[int, ...]:
-        values = fields.unpack_from(self.data, self.at)
-        self.at += fields.size
+    def unpack(self, fields: struct.Struct) -> tuple[int, ...]:
+        values = fields.unpack_from(self.data, self.offset)
+        self.offset += fields.size
         return values
 
-    def bytes(self, length: int) -> bytes:
-        end = self.at + length
+    def raw(self, length: int) -> bytes:
+        end = self.offset + length
         if end > len(self.data):
-            raise DecodeError("it ends early")
-        taken = self.data[self.at : end]
-        self.at = end
-        return taken
+            raise DatagramDecodeError("it ends early")
+        field = self.data[self.offset : end]
+        self.offset = end
+        return field
+
+    def address(self) -> str:
+        return unpack_address(self.raw(ADDRESS_BYTES))
 
     def text(self) -> str:
-        return self.bytes(self.bytes(1)[0]).decode()
+        return self.raw(self.raw(1)[0]).decode()
 
     def cursor(self) -> Cursor:
-        bucket, packed = _CURSOR.unpack(self.bytes(_CURSOR.size))
+        bucket, packed = _CURSOR.unpack(self.raw(_CURSOR.size))
         return Cursor(bucket, "" if packed == _NO_ADDRESS else unpack_address(packed))
 
     def update(self) -> Update:
-        flags, role, packed, incarnation, refutations = _RECORD.unpack(self.bytes(_RECORD.size))
-        rpc = unpack_address(self.bytes(6)) if flags & HAS_RPC else ""
-        accuser = unpack_address(self.bytes(6)) if flags & HAS_ACCUSER else ""
+        flags, role, packed, incarnation, refutations = _RECORD.unpack(self.raw(_RECORD.size))
+        address_rpc = self.address() if flags & HAS_RPC else ""
+        accuser = self.address() if flags & HAS_ACCUSER else ""
         name, zone = self.text(), self.text()
         member = Member(
             name,
@@ -232,17 +209,53 @@
             ROLES[role],
             incarnation,
             zone,
-            rpc,
+            address_rpc,
             refutations,
             MemberState(flags & STATE_MASK),
         )
         return Update(member, accuser)
 
+    def updates(self) -> tuple[Update, ...]:
+        """Reads records until the end of the datagram."""
+        updates: list[Update] = []
+        while self.offset < len(self.data):
+            updates.append(self.update())
+        return tuple(updates)
 
-def valid_address(address: str) -> bool:
-    """Whether a datagram can be sent there."""
-    try:
-        pack_address(address)
-    except InvalidMemberError:
-        return False
-    return True
+
+def _reader_without_fields(message_type: type[Message]) -> Callable[[_Reader, _Header], Message]:
+    """Returns the reader of a message that has no fields of its own."""
+
+    def read(reader: _Reader, header: _Header) -> Message:
+        return message_type(header.sequence, header.sender, header.digest, reader.updates())
+
+    return read
+
+
+def _read_ping_request(reader: _Reader, header: _Header) -> Message:
+    target = reader.address()
+    return PingRequest(header.sequence, header.sender, header.digest, reader.updates(), target)
+
+
+def _read_pull(reader: _Reader, header: _Header) -> Message:
+    buckets = reader.unpack(_BUCKET_DIGESTS)
+    cursor = reader.cursor()
+    return Pull(header.sequence, header.sender, header.digest, reader.updates(), buckets, cursor)
+
+
+def _read_page(reader: _Reader, header: _Header) -> Message:
+    has_next = reader.raw(1) != b"\0"
+    cursor = reader.cursor()
+    next_cursor = cursor if has_next else None
+    return Page(header.sequence, header.sender, header.digest, reader.updates(), next_cursor)
+
+
+_MESSAGE_READERS: dict[MessageKind, Callable[[_Reader, _Header], Message]] = {
+    MessageKind.PING: _reader_without_fields(Ping),
+    MessageKind.ACK: _reader_without_fields(Ack),
+    MessageKind.PING_REQUEST: _read_ping_request,
+    MessageKind.NACK: _reader_without_fields(Nack),
+    MessageKind.GOSSIP: _reader_without_fields(Gossip),
+    MessageKind.PULL: _read_pull,
+    MessageKind.PAGE: _read_page,
+}
--- a/larchgw/membership/death_verification.py
+++ b/larchgw/membership/death_verification.py
@@ -1,6 +1,6 @@
-"""Deaths reported of members that are alive here: each such member is asked itself before it is suspected.
+"""Reported deaths of members that are alive here: the member is pinged before it is suspected.
 
-Such a report comes from a process that was cut off, or is true and its suspicion was not heard here.
+Such a report comes from a process that was cut off, or is true and its suspicion did not arrive here.
 """
 
 from __future__ import annotations
@@ -12,45 +12,66 @@
 from .settings import SwimSettings
 
 
-@dataclass(slots=True)
-class _Doubt:
+@dataclass(frozen=True, slots=True)
+class ReportedDeath:
+    """A death that another member reported.
+
+    Attributes:
+        dead: The record of the member, as dead.
+        source: Address of the member that reported it.
+    """
+
     dead: Member
     source: str
-    asked_at: float | None = None
 
 
-class Doubts:
-    """At most one for each address, asked about in the order heard, at a bounded rate."""
+@dataclass(slots=True)
+class _Verification:
+    death: ReportedDeath
+    pinged_at: float | None = None
+
+
+class DeathVerification:
+    """Reported deaths under verification, one at most for each address, at a bounded rate of pings."""
 
     def __init__(self, settings: SwimSettings) -> None:
+        """Begins without any."""
         self._settings = settings
-        self._doubts: dict[str, _Doubt] = {}
-        self._ask_at = float("-inf")
+        self._pending: dict[str, _Verification] = {}
+        self._next_ping_at = float("-inf")
 
     def add(self, dead: Member, source: str) -> None:
-        """`source` reported that death."""
-        self._doubts.setdefault(dead.address, _Doubt(dead, source))
+        """Begins to verify a death that `source` reported, unless its address is under verification."""
+        self._pending.setdefault(dead.address, _Verification(ReportedDeath(dead, source)))
+
+    def next_to_ping(self, now: float, is_in_question: Callable[[Member], bool]) -> Member | None:
+        """Returns the record, as dead, of the member to ping now, if any.
 
-    def ask(self, now: float, stands: Callable[[Member], bool]) -> Member | None:
-        """The death to ask its member about now, if any. Doubts that no longer stand are dropped."""
-        if now < self._ask_at:
+        Args:
+            now: The time, seconds on the monotonic clock.
+            is_in_question: Whether a reported death would still end a member that is present here; others are
+                dropped.
+        """
+        if now < self._next_ping_at:
             return None
-        for address, doubt in list(self._doubts.items()):
-            if not stands(doubt.dead):
-                del self._doubts[address]
-            elif doubt.asked_at is None:
-                doubt.asked_at = now
-                self._ask_at = now + self._settings.verification_period_s
-                return doubt.dead
+        for address, verification in list(self._pending.items()):
+            dead = verification.death.dead
+            if not is_in_question(dead):
+                del self._pending[address]
+            elif verification.pinged_at is None:
+                verification.pinged_at = now
+                self._next_ping_at = now + self._settings.verification_period_s
+                return dead
         return None
 
-    def unanswered(self, now: float) -> list[tuple[Member, str]]:
-        """Deaths, and who reported them, that were asked about and not contradicted; they are dropped."""
-        over = [
-            doubt
-            for doubt in self._doubts.values()
-            if doubt.asked_at is not None and now - doubt.asked_at >= self._settings.probe_period_s
+    def take_unanswered(self, now: float) -> list[ReportedDeath]:
+        """Removes and returns the deaths that were not refuted in the probe period after the ping."""
+        unanswered = [
+            verification.death
+            for verification in self._pending.values()
+            if verification.pinged_at is not None
+            and now - verification.pinged_at >= self._settings.probe_period_s
         ]
-        for doubt in over:
-            del self._doubts[doubt.dead.address]
-        return [(doubt.dead, doubt.source) for doubt in over]
+        for death in unanswered:
+            del self._pending[death.dead.address]
+        return unanswered
--- a/larchgw/membership/dissemination.py
+++ b/larchgw/membership/dissemination.py
@@ -1,68 +1,79 @@
-"""Updates that still have to be passed on, each a bounded number of times and all at a bounded rate."""
+"""Updates that are to be passed on, each a bounded number of times and all at a bounded rate.
+
+Source: SWIM (Das and others, 2002), infection-style dissemination.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import ceil, log10
 
-from .codec import Update, encode_update
+from .codec import encode_update
 from .member import MemberState
+from .messages import Update
 from .settings import SwimSettings
 
 
 @dataclass(slots=True)
-class _Queued:
+class _QueuedUpdate:
     record: bytes
     state: MemberState
     sends: int = 0
 
     @property
     def rank(self) -> tuple[int, int]:
-        """The least goes first."""
+        """The lowest is sent first: the least sent, and among these refutations before suspicions."""
         return (self.sends, self.state)
 
 
 class Dissemination:
-    """The newest update for each address; those sent least go first, and among them refutations."""
+    """Queue of the newest update for each address, with a token bucket of bytes."""
 
     def __init__(self, settings: SwimSettings) -> None:
+        """Begins empty, with a full bucket."""
         self._settings = settings
-        self._queue: dict[str, _Queued] = {}
-        self._allowance = settings.update_burst_bytes
+        self._queue: dict[str, _QueuedUpdate] = {}
+        self._allowance_bytes = settings.update_burst_bytes
         self._refilled_at = 0.0
 
     def __len__(self) -> int:
+        """Returns how many updates are still to be passed on."""
         return len(self._queue)
 
     def add(self, update: Update) -> None:
-        """Replaces an older update for the same address. Over the limit the last in rank is dropped."""
+        """Queues an update in place of an older one for its address; over the limit the last in rank goes."""
         self._queue.pop(update.member.address, None)
-        self._queue[update.member.address] = _Queued(encode_update(update), update.member.state)
+        self._queue[update.member.address] = _QueuedUpdate(encode_update(update), update.member.state)
         if len(self._queue) > self._settings.max_queued_updates:
-            most_sent = max(self._queue, key=lambda address: self._queue[address].rank)
-            del self._queue[most_sent]
+            last = max(self._queue, key=lambda address: self._queue[address].rank)
+            del self._queue[last]
 
     def refill(self, now: float) -> None:
-        """Allows what the rate gives for the time since the last call."""
+        """Adds to the bucket what the rate gives for the time since the last call (seconds, monotonic)."""
         settings = self._settings
         added = settings.update_bytes_per_s * (now - self._refilled_at)
-        self._allowance = min(self._allowance + added, settings.update_burst_bytes)
+        self._allowance_bytes = min(self._allowance_bytes + added, settings.update_burst_bytes)
         self._refilled_at = now
 
-    def take(self, room: int, members: int) -> list[bytes]:
-        """Records for one datagram with so many bytes of room, among so many members."""
+    def next_records(self, free_bytes: int, members: int) -> list[bytes]:
+        """Returns records for one datagram and counts them as sent.
+
+        Args:
+            free_bytes: Room in the datagram.
+            members: Members that are present, which sets how often each update is sent.
+        """
         if not self._queue:
             return []
-        taken: list[bytes] = []
-        sends = self._settings.retransmit_multiplier * ceil(log10(members + 1))
-        room = min(room, int(self._allowance))
+        records: list[bytes] = []
+        max_sends = self._settings.retransmit_multiplier * ceil(log10(members + 1))
+        free_bytes = min(free_bytes, int(self._allowance_bytes))
         for address, queued in sorted(self._queue.items(), key=lambda item: item[1].rank):
-            if len(queued.record) > room:
+            if len(queued.record) > free_bytes:
                 continue
-            room -= len(queued.record)
-            self._allowance -= len(queued.record)
-            taken.append(queued.record)
+            free_bytes -= len(queued.record)
+            self._allowance_bytes -= len(queued.record)
+            records.append(queued.record)
             queued.sends += 1
-            if queued.sends >= sends:
+            if queued.sends >= max_sends:
                 del self._queue[address]
-        return taken
+        return records
--- /dev/null
+++ b/larchgw/membership/failure_detector.py
@@ -0,0 +1,147 @@
+"""SWIM's failure detector: one probe a period, direct and then indirect.
+
+The next member of a shuffled round is sent a ping. Without an answer in the probe timeout, a few others are
+asked to ping it. Without any answer by the end of the period it is suspect.
+
+Source: SWIM (Das and others, 2002), section 3.1; Lifeguard (Dadgar and others, 2018), local health
+multiplier.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+from .local_health import LocalHealth
+from .member_states import MemberStates
+from .outbound_datagrams import OutboundDatagrams
+from .relayed_probes import ProbeRequester, RelayedProbes
+from .settings import SwimSettings
+
+
+@dataclass(slots=True)
+class _Probe:
+    """A probe of one incarnation of a member.
+
+    Attributes:
+        sequence: Number of its ping and of its ping requests.
+        address: The probed member.
+        incarnation: Its incarnation.
+        relays_due_at: When other members are asked to ping it.
+        ends_at: When it has failed.
+        relays: How many members were asked.
+        nacks: How many of them reported that they have no answer either.
+        has_asked_relays: Whether that was done.
+    """
+
+    sequence: int
+    address: str
+    incarnation: int
+    relays_due_at: float
+    ends_at: float
+    relays: int = 0
+    nacks: int = 0
+    has_asked_relays: bool = False
+
+
+class FailureDetector:
+    """Probes members in turn, and probes for others that ask for it.
+
+    Times are seconds on the monotonic clock.
+    """
+
+    def __init__(
+        self,
+        settings: SwimSettings,
+        random_source: Random,
+        states: MemberStates,
+        local_health: LocalHealth,
+        outbound: OutboundDatagrams,
+    ) -> None:
+        """Begins without a probe; `random_source` spreads probes in time."""
+        self._settings = settings
+        self._random_source = random_source
+        self._states = states
+        self._local_health = local_health
+        self._outbound = outbound
+        self._relayed_probes = RelayedProbes()
+        self._probe: _Probe | None = None
+        self._failed_sequence: int | None = None
+        self._next_probe_at = 0.0
+
+    def tick(self, now: float) -> None:
+        """Reports on probes for others, and goes on with this process's own."""
+        for requester in self._relayed_probes.overdue(now):
+            self._outbound.add_nack(requester.address, requester.sequence)
+        self._advance_probe(now)
+
+    def abandon_probes(self) -> None:
+        """Drops all probes under way: this process did not run, and their answers may have been lost."""
+        self._probe = None
+        self._relayed_probes.clear()
+
+    def receive_ack(self, now: float, sequence: int) -> None:
+        """Ends the probe of that number, this process's own or one for another member."""
+        probe = self._probe
+        if probe is not None and probe.sequence == sequence:
+            self._probe = None
+            if now < probe.relays_due_at:
+                self._local_health.improve()
+            return
+        if sequence == self._failed_sequence:  # this process, or its link, is slow
+            self._failed_sequence = None
+            self._local_health.worsen()
+            return
+        requester = self._relayed_probes.receive_ack(sequence)
+        if requester is not None:
+            self._outbound.add_ack(requester.address, requester.sequence)
+
+    def receive_nack(self, sequence: int) -> None:
+        """Counts a relay that works and has no answer of the probed member."""
+        if self._probe is not None and self._probe.sequence == sequence:
+            self._probe.nacks += 1
+
+    def receive_ping_request(self, now: float, requester: ProbeRequester, target: str) -> None:
+        """Pings `target` for another member, unless too many such probes are under way."""
+        sequence = self._outbound.next_sequence()
+        nack_at = now + self._settings.nack_delay_s
+        ends_at = now + self._settings.probe_period_s
+        if self._relayed_probes.add(sequence, requester, nack_at, ends_at):
+            self._outbound.add_ping(target, self._states.table.get(target), sequence)
+
+    def _advance_probe(self, now: float) -> None:
+        probe = self._probe
+        if probe is not None and now >= probe.ends_at:
+            self._probe = None
+            self._fail(now, probe)
+        elif probe is not None and not probe.has_asked_relays and now >= probe.relays_due_at:
+            self._ask_relays(probe)
+        if self._probe is None and now >= self._next_probe_at:
+            self._start_probe(now)
+
+    def _start_probe(self, now: float) -> None:
+        address = self._states.probe_order.next(self._states.is_present_peer)
+        member = None if address is None else self._states.table.get(address)
+        if member is None:
+            return
+        multiplier = self._local_health.multiplier
+        period_s = self._settings.probe_period_s * multiplier
+        sequence = self._outbound.next_sequence()
+        relays_due_at = now + self._settings.probe_timeout_s * multiplier
+        self._probe = _Probe(sequence, member.address, member.incarnation, relays_due_at, now + period_s)
+        self._next_probe_at = now + period_s * self._random_source.uniform(0.95, 1.05)
+        self._outbound.add_ping(member.address, member, sequence)
+
+    def _ask_relays(self, probe: _Probe) -> None:
+        probe.has_asked_relays = True
+        for relay in self._states.sample_peers(self._settings.indirect_probes, without=probe.address):
+            probe.relays += 1
+            self._outbound.add_ping_request(relay, probe.sequence, probe.address)
+
+    def _fail(self, now: float, probe: _Probe) -> None:
+        self._failed_sequence = probe.sequence
+        is_recovering = self._local_health.is_recovering(now)
+        missing_nacks = probe.relays - probe.nacks
+        self._local_health.worsen(missing_nacks if probe.relays else 1)
+        if not is_recovering:
+            self._states.suspect(now, probe.address, probe.incarnation)
--- a/larchgw/membership/member.py
+++ b/larchgw/membership/member.py
@@ -1,24 +1,22 @@
-"""What is known of one process."""
+"""One process as membership knows it."""
 
 from __future__ import annotations
 
-import socket
 from dataclasses import dataclass
 from enum import IntEnum
-from functools import lru_cache
 from typing import Literal
 
+from .addresses import pack_address
+from .errors import InvalidMemberError
+
 Role = Literal["edge", "control"]
 
 MAX_TEXT_BYTES = 64  # of a name or a zone, so that several records fit into a datagram
-
-
-class InvalidMemberError(ValueError):
-    """A member cannot be described in a datagram; the message says what to change."""
+MAX_INCARNATION = (1 << 63) - 1
 
 
 class MemberState(IntEnum):
-    """The order is that of precedence among reports on the same incarnation and refutation."""
+    """State of a member; of two updates on the same incarnation and refutation the greater state holds."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,11 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One life of the process at `address` ("host:port", IPv4).
-
-    `incarnation` tells one life from the next at the same address: the process takes the time of day at its
-    start, in milliseconds. `refutations` counts how often this life has contradicted a suspicion.
-    `address_rpc` is empty where the process serves no calls.
+    """One incarnation of the process at `address`.
+
+    What SWIM calls the incarnation number has two parts here, compared in this order: `incarnation` tells one
+    run of the process from the next, `refutations` counts within it.
+
+    Attributes:
+        name: The node's name, for people.
+        address: Address of its membership socket, "host:port" with an IPv4 host.
+        role: What the process is.
+        incarnation: The process's start, in milliseconds of its wall clock. Where an earlier incarnation's
+            clock ran ahead, the first greater value.
+        zone: Its failure domain.
+        address_rpc: Address where it serves rpc, empty where it serves none.
+        refutations: How often this incarnation has refuted a suspicion of itself.
+        state: What the author of the record holds it to be.
     """
 
     name: str
@@ -46,7 +54,7 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Of two reports on one address the greater holds."""
+        """Of two records of one address the one with the greater precedence holds."""
         return (self.incarnation, self.refutations, self.state)
 
     @property
@@ -56,30 +64,18 @@
 
 
 def check_member(member: Member) -> None:
-    """Raises InvalidMemberError if it cannot be described in a datagram."""
-    for text, what in ((member.name, "name"), (member.zone, "zone")):
+    """Checks that a datagram can describe the member.
+
+    Raises:
+        InvalidMemberError: If it cannot.
+    """
+    for text, field in ((member.name, "name"), (member.zone, "zone")):
         if len(text.encode()) > MAX_TEXT_BYTES:
-            raise InvalidMemberError(f"{what} {text!r} is over {MAX_TEXT_BYTES} bytes; shorten it")
+            message = f"{field} {text!r} is over {MAX_TEXT_BYTES} bytes; shorten it"
+            raise InvalidMemberError(field, text, message)
     pack_address(member.address)
     if member.address_rpc:
         pack_address(member.address_rpc)
-    if not 0 <= member.incarnation < 1 << 63:
-        raise InvalidMemberError(f"incarnation {member.incarnation} is out of range; give milliseconds")
-
-
-@lru_cache(maxsize=2048)
-def pack_address(address: str) -> bytes:
-    """Six bytes: IPv4 and port. Raises InvalidMemberError."""
-    host, _, port = address.rpartition(":")
-    try:
-        return socket.inet_aton(host) + int(port).to_bytes(2, "big")
-    except (OSError, ValueError, OverflowError):
-        raise InvalidMemberError(
-            f"{address!r} is no IPv4 address and port; give one as 10.0.0.1:7660"
-        ) from None
-
-
-@lru_cache(maxsize=2048)
-def unpack_address(data: bytes) -> str:
-    """The address in six bytes."""
-    return f"{socket.inet_ntoa(data[:4])}:{int.from_bytes(data[4:6], 'big')}"
+    if not 0 <= member.incarnation <= MAX_INCARNATION:
+        message = f"incarnation {member.incarnation} is out of range; give milliseconds"
+        raise InvalidMemberError("incarnation", member.incarnation, message)
--- a/larchgw/membership/member_states.py
+++ b/larchgw/membership/member_states.py
@@ -1,4 +1,4 @@
-"""What this process holds to be true of all members, and how reports change it."""
+"""What this process holds to be the state of all members, and how updates change it."""
 
 from __future__ import annotations
 
@@ -6,174 +6,237 @@
 from dataclasses import replace
 from random import Random
 
-from .codec import Update
-from .death_verification import Doubts
+from .death_verification import DeathVerification
 from .dissemination import Dissemination
 from .local_health import LocalHealth
 from .member import Member, MemberState
-from .probing import RoundRobin
+from .member_table import MemberTable
+from .messages import Update
+from .probe_order import ProbeOrder
 from .settings import SwimSettings
-from .suspicion import Suspicions
-from .table import MemberTable
+from .suspicion import SuspicionTimers
 
 
-class Knowledge:
-    """Merges reports by precedence, refutes those on this process, and passes news on."""
+class MemberStates:
+    """The states of all members: merges updates by precedence, refutes suspicions of this process, passes on.
 
-    def __init__(self, me: Member, settings: SwimSettings, random: Random, health: LocalHealth) -> None:
+    Times are seconds on the monotonic clock.
+
+    Attributes:
+        me: This process's record of itself.
+        table: The records of all members.
+        probe_order: The members in the order in which they are probed.
+        dissemination: Updates to be passed on.
+        suspicions: Timers of suspected members.
+        reconnect_candidates: Addresses of members that are dead here and alive at another member, in the
+            order heard.
+        on_change: Called with each record whose state or incarnation changed.
+    """
+
+    def __init__(
+        self, me: Member, settings: SwimSettings, random_source: Random, local_health: LocalHealth
+    ) -> None:
+        """Begins with this process as the one member."""
         self.me = me
-        self.table = MemberTable(random)
-        self.order = RoundRobin(random)
-        self.news = Dissemination(settings)
+        self.table = MemberTable(random_source)
+        self.probe_order = ProbeOrder(random_source)
+        self.dissemination = Dissemination(settings)
+        self.suspicions = SuspicionTimers(settings)
+        self.reconnect_candidates: dict[str, None] = {}
         self.on_change: Callable[[Member], None] | None = None
-        self.reconnect: dict[str, None] = {}  # dead here, alive to another member; in the order heard
         self._settings = settings
-        self._health = health
-        self.suspicions = Suspicions(settings)
-        self.doubts = Doubts(settings)
-        self._gone_since: dict[str, float] = {}
+        self._local_health = local_health
+        self._death_verification = DeathVerification(settings)
+        self._ended_at: dict[str, float] = {}
         self.table.put(me)
 
-    def hear(self, now: float, update: Update, source: str) -> bool:
-        """A report that came as gossip from the member `source`. Whether it is news.
+    # Questions
+
+    def is_present(self, address: str) -> bool:
+        """Whether a member at the address is alive or suspect."""
+        member = self.table.get(address)
+        return member is not None and member.is_present
+
+    def is_present_peer(self, address: str) -> bool:
+        """Whether a member other than this process is alive or suspect at the address."""
+        return address != self.me.address and self.is_present(address)
+
+    def sample_peers(self, number: int, without: str = "") -> list[str]:
+        """Returns the addresses of up to `number` present members other than this process and `without`."""
+        return self.table.sample(number, frozenset((self.me.address, without)))
+
+    def dead(self) -> list[Member]:
+        """Returns members that ended without leaving, as long as they are remembered."""
+        ended = (self.table.get(address) for address in self._ended_at)
+        return [member for member in ended if member is not None and member.state is MemberState.DEAD]
+
+    # Events
+
+    def receive_gossip(self, now: float, update: Update, source: str) -> bool:
+        """Merges an update that rode on a message of the member at `source`.
 
         A death is believed only of a member that has been suspect here for a while. Where the suspicion did
-        not come well before it, its author may have been cut off.
+        not come well before it, its author may have been cut off, and the death is verified first.
+
+        Returns:
+            Whether it changed anything here.
         """
         member = update.member
-        if self._is_death_of_present(member) and not self.suspicions.matured(now, member.address):
-            self.doubts.add(member, source)
+        if self._is_death_of_present(member) and not self.suspicions.is_mature(now, member.address):
+            self._death_verification.add(member, source)
             return False
-        return self._merge(now, update, gossiped=True)
+        return self._merge(now, update, is_gossip=True)
 
-    def compare(self, now: float, update: Update, source: str) -> bool:
-        """A report out of the table of `source`. Whether it is news.
+    def receive_table_record(self, now: float, update: Update, source: str) -> bool:
+        """Merges a record out of the table of the member at `source`.
 
-        A death in it may be one that a partition made up. News are not passed on, as all members compare
-        tables.
+        A death in it may be one that a partition made up, and is verified first. Changes are not passed on,
+        as all members compare tables.
+
+        Returns:
+            Whether it changed anything here.
         """
         if self._is_death_of_present(update.member):
-            self.doubts.add(update.member, source)
+            self._death_verification.add(update.member, source)
             return False
-        return self._merge(now, update, gossiped=False)
+        return self._merge(now, update, is_gossip=False)
 
     def suspect(self, now: float, address: str, incarnation: int) -> None:
-        """This process's own probe of that life failed."""
+        """Suspects a member because this process's own probe of that incarnation failed."""
         known = self.table.get(address)
         if known is None or not known.is_present or known.incarnation != incarnation:
             return
         suspect = replace(known, state=MemberState.SUSPECT)
-        self._merge(now, Update(suspect, self.me.address), gossiped=True)
+        self._merge(now, Update(suspect, self.me.address), is_gossip=True)
 
     def leave(self) -> None:
-        """This process ends by plan."""
-        self._describe_self(replace(self.me, state=MemberState.LEFT))
+        """Marks this process as leaving by plan."""
+        self._replace_self(replace(self.me, state=MemberState.LEFT))
 
-    def postpone(self, seconds: float) -> None:
-        """This process did not run for so long: suspicions go on that much longer."""
-        self.suspicions.postpone(seconds)
+    def next_death_to_verify(self, now: float) -> Member | None:
+        """Returns the record, as dead, of the member to ping now because its death was reported, if any."""
+        return self._death_verification.next_to_ping(now, self._is_death_of_present)
 
     def tick(self, now: float) -> None:
-        """Declares dead who did not refute in time, and forgets who has been gone for long."""
-        self.news.refill(now)
-        for dead, source in self.doubts.unanswered(now):
-            if self._is_death_of_present(dead):
-                self._merge(now, Update(replace(dead, state=MemberState.SUSPECT), source), gossiped=True)
+        """Suspects members whose reported death stood, declares suspects dead, forgets members long ended."""
+        self.dissemination.refill(now)
+        self._suspect_unrefuted_deaths(now)
+        self._declare_expired_suspects_dead(now)
+        self._forget_ended(now)
+
+    def validate(self) -> None:
+        """Checks the invariants between the parts of this state.
+
+        Raises:
+            AssertionError: If one is broken; it names it.
+        """
+        self.table.validate()
+        assert self.table.get(self.me.address) == self.me, "the table's record of this process differs"
+        others = [member for member in self.table.records() if member.address != self.me.address]
+        suspects = {member.address for member in others if member.state is MemberState.SUSPECT}
+        assert self.suspicions.addresses() == suspects, "suspects without timer, or timers without suspect"
+        ended = {member.address for member in others if not member.is_present}
+        assert set(self._ended_at) == ended, "ended members differ from those to be forgotten"
+        assert set(self.reconnect_candidates) <= ended, "a candidate to reconnect that has not ended"
+
+    def _suspect_unrefuted_deaths(self, now: float) -> None:
+        for death in self._death_verification.take_unanswered(now):
+            if self._is_death_of_present(death.dead):
+                suspect = replace(death.dead, state=MemberState.SUSPECT)
+                self._merge(now, Update(suspect, death.source), is_gossip=True)
+
+    def _declare_expired_suspects_dead(self, now: float) -> None:
         for address in self.suspicions.expired(now):
             known = self.table.get(address)
             if known is not None:
-                self._accept(now, known, Update(replace(known, state=MemberState.DEAD)), gossiped=True)
-        while self._gone_since:
-            address, since = next(iter(self._gone_since.items()))
-            if now - since < self._settings.dead_retention_s:
-                break
-            self._forget(address)
+                dead = replace(known, state=MemberState.DEAD)
+                self._apply(now, known, Update(dead), is_gossip=True)
 
-    def death_to_ask_about(self, now: float) -> Member | None:
-        """A reported death that its member may contradict, and is to be asked about now."""
-        return self.doubts.ask(now, self._is_death_of_present)
-
-    def dead(self) -> list[Member]:
-        """Members that ended without leaving, as long as they are remembered."""
-        gone = (self.table.get(address) for address in self._gone_since)
-        return [member for member in gone if member is not None and member.state is MemberState.DEAD]
+    def _forget_ended(self, now: float) -> None:
+        while self._ended_at:
+            address, ended_at = next(iter(self._ended_at.items()))
+            if now - ended_at < self._settings.dead_retention_s:
+                break
+            del self._ended_at[address]
+            self.reconnect_candidates.pop(address, None)
+            self.table.forget(address)
 
-    def _is_death_of_present(self, heard: Member) -> bool:
-        """Whether it ends a life that is present here and has not contradicted it."""
-        known = self.table.get(heard.address)
+    def _is_death_of_present(self, reported: Member) -> bool:
+        """Whether it is the death of an incarnation that is present here and has not refuted it."""
+        known = self.table.get(reported.address)
         return (
-            heard.state is MemberState.DEAD
+            reported.state is MemberState.DEAD
             and known is not None
             and known.is_present
             and known.address != self.me.address
-            and known.incarnation == heard.incarnation
-            and known.precedence < heard.precedence
+            and known.incarnation == reported.incarnation
+            and known.precedence < reported.precedence
         )
 
-    def _merge(self, now: float, update: Update, gossiped: bool) -> bool:
-        heard = update.member
-        if heard.address == self.me.address:
-            return self._hear_of_self(heard)
-        known = self.table.get(heard.address)
+    # Merging
+
+    def _merge(self, now: float, update: Update, is_gossip: bool) -> bool:
+        reported = update.member
+        if reported.address == self.me.address:
+            return self._receive_about_self(reported)
+        known = self.table.get(reported.address)
         if known is None:
-            if not heard.is_present:  # nothing to end; a stale report must not keep a forgotten member known
+            if (
+                not reported.is_present
+            ):  # nothing to end; stale updates must not keep a forgotten member known
                 return False
-            self._accept(now, None, update, gossiped)
+            self._apply(now, None, update, is_gossip)
             return True
-        if heard.precedence > known.precedence:
-            self._accept(now, known, update, gossiped)
+        if reported.precedence > known.precedence:
+            self._apply(now, known, update, is_gossip)
             return True
-        if heard.precedence == known.precedence and heard.state is MemberState.SUSPECT:
-            self._confirm(update)
-        elif heard.is_present and known.state is MemberState.DEAD and not gossiped:
-            self.reconnect[heard.address] = None
+        if reported.precedence == known.precedence and reported.state is MemberState.SUSPECT:
+            self._confirm_suspicion(update)
+        elif reported.is_present and known.state is MemberState.DEAD and not is_gossip:
+            self.reconnect_candidates[reported.address] = None
         return False
 
-    def _hear_of_self(self, heard: Member) -> bool:
+    def _receive_about_self(self, reported: Member) -> bool:
+        """Refutes a suspicion or death of this process; returns whether its record changed."""
         me = self.me
-        if me.state is MemberState.LEFT or heard.precedence <= me.precedence:
+        if me.state is MemberState.LEFT or reported.precedence <= me.precedence:
             return False
-        if heard.incarnation > me.incarnation:  # an earlier life had a clock that ran ahead
-            self._describe_self(replace(me, incarnation=heard.incarnation + 1, refutations=0))
+        if reported.incarnation > me.incarnation:  # an earlier incarnation had a clock that ran ahead
+            self._replace_self(replace(me, incarnation=reported.incarnation + 1, refutations=0))
             return True
-        self._health.worsen()
-        self._describe_self(replace(me, refutations=heard.refutations + 1))
+        self._local_health.worsen()
+        self._replace_self(replace(me, refutations=reported.refutations + 1))
         return True
 
-    def _describe_self(self, me: Member) -> None:
+    def _replace_self(self, me: Member) -> None:
         self.me = me
         self.table.put(me)
-        self.news.add(Update(me))
+        self.dissemination.add(Update(me))
 
-    def _confirm(self, update: Update) -> None:
+    def _confirm_suspicion(self, update: Update) -> None:
         if update.accuser and self.suspicions.confirm(update.member.address, update.accuser):
-            self.news.add(update)
+            self.dissemination.add(update)
 
-    def _accept(self, now: float, known: Member | None, update: Update, gossiped: bool) -> None:
+    def _apply(self, now: float, known: Member | None, update: Update, is_gossip: bool) -> None:
         member = update.member
         address = member.address
         if known is not None and known.is_present and known.incarnation != member.incarnation:
-            self._report(replace(known, state=MemberState.DEAD))
+            self._notify(replace(known, state=MemberState.DEAD))
         self.table.put(member)
-        self._gone_since.pop(address, None)
+        self._ended_at.pop(address, None)
         self.suspicions.clear(address)
         if member.is_present:
-            self.order.add(address)
-            self.reconnect.pop(address, None)
+            self.probe_order.add(address)
+            self.reconnect_candidates.pop(address, None)
         else:
-            self._gone_since[address] = now
+            self._ended_at[address] = now
         if member.state is MemberState.SUSPECT:
             self.suspicions.start(now, address, update.accuser, self.table.present_count())
-        if gossiped:
-            self.news.add(update)
+        if is_gossip:
+            self.dissemination.add(update)
         if known is None or (known.incarnation, known.state) != (member.incarnation, member.state):
-            self._report(member)
-
-    def _forget(self, address: str) -> None:
-        del self._gone_since[address]
-        self.reconnect.pop(address, None)
-        self.table.forget(address)
+            self._notify(member)
 
-    def _report(self, member: Member) -> None:
+    def _notify(self, member: Member) -> None:
         if self.on_change is not None:
             self.on_change(member)
--- a/larchgw/membership/table.py
+++ b/larchgw/membership/member_table.py
@@ -8,12 +8,13 @@
 from random import Random
 from zlib import crc32
 
-from .codec import BUCKETS, Cursor
+from .codec import BUCKETS
 from .member import Member, Role
+from .messages import Cursor
 
 
 def bucket_of(address: str) -> int:
-    """The part of the table in which an address stands."""
+    """Returns the number of the bucket to which an address belongs."""
     return crc32(address.encode()) % BUCKETS
 
 
@@ -22,12 +23,20 @@
 
 
 class MemberTable:
-    """One record for each address. Digests cover which lives are present, not whether they are suspect."""
+    """One record for each address, ordered by bucket and address.
 
-    def __init__(self, random: Random) -> None:
-        self.digest = 0  # of all buckets together
+    Digests cover which incarnations are present, not whether they are suspect.
+
+    Attributes:
+        digest: Digest of the whole table.
+        buckets: Digest of each bucket.
+    """
+
+    def __init__(self, random_source: Random) -> None:
+        """Begins empty; `random_source` draws samples."""
+        self.digest = 0
         self.buckets = [0] * BUCKETS
-        self._random = random
+        self._random_source = random_source
         self._members: dict[str, Member] = {}
         self._order: list[tuple[int, str]] = []
         self._present: list[str] = []
@@ -35,11 +44,11 @@
         self._counts: Counter[str] = Counter()
 
     def get(self, address: str) -> Member | None:
-        """What is known of the address, ended lives included."""
+        """Returns the record of the address, which may be of a member that ended."""
         return self._members.get(address)
 
     def put(self, member: Member) -> None:
-        """Replaces what is known of its address."""
+        """Replaces the record of the member's address."""
         self._withdraw(member.address)
         if member.address not in self._members:
             insort(self._order, (bucket_of(member.address), member.address))
@@ -50,47 +59,76 @@
             self._present.append(member.address)
 
     def forget(self, address: str) -> None:
-        """Drops the record of the address, if there is one."""
+        """Removes the record of the address, if there is one."""
         self._withdraw(address)
         if self._members.pop(address, None) is not None:
             key = (bucket_of(address), address)
             del self._order[bisect_left(self._order, key)]
 
+    def records(self) -> list[Member]:
+        """Returns all records, those of members that ended among them."""
+        return list(self._members.values())
+
     def present(self, role: Role | None = None) -> list[Member]:
-        """Alive and suspect members."""
+        """Returns the members that are alive or suspect, of one role or all."""
         members = (self._members[address] for address in self._present)
         return [member for member in members if role is None or member.role == role]
 
     def present_count(self) -> int:
-        """How many members are alive or suspect."""
+        """Returns how many members are alive or suspect."""
         return len(self._present)
 
     def count(self, role: Role) -> int:
-        """How many members of the role are alive or suspect."""
+        """Returns how many members of the role are alive or suspect."""
         return self._counts[role]
 
     def sample(self, number: int, without: frozenset[str]) -> list[str]:
-        """Addresses of up to `number` different present members, drawn at random."""
+        """Returns the addresses of up to `number` different present members, drawn at random."""
         if number == 1:  # the frequent case, which needs no copy of the whole
             return self._sample_one(without)
         candidates = [address for address in self._present if address not in without]
-        return self._random.sample(candidates, min(number, len(candidates)))
+        return self._random_source.sample(candidates, min(number, len(candidates)))
 
     def differing(self, buckets: tuple[int, ...], after: Cursor) -> Iterator[Member]:
-        """Members in the buckets whose digests differ from `buckets`, in order, from behind the cursor."""
+        """Yields the members in buckets whose digest differs, in order.
+
+        Args:
+            buckets: Digests of the other table's buckets.
+            after: The position behind which to begin.
+        """
         start = bisect_right(self._order, (after.bucket, after.address))
         for bucket, address in self._order[start:]:
             if buckets[bucket] != self.buckets[bucket]:
                 yield self._members[address]
 
     def cursor_at(self, address: str) -> Cursor:
-        """The place of an address."""
+        """Returns the position of an address."""
         return Cursor(bucket_of(address), address)
 
+    def validate(self) -> None:
+        """Checks that digests, order and counts are those of the records.
+
+        Raises:
+            AssertionError: If they are not; it names the part that is wrong.
+        """
+        present = [member for member in self._members.values() if member.is_present]
+        buckets = [0] * BUCKETS
+        for member in present:
+            buckets[bucket_of(member.address)] ^= _hash_of(member)
+        digest = 0
+        for bucket in buckets:
+            digest ^= bucket
+        assert self.buckets == buckets, "digests of buckets differ from the records"
+        assert self.digest == digest, "the digest differs from the records"
+        assert self._order == sorted((bucket_of(a), a) for a in self._members), "the order is broken"
+        assert sorted(self._present) == sorted(m.address for m in present), "present members differ"
+        assert all(self._present[place] == a for a, place in self._position.items()), "positions differ"
+        assert +self._counts == Counter(m.role for m in present), "counts by role differ"
+
     def _sample_one(self, without: frozenset[str]) -> list[str]:
         if not self._present:
             return []
-        start = self._random.randrange(len(self._present))
+        start = self._random_source.randrange(len(self._present))
         for offset in range(len(self._present)):
             address = self._present[(start + offset) % len(self._present)]
             if address not in without:
--- a/larchgw/membership/seeds.py
+++ b/larchgw/membership/seeds.py
@@ -1,4 +1,4 @@
-"""When to turn to a seed. A seed is an address to ask, not a member."""
+"""When to ask a seed. A seed is an address to ask, not a member."""
 
 from __future__ import annotations
 
@@ -7,47 +7,57 @@
 
 from .settings import SwimSettings
 
-BACKOFF = 1.5
+BACKOFF_FACTOR = 1.5
 
 
 class Seeds:
-    """Asked in turn with backoff while nobody is known, and now and then those that are not members."""
+    """Seeds, asked in turn: with backoff while no member is known, and now and then those that are none.
 
-    def __init__(self, settings: SwimSettings, random: Random) -> None:
+    Times are seconds on the monotonic clock.
+    """
+
+    def __init__(self, settings: SwimSettings, random_source: Random) -> None:
+        """Begins without seeds; `random_source` draws their order and pauses."""
         self._settings = settings
-        self._random = random
+        self._random_source = random_source
         self._addresses: list[str] = []
         self._next = 0
-        self._period = settings.min_join_period_s
-        self._due_at: float | None = None  # not before the first turn has drawn it
+        self._period_s = settings.min_join_period_s
+        self._due_at: float | None = None  # drawn by the first call of `next_due`
 
-    def set(self, addresses: Sequence[str]) -> None:
+    def replace(self, addresses: Sequence[str]) -> None:
         """Replaces the seeds. Where these are others than before, they are asked at once."""
-        wanted = list(dict.fromkeys(addresses))
-        if sorted(wanted) == sorted(self._addresses):
+        unique = list(dict.fromkeys(addresses))
+        if sorted(unique) == sorted(self._addresses):
             return
-        self._random.shuffle(wanted)
-        self._addresses = wanted
+        self._random_source.shuffle(unique)
+        self._addresses = unique
         self._next = 0
-        self._period = self._settings.min_join_period_s
+        self._period_s = self._settings.min_join_period_s
         self._due_at = None
 
-    def due(self, now: float, alone: bool, is_member: Callable[[str], bool]) -> str | None:
-        """The seed to ask now, if any."""
+    def next_due(self, now: float, is_alone: bool, is_member: Callable[[str], bool]) -> str | None:
+        """Returns the seed to ask now, if any.
+
+        Args:
+            now: The time.
+            is_alone: Whether no other member is known.
+            is_member: Whether a member is present at an address, which need not be asked then.
+        """
         if self._due_at is None:  # processes started together must not ask all at once
-            self._due_at = now + self._random.uniform(0.0, self._settings.min_join_period_s)
+            self._due_at = now + self._random_source.uniform(0.0, self._settings.min_join_period_s)
         if now < self._due_at:
             return None
-        address = self._turn(is_member)
-        if alone:
-            self._wait(now, self._period)
-            self._period = min(self._period * BACKOFF, self._settings.max_join_period_s)
+        address = self._next_absent(is_member)
+        if is_alone:
+            self._schedule_next(now, self._period_s)
+            self._period_s = min(self._period_s * BACKOFF_FACTOR, self._settings.max_join_period_s)
         else:
-            self._period = self._settings.min_join_period_s
-            self._wait(now, self._settings.seed_period_s)
+            self._period_s = self._settings.min_join_period_s
+            self._schedule_next(now, self._settings.seed_period_s)
         return address
 
-    def _turn(self, is_member: Callable[[str], bool]) -> str | None:
+    def _next_absent(self, is_member: Callable[[str], bool]) -> str | None:
         for _ in self._addresses:
             address = self._addresses[self._next % len(self._addresses)]
             self._next += 1
@@ -55,5 +65,5 @@
                 return address
         return None
 
-    def _wait(self, now: float, period: float) -> None:
-        self._due_at = now + period * self._random.uniform(0.5, 1.5)
+    def _schedule_next(self, now: float, period_s: float) -> None:
+        self._due_at = now + period_s * self._random_source.uniform(0.5, 1.5)
--- a/larchgw/membership/suspicion.py
+++ b/larchgw/membership/suspicion.py
@@ -1,4 +1,7 @@
-"""Timers of suspected members, which shorten as independent members confirm the suspicion (Lifeguard)."""
+"""Timers of suspected members, which shorten as independent members confirm the suspicion.
+
+Source: Dadgar, Phillips, Currey, "Lifeguard" (2018), dynamic suspicion timeouts.
+"""
 
 from __future__ import annotations
 
@@ -7,83 +10,95 @@
 
 from .settings import SwimSettings
 
-MATURE_SHARE = 0.5  # of the shortest suspicion; the rest is for the time that a suspicion takes to spread
+MATURITY_FRACTION = (
+    0.5  # of the shortest suspicion; the rest is for the time that a suspicion takes to spread
+)
 
 
 @dataclass(slots=True)
 class _Suspicion:
-    started: float
-    shortest: float
-    longest: float
-    wanted: int
+    started_at: float
+    shortest_s: float
+    longest_s: float
+    max_confirmations: int
     accusers: set[str]
-    called_at: float | None = None
+    pinged_at: float | None = None
 
     @property
     def deadline(self) -> float:
-        if self.wanted <= 0:
-            return self.started + self.shortest
-        confirmations = min(len(self.accusers) - 1, self.wanted)
-        share = log(confirmations + 1) / log(self.wanted + 1)
-        return self.started + self.longest - (self.longest - self.shortest) * share
+        """The end of the suspicion: falls from the longest to the shortest with the log of confirmations."""
+        if self.max_confirmations <= 0:
+            return self.started_at + self.shortest_s
+        confirmations = min(len(self.accusers) - 1, self.max_confirmations)
+        shortened = log(confirmations + 1) / log(self.max_confirmations + 1)
+        return self.started_at + self.longest_s - (self.longest_s - self.shortest_s) * shortened
 
 
-class Suspicions:
-    """One timer for each suspected address."""
+class SuspicionTimers:
+    """One timer for each suspected address. Times are seconds on the monotonic clock."""
 
     def __init__(self, settings: SwimSettings) -> None:
+        """Begins without any."""
         self._settings = settings
         self._running: dict[str, _Suspicion] = {}
 
+    def addresses(self) -> set[str]:
+        """Returns the addresses that are suspected."""
+        return set(self._running)
+
     def start(self, now: float, address: str, accuser: str, members: int) -> None:
-        """Begins, or begins anew, the suspicion of a member; `members` are present."""
+        """Starts, or starts anew, the timer of a member that `accuser` suspects; `members` are present."""
         settings = self._settings
-        shortest = settings.suspicion_multiplier * settings.probe_period_s * max(log10(max(members, 1)), 1.0)
-        wanted = min(settings.suspicion_confirmations, members - 3)  # not it, its accuser or this one
-        longest = shortest * settings.max_suspicion_multiplier
-        self._running[address] = _Suspicion(now, shortest, longest, wanted, {accuser})
+        scale = max(log10(max(members, 1)), 1.0)
+        shortest_s = settings.suspicion_multiplier * settings.probe_period_s * scale
+        longest_s = shortest_s * settings.max_suspicion_multiplier
+        others = members - 3  # not the suspect, its accuser or this process
+        max_confirmations = min(settings.suspicion_confirmations, others)
+        self._running[address] = _Suspicion(now, shortest_s, longest_s, max_confirmations, {accuser})
 
     def confirm(self, address: str, accuser: str) -> bool:
-        """Another member suspects it too. Whether that is news worth passing on."""
+        """Counts another accuser; returns whether its suspicion is worth passing on."""
         suspicion = self._running.get(address)
         if suspicion is None or accuser in suspicion.accusers:
             return False
-        if len(suspicion.accusers) > suspicion.wanted:
+        if len(suspicion.accusers) > suspicion.max_confirmations:
             return False
         suspicion.accusers.add(accuser)
         return True
 
-    def matured(self, now: float, address: str) -> bool:
-        """Whether it has run long enough here that the member could have refuted it."""
+    def is_mature(self, now: float, address: str) -> bool:
+        """Whether the suspicion has run long enough here that the member could have refuted it."""
         suspicion = self._running.get(address)
-        return suspicion is not None and now - suspicion.started >= suspicion.shortest * MATURE_SHARE
+        if suspicion is None:
+            return False
+        return now - suspicion.started_at >= suspicion.shortest_s * MATURITY_FRACTION
 
     def clear(self, address: str) -> None:
-        """The suspicion is refuted or confirmed."""
+        """Stops the timer of an address whose suspicion was refuted or has become a death."""
         self._running.pop(address, None)
 
-    def postpone(self, seconds: float) -> None:
-        """This process did not run for so long, and could not hear a refutation."""
+    def extend(self, seconds: float) -> None:
+        """Extends all suspicions by a time in which this process could not receive a refutation."""
         for suspicion in self._running.values():
-            suspicion.started += seconds
-            suspicion.called_at = None
+            suspicion.started_at += seconds
+            suspicion.pinged_at = None
 
-    def last_call(self, now: float) -> str | None:
-        """A member whose suspicion ends soon and that was not named here before."""
+    def next_to_ping(self, now: float) -> str | None:
+        """Returns a member whose suspicion ends soon and that has not been pinged for that yet."""
         soon = now + self._settings.final_ping_lead_s
         for address, suspicion in self._running.items():
-            if suspicion.called_at is None and suspicion.deadline <= soon:
-                suspicion.called_at = now
+            if suspicion.pinged_at is None and suspicion.deadline <= soon:
+                suspicion.pinged_at = now
                 return address
         return None
 
     def expired(self, now: float) -> list[str]:
-        """Addresses whose suspicion was not refuted in time, nor the last call answered."""
-        called_before = now - self._settings.probe_timeout_s
+        """Returns the addresses that neither refuted their suspicion nor answered the final ping in time."""
+        pinged_before = now - self._settings.probe_timeout_s
         return [
             address
             for address, suspicion in self._running.items()
-            if suspicion.called_at is not None
-            and suspicion.called_at <= called_before
+            if suspicion.pinged_at is not None
+            and suspicion.pinged_at <= pinged_before
             and suspicion.deadline <= now
         ]
--- a/larchgw/membership/transport.py
+++ b/larchgw/membership/transport.py
@@ -13,13 +13,18 @@
 
 log = structlog.get_logger()
 
-TICK = 0.1  # seconds
+TICK_S = 0.1
 
 
 class SwimTransport(asyncio.DatagramProtocol):
-    """Carries the datagrams of `swim`, bound to `host` and `port`, which must be its member's address."""
+    """Carries the datagrams of one `Swim` and ticks it. Belongs to the running asyncio loop.
+
+    Attributes:
+        swim: The protocol.
+    """
 
     def __init__(self, swim: Swim, host: str, port: int) -> None:
+        """Binds nothing yet; `host` and `port` must be the address of the member that `swim` is."""
         self.swim = swim
         self._host = host
         self._port = port
@@ -27,18 +32,22 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Binds the socket and begins to tick. Raises OSError if the port is taken."""
+        """Binds the socket and begins to tick.
+
+        Raises:
+            OSError: If the port is taken.
+        """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(self._host, self._port))
         self._tick()
 
     def leave(self) -> None:
-        """Tells other members that this process ends by plan, and closes."""
+        """Notifies other members that this process ends by plan, and closes."""
         self._send(self.swim.leave(monotonic()))
         self.close()
 
     def close(self) -> None:
-        """Ends without a word to the others."""
+        """Closes the socket without notifying other members."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -47,19 +56,19 @@
             self._transport = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is bound (asyncio's call)."""
+        """Keeps the bound socket (asyncio's callback)."""
         self._transport = cast(asyncio.DatagramTransport, transport)  # asyncio's own is no subclass of it
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """A datagram has come (asyncio's call); what it is answered with is sent at once."""
+        """Receives a datagram and sends the answers at once (asyncio's callback)."""
         self._send(self.swim.receive(monotonic(), f"{addr[0]}:{addr[1]}", data))
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's port is closed, or a link is full: datagrams are lost now and then anyway."""
+        """Logs a closed port of a peer or a full link; lost datagrams are expected (asyncio's callback)."""
         log.debug("membership.send_failed", error=str(exc))
 
     def _tick(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
+        self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
         self._send(self.swim.tick(monotonic()))
 
     def _send(self, datagrams: Iterable[Datagram]) -> None:
--- a/tests/membership/test_recorded_bytes.py
+++ b/tests/membership/test_recorded_bytes.py
@@ -12,8 +12,21 @@
 import pytest
 
 from larchgw.emulator.datagrams import DatagramNetwork, Link
-from larchgw.membership.codec import BUCKETS, Cursor, Draft, Kind, Message, Update, decode
+from larchgw.membership.codec import BUCKETS, DatagramBuilder, decode
 from larchgw.membership.member import Member, MemberState
+from larchgw.membership.messages import (
+    Ack,
+    Cursor,
+    Gossip,
+    Message,
+    MessageKind,
+    Nack,
+    Page,
+    Ping,
+    PingRequest,
+    Pull,
+    Update,
+)
 from larchgw.membership.swim import Datagram, Swim
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "membership"
@@ -22,27 +35,27 @@
 
 EDGE = Member("edge-1", "10.0.0.1:7662", "edge", 1_764_600_000_123, "zone-a", "", 3)
 CONTROL = Member("core-2", "10.0.0.2:7661", "control", 1_764_600_001_000, "zone-b", "10.0.0.2:7660")
-UPDATES = [
+UPDATES = (
     Update(
         Member("edge-9", "10.0.0.9:7662", "edge", 77, "zone-é", "", 2, MemberState.SUSPECT), "10.0.0.2:7661"
     ),
     Update(Member("core-3", "10.0.0.3:7661", "control", 78, "", "10.0.0.3:7660", 0, MemberState.DEAD)),
     Update(Member("edge-8", "10.0.0.8:7662", "edge", 79, "zone-a", "", 1, MemberState.LEFT)),
-]
+)
 DIGESTS = tuple(number * 0x01010101 for number in range(BUCKETS))
 CURSOR = Cursor(17, "10.0.0.9:7662")
 
-DATAGRAMS = {
-    "ping": Message(Kind.PING, 1, EDGE, 0xDEADBEEF),
-    "ping with updates": Message(Kind.PING, 2, CONTROL, 5, updates=UPDATES),
-    "ack": Message(Kind.ACK, 0xFFFFFFFF, CONTROL, 6, updates=UPDATES[:1]),
-    "ping request": Message(Kind.PING_REQUEST, 3, EDGE, 7, target="10.0.0.9:7662", updates=UPDATES[1:]),
-    "nack": Message(Kind.NACK, 4, EDGE, 8),
-    "gossip": Message(Kind.GOSSIP, 5, EDGE, 9, updates=UPDATES),
-    "pull": Message(Kind.PULL, 6, EDGE, 10, buckets=DIGESTS, cursor=CURSOR),
-    "first pull": Message(Kind.PULL, 7, EDGE, 11, buckets=DIGESTS, cursor=Cursor()),
-    "page": Message(Kind.PAGE, 8, CONTROL, 12, cursor=CURSOR, updates=UPDATES),
-    "last page": Message(Kind.PAGE, 9, CONTROL, 13, updates=UPDATES),
+DATAGRAMS: dict[str, Message] = {
+    "ping": Ping(1, EDGE, 0xDEADBEEF),
+    "ping with updates": Ping(2, CONTROL, 5, updates=UPDATES),
+    "ack": Ack(0xFFFFFFFF, CONTROL, 6, updates=UPDATES[:1]),
+    "ping request": PingRequest(3, EDGE, 7, target="10.0.0.9:7662", updates=UPDATES[1:]),
+    "nack": Nack(4, EDGE, 8),
+    "gossip": Gossip(5, EDGE, 9, updates=UPDATES),
+    "pull": Pull(6, EDGE, 10, buckets=DIGESTS, cursor=CURSOR),
+    "first pull": Pull(7, EDGE, 11, buckets=DIGESTS, cursor=Cursor()),
+    "page": Page(8, CONTROL, 12, next_cursor=CURSOR, updates=UPDATES),
+    "last page": Page(9, CONTROL, 13, updates=UPDATES),
 }
 
 
@@ -53,11 +66,11 @@
 
 @pytest.mark.parametrize("name", sorted(DATAGRAMS))
 def test_message_is_written_to_the_recorded_datagram(name: str) -> None:
-    assert Draft(DATAGRAMS[name]).finish().hex() == RECORDED[name]
+    assert DatagramBuilder(DATAGRAMS[name]).build().hex() == RECORDED[name]
 
 
 def test_every_kind_of_datagram_is_recorded() -> None:
-    assert {message.kind for message in DATAGRAMS.values()} == set(Kind)
+    assert {message.kind for message in DATAGRAMS.values()} == set(MessageKind)
     assert set(RECORDED) == set(DATAGRAMS)
 
 
@@ -92,7 +105,7 @@
         network.run(20.0)
         changes = repr([(t, who, m.address, m.incarnation, int(m.state)) for t, who, m in network.changes])
         return {
-            "datagrams": {kind.name: self.sent[kind.name] for kind in Kind},
+            "datagrams": {kind.name: self.sent[kind.name] for kind in MessageKind},
             "datagrams_sha256": self._digest.hexdigest(),
             "changes": len(network.changes),
             "changes_sha256": hashlib.sha256(changes.encode()).hexdigest(),
@@ -118,7 +131,7 @@
         def recorded(now: float, *arguments: object) -> list[Datagram]:
             datagrams = method(now, *arguments)
             for datagram in datagrams:
-                self.sent[Kind(datagram.data[3]).name] += 1
+                self.sent[MessageKind(datagram.data[3]).name] += 1
                 self._digest.update(f"{now!r} {sender} {datagram.address} {datagram.data.hex()}\n".encode())
             return datagrams
 
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -1,11 +1,12 @@
-"""The membership protocol on a socket: a stand-in takes the place of the datagram transport."""
+"""The membership protocol on a socket, with a stub in place of the datagram transport."""
 
 import asyncio
 import socket
 from random import Random
 
-from larchgw.membership.codec import Draft, Kind, Message, decode
+from larchgw.membership.codec import DatagramBuilder, decode
 from larchgw.membership.member import Member, MemberState
+from larchgw.membership.messages import MessageKind, Ping
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
 from larchgw.membership.transport import SwimTransport
@@ -14,8 +15,8 @@
 PEER = Member("control-1", "127.0.0.1:7661", "control", 2000)
 
 
-class Socket(asyncio.DatagramTransport):
-    """Keeps what is sent."""
+class DatagramTransportStub(asyncio.DatagramTransport):
+    """Records the messages sent."""
 
     def __init__(self):
         super().__init__()
@@ -30,49 +31,52 @@
 
 
 def connected():
-    transport, stand_in = SwimTransport(Swim(ME, SwimSettings(), Random(1)), "127.0.0.1", 7662), Socket()
-    transport.connection_made(stand_in)
-    return transport, stand_in
+    transport, stub = (
+        SwimTransport(Swim(ME, SwimSettings(), Random(1)), "127.0.0.1", 7662),
+        DatagramTransportStub(),
+    )
+    transport.connection_made(stub)
+    return transport, stub
 
 
 def free_ports(count):
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for one in sockets:
-        one.bind(("127.0.0.1", 0))
-    ports = [one.getsockname()[1] for one in sockets]
-    for one in sockets:
-        one.close()
+    for each in sockets:
+        each.bind(("127.0.0.1", 0))
+    ports = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
+        each.close()
     return ports
 
 
 def ping(transport, sequence=5):
-    transport.datagram_received(Draft(Message(Kind.PING, sequence, PEER)).finish(), ("127.0.0.1", 7661))
+    transport.datagram_received(DatagramBuilder(Ping(sequence, PEER)).build(), ("127.0.0.1", 7661))
 
 
-def test_a_ping_is_acknowledged_to_where_it_came_from():
-    transport, stand_in = connected()
+def test_ping_is_acknowledged_to_the_address_it_came_from():
+    transport, stub = connected()
     ping(transport)
-    assert [(to, m.kind, m.sequence) for to, m in stand_in.sent] == [(("127.0.0.1", 7661), Kind.ACK, 5)]
+    assert [(to, m.kind, m.sequence) for to, m in stub.sent] == [(("127.0.0.1", 7661), MessageKind.ACK, 5)]
 
 
-def test_garbage_on_the_socket_and_errors_of_it_are_survived():
-    transport, stand_in = connected()
+def test_garbage_and_errors_on_the_socket_are_survived():
+    transport, stub = connected()
     transport.datagram_received(b"GET / HTTP/1.1\r\n\r\n", ("127.0.0.1", 9))
     transport.error_received(ConnectionRefusedError())
-    assert stand_in.sent == []
+    assert stub.sent == []
     ping(transport)
-    assert len(stand_in.sent) == 1
+    assert len(stub.sent) == 1
 
 
-def test_a_planned_end_is_told_before_the_socket_closes():
-    transport, stand_in = connected()
+def test_graceful_leave_is_notified_before_the_socket_closes():
+    transport, stub = connected()
     ping(transport)
-    stand_in.sent.clear()
+    stub.sent.clear()
     transport.leave()
-    assert [(to, m.sender.state) for to, m in stand_in.sent] == [(("127.0.0.1", 7661), MemberState.LEFT)]
-    assert stand_in.closed
+    assert [(to, m.sender.state) for to, m in stub.sent] == [(("127.0.0.1", 7661), MemberState.LEFT)]
+    assert stub.closed
     ping(transport)
-    assert len(stand_in.sent) == 1
+    assert len(stub.sent) == 1
 
 
 def test_two_processes_find_each_other_over_real_sockets():
