--- a/tests/membership/test_single_process.py
+++ b/tests/membership/test_single_process.py
@@ -26,7 +26,7 @@
     return swim.receive(now, sender.address, DatagramBuilder(message).build())
 
 
-def test_a_suspicion_of_oneself_is_refuted_in_the_next_datagram():
+def test_suspicion_of_oneself_is_refuted_in_the_next_datagram():
     swim = started_swim()
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT), accuser=PEER.address)
     answers = [decode(d.data) for d in swim.tick(0.2)]
@@ -35,7 +35,7 @@
     assert swim.health_score == 1
 
 
-def test_an_old_suspicion_of_oneself_is_ignored():
+def test_old_suspicion_of_oneself_is_ignored():
     swim = started_swim()
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=4))
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=2))
@@ -43,7 +43,7 @@
     assert (swim.me.refutations, swim.me.incarnation) == (5, 1000)
 
 
-def test_a_death_that_no_suspicion_preceded_is_asked_about_and_then_a_suspicion():
+def test_death_that_no_suspicion_preceded_is_verified_and_then_becomes_a_suspicion():
     swim = started_swim()
     victim = replace(ME, address="10.0.0.9:7662")
     dead = replace(victim, state=MemberState.DEAD)
@@ -57,7 +57,7 @@
     assert [m.state for m in swim.members() if m.address == victim.address] == [MemberState.SUSPECT]
 
 
-def test_a_death_that_its_member_contradicts_changes_nothing():
+def test_death_that_its_member_refutes_changes_nothing():
     swim = started_swim()
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, victim)
@@ -73,7 +73,7 @@
     assert [member for member in changes if member.address == victim.address] == []
 
 
-def test_a_death_of_a_suspect_is_believed():
+def test_death_of_a_mature_suspect_is_believed():
     swim = started_swim()
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
@@ -85,7 +85,7 @@
     assert [m.address for m in swim.dead()] == [victim.address]
 
 
-def test_a_stale_report_does_not_bring_a_forgotten_member_back():
+def test_stale_death_does_not_bring_a_forgotten_member_back():
     swim = started_swim()
     deliver(swim, 0.1, replace(ME, address="10.0.0.9:7662", state=MemberState.DEAD))
     assert swim.members() == [ME, PEER]
@@ -105,7 +105,7 @@
     return step / 10
 
 
-def test_a_suspicion_ends_sooner_as_independent_members_confirm_it():
+def test_suspicion_ends_sooner_as_independent_members_confirm_it():
     lone = time_to_death(["10.0.0.10:7662"])
     repeated = time_to_death(["10.0.0.10:7662"] * 4)
     confirmed = time_to_death([f"10.0.0.{n}:7662" for n in range(10, 14)])
@@ -113,7 +113,7 @@
     assert confirmed < lone / 2.5
 
 
-def test_a_suspect_is_asked_itself_before_it_is_declared_dead():
+def test_suspect_is_pinged_before_it_is_declared_dead():
     swim = started_swim()
     victim = replace(ME, address="10.0.0.9:7662")
     for n in range(20):  # so many that the round of probes does not come to the victim by chance
@@ -132,7 +132,7 @@
     assert step / 10 - asked[-1] <= SETTINGS.final_ping_lead_s + 0.2
 
 
-def test_however_many_are_suspect_none_is_declared_dead_before_it_was_asked():
+def test_no_suspect_of_many_is_declared_dead_before_it_was_pinged():
     swim = started_swim()
     victims = [replace(ME, address=f"10.0.1.{n}:7662", state=MemberState.SUSPECT) for n in range(40)]
     for n in range(0, 40, 10):
@@ -145,7 +145,7 @@
         step += 1
 
 
-def test_an_answer_to_a_frozen_probe_or_its_lack_accuses_nobody():
+def test_probe_that_a_freeze_interrupted_accuses_nobody():
     swim = started_swim()
     deliver(swim, 0.1, replace(PEER, refutations=1))
     swim.tick(0.2)  # begins a probe of the peer
@@ -155,7 +155,7 @@
     assert swim.health_score > 0
 
 
-def test_an_unhealthy_member_probes_more_slowly():
+def test_unhealthy_member_probes_more_slowly():
     swim = started_swim()
     deliver(swim, 0.1, PEER)
     for refutations in range(3):
@@ -166,7 +166,7 @@
     assert len(pings) <= 2
 
 
-def test_a_helper_says_when_its_probe_has_no_answer():
+def test_relay_sends_a_nack_when_its_probe_has_no_answer():
     swim = started_swim()
     request = PingRequest(77, PEER, target="10.0.0.9:7662")
     first = swim.receive(0.1, PEER.address, DatagramBuilder(request).build())
@@ -175,7 +175,7 @@
     assert [m.sequence for m in later if m.kind is MessageKind.NACK] == [77]
 
 
-def test_a_helper_passes_the_answer_on():
+def test_relay_forwards_the_ack():
     swim = started_swim()
     request = PingRequest(77, PEER, target="10.0.0.9:7662")
     ping = decode(swim.receive(0.1, PEER.address, DatagramBuilder(request).build())[0].data)
@@ -186,7 +186,7 @@
     ]
 
 
-def test_one_that_left_says_nothing_more():
+def test_process_that_left_sends_nothing_more():
     swim = started_swim()
     deliver(swim, 0.1, PEER)
     assert [decode(d.data).sender.state for d in swim.leave(0.2)] == [MemberState.LEFT]
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -60,13 +60,13 @@
     }
 
 
-def test_a_hundred_join_at_once_without_a_storm_at_the_seeds():
+def test_hundred_processes_that_join_at_once_do_not_overload_the_seeds():
     network, _ = fleet(100)
     assert sizes(network) == {100}
     assert max(process.bytes for process in network.processes.values()) < 200_000
 
 
-def test_a_quiet_member_costs_little_and_the_same_at_any_size():
+def test_idle_member_sends_little_and_the_same_at_any_size():
     for count in (11, 80):
         network, _ = fleet(count, settled=20.0)
         before = {a: (p.datagrams, p.bytes) for a, p in network.processes.items()}
@@ -76,7 +76,7 @@
             assert (process.bytes - before[a][1]) / 30.0 < 500.0
 
 
-def test_a_killed_process_is_found_dead_by_all_and_no_other():
+def test_killed_process_is_found_dead_by_all_and_no_other_is():
     network, _ = fleet(20)
     network.kill(address(7))
     network.run(15.0)
@@ -86,7 +86,7 @@
     assert [m.name for m in network.processes[address(0)].swim.dead("edge")] == [f"edge-{address(7)}"]
 
 
-def test_a_suspect_counts_until_it_is_dead():
+def test_suspect_counts_as_member_until_it_is_dead():
     network, swims = fleet(11)
     network.kill(address(10))
     while not any(m.state is MemberState.SUSPECT for m in swims[3].members()):
@@ -94,7 +94,7 @@
     assert swims[3].count("edge") == 8
 
 
-def test_a_short_silence_is_refuted_and_nobody_is_declared_dead():
+def test_suspicion_after_a_short_freeze_is_refuted_and_nobody_is_declared_dead():
     network, _ = fleet(11)
     network.freeze(address(6), 3.0)
     network.run(30.0)
@@ -103,7 +103,7 @@
     assert sizes(network) == {11}
 
 
-def test_indirect_probes_keep_a_member_alive_behind_one_bad_link():
+def test_member_behind_one_bad_link_is_kept_alive_by_indirect_probes():
     network, swims = fleet(11)
     network.lost_paths.add((address(4), address(5)))
     network.lost_paths.add((address(5), address(4)))
@@ -112,7 +112,7 @@
     assert not states(network, address(4), since=110.0)
 
 
-def test_a_one_way_loss_is_survived_too():
+def test_nobody_is_declared_dead_while_one_link_loses_one_way():
     network, _ = fleet(11)
     network.lost_paths.add((address(4), address(5)))
     network.run(120.0)
@@ -141,7 +141,7 @@
     assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
 
 
-def test_a_restarted_process_is_a_new_life_at_the_same_address():
+def test_restarted_process_is_a_new_incarnation_at_the_same_address():
     network, swims = fleet(11)
     old = network.processes[address(8)].swim.me.incarnation
     network.kill(address(8))
@@ -166,7 +166,7 @@
     assert swim.me in network.processes[address(1)].swim.members()
 
 
-def test_a_planned_end_is_told_at_once_and_is_no_death():
+def test_graceful_leave_is_notified_at_once_and_is_no_death():
     network, _ = fleet(30)
     network.leave(address(12))
     network.run(3.0)
@@ -174,7 +174,7 @@
     assert states(network, address(12), since=network.now - 3.0) == {MemberState.LEFT}
 
 
-def test_parted_halves_find_each_other_again():
+def test_partitioned_halves_find_each_other_again():
     network, swims = fleet(20)
     network.part([address(n) for n in range(10)], [address(n) for n in range(10, 20)])
     network.run(60.0)
@@ -184,7 +184,7 @@
     assert sizes(network) == {20}
 
 
-def test_parted_halves_heal_after_the_dead_were_forgotten():
+def test_partitioned_halves_heal_after_the_dead_were_forgotten():
     network, swims = fleet(11)
     network.part([address(n) for n in range(5)], [address(n) for n in range(5, 11)])
     network.run(SETTINGS.dead_retention_s + 60.0)
@@ -194,7 +194,7 @@
     assert sizes(network) == {11}
 
 
-def test_one_that_was_cut_off_kills_nobody_when_it_is_back():
+def test_process_that_was_cut_off_declares_nobody_dead_when_it_is_back():
     network, _ = fleet(20)
     network.part([address(5)])
     network.run(90.0)
@@ -222,7 +222,7 @@
     assert {m.address for m in swims[0].members()} == {address(n) for n in range(2, 6)}  # no stale seed
 
 
-def test_exchanged_seeds_are_asked_at_once():
+def test_replaced_seeds_are_asked_at_once():
     network = DatagramNetwork(1)
     network.start(address(2), "control", [])
     lost = network.start(address(3), "edge", [address(100)])
@@ -232,7 +232,7 @@
     assert sizes(network) == {2}
 
 
-def test_a_seed_that_answers_nothing_useful_is_asked_ever_more_seldom():
+def test_seed_without_an_answer_is_asked_with_backoff():
     network = DatagramNetwork(1)
     network.start(address(3), "edge", [address(100)])
     network.run(100.0)
@@ -249,7 +249,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_loss_duplicates_and_disorder_lose_no_member(seed):
+def test_loss_duplicates_and_reordering_lose_no_member(seed):
     network, _ = fleet(30, seed, Link(delay=0.002, spread=0.2, loss=0.05, duplicates=0.1))
     network.run(180.0)
     assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
@@ -259,7 +259,7 @@
     assert sizes(network) == {29}
 
 
-def test_the_same_seed_plays_the_same_way():
+def test_same_random_seed_gives_the_same_run():
     first, _ = fleet(15, seed=3, link=Link(loss=0.1))
     second, _ = fleet(15, seed=3, link=Link(loss=0.1))
     assert first.changes == second.changes
