--- a/larchgw/storage/errors.py
+++ b/larchgw/storage/errors.py
@@ -1,31 +1,49 @@
-"""Why the store cannot do what was asked. Every message names the file, the problem and the remedy."""
+"""Errors of the storage. Every message names the file, the problem and the remedy."""
 
 from __future__ import annotations
 
 import errno
 
 FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
+"""Error numbers of a system call that found no space."""
+
+RESTORE_REMEDY = (
+    "move the data folder aside and start the process with an empty one, so that it is taken in as a new "
+    "replica, or restore the folder from a copy"
+)
+"""What to do when synced data is damaged: another replica has a copy."""
 
 
 class StorageError(Exception):
-    """Any failure of the store. `path` is the file or folder concerned."""
+    """Any failure of the storage.
+
+    Attributes:
+        path: The file or folder concerned.
+        problem: What is wrong with it.
+        remedy: What the caller or the operator can do.
+    """
 
     def __init__(self, path: str, problem: str, remedy: str) -> None:
+        """Makes the message from the three fields."""
         super().__init__(f"{path}: {problem}; {remedy}")
-        self.path, self.problem, self.remedy = path, problem, remedy
+        self.path = path
+        self.problem = problem
+        self.remedy = remedy
 
 
 class DiskFullError(StorageError, OSError):
-    """There is no room. Nothing was promised by the call that raised it, and the store stays usable.
+    """The disk, or the log's limit, has no space left.
 
-    An OSError, as the ports of larchgw/replication ask for, so that a member gives up its role and goes on.
+    The call that raised it guarantees nothing, and the storage stays usable. It is an OSError, as the ports
+    of `larchgw/replication` require: a member then gives up its role and goes on.
     """
 
 
 class DiskFailedError(StorageError, OSError):
-    """The disk refused a call for another reason. Nothing was promised, and the call may be repeated.
+    """The disk refused a call for another reason than space.
 
-    An OSError for the same reason as DiskFullError.
+    The call that raised it guarantees nothing and may be repeated. It is an OSError for the same reason as
+    DiskFullError.
     """
 
 
@@ -34,9 +52,14 @@
 
 
 class CorruptDataError(StorageError):
-    """Data that was synced cannot be read back. `offset` is its place in the file, in bytes."""
+    """Synced data cannot be read back.
+
+    Attributes:
+        offset: Where the damage begins, in bytes from the start of the file.
+    """
 
-    def __init__(self, path: str, offset: int, problem: str, remedy: str) -> None:
+    def __init__(self, path: str, offset: int, problem: str, remedy: str = RESTORE_REMEDY) -> None:
+        """Adds the offset to the problem."""
         super().__init__(path, f"at byte {offset}: {problem}", remedy)
         self.offset = offset
 
@@ -44,26 +67,13 @@
 class CorruptLogError(CorruptDataError):
     """A synced record or snapshot is damaged or missing."""
 
-    REMEDY = (
-        "move the data folder aside and start the process with an empty one, so that it is taken in as a new "
-        "replica, or restore the folder from a copy"
-    )
-
-    def __init__(self, path: str, offset: int, problem: str, remedy: str = REMEDY) -> None:
-        super().__init__(path, offset, problem, remedy)
-
 
 class CorruptCellError(CorruptDataError):
     """Neither copy of a small value can be read."""
 
-    REMEDY = CorruptLogError.REMEDY
-
-    def __init__(self, path: str, offset: int, problem: str, remedy: str = REMEDY) -> None:
-        super().__init__(path, offset, problem, remedy)
-
 
 def from_os_error(path: str, error: OSError) -> StorageError:
-    """The typed form of what a system call raised."""
+    """Returns the typed error for what a system call on `path` raised."""
     reason = error.strerror or str(error)
     if error.errno in FULL_ERRNOS:
         return DiskFullError(path, reason, "compact the log or free space on the disk, then repeat the call")
--- a/larchgw/storage/files.py
+++ b/larchgw/storage/files.py
@@ -1,8 +1,8 @@
-"""The narrow port to the disk, and its implementation by system calls.
+"""The port to the disk, and its implementation by system calls.
 
 What callers may rely on when power is lost: a file holds what its last `sync_file` covered; of the writes and
 truncations after it, each may be there, be missing or be torn, whatever became of the others. A name that was
-made, renamed or removed is certain only after `sync_folder`.
+made, renamed or removed is durable only after `sync_folder`.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 
 class FilePort(Protocol):
-    """Calls on files by path. Each raises DiskFullError or DiskFailedError."""
+    """Calls on files by path; sizes and offsets are bytes. Each raises DiskFullError or DiskFailedError."""
 
     def make_folder(self, folder: str) -> None:
-        """Makes a folder with its parents; durable once it returns. Nothing happens if it is there."""
+        """Makes a folder with its parents, unless it is there; durable once it returns."""
 
     def list(self, folder: str) -> list[str]:
-        """Names of the files in a folder, sorted."""
+        """Returns the names of the files in a folder, sorted."""
 
     def size(self, path: str) -> int | None:
-        """Length in bytes; None if there is no such file."""
+        """Returns the length of a file; None if there is no such file."""
 
     def read(self, path: str, offset: int, size: int) -> bytes:
-        """Up to `size` bytes from `offset`; fewer only at the end of the file."""
+        """Returns up to `size` bytes from `offset`; fewer only at the end of the file."""
 
     def write(self, path: str, offset: int, data: bytes) -> None:
-        """Writes all bytes at `offset`, and makes the file if need be. Some may be written when it raises."""
+        """Writes all bytes at `offset`, and makes the file if need be. Part may be written when it raises."""
 
     def truncate(self, path: str, size: int) -> None:
         """Shortens a file to `size` bytes."""
@@ -47,17 +47,18 @@
         """Removes a file; nothing happens if there is none."""
 
     def close(self, path: str) -> None:
-        """Gives back what is held open for a file that will not be written any more."""
+        """Closes the descriptor of a file that will not be written any more."""
 
     def sync_file(self, path: str) -> None:
-        """Everything written to the file so far survives a loss of power."""
+        """Makes everything written to the file so far survive a loss of power."""
 
     def sync_folder(self, folder: str) -> None:
-        """All names in the folder survive a loss of power as they are now."""
+        """Makes all names in the folder survive a loss of power as they are now."""
 
 
 @contextmanager
-def _typed_errors(path: str) -> Iterator[None]:
+def _raise_storage_errors(path: str) -> Iterator[None]:
+    """Turns what the system raises inside it into the typed errors."""
     try:
         yield
     except StorageError:
@@ -69,11 +70,14 @@
 class DiskFiles:
     """FilePort on the operating system. Calls on different files may come from different threads.
 
-    A file that was written is kept open until it is closed, renamed or removed: a descriptor that was open
-    all the while is the one at which the system surely reports a failed write-back.
+    A file that was written is kept open until it is closed, renamed or removed: only a descriptor that was
+    open at the time is sure to be told of a failed write-back by a later fdatasync.
+
+    Source: fsync(2), "EIO".
     """
 
     def __init__(self) -> None:
+        """Opens nothing yet."""
         self._descriptors: dict[str, int] = {}
         self._lock = threading.Lock()
 
@@ -83,18 +87,18 @@
             return
         parent = os.path.dirname(os.path.abspath(folder))
         self.make_folder(parent)
-        with _typed_errors(folder):
+        with _raise_storage_errors(folder):
             os.mkdir(folder, FOLDER_MODE)
         self.sync_folder(parent)
 
     def list(self, folder: str) -> list[str]:
         """See FilePort."""
-        with _typed_errors(folder):
+        with _raise_storage_errors(folder):
             return sorted(os.listdir(folder))
 
     def size(self, path: str) -> int | None:
         """See FilePort."""
-        with _typed_errors(path):
+        with _raise_storage_errors(path):
             try:
                 return os.stat(path).st_size
             except FileNotFoundError:
@@ -102,7 +106,7 @@
 
     def read(self, path: str, offset: int, size: int) -> bytes:
         """See FilePort."""
-        with _typed_errors(path):
+        with _raise_storage_errors(path):
             descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
             try:
                 return _read_all(descriptor, offset, size)
@@ -111,34 +115,34 @@
 
     def write(self, path: str, offset: int, data: bytes) -> None:
         """See FilePort."""
-        with _typed_errors(path):
+        with _raise_storage_errors(path):
             descriptor = self._open(path, os.O_CREAT)
-            rest = memoryview(data)
-            while rest:
-                written = os.pwrite(descriptor, rest, offset)
+            remaining = memoryview(data)
+            while remaining:
+                written = os.pwrite(descriptor, remaining, offset)
                 if written == 0:
                     raise DiskFailedError(
                         path, "a write made no progress", "check the disk, then repeat the call"
                     )
-                rest = rest[written:]
+                remaining = remaining[written:]
                 offset += written
 
     def truncate(self, path: str, size: int) -> None:
         """See FilePort."""
-        with _typed_errors(path):
+        with _raise_storage_errors(path):
             os.ftruncate(self._open(path), size)
 
     def rename(self, path: str, target: str) -> None:
         """See FilePort."""
         self.close(path)
         self.close(target)
-        with _typed_errors(path):
+        with _raise_storage_errors(path):
             os.rename(path, target)
 
     def remove(self, path: str) -> None:
         """See FilePort."""
         self.close(path)
-        with _typed_errors(path):
+        with _raise_storage_errors(path):
             try:
                 os.unlink(path)
             except FileNotFoundError:
@@ -149,17 +153,17 @@
         with self._lock:
             descriptor = self._descriptors.pop(path, None)
         if descriptor is not None:
-            with _typed_errors(path):
+            with _raise_storage_errors(path):
                 os.close(descriptor)
 
     def sync_file(self, path: str) -> None:
         """See FilePort."""
-        with _typed_errors(path):
+        with _raise_storage_errors(path):
             os.fdatasync(self._open(path))
 
     def sync_folder(self, folder: str) -> None:
         """See FilePort."""
-        with _typed_errors(folder):
+        with _raise_storage_errors(folder):
             descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             try:
                 os.fsync(descriptor)
@@ -176,12 +180,12 @@
 
 
 def _read_all(descriptor: int, offset: int, size: int) -> bytes:
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     while size > 0:
-        part = os.pread(descriptor, size, offset)
-        if not part:
+        chunk = os.pread(descriptor, size, offset)
+        if not chunk:
             break
-        parts.append(part)
-        offset += len(part)
-        size -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        offset += len(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
--- a/larchgw/storage/reserve.py
+++ b/larchgw/storage/reserve.py
@@ -1,4 +1,4 @@
-"""Room set aside on the disk, given back when the disk is full so that small values can still be stored."""
+"""Disk space set aside, released when the disk is full so that small values can still be stored."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 class Reserve:
     """A file of zeros beside the log."""
 
-    def __init__(self, port: FilePort, folder: str, size: int = RESERVE_BYTES) -> None:
+    def __init__(self, port: FilePort, folder: str, size_bytes: int = RESERVE_BYTES) -> None:
         """Does not touch the disk; call `refill` at start and from time to time."""
         self._port = port
         self._folder = folder
         self._path = os.path.join(folder, RESERVE_FILE_NAME)
-        self._size = size
+        self._size_bytes = size_bytes
 
     def refill(self) -> bool:
-        """Sets the room aside if it is not; False if the disk does not have it now."""
+        """Sets the space aside unless it is; False if the disk does not have it now."""
         try:
-            if self._port.size(self._path) == self._size:
+            if self._port.size(self._path) == self._size_bytes:
                 return True
             self._port.make_folder(self._folder)
-            self._port.write(self._path, 0, bytes(self._size))
+            self._port.write(self._path, 0, bytes(self._size_bytes))
             self._port.sync_file(self._path)
         except StorageError:
             return False
         return True
 
     def is_allocated(self) -> bool:
-        """Whether the room is set aside now."""
+        """Whether the space is set aside now."""
         try:
-            return self._port.size(self._path) == self._size
+            return self._port.size(self._path) == self._size_bytes
         except StorageError:
             return False
 
     def release(self) -> bool:
-        """Gives the room back; False if there is none or the disk refuses even that."""
+        """Gives the space back to the disk; False if there is none or the disk refuses even that."""
         try:
             if not self._port.size(self._path):
                 return False
