--- a/larchgw/storage/log_inspection.py
+++ b/larchgw/storage/log_inspection.py
@@ -1,5 +1,6 @@
-"""What a command line can show of a log's folder. Nothing is changed, so it is safe beside a running
-process.
+"""Read-only views of a log's folder, for the command line and for a restore.
+
+Nothing is changed, so they are safe beside a running process.
 """
 
 from __future__ import annotations
@@ -8,47 +9,63 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from . import segments
 from .errors import CorruptLogError, StorageError
 from .files import DiskFiles, FilePort
-from .recovery import NO_SNAPSHOT, Recovery, read_snapshot, recover
-from .snapshots import parse_snapshot_name
+from .recovery import RecoveredLog, recover
+from .segments import Record, decode_record
+from .snapshots import NO_SNAPSHOT, parse_snapshot_name, read_snapshot
 
 PREVIEW_BYTES = 60
+"""How much of a payload a line shows."""
 
 
 @dataclass(frozen=True)
 class LogVerification:
-    """Whether a log can be opened. `problem` is empty if so; `tail_bytes` would be cut, never having been
-    synced.
+    """Whether a log can be opened. `str()` of it is a line for the command line.
+
+    Attributes:
+        problem: Why it cannot be opened; empty if it can.
+        snapshot_index: Up to which record the snapshot stands; 0 if there is none.
+        first_index: The first record after the snapshot.
+        last_index: The newest record; that of the snapshot if none follows it.
+        segments: Number of segment files in use.
+        torn_bytes: Bytes at the end that were never synced and would be cut off.
+        obsolete_files: Number of files that no longer count.
     """
 
     problem: str
-    snapshot_index: int
-    first_index: int
-    last_index: int
-    segments: int
-    tail_bytes: int
-    obsolete_files: int
+    snapshot_index: int = 0
+    first_index: int = 0
+    last_index: int = 0
+    segments: int = 0
+    torn_bytes: int = 0
+    obsolete_files: int = 0
 
     @property
     def is_ok(self) -> bool:
-        """True if all that was synced can be read back."""
+        """Whether all that was synced can be read back."""
         return not self.problem
 
     def __str__(self) -> str:
+        """Returns one line, without its end."""
         if self.problem:
             return f"DAMAGED: {self.problem}"
         return (
             f"ok: records {self.first_index} to {self.last_index} in {self.segments} segments, "
-            f"snapshot up to {self.snapshot_index}, {self.tail_bytes} bytes of torn tail, "
+            f"snapshot up to {self.snapshot_index}, {self.torn_bytes} bytes of torn tail, "
             f"{self.obsolete_files} obsolete files"
         )
 
 
 @dataclass(frozen=True)
 class LogContents:
-    """A snapshot, which stands for the records up to its index, and the records after it."""
+    """All that a log holds.
+
+    Attributes:
+        snapshot_index: Up to which record the snapshot stands; 0 if there is none.
+        snapshot: Payload of the snapshot.
+        records: Index and payload of each record after it.
+    """
 
     snapshot_index: int
     snapshot: bytes | None
@@ -56,62 +73,72 @@
 
 
 def verify_log(folder: str, port: FilePort | None = None) -> LogVerification:
-    """Reads every record and the snapshot."""
+    """Reads every record and the snapshot of a log."""
     try:
-        found = recover(port or DiskFiles(), folder)
+        recovered = recover(port or DiskFiles(), folder)
     except StorageError as error:
-        return LogVerification(str(error), 0, 0, 0, 0, 0, 0)
-    snapshot_index = found.snapshot.index
-    last = found.live[-1].last_index if found.live else snapshot_index
+        return LogVerification(str(error))
     return LogVerification(
-        "", snapshot_index, snapshot_index + 1, last, len(found.live), found.tail, len(found.obsolete)
+        problem="",
+        snapshot_index=recovered.snapshot.index,
+        first_index=recovered.snapshot.index + 1,
+        last_index=recovered.last_index,
+        segments=len(recovered.segments),
+        torn_bytes=recovered.torn_bytes,
+        obsolete_files=len(recovered.obsolete_paths),
     )
 
 
 def dump_log(folder: str, port: FilePort | None = None) -> Iterator[str]:
-    """A line for the snapshot and one for each record. Raises CorruptLogError, DiskFailedError."""
+    """Yields a line for the snapshot and one for each record.
+
+    Raises:
+        CorruptLogError: Synced data is damaged or missing.
+        DiskFailedError: The folder cannot be read now.
+    """
     port = port or DiskFiles()
-    found = recover(port, folder)
-    if found.snapshot != NO_SNAPSHOT:
-        payload = read_snapshot(port, folder, found.snapshot)
-        yield f"snapshot up to {found.snapshot.index}: {_describe(payload)}"
-    for index, record in _records(port, found):
-        yield f"record {index} (durable up to {record.durable}): {_describe(record.payload)}"
+    recovered = recover(port, folder)
+    if recovered.snapshot != NO_SNAPSHOT:
+        payload = read_snapshot(port, folder, recovered.snapshot)
+        yield f"snapshot up to {recovered.snapshot.index}: {_preview(payload)}"
+    for index, record in _read_records(port, recovered):
+        yield f"record {index} (durable up to {record.durable_index}): {_preview(record.payload)}"
 
 
 def read_log(folder: str, port: FilePort | None = None) -> LogContents:
-    """All that the log of a folder holds. Raises CorruptLogError, DiskFailedError."""
+    """Returns all that the log of a folder holds; raises as `dump_log`."""
     port = port or DiskFiles()
-    found = recover(port, folder)
-    snapshot = None if found.snapshot == NO_SNAPSHOT else read_snapshot(port, folder, found.snapshot)
+    recovered = recover(port, folder)
+    snapshot_index = recovered.snapshot.index
+    snapshot = None if recovered.snapshot == NO_SNAPSHOT else read_snapshot(port, folder, recovered.snapshot)
     records = [
-        (index, record.payload) for index, record in _records(port, found) if index > found.snapshot.index
+        (index, record.payload) for index, record in _read_records(port, recovered) if index > snapshot_index
     ]
-    return LogContents(found.snapshot.index, snapshot, records)
+    return LogContents(snapshot_index, snapshot, records)
 
 
 def read_snapshot_file(path: str, port: FilePort | None = None) -> LogContents:
-    """What a snapshot's file alone holds. Raises CorruptLogError, DiskFailedError."""
+    """Returns what the file of a snapshot alone holds; raises as `dump_log`."""
     folder, name = os.path.split(path)
-    identity = parse_snapshot_name(name)
-    if identity is None:
+    snapshot = parse_snapshot_name(name)
+    if snapshot is None:
         raise CorruptLogError(path, 0, "its name is not that of a snapshot", "give the file its name back")
-    return LogContents(identity.index, read_snapshot(port or DiskFiles(), folder, identity), [])
+    return LogContents(snapshot.index, read_snapshot(port or DiskFiles(), folder, snapshot), [])
 
 
-def _records(port: FilePort, found: Recovery) -> Iterator[tuple[int, segments.Record]]:
-    for segment in found.live:
+def _read_records(port: FilePort, recovered: RecoveredLog) -> Iterator[tuple[int, Record]]:
+    """Yields each record that the recovery found, with its index."""
+    for segment in recovered.segments:
         for index in range(segment.first_index, segment.last_index + 1):
-            start, size = segment.place(index)
-            record = segments.decode_record(
-                segment.first_index, port.read(segment.path, start, size), 0, start
-            )
+            span = segment.locate(index)
+            data = port.read(segment.path, span.offset, span.size_bytes)
+            record = decode_record(segment.first_index, data, 0, span.offset)
             if record is None:
-                raise CorruptLogError(segment.path, start, f"record {index} is damaged")
+                raise CorruptLogError(segment.path, span.offset, f"record {index} is damaged")
             yield index, record
 
 
-def _describe(payload: bytes) -> str:
+def _preview(payload: bytes) -> str:
     shown = payload[:PREVIEW_BYTES].decode("utf-8", "backslashreplace")
     more = "..." if len(payload) > PREVIEW_BYTES else ""
     return f"{len(payload)} bytes {shown!r}{more}"
--- a/larchgw/storage/recovery.py
+++ b/larchgw/storage/recovery.py
@@ -1,9 +1,9 @@
-"""What a folder of the log holds, without a change to it, and what the log has to put right.
+"""Reads what a log's folder holds after any end of the process, without changing it.
 
-Damage is taken for a torn tail, and may be cut, only where it may never have been synced: at the end of the
-last segment, above the snapshot, with no whole record behind it that calls the damaged index durable. A
-segment is begun only when everything before is durable, so damage in an earlier segment is always damage of
-synced data.
+Damage may be a torn write that was never synced, and may then be cut off, only at the end of the last
+segment, above the snapshot, with no valid record behind it that calls the damaged index durable. A segment is
+begun only when everything before it is durable, so damage in an earlier segment is always damage of synced
+data.
 """
 
 from __future__ import annotations
@@ -11,108 +11,122 @@
 import os
 from dataclasses import dataclass, field
 
-from . import segments, snapshots
 from .errors import CorruptLogError
 from .files import FilePort
-from .segments import Segment
-from .snapshots import SnapshotId
-
-NO_SNAPSHOT = SnapshotId(0, 0)
+from .segments import Segment, parse_segment_name, scan_segment
+from .snapshots import (
+    NO_SNAPSHOT,
+    SnapshotId,
+    is_temporary_snapshot,
+    parse_snapshot_name,
+    read_snapshot,
+)
 
 
 @dataclass
-class Recovery:
-    """State of a folder. `tail` is how many bytes at the end of the last segment are to be cut."""
+class RecoveredLog:
+    """State of a log's folder.
+
+    Attributes:
+        snapshot: The newest snapshot; NO_SNAPSHOT if there is none.
+        snapshot_bytes: Length of its payload.
+        segments: Those with records above the snapshot, in order.
+        obsolete_paths: Files that no longer count.
+        torn_bytes: How many bytes at the end of the last segment are to be cut off.
+    """
 
     snapshot: SnapshotId = NO_SNAPSHOT
     snapshot_bytes: int = 0
-    live: list[Segment] = field(default_factory=list)
-    obsolete: list[str] = field(default_factory=list)
-    tail: int = 0
+    segments: list[Segment] = field(default_factory=list)
+    obsolete_paths: list[str] = field(default_factory=list)
+    torn_bytes: int = 0
+
+    @property
+    def last_index(self) -> int:
+        """Index of the newest record; that of the snapshot (or 0) when there is none."""
+        return self.segments[-1].last_index if self.segments else self.snapshot.index
 
 
-def recover(port: FilePort, folder: str) -> Recovery:
-    """Reads the folder. Raises CorruptLogError, DiskFailedError."""
-    found = Recovery()
+def recover(port: FilePort, folder: str) -> RecoveredLog:
+    """Reads the folder of a log.
+
+    Raises:
+        CorruptLogError: Synced data is damaged or missing.
+        DiskFailedError: The folder cannot be read now.
+    """
+    recovered = RecoveredLog()
     names = port.list(folder)
-    _choose_snapshot(port, folder, names, found)
-    candidates = _live_segments(folder, names, found)
+    _find_snapshot(port, folder, names, recovered)
+    candidates = _find_segments(folder, names, recovered)
     for position, segment in enumerate(candidates):
         is_last = position + 1 == len(candidates)
-        _read_segment(port, segment, is_last, found)
-        _check_order(segment, found)
-        found.live.append(segment)
-    _drop_covered(found)
-    return found
-
-
-def read_snapshot(port: FilePort, folder: str, snapshot: SnapshotId) -> bytes:
-    """The payload of a snapshot that was synced. Raises CorruptLogError, DiskFailedError."""
-    path = os.path.join(folder, snapshot.name)
-    payload = snapshots.decode_snapshot(snapshot, port.read(path, 0, port.size(path) or 0))
-    if payload is None:
-        raise CorruptLogError(path, 0, "the snapshot is damaged or missing")
-    return payload
-
-
-def _choose_snapshot(port: FilePort, folder: str, names: list[str], found: Recovery) -> None:
-    known = {identity: name for name in names if (identity := snapshots.parse_snapshot_name(name))}
-    found.obsolete += [
-        os.path.join(folder, name)
-        for name in names
-        if name.startswith("snapshot-") and name.endswith(snapshots.TEMPORARY_SUFFIX)
-    ]
-    if not known:
+        _read_segment(port, segment, is_last, recovered)
+        _check_continuity(segment, recovered)
+        recovered.segments.append(segment)
+    _drop_covered_segments(recovered)
+    return recovered
+
+
+def _find_snapshot(port: FilePort, folder: str, names: list[str], recovered: RecoveredLog) -> None:
+    """Reads the newest snapshot; temporary and earlier ones are obsolete."""
+    name_by_snapshot = {snapshot: name for name in names if (snapshot := parse_snapshot_name(name))}
+    recovered.obsolete_paths += [os.path.join(folder, name) for name in names if is_temporary_snapshot(name)]
+    if not name_by_snapshot:
         return
-    newest = max(known)
-    found.snapshot, found.snapshot_bytes = newest, len(read_snapshot(port, folder, newest))
-    found.obsolete += [os.path.join(folder, known[identity]) for identity in known if identity != newest]
+    newest = max(name_by_snapshot)
+    recovered.snapshot, recovered.snapshot_bytes = newest, len(read_snapshot(port, folder, newest))
+    recovered.obsolete_paths += [
+        os.path.join(folder, name) for snapshot, name in name_by_snapshot.items() if snapshot != newest
+    ]
 
 
-def _live_segments(folder: str, names: list[str], found: Recovery) -> list[Segment]:
-    """Segments that may hold records above the snapshot, in order; the others are obsolete."""
-    ordered = []
+def _find_segments(folder: str, names: list[str], recovered: RecoveredLog) -> list[Segment]:
+    """Returns the segments that may hold records above the snapshot, in order; the others are obsolete."""
+    segments = []
     for name in names:
-        parsed = segments.parse_segment_name(name)
+        parsed = parse_segment_name(name)
         if parsed is None:
             continue
         path = os.path.join(folder, name)
-        if parsed[0] > found.snapshot.generation:
+        if parsed.generation > recovered.snapshot.generation:
             raise CorruptLogError(path, 0, "the snapshot that this segment builds on is missing")
-        if parsed[0] < found.snapshot.generation:
-            found.obsolete.append(path)
+        if parsed.generation < recovered.snapshot.generation:
+            recovered.obsolete_paths.append(path)
         else:
-            ordered.append(Segment(path, *parsed))
-    ordered.sort(key=lambda segment: segment.first_index)
-    wanted = found.snapshot.index + 1
-    begin = max((at for at, segment in enumerate(ordered) if segment.first_index <= wanted), default=0)
-    found.obsolete += [segment.path for segment in ordered[:begin]]
-    return ordered[begin:]
+            segments.append(Segment(path, parsed.generation, parsed.first_index))
+    segments.sort(key=lambda segment: segment.first_index)
+    next_index = recovered.snapshot.index + 1
+    begin = max((at for at, segment in enumerate(segments) if segment.first_index <= next_index), default=0)
+    recovered.obsolete_paths += [segment.path for segment in segments[:begin]]
+    return segments[begin:]
 
 
-def _read_segment(port: FilePort, segment: Segment, is_last: bool, found: Recovery) -> None:
+def _read_segment(port: FilePort, segment: Segment, is_last: bool, recovered: RecoveredLog) -> None:
+    """Finds the records of a segment, and tells damage of synced data from a torn write."""
     data = port.read(segment.path, 0, port.size(segment.path) or 0)
-    scanned = segments.scan_segment(segment.first_index, data)
-    segment.starts, segment.end = scanned.starts, scanned.end
-    if not scanned.damaged:
+    scan = scan_segment(segment.first_index, data)
+    segment.record_offsets, segment.end_offset = scan.record_offsets, scan.end_offset
+    if not scan.is_damaged:
         return
     damaged_index = segment.last_index + 1
-    if not is_last or damaged_index <= max(found.snapshot.index, scanned.proof):
-        raise CorruptLogError(segment.path, segment.end, f"record {damaged_index} was synced and is damaged")
-    found.tail = len(data) - scanned.end
-
-
-def _check_order(segment: Segment, found: Recovery) -> None:
-    expected = found.live[-1].last_index + 1 if found.live else found.snapshot.index + 1
-    missing = segment.first_index > expected or (found.live and segment.first_index != expected)
-    if missing:
-        raise CorruptLogError(
-            segment.path, 0, f"the records from {expected} on are missing before this segment"
-        )
-
-
-def _drop_covered(found: Recovery) -> None:
-    """A segment left over from a compaction that was cut short holds nothing above the snapshot."""
-    if found.live and found.live[-1].last_index < found.snapshot.index:
-        found.obsolete += [segment.path for segment in found.live]
-        found.live = []
+    synced_index = max(recovered.snapshot.index, scan.durable_index_after_damage)
+    if not is_last or damaged_index <= synced_index:
+        problem = f"record {damaged_index} was synced and is damaged"
+        raise CorruptLogError(segment.path, segment.end_offset, problem)
+    recovered.torn_bytes = len(data) - scan.end_offset
+
+
+def _check_continuity(segment: Segment, recovered: RecoveredLog) -> None:
+    """Checks that no record is missing between the segments before and this one."""
+    next_index = recovered.last_index + 1
+    is_first = not recovered.segments
+    if segment.first_index > next_index or (not is_first and segment.first_index != next_index):
+        problem = f"the records from {next_index} on are missing before this segment"
+        raise CorruptLogError(segment.path, 0, problem)
+
+
+def _drop_covered_segments(recovered: RecoveredLog) -> None:
+    """Drops segments left over from a compaction that was cut short: the snapshot covers them."""
+    if recovered.last_index < recovered.snapshot.index:
+        recovered.obsolete_paths += [segment.path for segment in recovered.segments]
+        recovered.segments = []
--- a/larchgw/storage/segments.py
+++ b/larchgw/storage/segments.py
@@ -1,9 +1,10 @@
-"""Records on disk: names of segments, the codec of a record, and the scan of a segment.
+"""Segment files of the log: their names, the codec of a record, and the scan of a whole segment.
 
-A record is a header and its payload. The header holds a magic number (also the version of the format), the
-length of the payload, the index of the record, the highest index that was durable when it was written, and a
-CRC-32 over all of this and the record's place. As the place counts, bytes of a record that lie elsewhere,
-such as inside the payload of another one, are never taken for a record.
+A record is a header and its payload. The header holds a magic number (which is also the version of the
+format), the length of the payload, the index of the record, the highest index that was durable when the
+record was written, and a CRC-32. The CRC covers the header, the payload and the position of the record (first
+index of its segment, offset in the file): bytes of a record that lie elsewhere, such as inside the payload of
+another one, are never taken for a record.
 """
 
 from __future__ import annotations
@@ -15,130 +16,189 @@
 
 MAGIC = b"LGR1"
 HEADER = struct.Struct(">4sIQQI")
-PLACE = struct.Struct(">QQ")
+"""Magic, payload length, record index, durable index, CRC."""
+POSITION = struct.Struct(">QQ")
+"""First index of the segment and offset of the record: part of the CRC, not of the file."""
 CRC_BYTES = 4
 MAX_RECORD_BYTES = 8 * 1024 * 1024
-"""A record holds at most a whole configuration of 4 MiB and what the caller wraps it in."""
+"""A configuration of 4 MiB at most and what the caller wraps it in."""
 
-NAME = re.compile(r"log-(\d{6,})-(\d{20})\.seg")
+NAME_PATTERN = re.compile(r"log-(\d{6,})-(\d{20})\.seg")
+
+
+@dataclass(frozen=True, slots=True)
+class SegmentName:
+    """What the name of a segment file says.
+
+    Attributes:
+        generation: How many snapshots of other replicas had been installed when it was begun.
+        first_index: Index of its first record.
+    """
+
+    generation: int
+    first_index: int
+
+
+@dataclass(frozen=True, slots=True)
+class RecordSpan:
+    """Where a record lies in its segment file; both in bytes."""
+
+    offset: int
+    size_bytes: int
 
 
 @dataclass
 class Segment:
-    """One file of the log: records from `first_index` on. `generation` counts the installed snapshots."""
+    """One file of the log, with records from `first_index` on.
+
+    Attributes:
+        path: The file.
+        generation: See SegmentName.
+        first_index: Index of the first record.
+        record_offsets: Start of each record, in bytes.
+        end_offset: End of the last record, in bytes.
+    """
 
     path: str
     generation: int
     first_index: int
-    starts: list[int] = field(default_factory=list)
-    end: int = 0
+    record_offsets: list[int] = field(default_factory=list)
+    end_offset: int = 0
 
     @property
     def last_index(self) -> int:
         """Index of its last record; `first_index - 1` when it is empty."""
-        return self.first_index + len(self.starts) - 1
+        return self.first_index + len(self.record_offsets) - 1
 
-    def place(self, index: int) -> tuple[int, int]:
-        """Start and size in bytes of a record that it holds."""
+    def locate(self, index: int) -> RecordSpan:
+        """Returns where the record `index`, which it must hold, lies."""
         position = index - self.first_index
-        start = self.starts[position]
-        is_last = position + 1 == len(self.starts)
-        stop = self.end if is_last else self.starts[position + 1]
-        return start, stop - start
-
-    def add(self, size: int) -> None:
-        """Takes in a record of `size` bytes that was written at the end."""
-        self.starts.append(self.end)
-        self.end += size
-
-    def cut_after(self, index: int) -> None:
-        """Forgets the records above `index`."""
+        offset = self.record_offsets[position]
+        is_last = position + 1 == len(self.record_offsets)
+        end = self.end_offset if is_last else self.record_offsets[position + 1]
+        return RecordSpan(offset, end - offset)
+
+    def add_record(self, size_bytes: int) -> None:
+        """Counts a record of this size that was written at the end."""
+        self.record_offsets.append(self.end_offset)
+        self.end_offset += size_bytes
+
+    def drop_records_after(self, index: int) -> None:
+        """Counts the records above `index` no more."""
         kept = max(0, index - self.first_index + 1)
-        if kept < len(self.starts):
-            self.end = self.starts[kept]
-            del self.starts[kept:]
+        if kept < len(self.record_offsets):
+            self.end_offset = self.record_offsets[kept]
+            del self.record_offsets[kept:]
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Record:
-    """A record as read: `durable` is the highest index that was durable when it was written."""
+    """A record as read from a segment.
+
+    Attributes:
+        index: Its index in the log, from 1.
+        durable_index: The highest index that was durable when it was written.
+        payload: What the caller appended.
+        size_bytes: Length of header and payload.
+    """
 
     index: int
-    durable: int
+    durable_index: int
     payload: bytes
-    size: int
+    size_bytes: int
 
 
-@dataclass(frozen=True)
-class Scan:
-    """What a segment holds: whole records from its start, and what stands behind them.
+@dataclass(frozen=True, slots=True)
+class SegmentScan:
+    """The valid records from the start of a segment, and what follows them.
 
-    `damaged` is True if bytes follow that are not the next record; `proof` is the highest index that some
-    whole record behind the damage calls durable (0 if there is none).
+    Attributes:
+        record_offsets: Start of each valid record, in bytes.
+        end_offset: End of the last valid record, in bytes.
+        is_damaged: Whether bytes follow that are not the next record.
+        durable_index_after_damage: The highest index that a valid record behind the damage calls durable; 0
+            if there is none.
     """
 
-    starts: list[int]
-    end: int
-    damaged: bool
-    proof: int
+    record_offsets: list[int]
+    end_offset: int
+    is_damaged: bool
+    durable_index_after_damage: int
 
 
 def segment_name(generation: int, first_index: int) -> str:
-    """Name of the file of a segment."""
+    """Returns the name of the file of a segment."""
     return f"log-{generation:06d}-{first_index:020d}.seg"
 
 
-def parse_segment_name(name: str) -> tuple[int, int] | None:
-    """Generation and first index; None for another file."""
-    match = NAME.fullmatch(name)
-    return (int(match[1]), int(match[2])) if match else None
+def parse_segment_name(name: str) -> SegmentName | None:
+    """Returns what the name of a segment says; None for another file."""
+    match = NAME_PATTERN.fullmatch(name)
+    return SegmentName(int(match[1]), int(match[2])) if match else None
 
 
-def encode_record(first_index: int, offset: int, index: int, durable: int, payload: bytes) -> bytes:
-    """The bytes of a record at `offset` of the segment that starts with `first_index`."""
-    start = HEADER.pack(MAGIC, len(payload), index, durable, 0)[:-CRC_BYTES]
+def encode_record(first_index: int, offset: int, index: int, durable_index: int, payload: bytes) -> bytes:
+    """Returns the bytes of a record.
+
+    Args:
+        first_index: First index of its segment.
+        offset: Its start in the segment, in bytes.
+        index: Its index.
+        durable_index: The highest index that is durable now.
+        payload: What it holds.
+    """
+    start = HEADER.pack(MAGIC, len(payload), index, durable_index, 0)[:-CRC_BYTES]
     return start + _crc(first_index, offset, start, payload).to_bytes(CRC_BYTES, "big") + payload
 
 
 def decode_record(first_index: int, data: bytes, offset: int, base: int = 0) -> Record | None:
-    """The record at `offset` of `data`, which starts at byte `base` of the segment; None if there is none."""
+    """Returns the record at `offset` of `data`; None if there is no valid one.
+
+    Args:
+        first_index: First index of its segment.
+        data: A part of the segment, or all of it.
+        offset: Start of the record in `data`, in bytes.
+        base: Start of `data` in the segment, in bytes.
+    """
     if len(data) - offset < HEADER.size:
         return None
-    magic, length, index, durable, crc = HEADER.unpack_from(data, offset)
+    magic, length, index, durable_index, crc = HEADER.unpack_from(data, offset)
     body = offset + HEADER.size
     if magic != MAGIC or length > MAX_RECORD_BYTES or body + length > len(data):
         return None
     payload = data[body : body + length]
     if _crc(first_index, base + offset, data[offset : body - CRC_BYTES], payload) != crc:
         return None
-    return Record(index, durable, payload, HEADER.size + length)
+    return Record(index, durable_index, payload, HEADER.size + length)
 
 
-def scan_segment(first_index: int, data: bytes) -> Scan:
-    """Reads a segment from its start up to the first byte that is not part of the next record."""
-    starts: list[int] = []
+def scan_segment(first_index: int, data: bytes) -> SegmentScan:
+    """Reads a whole segment from its start up to the first byte that is not part of the next record."""
+    record_offsets: list[int] = []
     offset = 0
     while True:
         record = decode_record(first_index, data, offset)
-        if record is None or record.index != first_index + len(starts):
+        if record is None or record.index != first_index + len(record_offsets):
             break
-        starts.append(offset)
-        offset += record.size
-    damaged = offset < len(data)
-    return Scan(starts, offset, damaged, _proof_behind(first_index, data, offset) if damaged else 0)
+        record_offsets.append(offset)
+        offset += record.size_bytes
+    is_damaged = offset < len(data)
+    durable_index = _highest_durable_index(first_index, data, offset) if is_damaged else 0
+    return SegmentScan(record_offsets, offset, is_damaged, durable_index)
 
 
-def _proof_behind(first_index: int, data: bytes, offset: int) -> int:
-    proof = 0
+def _highest_durable_index(first_index: int, data: bytes, offset: int) -> int:
+    """Searches for valid records anywhere from `offset` on; 0 if there is none."""
+    highest = 0
     offset = data.find(MAGIC, offset)
     while offset >= 0:
         record = decode_record(first_index, data, offset)
         if record is not None:
-            proof = max(proof, record.durable)
+            highest = max(highest, record.durable_index)
         offset = data.find(MAGIC, offset + 1)
-    return proof
+    return highest
 
 
 def _crc(first_index: int, offset: int, start: bytes, payload: bytes) -> int:
-    seed = zlib.crc32(PLACE.pack(first_index, offset))
+    seed = zlib.crc32(POSITION.pack(first_index, offset))
     return zlib.crc32(payload, zlib.crc32(start, seed))
--- a/larchgw/storage/snapshots.py
+++ b/larchgw/storage/snapshots.py
@@ -1,50 +1,70 @@
-"""Snapshots on disk: their names and their codec.
+"""Snapshot files of the log: their names, their codec, and the store that writes and reads them.
 
 A snapshot stands for all records up to its index. One that is installed from another replica begins a new
-generation: segments and snapshots of earlier generations count no more.
+generation: segments and snapshots of earlier generations no longer count. So one rename replaces everything.
 """
 
 from __future__ import annotations
 
+import os
 import re
 import struct
 import zlib
 from dataclasses import dataclass
 
+from .cleanup import LogCleanup
+from .errors import CorruptLogError, StorageError
+from .files import FilePort
+
 MAGIC = b"LGS1"
 HEADER = struct.Struct(">4sQIQ")
+"""Magic, index, generation, payload length."""
 CRC_BYTES = 4
-NAME = re.compile(r"snapshot-(\d{6,})-(\d{20})\.snap")
+NAME_PATTERN = re.compile(r"snapshot-(\d{6,})-(\d{20})\.snap")
+NAME_PREFIX = "snapshot-"
 TEMPORARY_SUFFIX = ".tmp"
 
 
 @dataclass(frozen=True, order=True)
 class SnapshotId:
-    """Which snapshot; a greater one replaces a smaller one."""
+    """Which snapshot it is; a greater one replaces a smaller one.
+
+    Attributes:
+        generation: How many snapshots of other replicas had been installed, this one included.
+        index: The last record that it stands for.
+    """
 
     generation: int
     index: int
 
     @property
-    def name(self) -> str:
+    def file_name(self) -> str:
         """Name of its file."""
-        return f"snapshot-{self.generation:06d}-{self.index:020d}.snap"
+        return f"{NAME_PREFIX}{self.generation:06d}-{self.index:020d}.snap"
+
+
+NO_SNAPSHOT = SnapshotId(0, 0)
 
 
 def parse_snapshot_name(name: str) -> SnapshotId | None:
-    """The snapshot that a file holds by its name; None for another file."""
-    match = NAME.fullmatch(name)
+    """Returns the snapshot that a file holds by its name; None for another file."""
+    match = NAME_PATTERN.fullmatch(name)
     return SnapshotId(int(match[1]), int(match[2])) if match else None
 
 
+def is_temporary_snapshot(name: str) -> bool:
+    """Whether this is the name of a snapshot that was not written to its end."""
+    return name.startswith(NAME_PREFIX) and name.endswith(TEMPORARY_SUFFIX)
+
+
 def encode_snapshot(snapshot: SnapshotId, payload: bytes) -> bytes:
-    """The bytes of its file."""
+    """Returns the bytes of its file."""
     start = HEADER.pack(MAGIC, snapshot.index, snapshot.generation, len(payload))
     return start + zlib.crc32(payload, zlib.crc32(start)).to_bytes(CRC_BYTES, "big") + payload
 
 
 def decode_snapshot(snapshot: SnapshotId, data: bytes) -> bytes | None:
-    """The payload; None if these are not the bytes of that snapshot."""
+    """Returns the payload; None if these are not the bytes of that snapshot."""
     body = HEADER.size + CRC_BYTES
     if len(data) < body:
         return None
@@ -52,3 +72,68 @@
     if start != HEADER.pack(MAGIC, snapshot.index, snapshot.generation, len(payload)):
         return None
     return payload if zlib.crc32(payload, zlib.crc32(start)).to_bytes(CRC_BYTES, "big") == crc else None
+
+
+def read_snapshot(port: FilePort, folder: str, snapshot: SnapshotId) -> bytes:
+    """Returns the payload of a snapshot that was synced.
+
+    Raises:
+        CorruptLogError: It is damaged or missing.
+        DiskFailedError: It cannot be read now.
+    """
+    path = os.path.join(folder, snapshot.file_name)
+    payload = decode_snapshot(snapshot, port.read(path, 0, port.size(path) or 0))
+    if payload is None:
+        raise CorruptLogError(path, 0, "the snapshot is damaged or missing")
+    return payload
+
+
+class SnapshotStore:
+    """The current snapshot of one log. Belongs to the log's owner thread.
+
+    Attributes:
+        current: The snapshot in force; NO_SNAPSHOT if there is none.
+        size_bytes: Length of its payload.
+    """
+
+    def __init__(self, port: FilePort, folder: str, cleanup: LogCleanup) -> None:
+        """Starts with no snapshot; the log sets the one that a recovery found."""
+        self._port = port
+        self._folder = folder
+        self._cleanup = cleanup
+        self.current = NO_SNAPSHOT
+        self.size_bytes = 0
+
+    def read(self) -> bytes:
+        """Returns the payload of the current snapshot; see `read_snapshot`."""
+        return read_snapshot(self._port, self._folder, self.current)
+
+    def replace(self, snapshot: SnapshotId, payload: bytes) -> None:
+        """Makes this the current snapshot; durable once it returns. The file of the former one is removed.
+
+        Raises:
+            DiskFullError, DiskFailedError: The former snapshot stays in force.
+        """
+        path = os.path.join(self._folder, snapshot.file_name)
+        self._write_durably(path, encode_snapshot(snapshot, payload))
+        replaced = self.current
+        self.current, self.size_bytes = snapshot, len(payload)
+        if replaced != NO_SNAPSHOT:
+            self._cleanup.remove_obsolete([os.path.join(self._folder, replaced.file_name)])
+
+    def _write_durably(self, path: str, data: bytes) -> None:
+        """Writes a file under a temporary name, then renames it."""
+        temporary_path = path + TEMPORARY_SUFFIX
+        try:
+            self._port.remove(temporary_path)
+            self._port.write(temporary_path, 0, data)
+            self._port.sync_file(temporary_path)
+        except StorageError:
+            self._cleanup.remove_obsolete([temporary_path])
+            raise
+        try:
+            self._port.rename(temporary_path, path)
+            self._port.sync_folder(self._folder)
+        except StorageError:
+            self._cleanup.add_invalid_files(temporary_path, path)
+            raise
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -232,7 +232,7 @@
 
     def test_a_record_inside_a_torn_payload_does_not_pass_for_a_later_one(self) -> None:
         self.fill(3)
-        inner = encode_record(first_index=1, offset=0, index=99, durable=98, payload=b"not of this log")
+        inner = encode_record(first_index=1, offset=0, index=99, durable_index=98, payload=b"not of this log")
         self.log.append(inner)
         path = self.first_segment()
         last_byte_of_the_header = (self.port.size(path) or 0) - len(inner) - 1
