--- /dev/null
+++ b/larchgw/control/assembly.py
@@ -0,0 +1,283 @@
+"""Puts the parts of a control process together. Wiring only; what the parts do stands in their modules.
+
+The parts are made in a fixed order, since several of them draw from one random source.
+"""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass
+from random import Random
+
+from ..configuration.settings import NodeSettings
+from ..distribution.hinted_handoff import HintedHandoff
+from ..distribution.peer_pullers import PeerPullers
+from ..distribution.pull_service import PullService
+from ..distribution.registry import Registry
+from ..distribution.sources import PullSettings
+from ..distribution.version_vectors import new_origin
+from ..membership.swim import Swim
+from ..placement.model import PlacementSettings
+from ..replication.member import Member
+from ..replication.settings import MemberSettings
+from ..rpc.client import RpcClient
+from ..runner_directory.directory import RunnerDirectory
+from ..runtime.addresses import rpc_address, seed_rpc_addresses
+from ..runtime.clients import RpcClients
+from ..runtime.gossip import make_swim
+from ..runtime.random_source import new_random_source
+from ..storage.files import DiskFiles
+from .checkins import RunnerCheckins
+from .configuration_state import ConfigurationState
+from .contact_monitor import ContactMonitor
+from .control_processes import ControlProcesses
+from .disk import ControlDisk
+from .latest_view import LatestView
+from .majority_contact import PullContact
+from .operator_calls import OperatorCallRouter
+from .operator_service import OperatorService
+from .periodic_work import PeriodicWork
+from .placer_role import PlacerRole
+from .publication import ConfigurationPropagation, ConfigurationPublisher
+from .replicated_log import ReplicatedLog
+from .rpc_service import RpcService
+from .runner_ownership import RunnerOwnership, owner_name
+from .status import StatusService, StatusSources
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicationParts:
+    """The replicated log with the state that it makes, on this process's disk.
+
+    Attributes:
+        disk: The data folder.
+        state: The configuration and the orders that were accepted.
+        log: Runs the replication member.
+        operator_calls: Serves the operator's calls on the log.
+    """
+
+    disk: ControlDisk
+    state: ConfigurationState
+    log: ReplicatedLog
+    operator_calls: OperatorCallRouter
+
+    @property
+    def member(self) -> Member:
+        """This process's member of the replication protocol."""
+        return self.log.member
+
+
+@dataclass(frozen=True, slots=True)
+class DistributionParts:
+    """The registry and its exchange with other processes.
+
+    Attributes:
+        registry: The entries that all processes share.
+        publisher: Puts the committed configuration into the registry.
+        latest_view: The latest view that is known here.
+        processes: The other control processes.
+        pullers: Pull what the others know.
+        pull_service: Serves the pulls of others.
+        handoff: Pushes urgent entries to the others.
+        contact: Whether a majority of the witnesses is in reach.
+    """
+
+    registry: Registry
+    publisher: ConfigurationPublisher
+    latest_view: LatestView
+    processes: ControlProcesses
+    pullers: PeerPullers
+    pull_service: PullService
+    handoff: HintedHandoff
+    contact: PullContact
+
+
+@dataclass(frozen=True, slots=True)
+class RunnerParts:
+    """What concerns runners.
+
+    Attributes:
+        directory: The runners that are known here.
+        checkins: Which of their calls are acknowledged.
+        placer: Places models on them while this process holds the lease.
+    """
+
+    directory: RunnerDirectory
+    checkins: RunnerCheckins
+    placer: PlacerRole
+
+
+@dataclass(frozen=True, slots=True)
+class ControlParts:
+    """All parts of a control process but for its sockets and tasks.
+
+    Attributes:
+        clients: Connections to other control processes, for replication and the operator's calls.
+        swim: Membership.
+        replication: See ReplicationParts.
+        distribution: See DistributionParts.
+        runners: See RunnerParts.
+        periodic_work: The ticks.
+        rpc_service: What other processes may call.
+        status: What people and their programs are told.
+    """
+
+    clients: RpcClients
+    swim: Swim
+    replication: ReplicationParts
+    distribution: DistributionParts
+    runners: RunnerParts
+    periodic_work: PeriodicWork
+    rpc_service: RpcService
+    status: StatusService
+
+
+def assemble(settings: NodeSettings, data_folder: str) -> ControlParts:
+    """Makes the parts of one control process and recovers its files; nothing runs yet.
+
+    Args:
+        settings: Of this process.
+        data_folder: Where it keeps its state.
+
+    Raises:
+        StorageError: The data folder cannot be read.
+    """
+    random_source = new_random_source(settings.node_name)
+    incarnation = int(time.time() * 1000)
+    address = rpc_address(settings)
+    clients = RpcClients()
+    registry = Registry(new_origin(settings.node_name, random_source))
+    swim = make_swim(settings, "control", incarnation, random_source, address)
+    state = ConfigurationState()
+    disk = ControlDisk.open(DiskFiles(), data_folder)
+    member = Member(
+        _member_settings(settings, address, random_source), disk.ports, state.snapshot, random_source
+    )
+    # The placer's lease comes from the log, and the placer works by the configuration in the log.
+    log = ReplicatedLog(member, state, clients, lambda: propagation.on_state_changed())
+    replication = ReplicationParts(
+        disk, state, log, OperatorCallRouter(member, OperatorService(state, log), clients)
+    )
+    distribution = _distribution(settings, replication, registry, swim, random_source)
+    runners = _runners(settings, replication, distribution, incarnation, random_source)
+    propagation = ConfigurationPropagation(state, runners.placer.configure, distribution.publisher)
+    status = _status(settings, swim, replication, distribution, runners)
+    return ControlParts(
+        clients,
+        swim,
+        replication,
+        distribution,
+        runners,
+        _periodic_work(replication, distribution, runners),
+        RpcService(distribution.pull_service, log, runners.placer, replication.operator_calls, status),
+        status,
+    )
+
+
+def _member_settings(settings: NodeSettings, address: str, random_source: Random) -> MemberSettings:
+    return MemberSettings(
+        address=address,
+        seeds=tuple(seed_rpc_addresses(settings)),
+        first_boot=settings.first_boot,
+        fresh_identity=f"{address}#{random_source.getrandbits(64):016x}",
+        survive=settings.survive.computers,
+        lease_term=settings.time_limits.lease_term_ms / 1000.0,
+        all_decide=settings.survive.zones > 0 or settings.survive.regions > 0,
+    )
+
+
+def _distribution(
+    settings: NodeSettings,
+    replication: ReplicationParts,
+    registry: Registry,
+    swim: Swim,
+    random_source: Random,
+) -> DistributionParts:
+    member = replication.member
+    latest_view = LatestView(lambda: member.view, registry)
+    processes = ControlProcesses(swim, latest_view, rpc_address(settings), seed_rpc_addresses(settings))
+    pullers = PeerPullers(
+        registry,
+        RpcClient,
+        processes.peers_and_witnesses,
+        PullSettings.from_time_limits(settings.time_limits).for_control_peers(),
+        random_source,
+        node_name=settings.node_name,
+    )
+    contact = PullContact(member.id, latest_view.get, pullers.contact_proven_at)
+    return DistributionParts(
+        registry=registry,
+        publisher=ConfigurationPublisher(replication.state, registry, lambda: member.is_primary),
+        latest_view=latest_view,
+        processes=processes,
+        pullers=pullers,
+        pull_service=PullService(registry, contact.is_isolated, processes.all_addresses),
+        handoff=HintedHandoff(RpcClient, processes.peers_and_witnesses, node_name=settings.node_name),
+        contact=contact,
+    )
+
+
+def _runners(
+    settings: NodeSettings,
+    replication: ReplicationParts,
+    distribution: DistributionParts,
+    incarnation: int,
+    random_source: Random,
+) -> RunnerParts:
+    address, registry, contact = rpc_address(settings), distribution.registry, distribution.contact
+    ownership = RunnerOwnership(address, contact, distribution.processes.present)
+    directory = RunnerDirectory(
+        registry,
+        time.monotonic,
+        settings.beat_ms / 1000.0,
+        owner_name(address, incarnation),
+        ownership.is_owner_alive,
+    )
+    limits = settings.time_limits
+    placer = PlacerRole(
+        address,
+        replication.log.lease,
+        registry,
+        directory,
+        PlacementSettings(limits.ceiling_window_s, limits.origin_rate_cap),
+        random_source,
+    )
+    checkins = RunnerCheckins(directory, registry, contact, distribution.handoff)
+    return RunnerParts(directory, checkins, placer)
+
+
+def _periodic_work(
+    replication: ReplicationParts, distribution: DistributionParts, runners: RunnerParts
+) -> PeriodicWork:
+    return PeriodicWork(
+        replication.log,
+        distribution.latest_view,
+        distribution.publisher,
+        ContactMonitor(distribution.contact),
+        runners.directory,
+        distribution.processes,
+        runners.placer,
+        replication.disk,
+    )
+
+
+def _status(
+    settings: NodeSettings,
+    swim: Swim,
+    replication: ReplicationParts,
+    distribution: DistributionParts,
+    runners: RunnerParts,
+) -> StatusService:
+    return StatusService(
+        StatusSources(
+            node_name=settings.node_name,
+            member=replication.member,
+            state=replication.state,
+            swim=swim,
+            registry=distribution.registry,
+            directory=runners.directory,
+            disk=replication.disk,
+            contact=distribution.contact,
+            placement=runners.placer.summary,
+        )
+    )
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -22,26 +22,42 @@
     "max_buffer_size": MAX_BODY_BYTES,
     "idle_connection_timeout": 60,
 }
+BASE_VERSION_HEADER = "X-Built-On"
+LISTEN_BACKLOG = 512  # connections that the kernel holds until they are accepted
 _VERSION = re.compile(r"[0-9]{1,19}")  # int() would also take "-1", "1_0" and digits of other scripts
 
 
-class ControlService(Protocol):
-    """What the interface asks of the process behind it."""
+class OperatorCallService(Protocol):
+    """Serves the operator's calls."""
 
     async def operator_call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse:
-        """An operator's "replace", "change" or "read"."""
+        """Serves one call of the operator.
+
+        Args:
+            operation: "replace", "change" or "read".
+            base_version: The version that an order builds on; NOT_GIVEN if it names none.
+            body: The order as it came.
+        """
+
+
+class CheckinService(Protocol):
+    """Serves the calls of runners."""
 
     async def checkin(self, runner: str, body: bytes) -> bool:
-        """A runner's check-in; False if we must not acknowledge it now. Raises CheckInError."""
+        """Records a runner's check-in.
+
+        Returns:
+            False if it must not be acknowledged now.
+
+        Raises:
+            CheckInError: The body cannot be read.
+        """
 
     async def leave(self, runner: str) -> bool:
-        """A runner's end; False if we must not acknowledge it now."""
+        """Records that a runner has left; False if that must not be acknowledged now."""
 
 
 class _Handler(tornado.web.RequestHandler):
-    def initialize(self, service: ControlService, address: str) -> None:
-        self.service, self.address = service, address
-
     def answer(self, status: int, body: bytes) -> None:
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
@@ -61,13 +77,16 @@
 
 
 class _OperatorHandler(_Handler):
+    def initialize(self, operator_calls: OperatorCallService) -> None:
+        self.operator_calls = operator_calls
+
     async def call(self, operation: str) -> None:
-        base_version = _base_version(self.request.headers.get("X-Built-On", "").strip())
+        base_version = _base_version(self.request.headers.get(BASE_VERSION_HEADER, "").strip())
         if base_version is None:
             self.answer(400, b'{"error": "X-Built-On: is no whole number; give the version it builds on"}')
             return
-        answer = await self.service.operator_call(operation, base_version, self.request.body)
-        self.answer(answer.status, answer.body)
+        response = await self.operator_calls.operator_call(operation, base_version, self.request.body)
+        self.answer(response.status, response.body)
 
 
 class _ReplaceHandler(_OperatorHandler):
@@ -85,51 +104,75 @@
         await self.call("read")
 
 
-class _CheckinHandler(_Handler):
-    async def post(self, runner: str) -> None:
-        try:
-            taken = await self.service.checkin(runner, self.request.body)
-        except CheckInError as error:
-            self.answer(400, json.dumps({"error": str(error)}).encode())
-            return
-        self.acknowledge(taken)
+class _RunnerHandler(_Handler):
+    def initialize(self, checkins: CheckinService, address: str) -> None:
+        self.checkins, self.address = checkins, address
 
-    def acknowledge(self, taken: bool) -> None:
-        if taken:
+    def acknowledge(self, may_acknowledge: bool) -> None:
+        if may_acknowledge:
             # A runner that stays with one process is watched there; moving about is news for all of them.
             self.answer(200, json.dumps({"beat_to": self.address}).encode())
         else:
             self.answer(503, b'{"error": "cut off from the other control processes; call another one"}')
 
 
-class _LeaveHandler(_CheckinHandler):
+class _CheckinHandler(_RunnerHandler):
+    async def post(self, runner: str) -> None:
+        try:
+            may_acknowledge = await self.checkins.checkin(runner, self.request.body)
+        except CheckInError as error:
+            self.answer(400, json.dumps({"error": str(error)}).encode())
+            return
+        self.acknowledge(may_acknowledge)
+
+
+class _LeaveHandler(_RunnerHandler):
     async def post(self, runner: str) -> None:
-        self.acknowledge(await self.service.leave(runner))
+        self.acknowledge(await self.checkins.leave(runner))
 
 
 def application(
-    service: ControlService, address: str, further: Sequence[Any] = ()
+    operator_calls: OperatorCallService,
+    checkins: CheckinService,
+    address: str,
+    additional_rules: Sequence[Any] = (),
 ) -> tornado.web.Application:
-    """The paths; `address` is what runners are told to check in at. `further`: rules of Tornado's."""
-    extra = {"service": service, "address": address}
+    """Makes the Tornado application.
+
+    Args:
+        operator_calls: Serves the operator's calls.
+        checkins: Serves the calls of runners.
+        address: "host:port" at which runners are told to check in.
+        additional_rules: Further rules in Tornado's form.
+    """
+    operator_options = {"operator_calls": operator_calls}
+    runner_options = {"checkins": checkins, "address": address}
     return tornado.web.Application(
         [
-            (r"/Config\.Replace", _ReplaceHandler, extra),
-            (r"/Config\.Change", _ChangeHandler, extra),
-            (r"/Config\.Read", _ReadHandler, extra),
-            (r"/Runners\.Checkin/([^/]+)", _CheckinHandler, extra),
-            (r"/Runners\.Leave/([^/]+)", _LeaveHandler, extra),
-            *further,
+            (r"/Config\.Replace", _ReplaceHandler, operator_options),
+            (r"/Config\.Change", _ChangeHandler, operator_options),
+            (r"/Config\.Read", _ReadHandler, operator_options),
+            (r"/Runners\.Checkin/([^/]+)", _CheckinHandler, runner_options),
+            (r"/Runners\.Leave/([^/]+)", _LeaveHandler, runner_options),
+            *additional_rules,
         ],
         log_function=lambda handler: None,
     )
 
 
 def serve(
-    service: ControlService, address: str, further: Sequence[Any] = ()
+    operator_calls: OperatorCallService,
+    checkins: CheckinService,
+    address: str,
+    additional_rules: Sequence[Any] = (),
 ) -> tornado.httpserver.HTTPServer:
-    """Listens for the operator and for runners at "host:port", and for `further` rules. Raises OSError."""
-    server = tornado.httpserver.HTTPServer(application(service, address, further), **SERVER_OPTIONS)
+    """Listens for the operator and for runners at `address`; see `application`.
+
+    Raises:
+        OSError: The address cannot be listened at.
+    """
+    rules = application(operator_calls, checkins, address, additional_rules)
+    server = tornado.httpserver.HTTPServer(rules, **SERVER_OPTIONS)
     host, port = parse_address(address)
-    server.listen(port, host, backlog=512)
+    server.listen(port, host, backlog=LISTEN_BACKLOG)
     return server
--- /dev/null
+++ b/larchgw/control/placer_role.py
@@ -0,0 +1,121 @@
+"""This process's part as the placer: it places models while it holds the lease of that singleton role."""
+
+from __future__ import annotations
+
+import json
+import time
+from collections.abc import Callable
+from random import Random
+
+from ..configuration.model import Configuration
+from ..distribution.keys import EXPECTED_LOADS_PREFIX, RUNNER_PREFIX
+from ..distribution.placer_entry import publish_placer
+from ..distribution.registry import Registry
+from ..placement.model import PlacementSettings
+from ..placement.orders import OrderClient
+from ..placement.service import PlacementRuntime, PlacementService
+from ..placement.summary import PlacementSummary
+from ..replication.lease import Lease
+from ..rpc.generated.ttypes import DemandReport
+from ..runner_directory.directory import RunnerDirectory
+
+PLACER_LEASE = "placer"
+"""Name of the lease whose holder is the placer."""
+
+
+class PlacerRole:
+    """Connects the placement service with the lease, the registry and the runner directory.
+
+    `start` comes before every other call.
+    """
+
+    service: PlacementService
+
+    def __init__(
+        self,
+        own_address: str,
+        lease: Callable[[str], Lease | None],
+        registry: Registry,
+        directory: RunnerDirectory,
+        settings: PlacementSettings,
+        random_source: Random,
+    ) -> None:
+        """Prepares the role; nothing runs before `start`.
+
+        Args:
+            own_address: Rpc address of this process; names it in orders to runners and in the registry.
+            lease: Gives the lease of that name while this process holds it.
+            registry: Where the placer and the loads that it expects are published.
+            directory: The runners.
+            settings: Limits of placement.
+            random_source: Breaks ties between plans.
+        """
+        self._own_address, self._lease = own_address, lease
+        self._registry, self._directory = registry, directory
+        self._settings, self._random_source = settings, random_source
+        self._expected_loads_serial = 0
+
+    def start(self) -> None:
+        """Makes the service, which needs a running event loop, and follows the runners from now on."""
+        self.service = PlacementService(
+            PlacementRuntime(
+                clock=time.monotonic,
+                lease=self.current_lease,
+                calls=OrderClient(self._own_address),
+                publish=self.publish_expected_loads,
+                random_source=self._random_source,
+                settings=self._settings,
+            )
+        )
+        self._registry.watch(
+            RUNNER_PREFIX, lambda entry: self._update_runner(entry.key.removeprefix(RUNNER_PREFIX))
+        )
+
+    async def run(self) -> None:
+        """Places models, whenever the lease is held here, until it is cancelled."""
+        await self.service.run()
+
+    def configure(self, configuration: Configuration) -> None:
+        """Places by this configuration from now on."""
+        self.service.configure(configuration)
+
+    def receive_demand_report(self, report: DemandReport) -> None:
+        """Counts what a dispatcher was asked for."""
+        self.service.receive_demand_report(report)
+
+    def summary(self) -> PlacementSummary | None:
+        """What is placed; None while another process holds the lease."""
+        return self.service.summary()
+
+    def current_lease(self) -> Lease | None:
+        """The placer's lease, while this process holds it."""
+        return self._lease(PLACER_LEASE)
+
+    def publish_placer(self) -> None:
+        """Names this process as the placer, if it is."""
+        lease = self.current_lease()
+        if lease is not None:
+            publish_placer(self._registry, self._own_address, lease.fence)
+
+    def publish_expected_loads(self, runner: str, names: dict[str, float]) -> None:
+        """Publishes what a runner is expected to hold soon; see PlacementRuntime.publish.
+
+        Args:
+            runner: Id of the runner.
+            names: Milliseconds until each model, or "model/adapter", can be used there.
+        """
+        lease = self.current_lease()
+        if lease is None:
+            return
+        self._expected_loads_serial += 1
+        self._registry.put(
+            EXPECTED_LOADS_PREFIX + runner,
+            json.dumps(names).encode(),
+            lease.fence,
+            self._expected_loads_serial,
+        )
+
+    def _update_runner(self, runner: str) -> None:
+        record = self._directory.get(runner)
+        if record is not None:
+            self.service.update_runner(record)
--- a/larchgw/control/rpc_service.py
+++ b/larchgw/control/rpc_service.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Protocol
-
 from ..distribution.pull_service import PullService
-from ..placement.service import PlacementService
 from ..rpc.generated.ttypes import (
     ControlStatus,
     DemandReport,
@@ -18,50 +15,46 @@
     PushRequest,
     StatusRequest,
 )
+from .operator_calls import OperatorCallRouter
+from .placer_role import PlacerRole
 from .replicated_log import ReplicatedLog
 from .status import StatusService
 
 
-class OperatorCallRouter(Protocol):
-    """Serves an operator's call that another control process passes on."""
-
-    async def serve_forwarded(self, call: OperatorCall) -> OperatorAnswer:
-        """The answer of this process, which the caller takes for the primary."""
-
-
 class RpcService:
-    """The coroutines are the methods of the thrift service."""
+    """Serves the methods of the thrift service `Control`; each coroutine has the name of its method."""
 
     def __init__(
         self,
-        pulls: PullService,
-        replicated: ReplicatedLog,
-        placement: PlacementService,
-        operator: OperatorCallRouter,
+        pull_service: PullService,
+        replicated_log: ReplicatedLog,
+        placer: PlacerRole,
+        operator_calls: OperatorCallRouter,
         status: StatusService,
     ) -> None:
-        self._pulls, self._replicated, self._placement = pulls, replicated, placement
-        self._operator, self._status = operator, status
+        """Takes the parts that serve the calls."""
+        self._pull_service, self._replicated_log, self._placer = pull_service, replicated_log, placer
+        self._operator_calls, self._status = operator_calls, status
 
     async def pull(self, request: PullRequest) -> PullReply:
         """Entries that the caller lacks."""
-        return await self._pulls.pull(request)
+        return await self._pull_service.pull(request)
 
     async def push(self, request: PushRequest) -> PushReply:
         """Entries handed over."""
-        return await self._pulls.push(request)
+        return await self._pull_service.push(request)
 
     async def demand(self, report: DemandReport) -> None:
         """What a dispatcher is asked for."""
-        self._placement.receive_demand_report(report)
+        self._placer.receive_demand_report(report)
 
     async def submit(self, call: OperatorCall) -> OperatorAnswer:
         """An operator's call."""
-        return await self._operator.serve_forwarded(call)
+        return await self._operator_calls.serve_forwarded(call)
 
     async def deliver(self, message: PeerMessage) -> None:
         """A message of the replication protocol."""
-        self._replicated.receive(message)
+        self._replicated_log.receive(message)
 
     async def status(self, request: StatusRequest) -> ControlStatus:
         """What this process tells of itself."""
--- a/tests/control/test_graceful_stop.py
+++ b/tests/control/test_graceful_stop.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import tempfile
+from dataclasses import replace
 from typing import Any
 
 from testtools import TestCase
@@ -60,8 +61,12 @@
     def end(self, agreed_after: float) -> float:
         """Stops the process; returns the seconds that it took."""
         node: Any = self.node
-        node.replicated = Log(self.events, agreed_after)
-        for name in ("_gossip", "_http", "_rpc", "tasks", "clients"):
+        log: Any = Log(self.events, agreed_after)
+        clients: Any = Part("clients", self.events)
+        node.parts = replace(
+            node.parts, clients=clients, replication=replace(node.parts.replication, log=log)
+        )
+        for name in ("_gossip", "_http", "_rpc", "tasks"):
             setattr(node, name, Part(name.strip("_"), self.events))
 
         async def stop() -> float:
@@ -85,7 +90,7 @@
 
     def test_a_runner_that_checks_in_meanwhile_is_sent_to_another_process(self) -> None:
         async def checkin() -> bool:
-            return await self.node.checkin("i-1", BODY)
+            return await self.node.parts.runners.checkins.checkin("i-1", BODY)
 
         self.assertTrue(asyncio.run(checkin()))
         self.end(agreed_after=0.2)
--- a/tests/control/test_http_api.py
+++ b/tests/control/test_http_api.py
@@ -38,7 +38,7 @@
 class ControlHttpTest(AsyncHTTPTestCase):
     def get_app(self):
         self.service = ScriptedService()
-        return application(self.service, ADDRESS)
+        return application(self.service, self.service, ADDRESS)
 
     def get_httpserver_options(self):
         return http_api.SERVER_OPTIONS
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -167,11 +167,12 @@
     )
     node = ControlNode(settings)
     lease = Lease("placer", 70_001, 1e12)
-    node.replicated.lease = lambda name: lease if name == "placer" else None  # type: ignore[method-assign]
-    node._tell_contacts()
-    node._publish_expected("i-1", {"m": 12.5})
-    node._publish_expected("i-1", {})
-    entries = list(node.registry.items(""))
+    placer, registry = node.parts.runners.placer, node.parts.distribution.registry
+    placer._lease = lambda name: lease if name == "placer" else None
+    node.parts.periodic_work.update_contacts()
+    placer.publish_expected_loads("i-1", {"m": 12.5})
+    placer.publish_expected_loads("i-1", {})
+    entries = list(registry.items(""))
     return {entry.key: [entry.major, entry.minor, entry.value.hex()] for entry in entries}
 
 
@@ -338,7 +339,7 @@
 class HttpAnswersTest(AsyncHTTPTestCase):
     def get_app(self) -> Any:
         self.service = ScriptedControl()
-        return http_api.application(self.service, ADDRESS)
+        return http_api.application(self.service, self.service, ADDRESS)
 
     def test_http_answers_are_as_recorded(self) -> None:
         assert http_answers(self.service, self.fetch) == fixture("http_answers.json")
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -16,9 +16,8 @@
 
 from larchgw.configuration.settings import NodeSettings, TimeLimits
 from larchgw.configuration.validation import parse
-from larchgw.control import node
 from larchgw.control.node import ControlNode
-from larchgw.control.status import StatusService, as_object
+from larchgw.control.status import StatusService, StatusSources, as_object
 from larchgw.distribution.keys import PLACER_KEY
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry
@@ -77,18 +76,18 @@
             seed_list=["127.0.0.1:8146"],
             data_dir=folder.name,
         )
-        self.node = ControlNode(settings)
+        self.parts = ControlNode(settings).parts
         self.placed: Any = None
         self.service = StatusService(
-            node.StatusSources(
+            StatusSources(
                 "core-1",
-                self.node.member,
-                self.node.state,
-                self.node.swim,
-                self.node.registry,
-                self.node.directory,
-                self.node.disk,
-                self.node.contact,
+                self.parts.replication.member,
+                self.parts.replication.state,
+                self.parts.swim,
+                self.parts.distribution.registry,
+                self.parts.runners.directory,
+                self.parts.replication.disk,
+                self.parts.distribution.contact,
                 lambda: self.placed,
             )
         )
@@ -110,15 +109,16 @@
         self.assertEqual((1, 0), (status.disk.first_index, status.disk.last_index))
 
     def test_the_placer_and_the_runners_are_those_of_the_registry(self) -> None:
-        self.node.registry.put(PLACER_KEY, json.dumps({"address": "10.0.0.3:7660"}).encode(), 70_001)
-        self.node.directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
+        placer = json.dumps({"address": "10.0.0.3:7660"}).encode()
+        self.parts.distribution.registry.put(PLACER_KEY, placer, 70_001)
+        self.parts.runners.directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
         status = self.service.read()
         self.assertEqual(("10.0.0.3:7660", 70_001), (status.placer, status.placer_fence))
         self.assertEqual({"ready": 1}, status.runners)
 
     def test_the_reserve_is_told_only_while_it_is_there(self) -> None:
         self.assertFalse(self.service.read().disk.has_reserve)
-        self.node.disk.refill_reserve()
+        self.parts.replication.disk.refill_reserve()
         self.assertTrue(self.service.read().disk.has_reserve)
 
     def test_what_is_placed_is_told_only_to_who_asks_and_only_by_the_placer(self) -> None:
--- a/tests/placement/test_orders.py
+++ b/tests/placement/test_orders.py
@@ -8,7 +8,8 @@
 import pytest
 
 from larchgw.configuration.settings import NodeSettings
-from larchgw.control import node as control_node
+from larchgw.control import placer_role
+from larchgw.control.node import ControlNode
 from larchgw.placement.model import Order, OrderAction, OrderOutcome
 from larchgw.placement.orders import OrderClient
 
@@ -223,7 +224,7 @@
 def test_a_machine_is_one_holder_of_orders_whatever_its_name_and_across_restarts(tmp_path, monkeypatch):
     """The owner that its orders name is the address of its control process."""
     owners = []
-    monkeypatch.setattr(control_node, "OrderClient", owners.append)
+    monkeypatch.setattr(placer_role, "OrderClient", owners.append)
     for name, life in (("core-1", "a"), ("core-1", "b"), ("renamed", "c")):
         folder = tmp_path / life
         folder.mkdir()
@@ -236,5 +237,5 @@
             seed_list=["127.0.0.1:8146"],
             data_dir=str(folder),
         )
-        control_node.ControlNode(settings)._make_placement()
+        ControlNode(settings).parts.runners.placer.start()
     assert owners == ["127.0.0.1:7660"] * 3
