--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -210,7 +210,7 @@
     def _begin(self, exchange: Exchange, route: Route, name: bytes) -> None:
         traits = self._traits(exchange, route, name)
         self.counters.requests.labels(route.kind).inc()
-        self._context.budget.request(traits.arrived_at, traits.service)
+        self._context.budget.record_request(traits.arrived_at, traits.service)
         if traits.model:
             self._demand.arrived(traits)
         request = exchange.extra = ProxyExchange(self._context, exchange, traits, name)
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -9,7 +9,7 @@
 
 from ..net.http_server import Exchange
 from ..net.timers import Deadline
-from ..routing.interface import Attempt, AttemptOutcome, Refuse, RequestTraits, Send, Wait
+from ..routing.interface import Attempt, AttemptOutcome, Reject, RequestTraits, Send, Wait
 from ..runner_directory.runner_record import RunnerRecord, Stage
 from .answers import Verdict, judge, runner_load
 from .context import ProxyContext
@@ -88,7 +88,7 @@
             if now >= traits.deadline_at - DEADLINE_MARGIN_S:
                 self._give_up(RETRY_AFTER_S, "deadline", late=True)
                 return True
-            if self._arrivals and not context.budget.may_repeat(now, traits.service, context.dispatchers()):
+            if self._arrivals and not context.budget.may_retry(now, traits.service, context.dispatchers()):
                 self._give_up(RETRY_AFTER_S, "budget")
                 return True
             expected = context.expected(traits.service, traits.model, traits.adapter)
@@ -97,7 +97,7 @@
                 self._wait(now, choice)
                 return False
             self._wait_no_more()
-            if isinstance(choice, Refuse):
+            if isinstance(choice, Reject):
                 self._give_up(choice.retry_after, choice.reason)
             else:
                 self._send_to(now, choice)
@@ -151,7 +151,7 @@
         if self._trace is not None:
             self._trace.sent(now)
         if self._arrivals:
-            context.budget.repeat(now, self.traits.service)
+            context.budget.record_retry(now, self.traits.service)
         link = context.pool.acquire(runner, once=not self.traits.route.idempotent)
         if link is None:
             self._ended(AttemptOutcome.UNSENT)
@@ -179,7 +179,7 @@
         self._head = head
         load = runner_load(head)
         if load is not None:
-            self._context.selection.told_load(self._context.now(), attempt.runner, *load)
+            self._context.selection.observe_load(self._context.now(), attempt.runner, *load)
         verdict = judge(head)
         self._streaming = verdict is Verdict.EVENTS
         if verdict is Verdict.EVENTS:
@@ -286,7 +286,7 @@
         if self._attempt is None or not self.started or self._exchange.on_drained is not None:
             return  # nothing is awaited of a runner's stream now
         now, service = self._context.now(), self.traits.service
-        allowed = self._context.budget.may_repeat(now, service, self._context.dispatchers())
+        allowed = self._context.budget.may_retry(now, service, self._context.dispatchers())
         if allowed and self._may_run_again(self._runs + 1) and self._has_elsewhere(now):
             self._break_off(AttemptOutcome.SILENT)
 
--- a/larchgw/edge/status.py
+++ b/larchgw/edge/status.py
@@ -46,7 +46,7 @@
             "dispatchers": dispatchers,
             "runners": self._runners(configuration),
             "open_requests": self.proxy.open_count,
-            "retries_left": self.budget.remaining(now, dispatchers),
+            "retries_left": self.budget.remaining_by_service(now, dispatchers),
             "counters": self.proxy.net_counters.figures(),
         }
 
--- a/larchgw/experiments/route_baselines.py
+++ b/larchgw/experiments/route_baselines.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping, Sequence
 from random import Random
 
-from ..routing.interface import Attempt, AttemptOutcome, Choice, Refuse, RequestTraits, Send
-from ..routing.pending_requests import PendingTable
+from ..routing.interface import Attempt, AttemptOutcome, Choice, Reject, RequestTraits, Send
+from ..routing.pending_requests import PendingRequests
 from ..runner_directory.runner_record import RunnerRecord
 
 DESIGN_THRESHOLD = 8  # pending of a key at a holder: an eighth of 64 slots
@@ -17,7 +17,7 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.table = PendingTable()
+        self.table = PendingRequests()
 
     def pick(self, request: RequestTraits, holders: Sequence[RunnerRecord]) -> RunnerRecord:
         """One of the holders; there is at least one."""
@@ -38,7 +38,7 @@
             if record.holds(request.model, request.adapter) and record.id not in tried
         ]
         if not holders:
-            return Refuse(0.1, "no_holder")
+            return Reject(0.1, "no_holder")
         return Send(self.pick(request, holders), request.route.rank)
 
     def sent(self, attempt: Attempt) -> None:
@@ -53,7 +53,7 @@
         """See `interface.Selection`."""
         self.table.ended(attempt)
 
-    def told_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
+    def observe_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
         """Not used."""
 
     def pending(self, service: str) -> int:
--- a/larchgw/experiments/route_play.py
+++ b/larchgw/experiments/route_play.py
@@ -178,7 +178,7 @@
         self._later(left, lambda: self._give_up(run, attempt, engine, generation))
 
     def _full(self, run: Run, attempt: Attempt, engine: Engine) -> None:
-        run.dispatcher.selection.told_load(self.time.now(), attempt.runner, *engine.load())
+        run.dispatcher.selection.observe_load(self.time.now(), attempt.runner, *engine.load())
         run.dispatcher.selection.ended(self.time.now(), attempt, AttemptOutcome.FULL)
         if len(run.tried) < run.traits.route.tries:
             self._choose(run)
@@ -195,7 +195,7 @@
         now = self.time.now()
         if run.first_at < 0:
             run.first_at = now
-            run.dispatcher.selection.told_load(now, attempt.runner, *engine.load())
+            run.dispatcher.selection.observe_load(now, attempt.runner, *engine.load())
             run.dispatcher.selection.head(now, attempt)
         else:
             run.longest_gap = max(run.longest_gap, now - run.last_at)
--- a/larchgw/routing/__init__.py
+++ b/larchgw/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which runner gets a request: the design's selection, split by concern, pure."""
+"""Which runner a request goes to, when it is retried, and when it is rejected: pure decisions, no I/O."""
--- a/larchgw/routing/interface.py
+++ b/larchgw/routing/interface.py
@@ -1,10 +1,8 @@
 """Types and calls between the edge, which carries requests, and this package, which decides where they go.
 
 Everything here is pure: time is seconds on a monotonic clock and comes in as an argument, randomness is a
-seeded
-generator. The edge calls, for each request: `Selector.choose` until it gives Send, then `Selector.sent`,
-then what it
-sees of that attempt, and exactly one `Selector.ended` for each `sent`.
+seeded generator. The edge calls, for each request: `Selection.choose` until it gives Send, then
+`Selection.sent`, then what it observes of that attempt, and exactly one `Selection.ended` for each `sent`.
 """
 
 from __future__ import annotations
@@ -17,6 +15,9 @@
 from ..configuration.model import Route
 from ..runner_directory.runner_record import RunnerRecord
 
+ModelKey = tuple[str, str, str]
+"""Service, model and adapter: what runners hold and requests ask for. Model and adapter may be empty."""
+
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
@@ -28,14 +29,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTraits:
-    """What decisions need to know of a request. `model` is empty where the route is not pinned to models."""
+    """What decisions need to know of a request.
+
+    Attributes:
+        number: This dispatcher's own number of the request.
+        route: The route that it came by.
+        service: The service that serves it.
+        arrived_at: When it came, in seconds of the monotonic clock, as the other times.
+        deadline_at: When its client gives up or the route's deadline ends, whichever comes first.
+        target_at: The latency target: until then an answer (a stream's first event) earns its full value.
+        model: Empty where the route names no models.
+        adapter: Empty for the model itself.
+        prompt_tokens: Length of the prompt.
+        output_tokens: Most tokens that it may generate.
+        parts: The prompt's parts, in order.
+    """
 
-    number: int  # of this dispatcher's own
+    number: int
     route: Route
     service: str
     arrived_at: float
-    deadline_at: float  # when its client gives up or the route's deadline ends, whichever comes first
-    target_at: float  # until when an answer (a stream's first event) earns its full worth
+    deadline_at: float
+    target_at: float
     model: str = ""
     adapter: str = ""
     prompt_tokens: int = 0
@@ -43,8 +58,8 @@
     parts: tuple[PromptPart, ...] = ()
 
     @property
-    def key(self) -> tuple[str, str, str]:
-        """What runners hold: service, model and adapter."""
+    def key(self) -> ModelKey:
+        """What a runner must hold to serve the request."""
         return (self.service, self.model, self.adapter)
 
 
@@ -84,21 +99,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Ask again at `until`, or earlier when runners, placement or pending requests change."""
+    """Ask again at `until` (monotonic), or earlier when runners, placement or pending requests change."""
 
     until: float
     reason: str  # for logs and counters: "loading", "no_holder", "holders_full", ...
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    """It cannot be served in time: answer 503 with Retry-After (seconds)."""
+class Reject:
+    """It cannot be served in time: answer 503 with Retry-After (`retry_after`, seconds)."""
 
     retry_after: float
     reason: str
 
 
-Choice = Send | Wait | Refuse
+Choice = Send | Wait | Reject
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,9 +137,15 @@
         tried: Sequence[str],
         expected: Mapping[str, float],
     ) -> Choice:
-        """Where the request goes. `runners`: those of its service, any stage; `tried`: runners that it was
-        sent to;
-        `expected`: runner id -> time at which an ordered load of its model is expected to be done there."""
+        """Decides where the request goes.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            request: The request.
+            runners: The runners of its service by id, in any stage.
+            tried: Runners that it was sent to already.
+            expected: Runner id -> when an ordered load of its model is expected to be done there.
+        """
 
     def sent(self, attempt: Attempt) -> None:
         """The attempt is on its way; it counts as pending."""
@@ -133,27 +154,23 @@
         """The first byte of the answer (a stream: its first event) has come."""
 
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """It is over; it is pending no more."""
+        """The attempt is over; it is pending no more."""
 
-    def told_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
-        """From an X-Runner-Load header."""
+    def observe_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
+        """An `X-Runner-Load` header has come."""
 
     def pending(self, service: str) -> int:
         """Requests of this dispatcher at runners of the service."""
 
 
 class Budget(Protocol):
-    """The dispatcher's part of the budget for sends beyond the first; `budget.RetryBudget` is the
-    implementation.
-    """
+    """This dispatcher's share of the retry budget; `retry_budget.RetryBudget` is the implementation."""
 
-    def request(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """A client's request for the service has come."""
 
-    def may_repeat(self, now: float, service: str, dispatchers: int) -> bool:
-        """Whether one more send beyond a request's first keeps every window's bound, among so many
-        dispatchers.
-        """
+    def may_retry(self, now: float, service: str, dispatchers: int) -> bool:
+        """Whether one more retry keeps every window's bound, among so many dispatchers."""
 
-    def repeat(self, now: float, service: str) -> None:
-        """Such a send was made."""
+    def record_retry(self, now: float, service: str) -> None:
+        """A retry was sent."""
--- a/larchgw/routing/pending_requests.py
+++ b/larchgw/routing/pending_requests.py
@@ -4,18 +4,25 @@
 
 from dataclasses import dataclass, field
 
-from .interface import Attempt
-
-Key = tuple[str, str, str]  # service, model, adapter
+from .interface import Attempt, ModelKey
 
 
 @dataclass(slots=True)
 class RunnerPending:
-    """The counts at one runner. Tokens are those of prompts and wanted outputs."""
+    """The counts at one runner.
+
+    Attributes:
+        total: Requests pending.
+        tokens: Of their prompts and requested outputs.
+        by_key: Requests pending by what they ask for.
+        unread: (request, attempt) -> tokens to prefill and when it was sent, oldest first, until its answer
+            begins.
+        unread_tokens: The sum of those tokens.
+    """
 
     total: int = 0
     tokens: int = 0
-    by_key: dict[Key, int] = field(default_factory=dict)
+    by_key: dict[ModelKey, int] = field(default_factory=dict)
     unread: dict[tuple[int, int], tuple[int, float]] = field(default_factory=dict)
     unread_tokens: int = 0
 
@@ -33,10 +40,11 @@
 _NOTHING = RunnerPending()
 
 
-class PendingTable:
-    """Pending requests by runner. `unread` is what a runner has to prefill before our answers begin."""
+class PendingRequests:
+    """Pending requests of this dispatcher, by runner."""
 
     def __init__(self) -> None:
+        """Begins with nothing pending."""
         self._runners: dict[str, RunnerPending] = {}
         self._services: dict[str, int] = {}
         self._unread: dict[str, int] = {}
@@ -66,7 +74,11 @@
         self._unread[request.service] = self._unread.get(request.service, 0) + unread_tokens
 
     def began(self, attempt: Attempt) -> int | None:
-        """Its answer has begun, so its prompt is read. The tokens counted for it; None if counted before."""
+        """The answer has begun, so the prompt is read.
+
+        Returns:
+            The tokens that were counted as unread for it; None if its answer had begun before.
+        """
         counts = self._runners.get(attempt.runner)
         entry = counts.unread.pop((attempt.request.number, attempt.number), None) if counts else None
         if counts is None or entry is None:
@@ -76,7 +88,11 @@
         return entry[0]
 
     def ended(self, attempt: Attempt) -> None:
-        """It is over. Each attempt that was sent ends exactly once."""
+        """The attempt is over.
+
+        Raises:
+            ValueError: It was not sent, or has ended before: each attempt that was sent ends exactly once.
+        """
         self.began(attempt)
         request = attempt.request
         counts = self._runners.get(attempt.runner)
--- a/larchgw/routing/prefix_cache.py
+++ b/larchgw/routing/prefix_cache.py
@@ -1,4 +1,11 @@
-"""Which parts of prompts are kept in a runner's cache, as far as this dispatcher's own sends tell."""
+"""An estimate of what runners' prefix caches hold, from this dispatcher's own requests.
+
+An engine keeps the KV cache of prompt parts that it has read; a prompt that begins with the same parts
+skips their prefill.
+
+Source: Kwon et al., "Efficient memory management for large language model serving with PagedAttention"
+(2023).
+"""
 
 from __future__ import annotations
 
@@ -7,12 +14,11 @@
 
 from .interface import PromptPart
 
-# Tokens that other dispatchers' requests and running ones take from the cache, as a share of it.
-OTHERS_SHARE = 0.5
+OTHERS_SHARE = 0.5  # of the cache, taken by other dispatchers' requests and by running ones
 
 
-def chains(model: str, adapter: str, parts: Sequence[PromptPart]) -> list[int]:
-    """One identity for each prefix of the parts: a part is of use only behind all parts before it."""
+def prefix_ids(model: str, adapter: str, parts: Sequence[PromptPart]) -> list[int]:
+    """Identifies each prefix of the parts: a cached part is of use only behind all parts before it."""
     identity = hash((model, adapter))
     result = []
     for part in parts:
@@ -21,16 +27,21 @@
     return result
 
 
-class RunnerCache:
-    """A model of one runner's cache: prefixes unused longest give way."""
+class RunnerPrefixCache:
+    """Least-recently-used model of one runner's prefix cache.
+
+    Attributes:
+        capacity_tokens: Tokens of prefixes that it keeps for this dispatcher.
+    """
 
     def __init__(self, capacity_tokens: float) -> None:
+        """Begins empty."""
         self.capacity_tokens = capacity_tokens
         self._prefixes: OrderedDict[int, int] = OrderedDict()
         self._tokens = 0
 
-    def kept(self, prefixes: Sequence[int], parts: Sequence[PromptPart]) -> int:
-        """Tokens at the prompt's start that need not be prefilled."""
+    def cached_tokens(self, prefixes: Sequence[int], parts: Sequence[PromptPart]) -> int:
+        """Returns how many tokens at the prompt's start need not be prefilled."""
         tokens = 0
         for prefix, part in zip(prefixes, parts, strict=True):
             if prefix not in self._prefixes:
@@ -38,8 +49,11 @@
             tokens += part.tokens
         return tokens
 
-    def read(self, prefixes: Sequence[int], parts: Sequence[PromptPart]) -> None:
-        """The runner has read these. The first parts are marked last: they outlive those behind them."""
+    def add(self, prefixes: Sequence[int], parts: Sequence[PromptPart]) -> None:
+        """Records that the runner has read these parts.
+
+        The first parts are marked last as used, so that they outlive those behind them.
+        """
         for prefix, part in reversed(list(zip(prefixes, parts, strict=True))):
             if prefix in self._prefixes:
                 self._prefixes.move_to_end(prefix)
@@ -50,27 +64,35 @@
             self._tokens -= self._prefixes.popitem(last=False)[1]
 
 
-class KeptParts:
-    """The caches of all runners that were sent to."""
+class PrefixCaches:
+    """The estimated prefix caches of all runners that requests were sent to."""
 
     def __init__(self) -> None:
-        self._caches: dict[str, RunnerCache] = {}
+        """Begins with no runner known."""
+        self._caches: dict[str, RunnerPrefixCache] = {}
 
-    def kept(self, runner: str, prefixes: Sequence[int], parts: Sequence[PromptPart]) -> int:
-        """Tokens of the prompt's start that the runner keeps."""
+    def cached_tokens(self, runner: str, prefixes: Sequence[int], parts: Sequence[PromptPart]) -> int:
+        """Returns how many tokens of the prompt's start the runner has cached."""
         cache = self._caches.get(runner)
-        return cache.kept(prefixes, parts) if cache else 0
+        return cache.cached_tokens(prefixes, parts) if cache else 0
 
-    def read(
+    def add(
         self, runner: str, prefixes: Sequence[int], parts: Sequence[PromptPart], cache_tokens: float
     ) -> None:
-        """The runner has read this prompt; `cache_tokens` is what its memory holds."""
+        """Records that the runner has read this prompt.
+
+        Args:
+            runner: The runner's id.
+            prefixes: `prefix_ids` of the prompt's parts.
+            parts: The prompt's parts.
+            cache_tokens: Tokens that the runner's memory holds.
+        """
         cache = self._caches.get(runner)
         if cache is None:
-            cache = self._caches[runner] = RunnerCache(0.0)
+            cache = self._caches[runner] = RunnerPrefixCache(0.0)
         cache.capacity_tokens = cache_tokens * (1.0 - OTHERS_SHARE)
-        cache.read(prefixes, parts)
+        cache.add(prefixes, parts)
 
     def forget(self, runner: str) -> None:
-        """The runner is gone or has lost what it kept."""
+        """Drops the estimate of a runner that is gone or has lost its cache."""
         self._caches.pop(runner, None)
--- a/larchgw/routing/selection.py
+++ b/larchgw/routing/selection.py
@@ -14,45 +14,47 @@
 
 from ..configuration.model import Configuration
 from ..runner_directory.runner_record import RunnerRecord, Stage
-from .affinity import Rendezvous, shared_prefix
-from .interface import Attempt, AttemptOutcome, Choice, Refuse, RequestTraits, Send, Wait
-from .outlier_ejection import Ejection
-from .pending_requests import PendingTable
-from .prefill_rate import PrefillPace
-from .prefix_cache import KeptParts, chains
-from .reported_load import LoadTable
+from .affinity import Rendezvous, shared_prefix_hash
+from .interface import Attempt, AttemptOutcome, Choice, Reject, RequestTraits, Send, Wait
+from .outlier_ejection import OutlierEjection
+from .pending_requests import PendingRequests
+from .prefill_rate import PrefillRates
+from .prefix_cache import PrefixCaches, prefix_ids
+from .reported_load import ReportedLoads
 from .service_terms import UNKNOWN_SLOTS, ServiceTerms, all_terms
-from .stale_keys import KeyMarks
-from .stream_timeouts import LEAST_S as LEAST_SILENCE_S
-from .stream_timeouts import Silence, limit_s
-
-LEAST_PRIORITY = 9  # of the Priority header; 0 is the most urgent
-ASK_AGAIN_S = 0.2  # a waiting request asks at least this often, should a change go unnoticed
-LEAST_SERVICE_S = 0.03  # no answer comes sooner than this
-LEAST_RETRY_S = 0.05  # shortest Retry-After
-RETRY_SHARE = 1.0 / 3.0  # of the time left: clients honour Retry-After up to this
-HOLD_SHARE = 0.45  # of a request's time that it is held with nothing in sight; more than half is dear
+from .stale_keys import StaleKeys
+from .stream_timeouts import MIN_TIMEOUT_S, LastBytes, first_byte_timeout_s
+
+LOWEST_PRIORITY = 9  # of the Priority header; 0 is the most urgent
+RECHECK_S = 0.2  # a waiting request is decided anew at least this often
+MIN_SERVICE_S = 0.03  # no answer comes sooner than this
+MIN_RETRY_AFTER_S = 0.05  # shortest Retry-After
+RETRY_AFTER_SHARE = 1.0 / 3.0  # of the time left: clients honour Retry-After up to this
+MAX_WAIT_SHARE = 0.45  # of a request's time that it waits without a load under way
 OVERDUE_S = 2.5  # after its expected end a load is no longer waited for: two check-ins would have told of it
-HEARD = (AttemptOutcome.DONE, AttemptOutcome.RUNNER_ERROR, AttemptOutcome.FULL, AttemptOutcome.NOT_HELD)
+ANSWERED = (AttemptOutcome.DONE, AttemptOutcome.RUNNER_ERROR, AttemptOutcome.FULL, AttemptOutcome.NOT_HELD)
 PRUNE_S = 2.0  # how often runners that are gone are forgotten
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionSettings:
-    """What the operator of a dispatcher may set.
-
-    `threshold_share`: of a runner's slots that this dispatcher's pending requests of one key may take before
-    others are preferred. `prefill_share`: of the time until its aim that a request may wait behind prompts to
-    be read. `shared_tokens`: a shared prefix of at least this many tokens is worth leaving the zone for.
-    `shed_aims`: a request that would wait for more than so many times its aim behind other prompts is refused
-    while half of the holders' slots are taken. `free_share`: of its slots up to which a runner without models
-    counts as free.
+    """Parameters of the selection.
+
+    Attributes:
+        threshold_share: Share of a runner's slots that this dispatcher's pending requests of one key may take
+            before other holders are preferred.
+        prefill_share: Share of the time until its latency target that a request may wait behind prompts to
+            be read.
+        shared_tokens: A shared prefix of at least this many tokens is worth leaving the zone for.
+        shed_targets: A request that would wait longer than so many times its latency target behind other
+            prompts is shed while half of the holders' slots are taken.
+        free_share: Share of its slots up to which a runner without models counts as free.
     """
 
     threshold_share: float = 0.125
     prefill_share: float = 0.1
     shared_tokens: int = 1024
-    shed_aims: float = 2.0
+    shed_targets: float = 2.0
     free_share: float = 0.5
 
 
@@ -60,18 +62,25 @@
     """The implementation of `interface.Selection` for one dispatcher."""
 
     def __init__(self, zone: str, random: Random, settings: SelectionSettings | None = None) -> None:
+        """Begins without a configuration.
+
+        Args:
+            zone: This dispatcher's zone.
+            random: Breaks ties.
+            settings: Parameters, if not the default ones.
+        """
         self._zone = zone
         self._random = random
         self._settings = settings or SelectionSettings()
         self._terms: dict[str, ServiceTerms] = {}
-        self._pending = PendingTable()
-        self._marks = KeyMarks()
-        self._kept = KeptParts()
+        self._pending = PendingRequests()
+        self._stale_keys = StaleKeys()
+        self._prefix_caches = PrefixCaches()
         self._rendezvous = Rendezvous()
-        self._load = LoadTable()
-        self._ejection = Ejection()
-        self._pace = PrefillPace()
-        self._silence = Silence()
+        self._loads = ReportedLoads()
+        self._ejection = OutlierEjection()
+        self._prefill_rates = PrefillRates()
+        self._last_bytes = LastBytes()
         self._records: dict[str, RunnerRecord] = {}
         self._pruned_at: dict[str, float] = {}
 
@@ -93,63 +102,67 @@
         holders = [
             record
             for record in runners.values()
-            if self._marks.holds(record, key) and record.stage < Stage.DRAINING
+            if self._stale_keys.is_held(record, key) and record.stage < Stage.DRAINING
         ]
-        pool = self._pool(holders, tried)
-        if not pool:
-            return self._without_holder(now, request, expected)
-        open_ones = self._responsive(now, request, self._open(now, pool))
-        if not open_ones:
-            return self._while_closed(now, request, pool, expected)
-        chosen = self._keyed(now, request, open_ones) if request.model else self._unkeyed(now, open_ones)
+        candidates = self._candidates(holders, tried)
+        if not candidates:
+            return self._wait_for_load(now, request, expected)
+        available = self._responsive(now, request, self._admitted(now, candidates))
+        if not available:
+            return self._wait_for_backoff(now, request, candidates, expected)
+        chosen = (
+            self._choose_holder(now, request, available)
+            if request.model
+            else self._choose_without_model(now, available)
+        )
         self._records[chosen.id] = chosen
         if request.model and not tried:
             wait_s = self._expected_wait_s(now, request, chosen)
-            if wait_s > self._patience_s(now, request) and self._half_taken(now, holders):
-                return self._refuse(now, request, now + wait_s, "overload")
-        return Send(chosen, min(LEAST_PRIORITY, max(0, request.route.rank)))
+            if wait_s > self._max_queueing_s(now, request) and self._are_half_full(now, holders):
+                return self._reject(now, request, now + wait_s, "overload")
+        return Send(chosen, min(LOWEST_PRIORITY, max(0, request.route.rank)))
 
     def sent(self, attempt: Attempt) -> None:
         """The attempt is on its way; it counts as pending."""
         request = attempt.request
-        kept = self._kept.kept(attempt.runner, self._chains(request), request.parts)
-        self._pending.sent(attempt, max(0, request.prompt_tokens - kept))
+        cached = self._prefix_caches.cached_tokens(attempt.runner, self._prefix_ids(request), request.parts)
+        self._pending.sent(attempt, max(0, request.prompt_tokens - cached))
         self._ejection.sent(attempt.at, attempt.runner)
 
     def head(self, now: float, attempt: Attempt) -> None:
-        """The answer has begun: the prompt is read, and its parts are kept there."""
+        """The answer has begun: the prompt is read, and its parts are cached there."""
         request = attempt.request
-        self._silence.heard(now, attempt.runner)
+        self._last_bytes.observe(now, attempt.runner)
         before = self._pending.at(attempt.runner).unread_tokens
-        own = self._pending.began(attempt)
-        if own is None:
+        unread_tokens = self._pending.began(attempt)
+        if unread_tokens is None:
             return
-        if own == before:
-            self._pace.seen(request.service, own, now - attempt.at)
+        if unread_tokens == before:
+            self._prefill_rates.observe(request.service, unread_tokens, now - attempt.at)
         if request.parts:
-            self._kept.read(
+            self._prefix_caches.add(
                 attempt.runner,
-                self._chains(request),
+                self._prefix_ids(request),
                 request.parts,
                 self._service(request.service).cache_tokens,
             )
 
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """It is over; it is pending no more."""
+        """The attempt is over; it is pending no more."""
         if outcome is AttemptOutcome.CANCELLED and self._unanswered(now, attempt):
             outcome = AttemptOutcome.SILENT
         self._pending.ended(attempt)
-        if outcome in HEARD:
-            self._silence.heard(now, attempt.runner)
+        if outcome in ANSWERED:
+            self._last_bytes.observe(now, attempt.runner)
         self._ejection.ended(now, attempt.runner, outcome)
         record = self._records.get(attempt.runner)
         if outcome is AttemptOutcome.NOT_HELD and record is not None:
-            self._marks.unmark(record, attempt.request.key)
+            self._stale_keys.mark(record, attempt.request.key)
 
-    def told_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
-        """From an X-Runner-Load header."""
-        self._silence.heard(now, runner)
-        self._load.told(now, runner, running, waiting, slots, self._pending.at(runner).total)
+    def observe_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
+        """An `X-Runner-Load` header has come."""
+        self._last_bytes.observe(now, runner)
+        self._loads.update(now, runner, running, waiting, slots, self._pending.at(runner).total)
 
     def pending(self, service: str) -> int:
         """Requests of this dispatcher at runners of the service."""
@@ -159,82 +172,88 @@
         return self._terms.get(name) or ServiceTerms()
 
     @staticmethod
-    def _chains(request: RequestTraits) -> list[int]:
-        return chains(request.model, request.adapter, request.parts)
+    def _prefix_ids(request: RequestTraits) -> list[int]:
+        return prefix_ids(request.model, request.adapter, request.parts)
 
     @staticmethod
-    def _pool(holders: Sequence[RunnerRecord], tried: Sequence[str]) -> list[RunnerRecord]:
-        """The holders to look at: those ready and not tried, else those ready, else silent ones."""
+    def _candidates(holders: Sequence[RunnerRecord], tried: Sequence[str]) -> list[RunnerRecord]:
+        """The holders to choose from: those ready and not tried, else those ready, else silent ones."""
         ready = [record for record in holders if record.stage is Stage.READY]
         fresh = [record for record in ready if record.id not in tried]
         return fresh or ready or [record for record in holders if record.id not in tried]
 
-    def _open(self, now: float, pool: Sequence[RunnerRecord]) -> list[RunnerRecord]:
-        """Those of the pool that are neither ejected nor left alone for a moment."""
-        if self._ejection.untroubled:
-            return list(pool)
-        admitted = set(self._ejection.admitted(now, [record.id for record in pool]))
+    def _admitted(self, now: float, candidates: Sequence[RunnerRecord]) -> list[RunnerRecord]:
+        """The candidates that are neither ejected nor in backoff."""
+        if self._ejection.is_clean:
+            return list(candidates)
+        admitted = set(self._ejection.admitted(now, [record.id for record in candidates]))
         return [
             record
-            for record in pool
+            for record in candidates
             if record.id in admitted and self._ejection.backoff_until(record.id) <= now
         ]
 
     def _responsive(
         self, now: float, request: RequestTraits, runners: list[RunnerRecord]
     ) -> list[RunnerRecord]:
-        """Those that do not leave requests unanswered; all if none does."""
+        """Those that are not unresponsive; all if each one is."""
         if len(runners) < 2:
             return runners
         return [record for record in runners if not self._unresponsive(now, request, record.id)] or runners
 
     def _unresponsive(self, now: float, request: RequestTraits, runner: str) -> bool:
-        """Whether nothing comes of the runner though requests wait there."""
+        """Whether the runner has sent nothing for longer than the time-out while requests wait there."""
         counts = self._pending.at(runner)
         waiting_since = counts.waiting_since
-        if waiting_since is None or now - waiting_since <= LEAST_SILENCE_S:
+        if waiting_since is None or now - waiting_since <= MIN_TIMEOUT_S:
             return False
-        prefill_s = counts.unread_tokens / self._pace.rate(request.service)
-        return now - self._silence.since(runner, waiting_since) > limit_s(request, prefill_s)
+        prefill_s = counts.unread_tokens / self._prefill_rates.rate(request.service)
+        return now - self._last_bytes.silent_since(runner, waiting_since) > first_byte_timeout_s(
+            request, prefill_s
+        )
 
     def _unanswered(self, now: float, attempt: Attempt) -> bool:
-        """Whether a cancelled attempt was left without a byte by a runner that said nothing else either."""
+        """Whether a cancelled attempt got no byte from a runner that sent nothing else either."""
         counts = self._pending.at(attempt.runner)
         if (attempt.request.number, attempt.number) not in counts.unread:
             return False
-        return self._silence.since(attempt.runner, attempt.at) == attempt.at and self._unresponsive(
+        return self._last_bytes.silent_since(attempt.runner, attempt.at) == attempt.at and self._unresponsive(
             now, attempt.request, attempt.runner
         )
 
-    def _keyed(self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]) -> RunnerRecord:
-        """The design's path, among holders that are better by the terms."""
+    def _choose_holder(
+        self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]
+    ) -> RunnerRecord:
+        """The ordinary path, among the holders that the terms around it prefer."""
         if len(holders) == 1:
             return holders[0]
         warm = [record for record in holders if record.cold_left_ms <= 0.0] or list(holders)
         with_room = self._with_room(now, request, warm)
         if not with_room:
-            return self._spill(holders)
-        near = self._near(request, with_room)
-        return self._busiest(request, self._most_kept(request, near))
+            return self._least_busy(holders)
+        near = self._prefer_own_zone(request, with_room)
+        return self._busiest(request, self._prefer_cached_prefix(request, near))
 
     def _with_room(
         self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]
     ) -> list[RunnerRecord]:
         """The holders under the threshold for this key that can soon begin to read the prompt."""
         key, share = request.key, self._settings.threshold_share
-        patience = self._settings.prefill_share * (request.target_at - request.arrived_at)
-        most_unread = patience * self._pace.rate(request.service)
+        max_prefill_s = self._settings.prefill_share * (request.target_at - request.arrived_at)
+        max_unread_tokens = max_prefill_s * self._prefill_rates.rate(request.service)
         result = []
         for record in holders:
             counts = self._pending.at(record.id)
             slots = self._slots(record)
-            if counts.unread_tokens > most_unread or counts.by_key.get(key, 0) >= max(1.0, share * slots):
+            if counts.unread_tokens > max_unread_tokens or counts.by_key.get(key, 0) >= max(
+                1.0, share * slots
+            ):
                 continue
-            if self._load.requests(now, record.id, counts.total) < slots:
+            if self._loads.requests(now, record.id, counts.total) < slots:
                 result.append(record)
         return result
 
-    def _spill(self, holders: Sequence[RunnerRecord]) -> RunnerRecord:
+    def _least_busy(self, holders: Sequence[RunnerRecord]) -> RunnerRecord:
         """The holder with the fewest active keys, then the least pending."""
         return min(
             holders,
@@ -245,42 +264,46 @@
             ),
         )
 
-    def _near(self, request: RequestTraits, holders: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
-        """Those in the own zone, unless the prompt shares so much that one runner for all zones pays."""
+    def _prefer_own_zone(
+        self, request: RequestTraits, holders: Sequence[RunnerRecord]
+    ) -> Sequence[RunnerRecord]:
+        """Those in this zone, unless the prompt shares so much that one runner for all zones pays."""
         if sum(part.tokens for part in request.parts[:-1]) >= self._settings.shared_tokens:
             return holders
         return [record for record in holders if record.zone == self._zone] or holders
 
-    def _most_kept(self, request: RequestTraits, holders: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
-        """Those that keep the most of the prompt; where none keeps any, the one all dispatchers prefer."""
+    def _prefer_cached_prefix(
+        self, request: RequestTraits, holders: Sequence[RunnerRecord]
+    ) -> Sequence[RunnerRecord]:
+        """Those with the most of the prompt cached; where none has any, the one all dispatchers prefer."""
         if not request.parts or len(holders) == 1:
             return holders
-        prefixes = self._chains(request)
+        prefixes = self._prefix_ids(request)
         shared = sum(part.tokens for part in request.parts[:-1])
-        kept = [self._kept.kept(record.id, prefixes, request.parts) for record in holders]
-        if max(kept) >= max(1, shared):
-            return [record for record, tokens in zip(holders, kept, strict=True) if tokens == max(kept)]
-        best = self._rendezvous.preferred(shared_prefix(request), [record.id for record in holders])
+        cached = [self._prefix_caches.cached_tokens(record.id, prefixes, request.parts) for record in holders]
+        if max(cached) >= max(1, shared):
+            return [record for record, tokens in zip(holders, cached, strict=True) if tokens == max(cached)]
+        best = self._rendezvous.preferred(shared_prefix_hash(request), [record.id for record in holders])
         return [record for record in holders if record.id == best]
 
     def _expected_wait_s(self, now: float, request: RequestTraits, record: RunnerRecord) -> float:
         """How long the prompts before it will be read at the runner. Others' are taken to be like our own."""
         counts = self._pending.at(record.id)
-        others = self._load.requests(now, record.id, counts.total) - counts.total
+        others = self._loads.requests(now, record.id, counts.total) - counts.total
         unread = counts.unread_tokens + others * self._pending.mean_unread(request.service)
-        return unread / self._pace.rate(request.service)
+        return unread / self._prefill_rates.rate(request.service)
 
-    def _patience_s(self, now: float, request: RequestTraits) -> float:
-        """How long it may wait before its answer begins, when those behind it would be late for it."""
-        aim = request.target_at - request.arrived_at
-        return min(self._settings.shed_aims * aim, request.deadline_at - now)
+    def _max_queueing_s(self, now: float, request: RequestTraits) -> float:
+        """The longest that it may wait before its answer begins: beyond it, it only delays those behind."""
+        target_s = request.target_at - request.arrived_at
+        return min(self._settings.shed_targets * target_s, request.deadline_at - now)
 
-    def _half_taken(self, now: float, holders: Sequence[RunnerRecord]) -> bool:
-        """Whether half of the holders' slots are taken: a refusal before that is dear."""
-        taken = sum(
-            self._load.requests(now, record.id, self._pending.at(record.id).total) for record in holders
+    def _are_half_full(self, now: float, holders: Sequence[RunnerRecord]) -> bool:
+        """Whether half of the holders' slots are taken: to shed requests before that costs too much."""
+        requests = sum(
+            self._loads.requests(now, record.id, self._pending.at(record.id).total) for record in holders
         )
-        return taken >= 0.5 * sum(self._slots(record) for record in holders)
+        return requests >= 0.5 * sum(self._slots(record) for record in holders)
 
     def _busiest(self, request: RequestTraits, holders: Sequence[RunnerRecord]) -> RunnerRecord:
         """The holder with the most pending of the key."""
@@ -292,11 +315,11 @@
             ),
         )
 
-    def _unkeyed(self, now: float, runners: Sequence[RunnerRecord]) -> RunnerRecord:
-        """The least loaded runner; one in the own zone while it is free enough."""
+    def _choose_without_model(self, now: float, runners: Sequence[RunnerRecord]) -> RunnerRecord:
+        """The least loaded runner; one in this zone while it is free enough."""
 
         def rank(record: RunnerRecord) -> tuple[bool, float, bool, float, float]:
-            requests = self._load.requests(now, record.id, self._pending.at(record.id).total)
+            requests = self._loads.requests(now, record.id, self._pending.at(record.id).total)
             load = requests / self._slots(record)
             crowded = load if load > self._settings.free_share else 0.0
             return (
@@ -311,44 +334,50 @@
 
     def _slots(self, record: RunnerRecord) -> int:
         """Requests that the runner handles at once."""
-        told = self._load.newest(record.id)
-        return (told.slots if told else record.slots) or self._service(record.service).slots or UNKNOWN_SLOTS
-
-    def _without_holder(self, now: float, request: RequestTraits, expected: Mapping[str, float]) -> Choice:
-        """No runner holds the key. With a load under way it waits for that, if it ends in time."""
-        held_until = request.arrived_at + HOLD_SHARE * (request.deadline_at - request.arrived_at)
-        last_start = request.deadline_at - LEAST_SERVICE_S
-        awaited = [at for at in expected.values() if at > now - OVERDUE_S]
-        if awaited:
-            done = min(awaited)
+        report = self._loads.newest(record.id)
+        return (
+            (report.slots if report else record.slots) or self._service(record.service).slots or UNKNOWN_SLOTS
+        )
+
+    def _wait_for_load(self, now: float, request: RequestTraits, expected: Mapping[str, float]) -> Choice:
+        """No runner holds the key: waits for a load that is under way, if it will be done in time."""
+        wait_until = request.arrived_at + MAX_WAIT_SHARE * (request.deadline_at - request.arrived_at)
+        last_start = request.deadline_at - MIN_SERVICE_S
+        expected_loads = [at for at in expected.values() if at > now - OVERDUE_S]
+        if expected_loads:
+            done = min(expected_loads)
             if done < last_start:
-                return Wait(min(max(done, now + LEAST_SERVICE_S), now + ASK_AGAIN_S), "loading")
-            return self._refuse(now, request, done, "loads_too_late")
+                return Wait(min(max(done, now + MIN_SERVICE_S), now + RECHECK_S), "loading")
+            return self._reject(now, request, done, "loads_too_late")
         soonest = now + self._service(request.service).least_load_s(request.model)
-        if now < held_until and soonest < last_start:
-            return Wait(min(held_until, now + ASK_AGAIN_S), "no_holder")
-        return self._refuse(now, request, soonest, "no_holder")
+        if now < wait_until and soonest < last_start:
+            return Wait(min(wait_until, now + RECHECK_S), "no_holder")
+        return self._reject(now, request, soonest, "no_holder")
 
-    def _while_closed(
-        self, now: float, request: RequestTraits, pool: Sequence[RunnerRecord], expected: Mapping[str, float]
+    def _wait_for_backoff(
+        self,
+        now: float,
+        request: RequestTraits,
+        candidates: Sequence[RunnerRecord],
+        expected: Mapping[str, float],
     ) -> Choice:
-        """All holders are left alone for a moment: they were full, or not to be reached."""
-        admitted = self._ejection.admitted(now, [record.id for record in pool])
+        """All holders are in backoff: they were full, or no connection came up."""
+        admitted = self._ejection.admitted(now, [record.id for record in candidates])
         opening = min(max(now, self._ejection.backoff_until(id)) for id in admitted)
         if expected:
             opening = min(opening, max(now, min(expected.values())))
-        if opening + LEAST_SERVICE_S < request.deadline_at:
-            return Wait(min(max(opening, now + 0.01), now + ASK_AGAIN_S), "holders_full")
-        return self._refuse(now, request, opening, "holders_full")
+        if opening + MIN_SERVICE_S < request.deadline_at:
+            return Wait(min(max(opening, now + 0.01), now + RECHECK_S), "holders_full")
+        return self._reject(now, request, opening, "holders_full")
 
     @staticmethod
-    def _refuse(now: float, request: RequestTraits, until: float, reason: str) -> Refuse:
-        """Refuses with the time after which it may be worth asking again."""
-        most = RETRY_SHARE * max(0.0, request.deadline_at - now)
-        return Refuse(min(max(LEAST_RETRY_S, until - now), max(LEAST_RETRY_S, most)), reason)
+    def _reject(now: float, request: RequestTraits, until: float, reason: str) -> Reject:
+        """Rejects with the time after which it may be worth asking again."""
+        max_after_s = RETRY_AFTER_SHARE * max(0.0, request.deadline_at - now)
+        return Reject(min(max(MIN_RETRY_AFTER_S, until - now), max(MIN_RETRY_AFTER_S, max_after_s)), reason)
 
     def _prune(self, now: float, service: str, runners: Mapping[str, RunnerRecord]) -> None:
-        """Forgets runners of the service that are gone."""
+        """Drops what is known of runners of the service that are gone."""
         if now - self._pruned_at.get(service, now - PRUNE_S) < PRUNE_S:
             return
         self._pruned_at[service] = now
@@ -359,12 +388,12 @@
         ]
         for id in gone:
             del self._records[id]
-            for table in (
-                self._marks,
-                self._kept,
+            for part in (
+                self._stale_keys,
+                self._prefix_caches,
                 self._rendezvous,
-                self._load,
+                self._loads,
                 self._ejection,
-                self._silence,
+                self._last_bytes,
             ):
-                table.forget(id)
+                part.forget(id)
--- a/larchgw/routing/stale_keys.py
+++ b/larchgw/routing/stale_keys.py
@@ -1,32 +1,34 @@
-"""Which keys were refused by a runner that its record lists as holding them."""
+"""Keys that a runner's record lists and that the runner has answered 421 for."""
 
 from __future__ import annotations
 
 from ..runner_directory.runner_record import RunnerRecord
-from .pending_requests import Key
+from .interface import ModelKey
 
 
-class KeyMarks:
-    """Keys unmarked by a 421. A record newer than the one in force then marks them again.
+class StaleKeys:
+    """Keys marked stale by a 421, until a newer record of the runner lists them again.
 
-    A record is newer when its `call_count` is higher: the runner has told of itself since.
+    A record is newer when its `call_count` is higher: the runner has checked in since.
     """
 
     def __init__(self) -> None:
-        self._unmarked: dict[str, dict[Key, int]] = {}
+        """Begins with no key marked."""
+        self._stale: dict[str, dict[ModelKey, int]] = {}
 
-    def unmark(self, record: RunnerRecord, key: Key) -> None:
-        """The runner answered 421 for the key."""
-        self._unmarked.setdefault(record.id, {})[key] = record.call_count
+    def mark(self, record: RunnerRecord, key: ModelKey) -> None:
+        """Records that the runner answered 421 for the key while `record` was in force."""
+        self._stale.setdefault(record.id, {})[key] = record.call_count
 
-    def holds(self, record: RunnerRecord, key: Key) -> bool:
+    def is_held(self, record: RunnerRecord, key: ModelKey) -> bool:
         """Whether the runner holds the key as far as is known. True for the empty model."""
-        if key[1] and not record.holds(key[1], key[2]):
+        _, model, adapter = key
+        if model and not record.holds(model, adapter):
             return False
-        if record.id not in self._unmarked:
+        if record.id not in self._stale:
             return True
-        return record.call_count > self._unmarked[record.id].get(key, -1)
+        return record.call_count > self._stale[record.id].get(key, -1)
 
     def forget(self, runner: str) -> None:
-        """The runner is gone."""
-        self._unmarked.pop(runner, None)
+        """Drops the marks of a runner that is gone."""
+        self._stale.pop(runner, None)
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -221,7 +221,7 @@
     assert told["runners"][service] == {"ready": 1}
     assert told["control"] == {"source": "", "changes": 0, "silent_s": None}
     assert (told["dispatchers"], told["open_requests"], told["retries_left"]) == (1, 0, {})
-    budget.request(edge.loop.clock.now(), service)
+    budget.record_request(edge.loop.clock.now(), service)
     assert status.read()["retries_left"][service] > 0
 
 
@@ -229,11 +229,11 @@
     read, unread = (
         RetryBudget(TimeLimits(retry_extra=START_DISPATCHERS * 2), random.Random(1)) for _ in range(2)
     )
-    read.remaining(0.0, 1)
+    read.remaining_by_service(0.0, 1)
     for budget in (read, unread):
-        budget.request(100.0, "s")
-    assert read.left(100.1, "s", 1) == unread.left(100.1, "s", 1)
-    assert read.may_repeat(100.1, "s", 1) == (read.left(100.1, "s", 1) > 0)
+        budget.record_request(100.0, "s")
+    assert read.remaining(100.1, "s", 1) == unread.remaining(100.1, "s", 1)
+    assert read.may_retry(100.1, "s", 1) == (read.remaining(100.1, "s", 1) > 0)
 
 
 class StatusPagesTest(AsyncHTTPTestCase):
--- a/tests/edge/test_requests.py
+++ b/tests/edge/test_requests.py
@@ -8,7 +8,7 @@
 
 from larchgw.configuration.model import Share
 from larchgw.edge.proxy import split_service
-from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.routing.interface import AttemptOutcome, Reject, Send, Wait
 from larchgw.runner_directory.runner_record import Stage
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import (
@@ -355,7 +355,7 @@
 @on_loop
 async def test_what_is_given_up_is_answered_at_once() -> None:
     async with edge(clock=FakeClock()) as made:
-        made.selection.script = [Refuse(0.4, "holders_full")]
+        made.selection.script = [Reject(0.4, "holders_full")]
         answer = await (await made.ask(X_Time_Left_Ms="3000")).answer()
         assert answer.status == 503 and 0.4 <= float(answer.fields["retry-after"]) <= 0.5
 
--- a/tests/edge/test_streams.py
+++ b/tests/edge/test_streams.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.routing.interface import AttemptOutcome, Reject, Send, Wait
 from larchgw.runner_directory.runner_record import HeldModel
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import (
@@ -253,7 +253,7 @@
         client = await made.ask("/streaming/x")
         call = await runner.call()
         await begun(client, call, 1)
-        made.selection.script = [Refuse(0.2, "no_runner")]
+        made.selection.script = [Reject(0.2, "no_runner")]
         call.reset()
         assert await client.ended() == b""
 
@@ -310,10 +310,10 @@
         assert made.selection.outcomes == [AttemptOutcome.DONE]
 
 
-@pytest.mark.parametrize("elsewhere", [Refuse(0.2, "holders_full"), Wait(float("inf"), "holders_full"), None])
+@pytest.mark.parametrize("elsewhere", [Reject(0.2, "holders_full"), Wait(float("inf"), "holders_full"), None])
 @on_loop
 async def test_a_silent_runner_is_borne_while_no_other_would_take_its_stream(
-    elsewhere: Refuse | Wait | None,
+    elsewhere: Reject | Wait | None,
 ) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection: failing runners are left out, tried again, and never too many at once."""
+"""OutlierEjection: failing runners are left out, tried again, and never too many at once."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from larchgw.routing.interface import AttemptOutcome
 from larchgw.routing.outlier_ejection import (
-    BACKOFF_MOST_S,
-    EJECTED_SHARE,
-    EJECTION_MOST_S,
     EJECTION_S,
-    Ejection,
+    MAX_BACKOFF_S,
+    MAX_EJECTED_SHARE,
+    MAX_EJECTION_S,
+    OutlierEjection,
 )
 
 RUNNERS = ["a", "b", "c", "d"]
 
 
 def fail(
-    ejection: Ejection, now: float, runner: str, outcome: AttemptOutcome = AttemptOutcome.SILENT
+    ejection: OutlierEjection, now: float, runner: str, outcome: AttemptOutcome = AttemptOutcome.SILENT
 ) -> None:
     """Two sends that fail so."""
     for _ in range(2):
@@ -30,13 +30,13 @@
 
 
 def test_a_runner_that_goes_silent_is_left_out() -> None:
-    ejection = Ejection()
+    ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     assert ejection.admitted(0.1, RUNNERS) == ["b", "c", "d"]
 
 
 def test_one_trial_at_a_time_after_the_ejection() -> None:
-    ejection = Ejection()
+    ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     later = EJECTION_S + 0.01
     assert "a" in ejection.admitted(later, RUNNERS)
@@ -47,7 +47,7 @@
 
 
 def test_a_failed_trial_ejects_for_longer() -> None:
-    ejection = Ejection()
+    ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     later = EJECTION_S + 0.01
     ejection.sent(later, "a")
@@ -57,7 +57,7 @@
 
 
 def test_a_cancelled_trial_does_not_close_the_runner_for_good() -> None:
-    ejection = Ejection()
+    ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     later = EJECTION_S + 0.01
     ejection.sent(later, "a")
@@ -66,14 +66,14 @@
 
 
 def test_single_failures_far_apart_do_not_eject() -> None:
-    ejection = Ejection()
+    ejection = OutlierEjection()
     for at in range(0, 100, 10):
         ejection.ended(float(at), "a", AttemptOutcome.RESET)
         assert "a" in ejection.admitted(float(at), RUNNERS)
 
 
 def test_what_never_ran_for_want_of_a_slot_is_no_failure() -> None:
-    ejection = Ejection()
+    ejection = OutlierEjection()
     for _ in range(50):
         ejection.ended(0.0, "a", AttemptOutcome.FULL)
         ejection.ended(0.0, "a", AttemptOutcome.NOT_HELD)
@@ -81,7 +81,7 @@
 
 
 def test_refusals_of_one_moment_count_once() -> None:
-    ejection = Ejection()
+    ejection = OutlierEjection()
     for _ in range(10):
         ejection.ended(0.0, "a", AttemptOutcome.FULL)
     assert ejection.backoff_until("a") < 0.06
@@ -90,16 +90,16 @@
 @pytest.mark.parametrize(
     ("outcome", "backoff", "ejection_s"),
     [
-        (AttemptOutcome.FULL, BACKOFF_MOST_S, -math.inf),
-        (AttemptOutcome.CONNECT_FAILED, BACKOFF_MOST_S, EJECTION_MOST_S),
-        (AttemptOutcome.SILENT, -math.inf, EJECTION_MOST_S),
+        (AttemptOutcome.FULL, MAX_BACKOFF_S, -math.inf),
+        (AttemptOutcome.CONNECT_FAILED, MAX_BACKOFF_S, MAX_EJECTION_S),
+        (AttemptOutcome.SILENT, -math.inf, MAX_EJECTION_S),
     ],
 )
 def test_a_runner_that_fails_for_hours_is_left_out_for_the_longest_time_each_time(
     outcome: AttemptOutcome, backoff: float, ejection_s: float
 ) -> None:
     """After 1,024 doublings the time was out of a float's range: an attempt's end was lost in an error."""
-    ejection, now = Ejection(), 0.0
+    ejection, now = OutlierEjection(), 0.0
     for _ in range(2000):
         now += 10.0
         fail(ejection, now, "a", outcome)
@@ -116,11 +116,11 @@
 def test_at_most_the_share_is_ejected_and_all_come_back(
     events: list[tuple[str, AttemptOutcome, float]],
 ) -> None:
-    ejection, now = Ejection(), 0.0
+    ejection, now = OutlierEjection(), 0.0
     for runner, outcome, pause in events:
         now += pause
         ejection.sent(now, runner)
         ejection.ended(now, runner, outcome)
         left = ejection.admitted(now, RUNNERS)
-        assert len(left) >= len(RUNNERS) * (1 - EJECTED_SHARE)
-    assert ejection.admitted(now + EJECTION_MOST_S + 0.01, RUNNERS) == RUNNERS
+        assert len(left) >= len(RUNNERS) * (1 - MAX_EJECTED_SHARE)
+    assert ejection.admitted(now + MAX_EJECTION_S + 0.01, RUNNERS) == RUNNERS
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -50,10 +50,10 @@
     for second, rate in enumerate(rates):
         for at in sorted(second + random.random() for _ in range(rate)):
             budget = random.choices(budgets, weights)[0]
-            budget.request(at, SERVICE)
+            budget.record_request(at, SERVICE)
             requests.append(at)
-            if budget.may_repeat(at, SERVICE, seen):
-                budget.repeat(at, SERVICE)
+            if budget.may_retry(at, SERVICE, seen):
+                budget.record_retry(at, SERVICE)
                 repeats.append(at)
     return requests, repeats
 
@@ -91,7 +91,7 @@
 
 def test_every_dispatcher_has_its_turn_of_a_share_below_one() -> None:
     budget = RetryBudget(TimeLimits(retry_ratio=0.0, retry_window_s=10.0, retry_extra=20.0), Random(5))
-    allowed = [budget.may_repeat(10.0 * turn, SERVICE, 100) for turn in range(60)]
+    allowed = [budget.may_retry(10.0 * turn, SERVICE, 100) for turn in range(60)]
     assert any(allowed) and not all(allowed)
 
 
@@ -105,18 +105,18 @@
 def test_a_burst_that_ends_does_not_leave_a_ratio_behind() -> None:
     budget = RetryBudget(TimeLimits(retry_ratio=0.2, retry_window_s=10.0, retry_extra=0.0), Random(1))
     for index in range(1000):
-        budget.request(index * 0.001, SERVICE)
-    assert budget.may_repeat(5.0, SERVICE, 1)
-    assert not budget.may_repeat(25.0, SERVICE, 1)
+        budget.record_request(index * 0.001, SERVICE)
+    assert budget.may_retry(5.0, SERVICE, 1)
+    assert not budget.may_retry(25.0, SERVICE, 1)
 
 
 def test_a_dispatcher_cut_off_from_the_others_keeps_to_its_part() -> None:
     limits = TimeLimits(retry_ratio=0.0, retry_window_s=10.0, retry_extra=60.0)
     budget = RetryBudget(limits, Random(1))
-    budget.may_repeat(6.0, SERVICE, 60)
+    budget.may_retry(6.0, SERVICE, 60)
     made = 0
-    while budget.may_repeat(12.0, SERVICE, 1):
-        budget.repeat(12.0, SERVICE)
+    while budget.may_retry(12.0, SERVICE, 1):
+        budget.record_retry(12.0, SERVICE)
         made += 1
     assert made <= 1
 
@@ -124,8 +124,8 @@
 def test_a_start_before_membership_is_known_takes_a_small_part() -> None:
     budget = RetryBudget(LIMITS, Random(1))
     made = 0
-    while budget.may_repeat(0.0, SERVICE, 1):
-        budget.repeat(0.0, SERVICE)
+    while budget.may_retry(0.0, SERVICE, 1):
+        budget.record_retry(0.0, SERVICE)
         made += 1
     assert made <= 2
 
@@ -135,15 +135,15 @@
     budgets = [RetryBudget(limits, Random(number)) for number in range(91)]
     made = 0
     for budget in budgets:
-        while budget.may_repeat(0.0, SERVICE, 1):
-            budget.repeat(0.0, SERVICE)
+        while budget.may_retry(0.0, SERVICE, 1):
+            budget.record_retry(0.0, SERVICE)
             made += 1
     assert made <= limits.retry_extra
 
 
 def test_services_do_not_share_a_budget() -> None:
     budget = RetryBudget(TimeLimits(retry_extra=2.0), Random(1))
-    budget.may_repeat(0.0, "a", 1)
-    while budget.may_repeat(50.0, "a", 1):
-        budget.repeat(50.0, "a")
-    assert budget.may_repeat(50.0, "b", 1)
+    budget.may_retry(0.0, "a", 1)
+    while budget.may_retry(50.0, "a", 1):
+        budget.record_retry(50.0, "a")
+    assert budget.may_retry(50.0, "b", 1)
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from larchgw.routing.interface import AttemptOutcome, Refuse, Send, Wait
+from larchgw.routing.interface import AttemptOutcome, Reject, Send, Wait
 from larchgw.runner_directory.runner_record import Stage
 from tests.support.routing_factories import parts, runner, world
 
@@ -109,7 +109,7 @@
     waiting = w.choose(w.request())
     assert isinstance(waiting, Wait) and w.now < waiting.until <= w.now + 0.2
     refused = w.choose(w.request(deadline_s=0.06))
-    assert isinstance(refused, Refuse) and refused.retry_after > 0
+    assert isinstance(refused, Reject) and refused.retry_after > 0
 
 
 def test_a_model_under_way_is_waited_for_and_asked_again() -> None:
@@ -123,14 +123,14 @@
     w = world(runner("a", "n"))
     w.expected = {"a": w.now + 6.0}
     refused = w.choose(w.request(deadline_s=5.0))
-    assert isinstance(refused, Refuse) and refused.retry_after <= 5.0 / 3 + 1e-9
+    assert isinstance(refused, Reject) and refused.retry_after <= 5.0 / 3 + 1e-9
 
 
 def test_a_model_nobody_loads_is_not_held_for_half_of_the_time() -> None:
     w = world(runner("a", "n"))
     request = w.request(deadline_s=4.0)
     w.now += 1.9
-    assert isinstance(w.choose(request), Refuse)
+    assert isinstance(w.choose(request), Reject)
 
 
 def test_a_load_long_overdue_is_not_waited_for_until_the_deadline() -> None:
@@ -139,7 +139,7 @@
     w.expected = {"a": w.now + 0.5}
     assert isinstance(w.choose(request), Wait)
     w.now += 5.0
-    assert isinstance(w.choose(request), Refuse)
+    assert isinstance(w.choose(request), Reject)
 
 
 def test_a_kept_prefix_draws_requests_that_share_it() -> None:
@@ -209,7 +209,7 @@
 
 def test_load_told_by_a_runner_counts_others_requests_and_ages() -> None:
     w = world(*(runner(id, "", slots=6, service="plain") for id in "ab"))
-    w.selector.told_load(w.now, "a", 6, 3, 6)
+    w.selector.observe_load(w.now, "a", 6, 3, 6)
     assert {w.chosen(w.request("", service="plain")) for _ in range(10)} == {"b"}
     w.now += 20.0
     assert {w.chosen(w.request("", service="plain")) for _ in range(40)} == {"a", "b"}
@@ -248,7 +248,7 @@
     w = world(runner("a"), runner("b"))
     w.send_to("a")
     w.now += 2.4
-    w.selector.told_load(w.now, "a", 1, 0, 16)
+    w.selector.observe_load(w.now, "a", 1, 0, 16)
     w.now += 0.1
     assert w.chosen(w.request()) == "a"
 
@@ -292,7 +292,7 @@
     assert w.chosen(w.request()) == "a"  # less than half of 16 slots
     w.send_to("a", w.request(prompt=parts(10_000, 10_000)))
     refused = w.choose(w.request())
-    assert isinstance(refused, Refuse) and refused.reason == "overload" and 0 < refused.retry_after <= 5.0 / 3
+    assert isinstance(refused, Reject) and refused.reason == "overload" and 0 < refused.retry_after <= 5.0 / 3
 
 
 def test_many_short_requests_are_no_overload() -> None:
@@ -307,5 +307,5 @@
     for _ in range(10):
         w.send_to("a", w.request(prompt=parts(10_000, 10_000)))
         w.send_to("b", w.request(prompt=parts(10_000, 10_000)))
-    assert isinstance(w.choose(w.request()), Refuse)
+    assert isinstance(w.choose(w.request()), Reject)
     assert w.chosen(w.request(), ("a",)) == "b"
--- a/tests/support/edge_stand_ins.py
+++ b/tests/support/edge_stand_ins.py
@@ -19,7 +19,7 @@
     Attempt,
     AttemptOutcome,
     Choice,
-    Refuse,
+    Reject,
     RequestTraits,
     Send,
     Wait,
@@ -111,11 +111,11 @@
         self.offered.append(tuple(runners))
         if self.script:
             step = self.script.pop(0)
-            return step if isinstance(step, Send | Wait | Refuse) else step(request, runners)
+            return step if isinstance(step, Send | Wait | Reject) else step(request, runners)
         for name, runner in runners.items():
             if name not in tried and runner.stage < Stage.DRAINING:
                 return Send(runner, 3)
-        return Refuse(0.5, "no_runner")
+        return Reject(0.5, "no_runner")
 
     def sent(self, attempt: Attempt) -> None:
         self.sends.append(attempt)
@@ -126,7 +126,7 @@
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
         self.outcomes.append(outcome)
 
-    def told_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
+    def observe_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
         self.loads.append((runner, running, waiting, slots))
 
     def pending(self, service: str) -> int:
@@ -139,13 +139,13 @@
     def __init__(self, left: int = 1000) -> None:
         self.left, self.requests, self.repeats = left, 0, 0
 
-    def request(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         self.requests += 1
 
-    def may_repeat(self, now: float, service: str, dispatchers: int) -> bool:
+    def may_retry(self, now: float, service: str, dispatchers: int) -> bool:
         return self.repeats < self.left
 
-    def repeat(self, now: float, service: str) -> None:
+    def record_retry(self, now: float, service: str) -> None:
         self.repeats += 1
 
 
