--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -41,7 +41,7 @@
 from larchgw.storage.cell import Cell
 from larchgw.storage.log import Log
 from larchgw.storage.reserve import Reserve
-from tests.support.faulty_files import FaultyFiles, PowerLost
+from tests.support.faulty_files import FaultyFiles, PowerLossError
 
 SEEDS = ("a", "b", "c")
 FIRST = first_view(SEEDS)
@@ -197,7 +197,7 @@
     backup.start()
     backup.play()
     assert backup.version == 38
-    return backup.files.calls
+    return backup.files.call_count
 
 
 def test_the_script_takes_the_member_through_snapshot_and_compaction() -> None:
@@ -213,14 +213,14 @@
     for cut_at in range(1, calls_of_the_script() + 1):
         for seed in range(4):
             backup = Backup(FaultyFiles(seed, strict=seed % 2 == 1))
-            backup.files.cut_at = cut_at
+            backup.files.power_loss_at = cut_at
             try:
                 backup.start()
                 backup.play()
-            except PowerLost:
+            except PowerLossError:
                 pass
             end(backup.files)
-            backup.files.cut_at = 0
+            backup.files.power_loss_at = 0
             backup.start()
             backup.check_bound()
             backup.play()
@@ -235,11 +235,12 @@
             backup = Backup(FaultyFiles(seed, strict=seed % 2 == 1))
             backup.start()
             backup.play(
-                lambda step, backup=backup, at=fails_at, times=1 + seed // 2: backup.files.failing.update(
-                    {call: times if step == at else 0}
-                )
+                lambda step,
+                backup=backup,
+                at=fails_at,
+                times=1 + seed // 2: backup.files.failures_left.update({call: times if step == at else 0})
             )
-            backup.files.failing.clear()
+            backup.files.failures_left.clear()
             backup.files.lose_power()
             backup.start()
             backup.check_bound()
--- a/tests/storage/test_crashes.py
+++ b/tests/storage/test_crashes.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from larchgw.storage.errors import StorageError
-from tests.support.faulty_files import FaultyFiles, PowerLost
+from tests.support.faulty_files import FaultyFiles, PowerLossError
 from tests.support.storage_model import CheckedLog, record
 
 SEEDS = range(6)
@@ -72,17 +72,17 @@
 def calls_of(script: Callable[[CheckedLog], None]) -> int:
     port = FaultyFiles()
     script(CheckedLog(port))
-    return port.calls
+    return port.call_count
 
 
 def interrupted(script: Callable[[CheckedLog], None], cut_at: int, seed: int) -> CheckedLog:
     """A log whose script met the end of power at a call; nothing is recovered yet."""
     port = FaultyFiles(seed, strict=seed % 2 == 1)
     log = CheckedLog(port)
-    port.cut_at = cut_at
+    port.power_loss_at = cut_at
     try:
         script(log)
-    except PowerLost:
+    except PowerLossError:
         pass
     return log
 
@@ -107,10 +107,10 @@
         for second_cut in range(1, 6):
             log = interrupted(script, cut_at, cut_at)
             log.port.lose_power()
-            log.port.cut_at = log.port.calls + second_cut
+            log.port.power_loss_at = log.port.call_count + second_cut
             try:
                 log.reopen()
-            except PowerLost:
+            except PowerLossError:
                 log.lose_power()
 
 
@@ -135,14 +135,14 @@
         log = CheckedLog(port)
         chance = random.Random(seed)
         for _ in range(4):
-            port.failing[call] = chance.randrange(3)
+            port.failures_left[call] = chance.randrange(3)
             try:
                 script(log)
             except StorageError:
                 pass
             except ValueError:
                 break
-        port.failing.clear()
+        port.failures_left.clear()
         if chance.random() < 0.5:
             log.append(b"after the failures")
             log.sync()
@@ -161,7 +161,7 @@
     def attempt(self, call: Callable[[], None]) -> None:
         try:
             call()
-        except PowerLost:
+        except PowerLossError:
             self.lose_power()
         except StorageError:
             pass
@@ -194,22 +194,22 @@
     @rule()
     def lose_power(self) -> None:
         self.port.refuses_writes = False
-        self.port.failing.clear()
+        self.port.failures_left.clear()
         self.log.lose_power()
 
     @rule()
     def kill(self) -> None:
         self.port.refuses_writes = False
-        self.port.failing.clear()
+        self.port.failures_left.clear()
         self.log.kill_process()
 
     @rule(ahead=st.integers(1, 8))
     def cut_power_soon(self, ahead: int) -> None:
-        self.port.cut_at = self.port.calls + ahead
+        self.port.power_loss_at = self.port.call_count + ahead
 
     @rule(call=st.sampled_from(["write", "truncate", "rename", "remove", "sync_file", "sync_folder"]))
     def fail_next(self, call: str) -> None:
-        self.port.failing[call] = 1
+        self.port.failures_left[call] = 1
 
     @rule()
     def fill_disk(self) -> None:
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -20,7 +20,7 @@
 from larchgw.storage.log_inspection import dump_log, verify_log
 from larchgw.storage.reserve import Reserve
 from larchgw.storage.segments import MAX_RECORD_BYTES, encode_record, segment_name
-from tests.support.faulty_files import FaultyFiles, PowerLost
+from tests.support.faulty_files import FaultyFiles, PowerLossError
 from tests.support.storage_model import FOLDER, SEGMENT_BYTES, contents, record
 
 
@@ -84,7 +84,7 @@
     def test_the_remains_of_a_longer_snapshot_do_not_spoil_the_next_one(self) -> None:
         self.log.append(b"one")
         self.log.sync()
-        self.port.failing.update(sync_file=1, remove=1)
+        self.port.failures_left.update(sync_file=1, remove=1)
         self.assertRaises(DiskFailedError, self.log.compact, 1, b"long" * 50)
         self.log.compact(1, b"short")
         self.assertEqual((1, b"short"), Log.open(self.port, FOLDER).snapshot())
@@ -131,11 +131,11 @@
     def test_appends_do_not_sync_and_share_one(self) -> None:
         self.log.append(b"first")
         self.log.sync()
-        self.port.log.clear()
+        self.port.call_log.clear()
         for number in range(20):
             self.log.append(record(number))
         self.log.sync()
-        self.assertEqual(1, sum(call.startswith("sync") for call in self.port.log))
+        self.assertEqual(1, sum(call.startswith("sync") for call in self.port.call_log))
 
     def test_a_record_appended_while_a_sync_runs_is_not_called_durable(self) -> None:
         self.log.append(b"one")
@@ -151,12 +151,12 @@
 
     def test_records_of_a_sync_that_failed_are_written_again(self) -> None:
         self.log.append(b"one")
-        self.port.failing["sync_file"] = 1
+        self.port.failures_left["sync_file"] = 1
         self.assertRaises(DiskFailedError, self.log.sync)
         self.assertEqual(0, self.log.durable_index)
-        self.port.log.clear()
+        self.port.call_log.clear()
         self.log.sync()
-        self.assertEqual("write", self.port.log[0].split()[0])
+        self.assertEqual("write", self.port.call_log[0].split()[0])
         self.port.lose_power()
         self.assertEqual((b"one",), contents(Log.open(self.port, FOLDER)).records)
 
@@ -296,7 +296,7 @@
             done += 1
             if done % 2:
                 cell = Cell(port, FOLDER, "vote")
-    except PowerLost:
+    except PowerLossError:
         pass
     return done
 
@@ -304,10 +304,10 @@
 def test_a_cell_gives_the_last_stored_value_or_the_next_after_any_loss_of_power() -> None:
     whole = FaultyFiles()
     stored_until_cut(whole)
-    for cut_at in range(1, whole.calls + 1):
+    for cut_at in range(1, whole.call_count + 1):
         for seed in range(30):
             port = FaultyFiles(seed, strict=seed % 2 == 1)
-            port.cut_at = cut_at
+            port.power_loss_at = cut_at
             done = stored_until_cut(port)
             kill_first = seed % 3 == 0
             if kill_first:
@@ -325,7 +325,7 @@
         port = FaultyFiles()
         cell = Cell(port, FOLDER, "vote")
         cell.store(b"one")
-        port.failing["sync_file"] = 1
+        port.failures_left["sync_file"] = 1
         self.assertRaises(DiskFailedError, cell.store, b"two")
         self.assertEqual(b"one", cell.load())
         cell.store(b"three")
--- a/tests/support/faulty_files.py
+++ b/tests/support/faulty_files.py
@@ -18,7 +18,7 @@
 """Unit of a torn write: small, so that the short records of tests are torn as well."""
 
 
-class PowerLost(Exception):
+class PowerLossError(Exception):
     """Raised by the call at which the script cuts the power. The port refuses all calls until `restart`."""
 
 
@@ -63,12 +63,12 @@
         self.strict = strict
         self.capacity = capacity
         self.refuses_writes = False
-        self.failing: dict[str, int] = {}
+        self.failures_left: dict[str, int] = {}
         """By call, how many of the next ones raise DiskFailedError."""
-        self.calls = 0
-        self.cut_at = 0
+        self.call_count = 0
+        self.power_loss_at = 0
         """Number of the changing call at which power is lost; 0 for never."""
-        self.log: list[str] = []
+        self.call_log: list[str] = []
         self._powered = True
         self._names: dict[str, Inode] = {}
         self._synced_names: dict[str, Inode] = {}
@@ -94,13 +94,13 @@
     def write(self, path: str, offset: int, data: bytes) -> None:
         cut = self._begin("write", path)
         if cut and self.random.random() < 0.5:
-            raise PowerLost
+            raise PowerLossError
         inode = self._names.get(path) or self._make(path)
         written = self._room_for(inode, offset, data)
         if written:
             self._change(inode, Write(offset, data[:written]))
         if cut:
-            raise PowerLost
+            raise PowerLossError
         if written < len(data):
             raise DiskFullError(path, "no room", "free some")
 
@@ -110,7 +110,7 @@
             raise DiskFullError(path, "no room", "free some")
         self._change(self._inode(path), Truncation(size))
         if cut:
-            raise PowerLost
+            raise PowerLossError
 
     def rename(self, path: str, target: str) -> None:
         cut = self._begin("rename", path)
@@ -118,7 +118,7 @@
         self._names[target] = inode
         self._name_changes.append(NameChange(path, target, inode))
         if cut:
-            raise PowerLost
+            raise PowerLossError
 
     def remove(self, path: str) -> None:
         self._check_power()
@@ -128,7 +128,7 @@
         inode = self._names.pop(path)
         self._name_changes.append(NameChange(path, "", inode))
         if cut:
-            raise PowerLost
+            raise PowerLossError
 
     def close(self, path: str) -> None:
         self._check_power()
@@ -143,7 +143,7 @@
                     change.forgotten = True
             raise
         if cut:
-            raise PowerLost
+            raise PowerLossError
         inode.synced = self._after_sync(inode)
         inode.changes = []
         if not self.strict and inode not in self._synced_names.values():
@@ -151,7 +151,7 @@
 
     def sync_folder(self, folder: str) -> None:
         if self._begin("sync_folder", folder):
-            raise PowerLost
+            raise PowerLossError
         self._synced_names = dict(self._names)
         self._name_changes = []
 
@@ -168,7 +168,7 @@
 
     def kill_process(self) -> None:
         """Files stay as they are, and what was not synced still may be lost later."""
-        self._powered, self.cut_at = True, 0
+        self._powered, self.power_loss_at = True, 0
         for inode in self._names.values():
             for change in inode.changes:
                 if isinstance(change, Write):
@@ -195,19 +195,19 @@
     def _begin(self, call: str, path: str) -> bool:
         """Counts a changing call; True if power is lost at it."""
         self._check_power()
-        self.calls += 1
-        self.log.append(f"{call} {path}")
-        if self.calls == self.cut_at:
+        self.call_count += 1
+        self.call_log.append(f"{call} {path}")
+        if self.call_count == self.power_loss_at:
             self._powered = False
             return True
-        if self.failing.get(call, 0) > 0:
-            self.failing[call] -= 1
+        if self.failures_left.get(call, 0) > 0:
+            self.failures_left[call] -= 1
             raise DiskFailedError(path, f"{call} failed", "try again")
         return False
 
     def _check_power(self) -> None:
         if not self._powered:
-            raise PowerLost
+            raise PowerLossError
 
     def _inode(self, path: str) -> Inode:
         self._check_power()
@@ -276,4 +276,4 @@
             inode.synced, inode.changes = inode.content, []
         self._names, self._synced_names, self._name_changes = names, dict(names), []
         self._powered = True
-        self.cut_at = 0
+        self.power_loss_at = 0
--- a/tests/support/storage_model.py
+++ b/tests/support/storage_model.py
@@ -11,7 +11,7 @@
 
 from larchgw.storage.errors import StorageError
 from larchgw.storage.log import Log
-from tests.support.faulty_files import FaultyFiles, PowerLost
+from tests.support.faulty_files import FaultyFiles, PowerLossError
 
 FOLDER = "data"
 SEGMENT_BYTES = 256
@@ -106,7 +106,7 @@
     def _call(self, call: Callable[[], object], after: World, cut_short: list[World]) -> None:
         try:
             call()
-        except PowerLost:
+        except PowerLossError:
             self.worlds += cut_short
             raise
         except StorageError:
