--- a/larchgw/placement/load_candidates.py
+++ b/larchgw/placement/load_candidates.py
@@ -9,7 +9,8 @@
 from .holder_value import ModelDemand, first_holder, replica, wanted_replicas
 from .model import PlacementSettings, loadable_name
 from .popularity_change import ShiftEstimate
-from .state import RunnerState, Terms
+from .runner_state import RunnerState
+from .service_capacity import ServiceCapacity
 
 RUN_S = 0.5  # a request's usual time at a runner: turns a rate into work where nothing is in flight yet
 CALM_IN_FLIGHT = 0.25  # share of a runner's slots in use from which runners count as busy
@@ -56,13 +57,13 @@
         self,
         now: float,
         service: str,
-        terms: Terms,
+        capacity: ServiceCapacity,
         runners: list[RunnerState],
         demand: DemandTracker,
         shifts: ShiftEstimate,
         settings: PlacementSettings,
     ) -> None:
-        self._now, self.service, self.terms, self.runners = now, service, terms, runners
+        self._now, self.service, self.capacity, self.runners = now, service, capacity, runners
         self._demand, self._shifts, self._settings = demand, shifts, settings
         self.holders: dict[str, int] = {}  # held_name -> runners that hold it and keep it
         self._coming: dict[str, int] = {}  # held_name -> runners where it is on its way
@@ -70,7 +71,7 @@
         summaries = demand.by_model(service)
         self.models = {
             name: self._model(name, summaries.get(name, NOT_ASKED))
-            for name in terms.models
+            for name in capacity.models
             if name in summaries or self._rise_worth(name) >= LEAST_RISE_WORTH
         }
         self._losses: dict[str, float] = {}
@@ -83,8 +84,8 @@
                     if state.holds(model, adapter):
                         name = loadable_name(model, adapter)
                         self.holders[name] = self.holders.get(name, 0) + 1
-            if state.under_way is not None:
-                order = state.under_way.order
+            if state.order_in_progress is not None:
+                order = state.order_in_progress.order
                 name = order.name if order.is_load else order.purpose
                 self._coming[name] = self._coming.get(name, 0) + 1
 
@@ -96,7 +97,7 @@
             asked.waiting,
             asked.deadline_s,
             asked.in_flight,
-            self.terms.models[name].load_s,
+            self.capacity.models[name].load_s,
             self._rise_worth(name),
         )
 
--- a/larchgw/placement/planner.py
+++ b/larchgw/placement/planner.py
@@ -18,7 +18,8 @@
 from .load_candidates import Need, ServiceDemand
 from .model import Order, OrderAction, PlacementSettings, loadable_name
 from .popularity_change import ShiftEstimate
-from .state import MEMORY_MARGIN_MB, PlacementState, RunnerState, Terms
+from .runner_state import MEMORY_MARGIN_MB, PlacementState, RunnerState
+from .service_capacity import ServiceCapacity
 
 HYSTERESIS = 1.5  # a load that nobody waits for must be worth so many times its cost
 RESIDENCE_S = 2.0  # what was loaded stays at least so long, for those who waited to be sent there
@@ -61,21 +62,21 @@
         self,
         now: float,
         configuration: Configuration,
-        terms: Mapping[str, Terms],
+        capacities: Mapping[str, ServiceCapacity],
         demand: DemandTracker,
         state: PlacementState,
     ) -> list[Order]:
         """The next orders, most pressing first, at most one for each runner."""
         orders: list[Order] = []
         room = state.load_limiter.available(now)
-        parallel = state.parallel_loads
+        parallel = state.loads_in_progress
         for service in configuration.services:
-            if service.name not in terms:
+            if service.name not in capacities:
                 continue
-            runners = state.of_service(service.name)
-            shifts = self._observed_shifts(now, service.name, terms[service.name], demand)
+            runners = state.ready_runners(service.name)
+            shifts = self._observed_shifts(now, service.name, capacities[service.name], demand)
             wanted = ServiceDemand(
-                now, service.name, terms[service.name], runners, demand, shifts, self._settings
+                now, service.name, capacities[service.name], runners, demand, shifts, self._settings
             )
             round_ = Round(now, wanted, state, self._settings, self._random_source, room, parallel)
             orders.extend(round_.orders())
@@ -83,11 +84,11 @@
         return orders
 
     def _observed_shifts(
-        self, now: float, service: str, terms: Terms, demand: DemandTracker
+        self, now: float, service: str, capacity: ServiceCapacity, demand: DemandTracker
     ) -> ShiftEstimate:
         if service not in self._shifts:
             self._shifts[service] = ShiftEstimate(self._settings.busy_requests_per_s)
-        self._shifts[service].observe(now, terms.models, demand.by_model(service))
+        self._shifts[service].observe(now, capacity.models, demand.by_model(service))
         return self._shifts[service]
 
 
@@ -105,14 +106,14 @@
         parallel: int,
     ) -> None:
         self._now, self._wanted, self._settings, self._random_source = now, wanted, settings, random_source
-        self._terms = wanted.terms
-        self._free = {runner.id: runner for runner in wanted.runners if runner.may_order(now)}
+        self._capacity = wanted.capacity
+        self._free = {runner.id: runner for runner in wanted.runners if runner.can_take_order(now)}
         self._work = self._work_by_runner()
-        self._used_mb = {runner.id: runner.used_mb(self._terms) for runner in self._free.values()}
+        self._used_mb = {runner.id: runner.used_mb(self._capacity) for runner in self._free.values()}
         self._victims: dict[str, list[Eviction]] = {}  # of models, by runner
         self._reserve = math.ceil(RESERVE_SHARE * state.load_limiter.limit)
         self._unasked = math.ceil(len(wanted.runners) / 2)  # runners that may load what nobody waits for
-        self._unasked -= sum(runner.under_way is not None for runner in wanted.runners)
+        self._unasked -= sum(runner.order_in_progress is not None for runner in wanted.runners)
         self.room, self.parallel = room, parallel
 
     def _work_by_runner(self) -> dict[str, float]:
@@ -172,10 +173,12 @@
         """Whether the store has room; what nobody waits for leaves a reserve and runners at rest."""
         if need.is_urgent:
             return self.room > 0
-        return self.room > self._reserve and self.parallel < self._terms.parallel_loads and self._unasked > 0
+        return (
+            self.room > self._reserve and self.parallel < self._capacity.parallel_loads and self._unasked > 0
+        )
 
     def _book_load(self, need: Need, runner: RunnerState) -> None:
-        if need.model not in runner.was_held:
+        if need.model not in runner.models_on_disk:
             self.room -= 1
             self.parallel += 1
         if not need.is_urgent:
@@ -208,7 +211,7 @@
         return frozenset(
             runner.record.zone
             for runner in self._wanted.runners
-            if runner.holds(model) or runner.is_coming(model)
+            if runner.holds(model) or runner.is_loading(model)
         )
 
     def _candidate(self, need: Need, runner: RunnerState, zones: frozenset[str]) -> Candidate | None:
@@ -230,10 +233,12 @@
 
     def _evictions(self, need: Need, runner: RunnerState) -> list[Eviction] | None:
         """What to give up at this runner so that the load fits; None if that can't be done now."""
-        if need.adapter and runner.used_slots() >= self._terms.runtime.adapter_slots:
+        if need.adapter and runner.used_adapter_slots() >= self._capacity.runtime.adapter_slots:
             return self._adapter_victims(runner)[:1] or None
-        required = self._terms.adapter_mb(need.model) if need.adapter else self._terms.weight_mb(need.model)
-        free = self._terms.runtime.weights_mb - MEMORY_MARGIN_MB - self._used_mb[runner.id]
+        required = (
+            self._capacity.adapter_mb(need.model) if need.adapter else self._capacity.model_mb(need.model)
+        )
+        free = self._capacity.runtime.weights_mb - MEMORY_MARGIN_MB - self._used_mb[runner.id]
         chosen: list[Eviction] = []
         for victim in self._model_victims(runner):
             if free >= required or len(chosen) == VICTIMS:
@@ -241,8 +246,8 @@
             if victim.model == need.model:
                 continue
             chosen.append(victim)
-            free += self._terms.weight_mb(victim.model)
-            free += len(runner.held[victim.model]) * self._terms.adapter_mb(victim.model)
+            free += self._capacity.model_mb(victim.model)
+            free += len(runner.held[victim.model]) * self._capacity.adapter_mb(victim.model)
         return chosen if free >= required else None
 
     def _model_victims(self, runner: RunnerState) -> list[Eviction]:
@@ -265,7 +270,7 @@
         )
 
     def _loss(self, runner: RunnerState, model: str, adapter: str = "") -> float:
-        since = runner.since.get(loadable_name(model, adapter), -math.inf)
+        since = runner.loaded_at_s.get(loadable_name(model, adapter), -math.inf)
         if self._now - since < (ADAPTER_RESIDENCE_S if adapter else RESIDENCE_S):
             return math.inf
         lost = self._wanted.adapter_loss(model, adapter) if adapter else self._wanted.model_loss(model)
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -19,7 +19,8 @@
 from ..runner_directory.runner_record import RunnerRecord, Stage
 from .load_rate_limit import LoadRateLimiter
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
-from .state import PlacementState, RunnerState, Terms, UnderWay, held_by, names_of
+from .runner_state import OrderInProgress, PlacementState, RunnerState, held_models, loadable_names
+from .service_capacity import ServiceCapacity
 
 log = structlog.get_logger()
 
@@ -43,7 +44,7 @@
         self._settings, self.load_limiter = settings, load_limiter
         self._runners: dict[str, RunnerState] = {}
         self._disks: dict[tuple[str, str], set[str]] = {}  # (service, address) -> models loaded there
-        self.terms: dict[str, Terms] = {}  # by service
+        self.capacities: dict[str, ServiceCapacity] = {}  # by service
 
     # ---- What is known ----
 
@@ -58,9 +59,9 @@
         return PlacementState(self._runners, self.load_limiter, loads)
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes the terms of the services that place models."""
-        self.terms = {
-            service.name: Terms(service.runtime)
+        """Takes the capacity of the services that place models."""
+        self.capacities = {
+            service.name: ServiceCapacity(service.runtime)
             for service in configuration.services
             if service.runtime is not None and service.runtime.models
         }
@@ -77,17 +78,21 @@
             if state is not None:
                 self._forget(now, state)
             return
-        if record.service not in self.terms:
+        if record.service not in self.capacities:
             return
         if state is None:
-            self._runners[record.id] = state = RunnerState(record, held_by(record))
+            self._runners[record.id] = state = RunnerState(record, held_models(record))
             self._remember(state)
             return
         state.record = record
-        told = held_by(record)
-        names = names_of(told)
-        state.arrived = {name: at for name, at in state.arrived.items() if name not in names}
-        state.departed = {name: at for name, at in state.departed.items() if name in names}
+        told = held_models(record)
+        names = loadable_names(told)
+        state.unconfirmed_loads = {
+            name: at for name, at in state.unconfirmed_loads.items() if name not in names
+        }
+        state.unconfirmed_unloads = {
+            name: at for name, at in state.unconfirmed_unloads.items() if name in names
+        }
         if not state.is_known:
             if not holding_lease:
                 self.load_limiter.observe_loads(now, len(told.keys() - state.held.keys()))
@@ -98,17 +103,17 @@
         """Another placer may order from now on: nothing that was known of runners counts."""
         for state in self._runners.values():
             self.load_limiter.confirm(now, state.id)
-            state.order_count, state.under_way = None, None
-            state.poll_at, state.polls, state.predecessor_counted = now, 0, False
-            state.arrived.clear()
-            state.departed.clear()
+            state.order_count, state.order_in_progress = None, None
+            state.next_poll_at_s, state.poll_count, state.is_predecessor_order_counted = now, 0, False
+            state.unconfirmed_loads.clear()
+            state.unconfirmed_unloads.clear()
 
     def _forget(self, now: float, state: RunnerState) -> None:
         self.load_limiter.confirm(now, state.id)
         del self._runners[state.id]
 
     def _remember(self, state: RunnerState) -> None:
-        state.was_held.update(state.held)
+        state.models_on_disk.update(state.held)
         self._disks.setdefault((state.record.service, state.record.address), set()).update(state.held)
 
     # ---- Polls ----
@@ -120,95 +125,99 @@
         due = [
             state for state in self._runners.values() if state.id not in asked and self._is_due(now, state)
         ]
-        due.sort(key=lambda state: state.under_way is None)
+        due.sort(key=lambda state: state.order_in_progress is None)
         del due[max(most, 0) :]
         for state in due:
-            polled = state.under_way or state
-            polled.polls += 1
-            polled.poll_at = now + _backoff(polled.polls)
+            polled = state.order_in_progress or state
+            polled.poll_count += 1
+            polled.next_poll_at_s = now + _backoff(polled.poll_count)
         return due
 
     @staticmethod
     def _is_due(now: float, state: RunnerState) -> bool:
-        if state.under_way is not None:
-            return now >= state.under_way.poll_at
-        return not state.is_known and state.is_ready and now >= state.poll_at
+        if state.order_in_progress is not None:
+            return now >= state.order_in_progress.next_poll_at_s
+        return not state.is_known and state.is_ready and now >= state.next_poll_at_s
 
     def report(self, now: float, runner: str, report: RunnerReport) -> None:
         """A report has come. It is some hundred milliseconds old."""
         state = self._runners.get(runner)
         if state is None:
             return
-        if state.under_way is None:
+        if state.order_in_progress is None:
             if not state.is_known:
                 self._learn(now, state, report)
             return
-        self._progress(now, state, state.under_way, report)
+        self._progress(now, state, state.order_in_progress, report)
 
     def poll_failed(self, now: float, runner: str) -> None:
         """No report came."""
         state = self._runners.get(runner)
         if state is None:
             return
-        state.poll_at = now + SILENT_POLL_S
-        if state.under_way is not None:
-            state.under_way.poll_at = now + SILENT_POLL_S
+        state.next_poll_at_s = now + SILENT_POLL_S
+        if state.order_in_progress is not None:
+            state.order_in_progress.next_poll_at_s = now + SILENT_POLL_S
 
     def _learn(self, now: float, state: RunnerState, report: RunnerReport) -> None:
         state.held = {model: set(adapters) for model, adapters in report.models.items()}
         self._remember(state)
         if report.is_occupied:
-            if not state.predecessor_counted:
+            if not state.is_predecessor_order_counted:
                 self.load_limiter.observe_loads(
                     now
                 )  # what a predecessor ordered may be a load from the store
-            state.predecessor_counted = True
+            state.is_predecessor_order_counted = True
             return
-        state.order_count, state.polls = report.order_count, 0
+        state.order_count, state.poll_count = report.order_count, 0
 
-    def _progress(self, now: float, state: RunnerState, under_way: UnderWay, report: RunnerReport) -> None:
-        base = under_way.order.if_revision
+    def _progress(
+        self, now: float, state: RunnerState, order_in_progress: OrderInProgress, report: RunnerReport
+    ) -> None:
+        base = order_in_progress.order.if_revision
         if base is None or report.order_count > base:
-            under_way.accepted = True
+            order_in_progress.is_accepted = True
             self.load_limiter.confirm(now, state.id)
             if report.is_occupied:
-                under_way.ready_at = max(under_way.ready_at, now + FIRST_POLL_S)
+                order_in_progress.ready_at_s = max(order_in_progress.ready_at_s, now + FIRST_POLL_S)
             else:
-                self._finish(now, state, under_way, report)
+                self._finish(now, state, order_in_progress, report)
             return
-        if report.is_occupied or under_way.accepted:
+        if report.is_occupied or order_in_progress.is_accepted:
             return
-        if now - under_way.sent_at >= UNANSWERED_S:
-            order = under_way.order
+        if now - order_in_progress.sent_at_s >= UNANSWERED_S:
+            order = order_in_progress.order
             log.info("order.unanswered", runner=state.id, action=order.action.value, model=order.name)
             self.load_limiter.confirm(now, state.id)
-            state.under_way = None
+            state.order_in_progress = None
             self._adopt(state, report)
 
-    def _finish(self, now: float, state: RunnerState, under_way: UnderWay, report: RunnerReport) -> None:
-        order = under_way.order
+    def _finish(
+        self, now: float, state: RunnerState, order_in_progress: OrderInProgress, report: RunnerReport
+    ) -> None:
+        order = order_in_progress.order
         self._adopt(state, report)
-        state.under_way = None
+        state.order_in_progress = None
         present = state.holds(order.model, order.adapter)
         if present != order.is_load:
             log.warning("order.without_effect", runner=state.id, action=order.action.value, model=order.name)
-            state.rest_until = now + REST_S
+            state.backoff_until_s = now + REST_S
         elif present:
             self._arrived(now, state, order)
         else:
             self._departed(now, state, order)
 
     def _arrived(self, now: float, state: RunnerState, order: Order) -> None:
-        state.since[order.name] = now
-        state.departed.pop(order.name, None)
+        state.loaded_at_s[order.name] = now
+        state.unconfirmed_unloads.pop(order.name, None)
         if not state.record.holds(order.model, order.adapter):
-            state.arrived[order.name] = now
+            state.unconfirmed_loads[order.name] = now
 
     def _departed(self, now: float, state: RunnerState, order: Order) -> None:
-        state.since.pop(order.name, None)
-        state.arrived.pop(order.name, None)
+        state.loaded_at_s.pop(order.name, None)
+        state.unconfirmed_loads.pop(order.name, None)
         if state.record.holds(order.model, order.adapter):
-            state.departed[order.name] = now
+            state.unconfirmed_unloads[order.name] = now
 
     def _adopt(self, state: RunnerState, report: RunnerReport) -> None:
         state.held = {model: set(adapters) for model, adapters in report.models.items()}
@@ -222,13 +231,17 @@
         next order would be refused for it, and its report read then.
         """
         for state in self._runners.values():
-            under_way = state.under_way
-            if under_way is None or not under_way.accepted or now < under_way.ready_at:
+            order_in_progress = state.order_in_progress
+            if (
+                order_in_progress is None
+                or not order_in_progress.is_accepted
+                or now < order_in_progress.ready_at_s
+            ):
                 continue
-            order = under_way.order
+            order = order_in_progress.order
             if not order.is_load or not order.adapter or order.if_revision is None:
                 continue
-            state.under_way = None
+            state.order_in_progress = None
             state.order_count = order.if_revision + 1
             state.held.setdefault(order.model, set()).add(order.adapter)
             self._arrived(now, state, order)
@@ -241,12 +254,12 @@
         if self.needs_store(order):
             self.load_limiter.reserve(now, order.runner_id)
         ready = now + self.duration(order)
-        state.under_way = UnderWay(order, now, ready, ready + self._settings.report_lag_s)
+        state.order_in_progress = OrderInProgress(order, now, ready, ready + self._settings.report_lag_s)
 
     def needs_store(self, order: Order) -> bool:
         """Whether it loads weights that this incarnation is not known to have held."""
         state = self._runners[order.runner_id]
-        return order.is_load and not order.adapter and order.model not in state.was_held
+        return order.is_load and not order.adapter and order.model not in state.models_on_disk
 
     def duration(self, order: Order) -> float:
         """Seconds that carrying it out is expected to take."""
@@ -255,31 +268,31 @@
         if order.adapter:
             return ADAPTER_S
         record = self._runners[order.runner_id].record
-        terms = self.terms.get(record.service)
-        model = terms.models.get(order.model) if terms else None
-        if terms is None or model is None:
+        capacity = self.capacities.get(record.service)
+        model = capacity.models.get(order.model) if capacity else None
+        if capacity is None or model is None:
             return FIRST_POLL_S
         if order.model in self._disks.get((record.service, record.address), ()):
             return model.load_s * LOCAL_SHARE + READY_MARGIN_S
         parallel = 1 + sum(self._from_store(state) for state in self._runners.values())
-        slowed = max(parallel / terms.parallel_loads, 1.0)
+        slowed = max(parallel / capacity.parallel_loads, 1.0)
         return model.load_s * slowed + READY_MARGIN_S
 
     def _from_store(self, state: RunnerState) -> bool:
-        return state.under_way is not None and self.needs_store(state.under_way.order)
+        return state.order_in_progress is not None and self.needs_store(state.order_in_progress.order)
 
     def answered(self, now: float, order: Order, outcome: OrderOutcome) -> None:
         """The runner's answer, or that there is none."""
         state = self._runners.get(order.runner_id)
-        if state is None or state.under_way is None or state.under_way.order is not order:
+        if state is None or state.order_in_progress is None or state.order_in_progress.order is not order:
             return
-        under_way = state.under_way
+        order_in_progress = state.order_in_progress
         if outcome is OrderOutcome.ACCEPTED:
-            under_way.accepted = True
+            order_in_progress.is_accepted = True
             self.load_limiter.confirm(now, order.runner_id)
             return
         if outcome is OrderOutcome.UNKNOWN:
-            under_way.poll_at = now + self._settings.report_lag_s
+            order_in_progress.next_poll_at_s = now + self._settings.report_lag_s
             return
         self._refused(now, state, outcome)
         if outcome is OrderOutcome.OTHER_RUNNER and not order.adapter:
@@ -290,17 +303,17 @@
 
         For an adapter the answer may also mean that its model isn't there.
         """
-        state.rest_until = state.poll_at = math.inf
+        state.backoff_until_s = state.next_poll_at_s = math.inf
 
     def _refused(self, now: float, state: RunnerState, outcome: OrderOutcome) -> None:
         """It was not taken: what the runner holds must be learned anew."""
         self.load_limiter.release(state.id)
-        state.under_way, state.order_count = None, None
-        state.poll_at, state.polls = now, 0
+        state.order_in_progress, state.order_count = None, None
+        state.next_poll_at_s, state.poll_count = now, 0
         if outcome is OrderOutcome.ALREADY_HELD:
             return
-        state.rest_until = now + REST_S
-        state.poll_at = now + self._settings.report_lag_s
+        state.backoff_until_s = now + REST_S
+        state.next_poll_at_s = now + self._settings.report_lag_s
         log.info("order.rejected", runner=state.id, outcome=outcome.name)
 
     # ---- What dispatchers are told ----
@@ -312,14 +325,14 @@
         """
         told: dict[str, dict[str, float]] = {}
         for state in self._runners.values():
-            for name, at in [*state.arrived.items(), *state.departed.items()]:
+            for name, at in [*state.unconfirmed_loads.items(), *state.unconfirmed_unloads.items()]:
                 if now - at > UNSEEN_S:
-                    state.arrived.pop(name, None)
-                    state.departed.pop(name, None)
-            names = dict.fromkeys(state.departed, math.inf) | state.arrived
-            if state.under_way is not None:
-                order = state.under_way.order
-                names[order.name] = state.under_way.ready_at if order.is_load else math.inf
+                    state.unconfirmed_loads.pop(name, None)
+                    state.unconfirmed_unloads.pop(name, None)
+            names = dict.fromkeys(state.unconfirmed_unloads, math.inf) | state.unconfirmed_loads
+            if state.order_in_progress is not None:
+                order = state.order_in_progress.order
+                names[order.name] = state.order_in_progress.ready_at_s if order.is_load else math.inf
             if names:
                 told[state.id] = names
         return told
--- /dev/null
+++ b/larchgw/placement/runner_state.py
@@ -0,0 +1,189 @@
+"""What is known of each runner: what it holds, which order is in progress there, what it may hold next.
+
+Memory and adapter slots are counted for the worst case: a load counts from before its order is sent, an
+unload only once a report shows that it is done.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from enum import Enum, auto
+
+from ..runner_directory.runner_record import RunnerRecord, Stage
+from .load_rate_limit import LoadRateLimiter
+from .model import Order, loadable_name
+from .service_capacity import ServiceCapacity
+
+MEMORY_MARGIN_MB = 0.001  # against rounding at the runner
+
+
+class RunnerPhase(Enum):
+    """How far what is known of a runner allows to order there."""
+
+    UNKNOWN = auto()  # no report that shows what it holds has come: it gets no order
+    IDLE = auto()  # known, and no order is in progress: it may get one
+    ORDER_SENT = auto()  # an order was sent; whether the runner has taken it is not known
+    ORDER_ACCEPTED = auto()  # the runner has taken the order; its end has not been seen
+
+
+@dataclass(slots=True)
+class OrderInProgress:
+    """An order that was sent and whose end has not been seen. Times are on the monotonic clock, in seconds.
+
+    Attributes:
+        order: The order.
+        sent_at_s: When it was sent.
+        ready_at_s: When it is expected to be done.
+        next_poll_at_s: When the runner's report is wanted next.
+        poll_count: Reports asked for since it was sent.
+        is_accepted: A 202 came, or a report shows that it was taken.
+    """
+
+    order: Order
+    sent_at_s: float
+    ready_at_s: float
+    next_poll_at_s: float
+    poll_count: int = 0
+    is_accepted: bool = False
+
+
+@dataclass(slots=True)
+class RunnerState:
+    """One incarnation of a runner. Times are on the monotonic clock, in seconds.
+
+    Attributes:
+        record: Its newest check-in.
+        held: Model -> adapters that it holds, by its newest report or, before the first, by its check-ins.
+        order_count: Orders that it has taken; None until a report has shown it.
+        order_in_progress: The one order that may be in progress there.
+        loaded_at_s: `loadable_name` -> when a load that this process ordered was seen to be done.
+        models_on_disk: Models that this incarnation has held, so that loading them again spares the store.
+        next_poll_at_s: When its report is wanted next, while what it holds is not known.
+        poll_count: Reports asked for, while what it holds is not known.
+        is_predecessor_order_counted: Whether an order of another process, in progress there, was counted as a
+            load.
+        backoff_until_s: No order before, after a rejection or an order without effect.
+        unconfirmed_loads: `loadable_name` -> when its load was done, until a check-in shows it.
+        unconfirmed_unloads: `loadable_name` -> when its unload was done, while check-ins still list it.
+    """
+
+    record: RunnerRecord
+    held: dict[str, set[str]] = field(default_factory=dict)
+    order_count: int | None = None
+    order_in_progress: OrderInProgress | None = None
+    loaded_at_s: dict[str, float] = field(default_factory=dict)
+    models_on_disk: set[str] = field(default_factory=set)
+    next_poll_at_s: float = 0.0
+    poll_count: int = 0
+    is_predecessor_order_counted: bool = False
+    backoff_until_s: float = 0.0
+    unconfirmed_loads: dict[str, float] = field(default_factory=dict)
+    unconfirmed_unloads: dict[str, float] = field(default_factory=dict)
+
+    @property
+    def id(self) -> str:
+        """The incarnation's id."""
+        return self.record.id
+
+    @property
+    def phase(self) -> RunnerPhase:
+        """How far what is known of it allows to order there."""
+        if self.order_in_progress is not None:
+            is_accepted = self.order_in_progress.is_accepted
+            return RunnerPhase.ORDER_ACCEPTED if is_accepted else RunnerPhase.ORDER_SENT
+        return RunnerPhase.UNKNOWN if self.order_count is None else RunnerPhase.IDLE
+
+    @property
+    def is_known(self) -> bool:
+        """Whether a report has shown what it holds."""
+        return self.order_count is not None
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether it serves and is not about to leave."""
+        return self.record.stage is Stage.READY
+
+    def can_take_order(self, now_s: float) -> bool:
+        """Whether it can be sent an order now."""
+        return self.is_ready and self.phase is RunnerPhase.IDLE and now_s >= self.backoff_until_s
+
+    def holds(self, model: str, adapter: str = "") -> bool:
+        """Whether it holds this and is not giving it up."""
+        if model not in self.held or (adapter and adapter not in self.held[model]):
+            return False
+        return not self.is_unloading(model, adapter)
+
+    def is_unloading(self, model: str, adapter: str = "") -> bool:
+        """Whether an unload of it, or of its model, is in progress."""
+        order = self.order_in_progress.order if self.order_in_progress else None
+        return (
+            order is not None
+            and not order.is_load
+            and order.model == model
+            and order.adapter in ("", adapter)
+        )
+
+    def is_loading(self, model: str, adapter: str = "") -> bool:
+        """Whether a load of it is in progress."""
+        order = self.order_in_progress.order if self.order_in_progress else None
+        return order is not None and order.is_load and (order.model, order.adapter) == (model, adapter)
+
+    def used_mb(self, capacity: ServiceCapacity) -> float:
+        """Returns the memory for weights and adapters, with what is being loaded."""
+        return sum(
+            capacity.model_mb(model) + len(adapters) * capacity.adapter_mb(model)
+            for model, adapters in self._held_at_worst().items()
+        )
+
+    def used_adapter_slots(self) -> int:
+        """Returns the slots for adapters in use, with what is being loaded."""
+        return sum(len(adapters) for adapters in self._held_at_worst().values())
+
+    def _held_at_worst(self) -> dict[str, set[str]]:
+        order = self.order_in_progress.order if self.order_in_progress else None
+        if order is None or not order.is_load:
+            return self.held
+        worst = {model: set(adapters) for model, adapters in self.held.items()}
+        adapters = worst.setdefault(order.model, set())
+        if order.adapter:
+            adapters.add(order.adapter)
+        return worst
+
+    def has_capacity_for(self, capacity: ServiceCapacity, model: str, adapter: str = "") -> bool:
+        """Whether there is memory, and a slot for an adapter, for this load now."""
+        if adapter and self.used_adapter_slots() >= capacity.runtime.adapter_slots:
+            return False
+        required_mb = capacity.adapter_mb(model) if adapter else capacity.model_mb(model)
+        return self.used_mb(capacity) + required_mb <= capacity.runtime.weights_mb - MEMORY_MARGIN_MB
+
+
+@dataclass(slots=True)
+class PlacementState:
+    """The current state that the planner compares with demand.
+
+    Attributes:
+        runners: All runners by id.
+        load_limiter: The weight store's budget.
+        loads_in_progress: Loads from the weight store that are in progress.
+    """
+
+    runners: Mapping[str, RunnerState]
+    load_limiter: LoadRateLimiter
+    loads_in_progress: int = 0
+
+    def ready_runners(self, service: str) -> list[RunnerState]:
+        """Returns the runners of a service that serve."""
+        return [
+            state for state in self.runners.values() if state.record.service == service and state.is_ready
+        ]
+
+
+def held_models(record: RunnerRecord) -> dict[str, set[str]]:
+    """Returns model -> adapters that a check-in lists."""
+    return {held.name: set(held.adapters) for held in record.models}
+
+
+def loadable_names(held: Mapping[str, Iterable[str]]) -> set[str]:
+    """Returns the names of all models and adapters in `held`, as `loadable_name` writes them."""
+    return {loadable_name(model, adapter) for model, adapters in held.items() for adapter in ("", *adapters)}
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -30,7 +30,7 @@
 from .orders import MAX_ORDERS
 from .planner import Planner
 from .reconciler import MOST_POLLS, Reconciler
-from .state import RunnerState
+from .runner_state import RunnerState
 from .summary import PlacementSummary, summarise
 
 log = structlog.get_logger()
@@ -126,7 +126,7 @@
         """A new configuration is in force."""
         self._configuration = configuration
         self._reconciler.configure(configuration)
-        rates = [terms.runtime.loads_per_s for terms in self._reconciler.terms.values()]
+        rates = [capacity.runtime.loads_per_s for capacity in self._reconciler.capacities.values()]
         self._reconciler.load_limiter.set_rate(min(rates, default=0.0))
         for record in self._records.values():
             self._reconciler.update_runner(self._clock(), record, self._fence is not None)
@@ -181,7 +181,7 @@
             return
         self._demand.expire()
         orders = self._planner.plan(
-            now, self._configuration, self._reconciler.terms, self._demand, self._reconciler.state()
+            now, self._configuration, self._reconciler.capacities, self._demand, self._reconciler.state()
         )
         for order in orders:
             self._reconciler.ordering(now, order)
@@ -223,7 +223,7 @@
     def period(self) -> float:
         """Seconds until the next round."""
         busy = any(
-            state.under_way is not None or (state.is_ready and not state.is_known)
+            state.order_in_progress is not None or (state.is_ready and not state.is_known)
             for state in self._reconciler.runners.values()
         )
         return BUSY_PERIOD_S if busy or self._demand.anyone_waits() else CALM_PERIOD_S
--- a/larchgw/placement/summary.py
+++ b/larchgw/placement/summary.py
@@ -77,8 +77,8 @@
     """Returns what is known at `now_s`, on the clock of `demand`."""
     models = [
         model
-        for service, terms in sorted(reconciler.terms.items())
-        for model in _placed_models(service, sorted(terms.models), demand, reconciler)
+        for service, capacity in sorted(reconciler.capacities.items())
+        for model in _placed_models(service, sorted(capacity.models), demand, reconciler)
     ]
     load_limiter = reconciler.load_limiter
     return PlacementSummary(
@@ -94,13 +94,13 @@
     return [
         OpenOrder(
             state.id,
-            state.under_way.order.action.value,
-            state.under_way.order.name,
-            now_s - state.under_way.sent_at,
-            state.under_way.accepted,
+            state.order_in_progress.order.action.value,
+            state.order_in_progress.order.name,
+            now_s - state.order_in_progress.sent_at_s,
+            state.order_in_progress.is_accepted,
         )
         for state in reconciler.runners.values()
-        if state.under_way is not None
+        if state.order_in_progress is not None
     ]
 
 
@@ -113,7 +113,7 @@
     for name in names:
         known = demand_by_model.get(name, _NO_DEMAND)
         holders = tuple(state.id for state in runners if state.holds(name))
-        loading = tuple(state.id for state in runners if state.is_coming(name))
+        loading = tuple(state.id for state in runners if state.is_loading(name))
         placed.append(
             PlacedModel(service, name, known.requests_per_s, known.waiting, known.in_flight, holders, loading)
         )
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -192,7 +192,7 @@
     found = summarise(clock() + 0.5, 9, demand, reconciler)
     (placed,) = [line for line in found.models if line.model == model]
     assert (placed.holders, placed.loading, placed.waiting, placed.in_flight) == (("i-1",), ("i-2",), 2, 1)
-    assert placed.requests_per_s > 0.0 and len(found.models) == len(reconciler.terms[service].models)
+    assert placed.requests_per_s > 0.0 and len(found.models) == len(reconciler.capacities[service].models)
     (order,) = found.orders
     assert (order.runner_id, order.name, order.age_s, order.is_accepted) == ("i-2", model, 0.5, False)
     assert found.available_loads == found.load_limit - 1
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -192,8 +192,8 @@
 def test_memory_of_a_load_counts_from_before_its_order_is_sent():
     made = learned(("m0", "m1"))
     made.ordering(0.0, load("m2"))
-    assert not made.runners["r0"].fits(made.terms[SERVICE], "m3")
-    assert made.runners["r0"].used_mb(made.terms[SERVICE]) == 210 * GB
+    assert not made.runners["r0"].has_capacity_for(made.capacities[SERVICE], "m3")
+    assert made.runners["r0"].used_mb(made.capacities[SERVICE]) == 210 * GB
 
 
 def test_memory_of_a_model_being_unloaded_counts_until_a_report_shows_it_gone():
@@ -201,9 +201,11 @@
     made.ordering(0.0, unload("m2"))
     made.answered(0.01, unload("m2"), OrderOutcome.ACCEPTED)
     made.report(0.3, "r0", told(("m0", "m1", "m2"), occupied=True, call_count=1))
-    assert not made.runners["r0"].fits(made.terms[SERVICE], "m3")
+    assert not made.runners["r0"].has_capacity_for(made.capacities[SERVICE], "m3")
     made.report(0.6, "r0", told(("m0", "m1"), call_count=1))
-    assert made.runners["r0"].fits(made.terms[SERVICE], "m3") and made.runners["r0"].may_order(0.6)
+    assert made.runners["r0"].has_capacity_for(made.capacities[SERVICE], "m3") and made.runners[
+        "r0"
+    ].can_take_order(0.6)
 
 
 def test_a_report_older_than_the_order_does_not_end_it():
@@ -213,7 +215,7 @@
     made.answered(0.01, order, OrderOutcome.ACCEPTED)
     made.report(0.1, "r0", told(("m0",), call_count=0))
     made.report(2.0, "r0", told(("m0",), call_count=0))
-    assert made.runners["r0"].under_way is not None
+    assert made.runners["r0"].order_in_progress is not None
 
 
 def test_an_order_without_an_answer_counts_as_taken_until_reports_show_otherwise():
@@ -222,9 +224,9 @@
     made.ordering(0.0, order)
     made.answered(0.8, order, OrderOutcome.UNKNOWN)
     made.report(1.0, "r0", told(("m0", "m1"), call_count=0))
-    assert not made.runners["r0"].may_order(1.0)
+    assert not made.runners["r0"].can_take_order(1.0)
     made.report(UNANSWERED_S, "r0", told(("m0", "m1"), call_count=0))
-    assert made.runners["r0"].may_order(UNANSWERED_S)
+    assert made.runners["r0"].can_take_order(UNANSWERED_S)
     assert made.load_limiter.available(UNANSWERED_S) == made.load_limiter.limit - 1
 
 
@@ -235,7 +237,7 @@
     made.answered(0.8, order, OrderOutcome.UNKNOWN)
     made.report(1.0, "r0", told(("m0",), occupied=True, call_count=1))
     made.report(UNANSWERED_S, "r0", told(("m0",), occupied=True, call_count=1))
-    assert made.runners["r0"].under_way is not None
+    assert made.runners["r0"].order_in_progress is not None
     made.report(2.0, "r0", told(("m0", "m1"), call_count=1))
     assert made.runners["r0"].holds("m1")
 
@@ -245,11 +247,11 @@
     order = Order("r0", "10.0.0.1:80", OrderAction.LOADING, "m0", "a1", 0)
     made.ordering(0.0, order)
     made.assume_adapters(1.0)
-    assert made.runners["r0"].under_way is not None
+    assert made.runners["r0"].order_in_progress is not None
     made.answered(1.0, order, OrderOutcome.ACCEPTED)
     made.assume_adapters(1.0)
     state = made.runners["r0"]
-    assert state.may_order(1.0) and (state.order_count, state.used_slots()) == (1, 1)
+    assert state.can_take_order(1.0) and (state.order_count, state.used_adapter_slots()) == (1, 1)
     assert made.expected(1.0) == {"r0": {"m0/a1": 1.0}}
 
 
@@ -258,10 +260,10 @@
     order = load("m1")
     made.ordering(0.0, order)
     made.answered(0.01, order, OrderOutcome.CONFLICT)
-    assert not made.runners["r0"].may_order(5.0)
+    assert not made.runners["r0"].can_take_order(5.0)
     assert [state.id for state in made.polls(5.0)] == ["r0"]
     made.report(5.0, "r0", told(("m0", "m3"), call_count=1))
-    assert made.runners["r0"].may_order(5.0) and made.runners["r0"].order_count == 1
+    assert made.runners["r0"].can_take_order(5.0) and made.runners["r0"].order_count == 1
 
 
 def test_a_refused_order_gives_its_place_at_the_store_back():
@@ -271,7 +273,7 @@
     made.answered(0.01, order, OrderOutcome.UNSENT)
     assert made.load_limiter.available(0.01) == made.load_limiter.limit
     made.report(0.3, "r0", told(("m0",)))
-    assert not made.runners["r0"].may_order(0.3) and made.runners["r0"].may_order(REST_S + 0.1)
+    assert not made.runners["r0"].can_take_order(0.3) and made.runners["r0"].can_take_order(REST_S + 0.1)
 
 
 def test_what_another_runner_at_a_reused_address_holds_is_not_taken_for_this_ones():
@@ -279,7 +281,7 @@
     order = load("m1")
     made.ordering(0.0, order)
     made.answered(0.01, order, OrderOutcome.OTHER_RUNNER)
-    assert made.polls(60.0) == [] and not made.runners["r0"].may_order(60.0)
+    assert made.polls(60.0) == [] and not made.runners["r0"].can_take_order(60.0)
 
 
 def test_a_missing_model_for_an_adapter_is_no_other_runner():
@@ -294,9 +296,9 @@
     made = reconciler()
     made.update_runner(0.0, record(held=("m0",)))
     made.report(0.0, "r0", told(("m0",), occupied=True, call_count=3))
-    assert not made.runners["r0"].may_order(0.0)
+    assert not made.runners["r0"].can_take_order(0.0)
     made.report(1.0, "r0", told(("m0", "m1"), call_count=3))
-    assert made.runners["r0"].may_order(1.0)
+    assert made.runners["r0"].can_take_order(1.0)
 
 
 def test_a_restarted_runner_is_another_one_whose_orders_are_forgotten():
@@ -321,7 +323,7 @@
 def test_after_the_lease_was_lost_nothing_is_ordered_before_reports_have_come():
     made = learned()
     made.lease_lost(1.0)
-    assert not made.runners["r0"].may_order(1.0)
+    assert not made.runners["r0"].can_take_order(1.0)
     assert [state.id for state in made.polls(1.0)] == ["r0"]
 
 
@@ -651,7 +653,7 @@
     made.update_runner(0.0, record(held=("m0", "m1", "m2")))
     made.report(0.0, "r0", told(("m0", "m1", "m2")))
     plan = Planner(PlacementSettings(), random.Random(1)).plan
-    orders = plan(clock.now, config, made.terms, demand, made.state())
+    orders = plan(clock.now, config, made.capacities, demand, made.state())
     assert [(order.action, order.purpose) for order in orders] == [(OrderAction.UNLOADING, "m6")]
 
 
@@ -756,7 +758,7 @@
 
 def orders_for(clock, demand, made, config):
     return Planner(PlacementSettings(), random.Random(1)).plan(
-        clock.now, config, made.terms, demand, made.state()
+        clock.now, config, made.capacities, demand, made.state()
     )
 
 
@@ -775,9 +777,9 @@
 def test_a_model_that_has_just_been_loaded_is_not_given_up_before_its_requests_come():
     clock = Clock()
     demand, config, made = full_runner(clock, ("m5",))
-    made.runners["r0"].since = dict.fromkeys(("m0", "m1", "m2"), clock.now - RESIDENCE_S + 0.1)
+    made.runners["r0"].loaded_at_s = dict.fromkeys(("m0", "m1", "m2"), clock.now - RESIDENCE_S + 0.1)
     assert orders_for(clock, demand, made, config) == []
-    made.runners["r0"].since["m1"] = clock.now - RESIDENCE_S
+    made.runners["r0"].loaded_at_s["m1"] = clock.now - RESIDENCE_S
     assert [order.name for order in orders_for(clock, demand, made, config)] == ["m1"]
 
 
