--- a/larchgw/placement/holder_value.py
+++ b/larchgw/placement/holder_value.py
@@ -1,8 +1,8 @@
-"""What a placement is worth, in the unit of requests' worth. Pure arithmetic over a model's demand.
+"""Value of placements over a horizon, in the unit of a request's value. Pure arithmetic on demand.
 
 The first holder of a model saves its next request the wait for a load, and the price of that load. Further
-replicas of a busy
-model spread its work; they are worth something up to the model's share of all work, with headroom.
+replicas of a busy model spread its work; their value is bounded by the model's share of all work, with
+headroom.
 """
 
 from __future__ import annotations
@@ -12,44 +12,78 @@
 
 from .model import PlacementSettings
 
-CROWDED_COST = 0.3  # share of worth lost by the requests that a missing replica would have served
-CALM_SHARE = 0.15  # part of that which is lost while runners are nearly idle
+CROWDED_COST = 0.3  # share of their value that requests lose which a missing replica would have served
+MIN_UTILIZATION = 0.15  # part of that which is lost while runners are nearly idle
+MAX_SPARE_REPLICAS = 2.0  # of a model with little work, for the loss of a runner
 
 
 @dataclass(slots=True)
-class ModelDemand:
-    """One model's demand now. `load_s` is what loading it takes, `wanted` its replicas by share of work."""
+class ModelDemandEstimate:
+    """One model's demand now.
+
+    Attributes:
+        name: The model.
+        requests_per_s: Expected rate.
+        request_value: Mean value of a request.
+        waiting: Requests that wait for a load.
+        deadline_s: When the first of them gives up.
+        in_flight: Requests at runners.
+        load_s: What loading it takes.
+        increase_value_per_s: Expected value, a second, of the requests that it brings if its demand
+            increases.
+        target_replicas: Replicas by its share of all work.
+    """
 
     name: str
-    rate: float  # requests a second expected
-    worth: float  # mean worth of a request
+    requests_per_s: float
+    request_value: float
     waiting: int
-    deadline: float  # of the first that waits
+    deadline_s: float
     in_flight: int
     load_s: float
-    rise_worth: float = 0.0  # worth a second that it may bring if demand moves to it
-    wanted: float = 1.0
+    increase_value_per_s: float = 0.0
+    target_replicas: float = 1.0
+
 
+def first_holder_value(demand: ModelDemandEstimate, settings: PlacementSettings) -> float:
+    """Returns the value of the model being held anywhere, over the horizon."""
+    request_probability = 1.0 - math.exp(-demand.requests_per_s * settings.horizon_s)
+    late_requests = 1.0 + demand.requests_per_s * demand.load_s  # that one load would make late
+    value = request_probability * (
+        settings.load_price + late_requests * demand.request_value * settings.late_cost
+    )
+    return value + demand.increase_value_per_s * demand.load_s * settings.late_cost
 
-def first_holder(demand: ModelDemand, settings: PlacementSettings) -> float:
-    """Worth of the model being held anywhere, over the horizon."""
-    asked = 1.0 - math.exp(-demand.rate * settings.horizon_s)
-    late = 1.0 + demand.rate * demand.load_s  # requests that one load would make late
-    now = asked * (settings.load_price + late * demand.worth * settings.late_cost)
-    return now + demand.rise_worth * demand.load_s * settings.late_cost
 
+def replica_value(
+    demand: ModelDemandEstimate, holders: int, utilization: float, settings: PlacementSettings
+) -> float:
+    """Returns the value of the last of so many holders, over the horizon.
 
-def replica(demand: ModelDemand, holders: int, pressure: float, settings: PlacementSettings) -> float:
-    """Worth of the last of so many holders, over the horizon; `pressure` is how busy runners are, 0 to 1."""
+    Args:
+        demand: The model's demand.
+        holders: Runners that hold it, this one included.
+        utilization: How busy the service's runners are, 0 to 1.
+        settings: Prices and horizon.
+    """
     if holders <= 1:
-        return first_holder(demand, settings)
-    missing = min(max(demand.wanted - (holders - 1), 0.0), 1.0)
-    served = demand.rate * demand.worth * settings.horizon_s / holders
-    return missing * served * CROWDED_COST * max(pressure, CALM_SHARE)
+        return first_holder_value(demand, settings)
+    missing = min(max(demand.target_replicas - (holders - 1), 0.0), 1.0)
+    served_value = demand.requests_per_s * demand.request_value * settings.horizon_s / holders
+    return missing * served_value * CROWDED_COST * max(utilization, MIN_UTILIZATION)
+
 
+def target_replicas(
+    work_share: float, requests_per_s: float, runners: int, settings: PlacementSettings
+) -> float:
+    """Returns the replicas that a model should have; a busy one has two, for the loss of a runner.
 
-def wanted_replicas(share: float, rate: float, runners: int, settings: PlacementSettings) -> float:
-    """Replicas by share of the service's work; a busy model has two, for the loss of a runner."""
-    by_share = share * runners * settings.headroom
-    spare = min(1.0 + rate / settings.busy_requests_per_s, 2.0)
+    Args:
+        work_share: The model's part of the service's work, 0 to 1.
+        requests_per_s: Its expected rate.
+        runners: Runners of the service.
+        settings: Headroom, and the rate from which a model is busy.
+    """
+    by_share = work_share * runners * settings.headroom
+    spare = min(1.0 + requests_per_s / settings.busy_requests_per_s, MAX_SPARE_REPLICAS)
     return min(max(by_share, spare, 1.0), float(max(runners, 1)))
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -14,6 +14,7 @@
 from larchgw.experiments.place import Calls, HeldLease, run_at_once
 from larchgw.experiments.place import Service as Driver
 from larchgw.placement.demand_tracker import EXPIRY_S, DemandTracker, ModelSummary
+from larchgw.placement.evictions import MODEL_RESIDENCE_S
 from larchgw.placement.load_rate_limit import LoadRateLimiter
 from larchgw.placement.model import (
     Order,
@@ -23,8 +24,8 @@
     RunnerReport,
 )
 from larchgw.placement.orders import MAX_ORDERS, decode_report, encode_order, outcome_of
-from larchgw.placement.planner import RESIDENCE_S, Planner
-from larchgw.placement.popularity_change import ShiftEstimate
+from larchgw.placement.planner import Planner
+from larchgw.placement.popularity_change import PopularityChange
 from larchgw.placement.reconciler import LAST_POLL_S, REST_S, UNANSWERED_S, Reconciler
 from larchgw.placement.service import GONE, PlacementRuntime, PlacementService
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
@@ -732,13 +733,13 @@
 
 
 def test_a_model_that_was_busy_is_likelier_to_rise_again_than_a_rare_one():
-    shifts = ShiftEstimate(0.5)
+    shifts = PopularityChange(0.5)
     names = ("m0", "m1", "m2", "m3")
     shifts.observe(0.0, names, {"m0": asked(10.0), "m1": asked(0.05)})
     shifts.observe(10.0, names, {"m0": asked(0.01), "m1": asked(0.05), "m2": asked(8.0)})
-    again, rarely, never = (shifts.worth_a_second(name, 15.0) for name in ("m0", "m1", "m3"))
+    again, rarely, never = (shifts.expected_value_per_s(name, 15.0) for name in ("m0", "m1", "m3"))
     assert again > never > rarely > 0.0
-    assert shifts.worth_a_second("m2", 15.0) > never
+    assert shifts.expected_value_per_s("m2", 15.0) > never
 
 
 def test_a_model_that_becomes_busy_again_is_still_held_somewhere():
@@ -777,9 +778,9 @@
 def test_a_model_that_has_just_been_loaded_is_not_given_up_before_its_requests_come():
     clock = Clock()
     demand, config, made = full_runner(clock, ("m5",))
-    made.runners["r0"].loaded_at_s = dict.fromkeys(("m0", "m1", "m2"), clock.now - RESIDENCE_S + 0.1)
+    made.runners["r0"].loaded_at_s = dict.fromkeys(("m0", "m1", "m2"), clock.now - MODEL_RESIDENCE_S + 0.1)
     assert orders_for(clock, demand, made, config) == []
-    made.runners["r0"].loaded_at_s["m1"] = clock.now - RESIDENCE_S
+    made.runners["r0"].loaded_at_s["m1"] = clock.now - MODEL_RESIDENCE_S
     assert [order.name for order in orders_for(clock, demand, made, config)] == ["m1"]
 
 
