--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -13,8 +13,8 @@
 from ..distribution.hinted_handoff import HintedHandoff
 from ..distribution.peer_pullers import PeerPullers
 from ..distribution.pull_service import PullService
+from ..distribution.pull_settings import PullSettings
 from ..distribution.registry import Registry
-from ..distribution.sources import PullSettings
 from ..distribution.version_vectors import new_origin
 from ..membership.swim import Swim
 from ..placement.model import PlacementSettings
--- a/larchgw/distribution/__init__.py
+++ b/larchgw/distribution/__init__.py
@@ -6,10 +6,12 @@
     version_vectors  version vectors as they are sent, and the cursors that travel in them
     pull_service     the answering side of pulls (long polls), at control processes
     puller           the asking side, at dispatchers; `peer_pullers` runs one for each other control process
-    sources          which control process a puller asks next, and the times of pulls
+    source_selector  which control process a puller asks next
+    pull_settings    the times of pulls
     resync           anti-entropy: comparison with a whole registry after a long time out of touch
     hinted_handoff   pushes urgent entries to a quorum; `hints` keeps what a peer missed
     placer_entry     the entry that names the placer
+    connection       a connection to another process, as this package needs it
 
 Source: DeCandia and others, "Dynamo: Amazon's Highly Available Key-value Store", SOSP 2007, sections 4.4, 4.6
 and 4.7 (versioning, hinted handoff, anti-entropy); Parker and others, "Detection of Mutual Inconsistency in
--- a/larchgw/distribution/hinted_handoff.py
+++ b/larchgw/distribution/hinted_handoff.py
@@ -17,8 +17,8 @@
 
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import Entry, PushRequest
+from .connection import Connection
 from .hints import HintStore
-from .puller import Caller
 
 log = structlog.get_logger()
 MOST_HINTS = 5000  # a peer; some times the runners of a large deployment
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        connect: Callable[[str], Caller],
+        connect: Callable[[str], Connection],
         peers: Callable[[], Sequence[str]],
         *,
         node_name: str = "",
@@ -44,7 +44,7 @@
         self._connect = connect
         self._peers = peers
         self._node_name = node_name
-        self._callers: dict[str, Caller] = {}
+        self._callers: dict[str, Connection] = {}
         self._under_way: set[asyncio.Task[bool]] = set()
         self.hints = HintStore(most_hints)
 
--- a/larchgw/distribution/peer_pullers.py
+++ b/larchgw/distribution/peer_pullers.py
@@ -7,32 +7,44 @@
 import time
 from collections.abc import Callable, Sequence
 
-from .puller import Caller, Puller
+from .connection import Connect
+from .pull_settings import PullSettings
+from .puller import Puller
 from .registry import Registry
-from .sources import PullSettings
 
-LOOK_S = 0.1  # how often the list of peers is compared with the pullers that run
+RECONCILE_INTERVAL_S = 0.1  # between two comparisons of the list of peers with the pullers that run
 
 
 class PeerPullers:
-    """Keeps one puller running for each address that `peers` names (rpc addresses, the own one left out)."""
+    """Keeps one puller running for each peer."""
 
     def __init__(
         self,
         registry: Registry,
-        connect: Callable[[str], Caller],
+        connect: Connect,
         peers: Callable[[], Sequence[str]],
         settings: PullSettings,
-        dice: random.Random,
+        random_source: random.Random,
         *,
         node_name: str = "",
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """Creates it without pullers; `run` starts them.
+
+        Args:
+            registry: Where entries are merged.
+            connect: Opens a connection to an address.
+            peers: Gives the rpc addresses to pull from, the own one left out.
+            settings: Times of pulls.
+            random_source: Draws pauses.
+            node_name: The own name, for the logs of the processes that answer.
+            clock: Seconds, monotonic.
+        """
         self._registry = registry
         self._connect = connect
         self._peers = peers
         self._settings = settings
-        self._dice = dice
+        self._random_source = random_source
         self._node_name = node_name
         self._clock = clock
         self._pullers: dict[str, Puller] = {}
@@ -43,7 +55,7 @@
         try:
             while True:
                 self.reconcile()
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(RECONCILE_INTERVAL_S)
         finally:
             for address in list(self._tasks):
                 self._stop(address)
@@ -58,8 +70,10 @@
                 self._start(address)
 
     def contact_proven_at(self, address: str) -> float | None:
-        """When the last pull from that peer began that was answered in full; also if the peer was cut off
-        from the majority itself."""
+        """Returns when the last pull from that peer began that was answered in full.
+
+        By `clock`; None if there was none. It counts also if the peer was cut off from the majority itself.
+        """
         puller = self._pullers.get(address)
         return puller.contact_proven_at if puller is not None else None
 
@@ -69,7 +83,7 @@
             self._connect,
             lambda: [address],
             self._settings,
-            self._dice,
+            self._random_source,
             node_name=self._node_name,
             is_only_source=False,
             clock=self._clock,
--- a/larchgw/distribution/pull_service.py
+++ b/larchgw/distribution/pull_service.py
@@ -11,7 +11,7 @@
 
 from ..rpc.generated.ttypes import Entry, PullReply, PullRequest, PushReply, PushRequest
 from .registry import Registry
-from .version_vectors import cursor_name
+from .version_vectors import cursor_key
 
 GATHER_S = 0.010  # changes that come together go out in one reply; small against the 2 s a change may take
 MAX_WAIT_S = 5.0  # the longest wait that a caller may ask for
@@ -49,7 +49,7 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + min((request.wait_ms or 0) / 1000.0, MAX_WAIT_S)
         reply = self._delta(request)
-        if cursor_name(self.registry.origin) not in (request.have or {}):
+        if cursor_key(self.registry.origin) not in (request.have or {}):
             return reply
         while not reply.entries and not reply.isolated and loop.time() < until:
             await self._news(until - loop.time())
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -1,9 +1,10 @@
 """The asking side of pulls: keeps a registry up to date from one control process at a time.
 
-A pull waits at the control process for news. A process that errs, stays silent longer than the settings allow
-or says that it is cut off from the majority is left for another at once. Of what a cut-off process sends an
-edge takes the runners alone: its configuration may be an old one, and an edge that knows none yet would begin
-to serve with it. Control processes take all from one another, since merging never takes anything back.
+A pull waits at the control process for a change (long poll). A process that errs, stays silent longer than
+the settings allow or says that it is cut off from the majority is left for another at once. Of what a cut-off
+process sends an edge takes the runners alone: its configuration may be an old one, and an edge that knows
+none yet would begin to serve with it. Control processes take all from one another, since merging never takes
+anything back.
 """
 
 from __future__ import annotations
@@ -13,74 +14,77 @@
 import random
 import time
 from collections.abc import Callable, Sequence
-from typing import Any, Protocol
 
 import structlog
 
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import PullReply, PullRequest, PushRequest
+from .connection import Connect, Connection
 from .keys import RUNNER_PREFIX
+from .pull_settings import PullSettings
 from .registry import Registry
 from .resync import Resync
-from .sources import PullSettings, SourceSelector
-from .version_vectors import Vector, cursors, without_cursors
+from .source_selector import SourceSelector
+from .version_vectors import VersionVector, cursors, without_cursors
 
 log = structlog.get_logger()
 NO_ADDRESS_PAUSE_S = 0.1  # until the addresses are asked for again
 
 
-class Caller(Protocol):
-    """A connection to one process; rpc.client.RpcClient is the real one."""
-
-    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
-        """The answer. `timeout_s` is in seconds. Raises RpcError."""
+class _Session:
+    """What is known of the process pulled from, since the change to it.
 
-    def close(self) -> None:
-        """Ends the connection."""
+    Attributes:
+        address: Its rpc address.
+        connection: The connection to it.
+        cursors: How far its registry has been read; sent with each pull.
+        vector: What it holds, as far as its replies have claimed.
+        hand_back_at: When entries that it lacks are given to it, by the puller's clock; None: no more.
+    """
 
+    def __init__(self, address: str, connection: Connection) -> None:
+        self.address = address
+        self.connection = connection
+        self.cursors: VersionVector = {}
+        self.vector: VersionVector = {}
+        self.hand_back_at: float | None = None
+        self._incarnation = ""  # the key of its cursor
 
-class _Session:
-    """What is known of the process pulled from, since the change to it."""
+    def update(self, reply: PullReply) -> bool:
+        """Notes how far it is read.
 
-    def __init__(self, address: str, caller: Caller) -> None:
-        self.address = address
-        self.caller = caller
-        self.cursors: Vector = {}
-        self.vector: Vector = {}  # what it holds
-        self.returns_at: float | None = None  # when entries that it lacks are given to it
-        self.life = ""  # its cursor's name
-
-    def read(self, reply: PullReply) -> bool:
-        """Notes how far it is read; whether it is another life of that process than before."""
+        Returns:
+            Whether the reply is the first of this incarnation of the process.
+        """
         upto = reply.upto or {}
         self.cursors = cursors(upto)
-        life = next(iter(self.cursors), "")
-        changed = life != self.life
-        if changed:
-            self.life, self.vector = life, {}
+        incarnation = next(iter(self.cursors), "")
+        is_new_incarnation = incarnation != self._incarnation
+        if is_new_incarnation:
+            self._incarnation, self.vector = incarnation, {}
         for origin, sequence in without_cursors(upto).items():
             self.vector[origin] = max(sequence, self.vector.get(origin, 0))
-        return changed
+        return is_new_incarnation
 
 
 class Puller:
-    """Pulls entries with `prefixes` (none: all) into the registry until it is cancelled.
-
-    `connect` opens a connection to an address; `addresses` gives the control processes to start from. Where
-    this puller `is_only_source` of the registry, later ones are learned from the replies, and after a silence
-    of `resync_after_s` the registry is compared with the whole of another (resync.py). With
-    `hands_back_runners` set, entries of runners that the process pulled from turns out to lack some time
-    after the change to it are given to it: after a restart of all control processes the dispatchers are the
-    only ones who know of a runner that crashed meanwhile.
+    """Pulls entries into a registry until it is cancelled.
+
+    Attributes:
+        registry: Where entries are merged.
+        last_heard_at: By `clock`: the last answer of a process that is not cut off.
+        contact_proven_at: By `clock`: begin of the last pull that was answered in full, also by a process
+            that is cut off. All that the process held then has been merged.
+        source_changes: How often the process pulled from has changed.
     """
 
     def __init__(
         self,
         registry: Registry,
-        connect: Callable[[str], Caller],
+        connect: Connect,
         addresses: Callable[[], Sequence[str]],
         settings: PullSettings,
-        dice: random.Random,
+        random_source: random.Random,
         *,
         node_name: str = "",
         prefixes: Sequence[str] = (),
@@ -89,32 +93,48 @@
         hands_back_runners: bool = False,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """Creates a puller; `run` starts it.
+
+        Args:
+            registry: Where entries are merged.
+            connect: Opens a connection to an address.
+            addresses: Gives the control processes to start from.
+            settings: Times of pulls.
+            random_source: Draws sources, pauses and the time of handing back.
+            node_name: The own name, for the logs of the process that answers.
+            prefixes: Keys to pull begin with one of these; none: all keys.
+            is_near: Whether an address is in the own zone.
+            is_only_source: Whether nothing else fills the registry. Further addresses are then learned from
+                the replies, replies of a cut-off process are taken in part, and after `resync_after_s` out
+                of touch the registry is compared with the whole of another (resync.py).
+            hands_back_runners: Whether entries of runners that the process pulled from lacks some time after
+                the change to it are given to it. After a restart of all control processes the dispatchers
+                are the only ones who know of a runner that crashed meanwhile.
+            clock: Seconds, monotonic.
+        """
         self.registry = registry
-        # By `clock`: the last answer of a process that is not cut off.
         self.last_heard_at: float | None = None
-        # By `clock`: begin of the last pull that was answered in full, also by one that is cut off. All that
-        # the process held then has been merged.
         self.contact_proven_at: float | None = None
-        self.source_changes = 0  # of the process pulled from
+        self.source_changes = 0
         self._connect = connect
         self._addresses = addresses
         self._settings = settings
-        self._dice = dice
-        self._choice = SourceSelector(settings, dice, is_near)
+        self._random_source = random_source
+        self._selector = SourceSelector(settings, random_source, is_near)
         self._node_name = node_name
         self._prefixes = list(prefixes)
         self._is_only_source = is_only_source
         self._resync = Resync(registry)
         self._hands_back_runners = hands_back_runners
         self._clock = clock
-        self._learned: list[str] = []
-        self._silent: set[str] = set()  # addresses whose last call had no answer
+        self._learned_addresses: list[str] = []
+        self._unresponsive: set[str] = set()  # addresses whose last call had no answer
         self._session: _Session | None = None
 
     @property
     def source(self) -> str:
         """The control process that served last; empty if there is none."""
-        return self._choice.current
+        return self._selector.current
 
     async def run(self) -> None:
         """Pulls until it is cancelled."""
@@ -122,35 +142,30 @@
             while True:
                 await self.step()
         finally:
-            self._leave()
+            self._close_session()
 
     async def step(self) -> None:
-        """One pull, with the pause before it."""
+        """Pulls once, after the pause that the choice of the source asks for."""
         given = list(self._addresses())
-        source = self._choice.choose(self._clock(), self._learned or given, given)
+        source = self._selector.choose(self._clock(), self._learned_addresses or given, given)
         if source is None:
             await asyncio.sleep(NO_ADDRESS_PAUSE_S)
             return
-        if source.pause > 0.0:
-            await asyncio.sleep(source.pause)
-        session = self._open(source.address)
+        if source.pause_s > 0.0:
+            await asyncio.sleep(source.pause_s)
+        session = self._open_session(source.address)
         began = self._clock()
         try:
             reply = await self._pull(session)
         except RpcError as error:
-            # Once, until it answers again: a control process asks a lost witness several times a second.
-            level = logging.DEBUG if source.address in self._silent else logging.INFO
-            log.log(level, "pull.failed", address=source.address, error=str(error))
-            self._silent.add(source.address)
-            self._choice.failed(source.address)
-            self._leave()
+            self._record_no_answer(source.address, error)
             return
-        self._silent.discard(source.address)
+        self._unresponsive.discard(source.address)
         if self._is_only_source and not self._is_current(reply, began):
-            self._take_from_cut_off(session, reply)
+            self._merge_from_isolated(session, reply)
             return
-        self._take(session, reply, began)
-        await self._return_entries(session)
+        self._accept(session, reply, began)
+        await self._hand_back_runners(session)
 
     async def _pull(self, session: _Session) -> PullReply:
         request = PullRequest(
@@ -159,79 +174,83 @@
             wait_ms=round(self._settings.wait_s * 1000.0),
             prefixes=self._prefixes,
         )
-        return await session.caller.call("pull", request, self._timeout)
+        return await session.connection.call("pull", request, self._settings.timeout_s)
 
-    @property
-    def _timeout(self) -> float:
-        return self._settings.wait_s + self._settings.reply_grace_s
+    def _record_no_answer(self, address: str, error: RpcError) -> None:
+        # Logged once, until it answers again: a control process asks a lost witness several times a second.
+        level = logging.DEBUG if address in self._unresponsive else logging.INFO
+        log.log(level, "pull.failed", address=address, error=str(error))
+        self._unresponsive.add(address)
+        self._selector.record_failure(address)
+        self._close_session()
 
     def _is_current(self, reply: PullReply, began: float) -> bool:
-        """Whether its sender was in contact with the majority, and that so lately that it still holds."""
-        return not reply.isolated and self._clock() - began <= self._timeout
+        """Returns whether its sender was in contact with the majority, and so lately that it still holds."""
+        return not reply.isolated and self._clock() - began <= self._settings.timeout_s
 
-    def _take_from_cut_off(self, session: _Session, reply: PullReply) -> None:
-        """Takes the runners. Nothing is claimed, so that what is left out is sent again."""
+    def _merge_from_isolated(self, session: _Session, reply: PullReply) -> None:
+        """Merges the runners. Nothing is claimed, so that what is left out is sent again."""
         self.registry.merge([entry for entry in reply.entries or [] if entry.key.startswith(RUNNER_PREFIX)])
-        self._choice.failed(session.address)
-        self._leave()
+        self._selector.record_failure(session.address)
+        self._close_session()
 
-    def _take(self, session: _Session, reply: PullReply, began: float) -> None:
+    def _accept(self, session: _Session, reply: PullReply, began: float) -> None:
         now = self._clock()
         self._merge(reply)
         if not reply.more:
             self.contact_proven_at = began
-        if session.read(reply) and self._hands_back_runners:
-            session.returns_at = now + self._settings.hand_back_after_s * self._dice.uniform(1.0, 1.5)
+        if session.update(reply) and self._hands_back_runners:
+            delay_s = self._settings.hand_back_after_s * self._random_source.uniform(1.0, 1.5)
+            session.hand_back_at = now + delay_s
         if self._is_only_source and reply.control:
-            self._learned = list(reply.control)
+            self._learned_addresses = list(reply.control)
         if reply.isolated:
-            self._choice.failed(session.address)
+            self._selector.record_failure(session.address)
             return
-        self._choice.served(now, session.address)
-        if self._is_only_source and self._stale(now):
-            self._resync.begin()
+        self._selector.record_success(now, session.address)
+        if self._is_only_source and self._must_resync(now):
+            self._resync.start()
             session.cursors = {}
         self.last_heard_at = now
 
     def _merge(self, reply: PullReply) -> None:
         entries = reply.entries or []
         self.registry.merge(entries)
-        self._resync.saw(entries)
+        self._resync.observe(entries)
         if reply.more:
             return
         self.registry.advance(reply.upto or {})
-        if self._resync.under_way:
+        if self._resync.is_running:
             self._resync.finish()
 
-    def _stale(self, now: float) -> bool:
+    def _must_resync(self, now: float) -> bool:
         return self.last_heard_at is not None and now - self.last_heard_at > self._settings.resync_after_s
 
-    async def _return_entries(self, session: _Session) -> None:
-        if session.returns_at is None or self._clock() < session.returns_at:
+    async def _hand_back_runners(self, session: _Session) -> None:
+        if session.hand_back_at is None or self._clock() < session.hand_back_at:
             return
-        session.returns_at = None
-        lacking = list(self.registry.not_covered_by(session.vector, RUNNER_PREFIX))
-        if not lacking:
+        session.hand_back_at = None
+        missing = list(self.registry.not_covered_by(session.vector, RUNNER_PREFIX))
+        if not missing:
             return
-        log.info("pull.entries_returned", address=session.address, count=len(lacking))
+        log.info("pull.entries_returned", address=session.address, count=len(missing))
+        request = PushRequest(node_name=self._node_name, entries=missing)
         try:
-            await session.caller.call(
-                "push", PushRequest(node_name=self._node_name, entries=lacking), self._settings.reply_grace_s
-            )
+            await session.connection.call("push", request, self._settings.reply_grace_s)
         except RpcError as error:
             log.info("pull.entries_return_failed", address=session.address, error=str(error))
 
-    def _open(self, address: str) -> _Session:
+    def _open_session(self, address: str) -> _Session:
         if self._session is not None and self._session.address != address:
-            self._leave()
+            self._close_session()
         if self._session is None:
             self._session = _Session(address, self._connect(address))
-            if self._resync.under_way:
-                self._resync.begin()
+            if self._resync.is_running:
+                self._resync.start()
             self.source_changes += 1
         return self._session
 
-    def _leave(self) -> None:
+    def _close_session(self) -> None:
         if self._session is not None:
-            self._session.caller.close()
+            self._session.connection.close()
             self._session = None
--- a/larchgw/distribution/resync.py
+++ b/larchgw/distribution/resync.py
@@ -1,8 +1,10 @@
-"""What a process does that was out of touch for so long that tombstones may have been forgotten meanwhile.
+"""Anti-entropy after a time out of touch so long that tombstones may have been removed meanwhile.
 
-A runner's last entry, which says that it is gone, is forgotten after some minutes. A process that did not get
-it keeps the entry before it for ever, since no vector can tell it of an entry that nobody holds. After such a
-silence it therefore claims nothing, is sent the whole registry, and drops what is not in it.
+A runner's last entry, which says that it is gone (its tombstone), is removed after some minutes. A process
+that did not get it keeps the entry before it for ever, since no vector can tell it of an entry that nobody
+holds. After such a time it therefore claims nothing, is sent the whole registry, and drops what is not in it.
+
+Source: Dynamo (SOSP 2007), section 4.7, in its simplest form: a comparison of all keys.
 """
 
 from __future__ import annotations
@@ -16,42 +18,46 @@
 from .registry import Registry
 
 log = structlog.get_logger()
-FORGOTTEN_PREFIXES = (RUNNER_PREFIX, EXPECTED_LOADS_PREFIX)  # keys that come and go; the others stay for ever
+REMOVABLE_PREFIXES = (RUNNER_PREFIX, EXPECTED_LOADS_PREFIX)  # keys that come and go; the others stay for ever
 
 
 class Resync:
-    """One comparison of the registry with the whole of another."""
+    """One comparison of the registry with the whole of another: `start`, `observe` ..., `finish`."""
 
     def __init__(self, registry: Registry) -> None:
+        """Compares `registry` with the one that a puller reads."""
         self._registry = registry
-        self._seen: set[str] | None = None
+        self._observed_keys: set[str] | None = None  # None: no comparison is running
 
     @property
-    def under_way(self) -> bool:
+    def is_running(self) -> bool:
         """Whether entries are being compared."""
-        return self._seen is not None
+        return self._observed_keys is not None
 
-    def begin(self) -> None:
-        """From now on another registry's entries come from its first one."""
+    def start(self) -> None:
+        """Starts, or starts again: from now on another registry's entries come from its first one."""
         self._registry.reset_vector()
-        self._seen = set()
+        self._observed_keys = set()
 
-    def saw(self, entries: Iterable[Entry]) -> None:
-        """The other registry holds these."""
-        if self._seen is not None:
-            self._seen.update(entry.key for entry in entries)
+    def observe(self, entries: Iterable[Entry]) -> None:
+        """Notes that the other registry holds these."""
+        if self._observed_keys is not None:
+            self._observed_keys.update(entry.key for entry in entries)
 
     def finish(self) -> None:
-        """The other registry holds nothing else. One without any runner has just started, and proves
-        nothing.
+        """Drops what the other registry does not hold, after all of its entries were observed.
+
+        A registry without any runner has just started, and proves nothing.
         """
-        seen, self._seen = self._seen or set(), None
-        if not any(key.startswith(RUNNER_PREFIX) for key in seen):
+        observed_keys, self._observed_keys = self._observed_keys or set(), None
+        if not any(key.startswith(RUNNER_PREFIX) for key in observed_keys):
             return
-        for prefix in FORGOTTEN_PREFIXES:
-            dropped = self._registry.remove_if(prefix, lambda entry: self._strange(entry, seen))
+        for prefix in REMOVABLE_PREFIXES:
+            dropped = self._registry.remove_if(
+                prefix, lambda entry: self._is_absent_elsewhere(entry, observed_keys)
+            )
             if dropped:
                 log.info("resync.entries_dropped", prefix=prefix, count=dropped)
 
-    def _strange(self, entry: Entry, seen: set[str]) -> bool:
-        return entry.key not in seen and entry.origin != self._registry.origin
+    def _is_absent_elsewhere(self, entry: Entry, observed_keys: set[str]) -> bool:
+        return entry.key not in observed_keys and entry.origin != self._registry.origin
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -15,9 +15,9 @@
 from ..configuration.settings import NodeSettings
 from ..configuration.validation import parse_committed
 from ..distribution.keys import CONFIGURATION_KEY
+from ..distribution.pull_settings import PullSettings
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
-from ..distribution.sources import PullSettings
 from ..distribution.version_vectors import new_origin
 from ..membership.transport import SwimTransport
 from ..net.address import parse_address
--- a/larchgw/experiments/distribution_model.py
+++ b/larchgw/experiments/distribution_model.py
@@ -18,9 +18,9 @@
 
 from ..distribution.peer_pullers import PeerPullers
 from ..distribution.pull_service import PullService
+from ..distribution.pull_settings import PullSettings
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
-from ..distribution.sources import PullSettings
 from ..rpc.codec import decode_message, encode_message
 from ..rpc.errors import RpcConnectionError, RpcTimeoutError
 from ..rpc.generated import Control
--- a/larchgw/experiments/fleet_dispatchers.py
+++ b/larchgw/experiments/fleet_dispatchers.py
@@ -16,9 +16,9 @@
 from ..configuration.routing import RouteTable
 from ..configuration.validation import parse_committed
 from ..distribution.keys import CONFIGURATION_KEY
+from ..distribution.pull_settings import PullSettings
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
-from ..distribution.sources import PullSettings
 from ..edge.demand import DemandTally
 from ..edge.demand_reports import DemandReporter
 from ..membership.member import Member
--- a/larchgw/model_checking/check_ins/mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -90,9 +90,9 @@
         _drops_the_result,
     ),
     Mutant("takes a start for contact", "course", 0, PullContact, "_is_proven", _takes_a_start_for_contact),
-    Mutant("counts contact from the arrival of answers", "course", 6, Puller, "_take", _counts_by_arrival),
+    Mutant("counts contact from the arrival of answers", "course", 6, Puller, "_accept", _counts_by_arrival),
     Mutant(
-        "takes a part of an answer for the whole", "course", 0, Puller, "_take", _takes_a_part_for_the_whole
+        "takes a part of an answer for the whole", "course", 0, Puller, "_accept", _takes_a_part_for_the_whole
     ),
     Mutant(
         "takes a configuration from a process that is cut off",
@@ -107,7 +107,7 @@
         "course",
         4,
         Puller,
-        "_take_from_cut_off",
+        "_merge_from_isolated",
         _claims_what_it_left_out,
     ),
     Mutant("counts one less than a majority as one", "course", 0, view, "majority_of", _one_less_is_enough),
--- a/larchgw/model_checking/check_ins/network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -99,13 +99,13 @@
 
 
 class Connection:
-    """What a process calls another one by; a distribution.puller.Caller."""
+    """What a process calls another one by; a distribution.connection.Connection."""
 
     def __init__(self, network: Network, sender: str, receiver: str) -> None:
         self._network, self._sender, self._receiver = network, sender, receiver
 
     async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
-        """See Caller."""
+        """See distribution.connection.Connection."""
         return await self._network.call(self._sender, self._receiver, method, argument, timeout_s)
 
     def close(self) -> None:
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -16,9 +16,9 @@
 from ...distribution.keys import CONFIGURATION_KEY
 from ...distribution.peer_pullers import PeerPullers
 from ...distribution.pull_service import PullService
+from ...distribution.pull_settings import PullSettings
 from ...distribution.puller import Puller
 from ...distribution.registry import Registry
-from ...distribution.sources import PullSettings
 from ...replication.view import first_view
 from ...rpc.errors import RpcError
 from ...runner_directory.directory import RunnerDirectory
--- a/tests/control/test_majority_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -13,8 +13,8 @@
 from larchgw.control.latest_view import LatestView
 from larchgw.control.majority_contact import MAX_CONTACT_AGE_S, PullContact
 from larchgw.distribution.peer_pullers import PeerPullers
+from larchgw.distribution.pull_settings import PullSettings
 from larchgw.distribution.registry import Registry
-from larchgw.distribution.sources import PullSettings
 from larchgw.emulator.virtual_loop import run
 from larchgw.replication.view import View, first_view
 from larchgw.rpc.generated.ttypes import Entry
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -19,9 +19,9 @@
 from larchgw.control.node import ControlNode
 from larchgw.control.status import StatusService, StatusSources, as_object
 from larchgw.distribution.keys import PLACER_KEY
+from larchgw.distribution.pull_settings import PullSettings
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry
-from larchgw.distribution.sources import PullSettings
 from larchgw.edge.status import EdgeStatus
 from larchgw.membership.member import Member
 from larchgw.membership.settings import SwimSettings
--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -9,9 +9,9 @@
 
 from larchgw.distribution.hinted_handoff import HintedHandoff
 from larchgw.distribution.peer_pullers import PeerPullers
+from larchgw.distribution.pull_settings import PullSettings
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry, rank
-from larchgw.distribution.sources import PullSettings
 from larchgw.emulator.virtual_loop import run
 from tests.support.scripted_peers import Peer, connecting, now
 
--- a/tests/distribution/test_puller.py
+++ b/tests/distribution/test_puller.py
@@ -11,9 +11,10 @@
 
 from larchgw.configuration.settings import TimeLimits
 from larchgw.distribution.peer_pullers import PeerPullers
+from larchgw.distribution.pull_settings import PullSettings
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry
-from larchgw.distribution.sources import PullSettings, SourceSelector
+from larchgw.distribution.source_selector import SourceSelector
 from larchgw.emulator.virtual_loop import run
 from tests.support.scripted_peers import Peer, connecting, now
 
@@ -30,7 +31,7 @@
 
     def test_it_stays_with_the_one_that_serves(self) -> None:
         sources = choice()
-        sources.served(0.0, "b")
+        sources.record_success(0.0, "b")
         for second in range(50):
             self.assertEqual("b", sources.choose(float(second), ["a", "b", "c"]).address)
 
@@ -41,7 +42,7 @@
             for _ in range(4):
                 source = sources.choose(0.0, ["a", "b", "c", "d"])
                 asked.append(source.address)
-                sources.failed(source.address)
+                sources.record_failure(source.address)
             self.assertEqual({"a", "b", "c", "d"}, set(asked))
 
     def test_a_second_round_tries_every_one_again(self) -> None:
@@ -49,62 +50,62 @@
         for _ in range(8):
             source = sources.choose(0.0, ["a", "b", "c", "d"])
             asked.append(source.address)
-            sources.failed(source.address)
+            sources.record_failure(source.address)
         self.assertEqual({"a", "b", "c", "d"}, set(asked[4:]))
 
     def test_one_that_failed_before_another_served_is_asked_again_without_a_pause(self) -> None:
         sources = choice()
         sources.choose(0.0, ["a", "b"])
-        sources.failed("a")
-        sources.served(0.0, "b")
-        sources.failed("b")
+        sources.record_failure("a")
+        sources.record_success(0.0, "b")
+        sources.record_failure("b")
         source = sources.choose(9.0, ["a", "b"])
-        self.assertEqual(0.0, source.pause)
+        self.assertEqual(0.0, source.pause_s)
 
     def test_after_a_failure_the_next_is_asked_without_a_pause(self) -> None:
         sources = choice()
-        sources.served(0.0, "a")
-        sources.failed("a")
+        sources.record_success(0.0, "a")
+        sources.record_failure("a")
         sources.choose(0.0, ["a", "b"])
-        sources.failed("b")
-        self.assertGreater(sources.choose(0.0, ["a", "b"]).pause, 0.0)
-        sources.served(1.0, "a")
-        sources.failed("a")
+        sources.record_failure("b")
+        self.assertGreater(sources.choose(0.0, ["a", "b"]).pause_s, 0.0)
+        sources.record_success(1.0, "a")
+        sources.record_failure("a")
         source = sources.choose(1.0, ["a", "b"])
-        self.assertEqual((0.0, "b"), (source.pause, source.address))
+        self.assertEqual((0.0, "b"), (source.pause_s, source.address))
 
     def test_pauses_grow_up_to_their_bound_while_nobody_serves(self) -> None:
         sources, pauses = choice(), []
         for _ in range(12):
             source = sources.choose(0.0, ["a"])
-            pauses.append(source.pause)
-            sources.failed("a")
+            pauses.append(source.pause_s)
+            sources.record_failure("a")
         self.assertLess(pauses[1], SETTINGS.min_backoff_s + 1e-9)
         self.assertGreaterEqual(pauses[-1], SETTINGS.max_backoff_s / 2)
         self.assertLessEqual(max(pauses), SETTINGS.max_backoff_s)
 
     def test_processes_that_start_together_do_not_ask_together(self) -> None:
         first = [choice(seed=seed).choose(0.0, ["a", "b", "c"]) for seed in range(100)]
-        self.assertGreater(max(source.pause for source in first), 0.8 * SETTINGS.start_jitter_s)
+        self.assertGreater(max(source.pause_s for source in first), 0.8 * SETTINGS.start_jitter_s)
         self.assertGreater(min(sum(source.address == name for source in first) for name in "abc"), 15)
 
     def test_one_in_the_own_zone_comes_first(self) -> None:
         for seed in range(20):
             sources = choice(lambda address: address == "c", seed)
             self.assertEqual("c", sources.choose(0.0, ["a", "b", "c"]).address)
-            sources.failed("c")
+            sources.record_failure("c")
             self.assertNotEqual("c", sources.choose(0.0, ["a", "b", "c"]).address)
 
     def test_it_comes_back_to_its_zone_after_a_while(self) -> None:
         sources = choice(lambda address: address == "c")
-        sources.served(0.0, "a")
+        sources.record_success(0.0, "a")
         self.assertEqual("a", sources.choose(SETTINGS.zone_recheck_s / 2, ["a", "c"]).address)
         self.assertEqual("c", sources.choose(SETTINGS.zone_recheck_s + 1.0, ["a", "c"]).address)
 
     def test_seeds_are_asked_only_when_those_known_now_have_failed(self) -> None:
         sources = choice()
         self.assertEqual("new", sources.choose(0.0, ["new"], ["seed"]).address)
-        sources.failed("new")
+        sources.record_failure("new")
         self.assertEqual("seed", sources.choose(0.0, ["new"], ["seed"]).address)
 
     def test_waits_follow_from_the_shorter_of_the_bounds(self) -> None:
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -22,9 +22,9 @@
 from larchgw.distribution.peer_pullers import PeerPullers
 from larchgw.distribution.placer_entry import Placer, known_placer, publish_placer
 from larchgw.distribution.pull_service import PullService
+from larchgw.distribution.pull_settings import PullSettings
 from larchgw.distribution.puller import Puller
-from larchgw.distribution.registry import Registry, size
-from larchgw.distribution.sources import PullSettings
+from larchgw.distribution.registry import Registry, encoded_size_bytes
 from larchgw.distribution.version_vectors import cursors, new_origin, without_cursors
 from larchgw.edge.expected_loads import Expectations
 from larchgw.emulator.virtual_loop import run
@@ -66,7 +66,7 @@
         "origin": registry.origin,
         "vector": registry.vector(),
         "entries": {entry.key: encode_struct(entry).hex() for entry in registry.items()},
-        "sizes": {entry.key: size(entry) for entry in registry.items()},
+        "sizes": {entry.key: encoded_size_bytes(entry) for entry in registry.items()},
     }
 
 
--- a/tests/distribution/test_registry.py
+++ b/tests/distribution/test_registry.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from larchgw.distribution.registry import Registry, rank
-from larchgw.distribution.version_vectors import cursor_name, cursors, without_cursors
+from larchgw.distribution.version_vectors import cursor_key, cursors, without_cursors
 from larchgw.rpc.generated.ttypes import Entry, PullReply
 
 KEYS = ["runner/a", "runner/b", "expected/a", "configuration"]
@@ -238,7 +238,7 @@
     def test_a_cursor_of_another_registry_means_nothing(self) -> None:
         source = Registry("a.1")
         source.put("runner/0", b"x", 1)
-        reply = source.delta({cursor_name("a.0"): 1000}, (), 10**6)
+        reply = source.delta({cursor_key("a.0"): 1000}, (), 10**6)
         self.assertEqual(1, len(reply.entries))
 
     def test_vectors_stay_bounded_over_many_lives(self) -> None:
