--- a/larchgw/model_checking/__init__.py
+++ b/larchgw/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Exhaustive and random exploration of the protocols over simulated networks and disks."""
+"""ExhaustiveSearch and random exploration of the protocols over simulated networks and disks."""
--- a/larchgw/model_checking/check_ins/cluster.py
+++ b/larchgw/model_checking/check_ins/cluster.py
@@ -25,6 +25,7 @@
 from ...control.majority_contact import MAX_CONTACT_AGE_S
 from ...distribution.keys import RUNNER_PREFIX
 from ...runner_directory.runner_record import RunnerRecord, Stage
+from ..errors import InvariantError
 from .network import Network
 from .processes import ControlProcess, Edge, Runner, now
 
@@ -37,10 +38,6 @@
 CONFIGURE_EVERY_S = 1.0  # on average
 
 
-class Broken(AssertionError):
-    """A property does not hold."""
-
-
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
     """A runner was told that it is known to drain or to have left."""
@@ -50,20 +47,23 @@
     at: float
 
 
-class World:
+class SimulatedCluster:
     """Control processes, edges and runners, and the faults on them; all choices come from the seed."""
 
     def __init__(self, seed: int, control: int) -> None:
-        self.dice = random.Random(seed)
-        self.network = Network(self.dice)
+        self.random_source = random.Random(seed)
+        self.network = Network(self.random_source)
         names = [f"control{number}" for number in range(control)]
         self.survive = (control - 1) // 2
         self.control = [
-            ControlProcess(name, names, self.network, self.dice, self._acknowledged) for name in names
+            ControlProcess(name, names, self.network, self.random_source, self._acknowledged)
+            for name in names
+        ]
+        self.edges = [
+            Edge(f"edge{number}", names, self.network, self.random_source) for number in range(EDGES)
         ]
-        self.edges = [Edge(f"edge{number}", names, self.network, self.dice) for number in range(EDGES)]
         self.runners = [
-            Runner(f"runner{number}", names, self.network, self.dice) for number in range(RUNNERS)
+            Runner(f"runner{number}", names, self.network, self.random_source) for number in range(RUNNERS)
         ]
         self.acknowledged: list[Acknowledgement] = []
         self.states: set[object] = set()
@@ -75,7 +75,7 @@
         self._broken: list[str] = []
 
     async def play(self, seconds: float) -> None:
-        """Raises Broken."""
+        """Raises InvariantError."""
         for process in self._processes():
             process.start()
         runners = [asyncio.ensure_future(runner.run()) for runner in self.runners]
@@ -97,10 +97,10 @@
     async def _disturb_until(self, end: float) -> None:
         while now() < end:
             await self._step()
-            if self.dice.random() < STEP_S / CONFIGURE_EVERY_S:
+            if self.random_source.random() < STEP_S / CONFIGURE_EVERY_S:
                 self._configure()
-            if self.dice.random() < STEP_S / FAULT_EVERY_S:
-                await self.dice.choice(
+            if self.random_source.random() < STEP_S / FAULT_EVERY_S:
+                await self.random_source.choice(
                     [self._cut, self._cut, self._freeze, self._restart, self._restart_edge]
                 )()
 
@@ -118,23 +118,23 @@
     async def _cut(self) -> None:
         """Cuts some control processes off from the others, or only what they say or hear."""
         others = {process.name for process in self.control}
-        count = self.dice.randrange(1, self.survive + 1)
-        alone = set(self.dice.sample(sorted(others), count))
+        count = self.random_source.randrange(1, self.survive + 1)
+        alone = set(self.random_source.sample(sorted(others), count))
         others -= alone
-        both = self.dice.random() < 0.6
-        if both or self.dice.random() < 0.5:
+        both = self.random_source.random() < 0.6
+        if both or self.random_source.random() < 0.5:
             self.network.cut(alone, others)
-        if both or self.dice.random() < 0.5:
+        if both or self.random_source.random() < 0.5:
             self.network.cut(others, alone)
         self._heal_later(alone)
 
     async def _freeze(self) -> None:
-        name = self.dice.choice(self.control).name
+        name = self.random_source.choice(self.control).name
         self.network.freeze(name)
         self._heal_later({name})
 
     async def _restart(self) -> None:
-        process = self.dice.choice(self.control)
+        process = self.random_source.choice(self.control)
         if len(self._in_trouble() | {process.name}) > self.survive:
             return
         await process.end()
@@ -143,21 +143,24 @@
 
     async def _restart_edge(self) -> None:
         """It may reach one control process only."""
-        edge = self.dice.choice(self.edges)
+        edge = self.random_source.choice(self.edges)
         await edge.end()
-        if self.dice.random() < 0.6:
+        if self.random_source.random() < 0.6:
             self.network.heal(edge.name)
-            reached = self.dice.choice(self.control).name
+            reached = self.random_source.choice(self.control).name
             others = {process.name for process in self.control} - {reached}
             self.network.cut({edge.name}, others)
             self.network.cut(others, {edge.name})
             self._due.append(
-                (now() + self.dice.uniform(0.5, LONGEST_FAULT_S), lambda: self.network.heal(edge.name))
+                (
+                    now() + self.random_source.uniform(0.5, LONGEST_FAULT_S),
+                    lambda: self.network.heal(edge.name),
+                )
             )
         edge.start()
 
     def _heal_later(self, names: set[str]) -> None:
-        until = now() + self.dice.uniform(0.3, LONGEST_FAULT_S)
+        until = now() + self.random_source.uniform(0.3, LONGEST_FAULT_S)
 
         def heal() -> None:
             for name in names:
@@ -180,9 +183,9 @@
         if not able:
             return
         self._version += 1
-        self.dice.choice(able).configure(self._version)
+        self.random_source.choice(able).configure(self._version)
 
-    # ---- Checks ----
+    # ---- InvariantChecker ----
 
     def _acknowledged(self, by: str, runner: str, stage: Stage) -> None:
         """A control process has just acknowledged a call of a runner."""
@@ -231,11 +234,11 @@
         for edge in self.edges:
             self._check_edge(edge)
         if self._broken:
-            raise Broken(self._broken[0])
+            raise InvariantError(self._broken[0])
 
     def _check_edge(self, edge: Edge) -> None:
         if edge.configuration() and edge.puller.last_heard_at is None:
-            raise Broken(f"{edge.name} serves without a source in contact")
+            raise InvariantError(f"{edge.name} serves without a source in contact")
         proven = edge.puller.contact_proven_at
         if proven is None:
             return
@@ -246,7 +249,7 @@
             if since <= max(proven - MAX_CONTACT_AGE_S, 0.0)
         )
         if 0 < edge.configuration() < least:
-            raise Broken(f"{edge.name} serves with {edge.configuration()}, a majority had {least}")
+            raise InvariantError(f"{edge.name} serves with {edge.configuration()}, a majority had {least}")
 
     def _check_knows(self, name: str, stage: Callable[[str], Stage | None], until: float) -> None:
         for acknowledgement in self.acknowledged:
@@ -254,7 +257,7 @@
                 return
             known = stage(acknowledgement.runner)
             if known is None or known < acknowledgement.stage:
-                raise Broken(
+                raise InvariantError(
                     f"{name} takes {acknowledgement.runner} for {known}, acknowledged as "
                     f"{acknowledgement.stage.name} {now() - acknowledgement.at:.2f} s ago"
                 )
@@ -272,14 +275,14 @@
             await self._step()
         for process in self.control:
             if process.contact.is_isolated():
-                raise Broken(f"{process.name} is still isolated")
+                raise InvariantError(f"{process.name} is still isolated")
         for edge in self.edges:
             if edge.configuration() != self._majority_versions[-1][1]:
-                raise Broken(
+                raise InvariantError(
                     f"{edge.name} has {edge.configuration()}, all have {self._majority_versions[-1][1]}"
                 )
         if sum(runner.acknowledged for runner in self.runners) == before:
-            raise Broken("no runner is acknowledged any more")
+            raise InvariantError("no runner is acknowledged any more")
 
 
 def _known(process: ControlProcess, runner: str, stage: Stage) -> bool:
--- a/larchgw/model_checking/check_ins/main.py
+++ b/larchgw/model_checking/check_ins/main.py
@@ -11,9 +11,10 @@
 from itertools import count
 
 from ...emulator.virtual_loop import run
+from ..errors import InvariantError
 from ..replication.mutants import Mutant
 from ..verdict import print_verdict
-from .cluster import Broken, World
+from .cluster import SimulatedCluster
 from .mutants import MUTANTS
 
 CONTROL = (3, 5)  # processes, by turns
@@ -34,13 +35,13 @@
         return f"runs={self.runs} acknowledged={self.acknowledged}"
 
 
-def course(seed: int) -> World:
-    """One course of faults and the recovery from it. Raises Broken."""
+def course(seed: int) -> SimulatedCluster:
+    """One course of faults and the recovery from it. Raises InvariantError."""
 
-    async def played() -> World:
-        world = World(seed, CONTROL[seed % len(CONTROL)])
-        await world.play(COURSE_SECONDS)
-        return world
+    async def played() -> SimulatedCluster:
+        cluster = SimulatedCluster(seed, CONTROL[seed % len(CONTROL)])
+        await cluster.play(COURSE_SECONDS)
+        return cluster
 
     return run(played())
 
@@ -54,12 +55,12 @@
             break
         found.runs += 1
         try:
-            world = course(number)
-        except Broken as broken:
+            cluster = course(number)
+        except InvariantError as broken:
             found.broken.append(f"course {number}: {broken}")
             continue
-        found.states += len(world.states)
-        found.acknowledged += len(world.acknowledged)
+        found.states += len(cluster.states)
+        found.acknowledged += len(cluster.acknowledged)
     return found
 
 
@@ -68,7 +69,7 @@
     with mutant.active():
         try:
             course(mutant.seed)
-        except Broken:
+        except InvariantError:
             return True
     return False
 
--- a/larchgw/model_checking/check_ins/network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -16,7 +16,7 @@
 class Service(Protocol):
     """A process that answers calls. `life` changes with each start."""
 
-    life: int
+    incarnation: int
     running: bool
 
     async def serve(self, method: str, argument: Any) -> Any:
@@ -26,8 +26,8 @@
 class Network:
     """Links between named processes. What a cut or a freeze holds up arrives once that is over."""
 
-    def __init__(self, dice: random.Random) -> None:
-        self._dice = dice
+    def __init__(self, random_source: random.Random) -> None:
+        self._random_source = random_source
         self._services: dict[str, Service] = {}
         self._cut: set[tuple[str, str]] = set()  # (sender, receiver)
         self._frozen: set[str] = set()
@@ -79,22 +79,22 @@
 
     async def _exchange(self, sender: str, receiver: str, method: str, argument: Any) -> Any:
         service = self._services[receiver]
-        life = service.life
+        incarnation = service.incarnation
         await self._travel(sender, receiver)
-        self._check_life(service, life, receiver)
+        self._check_incarnation(service, incarnation, receiver)
         # The one called goes on though its caller gives up, as on sockets.
         answer = await asyncio.shield(asyncio.ensure_future(service.serve(method, argument)))
         await self._travel(receiver, sender)
-        self._check_life(service, life, receiver)
+        self._check_incarnation(service, incarnation, receiver)
         return answer
 
     async def _travel(self, sender: str, receiver: str) -> None:
-        await asyncio.sleep(self._dice.uniform(FASTEST_S, SLOWEST_S))
+        await asyncio.sleep(self._random_source.uniform(FASTEST_S, SLOWEST_S))
         while not self.passes(sender, receiver):
             await self._changed.wait()
 
-    def _check_life(self, service: Service, life: int, name: str) -> None:
-        if not service.running or service.life != life:
+    def _check_incarnation(self, service: Service, incarnation: int, name: str) -> None:
+        if not service.running or service.incarnation != incarnation:
             raise RpcConnectionError(f"{name} ended")
 
 
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -46,11 +46,11 @@
         name: str,
         names: Sequence[str],
         network: Network,
-        dice: random.Random,
+        random_source: random.Random,
         acknowledged: Acknowledged,
     ) -> None:
-        self.name, self.life, self.running = name, 0, False
-        self._names, self._network, self._dice = list(names), network, dice
+        self.name, self.incarnation, self.running = name, 0, False
+        self._names, self._network, self._random_source = list(names), network, random_source
         self._others = [other for other in names if other != name]
         self._acknowledged = acknowledged
         self._tasks: list[asyncio.Task[None]] = []
@@ -58,16 +58,16 @@
         network.add(name, self)
 
     def start(self) -> None:
-        """A new life: of the one before only the disk is left."""
-        self.life += 1
+        """A new incarnation: of the one before only the disk is left."""
+        self.incarnation += 1
         self.running = True
-        self.registry = Registry(f"{self.name}.{self.life}")
+        self.registry = Registry(f"{self.name}.{self.incarnation}")
         peers = PeerPullers(
             self.registry,
             self._connect,
             lambda: self._others,
             PullSettings().for_control_peers(),
-            self._dice,
+            self._random_source,
             clock=now,
         )
         self.contact = PullContact(self.name, lambda: first_view(self._names), peers.contact_proven_at, now)
@@ -126,23 +126,25 @@
 class Edge:
     """One dispatcher: what it knows, and since when."""
 
-    def __init__(self, name: str, sources: Sequence[str], network: Network, dice: random.Random) -> None:
-        self.name, self.life, self.running = name, 0, False
-        self._sources, self._network, self._dice = list(sources), network, dice
+    def __init__(
+        self, name: str, sources: Sequence[str], network: Network, random_source: random.Random
+    ) -> None:
+        self.name, self.incarnation, self.running = name, 0, False
+        self._sources, self._network, self._random_source = list(sources), network, random_source
         self._task: asyncio.Task[None] | None = None
         network.add(name, self)
 
     def start(self) -> None:
         """A new life that knows nothing."""
-        self.life += 1
+        self.incarnation += 1
         self.running = True
-        self.registry = Registry(f"{self.name}.{self.life}")
+        self.registry = Registry(f"{self.name}.{self.incarnation}")
         self.puller = Puller(
             self.registry,
             lambda address: Connection(self._network, self.name, address),
             lambda: self._sources,
             PullSettings(),
-            self._dice,
+            self._random_source,
             clock=now,
         )
         self._task = asyncio.ensure_future(self.puller.run())
@@ -167,9 +169,11 @@
 class Runner:
     """One runner: beats, drains after a while, leaves after its drain was acknowledged, and begins anew."""
 
-    def __init__(self, name: str, control: Sequence[str], network: Network, dice: random.Random) -> None:
+    def __init__(
+        self, name: str, control: Sequence[str], network: Network, random_source: random.Random
+    ) -> None:
         self.name = name
-        self._control, self._network, self._dice = list(control), network, dice
+        self._control, self._network, self._random_source = list(control), network, random_source
         self._beat_to = ""
         self._count = 0
         self.acknowledged = 0
@@ -182,17 +186,17 @@
             await self._live(f"{self.name}.{number}")
 
     async def _live(self, id: str) -> None:
-        for _ in range(self._dice.randrange(1, 8)):
+        for _ in range(self._random_source.randrange(1, 8)):
             await self._say(id, Stage.READY)
             await asyncio.sleep(BEAT_S)
-        if self._dice.random() < 0.7:
+        if self._random_source.random() < 0.7:
             await self._say(id, Stage.DRAINING)
             await asyncio.sleep(BEAT_S)
         await self._say(id, Stage.GONE)
 
     async def _say(self, id: str, stage: Stage) -> None:
         """Calls one process after another until it is acknowledged, or gives up after a round."""
-        others = self._dice.sample(self._control, len(self._control))
+        others = self._random_source.sample(self._control, len(self._control))
         for address in dict.fromkeys([self._beat_to or others[0], *others]):
             if await self._call(address, id, stage):
                 self._beat_to = address
--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -24,8 +24,9 @@
 from ...rpc.errors import RpcConnectionError, RpcTimeoutError
 from ...rpc.generated.ttypes import OperatorAnswer, OperatorCall, PeerMessage
 from ...runtime.clients import RpcClients
-from ..simulated_disk import Crashed, SimulatedDisk
-from .invariants import Checks
+from ..errors import SimulatedCrashError
+from ..simulated_disk import SimulatedDisk
+from .invariants import InvariantChecker
 
 COMPACT_RECORDS = 6  # so that snapshots are taken and sent all the time
 LEASE_TERM_S = 3.0
@@ -36,7 +37,9 @@
 class Process:
     """One life of a control process."""
 
-    def __init__(self, cluster: Cluster, address: str, disk: SimulatedDisk, first_boot: bool) -> None:
+    def __init__(
+        self, cluster: SimulatedCluster, address: str, disk: SimulatedDisk, first_boot: bool
+    ) -> None:
         self.cluster, self.address, self.disk = cluster, address, disk
         self.is_alive = True
         self.is_frozen = False
@@ -87,7 +90,7 @@
             return
         try:
             step()
-        except Crashed:
+        except SimulatedCrashError:
             self.cluster.crash(self)
         self.cluster.observe(self)
 
@@ -108,7 +111,7 @@
     async def _guarded(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
         try:
             await call()
-        except Crashed:
+        except SimulatedCrashError:
             self.cluster.crash(self)
 
     @property
@@ -157,7 +160,7 @@
     def post(self, method: str, argument: Any) -> None:
         """A message of the replication protocol; it may be lost or doubled."""
         message: PeerMessage = argument
-        copies = 2 if self._cluster.random.random() < self._cluster.links.double else 1
+        copies = 2 if self._cluster.random.random() < self._cluster.links.duplication_rate else 1
         for _ in range(copies):
             self._cluster.transmit(self._caller, self.address, lambda receiver: receiver.log.receive(message))
 
@@ -202,7 +205,7 @@
     return "" if stored is None else str(json.loads(stored)["id"])
 
 
-def connected(sender: str, receiver: str) -> bool:
+def no_link_is_cut(sender: str, receiver: str) -> bool:
     """No link is cut."""
     return False
 
@@ -211,27 +214,27 @@
 class Links:
     """How the links behave at present. Operators are never cut off, though their answers may be lost."""
 
-    loss: float = 0.0
-    double: float = 0.0
-    delay: tuple[float, float] = CALM_DELAY_S
-    lost_answers: float = 0.2
-    cut: Callable[[str, str], bool] = field(default=connected)
+    loss_rate: float = 0.0
+    duplication_rate: float = 0.0
+    delay_range_s: tuple[float, float] = CALM_DELAY_S
+    answer_loss_rate: float = 0.2
+    is_cut: Callable[[str, str], bool] = field(default=no_link_is_cut)
 
 
-class Cluster:
+class SimulatedCluster:
     """The machines of one run, each with a disk and at most one process. Belongs to the running loop."""
 
     def __init__(self, seed: int, machines: int) -> None:
         self.random = Random(seed)
         self.loop = asyncio.get_running_loop()
-        self.checks = Checks()
+        self.checks = InvariantChecker()
         self.links = Links()
         self.addresses = tuple(f"m{number}:1" for number in range(machines))
         self.survive = machines // 2
         self.disks = {address: SimulatedDisk() for address in self.addresses}
         self.processes: dict[str, Process] = {}
         self.states: set[int] = set()
-        self._newest_view: View | None = None  # in which somebody acted as primary
+        self._latest_view: View | None = None  # in which somebody acted as primary
         self.failed: asyncio.Future[None] = self.loop.create_future()
 
     # ---- machines ----
@@ -244,7 +247,7 @@
             process = Process(self, address, self.disks[address], first_boot)
             self.processes[address] = process
             process.start()
-        except Crashed:
+        except SimulatedCrashError:
             self.processes.pop(address, None)
             self.disks[address].lose_power(self.random)
 
@@ -264,7 +267,7 @@
     def may_lose_a_disk(self) -> bool:
         """Whether one more disk may be lost within what the system survives; those whose successors are not
         in sync and witnesses yet count as lost."""
-        view = self._newest_view
+        view = self._latest_view
         if view is None:
             return False
         names = [_identity(disk) for disk in self.disks.values()]
@@ -308,9 +311,9 @@
         if sender.is_frozen:
             sender.held.append(partial(self.transmit, sender, address, step))
             return
-        if self.links.cut(sender.address, address) or self.random.random() < self.links.loss:
+        if self.links.is_cut(sender.address, address) or self.random.random() < self.links.loss_rate:
             return
-        self.loop.call_later(self.random.uniform(*self.links.delay), self._arrive, address, step)
+        self.loop.call_later(self.random.uniform(*self.links.delay_range_s), self._arrive, address, step)
 
     def _arrive(self, address: str, step: Callable[[Process], None]) -> None:
         process = self.processes.get(address)
@@ -343,17 +346,17 @@
             return None
 
     def _reply(self, future: asyncio.Future[OperatorResponse], answer: OperatorResponse) -> None:
-        if self.random.random() >= self.links.lost_answers:
+        if self.random.random() >= self.links.answer_loss_rate:
             self.loop.call_later(self.random.uniform(*CALM_DELAY_S), _settle, future, answer)
 
     # ---- what is seen ----
 
     def observe(self, process: Process) -> None:
         """Counts the states that the processes are in, and notes the view in which this one acts."""
-        view, newest = process.member.view, self._newest_view
+        view, newest = process.member.view, self._latest_view
         if process.member.acting_epoch is not None and view is not None:
             if newest is None or view.epoch > newest.epoch:
-                self._newest_view = view
+                self._latest_view = view
         self.states.add(hash(tuple(process.digest() for process in self.processes.values())))
 
     def fail(self, error: BaseException) -> None:
--- a/larchgw/model_checking/operator_calls/fault_injection.py
+++ b/larchgw/model_checking/operator_calls/fault_injection.py
@@ -7,8 +7,8 @@
 from functools import partial
 
 from ...control.replicated_log import TICK_S
-from ..replication.invariants import Broken
-from .cluster import CALM_DELAY_S, Cluster, Process, connected
+from ..errors import InvariantError
+from .cluster import CALM_DELAY_S, Process, SimulatedCluster, no_link_is_cut
 from .operators import Operators
 
 CALM_S = 8.0  # after the last trouble, until everything is served again
@@ -18,10 +18,10 @@
 LONGEST_TROUBLE_S = 6.0  # when all of them have ended
 
 
-class Course:
+class FaultInjector:
     """Plays troubles on a cluster. All choices come from its random generator."""
 
-    def __init__(self, cluster: Cluster) -> None:
+    def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self._random = cluster.random
         faults: list[Callable[[], None]] = [
@@ -56,20 +56,20 @@
     async def recover(self, operators: Operators) -> None:
         """Ends all troubles; what was acknowledged must be there, and acknowledged again."""
         await asyncio.sleep(LONGEST_TROUBLE_S)
-        self._cluster.links.cut = connected
+        self._cluster.links.is_cut = no_link_is_cut
         self._reliable()
         for address, disk in self._cluster.disks.items():
             disk.full, disk.crash_after = False, None
             self._cluster.thaw(address)
             self._cluster.start(address)
         await asyncio.sleep(CALM_S)
-        self._cluster.links.lost_answers = 0.0
+        self._cluster.links.answer_loss_rate = 0.0
         checks = self._cluster.checks
         if await operators.read() is None:
-            raise Broken(f"no read is answered {CALM_S} s after the last trouble")
+            raise InvariantError(f"no read is answered {CALM_S} s after the last trouble")
         for sent in checks.acknowledged[-3:]:
             if await operators.send(sent) != 200:
-                raise Broken(f"{sent} was acknowledged, and is not {CALM_S} s after the last trouble")
+                raise InvariantError(f"{sent} was acknowledged, and is not {CALM_S} s after the last trouble")
 
     def _later(self, seconds: float, step: Callable[[], None]) -> None:
         self._cluster.loop.call_later(seconds, step)
@@ -137,23 +137,23 @@
 
     def _cut_for(self, cut: Callable[[str, str], bool]) -> None:
         links = self._cluster.links
-        links.cut = cut
+        links.is_cut = cut
         self._later(self._random.choice((0.3, 1.0, 2.0, 4.0)), lambda: self._heal(cut))
 
     def _heal(self, cut: Callable[[str, str], bool]) -> None:
         """Ends this cut, if it has not given way to another."""
-        if self._cluster.links.cut is cut:
-            self._cluster.links.cut = connected
+        if self._cluster.links.is_cut is cut:
+            self._cluster.links.is_cut = no_link_is_cut
 
     def _unreliable(self) -> None:
         links = self._cluster.links
-        links.loss, links.double = self._random.choice(((0.05, 0.05), (0.3, 0.1), (0.0, 0.5)))
-        links.delay = self._random.choice((CALM_DELAY_S, (0.001, 0.2), (0.0, 0.03)))
+        links.loss_rate, links.duplication_rate = self._random.choice(((0.05, 0.05), (0.3, 0.1), (0.0, 0.5)))
+        links.delay_range_s = self._random.choice((CALM_DELAY_S, (0.001, 0.2), (0.0, 0.03)))
         self._later(2.0, self._reliable)
 
     def _reliable(self) -> None:
         links = self._cluster.links
-        links.loss, links.double, links.delay = 0.0, 0.0, CALM_DELAY_S
+        links.loss_rate, links.duplication_rate, links.delay_range_s = 0.0, 0.0, CALM_DELAY_S
 
     def _leave(self) -> None:
         """A planned end: by agreement with the others, or cut short."""
--- a/larchgw/model_checking/operator_calls/invariants.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -6,7 +6,7 @@
 
 from ...configuration.change import REPLACE
 from ...control.configuration_state import ConfigurationState, OperatorOrder
-from ..replication.invariants import Broken
+from ..errors import InvariantError
 
 DONE = 200
 
@@ -24,7 +24,7 @@
         return f"{sort} {self.version} on {self.order.base_version} ({self.order.digest()[:6]})"
 
 
-class Checks:
+class InvariantChecker:
     """Watches one run."""
 
     def __init__(self) -> None:
@@ -56,30 +56,32 @@
     def _accepted(self, sent: Sent) -> None:
         digest = sent.order.digest()
         if not sent.is_valid:
-            raise Broken(f"{sent} is invalid and was acknowledged")
+            raise InvariantError(f"{sent} is invalid and was acknowledged")
         if digest in self._refused:
-            raise Broken(f"{sent} was refused, and acknowledged later")
+            raise InvariantError(f"{sent} was refused, and acknowledged later")
         for other in self._acknowledged.values():
             if other.order.base_version == sent.order.base_version and other != sent:
-                raise Broken(f"{other} and {sent} were both acknowledged")
+                raise InvariantError(f"{other} and {sent} were both acknowledged")
         self._acknowledged.setdefault(digest, sent)
         self.newest_acknowledged = max(self.newest_acknowledged, sent.version)
 
     def _denied(self, sent: Sent, status: int) -> None:
         digest = sent.order.digest()
         if digest in self._acknowledged:
-            raise Broken(f"{sent} was acknowledged, and got {status} when sent again")
+            raise InvariantError(f"{sent} was acknowledged, and got {status} when sent again")
         if self._in_force.get(sent.version) == sent:
-            raise Broken(f"{sent} is or was in force, and got {status}")
+            raise InvariantError(f"{sent} is or was in force, and got {status}")
         self._refused.add(digest)
 
     def read(self, acknowledged_before: int, version: int) -> None:
         """A read gave `version`, 0 for none; it began when `acknowledged_before` was the newest."""
         self.answers[DONE] = self.answers.get(DONE, 0) + 1
         if version < acknowledged_before:
-            raise Broken(f"a read gave {version}; {acknowledged_before} was acknowledged before it began")
+            raise InvariantError(
+                f"a read gave {version}; {acknowledged_before} was acknowledged before it began"
+            )
         if version and version not in self._in_force:
-            raise Broken(f"a read gave {version}, which was never in force")
+            raise InvariantError(f"a read gave {version}, which was never in force")
 
     def in_force(self, process: str, state: ConfigurationState) -> None:
         """A process has applied records."""
@@ -90,11 +92,11 @@
     def _comes_into_force(self, process: str, sent: Sent) -> None:
         other = self._in_force.setdefault(sent.version, sent)
         if other != sent:
-            raise Broken(f"{sent} is in force at {process}, {other} elsewhere")
+            raise InvariantError(f"{sent} is in force at {process}, {other} elsewhere")
         winner = self._won.setdefault(sent.order.base_version, sent)
         if winner != sent:
-            raise Broken(f"{sent} is in force at {process}, and so was {winner}")
+            raise InvariantError(f"{sent} is in force at {process}, and so was {winner}")
         if not sent.is_valid:
-            raise Broken(f"{sent} is invalid and in force at {process}")
+            raise InvariantError(f"{sent} is invalid and in force at {process}")
         if sent.order.digest() in self._refused:
-            raise Broken(f"{sent} was refused, and is in force at {process}")
+            raise InvariantError(f"{sent} was refused, and is in force at {process}")
--- a/larchgw/model_checking/operator_calls/main.py
+++ b/larchgw/model_checking/operator_calls/main.py
@@ -8,17 +8,17 @@
 from functools import partial
 
 from ...emulator import virtual_loop
-from ..replication.invariants import Broken
+from ..errors import InvariantError
 from ..verdict import print_verdict
-from .cluster import Cluster
-from .fault_injection import Course
+from .cluster import SimulatedCluster
+from .fault_injection import FaultInjector
 from .mutants import MUTANTS, Mutant
 from .operators import Operators
 
 SIZES = (3, 5)  # control processes
 RUN_S = 20.0  # virtual seconds of troubles in one run
 OPERATORS = 4
-MOST_RUNS_A_MUTANT = 60  # every change to the code plays other runs under the same seed
+MAX_RUNS_A_MUTANT = 60  # every change to the code plays other runs under the same seed
 
 
 @dataclass
@@ -37,14 +37,14 @@
         return f"runs={self.runs} acknowledged={self.acknowledged} answers={answers}"
 
 
-def play(seed: int) -> Cluster:
-    """One run of troubles and the recovery from it. Raises Broken."""
+def play(seed: int) -> SimulatedCluster:
+    """One run of troubles and the recovery from it. Raises InvariantError."""
     return virtual_loop.run(_play(seed))
 
 
-async def _play(seed: int) -> Cluster:
-    cluster = Cluster(seed, SIZES[seed % len(SIZES)])
-    course, operators = Course(cluster), Operators(cluster)
+async def _play(seed: int) -> SimulatedCluster:
+    cluster = SimulatedCluster(seed, SIZES[seed % len(SIZES)])
+    course, operators = FaultInjector(cluster), Operators(cluster)
     working = [cluster.loop.create_task(operators.work()) for _ in range(OPERATORS)]
     for task in working:
         task.add_done_callback(partial(_note_error, cluster))
@@ -62,12 +62,12 @@
     return cluster
 
 
-def _note_error(cluster: Cluster, task: asyncio.Task[None]) -> None:
+def _note_error(cluster: SimulatedCluster, task: asyncio.Task[None]) -> None:
     if not task.cancelled() and (error := task.exception()) is not None:
         cluster.fail(error)
 
 
-async def _course(course: Course, operators: Operators, working: list[asyncio.Task[None]]) -> None:
+async def _course(course: FaultInjector, operators: Operators, working: list[asyncio.Task[None]]) -> None:
     await course.play(RUN_S)
     operators.wanted = False
     await asyncio.gather(*working)
@@ -84,13 +84,13 @@
         found.runs += 1
         try:
             _add(found, play(number))
-        except (Broken, AssertionError) as error:
+        except (InvariantError, AssertionError) as error:
             found.broken.append(f"seed {number}: {error}")
         number += 1
     return found
 
 
-def _add(found: Found, cluster: Cluster) -> None:
+def _add(found: Found, cluster: SimulatedCluster) -> None:
     found.states += len(cluster.states)
     found.acknowledged += len(cluster.checks.acknowledged)
     for status, count in cluster.checks.answers.items():
@@ -100,10 +100,10 @@
 def caught(mutant: Mutant) -> bool:
     """Whether a run catches the mutant: the one named beside it, or one of those that follow."""
     with mutant.active():
-        for seed in range(mutant.seed, mutant.seed + MOST_RUNS_A_MUTANT):
+        for seed in range(mutant.seed, mutant.seed + MAX_RUNS_A_MUTANT):
             try:
                 play(seed)
-            except (Broken, AssertionError):
+            except (InvariantError, AssertionError):
                 return True
     return False
 
--- a/larchgw/model_checking/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -9,12 +9,12 @@
 from ...configuration.change import CHANGE, REPLACE
 from ...control.configuration_state import OperatorOrder
 from ...control.operator_service import OperatorResponse
-from .cluster import Cluster
+from .cluster import SimulatedCluster
 from .invariants import Sent
 
 SILENCE_S = 1.0  # then another process is called
-MOST_AT_ONCE = 8  # orders under way
-MOST_SENDS = 25  # of one order, before its operator gives it up
+MAX_AT_ONCE = 8  # orders under way
+MAX_SENDS = 25  # of one order, before its operator gives it up
 INVALID_SHARE = 0.1
 AGAIN_SHARE = 0.4  # of rounds in which an old order is sent again
 TWIN_SHARE = 0.2  # of sends that go to two processes at once
@@ -24,7 +24,7 @@
 class Operators:
     """A few operators who know nothing of each other."""
 
-    def __init__(self, cluster: Cluster) -> None:
+    def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self._checks = cluster.checks
         self._random = cluster.random
@@ -53,7 +53,7 @@
 
     async def send(self, sent: Sent) -> int | None:
         """Sends an order until there is a clear answer; None if there is none."""
-        for _ in range(MOST_SENDS):
+        for _ in range(MAX_SENDS):
             if not self.wanted:
                 return None
             twins = 2 if self._random.random() < TWIN_SHARE else 1
@@ -79,7 +79,7 @@
     # ---- orders ----
 
     def _orders(self, base: int) -> list[Sent]:
-        count = self._random.choice((1, 1, 2, 3, MOST_AT_ONCE))
+        count = self._random.choice((1, 1, 2, 3, MAX_AT_ONCE))
         orders = [self._order(base) for _ in range(count)]
         if self._random.random() < OTHER_BASE_SHARE and base > 1:
             order = orders[0].order
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -21,12 +21,13 @@
 from ...replication.view import View
 from ...rpc.codec import MAX_FRAME_BYTES
 from ...rpc.generated.ttypes import PeerMessage
-from ..simulated_disk import Crashed, SimulatedDisk
-from .invariants import Broken, Checks
+from ..errors import InvariantError, SimulatedCrashError
+from ..simulated_disk import SimulatedDisk
+from .invariants import InvariantChecker
 
 TICK = 0.02  # seconds
-LEASE = "placer"
-TERM = 3.0
+LEASE_NAME = "placer"
+LEASE_TERM_S = 3.0
 PIECE_BYTES = 16  # so that a snapshot goes in several pieces
 DELIVER_BYTES = 600  # so that records are handed out one to three at a time
 
@@ -39,8 +40,8 @@
     disk: SimulatedDisk
     clock_offset: float
     member: Member | None = None
-    life: int = 0
-    frozen: bool = False
+    incarnation: int = 0
+    is_frozen: bool = False
     inbox: list[Envelope] = field(default_factory=list)  # came while it was frozen
     version: int = 0  # index of the newest record applied
     # ticket -> the version it built on, its record
@@ -57,16 +58,16 @@
     @property
     def name(self) -> str:
         """This life of the process."""
-        return f"{self.address}/{self.life}"
+        return f"{self.address}/{self.incarnation}"
 
 
-class World:
+class SimulatedCluster:
     """Machines a, b, c, ...; the first `seeds` are the seeds of the first boot."""
 
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
         self.random = Random(seed)
         self.now = 100.0
-        self.checks = Checks(TERM)
+        self.checks = InvariantChecker(LEASE_TERM_S)
         self.survive = survive
         self.machines: dict[str, Machine] = {}
         self.seeds = tuple(self.new_machine().address for _ in range(machines))[:seeds]
@@ -74,21 +75,21 @@
         self.states: set[int] = set()
         self.acknowledged = 0
         self.confirmed = 0
-        self.gone: set[str] = set()  # addresses of machines that were taken away
-        self.newest_view: View | None = None  # the newest in which somebody acted as primary
-        self.write_seconds = 0.001
+        self.removed_addresses: set[str] = set()  # addresses of machines that were taken away
+        self.latest_view: View | None = None  # the newest in which somebody acted as primary
+        self.write_s = 0.001
         self.has_leases = True
-        self.loss = 0.0
-        self.double = 0.0
-        self.damage = 0.0  # share of the pieces of snapshots that arrive altered
-        self.damaged = 0
-        self.most_body_bytes = MAX_FRAME_BYTES
-        self.filling_bytes = 120  # of a snapshot besides what it says
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
+        self.corruption_rate = 0.0  # share of the pieces of snapshots that arrive altered
+        self.corrupted_messages = 0
+        self.max_body_bytes = MAX_FRAME_BYTES
+        self.snapshot_padding_bytes = 120  # of a snapshot besides what it says
         self.piece_bytes = PIECE_BYTES
         self.compact_records = 12
-        self.link_bytes = inf  # a second
-        self.delay = (0.0005, 0.004)
-        self.cut: Callable[[str, str], bool] = lambda sender, receiver: False
+        self.link_bytes_per_s = inf  # a second
+        self.delay_range_s = (0.0005, 0.004)
+        self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self._queue: list[tuple[float, int, str, Envelope | None]] = []
         self._order = 0
 
@@ -103,14 +104,14 @@
     def start(self, address: str, first_boot: bool = False) -> None:
         """Starts the machine's process on its disk as it is."""
         machine = self.machines[address]
-        machine.life += 1
+        machine.incarnation += 1
         settings = MemberSettings(
             address,
             self.seeds,
             first_boot,
-            f"{address}#{machine.life}",
+            f"{address}#{machine.incarnation}",
             self.survive,
-            TERM,
+            LEASE_TERM_S,
             compact_records=self.compact_records,
             batch_bytes=200,
             piece_bytes=self.piece_bytes,
@@ -120,7 +121,7 @@
         machine.proposals.clear()
         machine.reads.clear()
         machine.inbox.clear()
-        machine.frozen = False
+        machine.is_frozen = False
         try:
             machine.member = Member(
                 settings, machine.disk.ports(), partial(self._snapshot, machine), self.random
@@ -128,7 +129,7 @@
             if not first_boot:
                 machine.member.set_contacts(self.machines)
             self._carry_out(machine, machine.member.start(self.clock(machine)))
-        except Crashed:
+        except SimulatedCrashError:
             machine.member = None
             return
         self._push(self.random.uniform(0.0, TICK), address, None)
@@ -146,7 +147,7 @@
     def destroy(self, address: str) -> None:
         """The machine and its disk are taken away for good."""
         self.wipe(address)
-        self.gone.add(address)
+        self.removed_addresses.add(address)
 
     def wipe(self, address: str) -> None:
         """The process ends, and its disk is empty from now on."""
@@ -156,12 +157,12 @@
 
     def freeze(self, address: str) -> None:
         """The process stands still; its clock does not."""
-        self.machines[address].frozen = True
+        self.machines[address].is_frozen = True
 
     def thaw(self, address: str) -> None:
         """The process goes on and finds what came meanwhile."""
         machine = self.machines[address]
-        machine.frozen = False
+        machine.is_frozen = False
         if machine.member is not None:
             self._check_lease(machine, machine.member)
         inbox, machine.inbox = machine.inbox, []
@@ -172,7 +173,7 @@
         """Whether one more disk, the one at this address, may be lost within what the system survives. A
         member of the view whose disk is gone counts as lost until another has its place, and so does a
         witness that is not in sync."""
-        view = self.newest_view
+        view = self.latest_view
         if view is None or min(len(view.witnesses), len(view.former_witnesses)) < 2 * self.survive + 1:
             return False  # machines have been added just now, and count as lost until all is settled
         disks = {machine.id for machine in self.machines.values()}
@@ -188,7 +189,9 @@
     def running(self) -> list[Machine]:
         """Machines whose process runs and is not frozen."""
         return [
-            machine for machine in self.machines.values() if machine.member is not None and not machine.frozen
+            machine
+            for machine in self.machines.values()
+            if machine.member is not None and not machine.is_frozen
         ]
 
     def primaries(self) -> list[Machine]:
@@ -228,7 +231,7 @@
     def _event(self, machine: Machine, message: Envelope | None) -> None:
         if machine.member is None:
             return
-        if machine.frozen:
+        if machine.is_frozen:
             if message is not None:
                 machine.inbox.append(message)
             else:
@@ -246,10 +249,10 @@
         writes = machine.disk.writes
         try:
             effects = call(machine.member, self.clock(machine))
-        except Crashed:
+        except SimulatedCrashError:
             self._crash(machine)
             return
-        self._carry_out(machine, effects, self.write_seconds * (machine.disk.writes - writes))
+        self._carry_out(machine, effects, self.write_s * (machine.disk.writes - writes))
         self._observe(machine)
 
     def _crash(self, machine: Machine) -> None:
@@ -263,7 +266,7 @@
         return self.now + machine.clock_offset
 
     def _snapshot(self, machine: Machine) -> bytes:
-        content = f"{machine.version} {machine.name} ".encode() + b"." * self.filling_bytes
+        content = f"{machine.version} {machine.name} ".encode() + b"." * self.snapshot_padding_bytes
         self.checks.made_snapshot(machine.version, content)
         return content
 
@@ -275,11 +278,13 @@
         for index, record in effects.committed:
             self.checks.committed(machine.name, index, record)
             if index != machine.version + 1:
-                raise Broken(f"{machine.name} was handed record {index} after {machine.version}")
+                raise InvariantError(f"{machine.name} was handed record {index} after {machine.version}")
             machine.version = index
         for done in effects.done:
             if done.index > machine.version:
-                raise Broken(f"{machine.name} ends a call as of {done.index}, but has {machine.version}")
+                raise InvariantError(
+                    f"{machine.name} ends a call as of {done.index}, but has {machine.version}"
+                )
             if done.ticket.number in machine.proposals:
                 built_on, record = machine.proposals.pop(done.ticket.number)
                 self.checks.acknowledged(done.index, built_on, record)
@@ -300,31 +305,31 @@
             self.checks.acts(machine.name, member.acting_epoch)
             if member.acting_epoch not in machine.digest[2:3]:
                 self.checks.begins_to_act(member.id, member.acting_epoch)
-            if self.newest_view is None or member.acting_epoch > self.newest_view.epoch:
-                self.newest_view = member.view
+            if self.latest_view is None or member.acting_epoch > self.latest_view.epoch:
+                self.latest_view = member.view
         self._check_lease(machine, member)
-        if member.discarded_snapshots and not self.damaged:
-            raise Broken(f"{machine.name} has put a snapshot together wrongly")
+        if member.discarded_snapshots and not self.corrupted_messages:
+            raise InvariantError(f"{machine.name} has put a snapshot together wrongly")
         epoch = 0 if member.view is None else member.view.epoch
         machine.digest = (member.id, epoch, member.acting_epoch, member.committed_index, member.last_index)
         self.states.add(hash(tuple(other.digest for other in self.machines.values())))
 
     def _check_lease(self, machine: Machine, member: Member) -> None:
-        lease = member.lease(self.clock(machine), LEASE) if self.has_leases else None
+        lease = member.lease(self.clock(machine), LEASE_NAME) if self.has_leases else None
         if lease is not None:
             self.checks.holds_lease(self.now, member.id, lease.fence)
 
     def _transmit(self, machine: Machine, outgoing: Outgoing, written: float) -> None:
         self._check_vote(outgoing.message)
-        if self.cut(machine.address, outgoing.address) or self.random.random() < self.loss:
+        if self.is_cut(machine.address, outgoing.address) or self.random.random() < self.loss_rate:
             return
-        if outgoing.address not in self.machines or len(outgoing.message.body) > self.most_body_bytes:
+        if outgoing.address not in self.machines or len(outgoing.message.body) > self.max_body_bytes:
             return
-        copies = 2 if self.random.random() < self.double else 1
+        copies = 2 if self.random.random() < self.duplication_rate else 1
         for _ in range(copies):
             message = self._altered(outgoing.message)
-            sent = written + len(message.body) / self.link_bytes
-            self._push(sent + self.random.uniform(*self.delay), outgoing.address, message)
+            sent = written + len(message.body) / self.link_bytes_per_s
+            self._push(sent + self.random.uniform(*self.delay_range_s), outgoing.address, message)
 
     def _check_vote(self, message: Envelope) -> None:
         if message.kind not in ("promise", "accepted"):
@@ -337,9 +342,13 @@
 
     def _altered(self, message: PeerMessage) -> PeerMessage:
         """The message as it arrives: a piece of a snapshot may be damaged on its way."""
-        if message.kind != "install" or not self.damage or self.random.random() >= self.damage:
+        if (
+            message.kind != "install"
+            or not self.corruption_rate
+            or self.random.random() >= self.corruption_rate
+        ):
             return message
-        self.damaged += 1
+        self.corrupted_messages += 1
         body = message.body[:-1] + bytes([message.body[-1] ^ 1])
         return PeerMessage(message.sender, message.receiver, message.kind, body)
 
@@ -353,7 +362,7 @@
         """An operator's change on top of the newest version that the machine knows; False if it takes
         none."""
         member = machine.member
-        if member is None or machine.frozen or not member.is_primary:
+        if member is None or machine.is_frozen or not member.is_primary:
             return False
         built_on = member.last_index
         record = json.dumps([built_on, self.random.randrange(1 << 30)]).encode()
@@ -362,17 +371,17 @@
             ticket, effects = member.propose(clock, record)
         except (NotPrimary, OSError):
             return False
-        except Crashed:
+        except SimulatedCrashError:
             self._crash(machine)
             return False
         machine.proposals[ticket.number] = (built_on, record)
-        self._carry_out(machine, effects, 2 * self.write_seconds)
+        self._carry_out(machine, effects, 2 * self.write_s)
         return True
 
     def read(self, machine: Machine) -> bool:
         """An operator's read; False if the machine takes none."""
         member = machine.member
-        if member is None or machine.frozen:
+        if member is None or machine.is_frozen:
             return False
         try:
             ticket, effects = member.confirm(self.clock(machine))
@@ -389,14 +398,14 @@
     def leave(self, address: str) -> None:
         """A planned end is ahead."""
         machine = self.machines[address]
-        if machine.member is not None and not machine.frozen:
+        if machine.member is not None and not machine.is_frozen:
             self._call(machine, lambda member, clock: member.leave(clock))
 
     def end_if_left(self, address: str) -> bool:
         """The process ends if it may, and then nothing must depend on it; whether it does not run now."""
         machine = self.machines[address]
-        if machine.member is not None and not machine.frozen and machine.member.has_left:
-            if self.newest_view is not None and machine.id in self.newest_view.in_sync:
-                raise Broken(f"{machine.name} has left, but is in sync in {self.newest_view}")
+        if machine.member is not None and not machine.is_frozen and machine.member.has_left:
+            if self.latest_view is not None and machine.id in self.latest_view.in_sync:
+                raise InvariantError(f"{machine.name} has left, but is in sync in {self.latest_view}")
             self.kill(address)
         return machine.member is None
--- a/larchgw/model_checking/replication/exhaustive_search.py
+++ b/larchgw/model_checking/replication/exhaustive_search.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 
 from .cluster import Machine
-from .random_walk import Walk
+from .random_walk import RandomWalk
 
 SUSPICION = 0.75  # seconds without the primary: enough for a backup to act
-MOST_TIMEOUTS = 3
-MOST_RESTARTS = 1
-MOST_CHANGES = 2
-MOST_LEAVES = 1
+MAX_TIMEOUTS = 3
+MAX_RESTARTS = 1
+MAX_CHANGES = 2
+MAX_LEAVES = 1
 BOOT_STEPS = 60  # messages after which the first view is at work
 
 
@@ -28,7 +28,7 @@
     number: int
 
 
-class Exhaustive:
+class ExhaustiveSearch:
     """Three machines, one of which may be lost; two changes, some timeouts, a restart and a planned
     end at any point."""
 
@@ -36,13 +36,13 @@
         self.states: set[int] = set()
         self.deepest = 0
 
-    def explore(self, most_states: int, until: float) -> None:
+    def explore(self, max_states: int, until: float) -> None:
         """Plays every choice from every state found, up to a number of states or a time (time.monotonic)."""
         queue: deque[tuple[Choice, ...]] = deque([()])
-        while queue and len(self.states) < most_states and time.monotonic() < until:
+        while queue and len(self.states) < max_states and time.monotonic() < until:
             path = queue.popleft()
-            world = play(path)
-            for choice in _choices(world, path):
+            cluster = play(path)
+            for choice in _choices(cluster, path):
                 self._visit(queue, (*path, choice))
 
     def _visit(self, queue: deque[tuple[Choice, ...]], path: tuple[Choice, ...]) -> None:
@@ -54,61 +54,61 @@
         queue.append(path)
 
 
-def play(path: tuple[Choice, ...]) -> Walk:
-    """The world after these choices; raises Broken if a property does not hold on the way."""
-    world = Walk(0, 3, 3, 1)
+def play(path: tuple[Choice, ...]) -> RandomWalk:
+    """The cluster after these choices; raises InvariantError if a property does not hold on the way."""
+    cluster = RandomWalk(0, 3, 3, 1)
     for _ in range(BOOT_STEPS):
-        if world.pending:
-            world.deliver(0)
+        if cluster.pending:
+            cluster.deliver(0)
     for choice in path:
-        _take(world, choice)
-        for address in world.machines:
-            world.end_if_left(address)
-    return world
+        _take(cluster, choice)
+        for address in cluster.machines:
+            cluster.end_if_left(address)
+    return cluster
 
 
-def _take(world: Walk, choice: Choice) -> None:
+def _take(cluster: RandomWalk, choice: Choice) -> None:
     if choice.action == "deliver":
-        world.deliver(choice.number)
+        cluster.deliver(choice.number)
         return
-    machine = list(world.machines.values())[choice.number]
+    machine = list(cluster.machines.values())[choice.number]
     if choice.action == "time out":
-        world.tick(machine, SUSPICION)
+        cluster.tick(machine, SUSPICION)
     elif choice.action == "restart":
-        world.kill(machine.address)
-        world.start(machine.address)
+        cluster.kill(machine.address)
+        cluster.start(machine.address)
     elif choice.action == "leave":
-        world.leave(machine.address)
+        cluster.leave(machine.address)
     else:
-        world.change(machine)
+        cluster.change(machine)
 
 
-def _choices(world: Walk, path: tuple[Choice, ...]) -> list[Choice]:
+def _choices(cluster: RandomWalk, path: tuple[Choice, ...]) -> list[Choice]:
     taken = [choice.action for choice in path]
-    choices = [Choice("deliver", number) for number in range(len(world.pending))]
-    for number, machine in enumerate(world.machines.values()):
-        if taken.count("restart") < MOST_RESTARTS:
+    choices = [Choice("deliver", number) for number in range(len(cluster.pending))]
+    for number, machine in enumerate(cluster.machines.values()):
+        if taken.count("restart") < MAX_RESTARTS:
             choices.append(Choice("restart", number))
         if machine.member is None:
             continue
-        if taken.count("leave") < MOST_LEAVES:
+        if taken.count("leave") < MAX_LEAVES:
             choices.append(Choice("leave", number))
-        if taken.count("time out") < MOST_TIMEOUTS:
+        if taken.count("time out") < MAX_TIMEOUTS:
             choices.append(Choice("time out", number))
-        if taken.count("change") < MOST_CHANGES and machine.member.is_primary:
+        if taken.count("change") < MAX_CHANGES and machine.member.is_primary:
             choices.append(Choice("change", number))
     return choices
 
 
-def _fingerprint(world: Walk) -> tuple[object, ...]:
+def _fingerprint(cluster: RandomWalk) -> tuple[object, ...]:
     messages = sorted(
-        (address, message.sender, message.kind, message.body) for address, message in world.pending
+        (address, message.sender, message.kind, message.body) for address, message in cluster.pending
     )
-    return (*messages, *(_state_of(machine) for machine in world.machines.values()))
+    return (*messages, *(_state_of(machine) for machine in cluster.machines.values()))
 
 
 def _state_of(machine: Machine) -> tuple[object, ...]:
     disk = machine.disk
     stored = (tuple(sorted(disk.cells.items())), disk.base, tuple(disk.records), disk.synced)
     kept = None if machine.member is None else machine.member.progress()
-    return (stored, kept, machine.clock_offset, machine.life, tuple(sorted(machine.proposals.items())))
+    return (stored, kept, machine.clock_offset, machine.incarnation, tuple(sorted(machine.proposals.items())))
--- a/larchgw/model_checking/replication/invariants.py
+++ b/larchgw/model_checking/replication/invariants.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
+from ..errors import InvariantError
 
-class Broken(Exception):
-    """A property of the protocol does not hold."""
 
-
-class Checks:
+class InvariantChecker:
     """Watches a run from outside: it sees what members hand to their callers, never their insides."""
 
     def __init__(self, lease_term: float) -> None:
@@ -31,22 +29,28 @@
         """A replica hands out a record as acknowledged."""
         known = self._committed.setdefault(index, record)
         if known != record:
-            raise Broken(f"{member} hands out {record!r} at {index}, where another handed out {known!r}")
+            raise InvariantError(
+                f"{member} hands out {record!r} at {index}, where another handed out {known!r}"
+            )
 
     def acknowledged(self, index: int, version: int, record: bytes) -> None:
         """A proposal built on `version` is done."""
         there = self._committed.get(index)
         if there != record:
-            raise Broken(f"{record!r} was acknowledged at {index}, where there is {there!r}")
+            raise InvariantError(f"{record!r} was acknowledged at {index}, where there is {there!r}")
         other = self._built_on.setdefault(version, record)
         if other != record:
-            raise Broken(f"{record!r} and {other!r} were both acknowledged on top of version {version}")
+            raise InvariantError(
+                f"{record!r} and {other!r} were both acknowledged on top of version {version}"
+            )
         self._acknowledged[index] = record
 
     def read(self, member: str, acknowledged_before: int, index: int) -> None:
         """A read that began when `acknowledged_before` was the newest is confirmed as of `index`."""
         if index < acknowledged_before:
-            raise Broken(f"{member} confirmed a read as of {index}; {acknowledged_before} was acknowledged")
+            raise InvariantError(
+                f"{member} confirmed a read as of {index}; {acknowledged_before} was acknowledged"
+            )
 
     def made_snapshot(self, version: int, content: bytes) -> None:
         """A replica gives its state for a snapshot."""
@@ -56,9 +60,11 @@
         """A replica takes a snapshot for its state; the version it stands for."""
         version = self._snapshots.get(content)
         if version is None:
-            raise Broken(f"{member} takes {content!r} for its state, which nobody gave for a snapshot")
+            raise InvariantError(
+                f"{member} takes {content!r} for its state, which nobody gave for a snapshot"
+            )
         if version != index:
-            raise Broken(f"{member} takes the state of {version} for that of {index}")
+            raise InvariantError(f"{member} takes the state of {version} for that of {index}")
         return version
 
     def promised(self, member: str, epoch: int) -> None:
@@ -68,27 +74,31 @@
     def accepted(self, member: str, epoch: int) -> None:
         """A member has told another that it has accepted the view of `epoch`."""
         if epoch < self._promised.get(member, 0):
-            raise Broken(f"{member} has accepted view {epoch} after it promised {self._promised[member]}")
+            raise InvariantError(
+                f"{member} has accepted view {epoch} after it promised {self._promised[member]}"
+            )
 
     def begins_to_act(self, member: str, epoch: int) -> None:
         """A member becomes primary of `epoch`."""
         if epoch < self._promised.get(member, 0):
-            raise Broken(f"{member} leads view {epoch} after it promised {self._promised[member]}")
+            raise InvariantError(f"{member} leads view {epoch} after it promised {self._promised[member]}")
 
     def acts(self, member: str, epoch: int) -> None:
         """A member acts as primary in this epoch. `member` names one life of its process."""
         other = self._primaries.setdefault(epoch, member)
         if other != member:
-            raise Broken(f"{member} and {other} both act as primary of epoch {epoch}")
+            raise InvariantError(f"{member} and {other} both act as primary of epoch {epoch}")
 
     def holds_lease(self, now: float, holder: str, fence: int) -> None:
         """A member acts under a lease."""
         if fence < self._highest_fence:
-            raise Broken(f"{holder} acts with fence {fence} after {self._highest_fence} was in use")
+            raise InvariantError(f"{holder} acts with fence {fence} after {self._highest_fence} was in use")
         if self._holder_of.setdefault(fence, holder) != holder:
-            raise Broken(f"{holder} acts with fence {fence}, which is {self._holder_of[fence]}'s")
+            raise InvariantError(f"{holder} acts with fence {fence}, which is {self._holder_of[fence]}'s")
         for other, at in self._acted.items():
             if other != holder and now - at < self._term:
-                raise Broken(f"{holder} acts {now - at:.3f} s after {other} did; the term is {self._term} s")
+                raise InvariantError(
+                    f"{holder} acts {now - at:.3f} s after {other} did; the term is {self._term} s"
+                )
         self._highest_fence = fence
         self._acted[holder] = now
--- a/larchgw/model_checking/replication/main.py
+++ b/larchgw/model_checking/replication/main.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from ..errors import InvariantError
 from ..verdict import print_verdict
-from .cluster import World
-from .exhaustive_search import Exhaustive
-from .fault_injection import Course
-from .invariants import Broken
+from .cluster import SimulatedCluster
+from .exhaustive_search import ExhaustiveSearch
+from .fault_injection import FaultInjector
 from .mutants import MUTANTS, Mutant
-from .random_walk import Walk
+from .random_walk import RandomWalk
 
 # machines, seeds among them, machines that may be lost
 SHAPES = ((3, 3, 1), (5, 3, 2), (4, 3, 1), (5, 5, 2))
@@ -25,7 +25,7 @@
 COURSE_SECONDS = 10.0
 WALK_STEPS = 2000
 EXHAUSTIVE_SHARE = 0.25  # of the time
-MOST_STATES = 200_000
+MAX_STATES = 200_000
 
 
 @dataclass
@@ -43,24 +43,24 @@
         return f"runs={self.runs} acknowledged={self.acknowledged} confirmed={self.confirmed}"
 
 
-def course(seed: int, recover: bool = True) -> World:
+def course(seed: int, recover: bool = True) -> SimulatedCluster:
     """One course of faults, and the recovery from it."""
-    world = World(seed, *SHAPES[seed % len(SHAPES)])
-    played = Course(world)
+    cluster = SimulatedCluster(seed, *SHAPES[seed % len(SHAPES)])
+    played = FaultInjector(cluster)
     played.play(COURSE_SECONDS, CALM_BETWEEN[seed % len(CALM_BETWEEN)])
     if recover:
         played.recover()
-    return world
+    return cluster
 
 
-def walk(seed: int) -> World:
+def walk(seed: int) -> SimulatedCluster:
     """One random walk."""
-    world = Walk(seed, *WALK_SHAPES[seed % len(WALK_SHAPES)])
-    world.walk(WALK_STEPS)
-    return world
+    cluster = RandomWalk(seed, *WALK_SHAPES[seed % len(WALK_SHAPES)])
+    cluster.walk(WALK_STEPS)
+    return cluster
 
 
-def run(kind: str, seed: int) -> World:
+def run(kind: str, seed: int) -> SimulatedCluster:
     """One "walk" or "course"."""
     return walk(seed) if kind == "walk" else course(seed)
 
@@ -69,15 +69,15 @@
     """Explores for about so many seconds."""
     found = Found()
     began = time.monotonic()
-    exhaustive = Exhaustive()
-    _note(found, "exhaustive", lambda: exhaustive.explore(MOST_STATES, began + EXHAUSTIVE_SHARE * seconds))
+    exhaustive = ExhaustiveSearch()
+    _note(found, "exhaustive", lambda: exhaustive.explore(MAX_STATES, began + EXHAUSTIVE_SHARE * seconds))
     found.states += len(exhaustive.states)
     for name, run in _runs(seed):
         if time.monotonic() - began >= seconds:
             return found
-        world = _note(found, name, run)
-        if isinstance(world, World):
-            _add(found, world)
+        cluster = _note(found, name, run)
+        if isinstance(cluster, SimulatedCluster):
+            _add(found, cluster)
     return found
 
 
@@ -86,7 +86,7 @@
     with mutant.active():
         try:
             run(mutant.by, mutant.seed)
-        except (Broken, AssertionError, IndexError):
+        except (InvariantError, AssertionError, IndexError):
             return True
     return False
 
@@ -97,7 +97,7 @@
     return print_verdict(lambda: explore(seconds, seed), MUTANTS, caught)
 
 
-def _runs(seed: int) -> Iterator[tuple[str, Callable[[], World]]]:
+def _runs(seed: int) -> Iterator[tuple[str, Callable[[], SimulatedCluster]]]:
     number = seed * 100_000
     while True:
         yield f"walk {number}", partial(walk, number)
@@ -109,12 +109,12 @@
     found.runs += 1
     try:
         return run()
-    except (Broken, AssertionError) as error:
+    except (InvariantError, AssertionError) as error:
         found.broken.append(f"{name}: {error}")
         return None
 
 
-def _add(found: Found, world: World) -> None:
-    found.states += len(world.states)
-    found.acknowledged += world.acknowledged
-    found.confirmed += world.confirmed
+def _add(found: Found, cluster: SimulatedCluster) -> None:
+    found.states += len(cluster.states)
+    found.acknowledged += cluster.acknowledged
+    found.confirmed += cluster.confirmed
--- a/larchgw/model_checking/replication/random_walk.py
+++ b/larchgw/model_checking/replication/random_walk.py
@@ -6,19 +6,19 @@
 from __future__ import annotations
 
 from ...replication.messages import Envelope
-from .cluster import Machine, World
+from .cluster import Machine, SimulatedCluster
 
 LEAPS = (0.02, 0.02, 0.05, 0.12, 0.12, 0.55, 0.7)  # seconds by which a clock runs ahead of a tick
-MOST_PENDING = 60  # messages under way; beyond this the oldest are lost
+MAX_PENDING = 60  # messages under way; beyond this the oldest are lost
 
 
-class Walk(World):
-    """A world without a common time: every machine's clock goes on only when the walk says so."""
+class RandomWalk(SimulatedCluster):
+    """A cluster without a common time: every machine's clock goes on only when the walk says so."""
 
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
         super().__init__(seed, machines, seeds, survive)
         self.has_leases = False
-        self.damage = 0.03 * (seed % 2)
+        self.corruption_rate = 0.03 * (seed % 2)
         self.pending: list[tuple[str, Envelope]] = []
         for address in self.machines:
             self.start(address, first_boot=True)
@@ -27,7 +27,7 @@
         if message is None:
             return
         self.pending.append((address, message))
-        if len(self.pending) > MOST_PENDING:
+        if len(self.pending) > MAX_PENDING:
             del self.pending[0]
 
     def walk(self, steps: int) -> None:
@@ -86,7 +86,7 @@
 
     def _disturb(self) -> None:
         machine = self.random.choice(list(self.machines.values()))
-        if machine.address in self.gone:
+        if machine.address in self.removed_addresses:
             return
         if machine.member is None:
             self.start(machine.address)
@@ -113,14 +113,14 @@
         """Cuts one machine off, the primary most of the time, or ends all cuts."""
         candidates = self.primaries() or self.running
         if self.random.random() < 0.5 or not candidates:
-            self.cut = lambda sender, receiver: False
+            self.is_cut = lambda sender, receiver: False
             return
         alone = self.random.choice(candidates).address
-        self.cut = lambda sender, receiver: alone in (sender, receiver)
+        self.is_cut = lambda sender, receiver: alone in (sender, receiver)
 
     def _lose_a_disk(self) -> None:
         machine = self.random.choice(list(self.machines.values()))
-        if machine.address in self.gone or not self.may_lose_a_disk():
+        if machine.address in self.removed_addresses or not self.may_lose_a_disk():
             return
         if self.random.random() < 0.5:
             self.wipe(machine.address)
--- a/larchgw/model_checking/replication/redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 
 from ...runtime.logs import muted
-from .cluster import Machine, World
+from .cluster import Machine, SimulatedCluster
 
 LINK_S = 0.0015
 WRITE_S = 0.005
-LINK_BYTES = 125e6  # a second
+LINK_BYTES_PER_S = 125e6  # a second
 CHANGE_EVERY = 0.02  # seconds
 COMPACT_RECORDS = 100
 PIECE_BYTES = 256 << 10
@@ -32,93 +32,93 @@
     """What is measured: `begin` plays the loss, and returns once the machine is back."""
 
     name: str
-    begin: Callable[[World], None]
+    begin: Callable[[SimulatedCluster], None]
 
 
-def calm(world: World, seconds: float) -> None:
+def calm(cluster: SimulatedCluster, seconds: float) -> None:
     """Time passes, and the operator goes on changing the configuration."""
-    end = world.now + seconds
-    while world.now < end:
-        world.run(CHANGE_EVERY)
-        for machine in world.primaries():
-            world.change(machine)
+    end = cluster.now + seconds
+    while cluster.now < end:
+        cluster.run(CHANGE_EVERY)
+        for machine in cluster.primaries():
+            cluster.change(machine)
 
 
-def is_redundant(world: World) -> bool:
+def is_redundant(cluster: SimulatedCluster) -> bool:
     """Whether the next loss may come."""
-    view = world.newest_view
-    present = {machine.id for machine in world.running}
+    view = cluster.latest_view
+    present = {machine.id for machine in cluster.running}
     if view is None or view.is_joint or set(view.in_sync) != present:
         return False
-    return set(view.witnesses) <= present and len(view.witnesses) == 2 * world.survive + 1
+    return set(view.witnesses) <= present and len(view.witnesses) == 2 * cluster.survive + 1
 
 
 def seconds_to_redundancy(case: Case, shape: tuple[int, int, int], seed: int, state_bytes: int) -> float:
     """Plays one case; GIVES_UP if it takes longer than that."""
-    world = World(seed, *shape)
-    world.delay = (LINK_S, LINK_S)
-    world.write_seconds = WRITE_S
-    world.link_bytes = LINK_BYTES
-    world.compact_records = COMPACT_RECORDS
-    world.piece_bytes = PIECE_BYTES
-    world.filling_bytes = state_bytes
-    for address in world.machines:
-        world.start(address, first_boot=True)
+    cluster = SimulatedCluster(seed, *shape)
+    cluster.delay_range_s = (LINK_S, LINK_S)
+    cluster.write_s = WRITE_S
+    cluster.link_bytes_per_s = LINK_BYTES_PER_S
+    cluster.compact_records = COMPACT_RECORDS
+    cluster.piece_bytes = PIECE_BYTES
+    cluster.snapshot_padding_bytes = state_bytes
+    for address in cluster.machines:
+        cluster.start(address, first_boot=True)
     if case.name != FIRST_START:
-        calm(world, WARM_UP + world.random.uniform(0.0, 0.5))
-    case.begin(world)
-    began = world.now
-    while not is_redundant(world) and world.now - began < GIVES_UP:
-        calm(world, CHANGE_EVERY)
-    return world.now - began
+        calm(cluster, WARM_UP + cluster.random.uniform(0.0, 0.5))
+    case.begin(cluster)
+    began = cluster.now
+    while not is_redundant(cluster) and cluster.now - began < GIVES_UP:
+        calm(cluster, CHANGE_EVERY)
+    return cluster.now - began
 
 
-def _victim(world: World) -> Machine:
-    return world.random.choice(world.running)
+def _victim(cluster: SimulatedCluster) -> Machine:
+    return cluster.random.choice(cluster.running)
 
 
-def _restart_in_order(world: World) -> None:
-    address = _victim(world).address
-    world.leave(address)
-    while not world.end_if_left(address):
-        calm(world, CHANGE_EVERY)
-    calm(world, world.random.uniform(0.3, 2.0))
-    world.start(address)
+def _restart_in_order(cluster: SimulatedCluster) -> None:
+    address = _victim(cluster).address
+    cluster.leave(address)
+    while not cluster.end_if_left(address):
+        calm(cluster, CHANGE_EVERY)
+    calm(cluster, cluster.random.uniform(0.3, 2.0))
+    cluster.start(address)
 
 
-def _kill(world: World) -> None:
-    address = _victim(world).address
-    world.kill(address)
-    calm(world, world.random.uniform(0.3, 2.0))
-    world.start(address)
+def _kill(cluster: SimulatedCluster) -> None:
+    address = _victim(cluster).address
+    cluster.kill(address)
+    calm(cluster, cluster.random.uniform(0.3, 2.0))
+    cluster.start(address)
 
 
-def _wipe(world: World) -> None:
-    address = _victim(world).address
-    world.wipe(address)
-    calm(world, world.random.uniform(0.3, 2.0))
-    world.start(address)
+def _wipe(cluster: SimulatedCluster) -> None:
+    address = _victim(cluster).address
+    cluster.wipe(address)
+    calm(cluster, cluster.random.uniform(0.3, 2.0))
+    cluster.start(address)
 
 
-def _replace(world: World) -> None:
-    world.destroy(_victim(world).address)
-    calm(world, 1.0)
-    world.start(world.new_machine().address)
+def _replace(cluster: SimulatedCluster) -> None:
+    cluster.destroy(_victim(cluster).address)
+    calm(cluster, 1.0)
+    cluster.start(cluster.new_machine().address)
 
 
-def _replace_in_order(world: World) -> None:
-    old = _victim(world).address
-    world.start(world.new_machine().address)
-    calm(world, 1.0)
-    world.leave(old)
-    while not world.end_if_left(old):
-        calm(world, CHANGE_EVERY)
-    world.destroy(old)
+def _replace_in_order(cluster: SimulatedCluster) -> None:
+    old = _victim(cluster).address
+    cluster.start(cluster.new_machine().address)
+    calm(cluster, 1.0)
+    cluster.leave(old)
+    while not cluster.end_if_left(old):
+        calm(cluster, CHANGE_EVERY)
+    cluster.destroy(old)
 
 
 FIRST_START = "first start"
 CASES = (
-    Case(FIRST_START, lambda world: None),
+    Case(FIRST_START, lambda cluster: None),
     Case("restart in order", _restart_in_order),
     Case("killed and back", _kill),
     Case("back with an empty disk", _wipe),
--- a/larchgw/model_checking/simulated_disk.py
+++ b/larchgw/model_checking/simulated_disk.py
@@ -8,10 +8,7 @@
 from random import Random
 
 from ..replication.ports import Ports
-
-
-class Crashed(Exception):
-    """The machine has lost power, or the process was killed, in the middle of a write."""
+from .errors import SimulatedCrashError
 
 
 class SimulatedDisk:
@@ -42,7 +39,7 @@
             self.crash_after -= 1
             if self.crash_after < 0:
                 self.crash_after = None
-                raise Crashed
+                raise SimulatedCrashError
 
     def ports(self) -> Ports:
         """The ports of the process that starts on this disk."""
--- a/tests/control/test_operator_failover.py
+++ b/tests/control/test_operator_failover.py
@@ -10,7 +10,7 @@
 
 from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.emulator import virtual_loop
-from larchgw.model_checking.operator_calls.cluster import Cluster, Process, connected
+from larchgw.model_checking.operator_calls.cluster import Process, SimulatedCluster, no_link_is_cut
 
 SILENCE_S = 1.0  # of an operator
 FAILOVER_S = 2.0  # a new primary acts within this
@@ -34,13 +34,13 @@
 class Scene:
     """Control processes that have taken FIRST; answers are not lost."""
 
-    def __init__(self, cluster: Cluster) -> None:
+    def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
 
     @classmethod
     async def begin(cls, machines: int) -> Scene:
-        scene = cls(Cluster(7, machines))
-        scene.cluster.links.lost_answers = 0.0
+        scene = cls(SimulatedCluster(7, machines))
+        scene.cluster.links.answer_loss_rate = 0.0
         for address in scene.cluster.addresses:
             scene.cluster.start(address, first_boot=True)
         await asyncio.sleep(FAILOVER_S)
@@ -66,10 +66,10 @@
 
     def cut_off(self, process: Process) -> None:
         alone = process.address
-        self.cluster.links.cut = lambda sender, receiver: alone in (sender, receiver)
+        self.cluster.links.is_cut = lambda sender, receiver: alone in (sender, receiver)
 
     def heal(self) -> None:
-        self.cluster.links.cut = connected
+        self.cluster.links.is_cut = no_link_is_cut
 
     def states(self) -> list[ConfigurationState]:
         return [process.state for process in self.cluster.processes.values()]
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -14,7 +14,7 @@
 from larchgw.control.disk import ControlDisk
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.restore import RestoreError, check_empty, fresh_identity, read_source, write_folder
-from larchgw.model_checking.replication.cluster import World
+from larchgw.model_checking.replication.cluster import SimulatedCluster
 from larchgw.replication.forced_new_view import Beginning, beginning, refound
 from larchgw.replication.lease import FENCES_PER_EPOCH
 from larchgw.replication.member import Member
@@ -143,7 +143,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.world = World(1, 3, 3, 1)
+        self.world = SimulatedCluster(1, 3, 3, 1)
         for address in self.world.machines:
             self.world.start(address, first_boot=True)
         self.changes(2.0)
--- a/tests/model_checking/test_check_ins.py
+++ b/tests/model_checking/test_check_ins.py
@@ -11,8 +11,8 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_course_of_cuts_freezes_and_restarts_breaks_a_property(seed: int) -> None:
-    world = explore.course(seed)
-    assert world.acknowledged and len(world.states) > 50
+    cluster = explore.course(seed)
+    assert cluster.acknowledged and len(cluster.states) > 50
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
@@ -37,7 +37,9 @@
 def test_a_missed_mistake_is_named_and_fails_the_run(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    harmless = Mutant("changes nothing", "course", 0, explore.World, "_configure", lambda original: original)
+    harmless = Mutant(
+        "changes nothing", "course", 0, explore.SimulatedCluster, "_configure", lambda original: original
+    )
     monkeypatch.setattr(explore, "MUTANTS", (harmless,))
     assert explore.main(0.1, 1) == 1
     assert "mutant not caught: changes nothing" in capsys.readouterr().out
--- a/tests/model_checking/test_operator_calls.py
+++ b/tests/model_checking/test_operator_calls.py
@@ -7,10 +7,10 @@
 import pytest
 
 from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.model_checking.errors import InvariantError
 from larchgw.model_checking.operator_calls import main as explore
-from larchgw.model_checking.operator_calls.invariants import Checks, Sent
+from larchgw.model_checking.operator_calls.invariants import InvariantChecker, Sent
 from larchgw.model_checking.operator_calls.mutants import MUTANTS, Mutant
-from larchgw.model_checking.replication.invariants import Broken
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
@@ -45,7 +45,7 @@
 def test_the_checks_see_each_kind_of_break() -> None:
     first, rival, second = sent(1, 0), sent(1, 0, "rival"), sent(3, 1)
     refused, bad, unknown = sent(5, 3), sent(6, 3, is_valid=False), sent(2, 1, "unseen")
-    checks = Checks()
+    checks = InvariantChecker()
     for order in (first, rival, second, refused, bad):
         checks.sends(order)
     checks.in_force("a", in_force(first))
@@ -66,7 +66,7 @@
         lambda: checks.in_force("b", in_force(first, second, refused)),
         lambda: checks.in_force("b", in_force(first, second, bad)),
     ):
-        with pytest.raises(Broken):
+        with pytest.raises(InvariantError):
             broken()
 
 
--- a/tests/model_checking/test_power_loss_after_acknowledgement.py
+++ b/tests/model_checking/test_power_loss_after_acknowledgement.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from larchgw.model_checking.replication.cluster import World
-from larchgw.model_checking.replication.fault_injection import Course
+from larchgw.model_checking.replication.cluster import SimulatedCluster
+from larchgw.model_checking.replication.fault_injection import FaultInjector
 from larchgw.model_checking.replication.redundancy import calm, is_redundant
 
 SHAPES = ((3, 3, 1), (4, 3, 1), (5, 3, 2), (5, 5, 2))  # machines, seeds among them, machines that may be lost
@@ -25,53 +25,53 @@
 MAX_CONCURRENT_CHANGES = 4
 
 
-def run_steadily(world: World) -> None:
+def run_steadily(cluster: SimulatedCluster) -> None:
     """First boot, then two to three seconds of changes."""
-    for address in world.machines:
-        world.start(address, first_boot=True)
-    calm(world, world.random.uniform(2.0, 3.0))
+    for address in cluster.machines:
+        cluster.start(address, first_boot=True)
+    calm(cluster, cluster.random.uniform(2.0, 3.0))
 
 
-def run_through_faults(world: World) -> None:
+def run_through_faults(cluster: SimulatedCluster) -> None:
     """A day of faults, after which members, witnesses and addresses differ from those of the first boot."""
-    day = Course(world)
+    day = FaultInjector(cluster)
     day.play(FAULTS_S, FAULT_EVERY_S)
     day.recover()
 
 
-def converge(world: World) -> None:
-    began = world.now
-    while not is_redundant(world):
-        assert world.now - began < CONVERGENCE_LIMIT_S, f"not redundant: {world.newest_view}"
-        calm(world, 0.1)
+def converge(cluster: SimulatedCluster) -> None:
+    began = cluster.now
+    while not is_redundant(cluster):
+        assert cluster.now - began < CONVERGENCE_LIMIT_S, f"not redundant: {cluster.latest_view}"
+        calm(cluster, 0.1)
 
 
-def run_until_acknowledged(world: World) -> int:
+def run_until_acknowledged(cluster: SimulatedCluster) -> int:
     """Submits changes, some at once, and stops right after an acknowledgement; returns its index."""
-    world.delay = world.random.choice(((0.0005, 0.004), (0.0005, 0.03)))
-    world.write_seconds = world.random.choice((0.001, 0.01))
-    began, acknowledged = world.now, world.acknowledged
-    while world.acknowledged == acknowledged:
-        assert world.now - began < ACKNOWLEDGEMENT_LIMIT_S, "no change is acknowledged"
-        for machine in world.primaries():
-            for _ in range(world.random.randint(1, MAX_CONCURRENT_CHANGES)):
-                world.change(machine)
-        world.run_until(lambda: world.acknowledged > acknowledged, 0.05)
-    return world.checks.newest_acknowledged
-
-
-def lose_disks_and_power(world: World, addresses: list[str], lost: tuple[int, ...]) -> None:
+    cluster.delay_range_s = cluster.random.choice(((0.0005, 0.004), (0.0005, 0.03)))
+    cluster.write_s = cluster.random.choice((0.001, 0.01))
+    began, acknowledged = cluster.now, cluster.acknowledged
+    while cluster.acknowledged == acknowledged:
+        assert cluster.now - began < ACKNOWLEDGEMENT_LIMIT_S, "no change is acknowledged"
+        for machine in cluster.primaries():
+            for _ in range(cluster.random.randint(1, MAX_CONCURRENT_CHANGES)):
+                cluster.change(machine)
+        cluster.run_until(lambda: cluster.acknowledged > acknowledged, 0.05)
+    return cluster.checks.newest_acknowledged
+
+
+def lose_disks_and_power(cluster: SimulatedCluster, addresses: list[str], lost: tuple[int, ...]) -> None:
     for address in addresses:
-        world.lose_power(address)
+        cluster.lose_power(address)
     for number in lost:
-        world.wipe(addresses[number])
+        cluster.wipe(addresses[number])
 
 
-def start_in_any_order(world: World, addresses: list[str]) -> None:
-    world.delay, world.write_seconds = (0.0005, 0.004), 0.001
-    for address in world.random.sample(addresses, len(addresses)):
-        world.run(world.random.choice((0.0, 0.0, 0.05, 0.5)))
-        world.start(address)
+def start_in_any_order(cluster: SimulatedCluster, addresses: list[str]) -> None:
+    cluster.delay_range_s, cluster.write_s = (0.0005, 0.004), 0.001
+    for address in cluster.random.sample(addresses, len(addresses)):
+        cluster.run(cluster.random.choice((0.0, 0.0, 0.05, 0.5)))
+        cluster.start(address)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -79,18 +79,18 @@
 def test_acknowledged_records_survive_lost_disks_and_a_power_loss_of_all_others(
     shape: tuple[int, int, int], lost: tuple[int, ...], seed: int
 ) -> None:
-    world = World(seed, *shape)
-    (run_through_faults if seed % 2 else run_steadily)(world)
-    converge(world)
-    newest = run_until_acknowledged(world)
-    addresses = [address for address in world.machines if address not in world.gone]
-
-    lose_disks_and_power(world, addresses, lost)
-    start_in_any_order(world, addresses)
-    converge(world)
-
-    assert len(world.running) == len(addresses)
-    assert all(machine.version >= newest for machine in world.running)
-    acknowledged = world.acknowledged
-    calm(world, 1.0)
-    assert world.acknowledged > acknowledged
+    cluster = SimulatedCluster(seed, *shape)
+    (run_through_faults if seed % 2 else run_steadily)(cluster)
+    converge(cluster)
+    newest = run_until_acknowledged(cluster)
+    addresses = [address for address in cluster.machines if address not in cluster.removed_addresses]
+
+    lose_disks_and_power(cluster, addresses, lost)
+    start_in_any_order(cluster, addresses)
+    converge(cluster)
+
+    assert len(cluster.running) == len(addresses)
+    assert all(machine.version >= newest for machine in cluster.running)
+    acknowledged = cluster.acknowledged
+    calm(cluster, 1.0)
+    assert cluster.acknowledged > acknowledged
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -6,15 +6,16 @@
 
 import pytest
 
+from larchgw.model_checking.errors import InvariantError
 from larchgw.model_checking.replication import main as explore
-from larchgw.model_checking.replication.exhaustive_search import Exhaustive
-from larchgw.model_checking.replication.invariants import Broken, Checks
+from larchgw.model_checking.replication.exhaustive_search import ExhaustiveSearch
+from larchgw.model_checking.replication.invariants import InvariantChecker
 from larchgw.model_checking.replication.mutants import MUTANTS, Mutant
 
 
 def test_no_interleaving_of_a_few_steps_breaks_a_property() -> None:
-    exhaustive = Exhaustive()
-    exhaustive.explore(most_states=400, until=time.monotonic() + 60.0)
+    exhaustive = ExhaustiveSearch()
+    exhaustive.explore(max_states=400, until=time.monotonic() + 60.0)
     assert len(exhaustive.states) >= 400
 
 
@@ -25,8 +26,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_course_of_faults_breaks_a_property_and_everything_recovers(seed: int) -> None:
-    world = explore.course(seed)
-    assert world.acknowledged and world.confirmed
+    cluster = explore.course(seed)
+    assert cluster.acknowledged and cluster.confirmed
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
@@ -42,7 +43,7 @@
 
 
 def test_the_checks_see_each_kind_of_break() -> None:
-    checks = Checks(lease_term=3.0)
+    checks = InvariantChecker(lease_term=3.0)
     checks.committed("a", 1, b"one")
     checks.acknowledged(1, 0, b"one")
     checks.acts("a/1", 4)
@@ -62,7 +63,7 @@
         lambda: checks.holds_lease(9.0, "b", 2),
         lambda: checks.holds_lease(2.9, "b", 3),
     ):
-        with pytest.raises(Broken):
+        with pytest.raises(InvariantError):
             broken()
 
 
--- a/tests/replication/test_graceful_leave.py
+++ b/tests/replication/test_graceful_leave.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from larchgw.model_checking.replication.cluster import LEASE, Machine, World
+from larchgw.model_checking.replication.cluster import LEASE_NAME, Machine, SimulatedCluster
 from larchgw.replication.planning import Standing, failover_view, next_view
 from larchgw.replication.view import View, first_view
 
 
-def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> World:
-    world = World(1, machines, seeds, survive)
+def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> SimulatedCluster:
+    world = SimulatedCluster(1, machines, seeds, survive)
     for address in world.machines:
         world.start(address, first_boot=True)
     serve(world, 3.0)
     return world
 
 
-def serve(world: World, seconds: float) -> int:
+def serve(world: SimulatedCluster, seconds: float) -> int:
     """Sends a change every 50 ms; returns how many were acknowledged."""
     before = world.acknowledged
     end = world.now + seconds
@@ -28,22 +28,22 @@
     return world.acknowledged - before
 
 
-def view_of(world: World) -> View:
+def view_of(world: SimulatedCluster) -> View:
     (only,) = world.primaries()
     assert only.member is not None and only.member.view is not None
     return only.member.view
 
 
-def primary(world: World) -> Machine:
+def primary(world: SimulatedCluster) -> Machine:
     (only,) = world.primaries()
     return only
 
 
-def backup(world: World) -> Machine:
+def backup(world: SimulatedCluster) -> Machine:
     return next(machine for machine in world.running if machine is not primary(world))
 
 
-def seconds_to_leave(world: World, address: str, most: float = 5.0) -> float:
+def seconds_to_leave(world: SimulatedCluster, address: str, most: float = 5.0) -> float:
     """Asks the process to end, and ends it once it has left."""
     began = world.now
     world.leave(address)
@@ -55,11 +55,11 @@
     return world.now - began
 
 
-def lease_holders(world: World) -> list[str]:
+def lease_holders(world: SimulatedCluster) -> list[str]:
     return [
         machine.address
         for machine in world.running
-        if machine.member is not None and machine.member.lease(world.clock(machine), LEASE) is not None
+        if machine.member is not None and machine.member.lease(world.clock(machine), LEASE_NAME) is not None
     ]
 
 
@@ -83,7 +83,7 @@
     leaver = primary(world)
     for machine in world.running:
         assert machine.member is not None
-        machine.member.lease(world.clock(machine), LEASE)
+        machine.member.lease(world.clock(machine), LEASE_NAME)
     serve(world, 4.0)
     assert lease_holders(world) == [leaver.address]
     seconds_to_leave(world, leaver.address)
--- a/tests/replication/test_lease.py
+++ b/tests/replication/test_lease.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from larchgw.model_checking.replication.cluster import LEASE, TERM, World
+from larchgw.model_checking.replication.cluster import LEASE_NAME, LEASE_TERM_S, SimulatedCluster
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.lease import Lease
 from larchgw.replication.lease_acceptor import NOBODY, UNKNOWN, LeaseWitness
@@ -17,7 +17,7 @@
 
 
 def witness(disk: SimulatedDisk, first_boot: bool = True) -> LeaseWitness:
-    made = LeaseWitness(disk.ports().leases, TERM)
+    made = LeaseWitness(disk.ports().leases, LEASE_TERM_S)
     if disk.ports().leases.load() is None:
         made.reset(first_boot)
     return made
@@ -27,16 +27,16 @@
     held = witness(SimulatedDisk())
     assert held.ask(0.0, "x", ask(1), VIEW).granted
     refused = held.ask(1.0, "y", ask(2), VIEW)
-    assert not refused.granted and refused.remaining == TERM - 1.0
-    assert held.ask(TERM, "y", ask(2), VIEW).granted
+    assert not refused.granted and refused.remaining == LEASE_TERM_S - 1.0
+    assert held.ask(LEASE_TERM_S, "y", ask(2), VIEW).granted
 
 
 def test_a_fence_is_never_granted_twice_to_different_holders() -> None:
     disk = SimulatedDisk()
     witness(disk).ask(0.0, "x", ask(5), VIEW)
-    assert not witness(disk).ask(10 * TERM, "y", ask(5), VIEW).granted
-    assert not witness(disk).ask(10 * TERM, "y", ask(4), VIEW).granted
-    assert witness(disk).ask(10 * TERM, "y", ask(6), VIEW).granted
+    assert not witness(disk).ask(10 * LEASE_TERM_S, "y", ask(5), VIEW).granted
+    assert not witness(disk).ask(10 * LEASE_TERM_S, "y", ask(4), VIEW).granted
+    assert witness(disk).ask(10 * LEASE_TERM_S, "y", ask(6), VIEW).granted
 
 
 def test_a_restarted_witness_has_forgotten_its_grants_and_waits_a_term() -> None:
@@ -53,7 +53,7 @@
     seated.ask(0.0, "x", ask(1), VIEW)
     seated.seated(0.5)
     assert not seated.ask(1.0, "x", ask(2), VIEW).granted
-    assert seated.ask(0.5 + TERM, "x", ask(2), VIEW).granted
+    assert seated.ask(0.5 + LEASE_TERM_S, "x", ask(2), VIEW).granted
 
 
 def test_an_asker_of_an_older_view_is_told_the_newer_one() -> None:
@@ -89,16 +89,18 @@
 # ---- with whole members ----
 
 
-def started() -> World:
-    world = World(3, 3, 3, 1)
+def started() -> SimulatedCluster:
+    world = SimulatedCluster(3, 3, 3, 1)
     for address in world.machines:
         world.start(address, first_boot=True)
     world.run(1.0)
     return world
 
 
-def holders(world: World) -> dict[str, Lease]:
-    found = {machine.address: machine.member.lease(world.clock(machine), LEASE) for machine in world.running}
+def holders(world: SimulatedCluster) -> dict[str, Lease]:
+    found = {
+        machine.address: machine.member.lease(world.clock(machine), LEASE_NAME) for machine in world.running
+    }
     return {address: lease for address, lease in found.items() if lease is not None}
 
 
@@ -114,18 +116,18 @@
     lost_at = world.now
     while not holders(world):
         world.run(0.05)
-        assert world.now < lost_at + 3 * TERM
-    assert world.now - lost_at > TERM
+        assert world.now < lost_at + 3 * LEASE_TERM_S
+    assert world.now - lost_at > LEASE_TERM_S
 
 
 def test_a_thawed_holder_knows_at_once_that_its_lease_is_over() -> None:
     world = started()
     (old,) = holders(world)
     world.freeze(old)
-    world.run(TERM)
+    world.run(LEASE_TERM_S)
     machine = world.machines[old]
     world.thaw(old)
-    assert machine.member.lease(world.clock(machine), LEASE) is None
+    assert machine.member.lease(world.clock(machine), LEASE_NAME) is None
 
 
 def test_a_restarted_holder_goes_on_without_the_wait_and_with_a_higher_fence() -> None:
@@ -141,5 +143,5 @@
     world = started()
     (old,) = holders(world)
     world.step_down(world.machines[old])
-    world.run(TERM + 1.0)
+    world.run(LEASE_TERM_S + 1.0)
     assert holders(world) and old not in holders(world)
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from larchgw.model_checking.replication.cluster import DELIVER_BYTES, Machine, World
+from larchgw.model_checking.replication.cluster import DELIVER_BYTES, Machine, SimulatedCluster
 from larchgw.replication.effects import Effects
 
 
-def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> World:
-    world = World(1, machines, seeds, survive)
+def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> SimulatedCluster:
+    world = SimulatedCluster(1, machines, seeds, survive)
     for address in world.machines:
         world.start(address, first_boot=True)
     serve(world, 2.0)
     return world
 
 
-def serve(world: World, seconds: float) -> int:
+def serve(world: SimulatedCluster, seconds: float) -> int:
     """Sends a change and a read every 50 ms; returns how many changes were acknowledged."""
     before = world.acknowledged
     end = world.now + seconds
@@ -28,17 +28,17 @@
     return world.acknowledged - before
 
 
-def primary(world: World) -> Machine:
+def primary(world: SimulatedCluster) -> Machine:
     (only,) = world.primaries()
     return only
 
 
-def backups(world: World) -> list[Machine]:
+def backups(world: SimulatedCluster) -> list[Machine]:
     return [machine for machine in world.running if machine is not primary(world)]
 
 
 def test_a_first_boot_has_a_primary_before_a_second_is_over() -> None:
-    world = World(1, 3, 3, 1)
+    world = SimulatedCluster(1, 3, 3, 1)
     for address in world.machines:
         world.start(address, first_boot=True)
     assert serve(world, 1.0) > 0
@@ -104,7 +104,7 @@
 
 
 def test_a_seed_that_never_came_up_does_not_stop_the_others() -> None:
-    world = World(1, 3, 3, 1)
+    world = SimulatedCluster(1, 3, 3, 1)
     for address in list(world.machines)[1:]:
         world.start(address, first_boot=True)
     serve(world, 2.0)
@@ -181,12 +181,12 @@
     world.start(late.address)
     serve(world, 3.0)
     assert late.version == primary(world).version
-    assert max(handed_out) <= DELIVER_BYTES // world.filling_bytes
+    assert max(handed_out) <= DELIVER_BYTES // world.snapshot_padding_bytes
 
 
 def test_a_primary_counts_no_record_of_its_own_that_an_earlier_life_left_unsynced() -> None:
     """It was acknowledged with such a copy, then lost with the power, and another one put in its place."""
-    world = World(1, 1, 1, 0)
+    world = SimulatedCluster(1, 1, 1, 0)
     (machine,) = world.machines.values()
     world.start(machine.address, first_boot=True)
     serve(world, 0.4)
--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from larchgw.model_checking.simulated_disk import Crashed, SimulatedDisk
+from larchgw.model_checking.errors import SimulatedCrashError
+from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.effects import Effects
 from larchgw.replication.lease_acceptor import LeaseWitness
 from larchgw.replication.member import Member
@@ -264,7 +265,7 @@
             member.start(100.0)
             kind, body = encode(Accept(seat), "a")
             member.receive(100.0, PeerMessage("a", "b", kind, body))
-        except Crashed:
+        except SimulatedCrashError:
             pass
         disk.crash_after = None
         member = Member(settings, disk.ports(), lambda: b"", Random(1))
--- a/tests/replication/test_parts.py
+++ b/tests/replication/test_parts.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.model_checking.simulated_disk import Crashed, SimulatedDisk
+from larchgw.model_checking.errors import SimulatedCrashError
+from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.leadership import Leadership
 from larchgw.replication.message_codec import DecodeError, decode, encode
 from larchgw.replication.messages import (
@@ -164,7 +165,7 @@
     disk = SimulatedDisk()
     log = replica(disk)
     disk.crash_after = 1
-    with pytest.raises(Crashed):
+    with pytest.raises(SimulatedCrashError):
         log.append(1, b"one")
     disk.lose_power(Random(1))
     assert disk.synced == len(disk.records)
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.model_checking.replication.cluster import Machine, World
+from larchgw.model_checking.replication.cluster import Machine, SimulatedCluster
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
 from larchgw.replication.follower import Follower
@@ -308,16 +308,16 @@
 # ---- whole members in virtual time ----
 
 
-def started(filling_bytes: int) -> World:
-    world = World(1, 3, 3, 1)
-    world.filling_bytes = filling_bytes
+def started(filling_bytes: int) -> SimulatedCluster:
+    world = SimulatedCluster(1, 3, 3, 1)
+    world.snapshot_padding_bytes = filling_bytes
     for address in world.machines:
         world.start(address, first_boot=True)
     serve(world, 6.0)
     return world
 
 
-def serve(world: World, seconds: float) -> int:
+def serve(world: SimulatedCluster, seconds: float) -> int:
     """Four changes a second; returns how many were acknowledged."""
     before, end = world.acknowledged, world.now + seconds
     while world.now < end:
@@ -327,12 +327,12 @@
     return world.acknowledged - before
 
 
-def backup(world: World) -> Machine:
+def backup(world: SimulatedCluster) -> Machine:
     (primary,) = world.primaries()
     return next(machine for machine in world.running if machine is not primary)
 
 
-def in_sync(world: World, address: str) -> bool:
+def in_sync(world: SimulatedCluster, address: str) -> bool:
     (primary,) = world.primaries()
     return world.machines[address].id in primary.member.view.in_sync
 
@@ -340,7 +340,7 @@
 def test_no_message_grows_with_the_snapshot() -> None:
     """Before snapshots went in pieces a member that needed a larger one was never taken in again."""
     world = started(filling_bytes=4000)
-    world.most_body_bytes = 1000
+    world.max_body_bytes = 1000
     lost = backup(world).address
     world.wipe(lost)
     serve(world, 1.0)
@@ -355,10 +355,10 @@
     lost = backup(world).address
     world.wipe(lost)
     serve(world, 1.0)
-    world.loss, world.double = loss, double
+    world.loss_rate, world.duplication_rate = loss, double
     world.start(lost)
     assert serve(world, 20.0) >= 60
-    world.loss = world.double = 0.0
+    world.loss_rate = world.duplication_rate = 0.0
     serve(world, 4.0)
     assert in_sync(world, lost)
 
