--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls between processes on real sockets: which answer belongs to which call, and what the lack of one says.
+"""Calls between processes on real sockets: which reply belongs to which call, and what the lack of one says.
 
 The peer is scripted frame by frame, so that each moment is forced. The rows are those of docs/calls.md.
 """
@@ -27,17 +27,17 @@
 LONG_S = 20.0  # that no test waits for
 
 
-class Frames:
-    """A peer's side of one connection: the calls that come, and the bytes that the test answers."""
+class PeerConnection:
+    """The called side of one connection: the calls that came, and the replies that the test writes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self.writer = reader, writer
 
-    async def call(self) -> Message:
+    async def receive_call(self) -> Message:
         length = int.from_bytes(await soon(self._reader.readexactly(4)), "big")
         return decode_message(await soon(self._reader.readexactly(length)))
 
-    def answer(self, call: Message, name: str, method: str = "", kind: int = TMessageType.REPLY) -> None:
+    def reply(self, call: Message, name: str, method: str = "", kind: int = TMessageType.REPLY) -> None:
         body = Control.status_result(success=ControlStatus(node_name=name))
         self.writer.write(encode_message(method or call.method, kind, call.sequence, body))
 
@@ -47,25 +47,25 @@
         self.writer.transport.abort()
 
 
-class Peer:
+class ScriptedServer:
     """Connections that a client has opened."""
 
     def __init__(self) -> None:
-        self._connections: asyncio.Queue[Frames] = asyncio.Queue()
+        self._connections: asyncio.Queue[PeerConnection] = asyncio.Queue()
         self.opened = 0
 
-    async def taken(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened += 1
-        self._connections.put_nowait(Frames(reader, writer))
+        self._connections.put_nowait(PeerConnection(reader, writer))
 
-    async def connection(self) -> Frames:
+    async def connection(self) -> PeerConnection:
         return await soon(self._connections.get())
 
 
 @asynccontextmanager
-async def connected() -> AsyncIterator[tuple[RpcClient, Peer]]:
-    peer = Peer()
-    server = await asyncio.start_server(peer.taken, "127.0.0.1", 0)
+async def connected() -> AsyncIterator[tuple[RpcClient, ScriptedServer]]:
+    peer = ScriptedServer()
+    server = await asyncio.start_server(peer.accept, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     client = RpcClient(f"{host}:{port}")
     try:
@@ -75,122 +75,126 @@
         server.close()
 
 
-def ask(client: RpcClient, timeout: float = LONG_S) -> asyncio.Task[Any]:
-    return asyncio.ensure_future(client.call("status", StatusRequest(), timeout))
+def start_status_call(client: RpcClient, timeout_s: float = LONG_S) -> asyncio.Task[Any]:
+    return asyncio.ensure_future(client.call("status", StatusRequest(), timeout_s))
 
 
 @on_loop
-async def test_answers_that_pass_each_other_reach_their_own_callers() -> None:
+async def test_replies_in_another_order_reach_their_own_callers() -> None:
     async with connected() as (client, peer):
-        calls = [ask(client), ask(client), ask(client)]
-        frames = await peer.connection()
-        seen = [await frames.call() for _ in calls]
+        calls = [start_status_call(client), start_status_call(client), start_status_call(client)]
+        connection = await peer.connection()
+        received = [await connection.receive_call() for _ in calls]
         for number in (2, 0, 1):
-            frames.answer(seen[number], f"answer {number}")
+            connection.reply(received[number], f"answer {number}")
         assert [(await soon(call)).node_name for call in calls] == ["answer 0", "answer 1", "answer 2"]
 
 
 @on_loop
-async def test_an_answer_that_comes_after_its_call_was_given_up_is_nobodys() -> None:
+async def test_reply_after_its_call_was_given_up_is_dropped() -> None:
     async with connected() as (client, peer):
-        given_up = ask(client)
-        frames = await peer.connection()
-        first = await frames.call()
+        given_up = start_status_call(client)
+        connection = await peer.connection()
+        first = await connection.receive_call()
         given_up.cancel()
-        second = ask(client)
-        later = await frames.call()
+        second = start_status_call(client)
+        later = await connection.receive_call()
         assert later.sequence != first.sequence
-        frames.answer(first, "late")
-        frames.answer(first, "surplus")
-        frames.answer(later, "own")
+        connection.reply(first, "late")
+        connection.reply(first, "surplus")
+        connection.reply(later, "own")
         assert (await soon(second)).node_name == "own"
 
 
-@pytest.mark.parametrize("method,kind", [("pull", TMessageType.REPLY), ("status", TMessageType.CALL)])
+@pytest.mark.parametrize(("method", "kind"), [("pull", TMessageType.REPLY), ("status", TMessageType.CALL)])
 @on_loop
-async def test_what_is_no_answer_to_the_call_of_its_number_ends_a_connection(method: str, kind: int) -> None:
+async def test_message_that_is_no_reply_to_the_call_of_its_number_ends_the_connection(
+    method: str, kind: int
+) -> None:
     """An answer of another method, or our own call come back: TCP may connect a port to itself."""
     async with connected() as (client, peer):
-        call = ask(client)
-        frames = await peer.connection()
-        frames.answer(await frames.call(), "not this", method, kind)
+        call = start_status_call(client)
+        connection = await peer.connection()
+        connection.reply(await connection.receive_call(), "not this", method, kind)
         with pytest.raises(RpcConnectionError):
             await soon(call)
 
 
 @on_loop
-async def test_a_call_without_a_result_is_not_confirmed_by_its_own_echo() -> None:
+async def test_call_without_a_result_is_not_confirmed_by_its_own_echo() -> None:
     async with connected() as (client, peer):
         call = asyncio.ensure_future(client.call("demand", DemandReport(node_name="e"), LONG_S))
-        frames = await peer.connection()
-        seen = await frames.call()
-        frames.writer.write(encode_message(seen.method, seen.kind, seen.sequence, seen.body))
+        connection = await peer.connection()
+        received = await connection.receive_call()
+        connection.writer.write(
+            encode_message(received.method, received.kind, received.sequence, received.body)
+        )
         with pytest.raises(RpcConnectionError):
             await soon(call)
 
 
 @on_loop
-async def test_an_answer_without_a_result_is_no_answer() -> None:
+async def test_reply_without_a_result_is_an_error() -> None:
     async with connected() as (client, peer):
-        call = ask(client)
-        frames = await peer.connection()
-        seen = await frames.call()
+        call = start_status_call(client)
+        connection = await peer.connection()
+        received = await connection.receive_call()
         empty = Control.status_result()
-        frames.writer.write(encode_message("status", TMessageType.REPLY, seen.sequence, empty))
+        connection.writer.write(encode_message("status", TMessageType.REPLY, received.sequence, empty))
         with pytest.raises(RpcError):
             await soon(call)
 
 
 @on_loop
-async def test_a_reset_leaves_open_whether_the_call_was_carried_out_and_nothing_is_sent_again() -> None:
+async def test_reset_leaves_open_whether_the_call_was_executed_and_nothing_is_sent_again() -> None:
     async with connected() as (client, peer):
-        kept = ask(client)
-        frames = await peer.connection()
-        frames.answer(await frames.call(), "one")
+        kept = start_status_call(client)
+        connection = await peer.connection()
+        connection.reply(await connection.receive_call(), "one")
         await soon(kept)
-        call = ask(client)  # on the kept connection
-        await frames.call()
-        frames.reset()
+        call = start_status_call(client)  # on the kept connection
+        await connection.receive_call()
+        connection.reset()
         with pytest.raises(RpcConnectionError) as lost:
             await soon(call)
         assert lost.value.was_sent
         assert peer.opened == 1
-        again = ask(client)
-        frames = await peer.connection()
-        frames.answer(await frames.call(), "two")
+        again = start_status_call(client)
+        connection = await peer.connection()
+        connection.reply(await connection.receive_call(), "two")
         assert (await soon(again)).node_name == "two"
 
 
 @on_loop
-async def test_a_connection_that_the_peer_has_forgotten_is_opened_anew_for_the_next_call() -> None:
+async def test_connection_that_the_peer_has_reset_is_opened_anew_for_the_next_call() -> None:
     async with connected() as (client, peer):
-        call = ask(client)
-        frames = await peer.connection()
-        frames.answer(await frames.call(), "one")
+        call = start_status_call(client)
+        connection = await peer.connection()
+        connection.reply(await connection.receive_call(), "one")
         await soon(call)
-        connection = client._connection
-        frames.reset()
-        while connection is not None and connection.transport is not None:
+        kept = client._connection
+        connection.reset()
+        while kept is not None and kept.transport is not None:
             await asyncio.sleep(0)
-        call = ask(client)
-        frames = await peer.connection()
-        frames.answer(await frames.call(), "two")
+        call = start_status_call(client)
+        connection = await peer.connection()
+        connection.reply(await connection.receive_call(), "two")
         assert (await soon(call)).node_name == "two"
 
 
 @on_loop
-async def test_silence_leaves_open_whether_the_call_was_carried_out() -> None:
+async def test_timeout_leaves_open_whether_the_call_was_executed() -> None:
     async with connected() as (client, _):
-        with pytest.raises(RpcTimeoutError) as silent:
-            await soon(ask(client, 0.0))
-        assert silent.value.was_sent
+        with pytest.raises(RpcTimeoutError) as timed_out:
+            await soon(start_status_call(client, 0.0))
+        assert timed_out.value.was_sent
 
 
 @on_loop
-async def test_a_call_whose_client_is_closed_while_it_connects_fails_and_is_not_cancelled() -> None:
+async def test_call_whose_client_is_closed_while_it_connects_fails_and_is_not_cancelled() -> None:
     """A loop that saw itself cancelled would end."""
     async with connected() as (client, _):
-        call = ask(client)
+        call = start_status_call(client)
         await asyncio.sleep(0)
         client.close()
         with pytest.raises(RpcConnectionError) as lost:
@@ -198,8 +202,8 @@
         assert not lost.value.was_sent
 
 
-class Served:
-    """Counts what it carries out."""
+class CountingService:
+    """Counts the calls that it executes."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -209,33 +213,33 @@
         return PushReply()
 
 
-@pytest.mark.parametrize("whole", [True, False])
+@pytest.mark.parametrize("is_complete", [True, False])
 @on_loop
-async def test_a_call_that_did_not_come_in_whole_is_not_carried_out(whole: bool) -> None:
-    served = Served()
-    server = RpcServer(served)
+async def test_incomplete_call_is_not_executed(is_complete: bool) -> None:
+    service = CountingService()
+    server = RpcServer(service)
     port = await server.start("127.0.0.1", 0)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     frame = encode_message("push", TMessageType.CALL, 1, Control.push_args(PushRequest(node_name="e")))
-    writer.write(frame if whole else frame[:-1])
-    if whole:
+    writer.write(frame if is_complete else frame[:-1])
+    if is_complete:
         assert await soon(reader.readexactly(4))
     else:
         writer.write_eof()
         assert await soon(reader.read()) == b""
-    assert served.calls == whole
+    assert service.calls == is_complete
     writer.close()
     server.stop()
 
 
 @on_loop
-async def test_an_answer_is_not_taken_for_a_call() -> None:
-    served = Served()
-    server = RpcServer(served)
+async def test_reply_is_not_executed_as_a_call() -> None:
+    service = CountingService()
+    server = RpcServer(service)
     port = await server.start("127.0.0.1", 0)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(encode_message("push", TMessageType.REPLY, 1, Control.push_result(success=PushReply())))
     assert await soon(reader.read()) == b""
-    assert served.calls == 0
+    assert service.calls == 0
     writer.close()
     server.stop()
