--- /dev/null
+++ b/larchgw/placement/load_completions.py
@@ -0,0 +1,58 @@
+"""When dispatchers may use what is being loaded. Pure: time is an argument (seconds, monotonic clock)."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+from .model import Order
+from .runner_state import RunnerState
+
+CONFIRMATION_TIMEOUT_S = 4.0  # by then check-ins show what a finished load has brought
+
+
+def note_loaded(now_s: float, state: RunnerState, order: Order) -> None:
+    """Notes that a load is done; it stays expected until a check-in shows it."""
+    state.loaded_at_s[order.name] = now_s
+    state.unconfirmed_unloads.pop(order.name, None)
+    if not state.record.holds(order.model, order.adapter):
+        state.unconfirmed_loads[order.name] = now_s
+
+
+def note_unloaded(now_s: float, state: RunnerState, order: Order) -> None:
+    """Notes that an unload is done; it stays expected until no check-in lists it."""
+    state.loaded_at_s.pop(order.name, None)
+    state.unconfirmed_loads.pop(order.name, None)
+    if state.record.holds(order.model, order.adapter):
+        state.unconfirmed_unloads[order.name] = now_s
+
+
+def confirm_by_check_in(state: RunnerState, listed: set[str]) -> None:
+    """Drops what a check-in confirms; `listed` has the `loadable_name` of all that it lists."""
+    state.unconfirmed_loads = {name: at for name, at in state.unconfirmed_loads.items() if name not in listed}
+    state.unconfirmed_unloads = {name: at for name, at in state.unconfirmed_unloads.items() if name in listed}
+
+
+def expected_load_completions(now_s: float, runners: Iterable[RunnerState]) -> dict[str, dict[str, float]]:
+    """Returns, by runner id and `loadable_name`, when each model or adapter can be used there.
+
+    What is being unloaded has an infinite time. What check-ins show already has no entry.
+    """
+    completions: dict[str, dict[str, float]] = {}
+    for state in runners:
+        _drop_unconfirmed(now_s, state)
+        by_name = dict.fromkeys(state.unconfirmed_unloads, math.inf) | state.unconfirmed_loads
+        if state.order_in_progress is not None:
+            order = state.order_in_progress.order
+            by_name[order.name] = state.order_in_progress.ready_at_s if order.is_load else math.inf
+        if by_name:
+            completions[state.id] = by_name
+    return completions
+
+
+def _drop_unconfirmed(now_s: float, state: RunnerState) -> None:
+    """Drops what check-ins have had time enough to show."""
+    for name, at in [*state.unconfirmed_loads.items(), *state.unconfirmed_unloads.items()]:
+        if now_s - at > CONFIRMATION_TIMEOUT_S:
+            state.unconfirmed_loads.pop(name, None)
+            state.unconfirmed_unloads.pop(name, None)
--- a/larchgw/placement/load_rate_limit.py
+++ b/larchgw/placement/load_rate_limit.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Set
 
 EXTRA_LOADS = 3  # that the rule allows in a window on top of the rate
 MARGIN_SHARE = 0.1  # of the limit, kept back for loads that a predecessor began unseen; one at least
@@ -53,6 +54,10 @@
         self._begun_by = [at for at in self._begun_by if at + self._window_s >= now_s]
         return self._limit - len(self._begun_by) - len(self._reserved_at)
 
+    def reserved_runner_ids(self) -> Set[str]:
+        """Returns the runners at which an ordered load may yet begin."""
+        return self._reserved_at.keys()
+
     def reserve(self, now_s: float, runner_id: str) -> None:
         """Counts a load whose order is about to be sent: it may begin from now on."""
         if runner_id in self._reserved_at:
--- a/larchgw/placement/orders.py
+++ b/larchgw/placement/orders.py
@@ -10,7 +10,6 @@
 from collections.abc import Mapping
 from io import BytesIO
 from types import MappingProxyType
-from typing import Any
 
 import pycurl
 import structlog
@@ -145,26 +144,23 @@
 def decode_report(body: bytes) -> RunnerReport | None:
     """Reads a report from its JSON; None if the bytes are no report."""
     try:
-        return _read_report(json.loads(body))
+        fields = json.loads(body)
+        models = {
+            str(model["name"]): frozenset(str(name) for name in model.get("adapters", ()))
+            for model in fields["models"]
+        }
+        return RunnerReport(
+            models,
+            is_occupied=bool(fields["occupied"]),
+            order_count=int(fields["call_count"]),
+            queued=int(fields.get("queued", 0)),
+            in_progress=int(fields.get("in_progress", 0)),
+        )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         log.warning("runner_report.unreadable", error=str(error))
         return None
 
 
-def _read_report(fields: Any) -> RunnerReport:
-    models = {
-        str(model["name"]): frozenset(str(name) for name in model.get("adapters", ()))
-        for model in fields["models"]
-    }
-    return RunnerReport(
-        models,
-        is_occupied=bool(fields["occupied"]),
-        order_count=int(fields["call_count"]),
-        queued=int(fields.get("queued", 0)),
-        in_progress=int(fields.get("in_progress", 0)),
-    )
-
-
 def _failure(error: Exception, body: _OrderBody) -> OrderOutcome:
     """Unsent only if no connection came up, and curl had not given the order to one that ended before."""
     has_no_connection = getattr(error, "errno", None) == pycurl.E_COULDNT_CONNECT
--- /dev/null
+++ b/larchgw/placement/polls.py
@@ -0,0 +1,52 @@
+"""Which runners to ask for a report, and when again. Pure: time is an argument (seconds, monotonic clock)."""
+
+from __future__ import annotations
+
+from collections.abc import Container, Iterable
+
+from .runner_state import RunnerState
+
+MIN_POLL_INTERVAL_S = 0.15  # between polls of a runner whose order should be done, growing to the next
+MAX_POLL_INTERVAL_S = 0.4
+POLL_INTERVAL_GROWTH = 1.3
+UNREACHABLE_POLL_INTERVAL_S = 1.0  # between polls of a runner that does not answer
+MAX_POLLS = 64  # at once: calls that wait for a free connection would time out there, and be made again
+
+
+def due_polls(
+    now_s: float, runners: Iterable[RunnerState], pending: Container[str], limit: int
+) -> list[RunnerState]:
+    """Returns the runners whose report is wanted now, and notes when each is to be asked again.
+
+    Args:
+        now_s: The time.
+        runners: All runners.
+        pending: Ids of those whose answers are awaited: they are not asked.
+        limit: How many are returned at most; those with an order in progress come first.
+    """
+    due = [state for state in runners if state.id not in pending and _is_due(now_s, state)]
+    due.sort(key=lambda state: state.order_in_progress is None)
+    del due[max(limit, 0) :]
+    for state in due:
+        polled = state.order_in_progress or state
+        polled.poll_count += 1
+        polled.next_poll_at_s = now_s + _interval_s(polled.poll_count)
+    return due
+
+
+def postpone_poll(now_s: float, state: RunnerState) -> None:
+    """Notes that a runner gave no report: it is asked again after a longer interval."""
+    state.next_poll_at_s = now_s + UNREACHABLE_POLL_INTERVAL_S
+    if state.order_in_progress is not None:
+        state.order_in_progress.next_poll_at_s = now_s + UNREACHABLE_POLL_INTERVAL_S
+
+
+def _is_due(now_s: float, state: RunnerState) -> bool:
+    if state.order_in_progress is not None:
+        return now_s >= state.order_in_progress.next_poll_at_s
+    return not state.is_known and state.is_ready and now_s >= state.next_poll_at_s
+
+
+def _interval_s(poll_count: int) -> float:
+    """Returns the time until the next poll of a runner that answers."""
+    return min(MIN_POLL_INTERVAL_S * POLL_INTERVAL_GROWTH ** (poll_count - 1), MAX_POLL_INTERVAL_S)
--- a/larchgw/placement/runner_state.py
+++ b/larchgw/placement/runner_state.py
@@ -129,6 +129,15 @@
         order = self.order_in_progress.order if self.order_in_progress else None
         return order is not None and order.is_load and (order.model, order.adapter) == (model, adapter)
 
+    def loads_from_store(self, order: Order) -> bool:
+        """Whether the order loads weights that this incarnation is not known to have held."""
+        return order.is_load and not order.adapter and order.model not in self.models_on_disk
+
+    @property
+    def is_loading_from_store(self) -> bool:
+        """Whether a load from the weight store is in progress."""
+        return self.order_in_progress is not None and self.loads_from_store(self.order_in_progress.order)
+
     def used_mb(self, capacity: ServiceCapacity) -> float:
         """Returns the memory for weights and adapters, with what is being loaded."""
         return sum(
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -29,7 +29,8 @@
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .orders import MAX_ORDERS
 from .planner import Planner
-from .reconciler import MOST_POLLS, Reconciler
+from .polls import MAX_POLLS
+from .reconciler import Reconciler
 from .runner_state import RunnerState
 from .summary import PlacementSummary, summarise
 
@@ -167,8 +168,8 @@
         if lease is None:
             return
         now = self._clock()
-        self._reconciler.assume_adapters(now)
-        for state in self._reconciler.polls(now, self._asked, MOST_POLLS - len(self._asked)):
+        self._reconciler.assume_adapters_loaded(now)
+        for state in self._reconciler.due_polls(now, self._asked, MAX_POLLS - len(self._asked)):
             self._asked.add(state.id)
             self._runtime.spawn(self._poll(state))
         if now >= self._plan_at and self._has_learned(now):
@@ -181,10 +182,14 @@
             return
         self._demand.expire()
         orders = self._planner.plan(
-            now, self._configuration, self._reconciler.capacities, self._demand, self._reconciler.state()
+            now,
+            self._configuration,
+            self._reconciler.capacities,
+            self._demand,
+            self._reconciler.placement_state(),
         )
         for order in orders:
-            self._reconciler.ordering(now, order)
+            self._reconciler.start_order(now, order)
             self._runtime.spawn(self._order(order, fence))
 
     def _lease(self) -> Lease | None:
@@ -241,7 +246,7 @@
         if report is None:
             self._reconciler.poll_failed(self._clock(), state.id)
         else:
-            self._reconciler.report(self._clock(), state.id, report)
+            self._reconciler.receive_report(self._clock(), state.id, report)
 
     async def _order(self, order: Order, fence: int) -> None:
         planned_at = self._clock()
@@ -259,10 +264,10 @@
         if outcome is OrderOutcome.FENCED:
             log.warning("order.fenced", runner=order.runner_id, fencing_token=fence)
             self._lowest_fence = fence + 1
-        self._reconciler.answered(self._clock(), order, outcome)
+        self._reconciler.receive_outcome(self._clock(), order, outcome)
 
     def _publish(self, now: float) -> None:
-        expected = self._reconciler.expected(now)
+        expected = self._reconciler.expected_completions(now)
         for runner in self._published.keys() - expected.keys():
             self._runtime.publish(runner, {})
         for runner, names in expected.items():
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -188,7 +188,7 @@
     line = ttypes.ModelDemand(service, model, "", arrivals=5, waiting=2, in_flight=1, urgency_ms=900)
     line.worth = 5.0
     demand.receive_report(ttypes.DemandReport("edge-1", 250, [line]))
-    reconciler.ordering(clock(), Order("i-2", "10.0.0.2:1", OrderAction.LOADING, model))
+    reconciler.start_order(clock(), Order("i-2", "10.0.0.2:1", OrderAction.LOADING, model))
     found = summarise(clock() + 0.5, 9, demand, reconciler)
     (placed,) = [line for line in found.models if line.model == model]
     assert (placed.holders, placed.loading, placed.waiting, placed.in_flight) == (("i-1",), ("i-2",), 2, 1)
--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -129,6 +129,7 @@
         for tick in range(self.ticks):
             self.now = round(tick * TICK_S, 3)
             self.resume_due_calls()
+            self.service._reconciler.validate_state()
             self.lose_and_restart_runners()
             if tick % CHECK_IN_TICKS == 0:
                 for index in range(len(self.runners)):
@@ -136,6 +137,7 @@
             self.report_demand(tick)
             if self.now >= next_round_at:
                 self.service.step()
+                self.service._reconciler.validate_state()
                 next_round_at = round(self.now + self.service.period(), 3)
             if tick % 40 == 0:
                 self.events.append(["summary", self.now, describe(self.service.summary())])
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -23,10 +23,12 @@
     PlacementSettings,
     RunnerReport,
 )
+from larchgw.placement.order_tracker import BACKOFF_S, NOT_TAKEN_AFTER_S
 from larchgw.placement.orders import MAX_ORDERS, decode_report, encode_order, outcome_of
 from larchgw.placement.planner import Planner
+from larchgw.placement.polls import MAX_POLL_INTERVAL_S
 from larchgw.placement.popularity_change import PopularityChange
-from larchgw.placement.reconciler import LAST_POLL_S, REST_S, UNANSWERED_S, Reconciler
+from larchgw.placement.reconciler import Reconciler
 from larchgw.placement.service import GONE, PlacementRuntime, PlacementService
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
 from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
@@ -59,7 +61,7 @@
 def learned(held=("m0",), call_count=0, id="r0"):
     made = reconciler()
     made.update_runner(0.0, record(id, held))
-    made.report(0.0, id, told(held, call_count=call_count))
+    made.receive_report(0.0, id, told(held, call_count=call_count))
     return made
 
 
@@ -181,9 +183,9 @@
 
 def test_loads_that_another_placer_was_seen_to_begin_count():
     made = reconciler()
-    made.update_runner(0.0, record(held=("m0",)), holding_lease=False)
+    made.update_runner(0.0, record(held=("m0",)), has_lease=False)
     before = made.load_limiter.available(0.0)
-    made.update_runner(1.0, record(held=("m0", "m1", "m2")), holding_lease=False)
+    made.update_runner(1.0, record(held=("m0", "m1", "m2")), has_lease=False)
     assert made.load_limiter.available(1.0) == before - 2
 
 
@@ -192,18 +194,18 @@
 
 def test_memory_of_a_load_counts_from_before_its_order_is_sent():
     made = learned(("m0", "m1"))
-    made.ordering(0.0, load("m2"))
+    made.start_order(0.0, load("m2"))
     assert not made.runners["r0"].has_capacity_for(made.capacities[SERVICE], "m3")
     assert made.runners["r0"].used_mb(made.capacities[SERVICE]) == 210 * GB
 
 
 def test_memory_of_a_model_being_unloaded_counts_until_a_report_shows_it_gone():
     made = learned(("m0", "m1", "m2"))
-    made.ordering(0.0, unload("m2"))
-    made.answered(0.01, unload("m2"), OrderOutcome.ACCEPTED)
-    made.report(0.3, "r0", told(("m0", "m1", "m2"), occupied=True, call_count=1))
+    made.start_order(0.0, unload("m2"))
+    made.receive_outcome(0.01, unload("m2"), OrderOutcome.ACCEPTED)
+    made.receive_report(0.3, "r0", told(("m0", "m1", "m2"), occupied=True, call_count=1))
     assert not made.runners["r0"].has_capacity_for(made.capacities[SERVICE], "m3")
-    made.report(0.6, "r0", told(("m0", "m1"), call_count=1))
+    made.receive_report(0.6, "r0", told(("m0", "m1"), call_count=1))
     assert made.runners["r0"].has_capacity_for(made.capacities[SERVICE], "m3") and made.runners[
         "r0"
     ].can_take_order(0.6)
@@ -212,93 +214,93 @@
 def test_a_report_older_than_the_order_does_not_end_it():
     made = learned()
     order = load("m1")
-    made.ordering(0.0, order)
-    made.answered(0.01, order, OrderOutcome.ACCEPTED)
-    made.report(0.1, "r0", told(("m0",), call_count=0))
-    made.report(2.0, "r0", told(("m0",), call_count=0))
+    made.start_order(0.0, order)
+    made.receive_outcome(0.01, order, OrderOutcome.ACCEPTED)
+    made.receive_report(0.1, "r0", told(("m0",), call_count=0))
+    made.receive_report(2.0, "r0", told(("m0",), call_count=0))
     assert made.runners["r0"].order_in_progress is not None
 
 
 def test_an_order_without_an_answer_counts_as_taken_until_reports_show_otherwise():
     made = learned(("m0", "m1"))
     order = load("m2")
-    made.ordering(0.0, order)
-    made.answered(0.8, order, OrderOutcome.UNKNOWN)
-    made.report(1.0, "r0", told(("m0", "m1"), call_count=0))
+    made.start_order(0.0, order)
+    made.receive_outcome(0.8, order, OrderOutcome.UNKNOWN)
+    made.receive_report(1.0, "r0", told(("m0", "m1"), call_count=0))
     assert not made.runners["r0"].can_take_order(1.0)
-    made.report(UNANSWERED_S, "r0", told(("m0", "m1"), call_count=0))
-    assert made.runners["r0"].can_take_order(UNANSWERED_S)
-    assert made.load_limiter.available(UNANSWERED_S) == made.load_limiter.limit - 1
+    made.receive_report(NOT_TAKEN_AFTER_S, "r0", told(("m0", "m1"), call_count=0))
+    assert made.runners["r0"].can_take_order(NOT_TAKEN_AFTER_S)
+    assert made.load_limiter.available(NOT_TAKEN_AFTER_S) == made.load_limiter.limit - 1
 
 
 def test_an_order_without_an_answer_that_was_taken_is_followed_to_its_end():
     made = learned(("m0",))
     order = load("m1")
-    made.ordering(0.0, order)
-    made.answered(0.8, order, OrderOutcome.UNKNOWN)
-    made.report(1.0, "r0", told(("m0",), occupied=True, call_count=1))
-    made.report(UNANSWERED_S, "r0", told(("m0",), occupied=True, call_count=1))
+    made.start_order(0.0, order)
+    made.receive_outcome(0.8, order, OrderOutcome.UNKNOWN)
+    made.receive_report(1.0, "r0", told(("m0",), occupied=True, call_count=1))
+    made.receive_report(NOT_TAKEN_AFTER_S, "r0", told(("m0",), occupied=True, call_count=1))
     assert made.runners["r0"].order_in_progress is not None
-    made.report(2.0, "r0", told(("m0", "m1"), call_count=1))
+    made.receive_report(2.0, "r0", told(("m0", "m1"), call_count=1))
     assert made.runners["r0"].holds("m1")
 
 
 def test_an_accepted_adapter_takes_its_place_before_any_report_and_the_next_order_counts_it():
     made = learned(("m0",))
     order = Order("r0", "10.0.0.1:80", OrderAction.LOADING, "m0", "a1", 0)
-    made.ordering(0.0, order)
-    made.assume_adapters(1.0)
+    made.start_order(0.0, order)
+    made.assume_adapters_loaded(1.0)
     assert made.runners["r0"].order_in_progress is not None
-    made.answered(1.0, order, OrderOutcome.ACCEPTED)
-    made.assume_adapters(1.0)
+    made.receive_outcome(1.0, order, OrderOutcome.ACCEPTED)
+    made.assume_adapters_loaded(1.0)
     state = made.runners["r0"]
     assert state.can_take_order(1.0) and (state.order_count, state.used_adapter_slots()) == (1, 1)
-    assert made.expected(1.0) == {"r0": {"m0/a1": 1.0}}
+    assert made.expected_completions(1.0) == {"r0": {"m0/a1": 1.0}}
 
 
 def test_after_a_conflict_the_runner_is_asked_before_it_is_ordered_again():
     made = learned()
     order = load("m1")
-    made.ordering(0.0, order)
-    made.answered(0.01, order, OrderOutcome.CONFLICT)
+    made.start_order(0.0, order)
+    made.receive_outcome(0.01, order, OrderOutcome.CONFLICT)
     assert not made.runners["r0"].can_take_order(5.0)
-    assert [state.id for state in made.polls(5.0)] == ["r0"]
-    made.report(5.0, "r0", told(("m0", "m3"), call_count=1))
+    assert [state.id for state in made.due_polls(5.0)] == ["r0"]
+    made.receive_report(5.0, "r0", told(("m0", "m3"), call_count=1))
     assert made.runners["r0"].can_take_order(5.0) and made.runners["r0"].order_count == 1
 
 
 def test_a_refused_order_gives_its_place_at_the_store_back():
     made = learned()
     order = load("m1")
-    made.ordering(0.0, order)
-    made.answered(0.01, order, OrderOutcome.UNSENT)
+    made.start_order(0.0, order)
+    made.receive_outcome(0.01, order, OrderOutcome.UNSENT)
     assert made.load_limiter.available(0.01) == made.load_limiter.limit
-    made.report(0.3, "r0", told(("m0",)))
-    assert not made.runners["r0"].can_take_order(0.3) and made.runners["r0"].can_take_order(REST_S + 0.1)
+    made.receive_report(0.3, "r0", told(("m0",)))
+    assert not made.runners["r0"].can_take_order(0.3) and made.runners["r0"].can_take_order(BACKOFF_S + 0.1)
 
 
 def test_what_another_runner_at_a_reused_address_holds_is_not_taken_for_this_ones():
     made = learned()
     order = load("m1")
-    made.ordering(0.0, order)
-    made.answered(0.01, order, OrderOutcome.OTHER_RUNNER)
-    assert made.polls(60.0) == [] and not made.runners["r0"].can_take_order(60.0)
+    made.start_order(0.0, order)
+    made.receive_outcome(0.01, order, OrderOutcome.OTHER_RUNNER)
+    assert made.due_polls(60.0) == [] and not made.runners["r0"].can_take_order(60.0)
 
 
 def test_a_missing_model_for_an_adapter_is_no_other_runner():
     made = learned(("m0",))
     order = Order("r0", "10.0.0.1:80", OrderAction.LOADING, "m0", "a1", 0)
-    made.ordering(0.0, order)
-    made.answered(0.01, order, OrderOutcome.OTHER_RUNNER)
-    assert [state.id for state in made.polls(5.0)] == ["r0"]
+    made.start_order(0.0, order)
+    made.receive_outcome(0.01, order, OrderOutcome.OTHER_RUNNER)
+    assert [state.id for state in made.due_polls(5.0)] == ["r0"]
 
 
 def test_a_runner_still_occupied_by_a_predecessors_order_gets_none():
     made = reconciler()
     made.update_runner(0.0, record(held=("m0",)))
-    made.report(0.0, "r0", told(("m0",), occupied=True, call_count=3))
+    made.receive_report(0.0, "r0", told(("m0",), occupied=True, call_count=3))
     assert not made.runners["r0"].can_take_order(0.0)
-    made.report(1.0, "r0", told(("m0", "m1"), call_count=3))
+    made.receive_report(1.0, "r0", told(("m0", "m1"), call_count=3))
     assert made.runners["r0"].can_take_order(1.0)
 
 
@@ -307,17 +309,17 @@
     made.update_runner(1.0, record("r0", stage=Stage.GONE))
     made.update_runner(2.0, record("r1"))
     assert "r0" not in made.runners and made.runners["r1"].order_count is None
-    made.report(2.1, "r1", told())
+    made.receive_report(2.1, "r1", told())
     assert made.runners["r1"].order_count == 0
     known = replace(load("m0", "r1"))
-    assert made.duration(known) < 1.0 and made.needs_store(known)
+    assert made.expected_duration_s(known) < 1.0 and made.runners["r1"].loads_from_store(known)
 
 
 def test_a_model_that_this_incarnation_had_does_not_count_at_the_store():
     made = learned(("m0", "m1"))
-    made.ordering(0.0, unload("m1"))
-    made.report(0.5, "r0", told(("m0",), call_count=1))
-    made.ordering(1.0, load("m1", revision=1))
+    made.start_order(0.0, unload("m1"))
+    made.receive_report(0.5, "r0", told(("m0",), call_count=1))
+    made.start_order(1.0, load("m1", revision=1))
     assert made.load_limiter.available(1.0) == made.load_limiter.limit
 
 
@@ -325,52 +327,52 @@
     made = learned()
     made.lease_lost(1.0)
     assert not made.runners["r0"].can_take_order(1.0)
-    assert [state.id for state in made.polls(1.0)] == ["r0"]
+    assert [state.id for state in made.due_polls(1.0)] == ["r0"]
 
 
 def test_a_large_deployment_is_not_polled_faster_than_it_answers():
     made = reconciler()
     for number in range(300):
         made.update_runner(0.0, record(f"r{number}"))
-    asked = {state.id for state in made.polls(0.0, most=64)}
+    asked = {state.id for state in made.due_polls(0.0, limit=64)}
     assert len(asked) == 64
-    assert made.polls(10.0, asked, most=0) == []
-    assert not asked & {state.id for state in made.polls(10.0, asked, most=300)}
+    assert made.due_polls(10.0, asked, limit=0) == []
+    assert not asked & {state.id for state in made.due_polls(10.0, asked, limit=300)}
 
 
 def test_a_runner_with_an_order_under_way_is_polled_before_those_that_are_not_known():
     made = learned()
     for number in range(1, 100):
         made.update_runner(0.0, record(f"r{number}"))
-    made.ordering(0.0, load("m1"))
-    assert [state.id for state in made.polls(10.0, most=1)] == ["r0"]
+    made.start_order(0.0, load("m1"))
+    assert [state.id for state in made.due_polls(10.0, limit=1)] == ["r0"]
 
 
 def test_polls_of_a_late_order_are_spaced():
     made = learned()
-    made.ordering(0.0, load("m1"))
-    asked = [t for tick in range(200) if made.polls(t := tick * 0.05)]
-    assert asked[0] >= 1.0 and len(asked) <= (10.0 - asked[0]) / LAST_POLL_S + 6
+    made.start_order(0.0, load("m1"))
+    asked = [t for tick in range(200) if made.due_polls(t := tick * 0.05)]
+    assert asked[0] >= 1.0 and len(asked) <= (10.0 - asked[0]) / MAX_POLL_INTERVAL_S + 6
 
 
 def test_dispatchers_are_told_when_a_load_will_be_done_until_a_check_in_tells_it():
     made = learned(("m0",))
-    made.ordering(0.0, load("m1"))
-    assert made.expected(0.1) == {"r0": {"m1": pytest.approx(1.03)}}
-    made.report(1.2, "r0", told(("m0", "m1"), call_count=1))
-    assert made.expected(1.2)["r0"]["m1"] <= 1.2
+    made.start_order(0.0, load("m1"))
+    assert made.expected_completions(0.1) == {"r0": {"m1": pytest.approx(1.03)}}
+    made.receive_report(1.2, "r0", told(("m0", "m1"), call_count=1))
+    assert made.expected_completions(1.2)["r0"]["m1"] <= 1.2
     made.update_runner(1.5, record(held=("m0", "m1")))
-    assert made.expected(1.5) == {}
+    assert made.expected_completions(1.5) == {}
 
 
 def test_dispatchers_are_told_that_a_model_is_leaving_until_check_ins_drop_it():
     made = learned(("m0", "m1"))
-    made.ordering(0.0, unload("m1"))
-    assert made.expected(0.0)["r0"]["m1"] == float("inf")
-    made.report(0.5, "r0", told(("m0",), call_count=1))
-    assert made.expected(0.5)["r0"]["m1"] == float("inf")
+    made.start_order(0.0, unload("m1"))
+    assert made.expected_completions(0.0)["r0"]["m1"] == float("inf")
+    made.receive_report(0.5, "r0", told(("m0",), call_count=1))
+    assert made.expected_completions(0.5)["r0"]["m1"] == float("inf")
     made.update_runner(1.0, record(held=("m0",)))
-    assert made.expected(1.0) == {}
+    assert made.expected_completions(1.0) == {}
 
 
 # ---- Orders on the wire ----
@@ -652,9 +654,9 @@
     )
     made = reconciler(config)
     made.update_runner(0.0, record(held=("m0", "m1", "m2")))
-    made.report(0.0, "r0", told(("m0", "m1", "m2")))
+    made.receive_report(0.0, "r0", told(("m0", "m1", "m2")))
     plan = Planner(PlacementSettings(), random.Random(1)).plan
-    orders = plan(clock.now, config, made.capacities, demand, made.state())
+    orders = plan(clock.now, config, made.capacities, demand, made.placement_state())
     assert [(order.action, order.purpose) for order in orders] == [(OrderAction.UNLOADING, "m6")]
 
 
@@ -662,7 +664,7 @@
     made = reconciler()
     made.update_runner(0.0, record(held=("m0",)))
     for second in range(4):
-        made.report(float(second), "r0", told(("m0",), occupied=True, call_count=3))
+        made.receive_report(float(second), "r0", told(("m0",), occupied=True, call_count=3))
     assert made.load_limiter.available(4.0) == made.load_limiter.limit - 1
 
 
@@ -759,7 +761,7 @@
 
 def orders_for(clock, demand, made, config):
     return Planner(PlacementSettings(), random.Random(1)).plan(
-        clock.now, config, made.capacities, demand, made.state()
+        clock.now, config, made.capacities, demand, made.placement_state()
     )
 
 
@@ -771,7 +773,7 @@
     )
     made = reconciler(config)
     made.update_runner(clock.now, record(held=("m0", "m1", "m2")))
-    made.report(clock.now, "r0", told(("m0", "m1", "m2")))
+    made.receive_report(clock.now, "r0", told(("m0", "m1", "m2")))
     return demand, config, made
 
 
