--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -23,9 +23,9 @@
 from ..rpc.client import RpcClient
 from ..runner_directory.directory import RunnerDirectory
 from ..runtime.addresses import rpc_address, seed_rpc_addresses
-from ..runtime.clients import RpcClients
-from ..runtime.gossip import make_swim
+from ..runtime.membership import make_swim
 from ..runtime.random_source import new_random_source
+from ..runtime.rpc_clients import RpcClients
 from ..storage.files import DiskFiles
 from .checkins import RunnerCheckins
 from .configuration_state import ConfigurationState
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -17,7 +17,7 @@
     seed_gossip_addresses,
     seed_rpc_addresses,
 )
-from ..runtime.tasks import Tasks
+from ..runtime.background_tasks import BackgroundTasks
 from . import http_api
 from .assembly import assemble
 from .replicated_log import TICK_S
@@ -47,7 +47,7 @@
             raise SettingsError("data_dir", "is not given", "control keeps its state on disk: name a folder")
         self.settings = settings
         self.parts = assemble(settings, settings.data_dir)
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
 
     async def start(self) -> None:
         """Listens and begins its work.
--- a/larchgw/control/operator_calls.py
+++ b/larchgw/control/operator_calls.py
@@ -9,7 +9,7 @@
 from ..replication.member import Member
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import OperatorAnswer, OperatorCall
-from ..runtime.clients import RpcClients
+from ..runtime.rpc_clients import RpcClients
 from .configuration_state import OperatorOrder
 from .operator_service import (
     MAX_ORDER_BYTES,
--- a/larchgw/control/periodic_work.py
+++ b/larchgw/control/periodic_work.py
@@ -5,7 +5,7 @@
 import time
 
 from ..runner_directory.directory import RunnerDirectory
-from ..runtime.tasks import Tasks
+from ..runtime.background_tasks import BackgroundTasks
 from .contact_monitor import ContactMonitor, ContactState
 from .control_processes import ControlProcesses
 from .disk import ControlDisk
@@ -38,7 +38,7 @@
         self._contact_monitor, self._directory = contact_monitor, directory
         self._processes, self._placer, self._disk = processes, placer, disk
 
-    def start(self, tasks: Tasks) -> None:
+    def start(self, tasks: BackgroundTasks) -> None:
         """Begins all ticks as tasks, which end with `tasks`."""
         tasks.every("replication", TICK_S, self.tick_replication)
         tasks.every("directory", DIRECTORY_TICK_S, self.tick_directory)
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -12,7 +12,7 @@
 from ..replication.lease import Lease
 from ..replication.member import Member
 from ..rpc.generated.ttypes import PeerMessage
-from ..runtime.clients import RpcClients
+from ..runtime.rpc_clients import RpcClients
 from .configuration_state import ConfigurationState
 from .operator_service import ReplicationUnavailableError
 
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -12,7 +12,7 @@
 from ..distribution.registry import Registry
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import DemandReport, ModelDemand
-from ..runtime.clients import RpcClients
+from ..runtime.rpc_clients import RpcClients
 
 log = structlog.get_logger()
 INTERVAL_S = 0.5  # between reports; demand changes within seconds
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -30,10 +30,10 @@
 from ..runner_directory.runner_view import RunnerView
 from ..runtime import http_status
 from ..runtime.addresses import EDGE_GOSSIP_PORT, seed_gossip_addresses, seed_rpc_addresses
-from ..runtime.clients import RpcClients
-from ..runtime.gossip import make_swim
+from ..runtime.background_tasks import BackgroundTasks
+from ..runtime.membership import make_swim
 from ..runtime.random_source import new_random_source
-from ..runtime.tasks import Tasks
+from ..runtime.rpc_clients import RpcClients
 from . import readiness
 from .demand_reports import DemandReporter
 from .expected_loads import Expectations
@@ -57,7 +57,7 @@
         self.view = RunnerView(self.registry)
         self.selector = Selector(settings.zone, random_source)
         self.clients = RpcClients()
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
         self._random_source = random_source
         self._configuration: Configuration | None = None
         self._stopping = False
--- a/larchgw/experiments/fleet_dispatchers.py
+++ b/larchgw/experiments/fleet_dispatchers.py
@@ -29,8 +29,8 @@
 from ..rpc.client import RpcClient
 from ..rpc.generated.ttypes import Entry, ModelDemand
 from ..runner_directory.runner_view import RunnerView
-from ..runtime.clients import RpcClients
-from ..runtime.tasks import Tasks
+from ..runtime.background_tasks import BackgroundTasks
+from ..runtime.rpc_clients import RpcClients
 from .fleet_size import SERVICE, FleetSize, Popularity
 
 ARRIVALS_EVERY_S = 0.1  # requests of this time come together
@@ -124,7 +124,7 @@
         self._seeds, self._in_force, self.reads = seeds, in_force, number < size.reading
         self._clients = RpcClients()
         self._callers: list[RpcClient] = []
-        self._tasks = Tasks()
+        self._tasks = BackgroundTasks()
         self.registry = Registry(f"{name}.{time.time_ns()}")
         self.view = RunnerView(self.registry)
         self.registry.watch(CONFIGURATION_KEY, self._configure)
--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -23,7 +23,7 @@
 from ...rpc.client import RpcClient
 from ...rpc.errors import RpcConnectionError, RpcTimeoutError
 from ...rpc.generated.ttypes import OperatorAnswer, OperatorCall, PeerMessage
-from ...runtime.clients import RpcClients
+from ...runtime.rpc_clients import RpcClients
 from ..errors import SimulatedCrashError
 from ..simulated_disk import SimulatedDisk
 from .invariants import InvariantChecker
--- a/larchgw/runtime/tasks.py
+++ b/larchgw/runtime/background_tasks.py
@@ -11,7 +11,7 @@
 RESTART_AFTER = 0.5  # seconds
 
 
-class Tasks:
+class BackgroundTasks:
     """Keeps background coroutines going until `stop`."""
 
     def __init__(self) -> None:
--- a/larchgw/runtime/process.py
+++ b/larchgw/runtime/process.py
@@ -14,7 +14,7 @@
 from ..configuration.settings import NodeSettings, load
 from ..storage.errors import StorageError
 from . import logs
-from .tasks import Tasks
+from .background_tasks import BackgroundTasks
 
 log = structlog.get_logger()
 EXIT_USAGE = 2
@@ -60,7 +60,7 @@
     watch = SettingsWatch(role, settings)
     loop.add_signal_handler(signal.SIGHUP, watch.check)
     await role.start()
-    tasks = Tasks()
+    tasks = BackgroundTasks()
     tasks.every("settings", SETTINGS_CHECK_S, watch.check)
     await ending.wait()
     log.info("process.stopping")
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -22,7 +22,7 @@
 from larchgw.replication.member import Member
 from larchgw.replication.settings import MemberSettings
 from larchgw.runtime import process
-from larchgw.runtime.clients import RpcClients
+from larchgw.runtime.rpc_clients import RpcClients
 from larchgw.storage.errors import DiskFailedError, DiskFullError
 from larchgw.storage.files import DiskFiles
 from larchgw.storage.reserve import RESERVE_BYTES, RESERVE_FILE_NAME
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -46,7 +46,7 @@
 from larchgw.runner_directory.directory import RunnerDirectory
 from larchgw.runner_directory.errors import CheckInError
 from larchgw.runner_directory.runner_record import RunnerRecord
-from larchgw.runtime.clients import RpcClients
+from larchgw.runtime.rpc_clients import RpcClients
 from tests.support.faulty_files import FaultyFiles
 
 FIXTURES = Path(__file__).parent.parent / "fixtures" / "control"
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -19,7 +19,7 @@
 from larchgw.replication.lease import FENCES_PER_EPOCH
 from larchgw.replication.member import Member
 from larchgw.replication.settings import MemberSettings
-from larchgw.runtime.clients import RpcClients
+from larchgw.runtime.rpc_clients import RpcClients
 from larchgw.storage.files import DiskFiles
 from tests.support.configurations import example
 
