--- a/tests/storage/test_crashes.py
+++ b/tests/storage/test_log_crashes.py
@@ -1,9 +1,10 @@
-"""What the log promises, over losses of power, kills and failing calls at any place."""
+"""What the log guarantees, over power losses, kills and failing calls at any point."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
+from contextlib import suppress
 
 import pytest
 from hypothesis import settings
@@ -12,100 +13,98 @@
 
 from larchgw.storage.errors import StorageError
 from tests.support.faulty_files import FaultyFiles, PowerLossError
-from tests.support.storage_model import CheckedLog, record
+from tests.support.storage_model import CheckedLog, make_record
 
 SEEDS = range(6)
-"""Losses drawn for each place of a cut."""
+"""Outcomes drawn for each point of a power loss."""
 
 
-def append_all(log: CheckedLog, numbers: range) -> None:
+def append_records(log: CheckedLog, numbers: range) -> None:
     for number in numbers:
-        log.append(record(number))
+        log.append(make_record(number))
 
 
-def many_segments(log: CheckedLog) -> None:
+def fill_segments(log: CheckedLog) -> None:
     for start in range(0, 24, 3):
-        append_all(log, range(start, start + 3))
+        append_records(log, range(start, start + 3))
         log.sync()
 
 
-def truncations(log: CheckedLog) -> None:
-    many_segments(log)
+def truncate_repeatedly(log: CheckedLog) -> None:
+    fill_segments(log)
     log.truncate_after(20)
-    append_all(log, range(100, 102))
+    append_records(log, range(100, 102))
     log.truncate_after(5)
-    append_all(log, range(200, 206))
+    append_records(log, range(200, 206))
     log.sync()
     log.truncate_after(0)
-    append_all(log, range(300, 303))
+    append_records(log, range(300, 303))
     log.sync()
 
 
-def compactions(log: CheckedLog) -> None:
-    many_segments(log)
+def compact_repeatedly(log: CheckedLog) -> None:
+    fill_segments(log)
     log.compact(10, b"ten")
-    append_all(log, range(100, 103))
+    append_records(log, range(100, 103))
     log.compact(27, b"all")
-    append_all(log, range(200, 210))
+    append_records(log, range(200, 210))
     log.sync()
     log.truncate_after(30)
     log.compact(28, b"most" * 50)
-    append_all(log, range(300, 303))
+    append_records(log, range(300, 303))
     log.sync()
 
 
-def installs(log: CheckedLog) -> None:
-    many_segments(log)
+def install_repeatedly(log: CheckedLog) -> None:
+    fill_segments(log)
     log.install(10, b"ten")
-    append_all(log, range(100, 104))
+    append_records(log, range(100, 104))
     log.sync()
     log.compact(12, b"twelve")
-    append_all(log, range(200, 202))
+    append_records(log, range(200, 202))
     log.install(50, b"fifty")
-    append_all(log, range(300, 303))
+    append_records(log, range(300, 303))
     log.sync()
 
 
-SCRIPTS = [many_segments, truncations, compactions, installs]
+SCRIPTS = [fill_segments, truncate_repeatedly, compact_repeatedly, install_repeatedly]
 
 
-def calls_of(script: Callable[[CheckedLog], None]) -> int:
+def count_calls(script: Callable[[CheckedLog], None]) -> int:
     port = FaultyFiles()
     script(CheckedLog(port))
     return port.call_count
 
 
-def interrupted(script: Callable[[CheckedLog], None], cut_at: int, seed: int) -> CheckedLog:
-    """A log whose script met the end of power at a call; nothing is recovered yet."""
+def run_until_power_loss(script: Callable[[CheckedLog], None], power_loss_at: int, seed: int) -> CheckedLog:
+    """A log that lost power at a call of its script; nothing is recovered yet."""
     port = FaultyFiles(seed, strict=seed % 2 == 1)
     log = CheckedLog(port)
-    port.power_loss_at = cut_at
-    try:
+    port.power_loss_at = power_loss_at
+    with suppress(PowerLossError):
         script(log)
-    except PowerLossError:
-        pass
     return log
 
 
 @pytest.mark.parametrize("script", SCRIPTS)
-def test_power_lost_at_any_call_keeps_what_was_promised(script: Callable[[CheckedLog], None]) -> None:
-    for cut_at in range(2, calls_of(script) + 1):
+def test_power_loss_at_any_call_keeps_every_guarantee(script: Callable[[CheckedLog], None]) -> None:
+    for power_loss_at in range(2, count_calls(script) + 1):
         for seed in SEEDS:
-            log = interrupted(script, cut_at, seed)
+            log = run_until_power_loss(script, power_loss_at, seed)
             log.lose_power()
             log.append(b"after the loss")
             log.sync()
             log.lose_power()
-            assert log.world.records[-1] == b"after the loss"
+            assert log.state.records[-1] == b"after the loss"
 
 
 @pytest.mark.parametrize("script", SCRIPTS)
-def test_power_lost_again_while_recovering_keeps_what_was_promised(
+def test_power_loss_during_recovery_keeps_every_guarantee(
     script: Callable[[CheckedLog], None],
 ) -> None:
-    for cut_at in range(2, calls_of(script) + 1, 2):
+    for power_loss_at in range(2, count_calls(script) + 1, 2):
         for second_cut in range(1, 6):
-            log = interrupted(script, cut_at, cut_at)
+            log = run_until_power_loss(script, power_loss_at, power_loss_at)
             log.port.lose_power()
             log.port.power_loss_at = log.port.call_count + second_cut
             try:
@@ -115,27 +114,27 @@
 
 
 @pytest.mark.parametrize("script", SCRIPTS)
-def test_process_killed_and_then_power_lost_keeps_what_was_recovered(
+def test_power_loss_after_a_kill_keeps_what_was_recovered(
     script: Callable[[CheckedLog], None],
 ) -> None:
-    for cut_at in range(2, calls_of(script) + 1):
+    for power_loss_at in range(2, count_calls(script) + 1):
         for seed in SEEDS:
-            log = interrupted(script, cut_at, seed)
+            log = run_until_power_loss(script, power_loss_at, seed)
             log.kill_process()
             log.lose_power()
 
 
 @pytest.mark.parametrize("script", SCRIPTS)
 @pytest.mark.parametrize("call", ["write", "truncate", "rename", "remove", "sync_file", "sync_folder"])
-def test_a_call_that_fails_promises_nothing_and_can_be_repeated(
+def test_failed_call_guarantees_nothing_and_can_be_repeated(
     script: Callable[[CheckedLog], None], call: str
 ) -> None:
     for seed in range(40):
         port = FaultyFiles(seed, strict=seed % 2 == 1)
         log = CheckedLog(port)
-        chance = random.Random(seed)
+        generator = random.Random(seed)
         for _ in range(4):
-            port.failures_left[call] = chance.randrange(3)
+            port.failures_left[call] = generator.randrange(3)
             try:
                 script(log)
             except StorageError:
@@ -143,14 +142,14 @@
             except ValueError:
                 break
         port.failures_left.clear()
-        if chance.random() < 0.5:
+        if generator.random() < 0.5:
             log.append(b"after the failures")
             log.sync()
         log.lose_power()
 
 
 class LogMachine(RuleBasedStateMachine):
-    """Any order of calls, failures, losses of power and kills."""
+    """Any order of calls, failures, power losses and kills."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -166,6 +165,11 @@
         except StorageError:
             pass
 
+    def index_at(self, share: float) -> int:
+        """Index of the record behind this share of the records; the snapshot's at 0."""
+        state = self.log.state
+        return state.snapshot_index + int(share * len(state.records))
+
     @rule(size=st.integers(0, 120))
     def append(self, size: int) -> None:
         self.count += 1
@@ -177,13 +181,11 @@
 
     @rule(share=st.floats(0, 1))
     def truncate(self, share: float) -> None:
-        world = self.log.world
-        self.attempt(lambda: self.log.truncate_after(world.base + int(share * len(world.records))))
+        self.attempt(lambda: self.log.truncate_after(self.index_at(share)))
 
     @rule(share=st.floats(0, 1))
     def compact(self, share: float) -> None:
-        world = self.log.world
-        up_to = world.base + int(share * len(world.records))
+        up_to = self.index_at(share)
         self.attempt(lambda: self.log.compact(up_to, f"snapshot {up_to}".encode() * 5))
 
     @rule(index=st.integers(1, 60))
@@ -204,7 +206,7 @@
         self.log.kill_process()
 
     @rule(ahead=st.integers(1, 8))
-    def cut_power_soon(self, ahead: int) -> None:
+    def lose_power_soon(self, ahead: int) -> None:
         self.port.power_loss_at = self.port.call_count + ahead
 
     @rule(call=st.sampled_from(["write", "truncate", "rename", "remove", "sync_file", "sync_folder"]))
--- a/tests/support/faulty_files.py
+++ b/tests/support/faulty_files.py
@@ -3,8 +3,8 @@
 When power is lost, a file holds what its last sync covered; each write and truncation after it is there,
 missing or torn, whatever became of the others. Each name made, renamed or removed since the last sync of
 its folder is kept or lost by itself; a new file survives through its own sync, unless the port is `strict`
-as POSIX is. A sync that fails forgets the writes it was to cover, as Linux does: a later sync that succeeds
-says nothing about them.
+as POSIX is. A sync that fails may drop the writes that it was to cover, as Linux does: a later sync that
+succeeds says nothing about them.
 """
 
 from __future__ import annotations
@@ -19,23 +19,29 @@
 
 
 class PowerLossError(Exception):
-    """Raised by the call at which the script cuts the power. The port refuses all calls until `restart`."""
+    """Power was lost at this call. The port refuses all calls until `lose_power` or `kill_process`."""
 
 
 @dataclass
 class Write:
+    """Bytes written since the last sync. `is_dropped`: a failed sync may have dropped them."""
+
     offset: int
     data: bytes
-    forgotten: bool = False
+    is_dropped: bool = False
 
 
 @dataclass
 class Truncation:
+    """A cut since the last sync."""
+
     size: int
 
 
 @dataclass(eq=False)
 class Inode:
+    """A file: what its last sync covered, what it holds now, and the changes between."""
+
     synced: bytes = b""
     content: bytes = b""
     changes: list[Write | Truncation] = field(default_factory=list)
@@ -50,13 +56,23 @@
     inode: Inode
 
 
-def put(content: bytes, offset: int, data: bytes) -> bytes:
+def write_into(content: bytes, offset: int, data: bytes) -> bytes:
     content = content.ljust(offset, b"\0")
     return content[:offset] + data + content[offset + len(data) :]
 
 
 class FaultyFiles:
-    """Its randomness comes from one seed, so a run that fails can be repeated."""
+    """Its randomness comes from one seed, so a run that fails can be repeated.
+
+    Attributes:
+        capacity: Size of the disk in bytes.
+        strict: Whether a new file needs a sync of its folder to survive.
+        refuses_writes: Whether writes and truncations raise DiskFullError.
+        failures_left: By call, how many of the next ones raise DiskFailedError.
+        call_count: How many changing calls were made.
+        call_log: Each of them, as "call path".
+        power_loss_at: Number of the changing call at which power is lost; 0 for never.
+    """
 
     def __init__(self, seed: int = 0, capacity: int = 128 * 1024 * 1024, strict: bool = False) -> None:
         self.random = random.Random(seed)
@@ -64,10 +80,8 @@
         self.capacity = capacity
         self.refuses_writes = False
         self.failures_left: dict[str, int] = {}
-        """By call, how many of the next ones raise DiskFailedError."""
         self.call_count = 0
         self.power_loss_at = 0
-        """Number of the changing call at which power is lost; 0 for never."""
         self.call_log: list[str] = []
         self._powered = True
         self._names: dict[str, Inode] = {}
@@ -92,42 +106,42 @@
         return self._inode(path).content[offset : offset + size]
 
     def write(self, path: str, offset: int, data: bytes) -> None:
-        cut = self._begin("write", path)
-        if cut and self.random.random() < 0.5:
+        loses_power = self._begin("write", path)
+        if loses_power and self.random.random() < 0.5:
             raise PowerLossError
         inode = self._names.get(path) or self._make(path)
-        written = self._room_for(inode, offset, data)
+        written = self._writable_bytes(inode, offset, data)
         if written:
             self._change(inode, Write(offset, data[:written]))
-        if cut:
+        if loses_power:
             raise PowerLossError
         if written < len(data):
             raise DiskFullError(path, "no room", "free some")
 
     def truncate(self, path: str, size: int) -> None:
-        cut = self._begin("truncate", path)
+        loses_power = self._begin("truncate", path)
         if self.refuses_writes:
             raise DiskFullError(path, "no room", "free some")
         self._change(self._inode(path), Truncation(size))
-        if cut:
+        if loses_power:
             raise PowerLossError
 
     def rename(self, path: str, target: str) -> None:
-        cut = self._begin("rename", path)
+        loses_power = self._begin("rename", path)
         inode = self._names.pop(path)
         self._names[target] = inode
         self._name_changes.append(NameChange(path, target, inode))
-        if cut:
+        if loses_power:
             raise PowerLossError
 
     def remove(self, path: str) -> None:
         self._check_power()
         if path not in self._names:
             return
-        cut = self._begin("remove", path)
+        loses_power = self._begin("remove", path)
         inode = self._names.pop(path)
         self._name_changes.append(NameChange(path, "", inode))
-        if cut:
+        if loses_power:
             raise PowerLossError
 
     def close(self, path: str) -> None:
@@ -136,13 +150,13 @@
     def sync_file(self, path: str) -> None:
         inode = self._inode(path)
         try:
-            cut = self._begin("sync_file", path)
+            loses_power = self._begin("sync_file", path)
         except DiskFailedError:
             for change in inode.changes:
                 if isinstance(change, Write):
-                    change.forgotten = True
+                    change.is_dropped = True
             raise
-        if cut:
+        if loses_power:
             raise PowerLossError
         inode.synced = self._after_sync(inode)
         inode.changes = []
@@ -157,28 +171,28 @@
 
     def lose_power(self) -> None:
         """Leaves what survives; the port can then be used again."""
-        share = self.random.choice([0.0, 0.5, 0.9, 1.0])
+        survival_rate = self.random.choice([0.0, 0.5, 0.9, 1.0])
         names = dict(self._synced_names)
         for change in self._name_changes:
-            if self.random.random() < share:
+            if self.random.random() < survival_rate:
                 self._apply_name_change(names, change)
         for inode in names.values():
-            inode.content = self._surviving(inode, share)
-        self._settle(names)
+            inode.content = self._surviving(inode, survival_rate)
+        self._restart(names)
 
     def kill_process(self) -> None:
-        """Files stay as they are, and what was not synced still may be lost later."""
+        """Files stay as they are; what was not synced may still be lost later."""
         self._powered, self.power_loss_at = True, 0
         for inode in self._names.values():
             for change in inode.changes:
                 if isinstance(change, Write):
-                    change.forgotten = False
+                    change.is_dropped = False
 
     def flip_bit(self, path: str, offset: int) -> None:
-        """Damage to data whether it was synced or not."""
+        """Damages data, whether it was synced or not."""
         inode = self._inode(path)
         flipped = bytes([inode.content[offset] ^ (1 << self.random.randrange(8))])
-        inode.content = put(inode.content, offset, flipped)
+        inode.content = write_into(inode.content, offset, flipped)
         inode.synced, inode.changes = inode.content, []
 
     def set_content(self, path: str, content: bytes) -> None:
@@ -193,7 +207,7 @@
         return sum(len(inode.content) for inode in self._names.values())
 
     def _begin(self, call: str, path: str) -> bool:
-        """Counts a changing call; True if power is lost at it."""
+        """Counts a changing call; returns whether power is lost at it."""
         self._check_power()
         self.call_count += 1
         self.call_log.append(f"{call} {path}")
@@ -221,8 +235,8 @@
         self._name_changes.append(NameChange("", path, inode))
         return inode
 
-    def _room_for(self, inode: Inode, offset: int, data: bytes) -> int:
-        """How many bytes are written; a write that has no room leaves a part of it, never the whole."""
+    def _writable_bytes(self, inode: Inode, offset: int, data: bytes) -> int:
+        """How many bytes are written; a write without space leaves a part of it, never all of it."""
         if self.refuses_writes:
             return 0
         growth = max(0, offset + len(data) - len(inode.content))
@@ -237,22 +251,22 @@
     def _applied(content: bytes, change: Write | Truncation) -> bytes:
         if isinstance(change, Truncation):
             return content[: change.size]
-        return put(content, change.offset, change.data)
+        return write_into(content, change.offset, change.data)
 
     def _after_sync(self, inode: Inode) -> bytes:
         content = inode.synced
         for change in inode.changes:
-            if isinstance(change, Write) and change.forgotten and self.random.random() < 0.5:
+            if isinstance(change, Write) and change.is_dropped and self.random.random() < 0.5:
                 continue
             content = self._applied(content, change)
         return content
 
-    def _surviving(self, inode: Inode, share: float) -> bytes:
+    def _surviving(self, inode: Inode, survival_rate: float) -> bytes:
         content = inode.synced
         for change in inode.changes:
-            if self.random.random() >= share:
+            if self.random.random() >= survival_rate:
                 continue
-            if isinstance(change, Write) and self.random.random() >= share:
+            if isinstance(change, Write) and self.random.random() >= survival_rate:
                 content = self._torn(content, change)
             else:
                 content = self._applied(content, change)
@@ -261,7 +275,7 @@
     def _torn(self, content: bytes, write: Write) -> bytes:
         for start in range(0, len(write.data), TEAR_BYTES):
             if self.random.random() < 0.5:
-                content = put(content, write.offset + start, write.data[start : start + TEAR_BYTES])
+                content = write_into(content, write.offset + start, write.data[start : start + TEAR_BYTES])
         return content
 
     @staticmethod
@@ -271,7 +285,7 @@
         if change.new:
             names[change.new] = change.inode
 
-    def _settle(self, names: dict[str, Inode]) -> None:
+    def _restart(self, names: dict[str, Inode]) -> None:
         for inode in names.values():
             inode.synced, inode.changes = inode.content, []
         self._names, self._synced_names, self._name_changes = names, dict(names), []
--- a/tests/support/storage_model.py
+++ b/tests/support/storage_model.py
@@ -1,7 +1,6 @@
 """What a log may hold after a crash, kept beside the log under test.
 
-A world is one state of the log that may come back: its snapshot, its records, and how many of them must be
-there. A call that returned leaves one world; one that raised, or that was cut short, leaves several.
+A call that returned leaves one allowed state; one that raised, or that was cut short, leaves several.
 """
 
 from __future__ import annotations
@@ -18,70 +17,84 @@
 """Small, so that a few records fill a segment."""
 
 
-def record(number: int) -> bytes:
+def make_record(number: int) -> bytes:
+    """A record that differs from others in content and length."""
     return f"record {number} ".encode() * (1 + number % 4)
 
 
 @dataclass(frozen=True)
-class World:
-    base: int = 0
+class LogState:
+    """One state of a log that may come back after a crash.
+
+    Attributes:
+        snapshot_index: The last record that the snapshot stands for; 0 if there is none.
+        snapshot: Its payload.
+        records: Those after it.
+        durable_index: The records up to this one must be there.
+    """
+
+    snapshot_index: int = 0
     snapshot: bytes = b""
     records: tuple[bytes, ...] = ()
-    durable: int = 0
+    durable_index: int = 0
 
     @property
-    def last(self) -> int:
-        return self.base + len(self.records)
+    def last_index(self) -> int:
+        return self.snapshot_index + len(self.records)
 
-    def cut(self, index: int) -> World:
-        kept = self.records[: max(0, index - self.base)]
-        return replace(self, records=kept, durable=min(self.durable, index))
+    def truncated_after(self, index: int) -> LogState:
+        kept = self.records[: max(0, index - self.snapshot_index)]
+        return replace(self, records=kept, durable_index=min(self.durable_index, index))
 
-    def compacted(self, up_to: int, snapshot: bytes) -> World:
-        return World(up_to, snapshot, self.records[up_to - self.base :], max(self.durable, up_to))
+    def compacted(self, up_to: int, snapshot: bytes) -> LogState:
+        remaining = self.records[up_to - self.snapshot_index :]
+        return LogState(up_to, snapshot, remaining, max(self.durable_index, up_to))
 
-    def allows(self, found: World) -> bool:
-        same_snapshot = (self.base, self.snapshot) == (found.base, found.snapshot)
+    def allows(self, found: LogState) -> bool:
+        """Whether a log that was left in this state may come back as `found`."""
+        same_snapshot = (self.snapshot_index, self.snapshot) == (found.snapshot_index, found.snapshot)
         return (
             same_snapshot
-            and self.durable <= found.last <= self.last
+            and self.durable_index <= found.last_index <= self.last_index
             and self.records[: len(found.records)] == found.records
         )
 
 
-def contents(log: Log) -> World:
+def read_state(log: Log) -> LogState:
+    """All that a log holds now."""
     records = tuple(record for _, record in log.read(log.first_index, log.last_index))
-    base, snapshot = log.snapshot() or (0, b"")
-    return World(base, snapshot, records, log.durable_index)
+    snapshot_index, snapshot = log.snapshot() or (0, b"")
+    return LogState(snapshot_index, snapshot, records, log.durable_index)
 
 
 class CheckedLog:
-    """A log, and the worlds that its promises allow."""
+    """A log on a faulty disk, and the states in which it may come back."""
 
     def __init__(self, port: FaultyFiles) -> None:
         self.port = port
-        self.world = World()
-        self.worlds = [self.world]
+        self.state = LogState()
+        self.allowed_states = [self.state]
         self.log = self._open()
 
     def append(self, record: bytes) -> None:
-        after = replace(self.world, records=(*self.world.records, record))
+        after = replace(self.state, records=(*self.state.records, record))
         self._call(lambda: self.log.append(record), after, [after])
 
     def sync(self) -> None:
-        self._call(self.log.sync, replace(self.world, durable=self.world.last), [])
+        self._call(self.log.sync, replace(self.state, durable_index=self.state.last_index), [])
 
     def truncate_after(self, index: int) -> None:
-        after = self.world.cut(index)
-        between = replace(self.world, durable=after.durable)
+        after = self.state.truncated_after(index)
+        between = replace(self.state, durable_index=after.durable_index)
         self._call(lambda: self.log.truncate_after(index), after, [between])
 
     def compact(self, up_to: int, snapshot: bytes) -> None:
-        after = self.world if up_to <= self.world.base else self.world.compacted(up_to, snapshot)
+        is_covered = up_to <= self.state.snapshot_index
+        after = self.state if is_covered else self.state.compacted(up_to, snapshot)
         self._call(lambda: self.log.compact(up_to, snapshot), after, [after])
 
     def install(self, index: int, snapshot: bytes) -> None:
-        after = World(index, snapshot, (), index)
+        after = LogState(index, snapshot, (), index)
         self._call(lambda: self.log.install(index, snapshot), after, [after])
 
     def lose_power(self) -> None:
@@ -93,26 +106,27 @@
         self.reopen()
 
     def reopen(self) -> None:
-        """Recovers, and checks that what comes back is one of the worlds."""
+        """Recovers, and checks that what comes back is one of the allowed states."""
         self.log = self._open()
-        found = contents(self.log)
-        assert any(world.allows(found) for world in self.worlds), (found, self.worlds)
-        assert found.durable == found.last
-        self.world, self.worlds = found, [found]
+        found = read_state(self.log)
+        assert any(state.allows(found) for state in self.allowed_states), (found, self.allowed_states)
+        assert found.durable_index == found.last_index
+        self.state, self.allowed_states = found, [found]
 
     def _open(self) -> Log:
         return Log.open(self.port, FOLDER, segment_bytes=SEGMENT_BYTES)
 
-    def _call(self, call: Callable[[], object], after: World, cut_short: list[World]) -> None:
+    def _call(self, call: Callable[[], object], after: LogState, cut_short: list[LogState]) -> None:
+        """Makes a call that leaves `after` if it returns, and may leave one of `cut_short` if it does not."""
         try:
             call()
         except PowerLossError:
-            self.worlds += cut_short
+            self.allowed_states += cut_short
             raise
         except StorageError:
-            self.worlds += cut_short
-            if self.log.last_index < self.world.last:
-                self.world = self.world.cut(self.log.last_index)
+            self.allowed_states += cut_short
+            if self.log.last_index < self.state.last_index:
+                self.state = self.state.truncated_after(self.log.last_index)
             raise
-        self.world, self.worlds = after, [after]
-        assert self.log.last_index == after.last
+        self.state, self.allowed_states = after, [after]
+        assert self.log.last_index == after.last_index
