--- a/larchgw/runtime/__init__.py
+++ b/larchgw/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What both roles of the system share: logs, signals, rpc clients, settings that are read again."""
+"""What both roles of the system share: a process from start to SIGTERM, logs, rpc clients, status pages."""
--- a/larchgw/runtime/addresses.py
+++ b/larchgw/runtime/addresses.py
@@ -1,29 +1,33 @@
-"""Which port of a machine serves what between processes. Ports are alike on all machines of a deployment."""
+"""Addresses between processes. Ports are the same on all machines of a deployment.
+
+A port constant is an offset into the machine's spare ports.
+"""
 
 from __future__ import annotations
 
 from ..configuration.settings import NodeSettings
+from ..identifiers import RpcAddress
 
-RPC_PORT = 0  # offsets into the machine's spare ports
-CONTROL_GOSSIP_PORT = 1
-EDGE_GOSSIP_PORT = 2
+RPC_PORT = 0  # TCP, a control process
+CONTROL_GOSSIP_PORT = 1  # UDP, membership of a control process
+EDGE_GOSSIP_PORT = 2  # UDP, membership of an edge
 
 
-def rpc_address(settings: NodeSettings) -> str:
-    """Where this machine's control process serves rpc."""
-    return f"{settings.ip}:{settings.port(RPC_PORT)}"
+def rpc_address(settings: NodeSettings) -> RpcAddress:
+    """Returns where this machine's control process serves rpc."""
+    return RpcAddress(f"{settings.ip}:{settings.port(RPC_PORT)}")
 
 
 def seed_hosts(settings: NodeSettings) -> list[str]:
-    """The machines of the seed list, in its order."""
+    """Returns the machines of the seed list, in its order."""
     return [seed.rpartition(":")[0] for seed in settings.seed_list]
 
 
-def seed_rpc_addresses(settings: NodeSettings) -> list[str]:
-    """The seeds' rpc addresses."""
-    return [f"{host}:{settings.port(RPC_PORT)}" for host in seed_hosts(settings)]
+def seed_rpc_addresses(settings: NodeSettings) -> list[RpcAddress]:
+    """Returns the seeds' rpc addresses, in the order of the seed list."""
+    return [RpcAddress(f"{host}:{settings.port(RPC_PORT)}") for host in seed_hosts(settings)]
 
 
 def seed_gossip_addresses(settings: NodeSettings) -> list[str]:
-    """The seeds' membership addresses."""
+    """Returns the seeds' membership addresses, in the order of the seed list."""
     return [f"{host}:{settings.port(CONTROL_GOSSIP_PORT)}" for host in seed_hosts(settings)]
--- a/larchgw/runtime/background_tasks.py
+++ b/larchgw/runtime/background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a process: started by name, a failure is logged and the task is started again."""
+"""Background tasks of a process: started by name, run again after a failure."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 import structlog
 
 log = structlog.get_logger()
-RESTART_AFTER = 0.5  # seconds
+
+RESTART_DELAY_S = 0.5
 
 
 class BackgroundTasks:
-    """Keeps background coroutines going until `stop`."""
+    """Runs coroutines on the running asyncio loop until `stop`."""
 
     def __init__(self) -> None:
+        """Begins without any."""
         self._running: set[asyncio.Task[None]] = set()
 
     def start(self, name: str, job: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
         """Runs `job` until it returns or `stop` is called; after an exception it is run again."""
-        task = asyncio.get_running_loop().create_task(self._keep(name, job), name=name)
+        task = asyncio.get_running_loop().create_task(self._run(name, job), name=name)
         self._running.add(task)
         task.add_done_callback(self._running.discard)
         return task
 
-    def every(self, name: str, seconds: float, action: Callable[[], None]) -> asyncio.Task[None]:
-        """Calls `action` again and again with a pause of so many seconds."""
+    def every(self, name: str, period_s: float, action: Callable[[], None]) -> asyncio.Task[None]:
+        """Calls `action` at once and again after pauses of `period_s` until `stop` is called."""
 
         async def repeat() -> None:
             while True:
                 action()
-                await asyncio.sleep(seconds)
+                await asyncio.sleep(period_s)
 
         return self.start(name, repeat)
 
@@ -39,7 +41,7 @@
         for task in list(self._running):
             task.cancel()
 
-    async def _keep(self, name: str, job: Callable[[], Awaitable[None]]) -> None:
+    async def _run(self, name: str, job: Callable[[], Awaitable[None]]) -> None:
         while True:
             try:
                 await job()
@@ -47,5 +49,5 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("task.failed", task=name, restart_after_s=RESTART_AFTER)
-                await asyncio.sleep(RESTART_AFTER)
+                log.exception("task.failed", task=name, restart_after_s=RESTART_DELAY_S)
+                await asyncio.sleep(RESTART_DELAY_S)
--- a/larchgw/runtime/http_status.py
+++ b/larchgw/runtime/http_status.py
@@ -1,16 +1,25 @@
-"""`GET /status` and `GET /metrics`, which both roles serve beside what they are there for."""
+"""`GET /status` and `GET /metrics`, which both roles serve beside their own requests."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeAlias
 
 import tornado.web
 
+StatusSource: TypeAlias = Callable[[], dict[str, Any]]
+"""Returns the object that is served as JSON."""
+
+MetricsSource: TypeAlias = Callable[[], bytes]
+"""Returns the metrics in Prometheus's text format."""
+
+Rule: TypeAlias = tuple[str, type[tornado.web.RequestHandler], dict[str, Any]]
+"""Path, handler and its arguments, as a Tornado application takes them."""
+
 
 class _StatusHandler(tornado.web.RequestHandler):
-    def initialize(self, status: Callable[[], dict[str, Any]]) -> None:
+    def initialize(self, status: StatusSource) -> None:
         self.status = status
 
     def get(self) -> None:
@@ -19,7 +28,7 @@
 
 
 class _MetricsHandler(tornado.web.RequestHandler):
-    def initialize(self, metrics: Callable[[], bytes]) -> None:
+    def initialize(self, metrics: MetricsSource) -> None:
         self.metrics = metrics
 
     def get(self) -> None:
@@ -30,10 +39,8 @@
         self.finish(self.metrics())
 
 
-def rules(status: Callable[[], dict[str, Any]], metrics: Callable[[], bytes]) -> list[Any]:
-    """Rules for a Tornado application. `status` gives an object for JSON, `metrics` Prometheus text, both
-    anew at each call.
-    """
+def rules(status: StatusSource, metrics: MetricsSource) -> list[Rule]:
+    """Returns the rules for a Tornado application; both sources are called anew for each request."""
     return [
         (r"/status", _StatusHandler, {"status": status}),
         (r"/metrics", _MetricsHandler, {"metrics": metrics}),
--- a/larchgw/runtime/membership.py
+++ b/larchgw/runtime/membership.py
@@ -1,4 +1,4 @@
-"""This process's part in membership, as its settings say."""
+"""This process as a member, as its settings say."""
 
 from __future__ import annotations
 
@@ -14,13 +14,19 @@
 
 
 def make_swim(
-    settings: NodeSettings, role: Role, life: int, random_source: Random, address_rpc: str = ""
+    settings: NodeSettings, role: Role, process_start_ms: int, random_source: Random, address_rpc: str = ""
 ) -> Swim:
-    """A member that asks the seeds. `life` is the time of the start in milliseconds; `address_rpc` is where
-    the process serves calls, empty if it does not.
+    """Returns the membership protocol of this process, which asks the seeds of the settings.
+
+    Args:
+        settings: Name, addresses, zone and seeds.
+        role: What the process is.
+        process_start_ms: Wall-clock time of its start in milliseconds, its first SWIM incarnation.
+        random_source: Draws whom to probe and ask.
+        address_rpc: Where the process serves rpc, empty if it does not.
     """
     address = f"{settings.ip}:{settings.port(GOSSIP_PORTS[role])}"
-    me = Member(settings.node_name, address, role, life, settings.zone, address_rpc)
+    me = Member(settings.node_name, address, role, process_start_ms, settings.zone, address_rpc)
     swim = Swim(me, SwimSettings(), random_source)
     swim.join(seed_gossip_addresses(settings))
     return swim
--- a/larchgw/runtime/process.py
+++ b/larchgw/runtime/process.py
@@ -15,81 +15,84 @@
 from ..storage.errors import StorageError
 from . import logs
 from .background_tasks import BackgroundTasks
+from .settings_watch import Reloadable, SettingsWatch
 
 log = structlog.get_logger()
+
+EXIT_OK = 0
+EXIT_FAILURE = 1
 EXIT_USAGE = 2
-SETTINGS_CHECK_S = 5.0  # the file may change without a signal; only seeds do, and are needed seldom
+SETTINGS_CHECK_PERIOD_S = 5.0  # the file may change without a signal; only seeds do, and are needed seldom
 
 
-class Role(Protocol):
-    """What a role does at each of its turns."""
+class RoleProcess(Reloadable, Protocol):
+    """One role of the system, edge or control, as `run` drives it."""
 
     async def start(self) -> None:
-        """Listens and begins its work. Raises OSError if an address cannot be used."""
+        """Listens and begins its work.
 
-    def reload(self, settings: NodeSettings) -> None:
-        """The settings file has changed."""
+        Raises:
+            OSError: If an address cannot be used.
+            StorageError: If the data folder cannot be used.
+        """
 
     async def stop(self) -> None:
-        """Ends in good order; returns when the process may exit."""
+        """Stops gracefully; returns when the process may exit."""
 
 
-class SettingsWatch:
-    """Hands changed settings to the role; `settings` are those that it began with."""
+def run(new_role: Callable[[NodeSettings], RoleProcess]) -> int:
+    """Runs a role until SIGTERM or SIGINT. SIGHUP reads the settings file again.
 
-    def __init__(self, role: Role, settings: NodeSettings, read: Callable[[], NodeSettings] = load) -> None:
-        self._role, self._settings, self._read = role, settings, read
+    Args:
+        new_role: Makes the role from the process's settings.
 
-    def check(self) -> None:
-        """Reads the file again. One that cannot be used changes nothing."""
-        try:
-            settings = self._read()
-        except SettingsError as error:
-            log.warning("settings.rejected", error=str(error))
-            return
-        if settings != self._settings:
-            self._settings = settings
-            self._role.reload(settings)
+    Returns:
+        The exit status: 0 after a signal, 2 for settings that cannot be used, 1 for an address in use or a
+        data folder that cannot be read.
+    """
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it, it would end the process
+    try:
+        settings = load()
+    except SettingsError as error:
+        return _report_settings(error)
+    logs.configure(settings.node_name)
+    try:
+        asyncio.run(_run_until_signal(new_role(settings), settings))
+    except SettingsError as error:
+        return _report_settings(error)
+    except StorageError as error:
+        return _report_data_folder(error)
+    except OSError as error:
+        return _report_address(error)
+    return EXIT_OK
 
 
-async def _serve(role: Role, settings: NodeSettings) -> None:
+async def _run_until_signal(role: RoleProcess, settings: NodeSettings) -> None:
     loop = asyncio.get_running_loop()
-    ending = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, ending.set)
-    loop.add_signal_handler(signal.SIGINT, ending.set)
+    stop_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     watch = SettingsWatch(role, settings)
     loop.add_signal_handler(signal.SIGHUP, watch.check)
     await role.start()
     tasks = BackgroundTasks()
-    tasks.every("settings", SETTINGS_CHECK_S, watch.check)
-    await ending.wait()
+    tasks.every("settings", SETTINGS_CHECK_PERIOD_S, watch.check)
+    await stop_requested.wait()
     log.info("process.stopping")
     tasks.stop()
     await role.stop()
 
 
-def run(make: Callable[[NodeSettings], Role]) -> int:
-    """The exit status: 0 after SIGTERM, 2 for settings that cannot be used, 1 for an address in use or a data
-    folder that cannot be read.
-    """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it, it would end the process
-    try:
-        settings = load()
-    except SettingsError as error:
-        print(f"larchgw: {error}", file=sys.stderr)
-        return EXIT_USAGE
-    logs.configure(settings.node_name)
-    try:
-        asyncio.run(_serve(make(settings), settings))
-    except SettingsError as error:
-        print(f"larchgw: {error}", file=sys.stderr)
-        return EXIT_USAGE
-    except StorageError as error:
-        log.error("process.start_failed", cause="data_folder", error=str(error))
-        return 1
-    except OSError as error:
-        log.error(
-            "process.address_unusable", error=str(error), remedy="free the address or change the settings"
-        )
-        return 1
-    return 0
+def _report_settings(error: SettingsError) -> int:
+    print(f"larchgw: {error}", file=sys.stderr)
+    return EXIT_USAGE
+
+
+def _report_data_folder(error: StorageError) -> int:
+    log.error("process.start_failed", cause="data_folder", error=str(error))
+    return EXIT_FAILURE
+
+
+def _report_address(error: OSError) -> int:
+    log.error("process.address_unusable", error=str(error), remedy="free the address or change the settings")
+    return EXIT_FAILURE
--- a/larchgw/runtime/random_source.py
+++ b/larchgw/runtime/random_source.py
@@ -1,4 +1,4 @@
-"""Random choices of a process."""
+"""The random source of a process."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def new_random_source(node_name: str) -> random.Random:
-    """A generator that differs between processes and between the lives of one process."""
+    """Returns a generator whose seed differs between processes and between incarnations of one process."""
     return random.Random(f"{node_name}/{os.getpid()}/{time.time_ns()}/{os.urandom(16).hex()}")
--- a/larchgw/runtime/rpc_clients.py
+++ b/larchgw/runtime/rpc_clients.py
@@ -9,17 +9,18 @@
     """Clients by address ("host:port"), made when first asked for."""
 
     def __init__(self) -> None:
+        """Begins without any."""
         self._clients: dict[str, RpcClient] = {}
 
     def get(self, address: str) -> RpcClient:
-        """The client for this address."""
+        """Returns the client for this address."""
         client = self._clients.get(address)
         if client is None:
             client = self._clients[address] = RpcClient(address)
         return client
 
     def all(self) -> list[RpcClient]:
-        """Those that are in use."""
+        """Returns the clients that were asked for."""
         return list(self._clients.values())
 
     def close(self) -> None:
--- a/tests/runtime/test_recorded_bytes.py
+++ b/tests/runtime/test_recorded_bytes.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "method,path,name",
+    ("method", "path", "name"),
     [
         (b"GET", b"/status", "get_status"),
         (b"GET", b"/metrics", "get_metrics"),
--- a/tests/runtime/test_settings_watch.py
+++ b/tests/runtime/test_settings_watch.py
@@ -6,30 +6,24 @@
 
 from larchgw.configuration.errors import SettingsError
 from larchgw.configuration.settings import NodeSettings
-from larchgw.runtime.process import SettingsWatch
+from larchgw.runtime.settings_watch import SettingsWatch
 
 OLD = NodeSettings("core-1", "127.0.0.1", "a", spare_ports=[7660, 7675], seed_list=["10.0.0.1:80"])
 NEW = replace(OLD, seed_list=["10.0.0.9:80"])
 
 
-class Role:
-    """Notes what it is told."""
+class RoleStub:
+    """Records the settings that it is given."""
 
     def __init__(self) -> None:
-        self.told: list[NodeSettings] = []
-
-    async def start(self) -> None:
-        """Nothing to begin."""
+        self.reloaded: list[NodeSettings] = []
 
     def reload(self, settings: NodeSettings) -> None:
-        self.told.append(settings)
-
-    async def stop(self) -> None:
-        """Nothing to end."""
+        self.reloaded.append(settings)
 
 
-class File:
-    """A settings file that can be written and spoilt."""
+class SettingsFile:
+    """A settings file that can be written and broken."""
 
     def __init__(self, settings: NodeSettings | None) -> None:
         self.settings = settings
@@ -40,22 +34,22 @@
         return self.settings
 
 
-def test_seeds_that_change_without_a_signal_reach_the_role() -> None:
-    role, file = Role(), File(OLD)
+def test_changed_seeds_reach_the_role_once_without_a_signal() -> None:
+    role, file = RoleStub(), SettingsFile(OLD)
     watch = SettingsWatch(role, OLD, file.read)
     watch.check()
-    assert role.told == []
+    assert role.reloaded == []
     file.settings = NEW
     watch.check()
     watch.check()
-    assert role.told == [NEW]
+    assert role.reloaded == [NEW]
 
 
-def test_a_file_that_is_being_written_changes_nothing() -> None:
-    role, file = Role(), File(None)
+def test_incomplete_file_changes_nothing() -> None:
+    role, file = RoleStub(), SettingsFile(None)
     watch = SettingsWatch(role, OLD, file.read)
     watch.check()
-    assert role.told == []
+    assert role.reloaded == []
     file.settings = NEW
     watch.check()
-    assert role.told == [NEW]
+    assert role.reloaded == [NEW]
