--- a/larchgw/control/placer_role.py
+++ b/larchgw/control/placer_role.py
@@ -13,7 +13,8 @@
 from ..distribution.registry import Registry
 from ..placement.model import PlacementSettings
 from ..placement.orders import OrderClient
-from ..placement.service import PlacementRuntime, PlacementService
+from ..placement.service import PlacementService
+from ..placement.service_runtime import PlacementRuntime
 from ..placement.summary import PlacementSummary
 from ..replication.lease import Lease
 from ..rpc.generated.ttypes import DemandReport
--- a/larchgw/experiments/place.py
+++ b/larchgw/experiments/place.py
@@ -18,7 +18,8 @@
 from ..emulator.placing import SERVICE, Deployment, Stream, World
 from ..placement.model import Order, OrderAction, OrderOutcome, PlacementSettings, RunnerReport
 from ..placement.orders import outcome_of
-from ..placement.service import PlacementRuntime, PlacementService
+from ..placement.service import PlacementService
+from ..placement.service_runtime import PlacementRuntime
 from ..rpc.generated.ttypes import DemandReport
 from ..runner_directory.runner_record import RunnerRecord
 from .results import Options, Result, spread, spread_out
@@ -177,7 +178,7 @@
         """A round, if one is due."""
         if self._world.now + 1e-9 >= self._next:
             self.service.step()
-            self._next = self._world.now + self.service.period()
+            self._next = self._world.now + self.service.period_s()
 
 
 class LeastRecentlyUsed:
--- a/larchgw/placement/__init__.py
+++ b/larchgw/placement/__init__.py
@@ -10,10 +10,12 @@
    `load_budget`). A runner gets one order at a time (`orders` sends it): a load with evictions takes several
    rounds.
 4. Outcome. Answers and reports move the current state on (`reconciler`, `order_tracker`, `runner_state`);
-   when what is being loaded can be used is published for dispatchers (`load_completions`).
+   when what is being loaded can be used is published for dispatchers (`load_completions`,
+   `completion_publisher`).
 
 Nothing is stored: after a change of the lease, the new holder reads every runner's report before its first
-order there. All modules but `orders` and `service` are pure: time and random draws come from the caller.
+order there (`lease_watch`, `runner_exchange`). All modules but these two, `orders`, `service` and
+`service_runtime` are pure: time and random draws come from the caller.
 
 Invariants, beyond those that `Reconciler.validate_state` checks:
 
@@ -21,5 +23,6 @@
 - A runner is never ordered to hold more weights or adapters than fit, counted for the worst case.
 - No order is sent that may arrive after the lease has ended.
 
-Other packages call `service.PlacementService`, made of a `PlacementRuntime`, and `orders.OrderClient`.
+Other packages call `service.PlacementService`, made of a
+`service_runtime.PlacementRuntime`, and `orders.OrderClient`.
 """
--- /dev/null
+++ b/larchgw/placement/runner_exchange.py
@@ -0,0 +1,80 @@
+"""Polls and orders at runners: each call runs beside the loop, its result is handed to the reconciler."""
+
+from __future__ import annotations
+
+import asyncio
+
+import structlog
+
+from .lease_watch import LeaseWatch
+from .model import Order, OrderOutcome
+from .orders import MAX_ORDERS
+from .polls import MAX_POLLS
+from .reconciler import Reconciler
+from .runner_state import RunnerState
+from .service_runtime import PlacementRuntime
+
+log = structlog.get_logger()
+
+MAX_ORDER_QUEUE_S = 0.3  # that an order waits while MAX_ORDERS are in flight; later, it is planned anew
+
+
+class RunnerExchange:
+    """Calls to runners under the lease: a result that comes after the lease has changed is dropped."""
+
+    def __init__(self, runtime: PlacementRuntime, lease_watch: LeaseWatch, reconciler: Reconciler) -> None:
+        """Makes the exchange of one service.
+
+        Args:
+            runtime: Makes the calls.
+            lease_watch: Tells whether this process may order.
+            reconciler: Gets the results.
+        """
+        self._runtime, self._clock = runtime, runtime.clock
+        self._lease_watch, self._reconciler = lease_watch, reconciler
+        self._polled: set[str] = set()  # ids of runners whose reports are awaited
+        self._order_slots = asyncio.Semaphore(MAX_ORDERS)
+
+    def poll_due(self, now_s: float) -> None:
+        """Asks the runners whose report is wanted now."""
+        limit = MAX_POLLS - len(self._polled)
+        for state in self._reconciler.due_polls(now_s, self._polled, limit):
+            self._polled.add(state.id)
+            self._runtime.spawn(self._poll(state))
+
+    async def _poll(self, state: RunnerState) -> None:
+        fencing_token = self._lease_watch.fencing_token
+        try:
+            report = await self._runtime.calls.report(state.id, state.record.address)
+        finally:
+            self._polled.discard(state.id)
+        if fencing_token != self._lease_watch.fencing_token:
+            return
+        if report is None:
+            self._reconciler.poll_failed(self._clock(), state.id)
+        else:
+            self._reconciler.receive_report(self._clock(), state.id, report)
+
+    async def send_order(self, order: Order, fencing_token: int) -> None:
+        """Sends an order that the reconciler has noted, when fewer than MAX_ORDERS are in flight.
+
+        Args:
+            order: The order.
+            fencing_token: Of the lease under which it was planned; it is not sent under another.
+        """
+        planned_at_s = self._clock()
+        async with self._order_slots:
+            lease = self._lease_watch.current()  # read again: it may have ended while this waited
+            if lease is None or lease.fence != fencing_token:
+                return
+            if self._clock() - planned_at_s > MAX_ORDER_QUEUE_S:
+                outcome = OrderOutcome.UNSENT
+            else:
+                log.info("order.sent", runner=order.runner_id, action=order.action.value, model=order.name)
+                outcome = await self._runtime.calls.order(order, fencing_token)
+        if fencing_token != self._lease_watch.fencing_token:
+            return
+        if outcome is OrderOutcome.FENCED:
+            log.warning("order.fenced", runner=order.runner_id, fencing_token=fencing_token)
+            self._lease_watch.supersede(fencing_token)
+        self._reconciler.receive_outcome(self._clock(), order, outcome)
--- /dev/null
+++ b/larchgw/placement/service_runtime.py
@@ -0,0 +1,72 @@
+"""What the placement service needs of the process that it runs in."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass, field
+from typing import Any, Protocol
+
+from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
+
+
+class Lease(Protocol):
+    """The right to order, as the replication package gives it out."""
+
+    @property
+    def fence(self) -> int:
+        """The fencing token: it is higher with each holder."""
+
+    @property
+    def until(self) -> float:
+        """End of the right, on the clock of the runtime."""
+
+
+class RunnerCalls(Protocol):
+    """Calls to runners; `orders.OrderClient` is the implementation."""
+
+    async def order(self, order: Order, fencing_token: int) -> OrderOutcome:
+        """Sends an order; raises nothing."""
+
+    async def report(self, runner_id: str, address: str) -> RunnerReport | None:
+        """Reads a runner's report; None if it gave none."""
+
+
+_tasks: set[asyncio.Task[None]] = set()  # the event loop itself holds its tasks weakly
+
+
+def spawn_task(call: Coroutine[Any, Any, None]) -> None:
+    """Runs a call on the event loop."""
+    task = asyncio.ensure_future(call)
+    _tasks.add(task)
+    task.add_done_callback(_tasks.discard)
+
+
+def publish_nothing(runner_id: str, completions_ms: dict[str, float]) -> None:
+    """Stands for `PlacementRuntime.publish` where no dispatcher listens."""
+
+
+@dataclass(slots=True)
+class PlacementRuntime:
+    """What the service needs of its process.
+
+    Attributes:
+        clock: The time in seconds; that of `lease` too.
+        lease: Returns the lease while this process holds it.
+        calls: Orders and reports at runners.
+        publish: Gets, for a runner whose expected load completions changed, the milliseconds until each model
+            or "model/adapter" can be used there (0: now; `completion_publisher.UNLOADING_MS`: no more),
+            without those that its check-ins show; an empty dict withdraws them.
+        spawn: Runs a call beside the loop.
+        settings: Limits of the deployment.
+        random_source: Breaks ties between runners.
+    """
+
+    clock: Callable[[], float]
+    lease: Callable[[], Lease | None]
+    calls: RunnerCalls
+    publish: Callable[[str, dict[str, float]], None] = publish_nothing
+    spawn: Callable[[Coroutine[Any, Any, None]], None] = spawn_task
+    settings: PlacementSettings = field(default_factory=PlacementSettings)
+    random_source: random.Random = field(default_factory=random.Random)
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -30,7 +30,8 @@
 from larchgw.placement.load_rate_limit import LoadRateLimiter
 from larchgw.placement.model import Order, OrderAction, PlacementSettings
 from larchgw.placement.reconciler import Reconciler
-from larchgw.placement.service import PlacementRuntime, PlacementService
+from larchgw.placement.service import PlacementService
+from larchgw.placement.service_runtime import PlacementRuntime
 from larchgw.placement.summary import summarise
 from larchgw.routing.retry_budget import START_DISPATCHERS, RetryBudget
 from larchgw.rpc.codec import decode_struct, encode_struct
--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -16,7 +16,8 @@
 from larchgw.emulator.modelrunner import Capacity, ModelRunner, WeightStore
 from larchgw.placement.model import OrderOutcome, PlacementSettings, RunnerReport
 from larchgw.placement.orders import encode_order, outcome_of
-from larchgw.placement.service import PlacementRuntime, PlacementService
+from larchgw.placement.service import PlacementService
+from larchgw.placement.service_runtime import PlacementRuntime
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
 from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
@@ -138,7 +139,7 @@
             if self.now >= next_round_at:
                 self.service.step()
                 self.service._reconciler.validate_state()
-                next_round_at = round(self.now + self.service.period(), 3)
+                next_round_at = round(self.now + self.service.period_s(), 3)
             if tick % 40 == 0:
                 self.events.append(["summary", self.now, describe(self.service.summary())])
         self.events.append(["drawn", self.planner_random_source.random()])
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -13,6 +13,7 @@
 from larchgw.emulator.placing import SERVICE, Deployment, Stream, World
 from larchgw.experiments.place import Calls, HeldLease, run_at_once
 from larchgw.experiments.place import Service as Driver
+from larchgw.placement.completion_publisher import UNLOADING_MS
 from larchgw.placement.demand_tracker import EXPIRY_S, DemandTracker, ModelSummary
 from larchgw.placement.evictions import MODEL_RESIDENCE_S
 from larchgw.placement.load_rate_limit import LoadRateLimiter
@@ -29,7 +30,8 @@
 from larchgw.placement.polls import MAX_POLL_INTERVAL_S
 from larchgw.placement.popularity_change import PopularityChange
 from larchgw.placement.reconciler import Reconciler
-from larchgw.placement.service import GONE, PlacementRuntime, PlacementService
+from larchgw.placement.service import PlacementService
+from larchgw.placement.service_runtime import PlacementRuntime
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
 from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
@@ -464,7 +466,7 @@
     world = World(made, seed)
     driver = Driver(world, seed)
     if calls is not None:
-        driver.service._runtime.calls = calls(world)
+        driver.service._exchange._runtime.calls = calls(world)
     step = driver.step if around is None else lambda: around(world, driver)
     world.play(step, driver.update_runner, driver.receive_demand_report)
     return world
@@ -609,7 +611,7 @@
     async def play():
         service = PlacementService(runtime)
         tasks = [
-            asyncio.ensure_future(service._order(load("m", f"r{number}"), 1))
+            asyncio.ensure_future(service._exchange.send_order(load("m", f"r{number}"), 1))
             for number in range(MAX_ORDERS + 1)
         ]
         service.step()
@@ -722,7 +724,7 @@
     service.configure(world.deployment.configuration())
     world.play(service.step, service.update_runner, service.receive_demand_report)
     assert any(0 < ms < 5000 for _, names in published for ms in names.values())
-    assert any(ms == GONE for _, names in published for ms in names.values())
+    assert any(ms == UNLOADING_MS for _, names in published for ms in names.values())
     assert any(names == {} for _, names in published)
     assert all(first != second for first, second in zip(published, published[1:], strict=False))
 
