--- a/larchgw/distribution/hinted_handoff.py
+++ b/larchgw/distribution/hinted_handoff.py
@@ -1,10 +1,11 @@
 """Hinted handoff: urgent entries are at other control processes before they are acknowledged.
 
-`replicate` pushes entries to every peer and tells which of them have it, without waiting for the slowest once
-those are enough. What a peer did not take is kept as
-a hint and handed over by `run` when the peer takes calls again, a batch at a time. HintStore shorten the time
-until a returning peer knows what is urgent; nothing rests on them alone, since peers also pull from one
-another.
+`HintedHandoff.replicate` pushes entries to every peer and returns those that have them, without waiting for
+the slowest once there is a quorum. What a peer did not take is kept as a hint, and handed over by `run` when
+the peer takes calls again, a batch at a time. Hints shorten the time until a returning peer knows what is
+urgent; nothing rests on them alone, since peers also pull from one another.
+
+Source: DeCandia and others, "Dynamo", SOSP 2007, section 4.6.
 """
 
 from __future__ import annotations
@@ -17,62 +18,81 @@
 
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import Entry, PushRequest
-from .connection import Connection
+from .connection import Connect, Connection
 from .hints import HintStore
 
 log = structlog.get_logger()
-MOST_HINTS = 5000  # a peer; some times the runners of a large deployment
-BATCH = 200  # entries in one handover, about 50 kB
-PACE_S = 0.05  # between two batches to one peer
-RETRY_S = 0.5  # between two attempts at peers that hints are kept for
+MAX_HINTS_PER_PEER = 5000  # some times the runners of a large deployment
+BATCH_ENTRIES = 200  # in one handover, about 50 kB
+BATCH_PAUSE_S = 0.05  # between two batches to one peer
+HANDOVER_INTERVAL_S = 0.5  # between two attempts at peers that hints are kept for
 HANDOVER_TIMEOUT_S = 1.0
 
 
 class HintedHandoff:
-    """Pushes to the peers that `peers` names (rpc addresses of the live control processes, the own one left
-    out).
+    """Pushes urgent entries to the other control processes.
+
+    Attributes:
+        hints: What peers did not take.
     """
 
     def __init__(
         self,
-        connect: Callable[[str], Connection],
+        connect: Connect,
         peers: Callable[[], Sequence[str]],
         *,
         node_name: str = "",
-        most_hints: int = MOST_HINTS,
+        max_hints: int = MAX_HINTS_PER_PEER,
     ) -> None:
+        """Creates it without connections; `run` hands hints over.
+
+        Args:
+            connect: Opens a connection to an address.
+            peers: Gives the rpc addresses of the live control processes, the own one left out.
+            node_name: The own name, for the logs of the processes that answer.
+            max_hints: How many entries are kept for one peer.
+        """
         self._connect = connect
         self._peers = peers
         self._node_name = node_name
-        self._callers: dict[str, Connection] = {}
-        self._under_way: set[asyncio.Task[bool]] = set()
-        self.hints = HintStore(most_hints)
+        self._connections: dict[str, Connection] = {}
+        self._pushes: set[asyncio.Task[bool]] = set()  # of `replicate`, in flight
+        self.hints = HintStore(max_hints)
 
     async def replicate(
         self,
         entries: Sequence[Entry],
-        timeout: float,
-        enough: Callable[[set[str]], bool] = lambda taken: False,
+        timeout_s: float,
+        quorum_reached: Callable[[set[str]], bool] = lambda accepted_by: False,
     ) -> set[str]:
-        """The peers that have the entries, once `enough` says so of them, all have answered, or after
-        `timeout` seconds. The others are pushed to meanwhile and, should that fail, get a hint.
+        """Pushes entries to all peers.
+
+        Args:
+            entries: What to push.
+            timeout_s: How long one push may take.
+            quorum_reached: Whether the peers that have the entries by now are enough.
+
+        Returns:
+            The peers that have the entries, once `quorum_reached` says so of them, all have answered, or
+            after `timeout_s`. The others are pushed to meanwhile and, should that fail, get a hint.
         """
         pushes = {
-            asyncio.ensure_future(self._push_or_keep(peer, entries, timeout)): peer for peer in self._peers()
+            asyncio.ensure_future(self._push_or_keep_hint(peer, entries, timeout_s)): peer
+            for peer in self._peers()
         }
-        self._under_way.update(pushes)
-        taken: set[str] = set()
-        waiting = set(pushes)
-        while waiting and not enough(taken):
-            done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-            taken.update(pushes[push] for push in done if push.result())
-        return taken
+        self._pushes.update(pushes)
+        accepted_by: set[str] = set()
+        pending = set(pushes)
+        while pending and not quorum_reached(accepted_by):
+            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            accepted_by.update(pushes[push] for push in done if push.result())
+        return accepted_by
 
     async def run(self) -> None:
         """Hands hints over until it is cancelled."""
         try:
             while True:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(HANDOVER_INTERVAL_S)
                 await self.hand_over()
         finally:
             self.close()
@@ -80,45 +100,45 @@
     async def hand_over(self) -> None:
         """Gives live peers what is kept for them; closes connections to those that are no peers any more."""
         live = set(self._peers())
-        for address in set(self._callers) - live:
-            self._callers.pop(address).close()
-        waiting = [peer for peer in self.hints.peers() if peer in live]
-        await asyncio.gather(*(self._hand_to(peer) for peer in waiting))
+        for address in set(self._connections) - live:
+            self._connections.pop(address).close()
+        reachable = [peer for peer in self.hints.peers() if peer in live]
+        await asyncio.gather(*(self._hand_over_to(peer) for peer in reachable))
 
     def close(self) -> None:
-        """Ends the connections, and pushes that are under way."""
-        for push in list(self._under_way):
+        """Closes the connections, and cancels pushes that are in flight."""
+        for push in list(self._pushes):
             push.cancel()
-        for caller in self._callers.values():
-            caller.close()
-        self._callers.clear()
+        for connection in self._connections.values():
+            connection.close()
+        self._connections.clear()
 
-    async def _hand_to(self, peer: str) -> None:
-        while batch := self.hints.first(peer, BATCH):
+    async def _hand_over_to(self, peer: str) -> None:
+        while batch := self.hints.oldest(peer, BATCH_ENTRIES):
             if not await self._push(peer, batch, HANDOVER_TIMEOUT_S, logging.DEBUG):
                 return
-            self.hints.delivered(peer, batch)
-            await asyncio.sleep(PACE_S)
+            self.hints.remove_delivered(peer, batch)
+            await asyncio.sleep(BATCH_PAUSE_S)
 
-    async def _push_or_keep(self, peer: str, entries: Sequence[Entry], timeout: float) -> bool:
+    async def _push_or_keep_hint(self, peer: str, entries: Sequence[Entry], timeout_s: float) -> bool:
         task = asyncio.current_task()
         try:
-            taken = await self._push(peer, entries, timeout)
+            is_accepted = await self._push(peer, entries, timeout_s)
         finally:
-            self._under_way.discard(task)  # type: ignore[arg-type]  # we run as one of these
-        if not taken:
-            self.hints.keep(peer, entries)
-        return taken
+            self._pushes.discard(task)  # type: ignore[arg-type]  # we run as one of these
+        if not is_accepted:
+            self.hints.add(peer, entries)
+        return is_accepted
 
     async def _push(
-        self, peer: str, entries: Sequence[Entry], timeout: float, level: int = logging.INFO
+        self, peer: str, entries: Sequence[Entry], timeout_s: float, failure_level: int = logging.INFO
     ) -> bool:
-        if peer not in self._callers:
-            self._callers[peer] = self._connect(peer)
+        if peer not in self._connections:
+            self._connections[peer] = self._connect(peer)
         request = PushRequest(node_name=self._node_name, entries=list(entries))
         try:
-            await self._callers[peer].call("push", request, timeout)
+            await self._connections[peer].call("push", request, timeout_s)
         except RpcError as error:
-            log.log(level, "handoff.failed", address=peer, count=len(entries), error=str(error))
+            log.log(failure_level, "handoff.failed", address=peer, count=len(entries), error=str(error))
             return False
         return True
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -28,7 +28,7 @@
 BEAT_S = 0.5
 DIRECTORY_TICK_S = 0.25
 RUNNER_TIMEOUT_S = 1.0  # PROTOCOL: an acknowledgement counts if it comes within a second
-REPLY_LIMIT_BYTES = 600  # so that replies are cut
+MAX_REPLY_BYTES = 600  # so that replies are cut
 
 Acknowledged = Callable[[str, str, Stage], None]  # by which control process, which runner, its stage
 
@@ -72,7 +72,7 @@
         )
         self.contact = PullContact(self.name, lambda: first_view(self._names), peers.contact_proven_at, now)
         self.pulls = PullService(
-            self.registry, self.contact.is_isolated, lambda: self._names, limit_bytes=REPLY_LIMIT_BYTES
+            self.registry, self.contact.is_isolated, lambda: self._names, max_reply_bytes=MAX_REPLY_BYTES
         )
         self.handoff = HintedHandoff(self._connect, lambda: self._others)
         self.directory = RunnerDirectory(self.registry, now, BEAT_S, self.registry.origin)
--- a/tests/control/test_checkins.py
+++ b/tests/control/test_checkins.py
@@ -16,7 +16,7 @@
 from larchgw.rpc.generated.ttypes import PushReply, PushRequest
 from larchgw.runner_directory.directory import SILENCE_TIMEOUT_HEARTBEATS, RunnerDirectory
 from larchgw.runner_directory.runner_record import Stage
-from tests.support.scripted_peers import Peer, connecting, now
+from tests.support.scripted_peers import ScriptedPeer, connect_to, now
 
 BEAT_S = 1.2
 PROMPT_S = 0.05  # an acknowledgement that waits for nobody
@@ -39,14 +39,14 @@
 class RunnerCheckinsTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.peers = [Peer("b"), Peer("c")]
+        self.peers = [ScriptedPeer("b"), ScriptedPeer("c")]
         self.contact = Contact()
         self.registry = Registry("a.1")
         self.count = 0
 
     def play(self, main: Coroutine[Any, Any, None]) -> None:
         async def played() -> None:
-            self.handoff = HintedHandoff(connecting(self.peers), lambda: ["b", "c"])
+            self.handoff = HintedHandoff(connect_to(self.peers), lambda: ["b", "c"])
             self.directory = RunnerDirectory(self.registry, now, BEAT_S, "a/1")
             self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
             try:
@@ -61,7 +61,7 @@
         body = {"service": "s", "address": "10.0.0.9:80", "state": state, "call_count": self.count}
         return await self.checkins.checkin("i-1", json.dumps(body).encode())
 
-    def stage_at(self, peer: Peer) -> Stage | None:
+    def stage_at(self, peer: ScriptedPeer) -> Stage | None:
         entry = peer.registry.get("runner/i-1")
         return Stage(entry.minor) if entry is not None else None
 
@@ -82,7 +82,7 @@
         async def main() -> None:
             self.assertTrue(await self.checkin())
             for peer in self.peers:
-                peer.hung = True
+                peer.is_hung = True
             self.assertFalse(await self.checkin("draining"))
             self.assertFalse(await self.checkin("draining"))  # still urgent
             self.assertFalse(await self.checkins.leave("i-1"))
@@ -92,7 +92,7 @@
 
     def test_a_drain_and_a_leave_are_at_a_majority_when_they_are_acknowledged(self) -> None:
         async def main() -> None:
-            self.peers[0].down = True
+            self.peers[0].is_down = True
             self.assertTrue(await self.checkin("draining"))
             self.assertIs(Stage.DRAINING, self.stage_at(self.peers[1]))
             self.assertTrue(await self.checkins.leave("i-1"))
@@ -112,7 +112,7 @@
 
     def test_a_frozen_process_does_not_hold_an_acknowledgement_up_and_gets_a_hint(self) -> None:
         async def main() -> None:
-            self.peers[0].hung = True
+            self.peers[0].is_hung = True
             self.assertTrue(await self.checkin("draining"))
             self.assertLess(now(), PROMPT_S)
             await asyncio.sleep(HANDOFF_TIMEOUT_S + 0.01)
@@ -123,7 +123,7 @@
     def test_a_leave_during_a_drains_replication_is_replicated_itself(self) -> None:
         async def main() -> None:
             slow = SlowPush(self.peers[0])
-            self.peers[1].down = True
+            self.peers[1].is_down = True
             draining = asyncio.ensure_future(self.checkin("draining"))
             await asyncio.sleep(0.01)
             self.directory.leave("i-1")  # as it comes in over another connection
@@ -159,7 +159,7 @@
 class SlowPush:
     """Holds the pushes to a peer up until told to proceed."""
 
-    def __init__(self, peer: Peer) -> None:
+    def __init__(self, peer: ScriptedPeer) -> None:
         self.proceed = asyncio.Event()
         self._push = peer.service.push
         peer.service.push = self.push  # type: ignore[method-assign]
--- a/tests/control/test_majority_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -18,7 +18,7 @@
 from larchgw.emulator.virtual_loop import run
 from larchgw.replication.view import View, first_view
 from larchgw.rpc.generated.ttypes import Entry
-from tests.support.scripted_peers import Peer, connecting, now
+from tests.support.scripted_peers import ScriptedPeer, connect_to, now
 
 SETTINGS = PullSettings().for_control_peers()
 ANSWER_IN_TIME_S = SETTINGS.wait_s + SETTINGS.reply_grace_s
@@ -117,10 +117,10 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.peers = [Peer("b"), Peer("c")]
+        self.peers = [ScriptedPeer("b"), ScriptedPeer("c")]
         self.registry = Registry("a.1")
         self.pullers = PeerPullers(
-            self.registry, connecting(self.peers), lambda: ["b", "c"], SETTINGS, random.Random(1), clock=now
+            self.registry, connect_to(self.peers), lambda: ["b", "c"], SETTINGS, random.Random(1), clock=now
         )
         self.view = LatestView(lambda: first_view(["a", "b", "c"]), self.registry)
         self.contact = PullContact("a", self.view.get, self.pullers.contact_proven_at, now)
@@ -151,7 +151,7 @@
 
     def test_peers_that_are_themselves_isolated_prove_contact(self) -> None:
         """Else nobody could be the first after a start of all at once."""
-        self.both("isolated", True)
+        self.both("is_isolated", True)
 
         async def main() -> None:
             await asyncio.sleep(SETTINGS.start_jitter_s + 0.01)
@@ -164,19 +164,19 @@
     def test_a_cut_shows_within_its_bound_and_its_end_soon(self) -> None:
         async def main() -> None:
             await asyncio.sleep(3.0)
-            self.both("hung", True)
+            self.both("is_hung", True)
             await asyncio.sleep(MAX_CONTACT_AGE_S)
             self.assertTrue(self.contact.is_isolated())
             await asyncio.sleep(20.0)
             self.assertTrue(self.contact.is_isolated())
-            self.both("hung", False)
+            self.both("is_hung", False)
             await asyncio.sleep(ANSWER_IN_TIME_S)
             self.assertFalse(self.contact.is_isolated())
 
         self.play(main)
 
     def test_one_silent_witness_of_three_isolates_nobody(self) -> None:
-        self.peers[0].hung = True
+        self.peers[0].is_hung = True
 
         async def main() -> None:
             await asyncio.sleep(1.0)
@@ -203,7 +203,7 @@
     def test_one_that_was_left_out_of_the_view_is_not_in_contact_by_the_view_it_knows(self) -> None:
         """Left out while it was frozen, then cut off together with one witness out of three."""
         later = View(7, "b", ("d", "e"), ("b", "d", "e"), ("b", "d", "e"), {name: name for name in "bde"})
-        self.peers[1].down = True
+        self.peers[1].is_down = True
 
         async def main() -> None:
             await asyncio.sleep(2.0)
@@ -225,10 +225,10 @@
     def test_an_answer_that_was_held_up_proves_contact_at_its_begin_alone(self) -> None:
         async def main() -> None:
             await asyncio.sleep(2.0)
-            self.both("hung", True)
+            self.both("is_hung", True)
             held_up_from = now()
             await asyncio.sleep(0.6)
-            self.both("hung", False)  # the answers to pulls from before arrive now
+            self.both("is_hung", False)  # the answers to pulls from before arrive now
             await asyncio.sleep(0.02)
             for peer in self.peers:
                 began = self.pullers.contact_proven_at(peer.name)
--- a/tests/distribution/test_pull_service.py
+++ b/tests/distribution/test_pull_service.py
@@ -8,11 +8,11 @@
 
 import testtools
 
-from larchgw.distribution.pull_service import GATHER_S, PullService
+from larchgw.distribution.pull_service import GATHER_DELAY_S, PullService
 from larchgw.distribution.registry import Registry
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import Entry, PullReply, PullRequest, PushRequest
-from tests.support.scripted_peers import Peer, now
+from tests.support.scripted_peers import ScriptedPeer, now
 
 
 def request(reply: PullReply | None = None, prefixes: tuple[str, ...] = ()) -> PullRequest:
@@ -23,7 +23,7 @@
 class PullServiceTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.peer = Peer("a")
+        self.peer = ScriptedPeer("a")
         self.registry, self.service = self.peer.registry, self.peer.service
 
     def play(self, main: Coroutine[Any, Any, None]) -> None:
@@ -53,7 +53,7 @@
             self.registry.put("view", b"x", 1)
             reply = await waiting
             self.assertEqual(["view"], [entry.key for entry in reply.entries])
-            self.assertLess(now(), 0.2 + 2 * GATHER_S)
+            self.assertLess(now(), 0.2 + 2 * GATHER_DELAY_S)
 
         self.play(main())
 
@@ -64,7 +64,7 @@
             await asyncio.sleep(0.1)
             for number in range(5):
                 self.registry.put(f"runner/{number}", b"x", 1)
-                await asyncio.sleep(GATHER_S / 10)
+                await asyncio.sleep(GATHER_DELAY_S / 10)
             self.assertEqual(5, len((await waiting).entries))
 
         self.play(main())
@@ -84,7 +84,7 @@
     def test_a_process_cut_off_from_the_majority_says_so_at_once(self) -> None:
         async def main() -> None:
             first = await self.service.pull(request())
-            self.peer.isolated = True
+            self.peer.is_isolated = True
             reply = await self.service.pull(request(first))
             self.assertTrue(reply.isolated)
             self.assertEqual(0.0, now())
@@ -96,7 +96,7 @@
             first = await self.service.pull(request())
             waiting = asyncio.ensure_future(self.service.pull(request(first)))
             await asyncio.sleep(0.1)
-            self.peer.isolated = True
+            self.peer.is_isolated = True
             self.service.wake()
             self.assertTrue((await waiting).isolated)
             self.assertLess(now(), 0.2)
@@ -105,7 +105,7 @@
 
     def test_a_large_registry_comes_in_parts_that_add_up(self) -> None:
         async def main() -> None:
-            service = PullService(self.registry, lambda: False, list, limit_bytes=1000)
+            service = PullService(self.registry, lambda: False, list, max_reply_bytes=1000)
             for number in range(100):
                 self.registry.put(f"runner/{number}", b"x" * 100, 1)
             copy, have, replies = Registry("edge.1"), {}, 0
--- a/tests/distribution/test_puller.py
+++ b/tests/distribution/test_puller.py
@@ -16,7 +16,7 @@
 from larchgw.distribution.registry import Registry
 from larchgw.distribution.source_selector import SourceSelector
 from larchgw.emulator.virtual_loop import run
-from tests.support.scripted_peers import Peer, connecting, now
+from tests.support.scripted_peers import ScriptedPeer, connect_to, now
 
 SETTINGS = PullSettings()
 
@@ -116,7 +116,7 @@
 class PullerTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.peers = [Peer(name) for name in ("a", "b", "c")]
+        self.peers = [ScriptedPeer(name) for name in ("a", "b", "c")]
         self.registry = Registry("edge.1")
 
     def puller(
@@ -127,7 +127,7 @@
     ) -> Puller:
         return Puller(
             self.registry,
-            connecting(self.peers),
+            connect_to(self.peers),
             lambda: addresses,
             SETTINGS,
             random.Random(3),
@@ -150,7 +150,7 @@
 
         run(main())
 
-    def peer(self, name: str) -> Peer:
+    def peer(self, name: str) -> ScriptedPeer:
         return next(peer for peer in self.peers if peer.name == name)
 
     def test_news_is_here_within_its_bound_though_the_source_falls_silent(self) -> None:
@@ -159,7 +159,7 @@
         self.registry.watch("configuration", lambda entry: seen.append(now()))
 
         def change() -> None:
-            self.peer("a").hung = True
+            self.peer("a").is_hung = True
             for peer in self.peers[1:]:
                 peer.registry.put("configuration", b"new", 7)
 
@@ -171,7 +171,7 @@
         puller = self.puller(near_address="a")
 
         def change() -> None:
-            self.peer("a").down = True
+            self.peer("a").is_down = True
             self.peer("b").registry.put("view", b"x", 1)
             self.peer("c").registry.put("view", b"x", 1)
 
@@ -180,7 +180,7 @@
         self.assertIn(puller.source, ("b", "c"))
 
     def test_one_cut_off_from_the_majority_is_left_but_its_runners_are_taken(self) -> None:
-        self.peer("a").isolated = True
+        self.peer("a").is_isolated = True
         self.peer("a").registry.put("runner/x", b"x", 1)
         self.peer("a").registry.put("configuration", b"old", 1)
         puller = self.puller(near_address="a")
@@ -192,13 +192,13 @@
 
     def test_what_a_cut_off_process_had_left_out_comes_once_it_is_in_contact(self) -> None:
         peer = self.peer("a")
-        peer.isolated = True
+        peer.is_isolated = True
         peer.registry.put("configuration", b"c", 1)
         peer.registry.put("runner/x", b"x", 1)
         puller = self.puller(addresses=("a",))
         seen: list[float] = []
         self.registry.watch("configuration", lambda entry: seen.append(now()))
-        self.play(puller, 12.0, (9.0, lambda: setattr(peer, "isolated", False)))
+        self.play(puller, 12.0, (9.0, lambda: setattr(peer, "is_isolated", False)))
         self.assertEqual(1, len(seen))
         self.assertTrue(9.0 < seen[0] < 9.0 + SETTINGS.max_backoff_s, seen)
 
@@ -207,7 +207,7 @@
         peer.registry.put("configuration", b"first", 1)
 
         def cut_off() -> None:
-            peer.isolated = True
+            peer.is_isolated = True
             peer.registry.put("configuration", b"second", 2)
 
         self.play(self.puller(addresses=("a",)), 6.0, (2.0, cut_off))
@@ -222,10 +222,10 @@
             ahead = 20.0
 
         self.peer("a").registry.put("configuration", b"old", 1)
-        self.peer("a").hung = True
+        self.peer("a").is_hung = True
         puller = Puller(
             self.registry,
-            connecting(self.peers),
+            connect_to(self.peers),
             lambda: ["a"],
             SETTINGS,
             random.Random(3),
@@ -234,8 +234,8 @@
 
         def release() -> None:
             thaw()
-            self.peer("a").hung = False
-            asyncio.get_running_loop().call_later(0.015, lambda: setattr(self.peer("a"), "down", True))
+            self.peer("a").is_hung = False
+            asyncio.get_running_loop().call_later(0.015, lambda: setattr(self.peer("a"), "is_down", True))
 
         self.play(puller, 2.0, (0.5, release))
         self.assertEqual(1, sum(at < 0.5 for at, _ in self.peer("a").calls))
@@ -243,7 +243,7 @@
 
     def test_where_all_are_cut_off_entries_come_and_calls_are_paced(self) -> None:
         for peer in self.peers:
-            peer.isolated = True
+            peer.is_isolated = True
         puller = self.puller()
         self.play(puller, 20.0, (10.0, lambda: self.peer("b").registry.put("runner/x", b"x", 1)))
         self.assertIsNotNone(self.registry.get("runner/x"))
@@ -260,16 +260,16 @@
 
         def fall() -> None:
             for peer in self.peers:
-                peer.hung = True
+                peer.is_hung = True
 
         self.play(puller, 8.0, (3.0, fall))
         self.assertLessEqual(puller.last_heard_at, 3.0)
         self.assertGreater(puller.last_heard_at, 2.0)
 
     def test_addresses_are_learned_and_the_given_ones_are_the_last_resort(self) -> None:
-        self.peer("a").known = ["b", "c"]
+        self.peer("a").control_addresses = ["b", "c"]
         puller = self.puller(addresses=("a",))
-        self.play(puller, 4.0, (1.0, lambda: setattr(self.peer("a"), "down", True)))
+        self.play(puller, 4.0, (1.0, lambda: setattr(self.peer("a"), "is_down", True)))
         self.assertIn(puller.source, ("b", "c"))
 
     def test_a_restarted_source_is_read_from_its_start(self) -> None:
@@ -286,13 +286,13 @@
 
     def test_a_source_that_stays_down_is_told_once_until_it_has_answered(self) -> None:
         puller = self.puller(addresses=("a",))
-        self.peer("a").down = True
+        self.peer("a").is_down = True
         with capture_logs() as lines:
             self.play(
                 puller,
                 12.0,
-                (5.0, lambda: setattr(self.peer("a"), "down", False)),
-                (8.0, lambda: setattr(self.peer("a"), "down", True)),
+                (5.0, lambda: setattr(self.peer("a"), "is_down", False)),
+                (8.0, lambda: setattr(self.peer("a"), "is_down", True)),
             )
         written = [line for line in lines if line["log_level"] != "debug"]
         self.assertEqual(["pull.failed"] * 2, [line["event"] for line in written], lines)
@@ -302,8 +302,8 @@
         self.play(
             puller,
             10.0,
-            (2.0, lambda: setattr(self.peer("a"), "hung", True)),
-            (5.0, lambda: setattr(self.peer("b"), "hung", True)),
+            (2.0, lambda: setattr(self.peer("a"), "is_hung", True)),
+            (5.0, lambda: setattr(self.peer("b"), "is_hung", True)),
         )
         self.assertEqual([0, 0, 0], [peer.connections for peer in self.peers])
 
@@ -336,9 +336,9 @@
         self.play(
             puller,
             seconds + 20.0,
-            (5.0, lambda: setattr(peer, "hung", True)),
+            (5.0, lambda: setattr(peer, "is_hung", True)),
             (6.0, meanwhile),
-            (5.0 + seconds, lambda: setattr(peer, "hung", False)),
+            (5.0 + seconds, lambda: setattr(peer, "is_hung", False)),
         )
 
     def test_a_runner_whose_tombstone_was_forgotten_during_a_long_silence_is_dropped(self) -> None:
@@ -367,11 +367,11 @@
 
 class PeerPullersTest(testtools.TestCase):
     def test_pullers_follow_the_list_of_peers(self) -> None:
-        peers = [Peer("a"), Peer("b")]
+        peers = [ScriptedPeer("a"), ScriptedPeer("b")]
         listed = ["a", "b"]
         registry = Registry("me.1")
         pullers = PeerPullers(
-            registry, connecting(peers), lambda: list(listed), SETTINGS, random.Random(1), clock=now
+            registry, connect_to(peers), lambda: list(listed), SETTINGS, random.Random(1), clock=now
         )
 
         async def main() -> None:
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -42,7 +42,7 @@
     "r-1", "llm", "10.0.0.9:8080", "z1", Stage.DRAINING, 8, "v7", "both", 250.5, 9000.0, 12,
     (HeldModel("m1", 3, ("a1", "ä2")), HeldModel("m2")), "control-1.0123abcd",
 )  # fmt: skip
-REPLY_LIMIT_BYTES = 150  # so that replies are cut
+MAX_REPLY_BYTES = 150  # so that replies are cut
 
 
 def recorded(name: str) -> Any:
@@ -126,7 +126,7 @@
 
     def serve(name: str) -> None:
         transcript.services[name] = PullService(
-            registries[name], lambda: name in isolated, lambda: ["a", "b"], limit_bytes=REPLY_LIMIT_BYTES
+            registries[name], lambda: name in isolated, lambda: ["a", "b"], max_reply_bytes=MAX_REPLY_BYTES
         )
 
     async def main() -> None:
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -11,29 +11,40 @@
 from larchgw.rpc.errors import RpcConnectionError, RpcTimeoutError
 
 
-class Peer:
-    """One control process: a registry and its pull service, and what is wrong with it."""
-
-    def __init__(self, name: str, life: int = 1) -> None:
+class ScriptedPeer:
+    """One control process: a registry and its pull service, and the faults that a test injects.
+
+    Attributes:
+        is_down: Calls fail at once.
+        is_hung: Calls get no answer.
+        is_isolated: Its replies say that it is cut off from the majority.
+        control_addresses: The control processes that its replies name.
+        calls: When which method was called.
+        arguments: Of these calls.
+        connections: How many are open to it.
+    """
+
+    def __init__(self, name: str, incarnation: int = 1) -> None:
         self.name = name
-        self.down = False
-        self.hung = False
-        self.isolated = False
-        self.known: list[str] = []
+        self.is_down = False
+        self.is_hung = False
+        self.is_isolated = False
+        self.control_addresses: list[str] = []
         self.calls: list[tuple[float, str]] = []
         self.arguments: list[Any] = []
         self.connections = 0
-        self.start(life)
+        self.start(incarnation)
 
-    def start(self, life: int) -> None:
-        """A new life, with nothing known."""
-        self.registry = Registry(f"{self.name}.{life}")
-        self.service = PullService(self.registry, lambda: self.isolated, lambda: self.known)
+    def start(self, incarnation: int) -> None:
+        """Begins a new incarnation, with nothing known."""
+        self.registry = Registry(f"{self.name}.{incarnation}")
+        self.service = PullService(self.registry, lambda: self.is_isolated, lambda: self.control_addresses)
 
     async def answer(self, method: str, argument: Any, timeout_s: float) -> Any:
+        """Answers a call, or fails as the injected fault says."""
         self.calls.append((now(), method))
         self.arguments.append(argument)
-        if self.down:
+        if self.is_down:
             raise RpcConnectionError(f"{self.name} is down", was_sent=False)
         try:
             async with asyncio.timeout(timeout_s):
@@ -45,12 +56,14 @@
 
     async def _while_hung(self) -> None:
         """A process that hangs sends no answer, also to what it was asked before."""
-        while self.hung:
+        while self.is_hung:
             await asyncio.sleep(0.01)
 
 
-class Connection:
-    def __init__(self, peer: Peer) -> None:
+class ScriptedConnection:
+    """A connection to a peer, as distribution.connection.Connection."""
+
+    def __init__(self, peer: ScriptedPeer) -> None:
         self.peer = peer
         peer.connections += 1
 
@@ -61,10 +74,12 @@
         self.peer.connections -= 1
 
 
-def connecting(peers: Sequence[Peer]) -> Callable[[str], Connection]:
+def connect_to(peers: Sequence[ScriptedPeer]) -> Callable[[str], ScriptedConnection]:
+    """Returns what opens connections to these peers by their names."""
     by_name = {peer.name: peer for peer in peers}
-    return lambda address: Connection(by_name[address])
+    return lambda address: ScriptedConnection(by_name[address])
 
 
 def now() -> float:
+    """Virtual seconds."""
     return asyncio.get_running_loop().time()
