--- a/larchgw/emulator/datagrams.py
+++ b/larchgw/emulator/datagrams.py
@@ -9,6 +9,7 @@
 from itertools import count
 from random import Random
 
+from ..identifiers import RpcAddress
 from ..membership.member import Member, Role
 from ..membership.settings import SwimSettings
 from ..membership.swim import Datagram, Swim
@@ -70,7 +71,7 @@
         """
         name = f"{role}-{address}"
         incarnation = int((self.now + delay + clock_error) * 1000)
-        me = Member(name, address, role, incarnation, "zone-a", address_rpc)
+        me = Member(name, address, role, incarnation, "zone-a", RpcAddress(address_rpc))
         swim = Swim(me, self._settings, Random(self._random.random()))
         swim.join(list(seeds))
         swim.on_change = lambda member: self.changes.append((self.now, address, member))
--- a/larchgw/membership/codec.py
+++ b/larchgw/membership/codec.py
@@ -13,9 +13,10 @@
 from dataclasses import dataclass
 from zlib import crc32
 
+from ..identifiers import RpcAddress
 from .addresses import ADDRESS_BYTES, pack_address, unpack_address
 from .errors import DatagramDecodeError
-from .member import Member, MemberState, Role
+from .member import NO_RPC_ADDRESS, Member, MemberState, Role
 from .messages import (
     Ack,
     Cursor,
@@ -200,7 +201,7 @@
 
     def update(self) -> Update:
         flags, role, packed, incarnation, refutations = _RECORD.unpack(self.raw(_RECORD.size))
-        address_rpc = self.address() if flags & HAS_RPC else ""
+        address_rpc = RpcAddress(self.address()) if flags & HAS_RPC else NO_RPC_ADDRESS
         accuser = self.address() if flags & HAS_ACCUSER else ""
         name, zone = self.text(), self.text()
         member = Member(
--- a/larchgw/membership/failure_detector.py
+++ b/larchgw/membership/failure_detector.py
@@ -31,7 +31,7 @@
         ends_at: When it has failed.
         relays: How many members were asked.
         nacks: How many of them reported that they have no answer either.
-        has_asked_relays: Whether that was done.
+        is_indirect: Whether that was done.
     """
 
     sequence: int
@@ -41,7 +41,7 @@
     ends_at: float
     relays: int = 0
     nacks: int = 0
-    has_asked_relays: bool = False
+    is_indirect: bool = False
 
 
 class FailureDetector:
@@ -114,8 +114,8 @@
         if probe is not None and now >= probe.ends_at:
             self._probe = None
             self._fail(now, probe)
-        elif probe is not None and not probe.has_asked_relays and now >= probe.relays_due_at:
-            self._ask_relays(probe)
+        elif probe is not None and not probe.is_indirect and now >= probe.relays_due_at:
+            self._probe_indirectly(probe)
         if self._probe is None and now >= self._next_probe_at:
             self._start_probe(now)
 
@@ -132,8 +132,8 @@
         self._next_probe_at = now + period_s * self._random_source.uniform(0.95, 1.05)
         self._outbound.add_ping(member.address, member, sequence)
 
-    def _ask_relays(self, probe: _Probe) -> None:
-        probe.has_asked_relays = True
+    def _probe_indirectly(self, probe: _Probe) -> None:
+        probe.is_indirect = True
         for relay in self._states.sample_peers(self._settings.indirect_probes, without=probe.address):
             probe.relays += 1
             self._outbound.add_ping_request(relay, probe.sequence, probe.address)
--- a/larchgw/membership/member.py
+++ b/larchgw/membership/member.py
@@ -6,12 +6,14 @@
 from enum import IntEnum
 from typing import Literal
 
+from ..identifiers import RpcAddress
 from .addresses import pack_address
 from .errors import InvalidMemberError
 
 Role = Literal["edge", "control"]
 
 MAX_TEXT_BYTES = 64  # of a name or a zone, so that several records fit into a datagram
+NO_RPC_ADDRESS = RpcAddress("")
 MAX_INCARNATION = (1 << 63) - 1
 
 
@@ -48,7 +50,7 @@
     role: Role
     incarnation: int
     zone: str = ""
-    address_rpc: str = ""
+    address_rpc: RpcAddress = NO_RPC_ADDRESS
     refutations: int = 0
     state: MemberState = MemberState.ALIVE
 
--- a/larchgw/membership/member_table.py
+++ b/larchgw/membership/member_table.py
@@ -122,7 +122,7 @@
         assert self.digest == digest, "the digest differs from the records"
         assert self._order == sorted((bucket_of(a), a) for a in self._members), "the order is broken"
         assert sorted(self._present) == sorted(m.address for m in present), "present members differ"
-        assert all(self._present[place] == a for a, place in self._position.items()), "positions differ"
+        assert all(self._present[position] == a for a, position in self._position.items()), "positions differ"
         assert +self._counts == Counter(m.role for m in present), "counts by role differ"
 
     def _sample_one(self, without: frozenset[str]) -> list[str]:
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -35,7 +35,7 @@
 
 log = structlog.get_logger()
 
-LEAVE_COPIES = 8  # members that are notified of a graceful leave at once; they pass it on
+MAX_LEAVE_NOTIFICATIONS = 8  # members that are notified of a graceful leave; they pass it on
 
 
 class Swim:
@@ -108,7 +108,7 @@
     def leave(self, now: float) -> list[Datagram]:
         """Notifies some members that this process ends by plan. Nothing is sent after that."""
         self._states.leave()
-        for address in self._states.sample_peers(LEAVE_COPIES):
+        for address in self._states.sample_peers(MAX_LEAVE_NOTIFICATIONS):
             self._outbound.add_gossip(address)
         return self._outbound.take()
 
--- a/larchgw/runtime/membership.py
+++ b/larchgw/runtime/membership.py
@@ -5,7 +5,8 @@
 from random import Random
 
 from ..configuration.settings import NodeSettings
-from ..membership.member import Member, Role
+from ..identifiers import RpcAddress
+from ..membership.member import NO_RPC_ADDRESS, Member, Role
 from ..membership.settings import SwimSettings
 from ..membership.swim import Swim
 from .addresses import CONTROL_GOSSIP_PORT, EDGE_GOSSIP_PORT, seed_gossip_addresses
@@ -14,7 +15,11 @@
 
 
 def make_swim(
-    settings: NodeSettings, role: Role, process_start_ms: int, random_source: Random, address_rpc: str = ""
+    settings: NodeSettings,
+    role: Role,
+    process_start_ms: int,
+    random_source: Random,
+    address_rpc: RpcAddress = NO_RPC_ADDRESS,
 ) -> Swim:
     """Returns the membership protocol of this process, which asks the seeds of the settings.
 
