--- a/larchgw/model_checking/__init__.py
+++ b/larchgw/model_checking/__init__.py
@@ -1,1 +1,6 @@
-"""ExhaustiveSearch and random exploration of the protocols over simulated networks and disks."""
+"""Explorations: real code of the system in simulated clusters, through faults in virtual time.
+
+Each of `replication`, `check_ins` and `operator_calls` has the same modules: `cluster` (the simulated
+machines), `invariants`, `runs` (one run for a seed), `mutants` (deliberate mistakes that runs must catch) and
+`main` (what `larchgw explore` calls). The same seed plays the same run.
+"""
--- a/larchgw/model_checking/check_ins/mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -1,26 +1,33 @@
-"""Deliberate mistakes about contact. The exploration must catch each of them, or it proves nothing."""
+"""Deliberate mistakes about contact with the majority, each with a run that catches it."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Awaitable, Callable
 
 from ...control.checkins import RunnerCheckins
 from ...control.majority_contact import PullContact
-from ...distribution.puller import Puller
+from ...distribution.puller import Puller, _Session
 from ...replication import view
 from ...rpc.generated.ttypes import PullReply
 from ...runner_directory.directory import CheckInOutcome
-from ..replication.mutants import Mutant
+from ..mutants import Mutant, Patch
+from ..replication.mutants import one_less_is_enough
+from .runs import play_faults
 
+Accept = Callable[[Puller, _Session, PullReply, float], None]
+MergeFromIsolated = Callable[[Puller, _Session, PullReply], None]
+Replicate = Callable[[RunnerCheckins, str], Awaitable[bool]]
+Acknowledge = Callable[[RunnerCheckins, str, CheckInOutcome], Awaitable[bool]]
 
-def _acknowledges_while_isolated(original: Any) -> Any:
+
+def _acknowledges_while_isolated(original: Acknowledge) -> Acknowledge:
     async def acknowledge(self: RunnerCheckins, runner: str, outcome: CheckInOutcome) -> bool:
-        return not outcome.needs_replication or bool(await original(self, runner, outcome))
+        return not outcome.needs_replication or await original(self, runner, outcome)
 
     return acknowledge
 
 
-def _drops_the_result(original: Any) -> Any:
+def _ignores_the_result(original: Replicate) -> Replicate:
     async def replicate(self: RunnerCheckins, runner: str) -> bool:
         await original(self, runner)
         return True
@@ -28,87 +35,94 @@
     return replicate
 
 
-def _takes_a_start_for_contact(original: Any) -> Any:
+def _counts_a_start_as_contact(
+    original: Callable[[PullContact, str], bool],
+) -> Callable[[PullContact, str], bool]:
     def is_proven(self: PullContact, address: str) -> bool:
-        return self._proven_at(address) is None or bool(original(self, address))
+        return self._proven_at(address) is None or original(self, address)
 
     return is_proven
 
 
-def _counts_by_arrival(original: Any) -> Any:
-    def take(self: Puller, session: Any, reply: PullReply, began: float) -> None:
+def _counts_by_arrival(original: Accept) -> Accept:
+    def accept(self: Puller, session: _Session, reply: PullReply, began: float) -> None:
         original(self, session, reply, self._clock())
 
-    return take
+    return accept
 
 
-def _takes_a_part_for_the_whole(original: Any) -> Any:
-    def take(self: Puller, session: Any, reply: PullReply, began: float) -> None:
+def _counts_a_partial_reply(original: Accept) -> Accept:
+    def accept(self: Puller, session: _Session, reply: PullReply, began: float) -> None:
         original(self, session, reply, began)
         self.contact_proven_at = began
 
-    return take
+    return accept
 
 
-def _believes_the_isolated(original: Any) -> Any:
+def _believes_the_isolated(
+    original: Callable[[Puller, PullReply, float], bool],
+) -> Callable[[Puller, PullReply, float], bool]:
     def is_current(self: Puller, reply: PullReply, began: float) -> bool:
         return True
 
     return is_current
 
 
-def _claims_what_it_left_out(original: Any) -> Any:
-    def take(self: Puller, session: Any, reply: PullReply) -> None:
+def _claims_what_it_left_out(original: MergeFromIsolated) -> MergeFromIsolated:
+    def merge_from_isolated(self: Puller, session: _Session, reply: PullReply) -> None:
         original(self, session, reply)
         self.registry.advance(reply.upto or {})
 
-    return take
-
-
-def _one_less_is_enough(original: Any) -> Any:
-    def majority_of(voters: Any, members: Any) -> bool:
-        return 2 * sum(member in voters for member in members) >= len(members) - 1
-
-    return majority_of
+    return merge_from_isolated
 
 
 MUTANTS = (
     Mutant(
         "acknowledges check-ins while it is cut off",
-        "course",
+        play_faults,
         0,
-        RunnerCheckins,
-        "_acknowledge",
-        _acknowledges_while_isolated,
+        (Patch(RunnerCheckins, "_acknowledge", _acknowledges_while_isolated),),
     ),
     Mutant(
         "acknowledges a drain whatever the handoff came to",
-        "course",
+        play_faults,
+        0,
+        (Patch(RunnerCheckins, "_replicate", _ignores_the_result),),
+    ),
+    Mutant(
+        "takes a start for contact",
+        play_faults,
         0,
-        RunnerCheckins,
-        "_replicate",
-        _drops_the_result,
+        (Patch(PullContact, "_is_proven", _counts_a_start_as_contact),),
     ),
-    Mutant("takes a start for contact", "course", 0, PullContact, "_is_proven", _takes_a_start_for_contact),
-    Mutant("counts contact from the arrival of answers", "course", 6, Puller, "_accept", _counts_by_arrival),
     Mutant(
-        "takes a part of an answer for the whole", "course", 0, Puller, "_accept", _takes_a_part_for_the_whole
+        "counts contact from the arrival of answers",
+        play_faults,
+        6,
+        (Patch(Puller, "_accept", _counts_by_arrival),),
+    ),
+    Mutant(
+        "takes a part of an answer for the whole",
+        play_faults,
+        0,
+        (Patch(Puller, "_accept", _counts_a_partial_reply),),
     ),
     Mutant(
         "takes a configuration from a process that is cut off",
-        "course",
+        play_faults,
         20,
-        Puller,
-        "_is_current",
-        _believes_the_isolated,
+        (Patch(Puller, "_is_current", _believes_the_isolated),),
     ),
     Mutant(
         "claims what it left out of a cut-off process's answer",
-        "course",
+        play_faults,
         4,
-        Puller,
-        "_merge_from_isolated",
-        _claims_what_it_left_out,
+        (Patch(Puller, "_merge_from_isolated", _claims_what_it_left_out),),
+    ),
+    Mutant(
+        "counts one less than a majority as one",
+        play_faults,
+        0,
+        (Patch(view, "majority_of", one_less_is_enough),),
     ),
-    Mutant("counts one less than a majority as one", "course", 0, view, "majority_of", _one_less_is_enough),
 )
--- /dev/null
+++ b/larchgw/model_checking/check_ins/runs.py
@@ -0,0 +1,24 @@
+"""A run of faults over check-ins, for a seed."""
+
+from __future__ import annotations
+
+from ...emulator import virtual_loop
+from .cluster import SimulatedCluster
+
+CONTROL_PROCESSES = (3, 5)  # by turns
+FAULTS_S = 15.0
+
+
+def play_faults(seed: int) -> SimulatedCluster:
+    """Plays a run of faults and the recovery from them.
+
+    Raises:
+        InvariantError: A property of check-ins does not hold.
+    """
+    return virtual_loop.run(_play(seed))
+
+
+async def _play(seed: int) -> SimulatedCluster:
+    cluster = SimulatedCluster(seed, CONTROL_PROCESSES[seed % len(CONTROL_PROCESSES)])
+    await cluster.play(FAULTS_S)
+    return cluster
--- a/larchgw/model_checking/operator_calls/main.py
+++ b/larchgw/model_checking/operator_calls/main.py
@@ -1,113 +1,58 @@
-"""Runs under faults and the mistakes that they must catch; the same seed plays the same runs."""
+"""`larchgw explore operator-calls`: runs of faults while operators work, and mutants.
+
+How many runs there are depends on the time given; one is played at least.
+"""
 
 from __future__ import annotations
 
-import asyncio
 import time
+from collections import Counter
 from dataclasses import dataclass, field
 from functools import partial
 
-from ...emulator import virtual_loop
-from ..errors import InvariantError
-from ..verdict import print_verdict
+from ..exploration import ExplorationReport, PlannedRun, print_verdict, run_seeds
+from ..mutants import Mutant
+from ..mutants import is_caught as is_caught_within
 from .cluster import SimulatedCluster
-from .fault_injection import FaultInjector
-from .mutants import MUTANTS, Mutant
-from .operators import Operators
+from .mutants import MUTANTS
+from .runs import play_faults
 
-SIZES = (3, 5)  # control processes
-RUN_S = 20.0  # virtual seconds of troubles in one run
-OPERATORS = 4
-MAX_RUNS_A_MUTANT = 60  # every change to the code plays other runs under the same seed
+MAX_RUNS_PER_MUTANT = 60  # every change to the code plays other runs under the same seed
 
 
 @dataclass
-class Found:
-    """What an exploration has seen."""
+class OperatorCallReport(ExplorationReport[SimulatedCluster]):
+    """The counts of an exploration of operator calls; `answers` counts what operators got, by status."""
+
+    answers: Counter[int] = field(default_factory=Counter)
 
-    runs: int = 0
-    states: int = 0
-    acknowledged: int = 0
-    answers: dict[int, int] = field(default_factory=dict)
-    broken: list[str] = field(default_factory=list)
+    def add(self, finished: SimulatedCluster) -> None:
+        """See ExplorationReport."""
+        self.states += len(finished.states)
+        self.acknowledged += len(finished.checks.acknowledged)
+        self.answers.update(finished.checks.answers)
 
-    def counts(self) -> str:
-        """See explore_verdict.Seen."""
+    def counts_line(self) -> str:
+        """See ExplorationReport."""
         answers = " ".join(f"{status}:{count}" for status, count in sorted(self.answers.items()))
-        return f"runs={self.runs} acknowledged={self.acknowledged} answers={answers}"
-
-
-def play(seed: int) -> SimulatedCluster:
-    """One run of troubles and the recovery from it. Raises InvariantError."""
-    return virtual_loop.run(_play(seed))
-
-
-async def _play(seed: int) -> SimulatedCluster:
-    cluster = SimulatedCluster(seed, SIZES[seed % len(SIZES)])
-    course, operators = FaultInjector(cluster), Operators(cluster)
-    working = [cluster.loop.create_task(operators.work()) for _ in range(OPERATORS)]
-    for task in working:
-        task.add_done_callback(partial(_note_error, cluster))
-    course_task = cluster.loop.create_task(_course(course, operators, working))
-    try:
-        await asyncio.wait([course_task, cluster.failed], return_when=asyncio.FIRST_COMPLETED)
-        if cluster.failed.done():
-            cluster.failed.result()
-        await course_task
-    finally:
-        for address in list(cluster.processes):
-            cluster.kill(address)
-        for task in (course_task, *working):
-            task.cancel()
-    return cluster
-
-
-def _note_error(cluster: SimulatedCluster, task: asyncio.Task[None]) -> None:
-    if not task.cancelled() and (error := task.exception()) is not None:
-        cluster.fail(error)
-
-
-async def _course(course: FaultInjector, operators: Operators, working: list[asyncio.Task[None]]) -> None:
-    await course.play(RUN_S)
-    operators.wanted = False
-    await asyncio.gather(*working)
-    operators.wanted = True
-    await course.recover(operators)
-
-
-def explore(seconds: float, seed: int) -> Found:
-    """Plays runs for about so many real seconds, one at least."""
-    found = Found()
-    until = time.monotonic() + seconds
-    number = seed * 100_000
-    while not found.runs or time.monotonic() < until:
-        found.runs += 1
-        try:
-            _add(found, play(number))
-        except (InvariantError, AssertionError) as error:
-            found.broken.append(f"seed {number}: {error}")
-        number += 1
-    return found
-
-
-def _add(found: Found, cluster: SimulatedCluster) -> None:
-    found.states += len(cluster.states)
-    found.acknowledged += len(cluster.checks.acknowledged)
-    for status, count in cluster.checks.answers.items():
-        found.answers[status] = found.answers.get(status, 0) + count
-
-
-def caught(mutant: Mutant) -> bool:
-    """Whether a run catches the mutant: the one named beside it, or one of those that follow."""
-    with mutant.active():
-        for seed in range(mutant.seed, mutant.seed + MAX_RUNS_A_MUTANT):
-            try:
-                play(seed)
-            except (InvariantError, AssertionError):
-                return True
-    return False
+        return f"{super().counts_line()} answers={answers}"
+
+
+def explore(seconds: float, seed: int) -> OperatorCallReport:
+    """Explores for about so many seconds of real time."""
+    report = OperatorCallReport()
+    deadline = time.monotonic() + seconds
+    runs = (PlannedRun(f"seed {run_seed}", partial(play_faults, run_seed)) for run_seed in run_seeds(seed))
+    report.play(next(runs))
+    report.play_until(deadline, runs)
+    return report
+
+
+def is_caught(mutant: Mutant) -> bool:
+    """Whether one of the runs from the mutant's seed on catches it."""
+    return is_caught_within(mutant, MAX_RUNS_PER_MUTANT)
 
 
 def main(seconds: float, seed: int) -> int:
-    """Explores, tries the mutants and prints what came of it; 0 if nothing is broken and all are caught."""
-    return print_verdict(lambda: explore(seconds, seed), MUTANTS, caught)
+    """Explores, tries the mutants and prints the verdict; see print_verdict."""
+    return print_verdict(partial(explore, seconds, seed), MUTANTS, is_caught)
--- a/larchgw/model_checking/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -29,11 +29,11 @@
         self._checks = cluster.checks
         self._random = cluster.random
         self._serial = 0
-        self.wanted = True  # false once they should come to an end
+        self.is_working = True  # false once they should come to an end
 
     async def work(self) -> None:
         """One operator's days."""
-        while self.wanted:
+        while self.is_working:
             base = await self.read()
             if base is not None:
                 await asyncio.gather(*(self.send(sent) for sent in self._orders(base)))
@@ -54,7 +54,7 @@
     async def send(self, sent: Sent) -> int | None:
         """Sends an order until there is a clear answer; None if there is none."""
         for _ in range(MAX_SENDS):
-            if not self.wanted:
+            if not self.is_working:
                 return None
             twins = 2 if self._random.random() < TWIN_SHARE else 1
             statuses = await asyncio.gather(*(self._send_once(sent) for _ in range(twins)))
--- a/larchgw/model_checking/replication/mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -1,68 +1,63 @@
-"""Deliberate mistakes in the protocol. The exploration must catch each of them, or it proves nothing.
-
-A mutant replaces one method of one class while it is active. `by` and `seed` name a run that catches it.
-"""
+"""Deliberate mistakes in the replication protocol, each with a run that catches it."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
-from dataclasses import dataclass, replace
-from typing import Any
+from collections.abc import Callable, Collection, Sequence
+from dataclasses import replace
+from typing import TypeVar
 
 from ...replication import identity, member, snapshot_transfer, view
 from ...replication.graceful_leave import Departure
 from ...replication.leadership import Leadership
 from ...replication.lease import LeaseHolder
 from ...replication.lease_acceptor import LeaseWitness
+from ...replication.messages import Install, Promise
+from ...replication.ports import Cell
 from ...replication.replica import Replica
+from ...replication.settings import MemberSettings
 from ...replication.snapshot_transfer import IncomingSnapshot, OutgoingSnapshot
 from ...replication.view_change_round import Ballot
 from ...replication.view_changes import ViewChanges
-from ...replication.witness import Witness
+from ...replication.witness import Witness, WitnessState
+from ..mutants import Mutant, Patch
+from .runs import play_faults, play_random_walk
 
+ReturnT = TypeVar("ReturnT")
+FollowResult = tuple[bool, int]
+Establish = Callable[[Cell, MemberSettings, Witness, LeaseWitness], identity.Identity]
+Follow = Callable[[Replica, int, int, Sequence[int], Sequence[bytes]], FollowResult]
 
-@dataclass(frozen=True, slots=True)
-class Mutant:
-    """One mistake: `owner.attribute` is replaced by what `make` builds from the original."""
 
-    name: str
-    by: str  # "walk" or "course"
-    seed: int
-    owner: Any
-    attribute: str
-    make: Callable[[Any], Any]
+def _always(value: ReturnT) -> Callable[[Callable[..., ReturnT]], Callable[..., ReturnT]]:
+    def make(original: Callable[..., ReturnT]) -> Callable[..., ReturnT]:
+        return lambda *arguments, **options: value
 
-    @contextmanager
-    def active(self) -> Iterator[None]:
-        """The mistake is in the code while this context lasts."""
-        original = self.owner.__dict__[self.attribute]
-        setattr(self.owner, self.attribute, self.make(original))
-        try:
-            yield
-        finally:
-            setattr(self.owner, self.attribute, original)
+    return make
 
 
-def _always(value: Any) -> Callable[[Any], Any]:
-    return lambda original: lambda *arguments, **options: value
+def _always_ready(original: property) -> property:
+    return property(lambda self: True)
 
 
-def _commits_on_one_backup(original: Any) -> Any:
+def _commits_on_one_backup(original: Callable[[Leadership], int]) -> Callable[[Leadership], int]:
     def commit_index(self: Leadership) -> int:
         return max([self._replica.committed, *(peer.match for peer in self._peers.values())])
 
     return commit_index
 
 
-def _ignores_reported_views(original: Any) -> Any:
-    def promise(self: Ballot, now: float, sender: str, message: Any) -> None:
+def _ignores_reported_views(
+    original: Callable[[Ballot, float, str, Promise], None],
+) -> Callable[[Ballot, float, str, Promise], None]:
+    def promise(self: Ballot, now: float, sender: str, message: Promise) -> None:
         original(self, now, sender, replace(message, view=None))
 
     return promise
 
 
-def _promises_anything(original: Any) -> Any:
+def _promises_anything(
+    original: Callable[[Witness, int, str], bool],
+) -> Callable[[Witness, int, str], bool]:
     def promise(self: Witness, epoch: int, candidate: str) -> bool:
         original(self, epoch, candidate)
         return True
@@ -70,7 +65,9 @@
     return promise
 
 
-def _accepts_anything(original: Any) -> Any:
+def _accepts_anything(
+    original: Callable[[Witness, view.View], bool],
+) -> Callable[[Witness, view.View], bool]:
     def accept(self: Witness, proposed: view.View) -> bool:
         original(self, proposed)
         return True
@@ -78,34 +75,41 @@
     return accept
 
 
-def _keeps_in_memory(attribute: str) -> Callable[[Any], Any]:
-    def make(original: Any) -> Any:
-        def store(self: Any, state: Any) -> None:
-            setattr(self, attribute, state)
-
-        return store
+def _keeps_state_in_memory(
+    original: Callable[[Witness, WitnessState], None],
+) -> Callable[[Witness, WitnessState], None]:
+    def store(self: Witness, state: WitnessState) -> None:
+        self._state = state
 
-    return make
+    return store
 
 
-def _leads_after_a_restart(original: Any) -> Any:
-    def establish(*arguments: Any) -> identity.Identity:
-        made: identity.Identity = original(*arguments)
-        return replace(made, is_new=True)
+def _leads_after_a_restart(original: Establish) -> Establish:
+    def establish(
+        cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseWitness
+    ) -> identity.Identity:
+        return replace(original(cell, settings, witness, leases), is_new=True)
 
     return establish
 
 
-def _names_a_wiped_disk_as_before(original: Any) -> Any:
-    def establish(cell: Any, settings: Any, witness: Any, leases: Any) -> identity.Identity:
-        made: identity.Identity = original(cell, replace(settings, first_boot=True), witness, leases)
-        return made
+def _names_a_wiped_disk_as_before(original: Establish) -> Establish:
+    def establish(
+        cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseWitness
+    ) -> identity.Identity:
+        return original(cell, replace(settings, first_boot=True), witness, leases)
 
     return establish
 
 
-def _ignores_divergence(original: Any) -> Any:
-    def follow(self: Replica, previous_index: int, previous_epoch: int, epochs: Any, records: Any) -> Any:
+def _ignores_divergence(original: Follow) -> Follow:
+    def follow(
+        self: Replica,
+        previous_index: int,
+        previous_epoch: int,
+        epochs: Sequence[int],
+        records: Sequence[bytes],
+    ) -> FollowResult:
         known = min(previous_index, self.last_index)
         if previous_index <= self.last_index and known >= self._base_index:
             previous_epoch = self.epoch_at(known)
@@ -114,63 +118,56 @@
     return follow
 
 
-def _proves_by_its_own_word(original: Any) -> Any:
+def _proves_without_a_quorum(
+    original: Callable[[Leadership, bool], int],
+) -> Callable[[Leadership, bool], int]:
     def proven_round(self: Leadership, self_granted: bool) -> int:
         return self.round
 
     return proven_round
 
 
-def _lets_anyone_in(original: Any) -> Any:
-    def may_enter(self: Leadership, now: float, candidate: str, leaving: Any) -> bool:
+def _lets_anyone_in(
+    original: Callable[[Leadership, float, str, frozenset[str]], bool],
+) -> Callable[[Leadership, float, str, frozenset[str]], bool]:
+    def may_enter(self: Leadership, now: float, candidate: str, leaving: frozenset[str]) -> bool:
         return candidate not in self.view.in_sync and self._peers[candidate].replicating
 
     return may_enter
 
 
-def _one_less_is_enough(original: Any) -> Any:
-    def majority_of(voters: Any, members: Any) -> bool:
-        return 2 * sum(one in voters for one in members) >= len(members) - 1
-
-    return majority_of
-
+def one_less_is_enough(
+    original: Callable[[Collection[str], Collection[str]], bool],
+) -> Callable[[Collection[str], Collection[str]], bool]:
+    """A majority that counts one vote less as enough."""
 
-def _grants_known_fences(original: Any) -> Any:
-    def remaining(self: LeaseWitness, now: float, name: str, sender: str, stored: Any) -> float:
-        return 0.0
+    def majority_of(voters: Collection[str], members: Collection[str]) -> bool:
+        return 2 * sum(member in voters for member in members) >= len(members) - 1
 
-    return remaining
+    return majority_of
 
 
-def _leads_by_a_late_vote(original: Any) -> Any:
+def _leads_by_a_late_vote(
+    original: Callable[[ViewChanges, float, int, view.View], None],
+) -> Callable[[ViewChanges, float, int, view.View], None]:
     def chosen(self: ViewChanges, now: float, epoch: int, chosen_view: view.View) -> None:
         self.lead(now, chosen_view)
 
     return chosen
 
 
-def _ends_without_agreement(original: Any) -> Any:
+def _ends_without_agreement(
+    original: Callable[[Departure, view.View | None], bool],
+) -> Callable[[Departure, view.View | None], bool]:
     def is_over(self: Departure, accepted: view.View | None) -> bool:
         return self.has_begun
 
     return is_over
 
 
-def _agrees_to_every_end(original: Any) -> Any:
-    def can_spare(self: Leadership, now: float, leaver: str, spared: Any) -> bool:
-        return True
-
-    return can_spare
-
-
-def _takes_pieces_as_they_come(original: Any) -> Any:
-    def fits(self: IncomingSnapshot, install: Any) -> bool:
-        return True
-
-    return fits
-
-
-def _sends_on_whatever_is_answered(original: Any) -> Any:
+def _sends_on_whatever_is_answered(
+    original: Callable[[OutgoingSnapshot, int, int], bool],
+) -> Callable[[OutgoingSnapshot, int, int], bool]:
     def answered(self: OutgoingSnapshot, index: int, offset: int) -> bool:
         size = len(self.snapshot.content)
         self.offset = min(self.offset + self._piece_bytes, max(0, size - self._piece_bytes))
@@ -179,8 +176,10 @@
     return answered
 
 
-def _all_one_transfer(original: Any) -> Any:
-    def transfer_of(install: Any) -> tuple[object, ...]:
+def _all_one_transfer(
+    original: Callable[[Install], tuple[object, ...]],
+) -> Callable[[Install], tuple[object, ...]]:
+    def transfer_of(install: Install) -> tuple[object, ...]:
         return ("any",)
 
     return transfer_of
@@ -189,77 +188,123 @@
 MUTANTS = (
     Mutant(
         "acknowledges a record that one backup has",
-        "walk",
+        play_random_walk,
         1,
-        Leadership,
-        "commit_index",
-        _commits_on_one_backup,
+        (Patch(Leadership, "commit_index", _commits_on_one_backup),),
+    ),
+    Mutant(
+        "takes a replica in that lacks records",
+        play_random_walk,
+        24,
+        (Patch(Leadership, "_may_enter", _lets_anyone_in),),
     ),
-    Mutant("takes a replica in that lacks records", "walk", 24, Leadership, "_may_enter", _lets_anyone_in),
     Mutant(
         "is ready before what it took over is acknowledged",
-        "walk",
+        play_random_walk,
         2,
-        Leadership,
-        "is_ready",
-        lambda original: property(lambda self: True),
+        (Patch(Leadership, "is_ready", _always_ready),),
+    ),
+    Mutant(
+        "confirms reads without a quorum",
+        play_random_walk,
+        31,
+        (Patch(Leadership, "proven_round", _proves_without_a_quorum),),
+    ),
+    Mutant(
+        "ignores the views that promises report",
+        play_random_walk,
+        55,
+        (Patch(Ballot, "promise", _ignores_reported_views),),
+    ),
+    Mutant("promises an epoch again", play_faults, 21, (Patch(Witness, "promise", _promises_anything),)),
+    Mutant(
+        "accepts a view below its promise",
+        play_random_walk,
+        4,
+        (Patch(Witness, "accept", _accepts_anything),),
+    ),
+    Mutant(
+        "keeps promises in memory only", play_faults, 0, (Patch(Witness, "_store", _keeps_state_in_memory),)
     ),
     Mutant(
-        "confirms reads without a quorum", "walk", 31, Leadership, "proven_round", _proves_by_its_own_word
+        "goes on as primary after a restart",
+        play_random_walk,
+        0,
+        (Patch(member, "establish", _leads_after_a_restart),),
     ),
-    Mutant("ignores the views that promises report", "walk", 55, Ballot, "promise", _ignores_reported_views),
-    Mutant("promises an epoch again", "course", 21, Witness, "promise", _promises_anything),
-    Mutant("accepts a view below its promise", "walk", 4, Witness, "accept", _accepts_anything),
-    Mutant("keeps promises in memory only", "course", 0, Witness, "_store", _keeps_in_memory("_state")),
-    Mutant("goes on as primary after a restart", "walk", 0, member, "establish", _leads_after_a_restart),
     Mutant(
         "keeps its vote after the loss of its disk",
-        "walk",
+        play_random_walk,
         15,
-        member,
-        "establish",
-        _names_a_wiped_disk_as_before,
+        (Patch(member, "establish", _names_a_wiped_disk_as_before),),
+    ),
+    Mutant(
+        "answers before its records are synced", play_random_walk, 0, (Patch(Replica, "sync", _always(None)),)
+    ),
+    Mutant(
+        "does not compare the epochs of records",
+        play_faults,
+        0,
+        (Patch(Replica, "follow", _ignores_divergence),),
     ),
-    Mutant("answers before its records are synced", "walk", 0, Replica, "sync", _always(None)),
-    Mutant("does not compare the epochs of records", "course", 0, Replica, "follow", _ignores_divergence),
     Mutant(
         "takes a piece of a snapshot at a wrong offset",
-        "course",
+        play_faults,
+        29,
+        (Patch(IncomingSnapshot, "_fits", _always(True)),),
+    ),
+    Mutant(
+        "does not verify a snapshot",
+        play_random_walk,
         29,
-        IncomingSnapshot,
-        "_fits",
-        _takes_pieces_as_they_come,
+        (Patch(snapshot_transfer, "_is_genuine", _always(True)),),
     ),
-    Mutant("does not verify a snapshot", "walk", 29, snapshot_transfer, "_is_genuine", _always(True)),
     Mutant(
         "keeps the pieces of one snapshot for another",
-        "course",
+        play_faults,
         27,
-        snapshot_transfer,
-        "_transfer_of",
-        _all_one_transfer,
+        (Patch(snapshot_transfer, "_transfer_of", _all_one_transfer),),
     ),
     Mutant(
         "leaves out what of a snapshot was lost",
-        "course",
+        play_faults,
         0,
-        OutgoingSnapshot,
-        "answered",
-        _sends_on_whatever_is_answered,
+        (Patch(OutgoingSnapshot, "answered", _sends_on_whatever_is_answered),),
+    ),
+    Mutant(
+        "counts one less than a majority as one",
+        play_random_walk,
+        0,
+        (Patch(view, "majority_of", one_less_is_enough),),
     ),
-    Mutant("counts one less than a majority as one", "walk", 0, view, "majority_of", _one_less_is_enough),
     Mutant(
         "does not wait a term after another holder",
-        "course",
+        play_faults,
         10,
-        LeaseHolder,
-        "_another_acted",
-        _always(False),
+        (Patch(LeaseHolder, "_another_acted", _always(False)),),
+    ),
+    Mutant(
+        "grants a lease that another holds",
+        play_faults,
+        0,
+        (Patch(LeaseWitness, "_remaining", _always(0.0)),),
+    ),
+    Mutant(
+        "leads by a vote that came too late",
+        play_random_walk,
+        98,
+        (Patch(ViewChanges, "_chosen", _leads_by_a_late_vote),),
+    ),
+    Mutant(
+        "ends before the others have agreed",
+        play_random_walk,
+        0,
+        (Patch(Departure, "is_over", _ends_without_agreement),),
     ),
     Mutant(
-        "grants a lease that another holds", "course", 0, LeaseWitness, "_remaining", _grants_known_fences
+        "agrees to the end of a member in sync",
+        play_random_walk,
+        3,
+        (Patch(Leadership, "can_spare", _always(True)),),
     ),
-    Mutant("leads by a vote that came too late", "walk", 98, ViewChanges, "_chosen", _leads_by_a_late_vote),
-    Mutant("ends before the others have agreed", "walk", 0, Departure, "is_over", _ends_without_agreement),
-    Mutant("agrees to the end of a member in sync", "walk", 3, Leadership, "can_spare", _agrees_to_every_end),
 )
--- a/tests/model_checking/test_operator_calls.py
+++ b/tests/model_checking/test_operator_calls.py
@@ -8,23 +8,25 @@
 
 from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.model_checking.errors import InvariantError
+from larchgw.model_checking.mutants import Mutant
 from larchgw.model_checking.operator_calls import main as explore
 from larchgw.model_checking.operator_calls.invariants import InvariantChecker, Sent
-from larchgw.model_checking.operator_calls.mutants import MUTANTS, Mutant
+from larchgw.model_checking.operator_calls.mutants import MUTANTS
+from larchgw.model_checking.operator_calls.runs import play_faults
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_no_run_breaks_what_operators_rely_on(seed: int) -> None:
-    assert explore.play(seed).checks.acknowledged
+    assert play_faults(seed).checks.acknowledged
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_a_mistake_put_in_on_purpose_is_caught(mutant: Mutant) -> None:
-    assert explore.caught(mutant)
+    assert explore.is_caught(mutant)
 
 
 def test_a_run_is_repeated_by_its_seed() -> None:
-    first, second = explore.play(4), explore.play(4)
+    first, second = play_faults(4), play_faults(4)
     assert first.checks.answers == second.checks.answers
     assert first.checks.acknowledged == second.checks.acknowledged
     assert len(first.states) == len(second.states)
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -7,10 +7,12 @@
 import pytest
 
 from larchgw.model_checking.errors import InvariantError
+from larchgw.model_checking.mutants import Mutant, is_caught
 from larchgw.model_checking.replication import main as explore
 from larchgw.model_checking.replication.exhaustive_search import ExhaustiveSearch
 from larchgw.model_checking.replication.invariants import InvariantChecker
-from larchgw.model_checking.replication.mutants import MUTANTS, Mutant
+from larchgw.model_checking.replication.mutants import MUTANTS
+from larchgw.model_checking.replication.runs import play_faults, play_random_walk
 
 
 def test_no_interleaving_of_a_few_steps_breaks_a_property() -> None:
@@ -21,23 +23,23 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_walk_breaks_a_property(seed: int) -> None:
-    assert explore.walk(seed).events > 1000
+    assert play_random_walk(seed).events > 1000
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_course_of_faults_breaks_a_property_and_everything_recovers(seed: int) -> None:
-    cluster = explore.course(seed)
+    cluster = play_faults(seed)
     assert cluster.acknowledged and cluster.confirmed
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_a_mistake_put_in_on_purpose_is_caught(mutant: Mutant) -> None:
-    explore.run(mutant.by, mutant.seed)  # nothing breaks without the mistake
-    assert explore.caught(mutant)
+    mutant.play(mutant.seed)  # nothing breaks without the mistake
+    assert is_caught(mutant)
 
 
 def test_a_run_is_repeated_by_its_seed() -> None:
-    first, second = explore.course(5), explore.course(5)
+    first, second = play_faults(5), play_faults(5)
     assert first.events == second.events
     assert (first.acknowledged, first.states) == (second.acknowledged, second.states)
 
