--- a/larchgw/edge/context.py
+++ b/larchgw/edge/context.py
@@ -10,12 +10,12 @@
 
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
-from ..routing.interface import Budget, RequestTraits, Selection
+from ..routing.interface import Budget, ModelKey, RequestTraits, Selection
 from ..runner_directory.runner_record import RunnerRecord
 from .counters import EdgeCounters
 from .runner_pool import RunnerPool
 
-FRUITLESS = 4  # of the requests asked anew once an attempt has ended: after so many that wait on, no more
+MAX_FRUITLESS = 4  # once an attempt has ended, requests are decided anew until so many go on waiting
 
 
 class Waiting(Protocol):
@@ -23,8 +23,8 @@
 
     traits: RequestTraits
 
-    def ask(self) -> bool:
-        """Asks anew where it goes. Returns whether it waits no more."""
+    def decide(self) -> bool:
+        """Has the selection decide anew. Returns whether it waits no more."""
 
 
 @dataclass(slots=True)
@@ -42,10 +42,11 @@
     dispatchers: Callable[[], int]
     on_wanted: Callable[[str, str, str], None]
     closed: Callable[[object], None]  # told of each request that has ended
-    waiting: WaitingRoom = field(init=False)
+    waiting: WaitingRequests = field(init=False)
 
     def __post_init__(self) -> None:
-        self.waiting = WaitingRoom(self.loop, self._holds)
+        """Makes the collection of waiting requests, which needs the other parts."""
+        self.waiting = WaitingRequests(self.loop, self._holds)
 
     def now(self) -> float:
         """The time, in seconds."""
@@ -56,13 +57,14 @@
         return record is not None and (not traits.model or record.holds(traits.model, traits.adapter))
 
 
-class WaitingRoom:
-    """Requests that wait, asked anew in the order of their rank and then of their coming.
+class WaitingRequests:
+    """Requests that wait for a runner, decided anew in the order of their rank and then of their arrival.
 
-    All news of one turn of the loop are answered together.
+    All changes of one turn of the loop are handled together.
     """
 
     def __init__(self, loop: EventLoop, holds: Callable[[str, RequestTraits], bool]) -> None:
+        """Begins empty; `holds(runner, traits)` tells whether the runner could serve the request."""
         self._loop, self._holds = loop, holds
         self._requests: dict[Waiting, None] = {}
         self._freed: set[str] = set()  # runners at which an attempt has ended
@@ -70,6 +72,7 @@
         self._due: Deadline | None = None
 
     def __len__(self) -> int:
+        """How many wait."""
         return len(self._requests)
 
     def add(self, request: Waiting) -> None:
@@ -81,30 +84,30 @@
         self._requests.pop(request, None)
 
     def runner_freed(self, runner: str) -> None:
-        """An attempt has ended there: those that it could serve are asked soon."""
+        """An attempt has ended there: requests that the runner could serve are decided anew soon."""
         if self._requests:
             self._freed.add(runner)
             self._schedule()
 
     def all_changed(self) -> None:
-        """Runners, what they hold or the configuration changed: all are asked soon."""
+        """Runners, what they hold or the configuration changed: all requests are decided anew soon."""
         if self._requests:
             self._all = True
             self._schedule()
 
-    def by_key(self) -> Counter[tuple[str, str, str]]:
-        """How many wait, by service, model and adapter."""
+    def by_key(self) -> Counter[ModelKey]:
+        """Returns how many wait for each key."""
         return Counter(request.traits.key for request in self._requests)
 
     def traits(self) -> list[RequestTraits]:
-        """Of all that wait."""
+        """Returns the traits of all that wait."""
         return [request.traits for request in self._requests]
 
     def _schedule(self) -> None:
         if self._due is None:
-            self._due = self._loop.deadlines.add(self._loop.clock.now(), self._ask)
+            self._due = self._loop.deadlines.add(self._loop.clock.now(), self._decide_due)
 
-    def _ask(self) -> None:
+    def _decide_due(self) -> None:
         freed, everyone = self._freed, self._all
         self._due, self._freed, self._all = None, set(), False
         fruitless = 0
@@ -113,7 +116,7 @@
                 continue
             if not everyone and not any(self._holds(runner, request.traits) for runner in freed):
                 continue
-            if not request.ask():
+            if not request.decide():
                 fruitless += 1
-                if not everyone and fruitless >= FRUITLESS:
+                if not everyone and fruitless >= MAX_FRUITLESS:
                     return
--- a/larchgw/edge/counters.py
+++ b/larchgw/edge/counters.py
@@ -9,6 +9,7 @@
     """One set of counters in the given registry."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
+        """Registers the metrics."""
         self.requests = Counter(
             "larchgw_edge_requests", "Requests that came, by kind of route", ["kind"], registry=registry
         )
--- a/larchgw/edge/demand.py
+++ b/larchgw/edge/demand.py
@@ -5,38 +5,46 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-from ..routing.interface import RequestTraits
+from ..routing.interface import ModelKey, RequestTraits
 from ..rpc.generated.ttypes import ModelDemand
 
-Key = tuple[str, str, str]
-MOST_LINES = 100  # of a report, as far as that can be kept: from there on only what the placer needs most
+MAX_LINES = 100  # of a report, where that can be kept: beyond it adapters nobody asked for are summed up
 
 
-class DemandTally:
-    """Arrivals since the last report."""
+class DemandCounter:
+    """Counts arrivals since the last demand report."""
 
     def __init__(self) -> None:
-        self._arrivals: Counter[Key] = Counter()
-        self._worth: dict[Key, float] = {}
+        """Begins with nothing counted."""
+        self._arrivals: Counter[ModelKey] = Counter()
+        self._values: dict[ModelKey, float] = {}
 
     def arrived(self, traits: RequestTraits) -> None:
-        """A request for a model has come. One of rank 0 is worth 1, of rank 1 a half, of rank 2 a third."""
+        """A request for a model has come, of value 1 for rank 0, a half for rank 1, a third for rank 2."""
         self._arrivals[traits.key] += 1
-        self._worth[traits.key] = self._worth.get(traits.key, 0.0) + 1.0 / (1 + max(traits.route.rank, 0))
+        self._values[traits.key] = self._values.get(traits.key, 0.0) + 1.0 / (1 + max(traits.route.rank, 0))
 
-    def take(
-        self, now: float, waiting: Iterable[RequestTraits], at_runners: Mapping[Key, int]
+    def collect(
+        self, now: float, waiting: Iterable[RequestTraits], at_runners: Mapping[ModelKey, int]
     ) -> list[ModelDemand]:
-        """The report; counts anew from here on."""
-        waits: Counter[Key] = Counter()
-        urgency: dict[Key, float] = {}
+        """Returns the lines of a report, and counts anew from here on.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            waiting: Requests that wait for a runner.
+            at_runners: Requests at runners, by key.
+        """
+        waits: Counter[ModelKey] = Counter()
+        urgency: dict[ModelKey, float] = {}
         for traits in waiting:
             waits[traits.key] += 1
             left = traits.deadline_at - now
             urgency[traits.key] = min(urgency.get(traits.key, left), left)
-        arrivals, worth = self._arrivals, self._worth
-        self._arrivals, self._worth = Counter(), {}
-        running = at_runners if len(at_runners) <= MOST_LINES else _folded(at_runners, {*arrivals, *waits})
+        arrivals, values = self._arrivals, self._values
+        self._arrivals, self._values = Counter(), {}
+        running = (
+            at_runners if len(at_runners) <= MAX_LINES else _merge_adapters(at_runners, {*arrivals, *waits})
+        )
         return [
             ModelDemand(
                 service_name=key[0],
@@ -46,16 +54,16 @@
                 waiting=waits[key],
                 in_flight=running.get(key, 0),
                 urgency_ms=max(int(1000 * urgency[key]), 1) if key in urgency else 0,
-                worth=worth.get(key, 0.0),
+                worth=values.get(key, 0.0),
             )
             for key in sorted({*arrivals, *waits, *running})
             if key[1]
         ]
 
 
-def _folded(running: Mapping[Key, int], asked: set[Key]) -> dict[Key, int]:
-    """What runs, by model alone for the adapters that nobody asked for since the last report."""
-    folded: Counter[Key] = Counter()
+def _merge_adapters(running: Mapping[ModelKey, int], requested: set[ModelKey]) -> dict[ModelKey, int]:
+    """Sums up what runs by model alone, for the adapters that nobody asked for since the last report."""
+    merged: Counter[ModelKey] = Counter()
     for key, count in running.items():
-        folded[key if key in asked else (key[0], key[1], "")] += count
-    return folded
+        merged[key if key in requested else (key[0], key[1], "")] += count
+    return merged
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -1,4 +1,4 @@
-"""Tells the placer what this dispatcher is asked for, and at once when a request waits for a model."""
+"""Reports demand to the placer, and at once when a request waits for a model that no runner holds."""
 
 from __future__ import annotations
 
@@ -16,29 +16,30 @@
 
 log = structlog.get_logger()
 INTERVAL_S = 0.5  # between reports; demand changes within seconds
-# That all dispatchers together send to the one placer: each takes it some milliseconds, and many dispatchers
-# show a change of demand together as soon as few do that report more often.
-MOST_REPORTS_PER_S = 100.0
-MOST_LINES_PER_S = 150.0  # of one dispatcher, about 80 bytes each: 12 of the 15 KB/s that control may take
+# Of all dispatchers to the one placer: each report takes it some milliseconds, and many dispatchers show a
+# change of demand together as soon as few do that report more often.
+MAX_REPORTS_PER_S = 100.0
+MAX_LINES_PER_S = 150.0  # of one dispatcher, about 80 bytes each: 12 of the 15 KB/s that control may take
 JITTER = 0.1  # of the interval: dispatchers that started together do not report together
 URGENT_INTERVAL_S = 0.02  # at least so long between two reports that something waits
 TIMEOUT_S = 0.5
 
 
 def report_interval_s(dispatchers: int, waits: bool, lines: int = 0) -> float:
-    """Seconds from a report of so many lines to the next. Where something waited, that it no longer does is
-    told soon.
+    """Seconds from a report to the next.
+
+    Args:
+        dispatchers: How many report to the placer.
+        waits: Whether the report had a request that waits; that it no longer does is reported soon.
+        lines: Lines of the report.
     """
     if waits:
         return INTERVAL_S
-    return max(INTERVAL_S, dispatchers / MOST_REPORTS_PER_S, lines / MOST_LINES_PER_S)
+    return max(INTERVAL_S, dispatchers / MAX_REPORTS_PER_S, lines / MAX_LINES_PER_S)
 
 
 class DemandReporter:
-    """Sends what `demand` gives to the process that the registry names as placer.
-
-    `dispatchers` tells how many share that placer.
-    """
+    """Sends demand reports to the process that the registry names as placer."""
 
     def __init__(
         self,
@@ -49,13 +50,23 @@
         dispatchers: Callable[[], int],
         random_source: Random,
     ) -> None:
+        """Begins without a report sent; `run` sends them.
+
+        Args:
+            node_name: This process's name, for the report.
+            registry: Names the placer.
+            clients: Clients of control processes.
+            demand: Gives the lines of the next report.
+            dispatchers: How many report to the placer.
+            random_source: Spreads reports of dispatchers that started together.
+        """
         self._node_name, self._registry, self._clients, self._demand = node_name, registry, clients, demand
         self._dispatchers, self._random_source = dispatchers, random_source
         self._urgent = asyncio.Event()
         self._waits, self._lines = False, 0  # of the last report: whether something waits, and its lines
 
-    def wanted(self) -> None:
-        """A request waits for a model that nobody holds: report now."""
+    def report_now(self) -> None:
+        """A request waits for a model that no runner holds."""
         self._urgent.set()
 
     async def run(self) -> None:
--- a/larchgw/edge/expected_loads.py
+++ b/larchgw/edge/expected_loads.py
@@ -1,4 +1,4 @@
-"""When ordered loads are expected to be done, as the placer tells it."""
+"""When ordered loads of models are expected to be done, as the placer publishes it."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 STALE_AFTER_S = 10.0  # a load that was to be done so long ago is no longer expected
 
 
-class Expectations:
-    """Runner -> model or "model/adapter" -> time on this process's monotonic clock."""
+class ExpectedLoads:
+    """By runner: model or "model/adapter" -> when its load is done, on this process's monotonic clock."""
 
     def __init__(self, registry: Registry, clock: Callable[[], float] = time.monotonic) -> None:
+        """Reads the registry's entries and follows their updates."""
         self._clock = clock
         self._by_runner: dict[str, dict[str, float]] = {}
         for entry in registry.items(EXPECTED_LOADS_PREFIX):
-            self._learn(entry)
-        registry.watch(EXPECTED_LOADS_PREFIX, self._learn)
+            self._update(entry)
+        registry.watch(EXPECTED_LOADS_PREFIX, self._update)
 
     def expected(self, model: str, adapter: str) -> dict[str, float]:
         """Runner -> when it is expected to hold the model and the adapter, if one is named."""
@@ -30,7 +31,7 @@
         found = {runner: names[name] for runner, names in self._by_runner.items() if name in names}
         return {runner: at for runner, at in found.items() if at > oldest}
 
-    def _learn(self, entry: Entry) -> None:
+    def _update(self, entry: Entry) -> None:
         runner = entry.key.removeprefix(EXPECTED_LOADS_PREFIX)
         now = self._clock()
         # Below 0 it is being unloaded: nothing to wait for.
--- a/larchgw/edge/keep_alive_limit.py
+++ b/larchgw/edge/keep_alive_limit.py
@@ -1,51 +1,58 @@
-"""How long a kept connection to a service's runners may have stood idle and still be used."""
+"""How long a kept connection to a service's runners may have been idle and still be used again.
+
+Source: RFC 9112, section 9.3 (persistence); a runner may close an idle connection at the moment of its next
+request.
+"""
 
 from __future__ import annotations
 
-KEEP_S = 10.0  # where the runners don't tell and nothing is known
-KEEP_SHARE = 0.8  # of the time after which runners close them: we close before they do
-ONCE_SHARE = 0.4  # the same for requests that may not run twice: one that meets a dead connection is lost
-DISTRUST = 0.5  # share of its standing time that is still trusted when a kept connection proves dead
-LEAST_S = 0.5  # that is always trusted: runners that crash close connections of any age
-REGAIN_S = 5.0  # in which the trusted time doubles again
+DEFAULT_IDLE_LIMIT_S = 10.0  # where runners advertise none and nothing is known
+USABLE_SHARE = 0.8  # of the time after which runners close connections: this side closes them before
+NON_IDEMPOTENT_SHARE = 0.4  # the same for a request that may not run twice: on a closed connection it is lost
+STALE_SHARE = 0.5  # of a connection's idle time that still counts as safe once it proved closed
+MIN_LEARNED_S = 0.5  # always counts as safe: runners that crash close connections of any age
+RECOVERY_S = 5.0  # in which the learned limit doubles again
 
 
-class KeepTime:
-    """Learned from `Keep-Alive` headers and from connections that runners closed. Times are seconds.
+class KeepAliveLimit:
+    """The idle limit of one service's connections. All times are seconds.
 
-    A runner that closes idle connections within a second tells no time, since it tells whole seconds.
+    It is advertised by runners in `Keep-Alive` headers, and learned from connections that they closed. A
+    runner that closes idle connections within a second advertises nothing, since the header has whole
+    seconds.
     """
 
     def __init__(self) -> None:
-        self._told: float | None = None
-        self._trusted, self._trusted_at = float("inf"), 0.0
+        """Begins with nothing advertised and nothing learned."""
+        self._advertised_s: float | None = None
+        self._learned_s, self._learned_at = float("inf"), 0.0
 
-    def told(self, seconds: float) -> None:
-        """A runner says after how long it closes idle connections."""
+    def observe_advertised(self, seconds: float) -> None:
+        """A runner advertised after how long it closes idle connections."""
         if seconds > 0:
-            self._told = seconds
+            self._advertised_s = seconds
 
-    def closed_idle(self, now: float, stood: float) -> None:
-        """A runner closed a connection that had stood so long."""
-        if self._told is None:
-            self._trust(now, stood)
+    def observe_idle_close(self, now: float, idle_s: float) -> None:
+        """A runner closed a connection that had been idle so long."""
+        if self._advertised_s is None:
+            self._learn(now, idle_s)
 
-    def proved_dead(self, now: float, stood: float) -> None:
-        """A connection that had stood so long was dead when it was used, and nobody had told us."""
-        self._trust(now, DISTRUST * stood)
+    def observe_stale(self, now: float, idle_s: float) -> None:
+        """A connection that had been idle so long was closed when it was used, and its end had not come."""
+        self._learn(now, STALE_SHARE * idle_s)
 
-    def limit(self, now: float, once: bool = False) -> float:
-        """The longest time to have stood. `once`: for a request that may not run twice."""
-        return self._known(now) * (ONCE_SHARE if once else KEEP_SHARE)
+    def limit_s(self, now: float, idempotent: bool = True) -> float:
+        """The longest idle time at which a connection may be used; shorter for non-idempotent requests."""
+        return self._runner_limit_s(now) * (USABLE_SHARE if idempotent else NON_IDEMPOTENT_SHARE)
 
-    def _known(self, now: float) -> float:
+    def _runner_limit_s(self, now: float) -> float:
         """After how long runners close idle connections, as far as is known."""
-        told = self._told if self._told is not None else KEEP_S
-        if self._trusted == float("inf"):
-            return told
-        regained: float = 2.0 ** min((now - self._trusted_at) / REGAIN_S, 64.0)
-        return min(told, self._trusted * regained)
-
-    def _trust(self, now: float, seconds: float) -> None:
-        if seconds < self._known(now):
-            self._trusted, self._trusted_at = max(seconds, LEAST_S), now
+        advertised_s = self._advertised_s if self._advertised_s is not None else DEFAULT_IDLE_LIMIT_S
+        if self._learned_s == float("inf"):
+            return advertised_s
+        recovered: float = 2.0 ** min((now - self._learned_at) / RECOVERY_S, 64.0)
+        return min(advertised_s, self._learned_s * recovered)
+
+    def _learn(self, now: float, seconds: float) -> None:
+        if seconds < self._runner_limit_s(now):
+            self._learned_s, self._learned_at = max(seconds, MIN_LEARNED_S), now
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -36,13 +36,13 @@
 from ..runtime.rpc_clients import RpcClients
 from . import readiness
 from .demand_reports import DemandReporter
-from .expected_loads import Expectations
+from .expected_loads import ExpectedLoads
 from .proxy import Proxy
 from .status import EdgeStatus
 
 log = structlog.get_logger()
 FORGET_EVERY_S = 30.0
-NOTICE_S = 2.2  # for the platform to see that we are not ready: it asks each second and counts to two
+NOTICE_S = 2.2  # for the platform to see that the edge is not ready: it asks each second and counts to two
 LAST_WRITES_S = 0.1  # for the last answers to be written
 GRACE_MARGIN_S = 0.7  # of the time until SIGKILL that is kept for the end itself
 
@@ -51,6 +51,7 @@
     """One dispatcher."""
 
     def __init__(self, settings: NodeSettings) -> None:
+        """Makes the parts that need no loop; `start` makes the others."""
         self.settings = settings
         random_source = new_random_source(settings.node_name)
         self.registry = Registry(new_origin(settings.node_name, random_source))
@@ -77,7 +78,7 @@
         """Listens and begins its work. Raises OSError."""
         settings = self.settings
         self.net = AsyncLoop(asyncio.get_running_loop())
-        self.expectations = Expectations(self.registry, self.net.clock.now)
+        self.expected_loads = ExpectedLoads(self.registry, self.net.clock.now)
         self.budget = RetryBudget(settings.time_limits, self._random_source)
         self.proxy = Proxy(self.net, settings, self.selector, self.budget, self._random_source)
         self.proxy.runners = self.view.by_service
@@ -91,7 +92,7 @@
             self._dispatchers,
             self._random_source,
         )
-        self.proxy.on_wanted = lambda service, model, adapter: self.demand.wanted()
+        self.proxy.on_wanted = lambda service, model, adapter: self.demand.report_now()
         self.registry.watch(CONFIGURATION_KEY, self._configure)
         self.view.watch(lambda record: self.proxy.runners_changed())
         self.proxy.listen(settings.listen.front)
@@ -159,7 +160,7 @@
 
     def _expected(self, service: str, model: str, adapter: str) -> Mapping[str, float]:
         known: Mapping[str, RunnerRecord] = self.view.by_service(service)
-        found = self.expectations.expected(model, adapter)
+        found = self.expected_loads.expected(model, adapter)
         return {runner: at for runner, at in found.items() if runner in known}
 
     def _status(self) -> EdgeStatus:
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -23,21 +23,21 @@
 from . import request_head
 from .context import ProxyContext
 from .counters import EdgeCounters
-from .demand import DemandTally
-from .errors import BadRequest
-from .request import ProxyExchange
+from .demand import DemandCounter
+from .errors import BadRequestError
+from .request import ProxiedRequest
 from .runner_pool import RunnerPool
 
-FILES_KEPT = 200  # descriptors for files outside the sockets
+RESERVED_FILES = 200  # descriptors for files outside the sockets
 CLIENT_SHARE = 0.6  # of the descriptors, for clients; runners, rpc and readiness have the rest
 BODY_SHARE = 0.25  # of the memory, for bodies of requests that are still being read
 UNCONFIGURED_RETRY_S = 0.5
 # Before a configuration is known a request is read to its end and then told to come back, whatever the limits
 # will be: a 4xx would refuse for good what the configuration allows. Bodies share bounded memory then too.
 UNCONFIGURED = Limits(header_bytes=1 << 18, body_bytes=1 << 28, header_ms=10_000.0)
-DRAIN_LOOK_S = 0.05  # between two looks whether all has been answered and written
-SLOW_PIECE_S = 2.0  # for the next piece of a body, once the time for a head is over ...
-SLOW_BODY_S = 30.0  # ... up to this, for the largest bodies on slow links
+DRAIN_POLL_S = 0.05  # between two checks whether all has been answered and written
+SLOW_CHUNK_S = 2.0  # for the next chunk of a body, once the time for a head is over
+SLOW_BODY_S = 30.0  # for a whole body: the largest ones on slow links
 log = structlog.get_logger()
 
 
@@ -59,6 +59,15 @@
         budget: Budget,
         rng: random.Random,
     ) -> None:
+        """Wires the parts; `configure` and `listen` follow.
+
+        Args:
+            loop: The loop of all connections.
+            settings: Of this process: its limits.
+            selection: Chooses runners.
+            budget: Bounds retries.
+            rng: Spreads Retry-After.
+        """
         self.loop, self._settings = loop, settings
         self.net_counters = Counters()
         self.counters = EdgeCounters(self.net_counters.registry)
@@ -82,13 +91,13 @@
         )
         self._configuration: Configuration | None = None
         self._routes: RouteTable | None = None
-        self._open: set[ProxyExchange] = set()
-        self._demand = DemandTally()
+        self._open: set[ProxiedRequest] = set()
+        self._demand = DemandCounter()
         self._numbers = 0
         self._server: HttpServer | None = None
         self._drained: Callable[[], None] | None = None
-        self._look: Deadline | None = None
-        self._news: Deadline | None = None
+        self._drain_timer: Deadline | None = None
+        self._change_timer: Deadline | None = None
 
     # Control
 
@@ -101,15 +110,15 @@
         self._context.waiting.all_changed()
 
     def runners_changed(self) -> None:
-        """The runners, what they hold or what is expected there changed: waiting requests are asked anew.
+        """The runners, what they hold or what is expected there changed: waiting requests are decided anew.
 
         All changes of one turn of the loop are applied together.
         """
-        if self._news is None:
-            self._news = self.loop.deadlines.add(self.loop.clock.now(), self._apply_runners)
+        if self._change_timer is None:
+            self._change_timer = self.loop.deadlines.add(self.loop.clock.now(), self._apply_runners)
 
     def _apply_runners(self) -> None:
-        self._news = None
+        self._change_timer = None
         if self._configuration is not None:
             runners: dict[str, RunnerRecord] = {}
             for service in self._configuration.services:
@@ -119,7 +128,7 @@
 
     def listen(self, address: str) -> tuple[str, int]:
         """Takes clients at this "host:port". Returns where. Raises OSError and ValueError."""
-        files = self._settings.limits.open_files - FILES_KEPT
+        files = self._settings.limits.open_files - RESERVED_FILES
         limits = _server_limits(self._configuration.limits if self._configuration else UNCONFIGURED)
         self._server = HttpServer(
             self.loop,
@@ -154,7 +163,7 @@
 
     def close(self) -> None:
         """Closes every connection, whatever it carries."""
-        self.loop.deadlines.drop(self._look)
+        self.loop.deadlines.drop(self._drain_timer)
         for request in list(self._open):
             request.client_gone()
         self._pool.close()
@@ -175,12 +184,12 @@
     def demand(self) -> list[ModelDemand]:
         """What was asked for by model and adapter since the last call, and what waits and runs now."""
         at_runners = Counter(request.traits.key for request in self._open if request.at_runner)
-        return self._demand.take(self.loop.clock.now(), self._context.waiting.traits(), at_runners)
+        return self._demand.collect(self.loop.clock.now(), self._context.waiting.traits(), at_runners)
 
     # From clients
 
     def on_exchange(self, exchange: Exchange) -> None:
-        """A request has come in whole."""
+        """A complete request has come."""
         if exchange.old:
             self._own_answer(exchange, 505, "use HTTP/1.1")
             return
@@ -190,7 +199,7 @@
         try:
             name = request_head.attempt_id(exchange.headers)
             request_head.check_single(exchange.fields)
-        except BadRequest as error:
+        except BadRequestError as error:
             self._own_answer(exchange, 400, str(error))
             return
         host = exchange.headers.get(b"host", b"").decode("latin-1")
@@ -202,7 +211,7 @@
 
     def on_client_gone(self, exchange: Exchange) -> None:
         """Its client left before the answer."""
-        if isinstance(exchange.extra, ProxyExchange):
+        if isinstance(exchange.extra, ProxiedRequest):
             exchange.extra.client_gone()
 
     # Inside
@@ -213,10 +222,10 @@
         self._context.budget.record_request(traits.arrived_at, traits.service)
         if traits.model:
             self._demand.arrived(traits)
-        request = exchange.extra = ProxyExchange(self._context, exchange, traits, name)
+        request = exchange.extra = ProxiedRequest(self._context, exchange, traits, name)
         self._open.add(request)
         self.counters.open.set(len(self._open))
-        request.ask()
+        request.decide()
 
     def _traits(self, exchange: Exchange, route: Route, name: bytes) -> RequestTraits:
         self._numbers += 1
@@ -249,7 +258,7 @@
         exchange.reply(status, reason.encode() + b"\n", headers)
 
     def _closed(self, request: object) -> None:
-        assert isinstance(request, ProxyExchange)
+        assert isinstance(request, ProxiedRequest)
         self._open.discard(request)
         self.counters.open.set(len(self._open))
 
@@ -260,25 +269,27 @@
         return max(described.max_conns // max(self.dispatchers(), 1), 1)
 
     def _check_drained(self) -> None:
-        self._look = None
+        self._drain_timer = None
         if self._drained is None:
             return
         server = self._server
         if server is not None:
             server.close_idle()
         if self._open or (server is not None and (server.links or server.lingering)):
-            self._look = self.loop.deadlines.add(self.loop.clock.now() + DRAIN_LOOK_S, self._check_drained)
+            self._drain_timer = self.loop.deadlines.add(
+                self.loop.clock.now() + DRAIN_POLL_S, self._check_drained
+            )
             return
         done, self._drained = self._drained, None
         done()
 
 
-def split_service(route: Route, name: bytes) -> str:
-    """The service of the try with this id: always the same; over many ids in proportion to the weights."""
+def split_service(route: Route, attempt_id: bytes) -> str:
+    """Returns the service for this id: always the same, and over many ids in proportion to the weights."""
     shares = [share for share in route.split() if share.weight > 0]
     if len(shares) == 1:
         return shares[0].service
-    point = zlib.crc32(name) / 2**32 * sum(share.weight for share in shares)
+    point = zlib.crc32(attempt_id) / 2**32 * sum(share.weight for share in shares)
     for share in shares:
         point -= share.weight
         if point < 0:
@@ -293,7 +304,7 @@
         body_bytes=limits.body_bytes,
         first_s=idle_s,
         message_s=head_s,
-        silence_s=max(SLOW_PIECE_S, head_s),
+        silence_s=max(SLOW_CHUNK_S, head_s),
         message_most_s=max(SLOW_BODY_S, head_s),
         idle_s=idle_s,
     )
--- a/larchgw/edge/relay.py
+++ b/larchgw/edge/relay.py
@@ -1,4 +1,4 @@
-"""Passes one runner's answer on to the client: as a whole where it is short, else as it comes."""
+"""Passes one runner's answer on to the client: buffered where it is short, else as it comes."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from ..net.heads import Fields, end_to_end, phrase
 from ..net.http_server import Exchange
-from .runner_link import AnswerHead
+from .answer_parser import AnswerHead
 
-HELD_BYTES = 65536  # a shorter answer is passed on once it is whole: until then it can be fetched anew
+BUFFERED_BYTES = 65536  # a shorter answer is passed on once it is complete: until then it can be retried
 
 
 class Relay(Protocol):
-    """Fed with one answer after the other until one is whole."""
+    """Takes one answer after the other until one is complete."""
 
     started: bool  # whether the client has got any byte
 
@@ -20,13 +20,18 @@
         """Bytes of the body. Returns how many have been passed on."""
 
     def complete(self) -> None:
-        """The answer is whole."""
+        """The answer is complete."""
 
 
-class WholeRelay:
-    """An answer that is no stream of events."""
+class BufferedRelay:
+    """An answer that is no stream of events.
+
+    Attributes:
+        started: Whether the client has got any byte.
+    """
 
     def __init__(self, exchange: Exchange, head: AnswerHead) -> None:
+        """Begins an answer with this head for the client of `exchange`."""
         self._exchange, self._head = exchange, head
         self._body = bytearray()
         self.started = False
@@ -37,13 +42,13 @@
             self._exchange.send(data)
             return len(data)
         self._body += data
-        if len(self._body) <= HELD_BYTES:
+        if len(self._body) <= BUFFERED_BYTES:
             return 0
         self._start(self._head.length)
         return len(self._body)
 
     def complete(self) -> None:
-        """The answer is whole."""
+        """The answer is complete."""
         if not self.started:
             bodyless = self._exchange.method == b"HEAD"
             self._start(self._head.length if bodyless else len(self._body))
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -1,4 +1,8 @@
-"""One client's request from its coming to its final answer: where it is sent, how often, what is answered."""
+"""One client's request from its arrival to its final answer: where it is sent, how often, what is answered.
+
+It is *waiting* for a runner, *at a runner*, or *finished*. `decide` takes it from waiting to a runner or to a
+rejection; the end of an attempt takes it back to a decision, or to the final answer.
+"""
 
 from __future__ import annotations
 
@@ -11,49 +15,60 @@
 from ..net.timers import Deadline
 from ..routing.interface import Attempt, AttemptOutcome, Reject, RequestTraits, Send, Wait
 from ..runner_directory.runner_record import RunnerRecord, Stage
-from .answers import Verdict, judge, runner_load
+from .answer_parser import AnswerHead
+from .answers import Verdict, classify, reported_load
 from .context import ProxyContext
-from .events import EventTooLong
+from .errors import EventTooLongError, StreamMismatchError
 from .forwarding import request_bytes
-from .relay import WholeRelay
-from .runner_link import AnswerHead, RunnerLink
-from .stream_relay import StreamMismatch, StreamRelay
-from .stream_timeout import SilenceWatch, silence_limit
+from .relay import BufferedRelay
+from .runner_connection import RunnerConnection
+from .stream_relay import StreamRelay
+from .stream_timeout import StreamTimeout, stream_timeout_s
 from .trace import RequestTrace
 
-DEADLINE_MARGIN_S = 0.02  # before the client gives up: our answer has to reach it
-EXTRA_SENDS = 3  # beyond the route's tries, for sends that certainly never ran
-LEAST_RETRY_AFTER_S = 0.05
-LEAST_WAIT_S = 0.005  # between two questions of one request without news
-RETRY_AFTER_S = 0.25  # where the decision names no time
+DEADLINE_MARGIN_S = 0.02  # before the client gives up: the answer has to reach it
+EXTRA_ATTEMPTS = 3  # beyond the route's `tries`, for attempts that certainly never ran
+MIN_RETRY_AFTER_S = 0.05
+MIN_WAIT_S = 0.005  # between two decisions on a request without a change
+DEFAULT_RETRY_AFTER_S = 0.25  # where the decision names no time
 RETRY_AFTER_SHARE = 1 / 3  # of the time left: clients honour no more
-RETRY_SPREAD = 0.2  # of the time told, by which it is lengthened at random: not all come back at once
-HIGH_WATER = 256 * 1024  # unsent bytes to a client at which its runner's answer is read no further
+RETRY_AFTER_JITTER = 0.2  # of the time, by which it is lengthened at random: not all come back at once
+HIGH_WATER_BYTES = 256 * 1024  # unsent bytes to a client at which its runner's answer is read no further
 log = structlog.get_logger()
 
 
-class ProxyExchange:
-    """Carries one request. Every one ends in exactly one of `_reply`, `_cut`, `_done` and `client_gone`."""
+class ProxiedRequest:
+    """Carries one request to its end.
+
+    Every request ends in exactly one of `_reply`, `_truncate`, a complete answer of a runner, and
+    `client_gone`.
+
+    Attributes:
+        name: The request's `X-Attempt-Id`.
+        traits: What the selection knows of it.
+    """
 
     def __init__(self, context: ProxyContext, exchange: Exchange, traits: RequestTraits, name: bytes) -> None:
+        """Sets the timer of its deadline; `decide` begins."""
         self.name, self.traits = name, traits
         self._context, self._exchange = context, exchange
         self._tried: list[str] = []
-        self._sends = self._arrivals = self._runs = 0
-        self._over = self._asking = self._wanted = False
+        # Attempts made; those of which bytes reached a runner; those that may have run.
+        self._attempts = self._arrivals = self._runs = 0
+        self._is_finished = self._is_deciding = self._demand_reported = False
         self._attempt: Attempt | None = None
         self._send: Send | None = None
-        self._link: RunnerLink | None = None
+        self._connection: RunnerConnection | None = None
         self._verdict: AttemptOutcome | None = None  # of an answer that is not passed on
         self._head: AnswerHead | None = None
-        self._relay: WholeRelay | None = None
+        self._relay: BufferedRelay | None = None
         self._stream: StreamRelay | None = None
         self._streaming = False  # whether the present answer goes to `_stream`
-        self._wake: Deadline | None = None
+        self._wait_timer: Deadline | None = None
         self._trace = RequestTrace.of(traits, name)
-        self._silence: SilenceWatch | None = None
-        self._deadline = context.loop.deadlines.add(
-            max(traits.deadline_at - DEADLINE_MARGIN_S, traits.arrived_at), self._expired
+        self._stream_timeout: StreamTimeout | None = None
+        self._deadline_timer = context.loop.deadlines.add(
+            max(traits.deadline_at - DEADLINE_MARGIN_S, traits.arrived_at), self._on_deadline
         )
 
     @property
@@ -68,35 +83,35 @@
             self._relay is not None and self._relay.started
         )
 
-    # Where it goes
+    # Decisions
 
-    def ask(self) -> bool:
-        """Asks the selection where it goes, and does it. Returns whether it waits no more."""
-        if self._over or self._attempt is not None or self._asking:
+    def decide(self) -> bool:
+        """Asks the selection where it goes, and sends or rejects it. Returns whether it waits no more."""
+        if self._is_finished or self._attempt is not None or self._is_deciding:
             return True
-        self._asking = True
+        self._is_deciding = True
         try:
-            return self._ask()
+            return self._decide()
         finally:
-            self._asking = False
+            self._is_deciding = False
 
-    def _ask(self) -> bool:
-        """Sends that fail at once lead to the next question."""
+    def _decide(self) -> bool:
+        """Attempts that fail at once lead to the next decision."""
         context, traits = self._context, self.traits
-        while not self._over and self._attempt is None:
+        while not self._is_finished and self._attempt is None:
             now = context.now()
             if now >= traits.deadline_at - DEADLINE_MARGIN_S:
-                self._give_up(RETRY_AFTER_S, "deadline", late=True)
+                self._give_up(DEFAULT_RETRY_AFTER_S, "deadline", late=True)
                 return True
             if self._arrivals and not context.budget.may_retry(now, traits.service, context.dispatchers()):
-                self._give_up(RETRY_AFTER_S, "budget")
+                self._give_up(DEFAULT_RETRY_AFTER_S, "budget")
                 return True
             expected = context.expected(traits.service, traits.model, traits.adapter)
             choice = context.selection.choose(now, traits, self._candidates(), tuple(self._tried), expected)
             if isinstance(choice, Wait):
                 self._wait(now, choice)
                 return False
-            self._wait_no_more()
+            self._stop_waiting()
             if isinstance(choice, Reject):
                 self._give_up(choice.retry_after, choice.reason)
             else:
@@ -122,44 +137,46 @@
         if self._trace is not None:
             self._trace.waits(now, choice.reason)
         context.waiting.add(self)
-        context.loop.deadlines.drop(self._wake)
-        self._wake = context.loop.deadlines.add(max(choice.until, now + LEAST_WAIT_S), self._woken)
-        if traits.model and not self._wanted:
+        context.loop.deadlines.drop(self._wait_timer)
+        self._wait_timer = context.loop.deadlines.add(
+            max(choice.until, now + MIN_WAIT_S), self._on_wait_timeout
+        )
+        if traits.model and not self._demand_reported:
             ready = [x for x in context.runners(traits.service).values() if x.stage < Stage.DRAINING]
             if not any(runner.holds(traits.model, traits.adapter) for runner in ready):
-                self._wanted = True
+                self._demand_reported = True
                 context.on_wanted(traits.service, traits.model, traits.adapter)
 
-    def _woken(self) -> None:
-        self._wake = None
-        self.ask()
+    def _on_wait_timeout(self) -> None:
+        self._wait_timer = None
+        self.decide()
 
-    def _wait_no_more(self) -> None:
+    def _stop_waiting(self) -> None:
         self._context.waiting.remove(self)
-        self._context.loop.deadlines.drop(self._wake)
-        self._wake = None
+        self._context.loop.deadlines.drop(self._wait_timer)
+        self._wait_timer = None
 
     def _send_to(self, now: float, choice: Send) -> None:
         context, runner = self._context, choice.runner
-        attempt = Attempt(self.traits, runner.id, self._sends, now)
-        self._sends += 1
+        attempt = Attempt(self.traits, runner.id, self._attempts, now)
+        self._attempts += 1
         if runner.id not in self._tried:
             self._tried.append(runner.id)
         self._attempt, self._send, self._verdict, self._head = attempt, choice, None, None
-        self._heard(now)
+        self._restart_stream_timeout(now)
         context.selection.sent(attempt)
         if self._trace is not None:
             self._trace.sent(now)
         if self._arrivals:
             context.budget.record_retry(now, self.traits.service)
-        link = context.pool.acquire(runner, once=not self.traits.route.idempotent)
-        if link is None:
-            self._ended(AttemptOutcome.UNSENT)
+        connection = context.pool.acquire(runner, idempotent=self.traits.route.idempotent)
+        if connection is None:
+            self._on_attempt_failed(AttemptOutcome.UNSENT)
             return
-        self._link = link
-        link.begin(self, self._exchange.method == b"HEAD")
+        self._connection = connection
+        connection.begin(self, self._exchange.method == b"HEAD")
 
-    # What the connection asks and tells
+    # Events of the connection
 
     def request(self) -> bytes | None:
         """The request's bytes for the present runner; None if it takes none any more."""
@@ -177,17 +194,17 @@
         attempt = self._attempt
         assert attempt is not None
         self._head = head
-        load = runner_load(head)
+        load = reported_load(head)
         if load is not None:
             self._context.selection.observe_load(self._context.now(), attempt.runner, *load)
-        verdict = judge(head)
+        verdict = classify(head)
         self._streaming = verdict is Verdict.EVENTS
         if verdict is Verdict.EVENTS:
             self._stream_begins(head)
         elif self._stream is not None and self._stream.started and verdict is Verdict.ANSWER:
             self._verdict = AttemptOutcome.RUNNER_ERROR  # the client has the head of a stream already
         elif verdict is Verdict.ANSWER:
-            self._relay = WholeRelay(self._exchange, head)
+            self._relay = BufferedRelay(self._exchange, head)
             self._began(attempt)
         elif verdict is Verdict.NO_ANSWER:
             self._break_off(AttemptOutcome.GARBLED)
@@ -199,45 +216,45 @@
             }[verdict]
 
     def on_body(self, data: bytes) -> None:
-        """Bytes of the runner's answer."""
+        """Bytes of the runner's answer have come."""
         if self._verdict is not None:
             return
         if self._streaming:
             self._stream_bytes(data)
         elif self._relay is not None:
             self._relay.feed(data)
-        if self._exchange.unsent > HIGH_WATER and self._link is not None:
-            self._link.pause(True)
+        if self._exchange.unsent > HIGH_WATER_BYTES and self._connection is not None:
+            self._connection.pause(True)
             self._exchange.on_drained = self._drained
 
     def _drained(self) -> None:
         self._exchange.on_drained = None
-        self._heard(self._context.now())
-        if self._link is not None:
-            self._link.pause(False)
+        self._restart_stream_timeout(self._context.now())
+        if self._connection is not None:
+            self._connection.pause(False)
 
     def on_answer_end(self) -> None:
-        """The runner's answer is whole."""
-        self._link = None
+        """The runner's answer is complete."""
+        self._connection = None
         if self._verdict is not None:
-            self._ended(self._verdict)
+            self._on_attempt_failed(self._verdict)
             return
         relay = self._stream if self._streaming else self._relay
         assert relay is not None and self._head is not None
         status = self._head.status
         try:
             relay.complete()
-        except StreamMismatch as error:
-            self._mismatch(error)
+        except StreamMismatchError as error:
+            self._reject_stream(error)
             return
-        self._settle(AttemptOutcome.DONE if status < 500 else AttemptOutcome.RUNNER_ERROR)
+        self._end_attempt(AttemptOutcome.DONE if status < 500 else AttemptOutcome.RUNNER_ERROR)
         self._context.counters.answers.labels(str(status), "runner").inc()
         self._finish()
 
     def on_lost(self, outcome: AttemptOutcome) -> None:
         """There is no (more) answer from the runner."""
-        self._link = None
-        self._ended(self._verdict if self._verdict is not None else outcome)
+        self._connection = None
+        self._on_attempt_failed(self._verdict if self._verdict is not None else outcome)
 
     # Streams
 
@@ -246,22 +263,24 @@
             self._stream = StreamRelay(self._exchange)
         try:
             self._stream.begin(head)
-        except StreamMismatch as error:
-            self._mismatch(error)
+        except StreamMismatchError as error:
+            self._reject_stream(error)
             return
         route = self.traits.route
-        if route.can_resume and self._silence is None:
-            self._silence = SilenceWatch(self._context.loop, silence_limit(route.gap_aim_ms), self._silent)
+        if route.can_resume and self._stream_timeout is None:
+            self._stream_timeout = StreamTimeout(
+                self._context.loop, stream_timeout_s(route.gap_aim_ms), self._on_stream_timeout
+            )
 
     def _stream_bytes(self, data: bytes) -> None:
         stream, attempt = self._stream, self._attempt
         assert stream is not None and attempt is not None
         started, now = stream.started, self._context.now()
-        self._heard(now)
+        self._restart_stream_timeout(now)
         try:
             stream.feed(data)
-        except (StreamMismatch, EventTooLong) as error:
-            self._mismatch(error)
+        except (StreamMismatchError, EventTooLongError) as error:
+            self._reject_stream(error)
             return
         if stream.started and not started:
             self._began(attempt)
@@ -273,40 +292,40 @@
             self._trace.began(now)
         self._context.selection.head(now, attempt)
 
-    def _heard(self, now: float) -> None:
-        if self._silence is not None:
-            self._silence.heard(now)
+    def _restart_stream_timeout(self, now: float) -> None:
+        if self._stream_timeout is not None:
+            self._stream_timeout.observe(now)
 
-    def _mismatch(self, error: Exception) -> None:
+    def _reject_stream(self, error: Exception) -> None:
         log.warning("stream.invalid", error=str(error))
         self._break_off(AttemptOutcome.GARBLED)
 
-    def _silent(self) -> None:
-        """The runner has fallen silent: it is left where the stream may go on elsewhere."""
+    def _on_stream_timeout(self) -> None:
+        """The runner sends nothing: the stream is resumed elsewhere, where it may be."""
         if self._attempt is None or not self.started or self._exchange.on_drained is not None:
             return  # nothing is awaited of a runner's stream now
         now, service = self._context.now(), self.traits.service
         allowed = self._context.budget.may_retry(now, service, self._context.dispatchers())
-        if allowed and self._may_run_again(self._runs + 1) and self._has_elsewhere(now):
+        if allowed and self._may_run_again(self._runs + 1) and self._has_another_runner(now):
             self._break_off(AttemptOutcome.SILENT)
 
-    def _has_elsewhere(self, now: float) -> bool:
-        """Whether another runner would take it now. Without one, silence is no reason to end its answer."""
+    def _has_another_runner(self, now: float) -> bool:
+        """Whether another runner would accept it now; without one, a time-out does not end the answer."""
         traits, attempt = self.traits, self._attempt
         expected = self._context.expected(traits.service, traits.model, traits.adapter)
         choice = self._context.selection.choose(now, traits, self._candidates(), tuple(self._tried), expected)
         return isinstance(choice, Send) and attempt is not None and choice.runner.id != attempt.runner
 
-    # How attempts end
+    # Ends of attempts
 
     def _break_off(self, outcome: AttemptOutcome) -> None:
         """We give the attempt up; `outcome` where it may have run."""
-        link, self._link = self._link, None
-        never_sent = link is not None and link.cancel() is AttemptOutcome.UNSENT
-        self._ended(AttemptOutcome.UNSENT if never_sent else outcome)
+        connection, self._connection = self._connection, None
+        never_sent = connection is not None and connection.cancel() is AttemptOutcome.UNSENT
+        self._on_attempt_failed(AttemptOutcome.UNSENT if never_sent else outcome)
 
-    def _settle(self, outcome: AttemptOutcome) -> None:
-        """Records the end of the attempt."""
+    def _end_attempt(self, outcome: AttemptOutcome) -> None:
+        """Records the end of the attempt under way."""
         attempt, self._attempt = self._attempt, None
         assert attempt is not None
         now = self._context.now()
@@ -320,20 +339,20 @@
             self._runs += 1
         self._context.waiting.runner_freed(attempt.runner)
 
-    def _ended(self, outcome: AttemptOutcome) -> None:
-        """An attempt ended without the answer: it goes elsewhere, or is given up."""
-        self._settle(outcome)
+    def _on_attempt_failed(self, outcome: AttemptOutcome) -> None:
+        """An attempt ended without an answer: the request is retried, or given up."""
+        self._end_attempt(outcome)
         if outcome.never_ran:
-            again = self._sends < self.traits.route.tries + EXTRA_SENDS
+            may_retry = self._attempts < self.traits.route.tries + EXTRA_ATTEMPTS
         else:
-            again = self._may_run_again(self._runs)
-        if again and self.started and not outcome.never_ran:
-            # Its first event has come: being late for that is no reason to turn the rest away.
+            may_retry = self._may_run_again(self._runs)
+        if may_retry and self.started and not outcome.never_ran:
+            # Its first event has come: being late for that is no reason to shed the rest.
             self.traits = replace(self.traits, target_at=self.traits.deadline_at)
             self._context.counters.resumed.inc()
-        if again:
+        if may_retry:
             self._relay = None
-            self.ask()
+            self.decide()
         else:
             self._give_up(self._retry_after(), outcome.name.lower(), outcome is AttemptOutcome.SILENT)
 
@@ -345,38 +364,38 @@
         if not self.started:
             return True
         stream = self._stream
-        return route.can_resume and stream is not None and stream.started and stream.can_go_on
+        return route.can_resume and stream is not None and stream.started and stream.can_resume_elsewhere
 
     def _retry_after(self) -> float:
-        """What the runner that turned it away asks for."""
-        told = self._head.headers.get(b"retry-after", b"") if self._head is not None else b""
+        """Returns the `Retry-After` of the runner that rejected it, in seconds."""
+        value = self._head.headers.get(b"retry-after", b"") if self._head is not None else b""
         try:
-            return max(float(told), LEAST_RETRY_AFTER_S)
+            return max(float(value), MIN_RETRY_AFTER_S)
         except ValueError:
-            return RETRY_AFTER_S
+            return DEFAULT_RETRY_AFTER_S
 
     # The final answer
 
-    def _expired(self) -> None:
+    def _on_deadline(self) -> None:
         """The deadline has come."""
-        if self._over:
+        if self._is_finished:
             return
         if self._attempt is not None:
-            link, self._link = self._link, None
-            sent = link is not None and link.cancel() is not AttemptOutcome.UNSENT
-            self._settle((self._verdict or AttemptOutcome.SILENT) if sent else AttemptOutcome.UNSENT)
-        self._give_up(RETRY_AFTER_S, "deadline", late=True)
+            connection, self._connection = self._connection, None
+            sent = connection is not None and connection.cancel() is not AttemptOutcome.UNSENT
+            self._end_attempt((self._verdict or AttemptOutcome.SILENT) if sent else AttemptOutcome.UNSENT)
+        self._give_up(DEFAULT_RETRY_AFTER_S, "deadline", late=True)
 
     def _give_up(self, retry_after: float, reason: str, late: bool = False) -> None:
         """Answers at once. 503 promises that it never ran and never will."""
         if self.started:
-            self._cut(reason)
+            self._truncate(reason)
         elif self._runs:
             self._reply(504 if late else 502, reason)
         else:
             left = max(self.traits.deadline_at - self._context.now(), 0.0)
-            spread = 1.0 + RETRY_SPREAD * self._context.random.random()
-            seconds = min(max(retry_after, LEAST_RETRY_AFTER_S) * spread, left * RETRY_AFTER_SHARE)
+            spread = 1.0 + RETRY_AFTER_JITTER * self._context.random.random()
+            seconds = min(max(retry_after, MIN_RETRY_AFTER_S) * spread, left * RETRY_AFTER_SHARE)
             self._context.counters.refused.labels(reason).inc()
             self._reply(503, reason, (("Retry-After", f"{seconds:.3f}"),))
 
@@ -387,38 +406,38 @@
         self._exchange.reply(status, reason.encode() + b"\n", headers)
         self._finish()
 
-    def _cut(self, reason: str) -> None:
-        """The answer has begun and can't be ended: the client must see that it isn't whole."""
+    def _truncate(self, reason: str) -> None:
+        """The answer has begun and can't be completed: the client must see that it is incomplete."""
         self._context.counters.cut.inc()
         log.info("answer.truncated", reason=reason)
         self._exchange.end(complete=False)
         self._finish()
 
     def client_gone(self) -> None:
-        """Its client has left: nothing more is owed, and the runner may stop."""
-        if self._over:
+        """The client has left: no answer is due any more, and the runner may stop."""
+        if self._is_finished:
             return
         self._context.counters.gone.inc()
         self._cancel()
         self._finish()
 
     def abandon(self) -> None:
-        """The process ends: it is answered with what is known of it now."""
-        if not self._over:
+        """The process ends: answers with what is known of the request now."""
+        if not self._is_finished:
             self._cancel()
-            self._give_up(RETRY_AFTER_S, "stopping")
+            self._give_up(DEFAULT_RETRY_AFTER_S, "stopping")
 
     def _cancel(self) -> None:
         """Gives up the attempt that is under way."""
         if self._attempt is not None:
-            link, self._link = self._link, None
-            self._settle(link.cancel() if link is not None else AttemptOutcome.UNSENT)
+            connection, self._connection = self._connection, None
+            self._end_attempt(connection.cancel() if connection is not None else AttemptOutcome.UNSENT)
 
     def _finish(self) -> None:
-        self._over = True
-        self._wait_no_more()
-        self._context.loop.deadlines.drop(self._deadline)
-        if self._silence is not None:
-            self._silence.stop()
+        self._is_finished = True
+        self._stop_waiting()
+        self._context.loop.deadlines.drop(self._deadline_timer)
+        if self._stream_timeout is not None:
+            self._stream_timeout.stop()
         self._exchange.extra = self._exchange.on_drained = None  # lets its body go at once
         self._context.closed(self)
--- a/larchgw/edge/request_head.py
+++ b/larchgw/edge/request_head.py
@@ -7,7 +7,7 @@
 
 from ..net.heads import Fields, end_to_end
 from ..routing.interface import PromptPart
-from .errors import BadRequest
+from .errors import BadRequestError
 
 ATTEMPT_ID = b"x-attempt-id"
 TIME_LEFT = b"x-time-left-ms"
@@ -22,19 +22,19 @@
 
 
 def attempt_id(headers: Mapping[bytes, bytes]) -> bytes:
-    """The id that the client gave this try. Raises BadRequest without one."""
+    """The id that the client gave this try. Raises BadRequestError without one."""
     name = headers.get(ATTEMPT_ID, b"")
     if not name:
-        raise BadRequest("X-Attempt-Id is missing", "give every try an id of its own")
+        raise BadRequestError("X-Attempt-Id is missing", "give every try an id of its own")
     return name
 
 
 def check_single(fields: Fields) -> None:
-    """Raises BadRequest where a field that names the request comes twice."""
+    """Raises BadRequestError where a field that names the request comes twice."""
     counts = Counter(name.lower() for name, _ in fields)
     for name in SINGLE:
         if counts[name] > 1:
-            raise BadRequest(f"{name.decode()} comes {counts[name]} times", "send it once")
+            raise BadRequestError(f"{name.decode()} comes {counts[name]} times", "send it once")
 
 
 def time_left(headers: Mapping[bytes, bytes], longest: float) -> float:
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to each runner, and how long they may have stood to be used again."""
+"""Kept connections to each runner, and how long they may have been idle to be used again."""
 
 from __future__ import annotations
 
@@ -13,168 +13,175 @@
 from ..net.timers import Deadline
 from ..runner_directory.runner_record import RunnerRecord, Stage
 from .counters import EdgeCounters
-from .keep_alive_limit import KeepTime
-from .runner_link import RunnerLink
+from .keep_alive_limit import KeepAliveLimit
+from .runner_connection import RunnerConnection
 
-LEAST_CONNECTIONS = 4  # to one runner, however many dispatchers share its limit
-UNEVEN = 2  # times its part, which a dispatcher may use for a while: clients are not spread evenly
-SWEEP_S = 1.0  # between two looks for connections that have stood too long
+MIN_CONNECTIONS = 4  # to one runner, however many dispatchers share its limit
+MAX_OVERSUBSCRIPTION = 2  # times its share that a dispatcher may use for a while: load is not spread evenly
+SWEEP_S = 1.0  # between two checks for connections that have been idle too long
 log = structlog.get_logger()
 
 
-class _Kept:
+class _RunnerConnections:
     """The connections to one incarnation of a runner, idle ones in the order in which they were freed."""
 
     __slots__ = ("service", "address", "idle", "open")
 
     def __init__(self, service: str, address: tuple[str, int]) -> None:
         self.service, self.address = service, address
-        self.idle: deque[RunnerLink] = deque()
-        self.open: set[RunnerLink] = set()
+        self.idle: deque[RunnerConnection] = deque()
+        self.open: set[RunnerConnection] = set()
 
 
 class RunnerPool:
-    """Connections by runner.
-
-    `max_open(service)` tells this process's part of the connections that one runner accepts; 0: no limit.
-    """
+    """Connections by runner."""
 
     def __init__(self, loop: EventLoop, counters: EdgeCounters, max_open: Callable[[str], int]) -> None:
+        """Begins without connections.
+
+        Args:
+            loop: The loop that they belong to.
+            counters: Counts what becomes of them.
+            max_open: By service, this process's share of the connections that one runner accepts; 0: no
+                limit.
+        """
         self.loop, self._counters, self._max_open = loop, counters, max_open
-        self._kept: dict[str, _Kept] = {}
-        self._owner: dict[RunnerLink, str] = {}
-        self._keep_times: dict[str, KeepTime] = {}  # by service
+        self._by_runner: dict[str, _RunnerConnections] = {}
+        self._owner: dict[RunnerConnection, str] = {}
+        self._keep_alive_limits: dict[str, KeepAliveLimit] = {}  # by service
         self._sweep: Deadline | None = None
 
-    def acquire(self, runner: RunnerRecord, once: bool) -> RunnerLink | None:
-        """A connection to the runner, free to carry a request; None where none can be had.
+    def acquire(self, runner: RunnerRecord, idempotent: bool) -> RunnerConnection | None:
+        """Returns a connection to the runner, free to carry a request; None where none can be had.
 
-        `once`: the request may not run twice, so that only a connection that has just been used will do.
+        Args:
+            runner: The runner.
+            idempotent: Whether the request may run twice; else only a connection that was just used will do.
         """
         try:
             address = parse_address(runner.address)
         except ValueError:
             log.warning("runner.address_invalid", runner=runner.id, address=runner.address)
             return None
-        kept = self._kept.get(runner.id)
-        if kept is None or kept.address != address:
-            kept = _Kept(runner.service, address)
-        return self._reuse(kept, once) or self._open(runner, kept)
+        connections = self._by_runner.get(runner.id)
+        if connections is None or connections.address != address:
+            connections = _RunnerConnections(runner.service, address)
+        return self._reuse(connections, idempotent) or self._open(runner, connections)
 
     def runners_changed(self, runners: Mapping[str, RunnerRecord]) -> None:
-        """Closes idle connections to runners that take no more requests; what is not sent is withdrawn."""
-        for name, kept in list(self._kept.items()):
-            runner = runners.get(name)
+        """Closes idle connections to runners that accept no requests, and withdraws requests not yet sent."""
+        for runner_id, connections in list(self._by_runner.items()):
+            runner = runners.get(runner_id)
             if runner is not None and runner.stage < Stage.DRAINING:
                 continue
-            for link in list(kept.open):
-                if link.idle:
-                    link.close()
+            for connection in list(connections.open):
+                if connection.is_idle:
+                    connection.close()
                 else:
-                    link.withdraw_unsent()
+                    connection.withdraw_unsent()
 
     def close(self) -> None:
         """Closes all connections, whatever they carry."""
         self.loop.deadlines.drop(self._sweep)
-        for link in list(self._owner):
-            link.close()
+        for connection in list(self._owner):
+            connection.close()
 
     def count(self) -> int:
-        """Open connections."""
+        """Returns how many connections are open."""
         return len(self._owner)
 
     # From connections
 
-    def released(self, link: RunnerLink, keep_s: float | None) -> None:
-        """It has carried its request and may carry another."""
-        name = self._owner.get(link)
-        kept = self._kept.get(name) if name is not None else None
-        if kept is None:
-            link.close()
+    def on_released(self, connection: RunnerConnection, keep_alive_s: float | None) -> None:
+        """It has carried its request and may carry another; see `ConnectionOwner`."""
+        runner_id = self._owner.get(connection)
+        connections = self._by_runner.get(runner_id) if runner_id is not None else None
+        if connections is None:
+            connection.close()
             return
-        if keep_s is not None:
-            self._keep_time(kept.service).told(keep_s)
-        part = self._part(kept.service)
-        if part and len(kept.open) > part:
-            link.close()
+        if keep_alive_s is not None:
+            self._keep_alive_limit(connections.service).observe_advertised(keep_alive_s)
+        share = self._connection_share(connections.service)
+        if share and len(connections.open) > share:
+            connection.close()
             return
-        kept.idle.append(link)
+        connections.idle.append(connection)
         if self._sweep is None:
-            self._sweep = self.loop.deadlines.add(self.loop.clock.now() + SWEEP_S, self._close_old)
+            self._sweep = self.loop.deadlines.add(self.loop.clock.now() + SWEEP_S, self._close_expired)
 
-    def closed(self, link: RunnerLink) -> None:
-        """It is over."""
-        name = self._owner.pop(link, None)
-        kept = self._kept.get(name) if name is not None else None
-        if name is None or kept is None:
+    def on_closed(self, connection: RunnerConnection) -> None:
+        """It is closed; see `ConnectionOwner`."""
+        runner_id = self._owner.pop(connection, None)
+        connections = self._by_runner.get(runner_id) if runner_id is not None else None
+        if runner_id is None or connections is None:
             return
-        kept.open.discard(link)
-        if link in kept.idle:
-            kept.idle.remove(link)
-        if not kept.open:
-            del self._kept[name]
-
-    def died(self, link: RunnerLink) -> None:
-        """It had been kept and was dead, or was closed while it stood idle."""
+        connections.open.discard(connection)
+        if connection in connections.idle:
+            connections.idle.remove(connection)
+        if not connections.open:
+            del self._by_runner[runner_id]
+
+    def on_stale(self, connection: RunnerConnection) -> None:
+        """It was kept and proved closed; see `ConnectionOwner`."""
         self._counters.connections.labels("died").inc()
-        name = self._owner.get(link)
-        kept = self._kept.get(name) if name is not None else None
-        if kept is None:
+        runner_id = self._owner.get(connection)
+        connections = self._by_runner.get(runner_id) if runner_id is not None else None
+        if connections is None:
             return
-        now, keep_time = self.loop.clock.now(), self._keep_time(kept.service)
-        if link.idle:
-            keep_time.closed_idle(now, now - link.idle_since)
+        now, keep_alive_limit = self.loop.clock.now(), self._keep_alive_limit(connections.service)
+        if connection.is_idle:
+            keep_alive_limit.observe_idle_close(now, now - connection.idle_since)
         else:
-            keep_time.proved_dead(now, link.idle_for)
+            keep_alive_limit.observe_stale(now, connection.idle_s)
 
-    def _keep_time(self, service: str) -> KeepTime:
-        return self._keep_times.setdefault(service, KeepTime())
+    def _keep_alive_limit(self, service: str) -> KeepAliveLimit:
+        return self._keep_alive_limits.setdefault(service, KeepAliveLimit())
 
-    def _part(self, service: str) -> int:
-        part = self._max_open(service)
-        return max(part, LEAST_CONNECTIONS) if part else 0
+    def _connection_share(self, service: str) -> int:
+        share = self._max_open(service)
+        return max(share, MIN_CONNECTIONS) if share else 0
 
-    def _reuse(self, kept: _Kept, once: bool) -> RunnerLink | None:
+    def _reuse(self, connections: _RunnerConnections, idempotent: bool) -> RunnerConnection | None:
         now = self.loop.clock.now()
-        trusted = self._keep_time(kept.service).limit(now, once)
-        while kept.idle:
-            link = kept.idle[-1]
-            stood = now - link.idle_since
-            if stood > trusted:
+        limit_s = self._keep_alive_limit(connections.service).limit_s(now, idempotent)
+        while connections.idle:
+            connection = connections.idle[-1]
+            idle_s = now - connection.idle_since
+            if idle_s > limit_s:
                 return None
-            kept.idle.pop()
-            if isinstance(link.connection, Connection) and link.connection.quiet():
-                link.idle_for = stood
-                link.kept = True
+            connections.idle.pop()
+            if isinstance(connection.connection, Connection) and connection.connection.quiet():
+                connection.idle_s = idle_s
+                connection.is_reused = True
                 self._counters.connections.labels("reused").inc()
-                return link
+                return connection
             self._counters.connections.labels("stale").inc()
-            link.close()
+            connection.close()
         return None
 
-    def _open(self, runner: RunnerRecord, kept: _Kept) -> RunnerLink | None:
-        part = self._part(runner.service)
-        if part and len(kept.open) >= UNEVEN * part:
-            if not kept.idle:
+    def _open(self, runner: RunnerRecord, connections: _RunnerConnections) -> RunnerConnection | None:
+        share = self._connection_share(runner.service)
+        if share and len(connections.open) >= MAX_OVERSUBSCRIPTION * share:
+            if not connections.idle:
                 self._counters.connections.labels("limit").inc()
                 return None
-            kept.idle.popleft().close()
-        link = RunnerLink(self, kept.address)
-        if not isinstance(link.connection, Connection):
+            connections.idle.popleft().close()
+        connection = RunnerConnection(self, connections.address)
+        if not isinstance(connection.connection, Connection):
             self._counters.connections.labels("failed").inc()
             return None
-        self._kept[runner.id] = kept
-        kept.open.add(link)
-        self._owner[link] = runner.id
+        self._by_runner[runner.id] = connections
+        connections.open.add(connection)
+        self._owner[connection] = runner.id
         self._counters.connections.labels("opened").inc()
-        return link
+        return connection
 
-    def _close_old(self) -> None:
+    def _close_expired(self) -> None:
         now = self.loop.clock.now()
-        some = False
-        for kept in list(self._kept.values()):
-            limit = self._keep_time(kept.service).limit(now)
-            while kept.idle and now - kept.idle[0].idle_since > limit:
-                kept.idle[0].close()
-            some = some or bool(kept.idle)
-        self._sweep = self.loop.deadlines.add(now + SWEEP_S, self._close_old) if some else None
+        has_idle = False
+        for connections in list(self._by_runner.values()):
+            limit_s = self._keep_alive_limit(connections.service).limit_s(now)
+            while connections.idle and now - connections.idle[0].idle_since > limit_s:
+                connections.idle[0].close()
+            has_idle = has_idle or bool(connections.idle)
+        self._sweep = self.loop.deadlines.add(now + SWEEP_S, self._close_expired) if has_idle else None
--- a/larchgw/edge/stream_timeout.py
+++ b/larchgw/edge/stream_timeout.py
@@ -1,4 +1,4 @@
-"""Notices that a stream's runner has said nothing for too long."""
+"""Time-out between the events of a stream."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 from ..net.loop import EventLoop
 from ..net.timers import Deadline
 
-# A silent stream is taken up elsewhere, well before its client gives it up (2 s and more): after this ...
-SILENCE_S = 1.0
-SILENCE_GAPS = 4.0  # ... or so many times the longest pause that is in time
+MIN_TIMEOUT_S = 1.0  # well before clients give a stream up, which they do after 2 s or more
+MAX_GAPS = 4.0  # times the longest gap between events that is in time
 
 
-def silence_limit(gap_aim_ms: float) -> float:
-    """Seconds of silence after which a stream that may go on elsewhere is taken up there."""
-    return max(SILENCE_S, SILENCE_GAPS * gap_aim_ms / 1000.0)
+def stream_timeout_s(gap_aim_ms: float) -> float:
+    """Seconds without a byte after which a stream that may be resumed elsewhere is."""
+    return max(MIN_TIMEOUT_S, MAX_GAPS * gap_aim_ms / 1000.0)
 
 
-class SilenceWatch:
-    """Calls `on_silent` after `limit` seconds without `heard`, and again each `limit` seconds after that.
+class StreamTimeout:
+    """Calls `on_timeout` after `timeout_s` without `observe`, and again each `timeout_s` after that.
 
-    Events cost no timer: the deadline that is set looks for when the last one came.
+    Events cost no timer: the one that is set looks when the last event came.
     """
 
-    def __init__(self, loop: EventLoop, limit: float, on_silent: Callable[[], None]) -> None:
-        self._loop, self._limit, self._on_silent = loop, limit, on_silent
-        self._heard_at = loop.clock.now()
+    def __init__(self, loop: EventLoop, timeout_s: float, on_timeout: Callable[[], None]) -> None:
+        """Begins to count now."""
+        self._loop, self._timeout_s, self._on_timeout = loop, timeout_s, on_timeout
+        self._observed_at = loop.clock.now()
         self._timer: Deadline | None = None
-        self._watch(self._heard_at + limit)
+        self._set_timer(self._observed_at + timeout_s)
 
-    def heard(self, now: float) -> None:
-        """The runner has said something, or it has only now been asked."""
-        self._heard_at = now
+    def observe(self, now: float) -> None:
+        """A byte of the runner came, or the request was sent only now."""
+        self._observed_at = now
 
     def stop(self) -> None:
-        """Watches no more."""
+        """Ends the watch."""
         self._loop.deadlines.drop(self._timer)
         self._timer = None
 
-    def _watch(self, at: float) -> None:
+    def _set_timer(self, at: float) -> None:
         self._timer = self._loop.deadlines.add(at, self._check)
 
     def _check(self) -> None:
         now = self._loop.clock.now()
-        if now < self._heard_at + self._limit:
-            self._watch(self._heard_at + self._limit)
+        if now < self._observed_at + self._timeout_s:
+            self._set_timer(self._observed_at + self._timeout_s)
             return
-        self._watch(now + self._limit)
-        self._on_silent()
+        self._set_timer(now + self._timeout_s)
+        self._on_timeout()
--- a/larchgw/edge/trace.py
+++ b/larchgw/edge/trace.py
@@ -19,6 +19,7 @@
     """What one request met, by time."""
 
     def __init__(self, traits: RequestTraits, name: bytes) -> None:
+        """Begins a trace of the request with these traits; `name` is its `X-Attempt-Id`."""
         self._name, self._traits = name.decode("latin-1"), traits
         self._reason = ""
         self._sent_at = self._began_at = 0.0
--- a/larchgw/experiments/fleet_dispatchers.py
+++ b/larchgw/experiments/fleet_dispatchers.py
@@ -19,7 +19,7 @@
 from ..distribution.pull_settings import PullSettings
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
-from ..edge.demand import DemandTally
+from ..edge.demand import DemandCounter
 from ..edge.demand_reports import DemandReporter
 from ..membership.member import Member
 from ..membership.settings import SwimSettings
@@ -76,7 +76,7 @@
 
     def __init__(self, size: FleetSize, dice: random.Random) -> None:
         self._size, self._popularity = size, Popularity(size, dice)
-        self._tally = DemandTally()
+        self._tally = DemandCounter()
         self._running: Counter[tuple[str, str, str]] = Counter()
         self._ends: deque[tuple[float, tuple[str, str, str]]] = deque()
         self._due = 0.0
@@ -103,7 +103,7 @@
 
     def report(self) -> list[ModelDemand]:
         """What `DemandReporter` asks for."""
-        return self._tally.take(time.monotonic(), (), self._running)
+        return self._tally.collect(time.monotonic(), (), self._running)
 
 
 class HollowDispatcher:
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from larchgw.edge import stale_connection
-from larchgw.edge.relay import HELD_BYTES
+from larchgw.edge.relay import BUFFERED_BYTES
 from larchgw.net.connection import Connection
 from larchgw.routing.interface import AttemptOutcome
 from tests.support.asyncio_tests import on_loop
@@ -138,7 +138,7 @@
         assert isinstance(link.connection, Connection)
         sock = link.connection.sock
         await until(lambda: made.selection.outcomes or probes(sock) >= 2)
-        made.move(stale_connection.LOOK_S)
+        made.move(stale_connection.POLL_S)
         assert made.selection.outcomes == []
         call.answer()
         assert (await client.answer()).status == 200
@@ -152,10 +152,10 @@
     async with edge(first, second, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/read_only/x", body=LONG_BODY)
         await first.call()
-        made.move(stale_connection.LOOK_S)
+        made.move(stale_connection.POLL_S)
         assert made.selection.outcomes == []
         monkeypatch.setattr(stale_connection, "is_dead", lambda sock: True)
-        made.move(stale_connection.LOOK_S)
+        made.move(stale_connection.POLL_S)
         assert made.selection.outcomes == [AttemptOutcome.RESET]
         (await second.call()).answer()
         assert (await client.answer()).status == 200
@@ -171,8 +171,8 @@
         assert isinstance(link.connection, Connection)
         sock = link.connection.sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 0
-        await until(lambda: not stale_connection.undelivered(sock))
-        made.move(stale_connection.LOOK_S)
+        await until(lambda: not stale_connection.undelivered_bytes(sock))
+        made.move(stale_connection.POLL_S)
         assert (
             sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == stale_connection.USER_TIMEOUT_MS
         )
@@ -216,10 +216,10 @@
         call = await first.call()
         say_unframed(call, b"x" * size)
         await until(lambda: made.selection.heads)
-        if size > HELD_BYTES:
+        if size > BUFFERED_BYTES:
             assert (await client.head())[0] == 200
         call.reset()
-        if size > HELD_BYTES:
+        if size > BUFFERED_BYTES:
             assert not (await client.ended()).endswith(b"0\r\n\r\n")
         else:
             assert (await client.answer()).status == 502
--- a/tests/edge/test_connections.py
+++ b/tests/edge/test_connections.py
@@ -8,7 +8,7 @@
 import pytest
 
 from larchgw.configuration.model import Service, Share
-from larchgw.edge.runner_pool import LEAST_CONNECTIONS, UNEVEN
+from larchgw.edge.runner_pool import MAX_OVERSUBSCRIPTION, MIN_CONNECTIONS
 from larchgw.routing.interface import AttemptOutcome, Wait
 from larchgw.runner_directory.runner_record import RunnerRecord, Stage
 from tests.support.asyncio_tests import on_loop
@@ -79,7 +79,7 @@
     config = configuration(services=(Service("lm", max_conns=8),))
     async with edge(runner, config=config) as made:
         made.proxy.dispatchers = lambda: 100
-        most = UNEVEN * LEAST_CONNECTIONS
+        most = MAX_OVERSUBSCRIPTION * MIN_CONNECTIONS
         clients = [await made.ask(name=f"id{number}") for number in range(most)]
         calls = [await runner.call() for _ in range(most)]
         late = await made.ask("/writing/x", name="late")
@@ -90,7 +90,7 @@
             call.answer()
         for client in clients:
             assert (await client.answer()).status == 200
-        for _ in range(most - LEAST_CONNECTIONS):
+        for _ in range(most - MIN_CONNECTIONS):
             await soon(runner.closed.get())
 
 
--- a/tests/edge/test_demand_reports.py
+++ b/tests/edge/test_demand_reports.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from larchgw.edge.demand import MOST_LINES, DemandTally
+from larchgw.edge.demand import MAX_LINES, DemandCounter
 from larchgw.edge.demand_reports import (
     INTERVAL_S,
-    MOST_LINES_PER_S,
-    MOST_REPORTS_PER_S,
+    MAX_LINES_PER_S,
+    MAX_REPORTS_PER_S,
     report_interval_s,
 )
 
 
 @pytest.mark.parametrize("dispatchers", [1, 8, 100, 490, 2000])
 def test_many_dispatchers_do_not_overrun_the_placer(dispatchers: int) -> None:
-    assert dispatchers / report_interval_s(dispatchers, waits=False) <= MOST_REPORTS_PER_S
+    assert dispatchers / report_interval_s(dispatchers, waits=False) <= MAX_REPORTS_PER_S
 
 
 def test_few_dispatchers_report_as_often_as_demand_changes() -> None:
@@ -23,7 +23,7 @@
 
 
 def test_long_reports_come_seldom_enough_for_the_link_also_among_few_dispatchers() -> None:
-    assert 300 / report_interval_s(8, waits=False, lines=300) <= MOST_LINES_PER_S
+    assert 300 / report_interval_s(8, waits=False, lines=300) <= MAX_LINES_PER_S
     assert report_interval_s(8, waits=False, lines=70) == INTERVAL_S
 
 
@@ -32,12 +32,12 @@
 
 
 def test_a_report_does_not_grow_with_each_adapter_that_runs_and_loses_no_run() -> None:
-    running = {("llm", f"m{number % 20}", f"a{number}"): 2 for number in range(5 * MOST_LINES)}
-    lines = DemandTally().take(0.0, (), running)
+    running = {("llm", f"m{number % 20}", f"a{number}"): 2 for number in range(5 * MAX_LINES)}
+    lines = DemandCounter().collect(0.0, (), running)
     assert len(lines) == 20
     assert sum(line.in_flight for line in lines) == sum(running.values())
 
 
 def test_adapters_that_run_are_told_one_by_one_where_they_are_few() -> None:
-    running = {("llm", "m", f"a{number}"): 2 for number in range(MOST_LINES)}
-    assert {line.adapter for line in DemandTally().take(0.0, (), running)} == {key[2] for key in running}
+    running = {("llm", "m", f"a{number}"): 2 for number in range(MAX_LINES)}
+    assert {line.adapter for line in DemandCounter().collect(0.0, (), running)} == {key[2] for key in running}
--- a/tests/edge/test_parsers.py
+++ b/tests/edge/test_parsers.py
@@ -10,10 +10,11 @@
 from hypothesis import strategies as st
 
 from larchgw.edge import events as events_module
-from larchgw.edge.events import EventSplitter, EventTooLong, parse
-from larchgw.edge.keep_alive_limit import KeepTime
+from larchgw.edge.answer_parser import AnswerHead
+from larchgw.edge.events import EventSplitter, EventTooLongError, parse
+from larchgw.edge.keep_alive_limit import KeepAliveLimit
 from larchgw.edge.request_head import model_of, parts_of, time_left, tokens_of
-from larchgw.edge.runner_link import AnswerHead, RunnerLink
+from larchgw.edge.runner_connection import RunnerConnection
 from larchgw.net.connection_outcome import ConnectionOutcome
 from larchgw.net.heads import end_to_end
 from larchgw.net.loop import READ
@@ -64,24 +65,24 @@
 
 def test_an_event_tells_its_id_and_version_and_a_comment_tells_nothing() -> None:
     event = parse(b"versions: 8\nid: 12\ndata: id: 9\n\n")
-    assert (event.id, event.version, event.comment) == (12, b"8", False)
+    assert (event.id, event.version, event.is_comment) == (12, b"8", False)
     assert parse(b"id: 4\r\ndata: x\r\n\r\n").id == 4
     assert parse(b"id: abc\n\n").id is None
-    assert parse(b": ping\n\n").comment
+    assert parse(b": ping\n\n").is_comment
 
 
 def test_an_event_without_an_end_is_not_held_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(events_module, "MAX_EVENT", 100)
+    monkeypatch.setattr(events_module, "MAX_EVENT_BYTES", 100)
     splitter = EventSplitter()
     splitter.feed(b"x" * 100)
-    with pytest.raises(EventTooLong):
+    with pytest.raises(EventTooLongError):
         splitter.feed(b"x")
 
 
 # A runner's answer, cut at every byte
 
 
-class Carried:
+class CarriedRequest:
     """Notes what a connection tells of its request."""
 
     name = b"id1"
@@ -122,24 +123,24 @@
     def forget(self, *args: object) -> None:
         pass
 
-    def released(self, link: RunnerLink, keep_s: float | None) -> None:
+    def on_released(self, connection: RunnerConnection, keep_alive_s: float | None) -> None:
         self.free += 1
 
-    def closed(self, link: RunnerLink) -> None:
+    def on_closed(self, connection: RunnerConnection) -> None:
         self.over += 1
 
-    def died(self, link: RunnerLink) -> None:
+    def on_stale(self, connection: RunnerConnection) -> None:
         pass
 
 
-def carry(cuts: list[bytes], ending: ConnectionOutcome | None) -> tuple[Carried, Pool]:
-    pool, carried = Pool(), Carried()
-    link = RunnerLink(pool, ("127.0.0.1", 9))  # type: ignore[arg-type]
+def carry(cuts: list[bytes], ending: ConnectionOutcome | None) -> tuple[CarriedRequest, Pool]:
+    pool, carried = Pool(), CarriedRequest()
+    link = RunnerConnection(pool, ("127.0.0.1", 9))  # type: ignore[arg-type]
     link.begin(carried, head_only=False)
     connection = link.connection
     assert not isinstance(connection, ConnectionOutcome)
     connection.connecting = False
-    link._length = 1  # as if a request had been written
+    link._request_bytes = 1  # as if a request had been written
     for piece in cuts:
         if piece and not carried.ends:
             link.on_data(piece)
@@ -150,7 +151,7 @@
 
 
 def test_a_dead_machine_is_noticed_on_every_connection_to_a_runner() -> None:
-    link = RunnerLink(Pool(), ("127.0.0.1", 9))  # type: ignore[arg-type]
+    link = RunnerConnection(Pool(), ("127.0.0.1", 9))  # type: ignore[arg-type]
     connection = link.connection
     assert not isinstance(connection, ConnectionOutcome)
     assert 0 < connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) <= 2000
@@ -188,14 +189,14 @@
 
 
 def test_a_connection_that_was_paused_for_a_slow_client_is_read_again_for_the_next_request() -> None:
-    class Slow(Carried):
+    class Slow(CarriedRequest):
         def on_body(self, data: bytes) -> None:
             link.pause(True)
 
     pool = Pool()
     heard: list[int] = []
     pool.watch = lambda sock, events, *more: heard.append(events)  # type: ignore[method-assign]
-    link = RunnerLink(pool, ("127.0.0.1", 9))  # type: ignore[arg-type]
+    link = RunnerConnection(pool, ("127.0.0.1", 9))  # type: ignore[arg-type]
     connection = link.connection
     assert not isinstance(connection, ConnectionOutcome)
     connection.connecting = False
@@ -255,23 +256,23 @@
 
 
 def test_a_connection_that_proved_dead_shortens_the_trust_for_a_while() -> None:
-    keep = KeepTime()
-    assert keep.limit(0.0, once=True) < keep.limit(0.0) < 10.0
-    keep.told(5.0)
-    assert keep.limit(0.0) == 4.0 and keep.limit(0.0, once=True) == 2.0
-    keep.closed_idle(50.0, stood=2.0)  # it has told its time: this one ended for another reason
-    assert keep.limit(50.0) == 4.0
-    keep.proved_dead(100.0, stood=3.0)
-    assert keep.limit(100.0) == 0.8 * 1.5 and keep.limit(100.0, once=True) == 0.4 * 1.5
-    assert keep.limit(105.0) == 0.8 * 3.0 and keep.limit(200.0) == 4.0
+    keep = KeepAliveLimit()
+    assert keep.limit_s(0.0, idempotent=False) < keep.limit_s(0.0) < 10.0
+    keep.observe_advertised(5.0)
+    assert keep.limit_s(0.0) == 4.0 and keep.limit_s(0.0, idempotent=False) == 2.0
+    keep.observe_idle_close(50.0, idle_s=2.0)  # it has told its time: this one ended for another reason
+    assert keep.limit_s(50.0) == 4.0
+    keep.observe_stale(100.0, idle_s=3.0)
+    assert keep.limit_s(100.0) == 0.8 * 1.5 and keep.limit_s(100.0, idempotent=False) == 0.4 * 1.5
+    assert keep.limit_s(105.0) == 0.8 * 3.0 and keep.limit_s(200.0) == 4.0
 
 
 def test_runners_that_tell_no_time_are_known_by_the_connections_that_they_close() -> None:
-    keep = KeepTime()
-    keep.told(0.0)
-    keep.closed_idle(10.0, stood=0.7)
-    assert keep.limit(10.0) == 0.8 * 0.7
-    keep.closed_idle(10.0, stood=9.0)
-    assert keep.limit(10.0) == 0.8 * 0.7
-    keep.closed_idle(10.0, stood=0.01)
-    assert keep.limit(10.0) == 0.8 * 0.5
+    keep = KeepAliveLimit()
+    keep.observe_advertised(0.0)
+    keep.observe_idle_close(10.0, idle_s=0.7)
+    assert keep.limit_s(10.0) == 0.8 * 0.7
+    keep.observe_idle_close(10.0, idle_s=9.0)
+    assert keep.limit_s(10.0) == 0.8 * 0.7
+    keep.observe_idle_close(10.0, idle_s=0.01)
+    assert keep.limit_s(10.0) == 0.8 * 0.5
--- a/tests/edge/test_recorded_bytes.py
+++ b/tests/edge/test_recorded_bytes.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from larchgw.configuration.model import Route
-from larchgw.edge.demand import DemandTally
+from larchgw.edge.demand import DemandCounter
 from larchgw.routing.interface import RequestTraits
 from larchgw.rpc.codec import decode_struct, encode_struct
 from larchgw.rpc.generated.ttypes import DemandReport
@@ -26,7 +26,7 @@
 
 def recordings(folder: Path) -> dict[str, str]:
     """Reports as a dispatcher sends them: with arrivals and waiting requests, folded, and without any."""
-    tally = DemandTally()
+    tally = DemandCounter()
     requests = [
         traits(0, 0, "m1"),
         traits(1, 1, "m1"),
@@ -38,9 +38,9 @@
         tally.arrived(request)
     many = {("chat", f"m{number % 3}", f"a{number}"): 2 for number in range(120)}
     reports = [
-        tally.take(NOW_S, requests[1:4], {("chat", "m2", ""): 3, ("chat", "m1", ""): 1}),
-        tally.take(NOW_S + 3.0, requests[:1], many),
-        tally.take(NOW_S + 4.0, (), {}),
+        tally.collect(NOW_S, requests[1:4], {("chat", "m2", ""): 3, ("chat", "m1", ""): 1}),
+        tally.collect(NOW_S + 3.0, requests[:1], many),
+        tally.collect(NOW_S + 4.0, (), {}),
     ]
     encoded = [
         encode_struct(DemandReport(node_name="edge-1", interval_ms=500, models=models)).hex()
