--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -99,13 +99,14 @@
 
 def _restore(source: Path, folder: Path, terms: NodeSettings, sure: bool) -> int:
     from ..control import restore as restoring
+    from ..control.errors import RestoreError
     from ..replication.forced_new_view import beginning
 
     address = rpc_address(terms)
     try:
         restoring.check_empty(folder)
         found = restoring.read_source(source)
-    except restoring.RestoreError as error:
+    except RestoreError as error:
         return fail(str(error), Ending.REFUSED)
     running = asyncio.run(_answering([address, *seed_rpc_addresses(terms)]))
     if running:
--- a/larchgw/control/configuration_size.py
+++ b/larchgw/control/configuration_size.py
@@ -9,20 +9,14 @@
 import json
 from collections.abc import Mapping
 
-from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
+from .errors import ConfigurationTooLargeError
 
 MAX_CONFIGURATION_BYTES = 8 << 20  # as JSON; the memory that it takes stands in docs/storage.md
 _MOST_GROWTH = 4  # bytes of JSON that one byte of an order becomes at most: 1e15 -> 1000000000000000.0
 _HEAD_BYTES = 64  # a configuration's version, and names of fields that an order left out
 
 
-class ConfigurationTooLargeError(ConfigurationError):
-    """The order is proper, but the configuration that it makes is too large to be kept and passed on."""
-
-    status = 413
-
-
 def encode_json(raw: Mapping[str, object]) -> bytes:
     """The JSON text whose length counts, and of which snapshots are made. `json.loads` reads it back, halves
     of surrogate pairs included."""
@@ -48,11 +42,7 @@
         if bound > self._most_bytes:
             bound = self._measure(wanted)
         if bound > self._most_bytes:
-            raise ConfigurationTooLargeError(
-                "configuration",
-                f"{bound} bytes as JSON are over {self._most_bytes}",
-                "remove routes and services that are not used, in the same order or in one before",
-            )
+            raise ConfigurationTooLargeError(bound, self._most_bytes)
         self._bound_of, self._bound = wanted, bound
 
     def _size_of(self, current: Configuration | None) -> int:
--- a/larchgw/control/operator_service.py
+++ b/larchgw/control/operator_service.py
@@ -10,8 +10,9 @@
 import structlog
 
 from ..configuration.errors import ConfigurationError
-from .configuration_size import ConfigurationSizeLimit, ConfigurationTooLargeError
+from .configuration_size import ConfigurationSizeLimit
 from .configuration_state import ConfigurationState, OperatorOrder
+from .errors import ConfigurationTooLargeError, ReplicationUnavailableError
 
 log = structlog.get_logger()
 OK, NOT_FOUND, TOO_LARGE, UNCLEAR = 200, 404, 413, 503
@@ -51,10 +52,6 @@
         """Returns the record's index once it is committed and applied here."""
 
 
-class ReplicationUnavailableError(Exception):
-    """We are not the primary, or cannot tell in time. What was proposed may still be committed."""
-
-
 class OperatorService:
     """Serves the operator's calls on the state of this replica, one change at a time."""
 
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -14,7 +14,7 @@
 from ..rpc.generated.ttypes import PeerMessage
 from ..runtime.rpc_clients import RpcClients
 from .configuration_state import ConfigurationState
-from .operator_service import ReplicationUnavailableError
+from .errors import ReplicationUnavailableError
 
 log = structlog.get_logger()
 TICK_S = 0.02  # heartbeats and time-outs of the protocol are some times this
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -22,13 +22,7 @@
 from ..storage.log_inspection import LogContents, read_log, read_snapshot_file
 from .configuration_state import ConfigurationState
 from .disk import LOG_FOLDER, ControlDisk
-
-
-class RestoreError(Exception):
-    """Nothing was written. The message names the path, the problem and the remedy."""
-
-    def __init__(self, path: Path, problem: str, remedy: str) -> None:
-        super().__init__(f"{path}: {problem}; {remedy}")
+from .errors import RestoreError
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -14,10 +14,10 @@
 from larchgw.control.configuration_size import (
     MAX_CONFIGURATION_BYTES,
     ConfigurationSizeLimit,
-    ConfigurationTooLargeError,
     encode_json,
 )
 from larchgw.control.configuration_state import MAX_REMEMBERED_ORDERS, ConfigurationState, OperatorOrder
+from larchgw.control.errors import ConfigurationTooLargeError
 from larchgw.control.operator_service import MAX_ORDER_BYTES, OperatorResponse, OperatorService
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
 from larchgw.replication.replica import Replica
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -16,8 +16,9 @@
 
 from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.control.disk import ControlDisk
+from larchgw.control.errors import ReplicationUnavailableError
 from larchgw.control.operator_calls import OperatorCallRouter
-from larchgw.control.operator_service import MAX_ORDER_BYTES, ReplicationUnavailableError
+from larchgw.control.operator_service import MAX_ORDER_BYTES
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.replication.member import Member
 from larchgw.replication.settings import MemberSettings
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -22,10 +22,11 @@
 from larchgw.control import http_api, restore
 from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.control.disk import ControlDisk
+from larchgw.control.errors import ReplicationUnavailableError
 from larchgw.control.latest_view import LatestView
 from larchgw.control.node import ControlNode
 from larchgw.control.operator_calls import OperatorCallRouter
-from larchgw.control.operator_service import OperatorResponse, OperatorService, ReplicationUnavailableError
+from larchgw.control.operator_service import OperatorResponse, OperatorService
 from larchgw.control.publication import ConfigurationPublisher
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.runner_ownership import owner_name
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -12,8 +12,9 @@
 from larchgw.configuration.change import canonical
 from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.control.disk import ControlDisk
+from larchgw.control.errors import RestoreError
 from larchgw.control.replicated_log import ReplicatedLog
-from larchgw.control.restore import RestoreError, check_empty, fresh_identity, read_source, write_folder
+from larchgw.control.restore import check_empty, fresh_identity, read_source, write_folder
 from larchgw.model_checking.replication.cluster import SimulatedCluster
 from larchgw.replication.forced_new_view import Beginning, beginning, refound
 from larchgw.replication.lease import FENCES_PER_EPOCH
