--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -27,7 +27,6 @@
 from ..runtime.random_source import new_random_source
 from ..runtime.rpc_clients import RpcClients
 from ..storage.files import DiskFiles
-from .checkins import RunnerCheckins
 from .configuration_state import ConfigurationState
 from .contact_monitor import ContactMonitor
 from .control_processes import ControlProcesses
@@ -41,6 +40,7 @@
 from .publication import ConfigurationPropagation, ConfigurationPublisher
 from .replicated_log import ReplicatedLog
 from .rpc_service import RpcService
+from .runner_check_ins import RunnerCheckIns
 from .runner_ownership import RunnerOwnership, owner_name
 from .status import StatusService, StatusSources
 
@@ -98,12 +98,12 @@
 
     Attributes:
         directory: The runners that are known here.
-        checkins: Which of their calls are acknowledged.
+        check_ins: Which of their calls are acknowledged.
         placer: Places models on them while this process holds the lease.
     """
 
     directory: RunnerDirectory
-    checkins: RunnerCheckins
+    check_ins: RunnerCheckIns
     placer: PlacerRole
 
 
@@ -242,8 +242,8 @@
         PlacementSettings(limits.ceiling_window_s, limits.origin_rate_cap),
         random_source,
     )
-    checkins = RunnerCheckins(directory, registry, contact, distribution.handoff)
-    return RunnerParts(directory, checkins, placer)
+    check_ins = RunnerCheckIns(directory, registry, contact, distribution.handoff)
+    return RunnerParts(directory, check_ins, placer)
 
 
 def _periodic_work(
--- a/larchgw/control/configuration_state.py
+++ b/larchgw/control/configuration_state.py
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.current: Configuration | None = None
-        self.index = 0  # of the record that made `current`
+        self.record_index = 0  # of the record that made `current`
         # The last order that was evaluated, the version it was tried on, and the result.
         self._evaluated: tuple[OperatorOrder, int, Configuration] | None = None
         self._accepted_versions: dict[str, int] = {}  # digest -> version, oldest first
@@ -84,7 +84,7 @@
         if result.is_error():
             log.warning("record.without_effect", record_index=index, error=str(result.error))
             return
-        self.current, self.index = result.ok, index
+        self.current, self.record_index = result.ok, index
         self._accepted_versions[order.digest()] = self.current.config_version
         while len(self._accepted_versions) > MAX_REMEMBERED_ORDERS:
             del self._accepted_versions[next(iter(self._accepted_versions))]
@@ -92,12 +92,14 @@
     def snapshot(self) -> bytes:
         """All of it, for `restore`."""
         raw = self.current.raw if self.current is not None else None
-        return encode_json({"index": self.index, "configuration": raw, "taken": self._accepted_versions})
+        return encode_json(
+            {"index": self.record_index, "configuration": raw, "taken": self._accepted_versions}
+        )
 
     def restore(self, data: bytes) -> None:
         """Becomes what a snapshot holds."""
         fields = json.loads(data)
         raw = fields["configuration"]
         self.current = parse(raw) if raw is not None else None
-        self.index = fields["index"]
+        self.record_index = fields["index"]
         self._accepted_versions = fields["taken"]
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -40,10 +40,10 @@
         """
 
 
-class CheckinService(Protocol):
+class CheckInService(Protocol):
     """Serves the calls of runners."""
 
-    async def checkin(self, runner: str, body: bytes) -> bool:
+    async def check_in(self, runner: str, body: bytes) -> bool:
         """Records a runner's check-in.
 
         Returns:
@@ -105,8 +105,8 @@
 
 
 class _RunnerHandler(_Handler):
-    def initialize(self, checkins: CheckinService, address: str) -> None:
-        self.checkins, self.address = checkins, address
+    def initialize(self, check_ins: CheckInService, address: str) -> None:
+        self.check_ins, self.address = check_ins, address
 
     def acknowledge(self, may_acknowledge: bool) -> None:
         if may_acknowledge:
@@ -116,10 +116,10 @@
             self.answer(503, b'{"error": "cut off from the other control processes; call another one"}')
 
 
-class _CheckinHandler(_RunnerHandler):
+class _CheckInHandler(_RunnerHandler):
     async def post(self, runner: str) -> None:
         try:
-            may_acknowledge = await self.checkins.checkin(runner, self.request.body)
+            may_acknowledge = await self.check_ins.check_in(runner, self.request.body)
         except CheckInError as error:
             self.answer(400, json.dumps({"error": str(error)}).encode())
             return
@@ -128,12 +128,12 @@
 
 class _LeaveHandler(_RunnerHandler):
     async def post(self, runner: str) -> None:
-        self.acknowledge(await self.checkins.leave(runner))
+        self.acknowledge(await self.check_ins.leave(runner))
 
 
 def application(
     operator_calls: OperatorCallService,
-    checkins: CheckinService,
+    check_ins: CheckInService,
     address: str,
     additional_rules: Sequence[Any] = (),
 ) -> tornado.web.Application:
@@ -141,18 +141,18 @@
 
     Args:
         operator_calls: Serves the operator's calls.
-        checkins: Serves the calls of runners.
+        check_ins: Serves the calls of runners.
         address: "host:port" at which runners are told to check in.
         additional_rules: Further rules in Tornado's form.
     """
     operator_options = {"operator_calls": operator_calls}
-    runner_options = {"checkins": checkins, "address": address}
+    runner_options = {"check_ins": check_ins, "address": address}
     return tornado.web.Application(
         [
             (r"/Config\.Replace", _ReplaceHandler, operator_options),
             (r"/Config\.Change", _ChangeHandler, operator_options),
             (r"/Config\.Read", _ReadHandler, operator_options),
-            (r"/Runners\.Checkin/([^/]+)", _CheckinHandler, runner_options),
+            (r"/Runners\.Checkin/([^/]+)", _CheckInHandler, runner_options),
             (r"/Runners\.Leave/([^/]+)", _LeaveHandler, runner_options),
             *additional_rules,
         ],
@@ -162,7 +162,7 @@
 
 def serve(
     operator_calls: OperatorCallService,
-    checkins: CheckinService,
+    check_ins: CheckInService,
     address: str,
     additional_rules: Sequence[Any] = (),
 ) -> tornado.httpserver.HTTPServer:
@@ -171,7 +171,7 @@
     Raises:
         OSError: The address cannot be listened at.
     """
-    rules = application(operator_calls, checkins, address, additional_rules)
+    rules = application(operator_calls, check_ins, address, additional_rules)
     server = tornado.httpserver.HTTPServer(rules, **SERVER_OPTIONS)
     host, port = parse_address(address)
     server.listen(port, host, backlog=LISTEN_BACKLOG)
--- a/larchgw/control/metrics.py
+++ b/larchgw/control/metrics.py
@@ -49,7 +49,7 @@
     return family
 
 
-def text(status: ControlStatus) -> bytes:
+def metrics_text(status: ControlStatus) -> bytes:
     """The metrics in Prometheus's text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_StatusCollector(status))
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -79,7 +79,7 @@
         refused, which sends the runner to another process at once. Nothing depends on the end being in
         order; cut short, it is the loss of a process.
         """
-        self.parts.runners.checkins.close()
+        self.parts.runners.check_ins.close()
         self.parts.replication.log.leave()
         self._gossip.leave()
         if await self._has_left_within(LEAVE_SHARE * self.settings.time_limits.grace_period_s):
@@ -100,7 +100,7 @@
         await self._gossip.start()
         self._http = http_api.serve(
             parts.replication.operator_calls,
-            parts.runners.checkins,
+            parts.runners.check_ins,
             settings.listen.control,
             http_status.rules(parts.status.as_json, parts.status.metrics),
         )
--- a/larchgw/control/publication.py
+++ b/larchgw/control/publication.py
@@ -54,8 +54,8 @@
 
     def _publish(self) -> None:
         current, published = self._state.current, self._registry.get(CONFIGURATION_KEY)
-        if current is not None and (published is None or published.major < self._state.index):
-            self._registry.put(CONFIGURATION_KEY, pack(current.raw), self._state.index)
+        if current is not None and (published is None or published.major < self._state.record_index):
+            self._registry.put(CONFIGURATION_KEY, pack(current.raw), self._state.record_index)
 
 
 class ConfigurationPropagation:
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -113,12 +113,12 @@
         self._disk_rests_until = self._clock() + DISK_RETRY_S
 
     def _carry_out(self, effects: Effects) -> None:
-        before = self.state.index
+        before = self.state.record_index
         if effects.installed is not None:
             self.state.restore(effects.installed[1])
         for index, record in effects.committed:
             self.state.apply(index, record)
-        if self.state.index != before:
+        if self.state.record_index != before:
             self._changed()
         for done in effects.done:
             self._settle(done.ticket, done.index)
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -68,7 +68,7 @@
     """Writes the data folder of the process that begins anew. Raises StorageError; remove the folder then."""
     state = ConfigurationState()
     state.restore(found.state.snapshot())
-    state.index = begin.index
+    state.record_index = begin.index
     disk = ControlDisk.open(files or DiskFiles(), str(folder))
     refound(disk.ports, begin, state.snapshot())
     disk.refill_reserve()
--- a/larchgw/control/checkins.py
+++ b/larchgw/control/runner_check_ins.py
@@ -24,7 +24,7 @@
         """The processes that have the entries, as soon as these are enough, at the latest after `timeout`."""
 
 
-class RunnerCheckins:
+class RunnerCheckIns:
     """Records every check-in, and acknowledges it only in proven contact with a majority of the witnesses.
 
     A runner that is not acknowledged calls another process. What it said is kept all the same, so that edges
@@ -44,7 +44,7 @@
         """The process is about to end: runners are sent to another one from now on."""
         self._is_closed = True
 
-    async def checkin(self, runner: str, body: bytes) -> bool:
+    async def check_in(self, runner: str, body: bytes) -> bool:
         """See http_api.ControlService."""
         return await self._acknowledge(runner, self._directory.check_in(parse_check_in(runner, body)))
 
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -74,14 +74,14 @@
 
     def as_json(self) -> dict[str, Any]:
         """The same as `read`, as an object for JSON."""
-        status: dict[str, Any] = as_object(self.read())
+        status: dict[str, Any] = to_json(self.read())
         return status
 
     def metrics(self) -> bytes:
         """The figures of `read` as Prometheus text. The library is loaded only where it is asked for."""
-        from .metrics import text
+        from .metrics import metrics_text
 
-        return text(self.read())
+        return metrics_text(self.read())
 
     def _processes(self) -> list[Process]:
         """All that are there, and those that ended without leaving."""
@@ -89,16 +89,16 @@
         return sorted(found, key=lambda process: (process.role, process.name))
 
 
-def as_object(value: Any) -> Any:
+def to_json(value: Any) -> Any:
     """A thrift struct with all that it holds as dicts and lists; fields that are not set are left out."""
     if isinstance(value, list):
-        return [as_object(item) for item in value]
+        return [to_json(item) for item in value]
     if isinstance(value, dict):
-        return {key: as_object(item) for key, item in value.items()}
+        return {key: to_json(item) for key, item in value.items()}
     if not hasattr(value, "thrift_spec"):
         return value
     fields = {name: getattr(value, name) for name in value.__slots__}
-    return {name: as_object(field) for name, field in fields.items() if field is not None}
+    return {name: to_json(field) for name, field in fields.items() if field is not None}
 
 
 def _role(member: Member, view: View | None) -> str:
--- a/larchgw/model_checking/check_ins/mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Awaitable, Callable
 
-from ...control.checkins import RunnerCheckins
 from ...control.majority_contact import PullContact
+from ...control.runner_check_ins import RunnerCheckIns
 from ...distribution.puller import Puller, _Session
 from ...replication import view
 from ...rpc.generated.ttypes import PullReply
@@ -16,19 +16,19 @@
 
 Accept = Callable[[Puller, _Session, PullReply, float], None]
 MergeFromIsolated = Callable[[Puller, _Session, PullReply], None]
-Replicate = Callable[[RunnerCheckins, str], Awaitable[bool]]
-Acknowledge = Callable[[RunnerCheckins, str, CheckInOutcome], Awaitable[bool]]
+Replicate = Callable[[RunnerCheckIns, str], Awaitable[bool]]
+Acknowledge = Callable[[RunnerCheckIns, str, CheckInOutcome], Awaitable[bool]]
 
 
 def _acknowledges_while_isolated(original: Acknowledge) -> Acknowledge:
-    async def acknowledge(self: RunnerCheckins, runner: str, outcome: CheckInOutcome) -> bool:
+    async def acknowledge(self: RunnerCheckIns, runner: str, outcome: CheckInOutcome) -> bool:
         return not outcome.needs_replication or await original(self, runner, outcome)
 
     return acknowledge
 
 
 def _ignores_the_result(original: Replicate) -> Replicate:
-    async def replicate(self: RunnerCheckins, runner: str) -> bool:
+    async def replicate(self: RunnerCheckIns, runner: str) -> bool:
         await original(self, runner)
         return True
 
@@ -81,13 +81,13 @@
         "acknowledges check-ins while it is cut off",
         play_faults,
         0,
-        (Patch(RunnerCheckins, "_acknowledge", _acknowledges_while_isolated),),
+        (Patch(RunnerCheckIns, "_acknowledge", _acknowledges_while_isolated),),
     ),
     Mutant(
         "acknowledges a drain whatever the handoff came to",
         play_faults,
         0,
-        (Patch(RunnerCheckins, "_replicate", _ignores_the_result),),
+        (Patch(RunnerCheckIns, "_replicate", _ignores_the_result),),
     ),
     Mutant(
         "takes a start for contact",
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ...control.checkins import RunnerCheckins
 from ...control.majority_contact import PullContact
+from ...control.runner_check_ins import RunnerCheckIns
 from ...distribution.hinted_handoff import HintedHandoff
 from ...distribution.keys import CONFIGURATION_KEY
 from ...distribution.peer_pullers import PeerPullers
@@ -76,7 +76,7 @@
         )
         self.handoff = HintedHandoff(self._connect, lambda: self._others)
         self.directory = RunnerDirectory(self.registry, now, BEAT_S, self.registry.origin)
-        self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
+        self.check_ins = RunnerCheckIns(self.directory, self.registry, self.contact, self.handoff)
         if self.disk is not None:
             self.registry.put(CONFIGURATION_KEY, self.disk[1], self.disk[0])
         self._tasks = [asyncio.ensure_future(work()) for work in (peers.run, self.handoff.run, self._tick)]
@@ -107,9 +107,9 @@
     async def _serve_runner(self, method: str, argument: tuple[str, bytes, Stage]) -> bool:
         runner, body, stage = argument
         if method == "checkin":
-            taken = await self.checkins.checkin(runner, body)
+            taken = await self.check_ins.check_in(runner, body)
         else:
-            taken = await self.checkins.leave(runner)
+            taken = await self.check_ins.leave(runner)
         if taken and not self._network.is_frozen(self.name) and self.running:
             self._acknowledged(self.name, runner, stage)
         return taken
--- a/tests/control/test_graceful_stop.py
+++ b/tests/control/test_graceful_stop.py
@@ -89,9 +89,9 @@
         self.assertLess(took, GRACE_S * 0.6)
 
     def test_a_runner_that_checks_in_meanwhile_is_sent_to_another_process(self) -> None:
-        async def checkin() -> bool:
-            return await self.node.parts.runners.checkins.checkin("i-1", BODY)
+        async def check_in() -> bool:
+            return await self.node.parts.runners.check_ins.check_in("i-1", BODY)
 
-        self.assertTrue(asyncio.run(checkin()))
+        self.assertTrue(asyncio.run(check_in()))
         self.end(agreed_after=0.2)
-        self.assertFalse(asyncio.run(checkin()))
+        self.assertFalse(asyncio.run(check_in()))
--- a/tests/control/test_http_api.py
+++ b/tests/control/test_http_api.py
@@ -24,7 +24,7 @@
         self.calls.append((operation, base_version, body))
         return self.answer
 
-    async def checkin(self, runner, body):
+    async def check_in(self, runner, body):
         self.calls.append(("checkin", runner, body))
         if self.error is not None:
             raise self.error
--- a/tests/control/test_operator_service.py
+++ b/tests/control/test_operator_service.py
@@ -255,7 +255,7 @@
         state.apply(3, order.encode())
         other.restore(state.snapshot())
         self.assertEqual(5, other.version)
-        self.assertEqual(3, other.index)
+        self.assertEqual(3, other.record_index)
         self.assertTrue(other.is_accepted(order))
 
     def test_the_oldest_taken_orders_are_forgotten_first_also_after_a_restore(self):
@@ -288,4 +288,4 @@
         state = ConfigurationState()
         state.apply(1, replace(5, 0).encode())
         state.apply(2, replace(9, 3).encode())
-        self.assertEqual((5, 1), (state.version, state.index))
+        self.assertEqual((5, 1), (state.version, state.record_index))
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -108,9 +108,9 @@
     assert written_snapshots() == recorded
     empty, state = ConfigurationState(), ConfigurationState()
     empty.restore(bytes.fromhex(recorded["empty"]))
-    assert (empty.current, empty.index, empty.version) == (None, 0, 0)
+    assert (empty.current, empty.record_index, empty.version) == (None, 0, 0)
     state.restore(bytes.fromhex(recorded["both orders"]))
-    assert (state.index, state.version) == (9, 7)
+    assert (state.record_index, state.version) == (9, 7)
     assert [state.is_accepted(order) for order in (FIRST, SECOND, UNREADABLE)] == [True, True, False]
     assert state.snapshot().hex() == recorded["both orders"]
 
@@ -296,7 +296,7 @@
             return OperatorResponse(503, b'{"error": "scripted"}')
         return OperatorResponse(200)
 
-    async def checkin(self, runner: str, body: bytes) -> bool:
+    async def check_in(self, runner: str, body: bytes) -> bool:
         self.calls.append(["checkin", runner, body.decode()])
         if self.error is not None:
             raise self.error
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -74,7 +74,7 @@
     lost.replace(4, 0)
     begin = restored(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
-    assert process.state.index == begin.index > lost.state.index
+    assert process.state.record_index == begin.index > lost.state.record_index
     assert process.member.view is not None and lost.member.view is not None
     assert process.member.view.epoch * FENCES_PER_EPOCH < 1 << 53  # JSON keeps it whole
     assert process.member.view.epoch >= begin.epoch > lost.member.view.epoch
--- a/tests/control/test_checkins.py
+++ b/tests/control/test_runner_check_ins.py
@@ -9,7 +9,7 @@
 
 import testtools
 
-from larchgw.control.checkins import HANDOFF_TIMEOUT_S, RunnerCheckins
+from larchgw.control.runner_check_ins import HANDOFF_TIMEOUT_S, RunnerCheckIns
 from larchgw.distribution.hinted_handoff import HintedHandoff
 from larchgw.distribution.registry import Registry
 from larchgw.emulator.virtual_loop import run
@@ -36,7 +36,7 @@
         return bool({"b", "c"} & set(addresses))
 
 
-class RunnerCheckinsTest(testtools.TestCase):
+class RunnerCheckInsTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.peers = [ScriptedPeer("b"), ScriptedPeer("c")]
@@ -48,7 +48,7 @@
         async def played() -> None:
             self.handoff = HintedHandoff(connect_to(self.peers), lambda: ["b", "c"])
             self.directory = RunnerDirectory(self.registry, now, BEAT_S, "a/1")
-            self.checkins = RunnerCheckins(self.directory, self.registry, self.contact, self.handoff)
+            self.check_ins = RunnerCheckIns(self.directory, self.registry, self.contact, self.handoff)
             try:
                 await main
             finally:
@@ -56,10 +56,10 @@
 
         run(played())
 
-    async def checkin(self, state: str = "ready") -> bool:
+    async def check_in(self, state: str = "ready") -> bool:
         self.count += 1
         body = {"service": "s", "address": "10.0.0.9:80", "state": state, "call_count": self.count}
-        return await self.checkins.checkin("i-1", json.dumps(body).encode())
+        return await self.check_ins.check_in("i-1", json.dumps(body).encode())
 
     def stage_at(self, peer: ScriptedPeer) -> Stage | None:
         entry = peer.registry.get("runner/i-1")
@@ -68,11 +68,11 @@
     def test_a_check_in_is_not_acknowledged_by_a_process_that_is_cut_off_but_it_is_kept(self) -> None:
         async def main() -> None:
             self.contact.cut_off = True
-            self.assertFalse(await self.checkin())
+            self.assertFalse(await self.check_in())
             record = self.directory.get("i-1")
             self.assertIsNotNone(record)
             self.contact.cut_off = False
-            self.assertTrue(await self.checkin())
+            self.assertTrue(await self.check_in())
 
         self.play(main())
 
@@ -80,12 +80,12 @@
         """The first moments of a cut, in which this process still counts as in contact."""
 
         async def main() -> None:
-            self.assertTrue(await self.checkin())
+            self.assertTrue(await self.check_in())
             for peer in self.peers:
                 peer.is_hung = True
-            self.assertFalse(await self.checkin("draining"))
-            self.assertFalse(await self.checkin("draining"))  # still urgent
-            self.assertFalse(await self.checkins.leave("i-1"))
+            self.assertFalse(await self.check_in("draining"))
+            self.assertFalse(await self.check_in("draining"))  # still urgent
+            self.assertFalse(await self.check_ins.leave("i-1"))
             self.assertLess(now(), 3 * RUNNER_PATIENCE_S)
 
         self.play(main())
@@ -93,27 +93,27 @@
     def test_a_drain_and_a_leave_are_at_a_majority_when_they_are_acknowledged(self) -> None:
         async def main() -> None:
             self.peers[0].is_down = True
-            self.assertTrue(await self.checkin("draining"))
+            self.assertTrue(await self.check_in("draining"))
             self.assertIs(Stage.DRAINING, self.stage_at(self.peers[1]))
-            self.assertTrue(await self.checkins.leave("i-1"))
+            self.assertTrue(await self.check_ins.leave("i-1"))
             self.assertIs(Stage.GONE, self.stage_at(self.peers[1]))
 
         self.play(main())
 
     def test_a_process_that_is_about_to_end_keeps_check_ins_and_acknowledges_none(self) -> None:
         async def main() -> None:
-            self.assertTrue(await self.checkin())
-            self.checkins.close()
-            self.assertFalse(await self.checkin("draining"))
+            self.assertTrue(await self.check_in())
+            self.check_ins.close()
+            self.assertFalse(await self.check_in("draining"))
             self.assertIs(Stage.DRAINING, self.stage())
-            self.assertFalse(await self.checkins.leave("i-1"))
+            self.assertFalse(await self.check_ins.leave("i-1"))
 
         self.play(main())
 
     def test_a_frozen_process_does_not_hold_an_acknowledgement_up_and_gets_a_hint(self) -> None:
         async def main() -> None:
             self.peers[0].is_hung = True
-            self.assertTrue(await self.checkin("draining"))
+            self.assertTrue(await self.check_in("draining"))
             self.assertLess(now(), PROMPT_S)
             await asyncio.sleep(HANDOFF_TIMEOUT_S + 0.01)
             self.assertEqual(["b"], self.handoff.hints.peers())
@@ -124,20 +124,20 @@
         async def main() -> None:
             slow = SlowPush(self.peers[0])
             self.peers[1].is_down = True
-            draining = asyncio.ensure_future(self.checkin("draining"))
+            draining = asyncio.ensure_future(self.check_in("draining"))
             await asyncio.sleep(0.01)
             self.directory.leave("i-1")  # as it comes in over another connection
             slow.proceed.set()
             self.assertTrue(await draining)
             self.assertTrue(self.directory.leave("i-1").needs_replication)
-            self.assertTrue(await self.checkins.leave("i-1"))
+            self.assertTrue(await self.check_ins.leave("i-1"))
             self.assertIs(Stage.GONE, self.stage_at(self.peers[0]))
 
         self.play(main())
 
     def test_a_process_that_is_cut_off_calls_nobody_silent_whom_it_turns_away(self) -> None:
         async def main() -> None:
-            self.assertTrue(await self.checkin())
+            self.assertTrue(await self.check_in())
             await self.tick_for(20.0, isolated=True)
             self.assertIs(Stage.READY, self.stage())
             await self.tick_for(SILENCE_TIMEOUT_HEARTBEATS * BEAT_S + 0.5, isolated=False)
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -17,7 +17,7 @@
 from larchgw.configuration.settings import NodeSettings, TimeLimits
 from larchgw.configuration.validation import parse
 from larchgw.control.node import ControlNode
-from larchgw.control.status import StatusService, StatusSources, as_object
+from larchgw.control.status import StatusService, StatusSources, to_json
 from larchgw.distribution.keys import PLACER_KEY
 from larchgw.distribution.pull_settings import PullSettings
 from larchgw.distribution.puller import Puller
@@ -148,7 +148,7 @@
 
 def test_fields_that_are_not_set_are_left_out_of_the_json() -> None:
     status = ttypes.ControlStatus(node_name="a", processes=[ttypes.ProcessStatus(name="b")])
-    assert as_object(status) == {"node_name": "a", "processes": [{"name": "b"}]}
+    assert to_json(status) == {"node_name": "a", "processes": [{"name": "b"}]}
 
 
 def test_a_status_arrives_as_it_was_sent_with_and_without_what_is_optional() -> None:
