--- a/larchgw/rpc/client.py
+++ b/larchgw/rpc/client.py
@@ -58,7 +58,8 @@
                 connection = await self._connect()
                 return await self._exchange(connection, method, argument)
         except TimeoutError:
-            raise RpcTimeoutError(f"{method} at {self.address}: no answer in {timeout_s:.2f} s") from None
+            message = f"{method} at {self.address}: no answer in {timeout_s:.2f} s"
+            raise RpcTimeoutError(message, address=self.address, method=method) from None
 
     def post(self, method: str, argument: Argument) -> None:
         """Sends a oneway call as soon as there is a connection; drops it if none comes up.
@@ -86,7 +87,8 @@
 
     async def _exchange(self, connection: ClientConnection, method: str, argument: Argument) -> Reply:
         if connection.transport is None:
-            raise RpcConnectionError(f"{self.address}: the connection ended", was_sent=False)
+            message = f"{self.address}: the connection ended"
+            raise RpcConnectionError(message, was_sent=False, address=self.address, method=method)
         self._sequence = (self._sequence + 1) & MAX_SEQUENCE
         sequence = self._sequence
         body = connection.add_call(sequence, method)
@@ -99,17 +101,19 @@
 
     def _reply_of(self, method: str, result: ThriftStruct) -> Reply:
         """Returns the reply in a method's result, or raises the error that stands there."""
-        call = f"{method} at {self.address}"
         if isinstance(result, TApplicationException):
-            raise RpcError(f"{call}: {result.message}")
+            raise self._call_error(method, result.message)
         unavailable = getattr(result, "unavailable", None)
         if unavailable is not None:
-            raise RpcUnavailableError(f"{call}: {unavailable.reason}; {unavailable.remedy}")
+            raise RpcUnavailableError(self.address, method, unavailable.reason, unavailable.remedy)
         reply = getattr(result, "success", None)
         if reply is None and hasattr(result, "success"):
-            raise RpcError(f"{call}: an answer without a result")
+            raise self._call_error(method, "an answer without a result")
         return reply
 
+    def _call_error(self, method: str, reason: str) -> RpcError:
+        return RpcError(f"{method} at {self.address}: {reason}", address=self.address, method=method)
+
     def _encode(self, method: str, kind: int, sequence: int, argument: Argument) -> bytes:
         frame = encode_message(method, kind, sequence, new_arguments(method, argument))
         self.traffic.sent += len(frame)
@@ -124,7 +128,8 @@
         except asyncio.CancelledError:
             caller = asyncio.current_task()
             if opening.cancelled() and caller is not None and not caller.cancelling():
-                raise RpcConnectionError(f"{self.address}: the client was closed", was_sent=False) from None
+                message = f"{self.address}: the client was closed"
+                raise RpcConnectionError(message, was_sent=False, address=self.address) from None
             raise
 
     def _begin_opening(self) -> asyncio.Task[ClientConnection]:
@@ -144,7 +149,7 @@
                 )
         except (OSError, TimeoutError) as error:
             message = f"{self.address}: {error or 'no answer'}"
-            raise RpcConnectionError(message, was_sent=False) from error
+            raise RpcConnectionError(message, was_sent=False, address=self.address) from error
         self._connection = connection
         return connection
 
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -17,9 +17,16 @@
 
 from larchgw.rpc.client import RpcClient
 from larchgw.rpc.codec import Message, decode_message, encode_message
-from larchgw.rpc.errors import RpcConnectionError, RpcError, RpcTimeoutError
+from larchgw.rpc.errors import RpcConnectionError, RpcError, RpcTimeoutError, RpcUnavailableError
 from larchgw.rpc.generated import Control
-from larchgw.rpc.generated.ttypes import ControlStatus, DemandReport, PushReply, PushRequest, StatusRequest
+from larchgw.rpc.generated.ttypes import (
+    ControlStatus,
+    DemandReport,
+    PushReply,
+    PushRequest,
+    StatusRequest,
+    Unavailable,
+)
 from larchgw.rpc.server import RpcServer
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import soon
@@ -202,6 +209,22 @@
         assert not lost.value.was_sent
 
 
+@on_loop
+async def test_unavailable_reply_raises_its_reason_and_remedy() -> None:
+    async with connected() as (client, peer):
+        call = asyncio.ensure_future(client.call("push", PushRequest(), LONG_S))
+        connection = await peer.connection()
+        received = await connection.receive_call()
+        unavailable = Control.push_result(None, Unavailable("cut off", "ask another"))
+        connection.writer.write(encode_message("push", TMessageType.REPLY, received.sequence, unavailable))
+        with pytest.raises(RpcUnavailableError) as refused:
+            await soon(call)
+        error = refused.value
+        assert (error.address, error.method) == (client.address, "push")
+        assert (error.reason, error.remedy) == ("cut off", "ask another")
+        assert str(error) == f"push at {client.address}: cut off; ask another"
+
+
 class CountingService:
     """Counts the calls that it executes."""
 
