--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -26,7 +26,7 @@
 from larchgw.distribution.puller import Puller
 from larchgw.distribution.registry import Registry, encoded_size_bytes
 from larchgw.distribution.version_vectors import cursors, new_origin, without_cursors
-from larchgw.edge.expected_loads import Expectations
+from larchgw.edge.expected_loads import ExpectedLoads
 from larchgw.emulator.virtual_loop import run
 from larchgw.replication.view import View
 from larchgw.rpc.codec import decode_struct, encode_struct
@@ -230,7 +230,7 @@
     saved = recorded("entries.json")
     entries = [decode_struct(Entry, bytes.fromhex(data)) for data in saved["entries"].values()]
     clock = [100.0]
-    expected = Expectations(registry, lambda: clock[0])
+    expected = ExpectedLoads(registry, lambda: clock[0])
     latest = LatestView(lambda: None, registry)
     assert registry.merge(entries) == entries
     configuration = registry.get("configuration")
