--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -100,7 +100,7 @@
 def _restore(source: Path, folder: Path, terms: NodeSettings, sure: bool) -> int:
     from ..control import restore as restoring
     from ..control.errors import RestoreError
-    from ..replication.forced_new_view import beginning
+    from ..replication.forced_new_view import plan_forced_view
 
     address = rpc_address(terms)
     try:
@@ -116,7 +116,7 @@
         return fail(
             "nothing was written; add --yes once every control process is stopped for good", Ending.REFUSED
         )
-    begin = beginning(
+    begin = plan_forced_view(
         restoring.fresh_identity(address), address, time.time(), found.last_epoch, found.last_index
     )
     try:
--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -180,9 +180,9 @@
         seeds=tuple(seed_rpc_addresses(settings)),
         first_boot=settings.first_boot,
         fresh_identity=f"{address}#{random_source.getrandbits(64):016x}",
-        survive=settings.survive.computers,
-        lease_term=settings.time_limits.lease_term_ms / 1000.0,
-        all_decide=settings.survive.zones > 0 or settings.survive.regions > 0,
+        tolerated_failures=settings.survive.computers,
+        lease_term_s=settings.time_limits.lease_term_ms / 1000.0,
+        all_in_sync_vote=settings.survive.zones > 0 or settings.survive.regions > 0,
     )
 
 
--- a/larchgw/control/placer_role.py
+++ b/larchgw/control/placer_role.py
@@ -96,7 +96,7 @@
         """Names this process as the placer, if it is."""
         lease = self.current_lease()
         if lease is not None:
-            publish_placer(self._registry, self._own_address, lease.fence)
+            publish_placer(self._registry, self._own_address, lease.fencing_token)
 
     def publish_expected_loads(self, runner: str, names: dict[str, float]) -> None:
         """Publishes what a runner is expected to hold soon; see PlacementRuntime.publish.
@@ -112,7 +112,7 @@
         self._registry.put(
             EXPECTED_LOADS_PREFIX + runner,
             json.dumps(names).encode(),
-            lease.fence,
+            lease.fencing_token,
             self._expected_loads_serial,
         )
 
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from ..replication.effects import Effects, NotPrimary, Outgoing, Ticket
+from ..replication.effects import Effects, NotPrimaryError, Outgoing, PendingCall
 from ..replication.lease import Lease
 from ..replication.member import Member
 from ..rpc.generated.ttypes import PeerMessage
@@ -37,7 +37,7 @@
     ) -> None:
         self.member, self.state = member, state
         self._clients, self._changed, self._clock = clients, changed, clock
-        self._waiting: dict[Ticket, asyncio.Future[int]] = {}
+        self._waiting: dict[PendingCall, asyncio.Future[int]] = {}
         self._disk_rests_until = 0.0
 
     def start(self) -> None:
@@ -83,21 +83,21 @@
         """See operator_service.Replication."""
         return await self._call(lambda now: self.member.propose(now, record))
 
-    async def _call(self, begin: Callable[[float], tuple[Ticket, Effects]]) -> int:
+    async def _call(self, begin: Callable[[float], tuple[PendingCall, Effects]]) -> int:
         try:
-            ticket, effects = begin(self._clock())
-        except NotPrimary as error:
+            call, effects = begin(self._clock())
+        except NotPrimaryError as error:
             raise ReplicationUnavailableError(str(error)) from error
         except OSError as error:
             self._disk_failed(error)
             raise ReplicationUnavailableError(f"the disk refuses writes: {error}") from error
-        future = self._waiting[ticket] = asyncio.get_running_loop().create_future()
+        future = self._waiting[call] = asyncio.get_running_loop().create_future()
         try:
             self._carry_out(effects)
             index: int = await future
             return index
         finally:
-            self._waiting.pop(ticket, None)
+            self._waiting.pop(call, None)
 
     def _guard(self, step: Callable[[], Effects]) -> None:
         if self._clock() < self._disk_rests_until:
@@ -121,9 +121,9 @@
         if self.state.record_index != before:
             self._changed()
         for done in effects.done:
-            self._settle(done.ticket, done.index)
+            self._settle(done.call, done.index)
         for failed in effects.failed:
-            self._fail(failed.ticket, failed.reason)
+            self._fail(failed.call, failed.reason)
         for outgoing in effects.messages:
             self._post(outgoing)
         if effects.role is not None:
@@ -136,12 +136,12 @@
         sent = PeerMessage(message.sender, message.receiver, message.kind, message.body)
         self._clients.get(outgoing.address).post("deliver", sent)
 
-    def _settle(self, ticket: Ticket, index: int) -> None:
-        future = self._waiting.get(ticket)
+    def _settle(self, call: PendingCall, index: int) -> None:
+        future = self._waiting.get(call)
         if future is not None and not future.done():
             future.set_result(index)
 
-    def _fail(self, ticket: Ticket, reason: str) -> None:
-        future = self._waiting.get(ticket)
+    def _fail(self, call: PendingCall, reason: str) -> None:
+        future = self._waiting.get(call)
         if future is not None and not future.done():
             future.set_exception(ReplicationUnavailableError(reason))
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -15,8 +15,8 @@
 from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
 from ..configuration.validation import decode, parse
-from ..replication.forced_new_view import Beginning, refound
-from ..replication.replica import unframed
+from ..replication.forced_new_view import ForcedView, write_forced_view
+from ..replication.replica import split_frame
 from ..storage.errors import StorageError
 from ..storage.files import DiskFiles, FilePort
 from ..storage.log_inspection import LogContents, read_log, read_snapshot_file
@@ -63,14 +63,14 @@
 
 
 def write_folder(
-    folder: Path, found: RestorableState, begin: Beginning, files: FilePort | None = None
+    folder: Path, found: RestorableState, begin: ForcedView, files: FilePort | None = None
 ) -> None:
     """Writes the data folder of the process that begins anew. Raises StorageError; remove the folder then."""
     state = ConfigurationState()
     state.restore(found.state.snapshot())
     state.record_index = begin.index
     disk = ControlDisk.open(files or DiskFiles(), str(folder))
-    refound(disk.ports, begin, state.snapshot())
+    write_forced_view(disk.ports, begin, state.snapshot())
     disk.refill_reserve()
 
 
@@ -82,10 +82,10 @@
 def _from_log(source: Path, held: LogContents) -> RestorableState:
     state, epoch, index = ConfigurationState(), 0, held.snapshot_index
     if held.snapshot is not None:
-        epoch, snapshot = unframed(held.snapshot)
+        epoch, snapshot = split_frame(held.snapshot)
         state.restore(snapshot)
     for index, framed in held.records:
-        epoch, record = unframed(framed)
+        epoch, record = split_frame(framed)
         state.apply(index, record)
     if state.current is None:
         raise RestoreError(source, "holds no configuration", "restore from another copy")
--- a/larchgw/experiments/place.py
+++ b/larchgw/experiments/place.py
@@ -136,8 +136,8 @@
 class HeldLease:
     """A lease that lasts."""
 
-    fence: int = 1
-    until: float = math.inf
+    fencing_token: int = 1
+    expires_at: float = math.inf
 
 
 class Placer(Protocol):
--- a/larchgw/experiments/recovery.py
+++ b/larchgw/experiments/recovery.py
@@ -133,7 +133,7 @@
     _, _, snapshot = replica.snapshot()
     if snapshot:
         state.restore(snapshot)
-    for index, record in replica.read(replica.first_kept, replica.last_index):
+    for index, record in replica.read(replica.first_index, replica.last_index):
         state.apply(index, record)
     seconds = time.perf_counter() - began
     _check(state, case)
@@ -151,21 +151,21 @@
     _, replica = _open(target)
     state, incoming, pieces = ConfigurationState(), IncomingSnapshot(), 0
     began = time.perf_counter()
-    if primary.first_kept > 1:
-        outgoing = OutgoingSnapshot(EPOCH, Snapshot.of(*primary.snapshot()), _settings().piece_bytes)
+    if primary.first_index > 1:
+        outgoing = OutgoingSnapshot(EPOCH, Snapshot.of(*primary.snapshot()), _settings().chunk_bytes)
         whole = None
         while whole is None:
-            piece, pieces = outgoing.piece(), pieces + 1
-            whole = incoming.take(piece) if incoming.begin(piece) else None
-            outgoing.answered(piece.index, incoming.offset)
+            piece, pieces = outgoing.chunk(), pieces + 1
+            whole = incoming.receive(piece) if incoming.begin(piece) else None
+            outgoing.acknowledge(piece.index, incoming.offset)
         replica.install(outgoing.snapshot.index, outgoing.snapshot.epoch, whole)
-        incoming.forget()
+        incoming.discard()
         state.restore(whole)
     while replica.last_index < primary.last_index:
         first = replica.last_index + 1
         epochs, records = primary.batch(first, _settings().batch_bytes)
-        replica.follow(first - 1, primary.epoch_at(first - 1), epochs, records)
-    for index, record in replica.read(replica.first_kept, replica.last_index):
+        replica.append_from_primary(first - 1, primary.epoch_at(first - 1), epochs, records)
+    for index, record in replica.read(replica.first_index, replica.last_index):
         state.apply(index, record)
     seconds = time.perf_counter() - began
     _check(state, case)
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -13,7 +13,7 @@
 from math import inf
 from random import Random
 
-from ...replication.effects import Effects, NotPrimary, Outgoing
+from ...replication.effects import Effects, NotPrimaryError, Outgoing
 from ...replication.member import Member
 from ...replication.message_codec import decode
 from ...replication.messages import Accepted, Envelope, Promise
@@ -114,7 +114,7 @@
             LEASE_TERM_S,
             compact_records=self.compact_records,
             batch_bytes=200,
-            piece_bytes=self.piece_bytes,
+            chunk_bytes=self.piece_bytes,
             deliver_bytes=DELIVER_BYTES,
         )
         machine.version = 0
@@ -285,16 +285,16 @@
                 raise InvariantError(
                     f"{machine.name} ends a call as of {done.index}, but has {machine.version}"
                 )
-            if done.ticket.number in machine.proposals:
-                built_on, record = machine.proposals.pop(done.ticket.number)
+            if done.call.number in machine.proposals:
+                built_on, record = machine.proposals.pop(done.call.number)
                 self.checks.acknowledged(done.index, built_on, record)
                 self.acknowledged += 1
             else:
-                self.checks.read(machine.name, machine.reads.pop(done.ticket.number), done.index)
+                self.checks.read(machine.name, machine.reads.pop(done.call.number), done.index)
                 self.confirmed += 1
         for failed in effects.failed:
-            machine.proposals.pop(failed.ticket.number, None)
-            machine.reads.pop(failed.ticket.number, None)
+            machine.proposals.pop(failed.call.number, None)
+            machine.reads.pop(failed.call.number, None)
         for outgoing in effects.messages:
             self._transmit(machine, outgoing, written)
 
@@ -317,7 +317,7 @@
     def _check_lease(self, machine: Machine, member: Member) -> None:
         lease = member.lease(self.clock(machine), LEASE_NAME) if self.has_leases else None
         if lease is not None:
-            self.checks.holds_lease(self.now, member.id, lease.fence)
+            self.checks.holds_lease(self.now, member.id, lease.fencing_token)
 
     def _transmit(self, machine: Machine, outgoing: Outgoing, written: float) -> None:
         self._check_vote(outgoing.message)
@@ -369,7 +369,7 @@
         clock = self.clock(machine)
         try:
             ticket, effects = member.propose(clock, record)
-        except (NotPrimary, OSError):
+        except (NotPrimaryError, OSError):
             return False
         except SimulatedCrashError:
             self._crash(machine)
@@ -385,7 +385,7 @@
             return False
         try:
             ticket, effects = member.confirm(self.clock(machine))
-        except NotPrimary:
+        except NotPrimaryError:
             return False
         machine.reads[ticket.number] = self.checks.newest_acknowledged
         self._carry_out(machine, effects)
--- a/larchgw/model_checking/replication/exhaustive_search.py
+++ b/larchgw/model_checking/replication/exhaustive_search.py
@@ -110,5 +110,5 @@
 def _state_of(machine: Machine) -> tuple[object, ...]:
     disk = machine.disk
     stored = (tuple(sorted(disk.cells.items())), disk.base, tuple(disk.records), disk.synced)
-    kept = None if machine.member is None else machine.member.progress()
+    kept = None if machine.member is None else machine.member.volatile_state()
     return (stored, kept, machine.clock_offset, machine.incarnation, tuple(sorted(machine.proposals.items())))
--- a/larchgw/model_checking/replication/mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -7,16 +7,16 @@
 from typing import TypeVar
 
 from ...replication import identity, member, snapshot_transfer, view
-from ...replication.graceful_leave import Departure
+from ...replication.graceful_leave import GracefulLeave
 from ...replication.leadership import Leadership
 from ...replication.lease import LeaseHolder
-from ...replication.lease_acceptor import LeaseWitness
-from ...replication.messages import Install, Promise
+from ...replication.lease_acceptor import LeaseAcceptor
+from ...replication.messages import InstallSnapshot, Promise
 from ...replication.ports import Cell
 from ...replication.replica import Replica
 from ...replication.settings import MemberSettings
 from ...replication.snapshot_transfer import IncomingSnapshot, OutgoingSnapshot
-from ...replication.view_change_round import Ballot
+from ...replication.view_change_round import ViewChangeRound
 from ...replication.view_changes import ViewChanges
 from ...replication.witness import Witness, WitnessState
 from ..mutants import Mutant, Patch
@@ -24,7 +24,7 @@
 
 ReturnT = TypeVar("ReturnT")
 FollowResult = tuple[bool, int]
-Establish = Callable[[Cell, MemberSettings, Witness, LeaseWitness], identity.Identity]
+Establish = Callable[[Cell, MemberSettings, Witness, LeaseAcceptor], identity.Identity]
 Follow = Callable[[Replica, int, int, Sequence[int], Sequence[bytes]], FollowResult]
 
 
@@ -47,9 +47,9 @@
 
 
 def _ignores_reported_views(
-    original: Callable[[Ballot, float, str, Promise], None],
-) -> Callable[[Ballot, float, str, Promise], None]:
-    def promise(self: Ballot, now: float, sender: str, message: Promise) -> None:
+    original: Callable[[ViewChangeRound, float, str, Promise], None],
+) -> Callable[[ViewChangeRound, float, str, Promise], None]:
+    def promise(self: ViewChangeRound, now: float, sender: str, message: Promise) -> None:
         original(self, now, sender, replace(message, view=None))
 
     return promise
@@ -85,25 +85,25 @@
 
 
 def _leads_after_a_restart(original: Establish) -> Establish:
-    def establish(
-        cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseWitness
+    def load_or_create_identity(
+        cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseAcceptor
     ) -> identity.Identity:
         return replace(original(cell, settings, witness, leases), is_new=True)
 
-    return establish
+    return load_or_create_identity
 
 
 def _names_a_wiped_disk_as_before(original: Establish) -> Establish:
-    def establish(
-        cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseWitness
+    def load_or_create_identity(
+        cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseAcceptor
     ) -> identity.Identity:
         return original(cell, replace(settings, first_boot=True), witness, leases)
 
-    return establish
+    return load_or_create_identity
 
 
 def _ignores_divergence(original: Follow) -> Follow:
-    def follow(
+    def append_from_primary(
         self: Replica,
         previous_index: int,
         previous_epoch: int,
@@ -115,7 +115,7 @@
             previous_epoch = self.epoch_at(known)
         return original(self, previous_index, previous_epoch, epochs, records)
 
-    return follow
+    return append_from_primary
 
 
 def _proves_without_a_quorum(
@@ -157,9 +157,9 @@
 
 
 def _ends_without_agreement(
-    original: Callable[[Departure, view.View | None], bool],
-) -> Callable[[Departure, view.View | None], bool]:
-    def is_over(self: Departure, accepted: view.View | None) -> bool:
+    original: Callable[[GracefulLeave, view.View | None], bool],
+) -> Callable[[GracefulLeave, view.View | None], bool]:
+    def is_over(self: GracefulLeave, accepted: view.View | None) -> bool:
         return self.has_begun
 
     return is_over
@@ -168,18 +168,18 @@
 def _sends_on_whatever_is_answered(
     original: Callable[[OutgoingSnapshot, int, int], bool],
 ) -> Callable[[OutgoingSnapshot, int, int], bool]:
-    def answered(self: OutgoingSnapshot, index: int, offset: int) -> bool:
+    def acknowledge(self: OutgoingSnapshot, index: int, offset: int) -> bool:
         size = len(self.snapshot.content)
-        self.offset = min(self.offset + self._piece_bytes, max(0, size - self._piece_bytes))
+        self.offset = min(self.offset + self._chunk_bytes, max(0, size - self._chunk_bytes))
         return True
 
-    return answered
+    return acknowledge
 
 
 def _all_one_transfer(
-    original: Callable[[Install], tuple[object, ...]],
-) -> Callable[[Install], tuple[object, ...]]:
-    def transfer_of(install: Install) -> tuple[object, ...]:
+    original: Callable[[InstallSnapshot], tuple[object, ...]],
+) -> Callable[[InstallSnapshot], tuple[object, ...]]:
+    def transfer_of(install: InstallSnapshot) -> tuple[object, ...]:
         return ("any",)
 
     return transfer_of
@@ -214,7 +214,7 @@
         "ignores the views that promises report",
         play_random_walk,
         55,
-        (Patch(Ballot, "promise", _ignores_reported_views),),
+        (Patch(ViewChangeRound, "promise", _ignores_reported_views),),
     ),
     Mutant("promises an epoch again", play_faults, 21, (Patch(Witness, "promise", _promises_anything),)),
     Mutant(
@@ -230,13 +230,13 @@
         "goes on as primary after a restart",
         play_random_walk,
         0,
-        (Patch(member, "establish", _leads_after_a_restart),),
+        (Patch(member, "load_or_create_identity", _leads_after_a_restart),),
     ),
     Mutant(
         "keeps its vote after the loss of its disk",
         play_random_walk,
         15,
-        (Patch(member, "establish", _names_a_wiped_disk_as_before),),
+        (Patch(member, "load_or_create_identity", _names_a_wiped_disk_as_before),),
     ),
     Mutant(
         "answers before its records are synced", play_random_walk, 0, (Patch(Replica, "sync", _always(None)),)
@@ -245,7 +245,7 @@
         "does not compare the epochs of records",
         play_faults,
         0,
-        (Patch(Replica, "follow", _ignores_divergence),),
+        (Patch(Replica, "append_from_primary", _ignores_divergence),),
     ),
     Mutant(
         "takes a piece of a snapshot at a wrong offset",
@@ -257,7 +257,7 @@
         "does not verify a snapshot",
         play_random_walk,
         29,
-        (Patch(snapshot_transfer, "_is_genuine", _always(True)),),
+        (Patch(snapshot_transfer, "_has_checksum", _always(True)),),
     ),
     Mutant(
         "keeps the pieces of one snapshot for another",
@@ -269,7 +269,7 @@
         "leaves out what of a snapshot was lost",
         play_faults,
         0,
-        (Patch(OutgoingSnapshot, "answered", _sends_on_whatever_is_answered),),
+        (Patch(OutgoingSnapshot, "acknowledge", _sends_on_whatever_is_answered),),
     ),
     Mutant(
         "counts one less than a majority as one",
@@ -287,7 +287,7 @@
         "grants a lease that another holds",
         play_faults,
         0,
-        (Patch(LeaseWitness, "_remaining", _always(0.0)),),
+        (Patch(LeaseAcceptor, "_remaining", _always(0.0)),),
     ),
     Mutant(
         "leads by a vote that came too late",
@@ -299,12 +299,12 @@
         "ends before the others have agreed",
         play_random_walk,
         0,
-        (Patch(Departure, "is_over", _ends_without_agreement),),
+        (Patch(GracefulLeave, "is_over", _ends_without_agreement),),
     ),
     Mutant(
         "agrees to the end of a member in sync",
         play_random_walk,
         3,
-        (Patch(Leadership, "can_spare", _always(True)),),
+        (Patch(Leadership, "can_release", _always(True)),),
     ),
 )
--- a/larchgw/placement/lease_watch.py
+++ b/larchgw/placement/lease_watch.py
@@ -41,16 +41,16 @@
         It may only while the lease lasts longer than an order may take to arrive.
         """
         lease, now_s = self._usable_lease(), self._runtime.clock()
-        if lease is not None and lease.until - now_s <= self._runtime.settings.order_timeout_s:
+        if lease is not None and lease.expires_at - now_s <= self._runtime.settings.order_timeout_s:
             lease = None
-        fencing_token = lease.fence if lease is not None else None
+        fencing_token = lease.fencing_token if lease is not None else None
         if fencing_token != self.fencing_token:
             self._change(now_s, fencing_token)
         return lease
 
     def _usable_lease(self) -> Lease | None:
         lease = self._runtime.lease()
-        return None if lease is None or lease.fence < self._min_fencing_token else lease
+        return None if lease is None or lease.fencing_token < self._min_fencing_token else lease
 
     def _change(self, now_s: float, fencing_token: int | None) -> None:
         if self.fencing_token is not None:
--- a/larchgw/placement/runner_exchange.py
+++ b/larchgw/placement/runner_exchange.py
@@ -65,7 +65,7 @@
         planned_at_s = self._clock()
         async with self._order_slots:
             lease = self._lease_watch.current()  # read again: it may have ended while this waited
-            if lease is None or lease.fence != fencing_token:
+            if lease is None or lease.fencing_token != fencing_token:
                 return
             if self._clock() - planned_at_s > MAX_ORDER_QUEUE_S:
                 outcome = OrderOutcome.UNSENT
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -120,7 +120,7 @@
         self._reconciler.assume_adapters_loaded(now_s)
         self._exchange.poll_due(now_s)
         if now_s >= self._next_plan_at_s and self._has_enough_reports(now_s):
-            self._order_next(now_s, lease.fence)
+            self._order_next(now_s, lease.fencing_token)
             self._next_plan_at_s = now_s + (self._clock() - now_s) / MAX_PLANNING_SHARE
         self._publisher.update(now_s, self._reconciler.expected_completions(now_s))
 
--- a/larchgw/placement/service_runtime.py
+++ b/larchgw/placement/service_runtime.py
@@ -15,11 +15,11 @@
     """The right to order, as the replication package gives it out."""
 
     @property
-    def fence(self) -> int:
+    def fencing_token(self) -> int:
         """The fencing token: it is higher with each holder."""
 
     @property
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """End of the right, on the clock of the runtime."""
 
 
--- a/larchgw/replication/compaction.py
+++ b/larchgw/replication/compaction.py
@@ -7,7 +7,7 @@
 from .replica import Replica
 from .settings import MemberSettings
 
-DISK_RETRY_SECONDS = 5.0  # after a failed compaction
+DISK_RETRY_S = 5.0  # after a failed compaction
 POSTPONED_FACTOR = 2  # the log may grow to so many times its bounds while a member is sent a snapshot
 
 
@@ -28,9 +28,9 @@
         OSError if the disk refuses; it is tried again after some seconds."""
         if not self._has_outgrown(POSTPONED_FACTOR if is_sending_snapshot else 1):
             return
-        if now < self._retry_at or delivered < self._replica.first_kept:
+        if now < self._retry_at or delivered < self._replica.first_index:
             return
-        self._retry_at = now + DISK_RETRY_SECONDS
+        self._retry_at = now + DISK_RETRY_S
         self._replica.compact(delivered, self._snapshot())
         self._retry_at = now
 
--- a/larchgw/replication/effects.py
+++ b/larchgw/replication/effects.py
@@ -8,7 +8,7 @@
 from .messages import Envelope
 
 
-class NotPrimary(Exception):
+class NotPrimaryError(Exception):
     """Only the primary takes this call: pass it on to `Member.primary`, or try again once there is one."""
 
 
@@ -21,27 +21,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ticket:
+class PendingCall:
     """Stands for one `propose` or `confirm` until an Effects lists it as done or failed."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class CallDone:
     """A record is acknowledged at `index`, or a read is confirmed as of `index`."""
 
-    ticket: Ticket
+    call: PendingCall
     index: int
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
-    """`may_be_taken`: the record may still be acknowledged by another primary; never answer it as refused."""
+class CallFailed:
+    """A call has failed.
 
-    ticket: Ticket
+    `may_be_committed`: the record may still be acknowledged by another primary; never answer it as refused.
+    """
+
+    call: PendingCall
     reason: str
-    may_be_taken: bool
+    may_be_committed: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,6 +63,6 @@
     messages: list[Outgoing] = field(default_factory=list)
     installed: tuple[int, bytes] | None = None
     committed: list[tuple[int, bytes]] = field(default_factory=list)
-    done: list[Done] = field(default_factory=list)
-    failed: list[Failed] = field(default_factory=list)
+    done: list[CallDone] = field(default_factory=list)
+    failed: list[CallFailed] = field(default_factory=list)
     role: Role | None = None  # set where the role has changed
--- a/larchgw/replication/follower.py
+++ b/larchgw/replication/follower.py
@@ -4,8 +4,16 @@
 
 from collections.abc import Iterable
 
-from .messages import Append, AppendReply, Heartbeat, HeartbeatReply, Install, InstallReply, Join
-from .outbound_messages import Outbox
+from .messages import (
+    Append,
+    AppendReply,
+    Heartbeat,
+    HeartbeatReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    JoinRequest,
+)
+from .outbound_messages import OutboundMessages
 from .replica import Replica
 from .settings import Timing
 from .snapshot_transfer import IncomingSnapshot
@@ -14,101 +22,114 @@
 
 
 class Follower:
-    """Follows the primary of the last accepted view. `heard_at` is when a primary was last heard."""
+    """Follows the primary of the last accepted view. `primary_seen_at` is when a primary was last heard."""
 
     def __init__(
-        self, me: str, address: str, witness: Witness, replica: Replica, outbox: Outbox, timing: Timing
+        self,
+        member_id: str,
+        address: str,
+        witness: Witness,
+        replica: Replica,
+        outbox: OutboundMessages,
+        timing: Timing,
     ) -> None:
-        self._me = me
+        self._member_id = member_id
         self._address = address
         self._witness = witness
         self._replica = replica
         self._outbox = outbox
         self._timing = timing
         self._started_at = 0.0
-        self._join_at = 0.0
-        self._matched_epoch = 0
-        self._matched = 0  # the log is the primary's up to here, in `_matched_epoch`
-        self.heard_at: float | None = None
+        self._next_join_at = 0.0
+        self._matched_in_epoch = 0
+        self._matched = 0  # the log is the primary's up to here, in `_matched_in_epoch`
+        self.primary_seen_at: float | None = None
         self.incoming = IncomingSnapshot()
 
     def start(self, now: float) -> None:
         """Once, before any other call. A primary has as long to be heard as if it had just been."""
         self._started_at = now
-        self._join_at = now
+        self._next_join_at = now
 
-    def hears_primary(self, now: float) -> bool:
+    def has_recent_primary(self, now: float) -> bool:
         """Whether a primary was heard so lately that nobody should try to replace it."""
-        return self.heard_at is not None and now - self.heard_at < self._timing.primary_silence * 0.8
+        return (
+            self.primary_seen_at is not None
+            and now - self.primary_seen_at < self._timing.primary_silence_s * 0.8
+        )
 
-    def suspects_at(self, view: View) -> float:
+    def candidacy_due_at(self, view: View) -> float:
         """When this member, in sync in `view`, should try to become primary."""
-        rank = view.in_sync.index(self._me)
-        if self.heard_at is not None:
-            return self.heard_at + self._timing.primary_silence + rank * self._timing.rank_stagger
+        rank = view.in_sync.index(self._member_id)
+        if self.primary_seen_at is not None:
+            return self.primary_seen_at + self._timing.primary_silence_s + rank * self._timing.rank_stagger_s
         if rank == 0:
-            return self._started_at + self._timing.own_restart
-        return self._started_at + self._timing.primary_silence + rank * self._timing.rank_stagger
+            return self._started_at + self._timing.own_restart_s
+        return self._started_at + self._timing.primary_silence_s + rank * self._timing.rank_stagger_s
 
-    def heartbeat(self, now: float, sender: str, beat: Heartbeat) -> None:
+    def heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> None:
         """The primary of an epoch is there. Unless a higher one is promised, this is a proof for its
         reads."""
         promised, view = self._witness.promised, self._witness.view
-        granted = promised <= beat.epoch
+        granted = promised <= heartbeat.epoch
         accepted = 0 if view is None else view.epoch
         if granted or view is not None and view.primary == sender:
-            self.heard_at = now
-        if accepted == beat.epoch and granted:
-            self._learn_commit(beat.epoch, beat.commit)
-        newer = view if accepted > beat.epoch else None
-        self._outbox.send(sender, HeartbeatReply(beat.epoch, beat.round, granted, promised, accepted, newer))
+            self.primary_seen_at = now
+        if accepted == heartbeat.epoch and granted:
+            self._update_committed(heartbeat.epoch, heartbeat.committed_index)
+        newer = view if accepted > heartbeat.epoch else None
+        self._outbox.send(
+            sender, HeartbeatReply(heartbeat.epoch, heartbeat.round, granted, promised, accepted, newer)
+        )
 
     def append(self, now: float, sender: str, append: Append) -> None:
         """Records of the primary. Those of a view that is not accepted here are left alone."""
         if not self._follows(sender, append.epoch):
             return
-        self.heard_at = now
-        matched, index = self._replica.follow(
+        self.primary_seen_at = now
+        matched, index = self._replica.append_from_primary(
             append.previous_index, append.previous_epoch, append.epochs, append.records
         )
         if matched:
-            self.incoming.forget_up_to(index)
-            self._match(append.epoch, index)
-            self._learn_commit(append.epoch, append.commit)
+            self.incoming.discard_up_to(index)
+            self._update_matched(append.epoch, index)
+            self._update_committed(append.epoch, append.committed_index)
         self._outbox.send(sender, AppendReply(append.epoch, matched, index))
 
-    def install(self, now: float, sender: str, install: Install) -> tuple[int, bytes] | None:
+    def install(self, now: float, sender: str, install: InstallSnapshot) -> tuple[int, bytes] | None:
         """A piece of a snapshot of the primary; the snapshot is returned once it has replaced the log."""
         if not self._follows(sender, install.epoch):
             return None
-        self.heard_at = now
-        if self._replica.holds(install.index, install.index_epoch):
+        self.primary_seen_at = now
+        if self._replica.has_record(install.index, install.index_epoch):
             self._replica.sync()
-            self._have_installed(sender, install)
+            self._confirm_installed(sender, install)
             return None
         if not self.incoming.begin(install):
             return None
-        snapshot = self.incoming.take(install)
+        snapshot = self.incoming.receive(install)
         if snapshot is None:
-            self._outbox.send(sender, InstallReply(install.epoch, install.index, self.incoming.offset))
+            self._outbox.send(
+                sender, InstallSnapshotReply(install.epoch, install.index, self.incoming.offset)
+            )
             return None
         self._replica.install(install.index, install.index_epoch, snapshot)
-        self._have_installed(sender, install)
+        self._confirm_installed(sender, install)
         return install.index, snapshot
 
-    def _have_installed(self, sender: str, install: Install) -> None:
-        self.incoming.forget()
-        self._match(install.epoch, install.index)
+    def _confirm_installed(self, sender: str, install: InstallSnapshot) -> None:
+        self.incoming.discard()
+        self._update_matched(install.epoch, install.index)
         self._outbox.send(sender, AppendReply(install.epoch, True, install.index))
 
-    def ask_to_join(self, now: float, contacts: Iterable[str]) -> None:
+    def request_join(self, now: float, contacts: Iterable[str]) -> None:
         """While this member is not in sync it asks to be brought up to date, time and again."""
-        if now < self._join_at:
+        if now < self._next_join_at:
             return
-        self._join_at = now + self._timing.join
-        join = Join(self._me, self._address)
+        self._next_join_at = now + self._timing.join_interval_s
+        join = JoinRequest(self._member_id, self._address)
         view = self._witness.view
-        if view is not None and self.hears_primary(now):
+        if view is not None and self.has_recent_primary(now):
             self._outbox.send(view.primary, join)
             return
         known = () if view is None else view.addresses.values()
@@ -121,11 +142,11 @@
             return False
         return (view.epoch, view.primary) == (epoch, sender)
 
-    def _match(self, epoch: int, index: int) -> None:
-        if epoch != self._matched_epoch:
-            self._matched_epoch, self._matched = epoch, 0
+    def _update_matched(self, epoch: int, index: int) -> None:
+        if epoch != self._matched_in_epoch:
+            self._matched_in_epoch, self._matched = epoch, 0
         self._matched = max(self._matched, index)
 
-    def _learn_commit(self, epoch: int, commit: int) -> None:
-        if epoch == self._matched_epoch:
+    def _update_committed(self, epoch: int, commit: int) -> None:
+        if epoch == self._matched_in_epoch:
             self._replica.committed = max(self._replica.committed, min(commit, self._matched))
--- a/larchgw/replication/forced_new_view.py
+++ b/larchgw/replication/forced_new_view.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from .identity import store_identity
-from .lease_acceptor import LeaseWitness
+from .lease_acceptor import LeaseAcceptor
 from .ports import Ports
 from .replica import Replica
 from .view import View
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beginning:
+class ForcedView:
     """The first member, the epoch of its view, and the index that the snapshot stands for."""
 
     identity: str
@@ -34,20 +34,22 @@
     index: int
 
 
-def beginning(identity: str, address: str, time_of_day: float, last_epoch: int, last_index: int) -> Beginning:
+def plan_forced_view(
+    identity: str, address: str, time_of_day: float, last_epoch: int, last_index: int
+) -> ForcedView:
     """Epoch and index above all that the former members can have reached: these count changes one by one,
     never as many as seconds have passed since 1970. `last_epoch` and `last_index` are the highest known."""
     seconds = int(time_of_day)
-    return Beginning(identity, address, max(seconds, last_epoch + 1), max(seconds, last_index + 1))
+    return ForcedView(identity, address, max(seconds, last_epoch + 1), max(seconds, last_index + 1))
 
 
-def refound(ports: Ports, begin: Beginning, snapshot: bytes) -> View:
+def write_forced_view(ports: Ports, begin: ForcedView, snapshot: bytes) -> View:
     """Writes the first member into empty files, its identity last: until that stands, nothing counts.
     Raises OSError."""
-    me = begin.identity
-    view = View(begin.epoch, me, (), (me,), (me,), {me: begin.address})
+    member_id = begin.identity
+    view = View(begin.epoch, member_id, (), (member_id,), (member_id,), {member_id: begin.address})
     Replica(ports.journal).install(begin.index, begin.epoch, snapshot)
-    LeaseWitness(ports.leases, ANY_TERM).reset(from_first_boot=False)
+    LeaseAcceptor(ports.leases, ANY_TERM).reset(from_first_boot=False)
     Witness(ports.witness).reset(view)
-    store_identity(ports.identity, me)
+    store_identity(ports.identity, member_id)
     return view
--- a/larchgw/replication/graceful_leave.py
+++ b/larchgw/replication/graceful_leave.py
@@ -5,90 +5,90 @@
 
 from __future__ import annotations
 
-from .messages import Leave, Left
-from .outbound_messages import Outbox
+from .messages import LeaveGranted, LeaveRequest
+from .outbound_messages import OutboundMessages
 from .settings import Timing
 from .view import View
 
 
-class Departures:
+class LeavingMembers:
     """What this member knows of others that leave. Kept in memory, by every member: whoever becomes primary
     next knows it already. A member that stops repeating its wish has ended, or come back."""
 
     def __init__(self, timing: Timing) -> None:
         self._timing = timing
-        self._asked_at: dict[str, float] = {}
-        self._spared: set[str] = set()
+        self._requested_at: dict[str, float] = {}
+        self._released: set[str] = set()
 
-    def asked(self, now: float, member: str) -> None:
+    def observe_request(self, now: float, member: str) -> None:
         """The member wants to leave."""
-        self._asked_at[member] = now
+        self._requested_at[member] = now
 
-    def returned(self, member: str) -> None:
+    def observe_return(self, member: str) -> None:
         """The member wants to be taken in: it is back."""
-        self._asked_at.pop(member, None)
-        self._spared.discard(member)
+        self._requested_at.pop(member, None)
+        self._released.discard(member)
 
     def leaving(self, now: float) -> frozenset[str]:
         """Who wants to leave now."""
-        self._forget(now)
-        return frozenset(self._asked_at)
+        self._drop_silent(now)
+        return frozenset(self._requested_at)
 
-    def spare(self, member: str) -> None:
+    def release(self, member: str) -> None:
         """This member, as primary, has agreed to the end of the other."""
-        self._spared.add(member)
+        self._released.add(member)
 
-    def spared(self, now: float) -> frozenset[str]:
+    def released(self, now: float) -> frozenset[str]:
         """Whose end was agreed to, and who has not been back since: their votes are not counted on."""
-        self._forget(now)
-        return frozenset(self._spared)
+        self._drop_silent(now)
+        return frozenset(self._released)
 
-    def progress(self) -> tuple[object, ...]:
+    def volatile_state(self) -> tuple[object, ...]:
         """What messages have changed, times left out."""
-        return (frozenset(self._asked_at), frozenset(self._spared))
+        return (frozenset(self._requested_at), frozenset(self._released))
 
-    def _forget(self, now: float) -> None:
+    def _drop_silent(self, now: float) -> None:
         for member in [
-            member for member, at in self._asked_at.items() if now - at > self._timing.backup_silence
+            member for member, at in self._requested_at.items() if now - at > self._timing.backup_silence_s
         ]:
-            del self._asked_at[member]
-            self._spared.discard(member)
+            del self._requested_at[member]
+            self._released.discard(member)
 
 
-class Departure:
+class GracefulLeave:
     """The end of this member: `begin`, and what is sent again and again until the primary has agreed."""
 
-    def __init__(self, me: str, outbox: Outbox, timing: Timing) -> None:
-        self._me = me
+    def __init__(self, member_id: str, outbox: OutboundMessages, timing: Timing) -> None:
+        self._member_id = member_id
         self._outbox = outbox
         self._timing = timing
-        self._ask_at = 0.0
-        self._agreed_epoch = 0  # the primary of this epoch goes on without this member
+        self._next_request_at = 0.0
+        self._granted_epoch = 0  # the primary of this epoch goes on without this member
         self.has_begun = False
 
     def begin(self) -> None:
         """The end is wanted; this cannot be taken back."""
         self.has_begun = True
 
-    def ask(self, now: float, view: View | None) -> None:
+    def request(self, now: float, view: View | None) -> None:
         """Asks everyone in the view, if it is time: whoever is primary, or is about to be, should know."""
-        if view is None or now < self._ask_at:
+        if view is None or now < self._next_request_at:
             return
-        self._ask_at = now + self._timing.leave
+        self._next_request_at = now + self._timing.leave_interval_s
         for member in view.members:
-            if member != self._me:
-                self._outbox.send(member, Leave(self._me))
+            if member != self._member_id:
+                self._outbox.send(member, LeaveRequest(self._member_id))
 
-    def agreed(self, left: Left) -> None:
+    def receive_granted(self, message: LeaveGranted) -> None:
         """A primary goes on without this member."""
-        self._agreed_epoch = max(self._agreed_epoch, left.epoch)
+        self._granted_epoch = max(self._granted_epoch, message.epoch)
 
-    def progress(self) -> tuple[object, ...]:
+    def volatile_state(self) -> tuple[object, ...]:
         """What calls and messages have changed, times left out."""
-        return (self.has_begun, self._agreed_epoch)
+        return (self.has_begun, self._granted_epoch)
 
     def is_over(self, view: View | None) -> bool:
         """Whether nobody counts on this member any more, as far as it knows by the last view it accepted."""
         if not self.has_begun:
             return False
-        return view is None or self._agreed_epoch >= view.epoch
+        return view is None or self._granted_epoch >= view.epoch
--- a/larchgw/replication/identity.py
+++ b/larchgw/replication/identity.py
@@ -5,7 +5,7 @@
 import json
 from dataclasses import dataclass
 
-from .lease_acceptor import LeaseWitness
+from .lease_acceptor import LeaseAcceptor
 from .ports import Cell
 from .settings import MemberSettings
 from .view import first_view
@@ -20,7 +20,9 @@
     is_new: bool
 
 
-def establish(cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseWitness) -> Identity:
+def load_or_create_identity(
+    cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseAcceptor
+) -> Identity:
     """The identity on the disk, or a new one. A seed at the first boot is named by its address and takes the
     first view for granted; any other empty disk has a fresh identity without vote or data. The identity is
     stored last: while it is missing, nothing that was stored before it has been relied on."""
--- a/larchgw/replication/interface.py
+++ b/larchgw/replication/interface.py
@@ -3,7 +3,7 @@
 No socket, no file, no clock. Times are seconds on a monotonic clock that counts time spent frozen.
 
     witness.Witness           durable: highest epoch promised, last view accepted
-    lease_witness.LeaseWitness    durable: the highest epoch of each lease
+    lease_witness.LeaseAcceptor    durable: the highest epoch of each lease
     replica.Replica           durable through a `Journal` port: the log of records
     view_changes.ViewChanges  votes, own ballots, the primary's role won and lost
     lease.LeaseHolder         elects and renews the holder of a singleton role over the witnesses
@@ -11,10 +11,10 @@
         .start(now) -> Effects
         .receive(now, message: PeerMessage) -> Effects
         .tick(now) -> Effects                       at least every 20 ms
-        .propose(now, record: bytes) -> (Ticket, Effects)
-            only at the primary, else NotPrimary; OSError where the disk refuses
-        .confirm(now) -> (Ticket, Effects)
-            for reads: done once the view is proven to stand after this call; NotPrimary
+        .propose(now, record: bytes) -> (PendingCall, Effects)
+            only at the primary, else NotPrimaryError; OSError where the disk refuses
+        .confirm(now) -> (PendingCall, Effects)
+            for reads: done once the view is proven to stand after this call; NotPrimaryError
         .step_down(now) -> Effects                  hands the roles over, also when the disk does not serve
         .leave(now) -> Effects                      before a planned end: roles handed over, and no
             acknowledgement shall need this member's copy any more
--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from .messages import Accept, Append, AppendReply, Heartbeat, HeartbeatReply, InstallReply
-from .outbound_messages import Outbox
-from .planning import Standing
+from .messages import Accept, Append, AppendReply, Heartbeat, HeartbeatReply, InstallSnapshotReply
+from .outbound_messages import OutboundMessages
+from .planning import ObservedMembers
 from .replica import Replica
 from .settings import MemberSettings
 from .snapshot_transfer import OutgoingSnapshot, Snapshot
@@ -19,7 +19,7 @@
 class Peer:
     """What the primary knows of one other member in this epoch."""
 
-    heard_at: float
+    last_seen_at: float
     next_index: int
     match: int = -1  # everything up to here is durable there; -1 until that is known in this epoch
     round: int = 0  # the newest heartbeat it granted
@@ -27,7 +27,7 @@
     in_flight: bool = False
     overdue_at: float | None = None  # when it no longer counts as keeping up
     replicating: bool = False
-    told_view_at: float = NEVER
+    view_sent_at: float = NEVER
     snapshot: OutgoingSnapshot | None = None  # on its way there; records wait until it is installed
 
 
@@ -38,17 +38,17 @@
 
     def __init__(
         self,
-        me: str,
+        member_id: str,
         view: View,
         replica: Replica,
-        outbox: Outbox,
+        outbox: OutboundMessages,
         settings: MemberSettings,
         now: float,
-        before: Leadership | None,
+        predecessor: Leadership | None,
         leaving: frozenset[str] = frozenset(),
     ) -> None:
         self.view = view
-        self._me = me
+        self._member_id = member_id
         self._replica = replica
         self._outbox = outbox
         self._settings = settings
@@ -60,28 +60,28 @@
         self.round = 0
         self.takeover_index = replica.last_index
         self.joined: dict[str, float] = {}  # members that asked to be brought up to date -> when last
-        self._left_out_at: dict[str, float] = {}
-        if before is not None:
-            self._continue(before, now, leaving)
+        self._removed_at: dict[str, float] = {}
+        if predecessor is not None:
+            self._continue(predecessor, now, leaving)
         for member in view.members:
             self._peer(member, now)
         self.refused_since: float | None = None
 
-    def _continue(self, before: Leadership, now: float, leaving: frozenset[str]) -> None:
-        self.round = before.round
-        self.takeover_index = before.takeover_index
-        self.joined = dict(before.joined)
-        self._left_out_at = dict(before._left_out_at)
-        for member in set(before.view.backups) - set(self.view.backups) - leaving:
-            self._left_out_at[member] = now
-        for member, peer in before._peers.items():
-            self._peer(member, peer.heard_at)
-
-    def _peer(self, member: str, heard_at: float) -> None:
-        if member == self._me or member in self._peers:
+    def _continue(self, predecessor: Leadership, now: float, leaving: frozenset[str]) -> None:
+        self.round = predecessor.round
+        self.takeover_index = predecessor.takeover_index
+        self.joined = dict(predecessor.joined)
+        self._removed_at = dict(predecessor._removed_at)
+        for member in set(predecessor.view.backups) - set(self.view.backups) - leaving:
+            self._removed_at[member] = now
+        for member, peer in predecessor._peers.items():
+            self._peer(member, peer.last_seen_at)
+
+    def _peer(self, member: str, last_seen_at: float) -> None:
+        if member == self._member_id or member in self._peers:
             return
         replicating = member in self.view.backups or member in self.joined
-        self._peers[member] = Peer(heard_at, self._replica.last_index + 1, replicating=replicating)
+        self._peers[member] = Peer(last_seen_at, self._replica.last_index + 1, replicating=replicating)
 
     # ---- what is proven ----
 
@@ -94,10 +94,10 @@
     def commit_index(self) -> int:
         """Up to where records are durable at the primary and at every backup, those of a pending view
         included."""
-        if len(self.view.in_sync) < self._settings.survive + 1:
+        if len(self.view.in_sync) < self._settings.tolerated_failures + 1:
             return self._replica.committed
         required = set(self.view.backups) | self._proposed_backups | self._entering
-        required.discard(self._me)
+        required.discard(self._member_id)
         copies = [self._peers[member].match for member in required if member in self._peers]
         if len(copies) < len(required):
             return self._replica.committed
@@ -107,7 +107,7 @@
         """The newest heartbeat that a quorum has granted: the view stood when it was sent."""
         rounds = {member: peer.round for member, peer in self._peers.items()}
         if self_granted:
-            rounds[self._me] = self.round
+            rounds[self._member_id] = self.round
         for candidate in sorted(set(rounds.values()), reverse=True):
             if self.view.has_quorum([member for member, reached in rounds.items() if reached >= candidate]):
                 return candidate
@@ -116,13 +116,15 @@
     def has_contact(self, now: float) -> bool:
         """Whether a quorum has been heard of lately."""
         heard = {
-            member for member, peer in self._peers.items() if now - peer.heard_at <= self._timing.contact
+            member
+            for member, peer in self._peers.items()
+            if now - peer.last_seen_at <= self._timing.quorum_contact_s
         }
-        return self.view.has_quorum(heard | {self._me})
+        return self.view.has_quorum(heard | {self._member_id})
 
     # ---- views ----
 
-    def expect(self, members: frozenset[str]) -> None:
+    def set_entering(self, members: frozenset[str]) -> None:
         """These are ready, and a ballot begins to take them in: until its end nothing is acknowledged without
         them. Otherwise they would be a record behind again when the view is composed, and with a steady
         stream of changes never enter. No members: no ballot is under way."""
@@ -135,41 +137,43 @@
         for member in view.members:
             self._peer(member, NEVER)
 
-    def standing(self, now: float, taken: frozenset[str], leaving: frozenset[str]) -> Standing:
-        """For the next view. `taken`: identities whose address now belongs to another. `leaving`: members
+    def observe_members(
+        self, now: float, replaced: frozenset[str], leaving: frozenset[str]
+    ) -> ObservedMembers:
+        """For the next view. `replaced`: identities whose address now belongs to another. `leaving`: members
         that are about to end."""
         healthy = {
             member
             for member, peer in self._peers.items()
-            if member not in taken and self._is_healthy(now, peer)
+            if member not in replaced and self._is_healthy(now, peer)
         }
         ready = [
             member
             for member in self._peers
             if member in healthy - leaving and self._may_enter(now, member, leaving)
         ]
-        gone = {
+        lost = {
             member
             for member, peer in self._peers.items()
-            if member in taken or now - peer.heard_at > self._timing.witness_silence
+            if member in replaced or now - peer.last_seen_at > self._timing.witness_silence_s
         }
         addresses = {
             member: address
             for member in self._peers
             if (address := self._outbox.address_of(member)) is not None
         }
-        return Standing(frozenset(healthy), tuple(sorted(ready)), frozenset(gone), leaving, addresses)
+        return ObservedMembers(frozenset(healthy), tuple(sorted(ready)), frozenset(lost), leaving, addresses)
 
-    def can_spare(self, now: float, member: str, spared: frozenset[str]) -> bool:
-        """Whether this member may end, and those `spared` before too: no acknowledgement waits for its copy,
-        and the others that are there are a quorum."""
+    def can_release(self, now: float, member: str, released: frozenset[str]) -> bool:
+        """Whether this member may end, and those `released` before too: no acknowledgement waits for its
+        copy, and the others that are there are a quorum."""
         if member in self.view.in_sync or member in self._proposed_backups:
             return False
         present = {other for other, peer in self._peers.items() if self._is_healthy(now, peer)}
-        return self.view.has_quorum((present | {self._me}) - spared - {member})
+        return self.view.has_quorum((present | {self._member_id}) - released - {member})
 
     def _is_healthy(self, now: float, peer: Peer) -> bool:
-        if now - peer.heard_at > self._timing.backup_silence:
+        if now - peer.last_seen_at > self._timing.backup_silence_s:
             return False
         return peer.overdue_at is None or now <= peer.overdue_at
 
@@ -178,15 +182,19 @@
         if member in self.view.in_sync or not peer.replicating:
             return False
         if peer.match < max(self._replica.committed, self.takeover_index):
-            return False  # what was taken over may all be acknowledged, though this primary does not know yet
+            # What was taken over may all be acknowledged, though this primary does not know yet.
+            return False
         staying = [backup for backup in self.view.backups if backup not in leaving]
-        short = sum(self._is_healthy(now, self._peers[backup]) for backup in staying) < self._settings.survive
-        return short or now - self._left_out_at.get(member, NEVER) >= self._timing.rejoin
+        short = (
+            sum(self._is_healthy(now, self._peers[backup]) for backup in staying)
+            < self._settings.tolerated_failures
+        )
+        return short or now - self._removed_at.get(member, NEVER) >= self._timing.rejoin_delay_s
 
-    def forgive_silence(self, now: float) -> None:
+    def reset_silence(self, now: float) -> None:
         """This process itself did not run: what it did not hear in that time says nothing of the others."""
         for peer in self._peers.values():
-            peer.heard_at = max(peer.heard_at, now)
+            peer.last_seen_at = max(peer.last_seen_at, now)
             peer.overdue_at = None
 
     # ---- sending ----
@@ -198,34 +206,34 @@
         self.joined[member] = now
         self._peer(member, now)
         peer = self._peers[member]
-        peer.heard_at = now
+        peer.last_seen_at = now
         if not peer.replicating:
             peer.replicating = True
             peer.next_index = self._replica.last_index + 1
-        self._tell_view(now, member, peer)
+        self._send_view(now, member, peer)
 
     def heartbeat(self, now: float) -> None:
         """A new round to everyone."""
         self.round += 1
-        self._heartbeat_at = now + self._timing.heartbeat
-        beat = Heartbeat(self.view.epoch, self.round, self._replica.committed)
+        self._heartbeat_at = now + self._timing.heartbeat_interval_s
+        heartbeat = Heartbeat(self.view.epoch, self.round, self._replica.committed)
         for member in self._peers:
-            self._outbox.send(member, beat)
+            self._outbox.send(member, heartbeat)
 
     def tick(self, now: float) -> None:
         """Heartbeats, records that are due, and forgetting of members that stopped asking."""
         if now >= self._heartbeat_at:
             self.heartbeat(now)
         self.replicate(now)
-        self._forget(now)
+        self._drop_unseen_peers(now)
 
-    def _forget(self, now: float) -> None:
+    def _drop_unseen_peers(self, now: float) -> None:
         for member in [
             member
             for member, peer in self._peers.items()
             if member not in self.view.members
             and member not in self._proposed_backups
-            and now - peer.heard_at > self._timing.forget
+            and now - peer.last_seen_at > self._timing.forget_peer_s
         ]:
             del self._peers[member]
             self.joined.pop(member, None)
@@ -244,18 +252,22 @@
             return
         if peer.in_flight and now < peer.resend_at:
             return
-        if peer.snapshot is None and peer.next_index < self._replica.first_kept:
-            peer.snapshot = self._begin_snapshot()
-        sent = (
+        if peer.snapshot is None and peer.next_index < self._replica.first_index:
+            peer.snapshot = self._start_snapshot()
+        sent_bytes = (
             self._send_records(member, peer)
             if peer.snapshot is None
-            else self._send_piece(member, peer.snapshot)
+            else self._send_chunk(member, peer.snapshot)
         )
-        whole = sent if peer.snapshot is None else peer.snapshot.remaining_bytes
+        outstanding_bytes = sent_bytes if peer.snapshot is None else peer.snapshot.remaining_bytes
         peer.in_flight = True
-        peer.resend_at = now + self._timing.retransmit + sent / self._timing.slowest_link
+        peer.resend_at = now + self._timing.retransmit_s + sent_bytes / self._timing.slowest_link_bytes_per_s
         if peer.overdue_at is None:
-            peer.overdue_at = now + self._timing.backup_silence + whole / self._timing.slowest_link
+            peer.overdue_at = (
+                now
+                + self._timing.backup_silence_s
+                + outstanding_bytes / self._timing.slowest_link_bytes_per_s
+            )
 
     def _send_records(self, member: str, peer: Peer) -> int:
         replica = self._replica
@@ -272,23 +284,23 @@
         """Whether some member is being sent a snapshot: the records after it should be kept until then."""
         return any(peer.snapshot is not None for peer in self._peers.values())
 
-    def _begin_snapshot(self) -> OutgoingSnapshot:
+    def _start_snapshot(self) -> OutgoingSnapshot:
         """A transfer of the newest snapshot, which is read once for all members that need it."""
-        newest = self._replica.first_kept - 1
+        newest = self._replica.first_index - 1
         shared = (peer.snapshot.snapshot for peer in self._peers.values() if peer.snapshot is not None)
         snapshot = next((each for each in shared if each.index == newest), None)
         if snapshot is None:
             snapshot = Snapshot.of(*self._replica.snapshot())
-        return OutgoingSnapshot(self.view.epoch, snapshot, self._settings.piece_bytes)
+        return OutgoingSnapshot(self.view.epoch, snapshot, self._settings.chunk_bytes)
 
-    def _send_piece(self, member: str, outgoing: OutgoingSnapshot) -> int:
-        install = outgoing.piece()
+    def _send_chunk(self, member: str, outgoing: OutgoingSnapshot) -> int:
+        install = outgoing.chunk()
         self._outbox.send(member, install)
-        return len(install.piece)
+        return len(install.chunk)
 
-    def _tell_view(self, now: float, member: str, peer: Peer) -> None:
-        if now - peer.told_view_at >= self._timing.heartbeat / 2:
-            peer.told_view_at = now
+    def _send_view(self, now: float, member: str, peer: Peer) -> None:
+        if now - peer.view_sent_at >= self._timing.heartbeat_interval_s / 2:
+            peer.view_sent_at = now
             self._outbox.send(member, Accept(self.view))
 
     # ---- answers ----
@@ -298,21 +310,21 @@
         peer = self._peers.get(sender)
         if peer is None or reply.epoch != self.view.epoch:
             return
-        peer.heard_at = now
+        peer.last_seen_at = now
         if not reply.granted:
             if self.refused_since is None:
                 self.refused_since = now
             return
         peer.round = max(peer.round, reply.round)
         if reply.view_epoch < self.view.epoch:
-            self._tell_view(now, sender, peer)
+            self._send_view(now, sender, peer)
 
     def append_reply(self, now: float, sender: str, reply: AppendReply) -> None:
         """A replica has answered records of this epoch, or has installed a snapshot."""
         peer = self._peers.get(sender)
         if peer is None or reply.epoch != self.view.epoch:
             return
-        peer.heard_at = now
+        peer.last_seen_at = now
         if peer.snapshot is not None:
             if not reply.matched or reply.index < peer.snapshot.snapshot.index:
                 return  # a late answer to records that were sent before the snapshot
@@ -327,17 +339,17 @@
         peer.in_flight = False
         self._replicate_to(now, sender, peer)
 
-    def install_reply(self, now: float, sender: str, reply: InstallReply) -> None:
+    def install_reply(self, now: float, sender: str, reply: InstallSnapshotReply) -> None:
         """A replica tells how far a snapshot of this epoch has come."""
         peer = self._peers.get(sender)
         if peer is None or reply.epoch != self.view.epoch:
             return
-        peer.heard_at = now
-        if peer.snapshot is not None and peer.snapshot.answered(reply.index, reply.offset):
+        peer.last_seen_at = now
+        if peer.snapshot is not None and peer.snapshot.acknowledge(reply.index, reply.offset):
             peer.in_flight = False
             self._replicate_to(now, sender, peer)
 
-    def progress(self) -> tuple[object, ...]:
+    def volatile_state(self) -> tuple[object, ...]:
         """Everything that answers have changed, times left out."""
         peers = tuple(
             (
--- a/larchgw/replication/lease_acceptor.py
+++ b/larchgw/replication/lease_acceptor.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from .messages import LeaseAnswer, LeaseAsk, LeaseRelease
+from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .ports import Cell
 from .view import View
 
@@ -20,17 +20,17 @@
 class StoredLease:
     """Durable, for one name. A fence belongs to one holder."""
 
-    fence: int = 0
+    fencing_token: int = 0
     holder: str = ""
-    acting_fence: int = 0
+    acting_token: int = 0
     actor: str = UNKNOWN
 
     def to_json(self) -> dict[str, Any]:
         """As it is stored; the keys never change."""
         return {
-            "fence": self.fence,
+            "fence": self.fencing_token,
             "holder": self.holder,
-            "acting_fence": self.acting_fence,
+            "acting_fence": self.acting_token,
             "actor": self.actor,
         }
 
@@ -43,18 +43,18 @@
 @dataclass(slots=True)
 class _Grant:
     holder: str
-    fence: int
-    until: float
+    fencing_token: int
+    expires_at: float
 
 
-class LeaseWitness:
+class LeaseAcceptor:
     """Grants a lease to one holder at a time. After a restart, or as a new witness, it grants nothing to a
     holder that it does not know for one whole term: it may have forgotten a grant, or stand for one who made
     it."""
 
-    def __init__(self, cell: Cell, term: float) -> None:
+    def __init__(self, cell: Cell, term_s: float) -> None:
         self._cell = cell
-        self._term = term
+        self._term_s = term_s
         self._grants: dict[str, _Grant] = {}
         self._closed_until = 0.0
         stored = cell.load()
@@ -69,33 +69,36 @@
         self._from_first_boot = from_first_boot
         self._store({})
 
-    def restarted(self, now: float) -> None:
+    def observe_restart(self, now: float) -> None:
         """Grants made before are forgotten: for one term only the holder stored last is granted to."""
-        self._closed_until = now + self._term
+        self._closed_until = now + self._term_s
 
-    def seated(self, now: float) -> None:
+    def join_as_witness(self, now: float) -> None:
         """Becomes a witness of a view: grants of those who decided before are not known here for one term."""
-        self._closed_until = now + self._term
+        self._closed_until = now + self._term_s
         self._grants = {}
         self._store({name: replace(lease, holder="") for name, lease in self._leases.items()})
 
-    def ask(self, now: float, sender: str, ask: LeaseAsk, view: View | None) -> LeaseAnswer:
+    def handle_request(self, now: float, sender: str, request: LeaseRequest, view: View | None) -> LeaseReply:
         """Grants, renews or refuses. What is granted is stored before the call returns."""
-        stored = self._leases.get(ask.name, self._default)
-        stale = view is not None and ask.view_epoch < view.epoch
-        remaining = self._remaining(now, ask.name, sender, stored)
-        known = ask.renewal and (sender, ask.fence) == (stored.holder, stored.fence)
-        granted = not stale and remaining <= 0.0 and (known or ask.fence > stored.fence)
+        stored = self._leases.get(request.name, self._default)
+        stale = view is not None and request.view_epoch < view.epoch
+        remaining = self._remaining(now, request.name, sender, stored)
+        known = request.is_renewal and (sender, request.fencing_token) == (
+            stored.holder,
+            stored.fencing_token,
+        )
+        granted = not stale and remaining <= 0.0 and (known or request.fencing_token > stored.fencing_token)
         if granted:
-            self._record(ask, sender, stored)
-            self._grants[ask.name] = _Grant(sender, ask.fence, now + self._term)
-        return LeaseAnswer(
-            ask.name,
-            ask.attempt,
+            self._record(request, sender, stored)
+            self._grants[request.name] = _Grant(sender, request.fencing_token, now + self._term_s)
+        return LeaseReply(
+            request.name,
+            request.attempt,
             granted,
-            stored.fence,
+            stored.fencing_token,
             stored.actor,
-            stored.acting_fence,
+            stored.acting_token,
             max(0.0, remaining),
             view if stale else None,
         )
@@ -103,7 +106,7 @@
     def release(self, sender: str, release: LeaseRelease) -> None:
         """The holder gives its lease up."""
         grant = self._grants.get(release.name)
-        if grant is not None and grant.holder == sender and grant.fence <= release.fence:
+        if grant is not None and grant.holder == sender and grant.fencing_token <= release.fencing_token:
             del self._grants[release.name]
 
     @property
@@ -114,17 +117,17 @@
         """Seconds for which another may hold the lease."""
         grant = self._grants.get(name)
         if grant is not None:
-            return 0.0 if grant.holder == sender else grant.until - now
+            return 0.0 if grant.holder == sender else grant.expires_at - now
         if sender == stored.holder:
             return 0.0
         return self._closed_until - now
 
-    def _record(self, ask: LeaseAsk, sender: str, stored: StoredLease) -> None:
-        lease = replace(stored, fence=ask.fence, holder=sender)
-        if ask.acting:
-            lease = replace(lease, acting_fence=ask.fence, actor=sender)
+    def _record(self, request: LeaseRequest, sender: str, stored: StoredLease) -> None:
+        lease = replace(stored, fencing_token=request.fencing_token, holder=sender)
+        if request.is_acting:
+            lease = replace(lease, acting_token=request.fencing_token, actor=sender)
         if lease != stored:
-            self._store({**self._leases, ask.name: lease})
+            self._store({**self._leases, request.name: lease})
 
     def _store(self, leases: dict[str, StoredLease]) -> None:
         value = {
--- a/larchgw/replication/lease_table.py
+++ b/larchgw/replication/lease_table.py
@@ -5,23 +5,28 @@
 from random import Random
 
 from .lease import Lease, LeaseHolder
-from .lease_acceptor import LeaseWitness
-from .messages import LeaseAnswer, LeaseAsk, LeaseRelease
-from .outbound_messages import Outbox
+from .lease_acceptor import LeaseAcceptor
+from .messages import LeaseRelease, LeaseReply, LeaseRequest
+from .outbound_messages import OutboundMessages
 from .settings import MemberSettings
 from .view import View
 
 
-class Leases:
+class LeaseTable:
     """Hands messages about leases to the witness or to the holder that they concern.
 
     Times are seconds of the member's clock. `rank` staggers candidates: 0 for a view's primary."""
 
     def __init__(
-        self, me: str, witness: LeaseWitness, settings: MemberSettings, outbox: Outbox, random: Random
+        self,
+        member_id: str,
+        acceptor: LeaseAcceptor,
+        settings: MemberSettings,
+        outbox: OutboundMessages,
+        random: Random,
     ) -> None:
-        self._me = me
-        self._witness = witness
+        self._member_id = member_id
+        self._acceptor = acceptor
         self._settings = settings
         self._outbox = outbox
         self._random = random
@@ -31,33 +36,33 @@
         """The lease, if it is held and may be acted on now; otherwise it is asked for from now on."""
         holder = self._holders.get(name)
         if holder is None:
-            holder = LeaseHolder(name, self._me, self._settings, self._outbox, self._random)
+            holder = LeaseHolder(name, self._member_id, self._settings, self._outbox, self._random)
             self._holders[name] = holder
         return holder.lease(now)
 
-    def ask(self, now: float, sender: str, message: LeaseAsk, view: View | None) -> None:
+    def handle_request(self, now: float, sender: str, message: LeaseRequest, view: View | None) -> None:
         """A holder or candidate asks this witness. OSError if the answer cannot be made durable."""
-        self._outbox.send(sender, self._witness.ask(now, sender, message, view))
+        self._outbox.send(sender, self._acceptor.handle_request(now, sender, message, view))
 
-    def answer(self, now: float, sender: str, answer: LeaseAnswer, rank: int) -> None:
+    def receive_reply(self, now: float, sender: str, reply: LeaseReply, rank: int) -> None:
         """A witness has answered."""
-        holder = self._holders.get(answer.name)
+        holder = self._holders.get(reply.name)
         if holder is not None:
-            holder.answer(now, sender, answer, rank)
+            holder.receive_reply(now, sender, reply, rank)
 
     def release(self, now: float, sender: str, message: LeaseRelease, rank: int) -> None:
         """A holder, or a candidate without success, gives a lease up."""
-        self._witness.release(sender, message)
+        self._acceptor.release(sender, message)
         holder = self._holders.get(message.name)
-        if holder is not None and sender != self._me:
-            holder.vacated(now, rank)
+        if holder is not None and sender != self._member_id:
+            holder.observe_release(now, rank)
 
     def tick(self, now: float, view: View | None, rank: int) -> None:
         """Renewals and elections that are due."""
         for holder in self._holders.values():
             holder.tick(now, view, rank)
 
-    def rest(self, now: float, view: View | None, seconds: float) -> None:
+    def give_up_all(self, now: float, view: View | None, pause_s: float) -> None:
         """Gives all leases up, and stands for none for a while."""
         for holder in self._holders.values():
-            holder.release(now, view, seconds)
+            holder.release(now, view, pause_s)
--- a/larchgw/replication/member_addresses.py
+++ b/larchgw/replication/member_addresses.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from .outbound_messages import Outbox
+from .outbound_messages import OutboundMessages
 from .view import View
 
 
-class Roster:
+class MemberAddresses:
     """Fills the outbox's addresses from views and from the messages of members."""
 
-    def __init__(self, outbox: Outbox) -> None:
+    def __init__(self, outbox: OutboundMessages) -> None:
         self._outbox = outbox
         self._replaced: set[str] = set()
 
@@ -18,20 +18,20 @@
         """Members whose address another identity has taken: their disks are gone."""
         return frozenset(self._replaced)
 
-    def meet(self, member: str, address: str, view: View | None) -> None:
+    def record_sender(self, member: str, address: str, view: View | None) -> None:
         """A message came from this member. One not known before, at an address that was another's in `view`,
         has taken its place: the other's disk is gone."""
         if self._outbox.address_of(member) is None:
             self._replaced.update(other for other in _members_at(address, view) if other != member)
-            self._outbox.learn(member, address)
+            self._outbox.set_address(member, address)
         elif member not in self._replaced:
-            self._outbox.learn(member, address)
+            self._outbox.set_address(member, address)
 
-    def learn(self, view: View) -> None:
+    def update_from_view(self, view: View) -> None:
         """Addresses of members that were not heard themselves yet."""
         for member, address in view.addresses.items():
             if self._outbox.address_of(member) is None:
-                self._outbox.learn(member, address)
+                self._outbox.set_address(member, address)
 
 
 def _members_at(address: str, view: View | None) -> list[str]:
--- a/larchgw/replication/message_codec.py
+++ b/larchgw/replication/message_codec.py
@@ -23,18 +23,18 @@
     AppendReply,
     Heartbeat,
     HeartbeatReply,
-    Install,
-    InstallReply,
-    Join,
-    LeaseAnswer,
-    LeaseAsk,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    JoinRequest,
     LeaseRelease,
-    Leave,
-    Left,
+    LeaseReply,
+    LeaseRequest,
+    LeaveGranted,
+    LeaveRequest,
     Message,
     Prepare,
-    Probe,
-    ProbeReply,
+    PreVoteReply,
+    PreVoteRequest,
     Promise,
     TakeOver,
 )
@@ -59,7 +59,7 @@
         kind: The kind under which the transport carries it.
         message_type: The class it is read into.
         keys: Attribute name -> key in the JSON header, in the order in which they are written. What follows
-            the header (`Append.records`, `Install.piece`) is not among them.
+            the header (`Append.records`, `InstallSnapshot.chunk`) is not among them.
     """
 
     kind: str
@@ -73,10 +73,10 @@
 
 
 _FORMATS = (
-    _WireFormat("probe", Probe, {"round": "round"}),
+    _WireFormat("probe", PreVoteRequest, {"round": "round"}),
     _WireFormat(
         "probe_reply",
-        ProbeReply,
+        PreVoteReply,
         {"round": "round", "granted": "granted", "promised": "promised", "view": _VIEW_KEY},
     ),
     _WireFormat("prepare", Prepare, {"epoch": "epoch"}),
@@ -87,7 +87,7 @@
     ),
     _WireFormat("accept", Accept, {"view": _VIEW_KEY}),
     _WireFormat("accepted", Accepted, {"epoch": "epoch", "granted": "granted", "promised": "promised"}),
-    _WireFormat("heartbeat", Heartbeat, {"epoch": "epoch", "round": "round", "commit": "commit"}),
+    _WireFormat("heartbeat", Heartbeat, {"epoch": "epoch", "round": "round", "committed_index": "commit"}),
     _WireFormat(
         "heartbeat_reply",
         HeartbeatReply,
@@ -107,55 +107,57 @@
             "epoch": "epoch",
             "previous_index": "previous_index",
             "previous_epoch": "previous_epoch",
-            "commit": "commit",
+            "committed_index": "commit",
             "epochs": _EPOCHS_KEY,
         },
     ),
     _WireFormat(
         "install",
-        Install,
+        InstallSnapshot,
         {
             "epoch": "epoch",
             "index": "index",
             "index_epoch": "index_epoch",
             "offset": "offset",
-            "size": "size",
+            "size_bytes": "size",
             "checksum": "checksum",
         },
     ),
-    _WireFormat("install_reply", InstallReply, {"epoch": "epoch", "index": "index", "offset": "offset"}),
+    _WireFormat(
+        "install_reply", InstallSnapshotReply, {"epoch": "epoch", "index": "index", "offset": "offset"}
+    ),
     _WireFormat("append_reply", AppendReply, {"epoch": "epoch", "matched": "matched", "index": "index"}),
-    _WireFormat("join", Join, {"member": "member", "address": "address"}),
-    _WireFormat("leave", Leave, {"member": "member"}),
-    _WireFormat("left", Left, {"epoch": "epoch"}),
+    _WireFormat("join", JoinRequest, {"member": "member", "address": "address"}),
+    _WireFormat("leave", LeaveRequest, {"member": "member"}),
+    _WireFormat("left", LeaveGranted, {"epoch": "epoch"}),
     _WireFormat("take_over", TakeOver, {"epoch": "epoch"}),
     _WireFormat(
         "lease_ask",
-        LeaseAsk,
+        LeaseRequest,
         {
             "name": "name",
-            "fence": "fence",
-            "renewal": "renewal",
+            "fencing_token": "fence",
+            "is_renewal": "renewal",
             "view_epoch": "view_epoch",
             "attempt": "attempt",
-            "acting": "acting",
+            "is_acting": "acting",
         },
     ),
     _WireFormat(
         "lease_answer",
-        LeaseAnswer,
+        LeaseReply,
         {
             "name": "name",
             "attempt": "attempt",
             "granted": "granted",
-            "fence": "fence",
+            "fencing_token": "fence",
             "actor": "actor",
-            "acting_fence": "acting_fence",
-            "remaining": "remaining",
+            "acting_token": "acting_fence",
+            "remaining_s": "remaining",
             "view": _VIEW_KEY,
         },
     ),
-    _WireFormat("lease_release", LeaseRelease, {"name": "name", "fence": "fence"}),
+    _WireFormat("lease_release", LeaseRelease, {"name": "name", "fencing_token": "fence"}),
 )
 _FORMAT_BY_TYPE = {wire_format.message_type: wire_format for wire_format in _FORMATS}
 _FORMAT_BY_KIND = {wire_format.kind: wire_format for wire_format in _FORMATS}
@@ -173,8 +175,8 @@
     if isinstance(message, Append):
         payload = message.records
         header[_RECORD_LENGTHS_KEY] = [len(record) for record in payload]
-    elif isinstance(message, Install):
-        payload = (message.piece,)
+    elif isinstance(message, InstallSnapshot):
+        payload = (message.chunk,)
     encoded = json.dumps(header, separators=(",", ":")).encode()
     return wire_format.kind, b"".join((_HEADER_LENGTH.pack(len(encoded)), encoded, *payload))
 
@@ -206,7 +208,7 @@
     if kind == "append":
         return {"records": _records(header.pop(_RECORD_LENGTHS_KEY), body, start)}
     if kind == "install":
-        return {"piece": bytes(body[start:])}
+        return {"chunk": bytes(body[start:])}
     return {}
 
 
--- a/larchgw/replication/messages.py
+++ b/larchgw/replication/messages.py
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class PreVoteRequest:
     """Would the receiver let the sender try to become primary? Binds nobody."""
 
     round: int
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeReply:
+class PreVoteReply:
     """Whether the sender would let the prober try, and the highest epoch and last view that it knows."""
 
     round: int
@@ -77,7 +77,7 @@
 
     epoch: int
     round: int
-    commit: int
+    committed_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,13 +100,13 @@
     epoch: int
     previous_index: int
     previous_epoch: int
-    commit: int
+    committed_index: int
     epochs: tuple[int, ...]
     records: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Install:
+class InstallSnapshot:
     """The piece at `offset` of a snapshot that stands for all records up to `index`; the whole has `size`
     bytes and this checksum."""
 
@@ -114,13 +114,13 @@
     index: int
     index_epoch: int
     offset: int
-    size: int
+    size_bytes: int
     checksum: str
-    piece: bytes
+    chunk: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class InstallReply:
+class InstallSnapshotReply:
     """Of the snapshot up to `index` the sender holds the first `offset` bytes: go on from there."""
 
     epoch: int
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Join:
+class JoinRequest:
     """A member that is not in sync asks to be brought up to date and taken in."""
 
     member: str
@@ -146,14 +146,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class LeaveRequest:
     """A member is about to end: no acknowledgement shall wait for its copy."""
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class LeaveGranted:
     """The primary of `epoch` needs neither the copy nor the vote of the receiver: it may end."""
 
     epoch: int
@@ -167,30 +167,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseAsk:
+class LeaseRequest:
     """Asks a witness for one term. `renewal`: the sender was elected under this fence, otherwise it is a new
     one. `acting`: the sender is about to act, or acts, under it."""
 
     name: str
-    fence: int
-    renewal: bool
+    fencing_token: int
+    is_renewal: bool
     view_epoch: int
     attempt: int
-    acting: bool
+    is_acting: bool
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseAnswer:
+class LeaseReply:
     """What the witness had stored before: the highest fence, and who was last known to act under which fence.
     `remaining`: seconds until it is free to grant. `view`: a newer one that the asker lacks."""
 
     name: str
     attempt: int
     granted: bool
-    fence: int
+    fencing_token: int
     actor: str
-    acting_fence: int
-    remaining: float
+    acting_token: int
+    remaining_s: float
     view: View | None
 
 
@@ -199,12 +199,12 @@
     """The holder of `fence` will not use it any more."""
 
     name: str
-    fence: int
+    fencing_token: int
 
 
 Message = (
-    Probe
-    | ProbeReply
+    PreVoteRequest
+    | PreVoteReply
     | Prepare
     | Promise
     | Accept
@@ -212,14 +212,14 @@
     | Heartbeat
     | HeartbeatReply
     | Append
-    | Install
-    | InstallReply
+    | InstallSnapshot
+    | InstallSnapshotReply
     | AppendReply
-    | Join
-    | Leave
-    | Left
+    | JoinRequest
+    | LeaveRequest
+    | LeaveGranted
     | TakeOver
-    | LeaseAsk
-    | LeaseAnswer
+    | LeaseRequest
+    | LeaseReply
     | LeaseRelease
 )
--- a/larchgw/replication/outbound_messages.py
+++ b/larchgw/replication/outbound_messages.py
@@ -8,17 +8,17 @@
 from .messages import Message
 
 
-class Outbox:
+class OutboundMessages:
     """Addresses come from views and from the messages themselves; a message to nowhere is dropped."""
 
-    def __init__(self, me: str, address: str) -> None:
-        self._me = me
+    def __init__(self, member_id: str, address: str) -> None:
+        self._member_id = member_id
         self._address = address
         self._addresses: dict[str, str] = {}
         self._messages: list[Outgoing] = []
-        self._own: list[Message] = []
+        self._to_self: list[Message] = []
 
-    def learn(self, member: str, address: str) -> None:
+    def set_address(self, member: str, address: str) -> None:
         """The member is, or was last, at this address."""
         self._addresses[member] = address
 
@@ -27,29 +27,29 @@
         return self._addresses.get(member)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Sends to a member by its identity; what it sends to itself is for `drain_own`."""
-        if receiver == self._me:
-            self._own.append(message)
+        """Sends to a member by its identity; what it sends to itself is for `drain_to_self`."""
+        if receiver == self._member_id:
+            self._to_self.append(message)
             return
         address = self._addresses.get(receiver)
         if address is not None:
-            self._post(address, receiver, message)
+            self._enqueue(address, receiver, message)
 
     def send_to_address(self, address: str, message: Message) -> None:
         """Sends to whoever is at the address."""
         if address != self._address:
-            self._post(address, "", message)
+            self._enqueue(address, "", message)
 
-    def drain_own(self) -> list[Message]:
+    def drain_to_self(self) -> list[Message]:
         """What the member has sent to itself. Its own vote is cast by the same code as the others'."""
-        own, self._own = self._own, []
-        return own
+        to_self, self._to_self = self._to_self, []
+        return to_self
 
     def drain(self) -> list[Outgoing]:
         """What is to be sent; the outbox is empty afterwards."""
         messages, self._messages = self._messages, []
         return messages
 
-    def _post(self, address: str, receiver: str, message: Message) -> None:
+    def _enqueue(self, address: str, receiver: str, message: Message) -> None:
         kind, body = encode(message, self._address)
-        self._messages.append(Outgoing(address, PeerMessage(self._me, receiver, kind, body)))
+        self._messages.append(Outgoing(address, PeerMessage(self._member_id, receiver, kind, body)))
--- a/larchgw/replication/planning.py
+++ b/larchgw/replication/planning.py
@@ -9,40 +9,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ObservedMembers:
     """What the primary knows of the other members."""
 
     healthy: frozenset[str]  # members of the view that answer and keep up
     ready: tuple[str, ...]  # not in sync, but hold everything acknowledged and may be taken in
-    gone: frozenset[str]  # silent for long, or their address belongs to a new identity
+    lost: frozenset[str]  # silent for long, or their address belongs to a new identity
     leaving: frozenset[str]  # about to end, and asked that nothing depends on them
     addresses: Mapping[str, str]
 
 
 def failover_view(
-    epoch: int, candidate: str, base: View, answered: Collection[str], leaving: Collection[str], minimum: int
+    epoch: int,
+    candidate: str,
+    base: View,
+    answered: Collection[str],
+    leaving: Collection[str],
+    min_copies: int,
 ) -> View:
-    """The view of a new primary: the in-sync members that answered and stay, and `minimum` of them at least.
-    Those that leave fill it up, and then those that did not answer: they hold everything acknowledged, and
-    one of them may come back."""
+    """The view of a new primary: the in-sync members that answered and stay, and `min_copies` of them at
+    least. Those that leave fill it up, and then those that did not answer: they hold everything acknowledged,
+    and one of them may come back."""
     others = [member for member in base.in_sync if member != candidate]
     staying = [member for member in others if member in answered and member not in leaving]
     present_first = sorted(others, key=lambda member: member not in answered)
-    backups = _at_least(minimum - 1, staying, present_first)
+    backups = _at_least(min_copies - 1, staying, present_first)
     return View(epoch, candidate, backups, base.witnesses, base.former_witnesses, base.addresses)
 
 
-def next_view(epoch: int, view: View, standing: Standing, minimum: int, most_witnesses: int) -> View | None:
+def next_view(
+    epoch: int, view: View, observed: ObservedMembers, min_copies: int, max_witnesses: int
+) -> View | None:
     """The change that the primary of `view` should make now; None if there is none. One step a view: the
-    in-sync set first, then the witnesses. `minimum`: copies of what is acknowledged."""
-    backups = _next_backups(view, standing, minimum)
+    in-sync set first, then the witnesses. `min_copies`: copies of what is acknowledged."""
+    backups = _next_backups(view, observed, min_copies)
     if set(backups) != set(view.backups):
-        return _changed(epoch, view, standing, backups, view.witnesses, view.former_witnesses)
+        return _changed(epoch, view, observed, backups, view.witnesses, view.former_witnesses)
     if view.is_joint:
-        return _changed(epoch, view, standing, view.backups, view.witnesses, view.witnesses)
-    witnesses = _next_witnesses(view, standing, most_witnesses)
+        return _changed(epoch, view, observed, view.backups, view.witnesses, view.witnesses)
+    witnesses = _next_witnesses(view, observed, max_witnesses)
     if set(witnesses) != set(view.witnesses):
-        return _changed(epoch, view, standing, view.backups, witnesses, view.witnesses)
+        return _changed(epoch, view, observed, view.backups, witnesses, view.witnesses)
     return None
 
 
@@ -51,14 +58,14 @@
     return View(epoch, view.primary, view.backups, view.witnesses, view.former_witnesses, view.addresses)
 
 
-def _next_backups(view: View, standing: Standing, minimum: int) -> tuple[str, ...]:
-    staying = standing.healthy - standing.leaving
+def _next_backups(view: View, observed: ObservedMembers, min_copies: int) -> tuple[str, ...]:
+    staying = observed.healthy - observed.leaving
     kept = [member for member in view.backups if member in staying]
     spare = [member for member in view.backups if member not in staying]
     likely_back_first = sorted(
-        spare, key=lambda member: (member not in standing.healthy, member in standing.gone)
+        spare, key=lambda member: (member not in observed.healthy, member in observed.lost)
     )
-    return _at_least(minimum - 1, [*kept, *standing.ready], likely_back_first)
+    return _at_least(min_copies - 1, [*kept, *observed.ready], likely_back_first)
 
 
 def _at_least(count: int, members: Collection[str], spare: Collection[str]) -> tuple[str, ...]:
@@ -72,17 +79,17 @@
     return tuple(chosen)
 
 
-def _next_witnesses(view: View, standing: Standing, most: int) -> tuple[str, ...]:
+def _next_witnesses(view: View, observed: ObservedMembers, max_witnesses: int) -> tuple[str, ...]:
     """One witness that is lost, or leaves, replaced by an in-sync member that is none yet; else more
-    witnesses, an odd number and no more than `most`. The set never shrinks, as leases rely on it: if it grew
-    with each machine that comes before the one that it replaces goes, those that went would soon be half of
-    it."""
-    staying = (standing.healthy | {view.primary}) - standing.leaving
+    witnesses, an odd number and no more than `max_witnesses`. The set never shrinks, as leases rely on it:
+    if it grew with each machine that comes before the one that it replaces goes, those that went would soon
+    be half of it."""
+    staying = (observed.healthy | {view.primary}) - observed.leaving
     spare = [member for member in view.in_sync if member not in view.witnesses and member in staying]
-    lost = [member for member in view.witnesses if member in standing.gone | standing.leaving]
+    lost = [member for member in view.witnesses if member in observed.lost | observed.leaving]
     if lost and spare:
         return tuple(spare[0] if member == lost[0] else member for member in view.witnesses)
-    size = min(len(view.witnesses) + len(spare), most)
+    size = min(len(view.witnesses) + len(spare), max_witnesses)
     size -= 1 - size % 2
     added = max(0, size - len(view.witnesses))
     return (*view.witnesses, *spare[:added])
@@ -91,12 +98,12 @@
 def _changed(
     epoch: int,
     view: View,
-    standing: Standing,
+    observed: ObservedMembers,
     backups: tuple[str, ...],
     witnesses: tuple[str, ...],
     former: tuple[str, ...],
 ) -> View:
     members = {view.primary, *backups, *witnesses, *former}
-    known = {**view.addresses, **standing.addresses}
+    known = {**view.addresses, **observed.addresses}
     addresses = {member: known[member] for member in sorted(members) if member in known}
     return View(epoch, view.primary, backups, witnesses, former, addresses)
--- a/larchgw/replication/replica.py
+++ b/larchgw/replication/replica.py
@@ -43,7 +43,7 @@
         return self._base_index + len(self._epochs)
 
     @property
-    def first_kept(self) -> int:
+    def first_index(self) -> int:
         """The lowest index whose record is still there; below it there is only the snapshot."""
         return self._base_index + 1
 
@@ -63,7 +63,7 @@
             return self._base_epoch
         return self._epochs[index - self._base_index - 1]
 
-    def holds(self, index: int, epoch: int) -> bool:
+    def has_record(self, index: int, epoch: int) -> bool:
         """Whether this record, or a snapshot that stands for it, is here already."""
         return index <= self._base_index or index <= self.last_index and self.epoch_at(index) == epoch
 
@@ -91,7 +91,7 @@
             self._journal.sync()
             self._synced = True
 
-    def follow(
+    def append_from_primary(
         self, previous_index: int, previous_epoch: int, epochs: Sequence[int], records: Sequence[bytes]
     ) -> tuple[bool, int]:
         """Takes the primary's records after `previous_index` in, durable. Returns whether they fit, and then
@@ -103,13 +103,13 @@
         index = previous_index
         for epoch, record in zip(epochs, records, strict=True):
             index += 1
-            self._place(index, epoch, record)
+            self._append_or_replace(index, epoch, record)
         self.sync()
         return True, max(index, self._base_index)
 
     def install(self, index: int, epoch: int, snapshot: bytes) -> bool:
         """Replaces the log by a snapshot, durable; False where the log holds that record already."""
-        if self.holds(index, epoch):
+        if self.has_record(index, epoch):
             return False
         self._journal.install(index, _EPOCH.pack(epoch) + snapshot)
         self._synced = True
@@ -148,7 +148,7 @@
         self._epochs.append(epoch)
         self._sizes.append(len(framed))
 
-    def _place(self, index: int, epoch: int, record: bytes) -> None:
+    def _append_or_replace(self, index: int, epoch: int, record: bytes) -> None:
         if index <= self._base_index:
             return
         if index <= self.last_index:
@@ -172,7 +172,7 @@
         return index
 
 
-def unframed(framed: bytes) -> tuple[int, bytes]:
+def split_frame(framed: bytes) -> tuple[int, bytes]:
     """The epoch and the record, or snapshot, that a journal holds as `framed`."""
     return _epoch(framed), framed[_EPOCH.size :]
 
--- a/larchgw/replication/snapshot_transfer.py
+++ b/larchgw/replication/snapshot_transfer.py
@@ -12,11 +12,11 @@
 
 import structlog
 
-from .messages import Install
+from .messages import InstallSnapshot
 
 log = structlog.get_logger()
-PIECE_BYTES = 256 << 10  # 26 ms on the slowest link: a heartbeat waits no longer behind it
-MOST_SNAPSHOT_BYTES = 24 << 20  # set aside for one; control/configuration_size.py keeps states below
+CHUNK_BYTES = 256 << 10  # 26 ms on the slowest link: a heartbeat waits no longer behind it
+MAX_SNAPSHOT_BYTES = 24 << 20  # set aside for one; control/configuration_size.py keeps states below
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,32 +43,32 @@
     """The sender's side: one snapshot for one member, kept until the member has it, though a newer one may
     replace it on the disk meanwhile."""
 
-    def __init__(self, epoch: int, snapshot: Snapshot, piece_bytes: int) -> None:
+    def __init__(self, epoch: int, snapshot: Snapshot, chunk_bytes: int) -> None:
         self.snapshot = snapshot
         self.offset = 0  # where the piece under way, or the next one, begins
         self._epoch = epoch
-        self._piece_bytes = piece_bytes
+        self._chunk_bytes = chunk_bytes
 
     @property
     def remaining_bytes(self) -> int:
         """Bytes that have not been answered."""
         return len(self.snapshot.content) - self.offset
 
-    def piece(self) -> Install:
+    def chunk(self) -> InstallSnapshot:
         """The message that carries the piece at `offset`."""
         snapshot = self.snapshot
-        piece = snapshot.content[self.offset : self.offset + self._piece_bytes]
-        return Install(
+        chunk = snapshot.content[self.offset : self.offset + self._chunk_bytes]
+        return InstallSnapshot(
             self._epoch,
             snapshot.index,
             snapshot.epoch,
             self.offset,
             len(snapshot.content),
             snapshot.checksum,
-            piece,
+            chunk,
         )
 
-    def answered(self, index: int, offset: int) -> bool:
+    def acknowledge(self, index: int, offset: int) -> bool:
         """Takes the receiver's answer; True if the next piece is to go at once.
 
         An answer that does not go beyond the piece under way is an old one, or the receiver has begun anew.
@@ -77,9 +77,9 @@
         """
         if index != self.snapshot.index or not 0 <= offset <= len(self.snapshot.content):
             return False
-        goes_on = offset >= min(self.offset + self._piece_bytes, len(self.snapshot.content))
+        is_progress = offset >= min(self.offset + self._chunk_bytes, len(self.snapshot.content))
         self.offset = offset
-        return goes_on
+        return is_progress
 
 
 class IncomingSnapshot:
@@ -97,23 +97,23 @@
         """From where the sender is to go on."""
         return len(self._content)
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Nothing is being received any more."""
         self._transfer = ()
         self._content = bytearray()
 
-    def forget_up_to(self, index: int) -> None:
+    def discard_up_to(self, index: int) -> None:
         """The log has come as far as `index` without a snapshot."""
         if self._order[1] <= index:
-            self.forget()
+            self.discard()
 
-    def begin(self, install: Install) -> bool:
+    def begin(self, install: InstallSnapshot) -> bool:
         """Turns to the transfer that the piece belongs to; False if the piece is to be left alone.
 
         A transfer of a higher epoch, or of a newer snapshot, takes the place of the one before.
         """
-        if not 0 <= install.size <= MOST_SNAPSHOT_BYTES:
-            log.error("snapshot.too_large", size_bytes=install.size, max_bytes=MOST_SNAPSHOT_BYTES)
+        if not 0 <= install.size_bytes <= MAX_SNAPSHOT_BYTES:
+            log.error("snapshot.too_large", size_bytes=install.size_bytes, max_bytes=MAX_SNAPSHOT_BYTES)
             return False
         transfer = _transfer_of(install)
         if transfer == self._transfer:
@@ -121,38 +121,38 @@
         order = (install.epoch, install.index)
         if order < self._order:
             return False
-        self.forget()
+        self.discard()
         self._transfer, self._order = transfer, order
         return True
 
-    def take(self, install: Install) -> bytes | None:
+    def receive(self, install: InstallSnapshot) -> bytes | None:
         """Takes a piece of the present transfer; the snapshot if this piece makes it whole.
 
         The last piece is not kept: until the snapshot is durable, and `forget` is called, it can come again.
         """
         if not self._fits(install):
             return None
-        if self.offset + len(install.piece) < install.size:
-            self._content += install.piece
+        if self.offset + len(install.chunk) < install.size_bytes:
+            self._content += install.chunk
             return None
-        whole = bytes(self._content) + install.piece
-        if _is_genuine(whole, install.checksum):
-            return whole
+        content = bytes(self._content) + install.chunk
+        if _has_checksum(content, install.checksum):
+            return content
         log.error("snapshot.checksum_mismatch", record_index=install.index)
         self.discarded += 1
         self._content = bytearray()
         return None
 
-    def _fits(self, install: Install) -> bool:
-        end = install.offset + len(install.piece)
-        is_useful = len(install.piece) > 0 or install.size == 0
-        return install.offset == self.offset and end <= install.size and is_useful
+    def _fits(self, install: InstallSnapshot) -> bool:
+        end = install.offset + len(install.chunk)
+        has_content = len(install.chunk) > 0 or install.size_bytes == 0
+        return install.offset == self.offset and end <= install.size_bytes and has_content
 
 
-def _transfer_of(install: Install) -> tuple[object, ...]:
+def _transfer_of(install: InstallSnapshot) -> tuple[object, ...]:
     """What all pieces of one transfer have in common."""
-    return install.epoch, install.index, install.index_epoch, install.size, install.checksum
+    return install.epoch, install.index, install.index_epoch, install.size_bytes, install.checksum
 
 
-def _is_genuine(whole: bytes, checksum: str) -> bool:
-    return checksum_of(whole) == checksum
+def _has_checksum(content: bytes, checksum: str) -> bool:
+    return checksum_of(content) == checksum
--- a/larchgw/replication/view_change_round.py
+++ b/larchgw/replication/view_change_round.py
@@ -7,7 +7,7 @@
 from .view import View
 
 
-class Ballot:
+class ViewChangeRound:
     """Counts the answers to one candidate's epoch. The candidate itself answers through the same calls."""
 
     def __init__(self, epoch: int, base: View, now: float, timing: Timing) -> None:
@@ -17,8 +17,8 @@
         self._promised: set[str] = set()
         self._accepted: set[str] = set()
         self._timing = timing
-        self._gives_up_at = now + timing.ballot
-        self._resend_at = now + timing.ballot_resend
+        self._gives_up_at = now + timing.view_change_s
+        self._resend_at = now + timing.view_change_resend_s
         self._quorum_at: float | None = None
 
     @property
@@ -39,7 +39,9 @@
         """Whether a quorum has promised, and the other in-sync members have too or had time to."""
         if self.proposal is not None or self._quorum_at is None:
             return False
-        return self._promised >= set(self.base.in_sync) or now >= self._quorum_at + self._timing.settle
+        return (
+            self._promised >= set(self.base.in_sync) or now >= self._quorum_at + self._timing.promise_grace_s
+        )
 
     def propose(self, view: View) -> None:
         """The second phase begins."""
@@ -64,11 +66,11 @@
         """Who has not answered the present phase and should be asked again now."""
         if now < self._resend_at:
             return ()
-        self._resend_at = now + self._timing.ballot_resend
+        self._resend_at = now + self._timing.view_change_resend_s
         answered = self._promised if self.proposal is None else self._accepted
         return tuple(member for member in self.participants if member not in answered)
 
-    def progress(self) -> tuple[object, ...]:
+    def volatile_state(self) -> tuple[object, ...]:
         """Everything that answers have changed; equal for ballots that will go on alike."""
         return (
             self.epoch,
--- a/larchgw/replication/view_changes.py
+++ b/larchgw/replication/view_changes.py
@@ -8,34 +8,34 @@
 
 from .candidate import Candidate
 from .follower import Follower
-from .graceful_leave import Departures
+from .graceful_leave import LeavingMembers
 from .leadership import Leadership
-from .lease_acceptor import LeaseWitness
-from .member_addresses import Roster
+from .lease_acceptor import LeaseAcceptor
+from .member_addresses import MemberAddresses
 from .messages import (
     Accept,
     Accepted,
     HeartbeatReply,
-    Join,
-    Leave,
-    Left,
+    JoinRequest,
+    LeaveGranted,
+    LeaveRequest,
     Prepare,
-    Probe,
-    ProbeReply,
+    PreVoteReply,
+    PreVoteRequest,
     Promise,
     TakeOver,
 )
-from .outbound_messages import Outbox
+from .outbound_messages import OutboundMessages
 from .planning import failover_view, next_view, same_view
 from .replica import Replica
 from .settings import MemberSettings
 from .view import View
-from .view_change_round import Ballot
+from .view_change_round import ViewChangeRound
 from .witness import Witness
 
 log = structlog.get_logger()
 
-REVIEW_SECONDS = 0.05  # between two looks of the primary at whether the view should change
+REVIEW_INTERVAL_S = 0.05  # between two looks of the primary at whether the view should change
 
 
 class ViewChanges:
@@ -45,89 +45,89 @@
 
     def __init__(
         self,
-        me: str,
+        member_id: str,
         settings: MemberSettings,
         witness: Witness,
-        lease_witness: LeaseWitness,
+        lease_acceptor: LeaseAcceptor,
         replica: Replica,
-        outbox: Outbox,
-        roster: Roster,
+        outbox: OutboundMessages,
+        addresses: MemberAddresses,
         follower: Follower,
         candidate: Candidate,
         on_resign: Callable[[str], None],
     ) -> None:
-        self._me = me
+        self._member_id = member_id
         self._settings = settings
         self._timing = settings.timing
         self._witness = witness
-        self._lease_witness = lease_witness
+        self._lease_acceptor = lease_acceptor
         self._replica = replica
         self._outbox = outbox
-        self._roster = roster
+        self._addresses = addresses
         self._follower = follower
         self._candidate = candidate
         self._on_resign = on_resign
         self._review_at = 0.0
-        self._departures = Departures(self._timing)
+        self._leaving_members = LeavingMembers(self._timing)
         self.leading: Leadership | None = None  # while this member acts as primary
-        self.rests_until = 0.0  # it does not stand before
+        self.no_candidacy_until = 0.0  # it does not stand before
 
     @property
     def view(self) -> View | None:
         """The view that this member acts in, or else the last that it has accepted."""
         return self.leading.view if self.leading is not None else self._witness.view
 
-    def progress(self) -> tuple[object, ...]:
+    def volatile_state(self) -> tuple[object, ...]:
         """What is kept in memory only, times left out; for explorations that compare states."""
-        ballot = self._candidate.ballot
+        view_change = self._candidate.view_change
         return (
             self._candidate.highest_epoch,
-            *self._departures.progress(),
-            None if ballot is None else ballot.progress(),
-            None if self.leading is None else self.leading.progress(),
+            *self._leaving_members.volatile_state(),
+            None if view_change is None else view_change.volatile_state(),
+            None if self.leading is None else self.leading.volatile_state(),
         )
 
     # ---- messages ----
 
     def heartbeat_reply(self, now: float, sender: str, reply: HeartbeatReply) -> None:
         """A member has answered a heartbeat; it may know of a later view."""
-        self._candidate.see_epoch(reply.promised)
+        self._candidate.observe_epoch(reply.promised)
         if reply.view is not None:
             self.adopt(now, reply.view)
         if self.leading is not None:
             self.leading.heartbeat_reply(now, sender, reply)
 
-    def probe(self, now: float, sender: str, probe: Probe) -> None:
+    def receive_pre_vote_request(self, now: float, sender: str, request: PreVoteRequest) -> None:
         """A member asks whether it may try to become primary."""
         view = self._witness.view
-        granted = view is None or view.primary == sender or not self._follower.hears_primary(now)
-        if self.leading is not None and sender != self._me and self.leading.has_contact(now):
+        granted = view is None or view.primary == sender or not self._follower.has_recent_primary(now)
+        if self.leading is not None and sender != self._member_id and self.leading.has_contact(now):
             granted = False
-        self._outbox.send(sender, ProbeReply(probe.round, granted, self._witness.promised, view))
+        self._outbox.send(sender, PreVoteReply(request.round, granted, self._witness.promised, view))
 
-    def probe_reply(self, now: float, sender: str, reply: ProbeReply) -> None:
+    def receive_pre_vote_reply(self, now: float, sender: str, reply: PreVoteReply) -> None:
         """A member has answered whether this one may try."""
-        self._candidate.see_epoch(reply.promised)
+        self._candidate.observe_epoch(reply.promised)
         if reply.view is not None:
             self.adopt(now, reply.view)
         if reply.granted and self.leading is None:
-            self._candidate.probe_granted(now, sender, reply.round)
+            self._candidate.receive_pre_vote(now, sender, reply.round)
 
     def prepare(self, sender: str, prepare: Prepare) -> None:
         """A candidate asks for a promise of its epoch."""
         granted = self._witness.promise(prepare.epoch, sender)
-        self._candidate.see_epoch(self._witness.promised)
+        self._candidate.observe_epoch(self._witness.promised)
         self._outbox.send(sender, Promise(prepare.epoch, granted, self._witness.promised, self._witness.view))
 
     def promise(self, now: float, sender: str, promise: Promise) -> None:
-        """A witness has answered this member's ballot."""
-        self._candidate.see_epoch(promise.promised)
-        ballot = self._candidate.ballot
-        if ballot is None or ballot.epoch != promise.epoch:
+        """A witness has answered this member's view change."""
+        self._candidate.observe_epoch(promise.promised)
+        view_change = self._candidate.view_change
+        if view_change is None or view_change.epoch != promise.epoch:
             return
         if promise.granted:
-            ballot.promise(now, sender, promise)
-        elif promise.promised > ballot.epoch:
+            view_change.promise(now, sender, promise)
+        elif promise.promised > view_change.epoch:
             self._candidate.abandon(now)
 
     def accept(self, now: float, sender: str, message: Accept) -> None:
@@ -137,10 +137,10 @@
 
     def accepted(self, sender: str, reply: Accepted) -> None:
         """A witness has answered this member's proposed view."""
-        self._candidate.see_epoch(reply.promised)
-        ballot = self._candidate.ballot
-        if ballot is not None and ballot.epoch == reply.epoch and reply.granted:
-            ballot.accept(sender)
+        self._candidate.observe_epoch(reply.promised)
+        view_change = self._candidate.view_change
+        if view_change is not None and view_change.epoch == reply.epoch and reply.granted:
+            view_change.accept(sender)
 
     def take_over(self, now: float, message: TakeOver) -> None:
         """The primary steps down and names this member as its successor."""
@@ -148,56 +148,56 @@
         if view is not None and view.epoch == message.epoch and self._may_stand(now, view):
             self._candidate.start(now, view)
 
-    def join(self, now: float, join: Join) -> None:
+    def join(self, now: float, join: JoinRequest) -> None:
         """A member asks to be taken in."""
-        self._departures.returned(join.member)
+        self._leaving_members.observe_return(join.member)
         if self.leading is not None:
             self.leading.join(now, join.member)
 
-    def leave(self, now: float, sender: str, leave: Leave) -> None:
+    def leave(self, now: float, sender: str, leave: LeaveRequest) -> None:
         """A member is about to end. The primary agrees once it has made what changes it can, and nothing
         depends on the other any more."""
-        self._departures.asked(now, leave.member)
+        self._leaving_members.observe_request(now, leave.member)
         if self.leading is None or not self.leading.has_contact(now):
             return
         if self._next_view(now, self.leading.view.epoch + 1, self.leading) is not None:
             return
-        if self.leading.can_spare(now, leave.member, self._departures.spared(now) - {leave.member}):
-            self._departures.spare(leave.member)
-            self._outbox.send(sender, Left(self.leading.view.epoch))
+        if self.leading.can_release(now, leave.member, self._leaving_members.released(now) - {leave.member}):
+            self._leaving_members.release(leave.member)
+            self._outbox.send(sender, LeaveGranted(self.leading.view.epoch))
 
     # ---- views ----
 
     def adopt(self, now: float, view: View) -> None:
         """A view that another member has accepted."""
-        self._candidate.see_epoch(view.epoch)
+        self._candidate.observe_epoch(view.epoch)
         if self._witness.view is None or view.epoch > self._witness.view.epoch:
             self._accept(now, view)
 
     def lead(self, now: float, view: View) -> None:
         """A quorum has accepted this view, in which this member is primary."""
-        self._candidate.ballot = None
+        self._candidate.view_change = None
         self._replica.sync()  # its own copy counts, also of what a life of this process before left unsynced
         self.leading = Leadership(
-            self._me,
+            self._member_id,
             view,
             self._replica,
             self._outbox,
             self._settings,
             now,
             self.leading,
-            self._departures.leaving(now),
+            self._leaving_members.leaving(now),
         )
         log.info("primary.acquired", view_epoch=view.epoch, backups=view.backups, witnesses=view.witnesses)
         self.leading.heartbeat(now)
         self.leading.replicate(now)
 
-    def rest(self, now: float, seconds: float) -> None:
+    def step_down(self, now: float, pause_s: float) -> None:
         """Hands the primary's role to a backup, and does not stand for a while."""
-        self.rests_until = max(self.rests_until, now + seconds)
+        self.no_candidacy_until = max(self.no_candidacy_until, now + pause_s)
         if self.leading is None:
             return
-        successor = self.leading.successor(now, self._departures.leaving(now))
+        successor = self.leading.successor(now, self._leaving_members.leaving(now))
         if successor is not None:
             self._outbox.send(successor, TakeOver(self.leading.view.epoch))
         self._resign(now, "stepped down")
@@ -205,19 +205,22 @@
     def _accept(self, now: float, view: View) -> bool:
         before = self._witness.view
         is_new = before is None or before.epoch != view.epoch
-        if is_new and self._is_seated_by(view, before) and self._witness.may_accept(view):
-            self._lease_witness.seated(now)  # first: what is lost between the two writes is only a term
+        if is_new and self._becomes_witness(view, before) and self._witness.may_accept(view):
+            # First, since what is lost between the two writes is then only a term.
+            self._lease_acceptor.join_as_witness(now)
         if not self._witness.accept(view):
             return False
-        self._roster.learn(view)
+        self._addresses.update_from_view(view)
         if not is_new:
             return True
-        if view.primary != self._me:
+        if view.primary != self._member_id:
             self._resign(now, f"{view.primary} formed view {view.epoch}")
         return True
 
-    def _is_seated_by(self, view: View, before: View | None) -> bool:
-        return self._me in view.witnesses and (before is None or self._me not in before.former_witnesses)
+    def _becomes_witness(self, view: View, before: View | None) -> bool:
+        return self._member_id in view.witnesses and (
+            before is None or self._member_id not in before.former_witnesses
+        )
 
     def _resign(self, now: float, reason: str) -> None:
         if self.leading is None:
@@ -226,14 +229,14 @@
         self.leading = None
         self._candidate.abandon(now)
         self._on_resign(reason)
-        self._follower.heard_at = now
+        self._follower.primary_seen_at = now
 
     def _may_stand(self, now: float, view: View) -> bool:
         return (
-            self._me in view.in_sync
-            and now >= self.rests_until
+            self._member_id in view.in_sync
+            and now >= self.no_candidacy_until
             and self.leading is None
-            and self._candidate.ballot is None
+            and self._candidate.view_change is None
         )
 
     # ---- time ----
@@ -245,58 +248,60 @@
         view = self._witness.view
         if self.leading is not None:
             self._tick_leading(now, self.leading)
-        elif view is None or self._me not in view.in_sync:
+        elif view is None or self._member_id not in view.in_sync:
             if not leaves:
-                self._follower.ask_to_join(now, contacts)
-        elif self._may_stand(now, view) and now >= self._follower.suspects_at(view):
-            self._candidate.see_epoch(self._witness.promised)
-            self._candidate.probe(now, view)
+                self._follower.request_join(now, contacts)
+        elif self._may_stand(now, view) and now >= self._follower.candidacy_due_at(view):
+            self._candidate.observe_epoch(self._witness.promised)
+            self._candidate.request_pre_votes(now, view)
 
-    def forgive_silence(self, now: float) -> None:
+    def reset_silence(self, now: float) -> None:
         """This process itself did not run: silence of the others in that time means nothing."""
         if self.leading is not None:
-            self.leading.forgive_silence(now)
-        if self._follower.heard_at is not None:
-            self._follower.heard_at = now
+            self.leading.reset_silence(now)
+        if self._follower.primary_seen_at is not None:
+            self._follower.primary_seen_at = now
 
     def _tick_leading(self, now: float, leading: Leadership) -> None:
         if not leading.has_contact(now):
             self._resign(now, "a quorum of the witnesses has not answered for long")
             return
         leading.tick(now)
-        if self._candidate.ballot is None and now >= self._review_at:
-            self._review_at = now + REVIEW_SECONDS
+        if self._candidate.view_change is None and now >= self._review_at:
+            self._review_at = now + REVIEW_INTERVAL_S
             self._review(now, leading)
 
     def _review(self, now: float, leading: Leadership) -> None:
-        """Begins a ballot if the view should change, or if another's promise stands in its way."""
-        overruled = leading.refused_since is not None and now - leading.refused_since >= self._timing.refused
+        """Begins a round if the view should change, or if another's promise stands in its way."""
+        overruled = (
+            leading.refused_since is not None and now - leading.refused_since >= self._timing.refusal_s
+        )
         change = self._next_view(now, leading.view.epoch + 1, leading)
         entering = () if change is None else change.backups
-        leading.expect(frozenset(entering) - set(leading.view.backups))
+        leading.set_entering(frozenset(entering) - set(leading.view.backups))
         if change is None and not overruled:
             return
-        self._candidate.see_epoch(self._witness.promised)
+        self._candidate.observe_epoch(self._witness.promised)
         self._candidate.start(now, leading.view)
 
     def _next_view(self, now: float, epoch: int, leading: Leadership) -> View | None:
-        standing = leading.standing(now, self._roster.replaced, self._departures.leaving(now))
+        observed = leading.observe_members(now, self._addresses.replaced, self._leaving_members.leaving(now))
         return next_view(
-            epoch, leading.view, standing, self._settings.minimum_copies, self._settings.most_witnesses
+            epoch, leading.view, observed, self._settings.min_copies, self._settings.max_witnesses
         )
 
-    # ---- the ballot ----
+    # ---- the view change ----
 
-    def progress_ballot(self, now: float) -> bool:
-        """Takes this member's ballot one step further; whether there was one to take."""
-        ballot = self._candidate.ballot
-        if ballot is None:
+    def advance_view_change(self, now: float) -> bool:
+        """Takes this member's view change one step further; whether there was one to take."""
+        view_change = self._candidate.view_change
+        if view_change is None:
             return False
-        if ballot.may_propose(now):
-            self._propose(now, ballot)
+        if view_change.may_propose(now):
+            self._propose(now, view_change)
             return True
-        if ballot.is_chosen and ballot.proposal is not None:
-            self._chosen(now, ballot.epoch, ballot.proposal)
+        if view_change.is_chosen and view_change.proposal is not None:
+            self._chosen(now, view_change.epoch, view_change.proposal)
             return True
         return False
 
@@ -308,27 +313,27 @@
         else:
             self.lead(now, view)
 
-    def _propose(self, now: float, ballot: Ballot) -> None:
-        base = ballot.base
-        if self._me not in base.in_sync:
+    def _propose(self, now: float, view_change: ViewChangeRound) -> None:
+        base = view_change.base
+        if self._member_id not in base.in_sync:
             self._candidate.abandon(now)
             self._resign(now, f"view {base.epoch} was formed without this member")
             return
-        view = self._compose(now, ballot)
+        view = self._compose(now, view_change)
         if self.leading is not None:
             self.leading.propose(view)
         self._candidate.propose(view)
 
-    def _compose(self, now: float, ballot: Ballot) -> View:
+    def _compose(self, now: float, view_change: ViewChangeRound) -> View:
         leading = self.leading
-        if leading is None or ballot.base.epoch != leading.view.epoch:
+        if leading is None or view_change.base.epoch != leading.view.epoch:
             return failover_view(
-                ballot.epoch,
-                self._me,
-                ballot.base,
-                ballot.promised,
-                self._departures.leaving(now),
-                self._settings.minimum_copies,
+                view_change.epoch,
+                self._member_id,
+                view_change.base,
+                view_change.promised,
+                self._leaving_members.leaving(now),
+                self._settings.min_copies,
             )
-        change = self._next_view(now, ballot.epoch, leading)
-        return change if change is not None else same_view(ballot.epoch, leading.view)
+        change = self._next_view(now, view_change.epoch, leading)
+        return change if change is not None else same_view(view_change.epoch, leading.view)
--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -22,7 +22,7 @@
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings
-from larchgw.replication.snapshot_transfer import MOST_SNAPSHOT_BYTES
+from larchgw.replication.snapshot_transfer import MAX_SNAPSHOT_BYTES
 from larchgw.storage.log import DEFAULT_LIMIT_BYTES, Log
 from larchgw.storage.segments import MAX_RECORD_BYTES
 from tests.control.test_operator_service import ScriptedReplication
@@ -129,7 +129,7 @@
     assert MAX_ORDER_BYTES <= MAX_CONFIGURATION_BYTES
     assert MAX_ORDER_BYTES + 4096 <= MAX_RECORD_BYTES
     snapshot = MAX_CONFIGURATION_BYTES + most_taken_bytes + 4096
-    assert snapshot <= MOST_SNAPSHOT_BYTES
+    assert snapshot <= MAX_SNAPSHOT_BYTES
     settings = MemberSettings("a", ("a",), True, "", 1, 3.0)
     log = POSTPONED_FACTOR * settings.compact_bytes + 2 * MAX_RECORD_BYTES
     assert snapshot + log <= DEFAULT_LIMIT_BYTES
@@ -147,4 +147,4 @@
         replica.append(1, content[: 5 << 20])
         compaction.tick(float(number), replica.last_index, is_sending_snapshot=number % 2 == 0)
         most = max(most, files.used())
-    assert replica.first_kept > 10 and most <= DISK_BYTES // 2
+    assert replica.first_index > 10 and most <= DISK_BYTES // 2
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -37,7 +37,7 @@
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
 from larchgw.placement.summary import OpenOrder, PlacedModel, PlacementSummary
-from larchgw.replication.forced_new_view import Beginning
+from larchgw.replication.forced_new_view import ForcedView
 from larchgw.replication.lease import Lease
 from larchgw.replication.member import Member
 from larchgw.replication.settings import MemberSettings
@@ -127,7 +127,7 @@
 
 def written_folder(source: Path, folder: Path) -> dict[str, Any]:
     found = restore.read_source(source)
-    restore.write_folder(folder, found, Beginning(f"{ADDRESS}#anew", ADDRESS, 1_800_000_000, 1_800_000_000))
+    restore.write_folder(folder, found, ForcedView(f"{ADDRESS}#anew", ADDRESS, 1_800_000_000, 1_800_000_000))
     return {"found": restore.describe(found), "files": folder_contents(folder)}
 
 
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -16,8 +16,8 @@
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.restore import check_empty, fresh_identity, read_source, write_folder
 from larchgw.model_checking.replication.cluster import SimulatedCluster
-from larchgw.replication.forced_new_view import Beginning, beginning, refound
-from larchgw.replication.lease import FENCES_PER_EPOCH
+from larchgw.replication.forced_new_view import ForcedView, plan_forced_view, write_forced_view
+from larchgw.replication.lease import FENCING_TOKENS_PER_EPOCH
 from larchgw.replication.member import Member
 from larchgw.replication.settings import MemberSettings
 from larchgw.runtime.rpc_clients import RpcClients
@@ -50,9 +50,9 @@
         asyncio.run(self.log.propose(OperatorOrder("replace", base_version, body).encode()))
 
 
-def restored(source: Path, target: Path) -> Beginning:
+def restored(source: Path, target: Path) -> ForcedView:
     found = read_source(source)
-    begin = beginning(fresh_identity(ADDRESS), ADDRESS, LATER, found.last_epoch, found.last_index)
+    begin = plan_forced_view(fresh_identity(ADDRESS), ADDRESS, LATER, found.last_epoch, found.last_index)
     write_folder(target, found, begin)
     return begin
 
@@ -76,7 +76,7 @@
     process = Process(tmp_path / "new")
     assert process.state.record_index == begin.index > lost.state.record_index
     assert process.member.view is not None and lost.member.view is not None
-    assert process.member.view.epoch * FENCES_PER_EPOCH < 1 << 53  # JSON keeps it whole
+    assert process.member.view.epoch * FENCING_TOKENS_PER_EPOCH < 1 << 53  # JSON keeps it whole
     assert process.member.view.epoch >= begin.epoch > lost.member.view.epoch
 
 
@@ -109,7 +109,7 @@
     (tmp_path / "read.json").write_bytes(canonical(example()))
     first = restored(tmp_path / "read.json", tmp_path / "first")
     found = read_source(tmp_path / "first")
-    second = beginning("x", ADDRESS, 1000.0, found.last_epoch, found.last_index)
+    second = plan_forced_view("x", ADDRESS, 1000.0, found.last_epoch, found.last_index)
     assert second.epoch > first.epoch and second.index > first.index
 
 
@@ -152,8 +152,8 @@
         for address in list(self.world.machines):
             self.world.wipe(address)
         self.known = self.world.checks.newest_acknowledged
-        begin = Beginning("m0:1#anew", "m0:1", 1_800_000_000, self.known)
-        refound(self.world.machines["m0:1"].disk.ports(), begin, str(self.known).encode())
+        begin = ForcedView("m0:1#anew", "m0:1", 1_800_000_000, self.known)
+        write_forced_view(self.world.machines["m0:1"].disk.ports(), begin, str(self.known).encode())
         self.world.checks.made_snapshot(self.known, str(self.known).encode())
         self.world.start("m0:1")
 
--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -41,8 +41,8 @@
 
 @dataclass(frozen=True)
 class ScriptedLease:
-    fence: int
-    until: float
+    fencing_token: int
+    expires_at: float
 
 
 class ScriptedPlay:
--- a/tests/replication/test_graceful_leave.py
+++ b/tests/replication/test_graceful_leave.py
@@ -5,7 +5,7 @@
 import pytest
 
 from larchgw.model_checking.replication.cluster import LEASE_NAME, Machine, SimulatedCluster
-from larchgw.replication.planning import Standing, failover_view, next_view
+from larchgw.replication.planning import ObservedMembers, failover_view, next_view
 from larchgw.replication.view import View, first_view
 
 
@@ -199,9 +199,9 @@
 # ---- plans ----
 
 
-def standing(healthy: str, ready: str = "", gone: str = "", leaving: str = "") -> Standing:
+def standing(healthy: str, ready: str = "", gone: str = "", leaving: str = "") -> ObservedMembers:
     addresses = {member: member for member in "abcd"}
-    return Standing(frozenset(healthy), tuple(ready), frozenset(gone), frozenset(leaving), addresses)
+    return ObservedMembers(frozenset(healthy), tuple(ready), frozenset(gone), frozenset(leaving), addresses)
 
 
 VIEW = first_view(["a", "b", "c"])
--- a/tests/replication/test_late_votes.py
+++ b/tests/replication/test_late_votes.py
@@ -7,7 +7,7 @@
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.member import Member
 from larchgw.replication.message_codec import encode
-from larchgw.replication.messages import Accept, Accepted, Leave, Message, ProbeReply, Promise
+from larchgw.replication.messages import Accept, Accepted, LeaveRequest, Message, PreVoteReply, Promise
 from larchgw.replication.settings import MemberSettings
 from larchgw.replication.view import View, first_view
 from larchgw.rpc.generated.ttypes import PeerMessage
@@ -30,7 +30,7 @@
 
     def propose_view_2(self) -> None:
         self.member.tick(101.0)
-        self.told(101.0, "c", ProbeReply(1, True, 0, VIEW))
+        self.told(101.0, "c", PreVoteReply(1, True, 0, VIEW))
         self.told(101.0, "c", Promise(2, True, 2, VIEW))
         self.member.tick(101.1)
 
@@ -53,4 +53,4 @@
 
 def test_a_member_that_is_not_primary_agrees_to_nobody_s_end() -> None:
     b = Scripted()
-    assert ("c", "left") not in b.told(100.1, "c", Leave("c"))
+    assert ("c", "left") not in b.told(100.1, "c", LeaveRequest("c"))
--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -16,7 +16,7 @@
 from larchgw.model_checking.errors import SimulatedCrashError
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.effects import Effects
-from larchgw.replication.lease_acceptor import LeaseWitness
+from larchgw.replication.lease_acceptor import LeaseAcceptor
 from larchgw.replication.member import Member
 from larchgw.replication.message_codec import decode, encode
 from larchgw.replication.messages import (
@@ -25,10 +25,10 @@
     Append,
     AppendReply,
     Heartbeat,
-    Install,
-    LeaseAnswer,
-    LeaseAsk,
+    InstallSnapshot,
     LeaseRelease,
+    LeaseReply,
+    LeaseRequest,
     Message,
     Prepare,
     Promise,
@@ -49,7 +49,7 @@
 SECOND = View(2, "c", ("a", "b"), SEEDS, SEEDS, {member: member for member in SEEDS})
 THIRD = View(5, "c", ("a", "b"), SEEDS, SEEDS, {member: member for member in SEEDS})
 SNAPSHOT = b"the state after record 30"
-PIECE_BYTES = 10
+CHUNK_BYTES = 10
 TERM = 3.0
 ACKNOWLEDGED_IN_FIRST = 7  # the last record of the first view that all its members had
 
@@ -64,21 +64,21 @@
     return Append(epoch, index, previous[1], commit, epochs, records)
 
 
-def pieces(epoch: int) -> Iterator[Install]:
-    for offset in range(0, len(SNAPSHOT), PIECE_BYTES):
-        yield Install(
+def pieces(epoch: int) -> Iterator[InstallSnapshot]:
+    for offset in range(0, len(SNAPSHOT), CHUNK_BYTES):
+        yield InstallSnapshot(
             epoch,
             30,
             2,
             offset,
             len(SNAPSHOT),
             checksum_of(SNAPSHOT),
-            SNAPSHOT[offset : offset + PIECE_BYTES],
+            SNAPSHOT[offset : offset + CHUNK_BYTES],
         )
 
 
-def ask(fence: int, renewal: bool) -> LeaseAsk:
-    return LeaseAsk("placer", fence, renewal, 9, attempt=fence, acting=True)
+def ask(fence: int, renewal: bool) -> LeaseRequest:
+    return LeaseRequest("placer", fence, renewal, 9, attempt=fence, is_acting=True)
 
 
 SCRIPT: tuple[tuple[str, Message], ...] = (
@@ -112,7 +112,7 @@
     promised: int = 0
     accepted: int = 0
     matched: tuple[int, int, bytes | None] = (0, 0, None)  # epoch of the view, index, record if not compacted
-    fence: int = 0
+    fencing_token: int = 0
     records: dict[int, bytes] = field(default_factory=dict)  # index -> what the primaries last sent
 
     def hear(self, message: Message) -> None:
@@ -123,8 +123,8 @@
                 self.accepted = max(self.accepted, message.epoch)
             case AppendReply() if message.matched:
                 self.matched = (message.epoch, message.index, self.records.get(message.index))
-            case LeaseAnswer() if message.granted:
-                self.fence = max(self.fence, message.attempt)
+            case LeaseReply() if message.granted:
+                self.fencing_token = max(self.fencing_token, message.attempt)
             case _:
                 pass
 
@@ -187,10 +187,10 @@
         epoch, index, matched = said.matched
         is_of_this_view = member.view is not None and member.view.epoch == epoch
         assert member.last_index >= (index if is_of_this_view else min(index, ACKNOWLEDGED_IN_FIRST))
-        if matched is not None and is_of_this_view and index >= member._replica.first_kept:
+        if matched is not None and is_of_this_view and index >= member._replica.first_index:
             assert list(member._replica.read(index, index)) == [(index, matched)]
-        stored = member._lease_witness._leases.get("placer")
-        assert said.fence == 0 or stored is not None and stored.fence >= said.fence
+        stored = member._lease_acceptor._leases.get("placer")
+        assert said.fencing_token == 0 or stored is not None and stored.fencing_token >= said.fencing_token
 
 
 def calls_of_the_script() -> int:
@@ -205,8 +205,8 @@
     backup = Backup(FaultyFiles())
     backup.start()
     backup.play()
-    assert backup.member._replica.first_kept > 31
-    assert backup.said.promised == 5 and backup.said.accepted == 5 and backup.said.fence == 140_000
+    assert backup.member._replica.first_index > 31
+    assert backup.said.promised == 5 and backup.said.accepted == 5 and backup.said.fencing_token == 140_000
 
 
 @pytest.mark.parametrize("end", [FaultyFiles.lose_power, FaultyFiles.kill_process])
@@ -251,9 +251,9 @@
     """It may have been away while others granted the lease: whom it granted to long ago says nothing."""
     for crash_after in range(6):
         disk = SimulatedDisk()
-        former = LeaseWitness(disk.ports().leases, TERM)
+        former = LeaseAcceptor(disk.ports().leases, TERM)
         former.reset(from_first_boot=True)
-        former.ask(0.0, "x", LeaseAsk("placer", 70_000, False, 1, 1, acting=True), None)
+        former.handle_request(0.0, "x", LeaseRequest("placer", 70_000, False, 1, 1, is_acting=True), None)
         outside = View(3, "a", ("c",), ("a", "c", "d"), ("a", "c", "d"), {each: each for each in "abcd"})
         Witness(disk.ports().witness).reset(outside)
         disk.cells["identity"] = b'{"id": "b"}'
@@ -272,7 +272,7 @@
         member.start(101.0)
         kind, body = encode(Accept(seat), "a")
         member.receive(101.0, PeerMessage("a", "b", kind, body))
-        kind, body = encode(LeaseAsk("placer", 300_000, False, 4, 1, acting=False), "x")
+        kind, body = encode(LeaseRequest("placer", 300_000, False, 4, 1, is_acting=False), "x")
         effects = member.receive(101.1, PeerMessage("x", "b", kind, body))
         (answer,) = [decode(sent.message.kind, sent.message.body)[0] for sent in effects.messages]
-        assert isinstance(answer, LeaseAnswer) and not answer.granted
+        assert isinstance(answer, LeaseReply) and not answer.granted
--- a/tests/replication/test_parts.py
+++ b/tests/replication/test_parts.py
@@ -17,12 +17,12 @@
     Accept,
     Append,
     AppendReply,
-    Install,
-    InstallReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
     Promise,
 )
-from larchgw.replication.outbound_messages import Outbox
-from larchgw.replication.planning import Standing, failover_view, next_view
+from larchgw.replication.outbound_messages import OutboundMessages
+from larchgw.replication.planning import ObservedMembers, failover_view, next_view
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings
 from larchgw.replication.view import View, first_view
@@ -43,9 +43,9 @@
     )
 
 
-def standing(healthy: str = "", ready: str = "", gone: str = "", leaving: str = "") -> Standing:
+def standing(healthy: str = "", ready: str = "", gone: str = "", leaving: str = "") -> ObservedMembers:
     addresses = {member: member for member in "abcdef"}
-    return Standing(frozenset(healthy), tuple(ready), frozenset(gone), frozenset(leaving), addresses)
+    return ObservedMembers(frozenset(healthy), tuple(ready), frozenset(gone), frozenset(leaving), addresses)
 
 
 # ---- messages ----
@@ -59,7 +59,12 @@
 
 def test_views_and_snapshots_arrive_as_they_were_sent() -> None:
     promises = Promise(1, True, 1, None), Promise(1, True, 1, VIEW)
-    for message in (Accept(VIEW), Install(1, 2, 3, 4, 6, "sum", b"\0{"), InstallReply(1, 2, 3), *promises):
+    for message in (
+        Accept(VIEW),
+        InstallSnapshot(1, 2, 3, 4, 6, "sum", b"\0{"),
+        InstallSnapshotReply(1, 2, 3),
+        *promises,
+    ):
         assert decode(*encode(message, "x:1"))[0] == message
 
 
@@ -136,19 +141,19 @@
     log = replica(disk)
     for record in (b"1", b"2", b"lost"):
         log.append(1, record)
-    assert log.follow(3, 2, (2,), (b"4",)) == (False, 0)
-    assert log.follow(2, 1, (2, 2), (b"3", b"4")) == (True, 4)
+    assert log.append_from_primary(3, 2, (2,), (b"4",)) == (False, 0)
+    assert log.append_from_primary(2, 1, (2, 2), (b"3", b"4")) == (True, 4)
     assert [record for _, record in log.read(1, 4)] == [b"1", b"2", b"3", b"4"]
 
 
 def test_a_gap_is_never_filled_over() -> None:
-    assert replica(SimulatedDisk()).follow(5, 1, (1,), (b"6",)) == (False, 0)
+    assert replica(SimulatedDisk()).append_from_primary(5, 1, (1,), (b"6",)) == (False, 0)
 
 
 def test_records_that_come_twice_or_late_change_nothing() -> None:
     log = replica(SimulatedDisk())
-    log.follow(0, 0, (1, 1), (b"1", b"2"))
-    assert log.follow(0, 0, (1,), (b"1",)) == (True, 1)
+    log.append_from_primary(0, 0, (1, 1), (b"1", b"2"))
+    assert log.append_from_primary(0, 0, (1,), (b"1",)) == (True, 1)
     assert log.last_index == 2
 
 
@@ -156,7 +161,7 @@
     disk = SimulatedDisk()
     journal = disk.ports().journal
     journal.append(b"\0" * 7 + b"\1" + b"one")
-    assert replica(disk).follow(0, 0, (1,), (b"one",)) == (True, 1)
+    assert replica(disk).append_from_primary(0, 0, (1,), (b"one",)) == (True, 1)
     disk.lose_power(Random(1))
     assert replica(disk).last_index == 1
 
@@ -182,7 +187,7 @@
     behind = replica(SimulatedDisk())
     assert behind.install(*log.snapshot())
     assert not behind.install(*log.snapshot())
-    assert behind.follow(3, 1, (1,), (b"4",)) == (True, 4)
+    assert behind.append_from_primary(3, 1, (1,), (b"4",)) == (True, 4)
 
 
 # ---- the next view ----
@@ -234,7 +239,7 @@
 
 def leadership(log: Replica, before: Leadership | None = None) -> Leadership:
     settings = MemberSettings("a", ("a", "b", "c"), True, "", 1, 3.0)
-    return Leadership("a", VIEW, log, Outbox("a", "a"), settings, 0.0, before)
+    return Leadership("a", VIEW, log, OutboundMessages("a", "a"), settings, 0.0, before)
 
 
 def test_a_record_counts_only_once_every_backup_has_it() -> None:
@@ -263,9 +268,9 @@
     leading = leadership(log)
     leading.join(0.0, "d")
     leading.append_reply(0.0, "d", AppendReply(1, True, 0))
-    assert leading.standing(0.0, frozenset(), frozenset()).ready == ()
+    assert leading.observe_members(0.0, frozenset(), frozenset()).ready == ()
     leading.append_reply(0.0, "d", AppendReply(1, True, 1))
-    assert leading.standing(0.0, frozenset(), frozenset()).ready == ("d",)
+    assert leading.observe_members(0.0, frozenset(), frozenset()).ready == ("d",)
 
 
 def test_a_member_that_is_about_to_be_taken_in_must_have_a_record_too() -> None:
@@ -273,9 +278,9 @@
     log.append(1, b"one")
     leading = leadership(log)
     leading.join(0.0, "d")
-    leading.expect(frozenset("d"))
+    leading.set_entering(frozenset("d"))
     for backup in "bc":
         leading.append_reply(0.0, backup, AppendReply(1, True, 1))
     assert leading.commit_index() == 0
-    leading.expect(frozenset())
+    leading.set_entering(frozenset())
     assert leading.commit_index() == 1
--- a/tests/replication/test_recorded_bytes.py
+++ b/tests/replication/test_recorded_bytes.py
@@ -14,8 +14,8 @@
 
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication import identity
-from larchgw.replication.forced_new_view import beginning, refound
-from larchgw.replication.lease_acceptor import LeaseWitness
+from larchgw.replication.forced_new_view import plan_forced_view, write_forced_view
+from larchgw.replication.lease_acceptor import LeaseAcceptor
 from larchgw.replication.message_codec import decode, encode
 from larchgw.replication.messages import (
     Accept,
@@ -24,22 +24,22 @@
     AppendReply,
     Heartbeat,
     HeartbeatReply,
-    Install,
-    InstallReply,
-    Join,
-    LeaseAnswer,
-    LeaseAsk,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    JoinRequest,
     LeaseRelease,
-    Leave,
-    Left,
+    LeaseReply,
+    LeaseRequest,
+    LeaveGranted,
+    LeaveRequest,
     Message,
     Prepare,
-    Probe,
-    ProbeReply,
+    PreVoteReply,
+    PreVoteRequest,
     Promise,
     TakeOver,
 )
-from larchgw.replication.replica import Replica, unframed
+from larchgw.replication.replica import Replica, split_frame
 from larchgw.replication.settings import MemberSettings
 from larchgw.replication.snapshot_transfer import OutgoingSnapshot, Snapshot
 from larchgw.replication.view import View, first_view
@@ -69,9 +69,9 @@
 
 # Arguments by position: the names of fields are free to change, their order and meaning are not.
 MESSAGES: dict[str, Message] = {
-    "probe": Probe(3),
-    "probe_reply without a view": ProbeReply(3, False, 4, None),
-    "probe_reply with a view": ProbeReply(3, True, 4, FIRST_VIEW),
+    "probe": PreVoteRequest(3),
+    "probe_reply without a view": PreVoteReply(3, False, 4, None),
+    "probe_reply with a view": PreVoteReply(3, True, 4, FIRST_VIEW),
     "prepare": Prepare(8),
     "promise without a view": Promise(8, False, 9, None),
     "promise with a view": Promise(8, True, 8, JOINT_VIEW),
@@ -83,22 +83,22 @@
     "heartbeat_reply with a view": HeartbeatReply(6, 11, False, 7, 7, JOINT_VIEW),
     "append without records": Append(7, 40, 6, 39, (), ()),
     "append with records": Append(7, 40, 6, 39, (6, 7, 7), (b"one", b"", b"\x00{\xff")),
-    "install first piece": Install(6, 9, 5, 0, 10, SNAPSHOT_CHECKSUM, SNAPSHOT_CONTENT[:4]),
-    "install middle piece": Install(6, 9, 5, 4, 10, SNAPSHOT_CHECKSUM, SNAPSHOT_CONTENT[4:8]),
-    "install last piece": Install(6, 9, 5, 8, 10, SNAPSHOT_CHECKSUM, SNAPSHOT_CONTENT[8:]),
-    "install of an empty snapshot": Install(6, 9, 5, 0, 0, EMPTY_CHECKSUM, b""),
-    "install_reply": InstallReply(6, 9, 4),
+    "install first piece": InstallSnapshot(6, 9, 5, 0, 10, SNAPSHOT_CHECKSUM, SNAPSHOT_CONTENT[:4]),
+    "install middle piece": InstallSnapshot(6, 9, 5, 4, 10, SNAPSHOT_CHECKSUM, SNAPSHOT_CONTENT[4:8]),
+    "install last piece": InstallSnapshot(6, 9, 5, 8, 10, SNAPSHOT_CHECKSUM, SNAPSHOT_CONTENT[8:]),
+    "install of an empty snapshot": InstallSnapshot(6, 9, 5, 0, 0, EMPTY_CHECKSUM, b""),
+    "install_reply": InstallSnapshotReply(6, 9, 4),
     "append_reply matched": AppendReply(7, True, 43),
     "append_reply not matched": AppendReply(7, False, 12),
-    "join": Join("d:1#3", "d:1"),
-    "leave": Leave("a:1"),
-    "left": Left(7),
+    "join": JoinRequest("d:1#3", "d:1"),
+    "leave": LeaveRequest("a:1"),
+    "left": LeaveGranted(7),
     "take_over": TakeOver(7),
-    "lease_ask new": LeaseAsk("planner", 458753, False, 7, 2, False),
-    "lease_ask renewal": LeaseAsk("planner", 458753, True, 7, 3, True),
-    "lease_answer without a view": LeaseAnswer("planner", 2, True, 0, "", 0, 0.0, None),
-    "lease_answer with a view": LeaseAnswer("planner", 2, False, 458752, "c:1", 458752, 1.25, JOINT_VIEW),
-    "lease_answer of a later witness": LeaseAnswer("planner", 2, True, 458752, "?", 0, 0.0, None),
+    "lease_ask new": LeaseRequest("planner", 458753, False, 7, 2, False),
+    "lease_ask renewal": LeaseRequest("planner", 458753, True, 7, 3, True),
+    "lease_answer without a view": LeaseReply("planner", 2, True, 0, "", 0, 0.0, None),
+    "lease_answer with a view": LeaseReply("planner", 2, False, 458752, "c:1", 458752, 1.25, JOINT_VIEW),
+    "lease_answer of a later witness": LeaseReply("planner", 2, True, 458752, "?", 0, 0.0, None),
     "lease_release": LeaseRelease("planner", 458753),
 }
 
@@ -125,7 +125,7 @@
     outgoing = OutgoingSnapshot(6, Snapshot.of(9, 5, SNAPSHOT_CONTENT), 4)
     bodies = []
     for outgoing.offset in (0, 4, 8):
-        bodies.append(encode(outgoing.piece(), SENDER_ADDRESS)[1].hex())
+        bodies.append(encode(outgoing.chunk(), SENDER_ADDRESS)[1].hex())
     names = ("install first piece", "install middle piece", "install last piece")
     assert bodies == [recorded("messages")[name]["body"] for name in names]
 
@@ -179,24 +179,24 @@
 
 def test_lease_acceptor_writes_recorded_cells() -> None:
     cell = MemoryCell()
-    acceptor = LeaseWitness(cell, LEASE_TERM_S)
+    acceptor = LeaseAcceptor(cell, LEASE_TERM_S)
     acceptor.reset(from_first_boot=True)
     assert cell.matches("leases of a seed")
-    acceptor.ask(1.0, "a:1", LeaseAsk("planner", 65537, False, 1, 1, False), FIRST_VIEW)
+    acceptor.handle_request(1.0, "a:1", LeaseRequest("planner", 65537, False, 1, 1, False), FIRST_VIEW)
     assert cell.matches("leases with a grant")
-    acceptor.ask(1.1, "a:1", LeaseAsk("planner", 65537, True, 1, 2, True), FIRST_VIEW)
-    acceptor.ask(1.2, "b:1", LeaseAsk("registry", 65538, False, 1, 1, True), FIRST_VIEW)
+    acceptor.handle_request(1.1, "a:1", LeaseRequest("planner", 65537, True, 1, 2, True), FIRST_VIEW)
+    acceptor.handle_request(1.2, "b:1", LeaseRequest("registry", 65538, False, 1, 1, True), FIRST_VIEW)
     assert cell.matches("leases with two holders that act")
-    acceptor.seated(2.0)
+    acceptor.join_as_witness(2.0)
     assert cell.matches("leases after becoming a witness again")
 
 
 def test_lease_acceptor_of_a_new_identity_writes_recorded_cells() -> None:
     cell = MemoryCell()
-    acceptor = LeaseWitness(cell, LEASE_TERM_S)
+    acceptor = LeaseAcceptor(cell, LEASE_TERM_S)
     acceptor.reset(from_first_boot=False)
     assert cell.matches("leases of a new identity")
-    acceptor.ask(1.0, "a:1", LeaseAsk("planner", 65537, False, 1, 1, False), FIRST_VIEW)
+    acceptor.handle_request(1.0, "a:1", LeaseRequest("planner", 65537, False, 1, 1, False), FIRST_VIEW)
     assert cell.matches("leases of a new identity with a grant")
 
 
@@ -212,9 +212,11 @@
     ],
 )
 def test_recorded_lease_cell_is_read(name: str, stored: tuple[int, str, int]) -> None:
-    acceptor = LeaseWitness(MemoryCell(recorded("cells")[name]), LEASE_TERM_S)
-    answer = acceptor.ask(1.0, "c:1", LeaseAsk("planner", 1 << 20, False, 1, 1, False), FIRST_VIEW)
-    expected = LeaseAnswer("planner", 1, True, *stored, 0.0, None)
+    acceptor = LeaseAcceptor(MemoryCell(recorded("cells")[name]), LEASE_TERM_S)
+    answer = acceptor.handle_request(
+        1.0, "c:1", LeaseRequest("planner", 1 << 20, False, 1, 1, False), FIRST_VIEW
+    )
+    expected = LeaseReply("planner", 1, True, *stored, 0.0, None)
     assert answer == expected
 
 
@@ -227,10 +229,12 @@
     ],
 )
 def test_recorded_lease_cell_names_the_holder_that_may_renew(name: str, holder: str, granted: bool) -> None:
-    acceptor = LeaseWitness(MemoryCell(recorded("cells")[name]), LEASE_TERM_S)
-    acceptor.restarted(0.0)
-    answer = acceptor.ask(1.0, holder, LeaseAsk("planner", 65537, True, 1, 1, True), FIRST_VIEW)
-    assert (answer.granted, answer.remaining) == (granted, 0.0 if granted else 2.0)
+    acceptor = LeaseAcceptor(MemoryCell(recorded("cells")[name]), LEASE_TERM_S)
+    acceptor.observe_restart(0.0)
+    answer = acceptor.handle_request(
+        1.0, holder, LeaseRequest("planner", 65537, True, 1, 1, True), FIRST_VIEW
+    )
+    assert (answer.granted, answer.remaining_s) == (granted, 0.0 if granted else 2.0)
 
 
 @pytest.mark.parametrize(
@@ -241,8 +245,8 @@
     settings = MemberSettings(address, ("a:1", "b:1", "c:1"), first_boot, "d:1#3", 1, LEASE_TERM_S)
     disk = SimulatedDisk()
     ports = disk.ports()
-    acceptor = LeaseWitness(ports.leases, LEASE_TERM_S)
-    made = identity.establish(ports.identity, settings, Witness(ports.witness), acceptor)
+    acceptor = LeaseAcceptor(ports.leases, LEASE_TERM_S)
+    made = identity.load_or_create_identity(ports.identity, settings, Witness(ports.witness), acceptor)
     written = {part: content.decode() for part, content in disk.cells.items()}
     assert made.is_new
     assert written == {part: recorded("cells")[f"{part} cell of {name}"] for part in written}
@@ -261,14 +265,14 @@
         for part in ("identity", "witness", "leases")
     }
     ports = disk.ports()
-    acceptor = LeaseWitness(ports.leases, LEASE_TERM_S)
-    read = identity.establish(ports.identity, settings, Witness(ports.witness), acceptor)
+    acceptor = LeaseAcceptor(ports.leases, LEASE_TERM_S)
+    read = identity.load_or_create_identity(ports.identity, settings, Witness(ports.witness), acceptor)
     assert (read.id, read.is_new) == (member, False)
 
 
 def test_forced_new_view_writes_recorded_cells_and_snapshot() -> None:
     disk = SimulatedDisk()
-    refound(disk.ports(), beginning("a:1#x", "a:1", 1700000000.5, 12, 40), b"state")
+    write_forced_view(disk.ports(), plan_forced_view("a:1#x", "a:1", 1700000000.5, 12, 40), b"state")
     written = {f"{part} cell of a forced new view": content.decode() for part, content in disk.cells.items()}
     assert written == {name: recorded("cells")[name] for name in written}
     assert len(written) == 3
@@ -286,7 +290,7 @@
     replica = Replica(disk.ports().journal)
     replica.append(1, b"one")
     replica.append(258, b"")
-    replica.follow(2, 258, (259,), (b"\x00\xff",))
+    replica.append_from_primary(2, 258, (259,), (b"\x00\xff",))
     records = [[index, record.hex()] for index, record in disk.ports().journal.read(1, 3)]
     assert records == recorded("journal")["records"]
     replica.compact(2, b"state of 2")
@@ -316,4 +320,4 @@
     disk = SimulatedDisk()
     disk.base = (index, bytes.fromhex(framed))
     assert Replica(disk.ports().journal).snapshot() == snapshot
-    assert unframed(bytes.fromhex(framed)) == snapshot[1:]
+    assert split_frame(bytes.fromhex(framed)) == snapshot[1:]
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -17,13 +17,13 @@
 from larchgw.replication.follower import Follower
 from larchgw.replication.leadership import Leadership
 from larchgw.replication.message_codec import DecodeError, decode
-from larchgw.replication.messages import AppendReply, Install, InstallReply
-from larchgw.replication.outbound_messages import Outbox
+from larchgw.replication.messages import AppendReply, InstallSnapshot, InstallSnapshotReply
+from larchgw.replication.outbound_messages import OutboundMessages
 from larchgw.replication.replica import Replica
 from larchgw.replication.settings import MemberSettings, Timing
 from larchgw.replication.snapshot_transfer import (
-    MOST_SNAPSHOT_BYTES,
-    PIECE_BYTES,
+    CHUNK_BYTES,
+    MAX_SNAPSHOT_BYTES,
     IncomingSnapshot,
     OutgoingSnapshot,
     Snapshot,
@@ -47,16 +47,16 @@
     return OutgoingSnapshot(epoch, Snapshot.of(index, 1, content), piece_bytes)
 
 
-def pieces(content: bytes = CONTENT, epoch: int = 1, index: int = 9) -> list[Install]:
+def pieces(content: bytes = CONTENT, epoch: int = 1, index: int = 9) -> list[InstallSnapshot]:
     sent = outgoing(content, epoch, index)
     found = []
     for sent.offset in range(0, len(content), 4):
-        found.append(sent.piece())
+        found.append(sent.chunk())
     return found
 
 
-def receive(incoming: IncomingSnapshot, install: Install) -> bytes | None:
-    return incoming.take(install) if incoming.begin(install) else None
+def receive(incoming: IncomingSnapshot, install: InstallSnapshot) -> bytes | None:
+    return incoming.receive(install) if incoming.begin(install) else None
 
 
 # ---- the receiver ----
@@ -73,10 +73,10 @@
 ) -> None:
     random = Random(seed)
     sent, incoming = outgoing(content), IncomingSnapshot()
-    under_way = [sent.piece()]
+    under_way = [sent.chunk()]
     for _ in range(2000):
         if random.random() < 0.2 or not under_way:
-            under_way.append(sent.piece())  # its time is over
+            under_way.append(sent.chunk())  # its time is over
         whole = receive(incoming, piece := under_way.pop(random.randrange(len(under_way))))
         if whole is not None:
             assert whole == content
@@ -84,15 +84,15 @@
             return
         if random.random() < 0.2:
             under_way.append(piece)
-        if random.random() < 0.8 and sent.answered(9, incoming.offset):
-            under_way.append(sent.piece())
+        if random.random() < 0.8 and sent.acknowledge(9, incoming.offset):
+            under_way.append(sent.chunk())
     raise AssertionError("the snapshot never came")
 
 
 def test_a_piece_that_was_altered_replaces_nothing_and_the_snapshot_is_fetched_again() -> None:
     incoming = IncomingSnapshot()
     first, second, last = pieces()
-    altered = Install(1, 9, 1, 4, 10, first.checksum, b"XXXX")
+    altered = InstallSnapshot(1, 9, 1, 4, 10, first.checksum, b"XXXX")
     assert [receive(incoming, piece) for piece in (first, altered, last)] == [None, None, None]
     assert (incoming.discarded, incoming.offset) == (1, 0)
     assert [receive(incoming, piece) for piece in (first, second, last)] == [None, None, CONTENT]
@@ -124,14 +124,14 @@
     assert receive(incoming, last) == receive(incoming, last) == CONTENT
 
 
-@pytest.mark.parametrize("size", [-1, MOST_SNAPSHOT_BYTES + 1])
+@pytest.mark.parametrize("size", [-1, MAX_SNAPSHOT_BYTES + 1])
 def test_no_room_is_set_aside_for_a_snapshot_of_an_impossible_size(size: int) -> None:
-    assert not IncomingSnapshot().begin(Install(1, 9, 1, 0, size, "", b"x"))
+    assert not IncomingSnapshot().begin(InstallSnapshot(1, 9, 1, 0, size, "", b"x"))
 
 
 def test_a_piece_beyond_the_end_is_not_taken() -> None:
     incoming = IncomingSnapshot()
-    assert receive(incoming, Install(1, 9, 1, 0, 4, "", b"12345")) is None
+    assert receive(incoming, InstallSnapshot(1, 9, 1, 0, 4, "", b"12345")) is None
     assert incoming.offset == 0
 
 
@@ -146,12 +146,12 @@
         self.witness = Witness(self.disk.ports().witness)
         self.witness.reset(VIEW)
         self.replica = Replica(self.disk.ports().journal)
-        self.outbox = Outbox("b", "b")
+        self.outbox = OutboundMessages("b", "b")
         for member in "abc":
-            self.outbox.learn(member, member)
+            self.outbox.set_address(member, member)
         self.follower = Follower("b", "b", self.witness, self.replica, self.outbox, Timing())
 
-    def install(self, install: Install, sender: str = "a") -> tuple[int, bytes] | None:
+    def install(self, install: InstallSnapshot, sender: str = "a") -> tuple[int, bytes] | None:
         return self.follower.install(0.0, sender, install)
 
     def answers(self) -> list[object]:
@@ -162,7 +162,11 @@
     member = Following()
     installed = [member.install(piece) for piece in pieces()]
     assert installed == [None, None, (9, CONTENT)]
-    assert member.answers() == [InstallReply(1, 9, 4), InstallReply(1, 9, 8), AppendReply(1, True, 9)]
+    assert member.answers() == [
+        InstallSnapshotReply(1, 9, 4),
+        InstallSnapshotReply(1, 9, 8),
+        AppendReply(1, True, 9),
+    ]
     assert Replica(member.disk.ports().journal).snapshot() == (9, 1, CONTENT)
 
 
@@ -213,15 +217,15 @@
         for number in range(12):
             self.replica.append(1, b"%d" % number)
         self.replica.compact(9, CONTENT)
-        self.outbox = Outbox("a", "a")
-        self.outbox.learn("b", "b")
-        settings = MemberSettings("a", ("a", "b", "c"), True, "", 1, 3.0, piece_bytes=4)
+        self.outbox = OutboundMessages("a", "a")
+        self.outbox.set_address("b", "b")
+        settings = MemberSettings("a", ("a", "b", "c"), True, "", 1, 3.0, chunk_bytes=4)
         self.leadership = Leadership("a", view, self.replica, self.outbox, settings, 0.0, None)
 
     def sent(self) -> list[object]:
         return [decode(sent.message.kind, sent.message.body)[0] for sent in self.outbox.drain()]
 
-    def answer(self, now: float, reply: AppendReply | InstallReply) -> list[object]:
+    def answer(self, now: float, reply: AppendReply | InstallSnapshotReply) -> list[object]:
         if isinstance(reply, AppendReply):
             self.leadership.append_reply(now, "b", reply)
         else:
@@ -235,8 +239,8 @@
 def test_the_answer_to_a_piece_brings_the_next_one_and_the_last_brings_the_records_after_it() -> None:
     leading = Leading()
     leading.begin()
-    assert leading.answer(0.1, InstallReply(1, 9, 4)) == [pieces()[1]]
-    assert leading.answer(0.2, InstallReply(1, 9, 8)) == [pieces()[2]]
+    assert leading.answer(0.1, InstallSnapshotReply(1, 9, 4)) == [pieces()[1]]
+    assert leading.answer(0.2, InstallSnapshotReply(1, 9, 8)) == [pieces()[2]]
     assert leading.leadership.is_sending_snapshot
     (append,) = leading.answer(0.3, AppendReply(1, True, 9))
     assert (append.previous_index, len(append.records)) == (9, 3)
@@ -246,28 +250,28 @@
 def test_an_answer_that_comes_twice_or_late_puts_no_second_piece_under_way() -> None:
     leading = Leading()
     leading.begin()
-    leading.answer(0.1, InstallReply(1, 9, 4))
-    assert leading.answer(0.1, InstallReply(1, 9, 4)) == []
-    assert leading.answer(0.1, InstallReply(1, 9, 0)) == []
-    assert leading.answer(0.1, InstallReply(1, 8, 8)) == []
+    leading.answer(0.1, InstallSnapshotReply(1, 9, 4))
+    assert leading.answer(0.1, InstallSnapshotReply(1, 9, 4)) == []
+    assert leading.answer(0.1, InstallSnapshotReply(1, 9, 0)) == []
+    assert leading.answer(0.1, InstallSnapshotReply(1, 8, 8)) == []
     assert leading.answer(0.1, AppendReply(1, False, 0)) == []
 
 
 def test_a_receiver_that_begins_anew_is_sent_the_snapshot_from_its_start() -> None:
     leading = Leading()
     leading.begin()
-    leading.answer(0.1, InstallReply(1, 9, 4))
-    leading.answer(0.2, InstallReply(1, 9, 0))
-    leading.leadership.replicate(0.2 + Timing().retransmit + 0.1)
+    leading.answer(0.1, InstallSnapshotReply(1, 9, 4))
+    leading.answer(0.2, InstallSnapshotReply(1, 9, 0))
+    leading.leadership.replicate(0.2 + Timing().retransmit_s + 0.1)
     assert pieces()[0] in leading.sent()
 
 
 def test_a_compaction_in_the_middle_of_a_transfer_does_not_lose_it() -> None:
     leading = Leading()
     leading.begin()
-    leading.answer(0.1, InstallReply(1, 9, 4))
+    leading.answer(0.1, InstallSnapshotReply(1, 9, 4))
     leading.replica.compact(12, b"newer")
-    assert leading.answer(0.2, InstallReply(1, 9, 8)) == [pieces()[2]]
+    assert leading.answer(0.2, InstallSnapshotReply(1, 9, 8)) == [pieces()[2]]
 
 
 def test_compactions_wait_for_a_transfer_but_not_for_ever() -> None:
@@ -298,7 +302,7 @@
 
 def test_one_snapshot_is_read_for_all_members_that_need_it() -> None:
     leading = Leading()
-    leading.outbox.learn("c", "c")
+    leading.outbox.set_address("c", "c")
     leading.begin()
     leading.leadership.append_reply(0.0, "c", AppendReply(1, False, 0))
     held = [peer.snapshot.snapshot for peer in leading.leadership._peers.values() if peer.snapshot]
@@ -410,4 +414,4 @@
 
 
 def test_a_piece_fits_a_frame_many_times_over() -> None:
-    assert PIECE_BYTES * 16 <= MAX_FRAME_BYTES
+    assert CHUNK_BYTES * 16 <= MAX_FRAME_BYTES
