--- /dev/null
+++ b/tests/placement/conftest.py
@@ -0,0 +1,24 @@
+"""Fixtures of the placement tests: a clock that is set by hand, and what is made with it."""
+
+import pytest
+
+from larchgw.placement.demand_tracker import DemandTracker
+
+
+class FakeClock:
+    def __init__(self):
+        self.now_s = 100.0
+
+    def __call__(self):
+        return self.now_s
+
+
+@pytest.fixture
+def clock():
+    return FakeClock()
+
+
+@pytest.fixture
+def demand(clock):
+    """A tracker without demand, on the fake clock."""
+    return DemandTracker(clock)
--- /dev/null
+++ b/tests/placement/deployments.py
@@ -0,0 +1,100 @@
+"""Deployments in virtual time that the placement service is played against, and what a play is judged by."""
+
+import random
+
+from larchgw.configuration.model import Model
+from larchgw.emulator.modelrunner import Capacity
+from larchgw.emulator.placing import Deployment, Stream, World
+from larchgw.experiments.place import Calls
+from larchgw.experiments.place import Service as Driver
+from larchgw.placement.model import OrderOutcome
+
+from .builders import MB_PER_GB, RATE_FACTOR, WINDOW_S
+
+RARE_WORTH, BUSY_WORTH = 3.0, 1.0
+
+
+def model_names(first, last):
+    return tuple(f"m{n}" for n in range(first, last))
+
+
+def busy_stream(models, rate=10.0, starts=0.0, ends=1e9, adapter_share=0.0):
+    weights = (1.0,) * len(models)
+    return Stream(models, weights, rate, BUSY_WORTH, 0.8, 5.0, adapter_share, starts, ends)
+
+
+def rare_stream(models, rate=0.04, aim_s=3.0):
+    return Stream(models, (1.0,) * len(models), rate * len(models), RARE_WORTH, aim_s, 8.0)
+
+
+def make_deployment(
+    streams,
+    models=12,
+    runners=4,
+    load_s=1.0,
+    seconds=30.0,
+    adapters=0,
+    loads_per_s=3.0,
+    losses=(),
+):
+    known = tuple(Model(f"m{n}", 72.7 * MB_PER_GB, load_s, adapters, 66.0) for n in range(models))
+    return Deployment(
+        known,
+        tuple(streams),
+        runners,
+        3,
+        Capacity(230 * MB_PER_GB),
+        loads_per_s,
+        max(round(loads_per_s * load_s), 3),
+        seconds,
+        losses,
+    )
+
+
+def play(deployment, seed=1, calls=None):
+    """Plays a deployment to its end; validates the reconciler after each step under the lease.
+
+    Calls end at once in virtual time, so a lease may be lost between the orders of one round; those noted
+    after that are for forgotten runners. On an event loop all are noted before the first is sent.
+    """
+    world = World(deployment, seed)
+    driver = Driver(world, seed)
+    if calls is not None:
+        driver.service._exchange._runtime.calls = calls(world)
+
+    def step():
+        driver.step()
+        if driver.service._lease_watch.fencing_token is not None:
+            driver.service._reconciler.validate_state()
+
+    world.play(step, driver.update_runner, driver.receive_demand_report)
+    return world
+
+
+def share_in_time(requests):
+    requests = list(requests)
+    return sum(request.in_time for request in requests) / len(requests)
+
+
+def assert_no_rule_broken(world):
+    deployment = world.deployment
+    assert not any(runner.fallen for runner in world.runners)
+    assert world.store.most_in(WINDOW_S) <= deployment.loads_per_s * WINDOW_S * RATE_FACTOR + 3
+
+
+class LossyCalls(Calls):
+    """Loses answers: of an order that was taken, and of one that never arrived."""
+
+    def __init__(self, world):
+        super().__init__(world)
+        self._random_source = random.Random(5)
+
+    async def order(self, order, fencing_token):
+        fate = self._random_source.random()
+        if fate < 0.15:
+            return OrderOutcome.UNKNOWN
+        outcome = await super().order(order, fencing_token)
+        return OrderOutcome.UNKNOWN if fate < 0.3 else outcome
+
+    async def report(self, runner_id, address):
+        return None if self._random_source.random() < 0.2 else await super().report(runner_id, address)
--- a/tests/placement/test_orders.py
+++ b/tests/placement/test_orders.py
@@ -14,7 +14,7 @@
 from larchgw.placement.orders import OrderClient
 
 
-class Runner:
+class RunnerStub:
     """Answers with a status, or closes the connection without one."""
 
     def __init__(self, status, body=b""):
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    "status, outcome",
+    ("status", "outcome"),
     [
         (202, OrderOutcome.ACCEPTED),
         (409, OrderOutcome.CONFLICT),
@@ -62,7 +62,7 @@
     ],
 )
 def test_an_order_reaches_the_runner_that_it_names_and_silence_is_no_refusal(status, outcome):
-    runner = Runner(status)
+    runner = RunnerStub(status)
     got = asyncio.run(runner.serve(lambda client, address: client.order(order_at(address), 41)))
     assert got is outcome
     method, path, target, body = runner.seen[0]
@@ -90,18 +90,19 @@
 
 
 def test_a_report_comes_from_the_runner_that_was_asked_for():
-    runner = Runner(200, b'{"models":[],"occupied":false,"call_count":2}')
+    runner = RunnerStub(200, b'{"models":[],"occupied":false,"call_count":2}')
     report = asyncio.run(runner.serve(lambda client, address: client.report("i-7", address)))
-    assert report is not None and report.order_count == 2
+    assert report is not None
+    assert report.order_count == 2
     assert runner.seen[0][:3] == ("GET", "/report", "i-7")
 
 
 def test_another_runner_at_the_address_gives_no_report():
-    runner = Runner(421, b'{"models":[],"occupied":false,"call_count":2}')
+    runner = RunnerStub(421, b'{"models":[],"occupied":false,"call_count":2}')
     assert asyncio.run(runner.serve(lambda client, address: client.report("i-7", address))) is None
 
 
-class KeepingRunner:
+class PersistentRunnerStub:
     """Keeps its connections, and answers each call as `script` says of it: with bytes, or by a reset."""
 
     def __init__(self, *script, closes=False):
@@ -157,7 +158,7 @@
         assert await client.report("i-7", address) is not None
         return await client.order(order_at(address), 41)
 
-    runner = KeepingRunner(answered(200, REPORT), end, answered(409))
+    runner = PersistentRunnerStub(answered(200, REPORT), end, answered(409))
     assert asyncio.run(runner.serve(call)) is OrderOutcome.UNKNOWN
     assert [path for path, _ in runner.seen] == ["/report", "/order"]
 
@@ -170,7 +171,7 @@
         runner.server.close()  # no new connection; the kept one goes on
         return await client.order(order_at(address), 41)
 
-    runner = KeepingRunner(answered(200, REPORT), "reset")
+    runner = PersistentRunnerStub(answered(200, REPORT), "reset")
     assert asyncio.run(runner.serve(call)) is OrderOutcome.UNKNOWN
     assert [path for path, _ in runner.seen] == ["/report", "/order"]
 
@@ -182,7 +183,7 @@
         await client.report("i-7", address)
         return await client.order(order_at(address), 41), await client.order(order_at(address), 41)
 
-    runner = KeepingRunner(answered(200, REPORT), answered(202), answered(409))
+    runner = PersistentRunnerStub(answered(200, REPORT), answered(202), answered(409))
     assert asyncio.run(runner.serve(call)) == (OrderOutcome.ACCEPTED, OrderOutcome.CONFLICT)
     assert runner.connections == 1
 
@@ -192,7 +193,7 @@
         await client.report("i-7", address)
         return await client.report("i-7", address)
 
-    runner = KeepingRunner(answered(200, REPORT), "reset", answered(200, REPORT))
+    runner = PersistentRunnerStub(answered(200, REPORT), "reset", answered(200, REPORT))
     assert asyncio.run(runner.serve(call)) is not None
     assert len(runner.seen) == 3
 
@@ -202,7 +203,7 @@
         await client.report("i-7", address)
         return await client.order(order_at(address), 41)
 
-    runner = KeepingRunner(answered(200, REPORT) + answered(202), answered(409))
+    runner = PersistentRunnerStub(answered(200, REPORT) + answered(202), answered(409))
     assert asyncio.run(runner.serve(call)) is OrderOutcome.CONFLICT
 
 
@@ -218,15 +219,15 @@
     async def call(client, address):
         return await client.order(order_at(address), 41)
 
-    assert asyncio.run(KeepingRunner(answer, closes=True).serve(call)) is OrderOutcome.UNKNOWN
+    assert asyncio.run(PersistentRunnerStub(answer, closes=True).serve(call)) is OrderOutcome.UNKNOWN
 
 
 def test_a_machine_is_one_holder_of_orders_whatever_its_name_and_across_restarts(tmp_path, monkeypatch):
     """The owner that its orders name is the address of its control process."""
     owners = []
     monkeypatch.setattr(placer_role, "OrderClient", owners.append)
-    for name, life in (("core-1", "a"), ("core-1", "b"), ("renamed", "c")):
-        folder = tmp_path / life
+    for name, incarnation in (("core-1", "a"), ("core-1", "b"), ("renamed", "c")):
+        folder = tmp_path / incarnation
         folder.mkdir()
         settings = NodeSettings(
             name,
