--- a/larchgw/rpc/larchgw.thrift
+++ b/larchgw/rpc/larchgw.thrift
@@ -1,8 +1,8 @@
-// What the processes of the system say to each other. `thrift --gen py` writes larchgw/rpc/generated from it;
+// Calls between the processes of the system. `thrift --gen py` writes larchgw/rpc/generated from it;
 // see larchgw/rpc/README.md. Times are milliseconds. Fields are only ever added, never renumbered.
 namespace py larchgw.rpc.generated
 
-// ---- Distribution: versioned entries that every process holds a copy of ----
+// ---- Distribution: a registry of versioned entries that every process replicates ----
 
 // One value of the replicated registry. Of two entries with one key the higher (major, minor) wins.
 // (origin, sequence) says which process accepted it and as which of its updates.
@@ -15,20 +15,20 @@
   6: binary value
 }
 
-// Asks for what the caller's version vector lacks; waits up to wait_ms for news if there is none.
+// Requests the entries that the caller's version vector `have` lacks; waits up to wait_ms if there are none.
 struct PullRequest {
   1: string node_name
   2: map<string, i64> have
   3: i32 wait_ms
-  4: list<string> prefixes  // keys the caller wants; empty: all
+  4: list<string> prefixes  // prefixes of the keys requested; empty: all
 }
 
-// `upto` is the version vector that the caller has reached once it has merged `entries`.
+// `upto` is the caller's version vector once it has merged `entries`.
 struct PullReply {
   1: list<Entry> entries
   2: map<string, i64> upto
-  3: bool more              // the reply was cut at its size limit: ask again at once
-  4: bool isolated          // this control process is cut off from the majority: ask another
+  3: bool more              // the reply was truncated at its size limit: pull again at once
+  4: bool isolated          // this control process is partitioned from the majority: pull from another
   5: list<string> control   // "host:port" rpc addresses of the control processes known now
 }
 
@@ -43,7 +43,7 @@
 
 // ---- Demand and placement ----
 
-// What one dispatcher has seen of one model or adapter since its last report.
+// Demand that one dispatcher observed for one model or adapter since its last report.
 struct ModelDemand {
   1: string service_name
   2: string model
@@ -51,8 +51,8 @@
   4: i32 arrivals           // requests that came in the interval
   5: i32 waiting            // requests that wait now for the model to be loaded
   6: i32 in_flight          // requests at runners now
-  7: i32 urgency_ms         // least time left of a waiting request; 0: none waits
-  8: double worth           // sum of the arrivals' importance (rank based)
+  7: i32 urgency_ms         // shortest time left of a waiting request; 0: none waits
+  8: double worth           // sum of the arrivals' priority weights (rank based)
 }
 
 struct DemandReport {
@@ -66,13 +66,13 @@
 struct View {
   1: i64 epoch
   2: string primary
-  3: list<string> backups   // in sync: each holds every acknowledged record
+  3: list<string> backups   // in-sync replicas: each holds every acknowledged record
   4: list<string> witnesses
   5: map<string, string> addresses  // member -> "host:port" of its rpc
 }
 
 // One message of the replication or lease protocol. `kind` and `body` are defined by larchgw/replication
-// (messages.py); the transport only carries them.
+// (messages.py, message_codec.py); rpc does not interpret them.
 struct PeerMessage {
   1: string sender
   2: string receiver
@@ -80,18 +80,18 @@
   4: binary body
 }
 
-// ---- The operator's calls, passed on to the primary ----
+// ---- The operator's calls, forwarded to the primary ----
 
 struct OperatorCall {
   1: string operation       // "replace", "change", "read"
-  2: i64 built_on           // of X-Built-On; -1: not given
+  2: i64 built_on           // base version, of the header X-Built-On; -1: not given
   3: binary body
 }
 
 struct OperatorAnswer {
-  1: i32 status             // HTTP status; 503: no clear answer
+  1: i32 status             // HTTP status; 503: outcome unknown or no primary
   2: binary body
-  3: string primary         // who answered; empty: not known here
+  3: string primary         // member id of the primary that replied; empty: no primary here
 }
 
 // ---- Status, for people ----
@@ -111,8 +111,8 @@
   2: i64 first_index        // lowest record after the snapshot
   3: i64 last_index
   4: i64 durable_index      // records up to this one survive a loss of power
-  5: i64 free_bytes         // that the file system has left; -1: it does not tell
-  6: bool has_reserve       // room is set aside for epochs and views
+  5: i64 free_bytes         // free in the file system; -1: not known
+  6: bool has_reserve       // space is reserved for epochs and views
 }
 
 // Demand for one model with its adapters, and where it is.
@@ -132,35 +132,35 @@
   2: string action          // "loading", "unloading"
   3: string name            // model or model/adapter
   4: i32 age_ms             // since it was sent
-  5: bool accepted          // the runner has said so
+  5: bool accepted          // the runner acknowledged it
 }
 
 struct PlacementStatus {
-  1: i64 fence
+  1: i64 fence              // fencing token of the placer's lease
   2: i32 load_limit         // loads from the weight store that may begin in one window
-  3: i32 load_room          // of these, how many may begin now
+  3: i32 load_room          // of these, how many may begin now (load rate limit)
   4: list<ModelStatus> models
   5: list<OrderStatus> orders
 }
 
 struct ControlStatus {
   1: string node_name
-  2: string identity        // of its replication member; another one after the disk was lost
+  2: string identity        // of its replication member; changes after the disk was lost
   3: string role            // in the replicated log: "learner", "backup", "primary"
   4: optional View view
   5: i64 config_version     // committed and applied here; 0: none
   6: i64 committed_index
-  7: bool isolated          // cut off from the majority of the control processes
+  7: bool isolated          // partitioned from the majority of the control processes
   8: list<ProcessStatus> processes
-  9: string placer          // rpc address of who places models; empty: nobody known
-  10: i64 placer_fence
+  9: string placer          // rpc address of the placer; empty: not known
+  10: i64 placer_fence      // fencing token of its lease
   11: map<string, i32> runners  // stage -> how many are known here
   12: DiskStatus disk
-  13: optional PlacementStatus placement  // only at the placer, where it was asked for
+  13: optional PlacementStatus placement  // only at the placer, if requested
 }
 
 struct StatusRequest {
-  1: bool placement         // tell also what is placed
+  1: bool placement         // include the placement
 }
 
 exception Unavailable {
