--- a/larchgw/distribution/connection.py
+++ b/larchgw/distribution/connection.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 
 class Connection(Protocol):
     """A connection to one process; rpc.client.RpcClient is the real one."""
 
-    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
+    async def call(self, method: str, argument: object, timeout_s: float) -> object:
         """Calls an rpc method with its one argument and returns the answer.
 
         Raises:
--- a/larchgw/emulator/placing.py
+++ b/larchgw/emulator/placing.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 from ..configuration.model import Configuration, Model, Runtime, Service
+from ..identifiers import RunnerId
 from ..rpc.generated.ttypes import DemandReport, ModelDemand
 from ..runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 from .modelrunner import Capacity, ModelRunner, WeightStore
@@ -175,7 +176,7 @@
         """What check-ins tell now; runners that are down count as gone."""
         return [
             RunnerRecord(
-                runner.id,
+                RunnerId(runner.id),
                 SERVICE,
                 runner.address,
                 runner.zone,
--- a/larchgw/experiments/distribution.py
+++ b/larchgw/experiments/distribution.py
@@ -16,6 +16,7 @@
 
 from ..distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
 from ..emulator.virtual_loop import run
+from ..identifiers import RunnerId
 from .distribution_model import BEAT_S, ControlProcess, Deployment, Size
 from .results import Options, Result, spread_out
 
@@ -98,7 +99,9 @@
         gone = self._process(number).registry.get(RUNNER_PREFIX + record.id)
         assert gone is not None
         self._note("leave", gone.key, gone.major)
-        self.deployment.runners[number] = replace(record, id=record.id + "n", call_count=0, models=())
+        self.deployment.runners[number] = replace(
+            record, id=RunnerId(record.id + "n"), call_count=0, models=()
+        )
         self.check_in(number)
 
     def _note(self, kind: str, key: str, major: int) -> None:
--- a/larchgw/experiments/distribution_model.py
+++ b/larchgw/experiments/distribution_model.py
@@ -21,6 +21,7 @@
 from ..distribution.pull_settings import PullSettings
 from ..distribution.puller import Puller
 from ..distribution.registry import Registry
+from ..identifiers import RunnerId
 from ..rpc.codec import decode_message, encode_message
 from ..rpc.errors import RpcConnectionError, RpcTimeoutError
 from ..rpc.generated import Control
@@ -211,7 +212,7 @@
         models = self.size.adapters // self.size.runners // ADAPTERS_A_MODEL + 1
         held = tuple(self.model() for _ in range(models))
         return RunnerRecord(
-            f"i-{number:05x}",
+            RunnerId(f"i-{number:05x}"),
             f"service{number % 20}",
             f"10.0.0.9:{1000 + number}",
             f"zone{number % 6}",
--- a/larchgw/experiments/route_draws.py
+++ b/larchgw/experiments/route_draws.py
@@ -11,6 +11,7 @@
 
 from ..configuration.model import Configuration, Model, Route, Runtime, Service
 from ..emulator.engine import EngineSettings
+from ..identifiers import RunnerId
 from ..runner_directory.runner_record import HeldModel, RunnerRecord
 
 SERVICE = "models"
@@ -122,7 +123,7 @@
     busy = tuple(f"busy{index}" for index in range(random.randrange(2, 5)))
     rare = tuple(f"rare{index}" for index in range(max(2, count)))
     records = draw_records(random, count, zones, busy, rare)
-    engines = {
+    engines: dict[str, EngineSettings] = {
         record.id: EngineSettings(
             step_ms=engine["step_ms"],
             prefill_tokens_per_ms=engine["prefill_tokens_per_ms"],
@@ -165,7 +166,7 @@
     adapters = tuple(f"a{number}" for number in range(1, ADAPTERS + 1))
     return tuple(
         RunnerRecord(
-            f"r{random.getrandbits(40):x}",
+            RunnerId(f"r{random.getrandbits(40):x}"),
             SERVICE,
             f"10.0.0.{index}:80",
             zones[index % len(zones)],
--- a/larchgw/experiments/route_play.py
+++ b/larchgw/experiments/route_play.py
@@ -18,6 +18,7 @@
     Send,
     Wait,
 )
+from ..runner_directory.runner_record import RunnerRecord
 from .route_draws import ADAPTERS, SERVICE, Deployment, RequestKind
 
 CROSSING_S = 0.0014  # one way between zones
@@ -72,7 +73,7 @@
         self.tally = Tally()
         self.random = Random(deployment.seed + 1)
         self.engines = {id: Engine(settings, self.time) for id, settings in deployment.engines.items()}
-        self.runners = {record.id: record for record in deployment.records}
+        self.runners: dict[str, RunnerRecord] = {record.id: record for record in deployment.records}
         self.dispatchers = [
             Dispatcher(zone, make(zone, Random(f"{deployment.seed}-{index}"), deployment))
             for index, (zone, _) in enumerate(deployment.dispatchers)
--- a/larchgw/runner_directory/check_in_parser.py
+++ b/larchgw/runner_directory/check_in_parser.py
@@ -1,7 +1,8 @@
-"""What a runner says of itself in a check-in, read into a RunnerRecord.
+"""A check-in's JSON body, read into a RunnerRecord.
 
-Fields that are not known are ignored; ones that are missed get the default of RunnerRecord where the runner
-can be used without them. Only `service` and `address` must be there.
+Fields that are not known are ignored; missing ones get the default of RunnerRecord where the runner can be
+used without them. Only `service` and `address` must be there. The JSON names are part of the protocol between
+runners and control processes, and are written out here.
 """
 
 from __future__ import annotations
@@ -9,21 +10,34 @@
 import json
 from typing import Any
 
+from ..identifiers import RunnerId
 from .errors import CheckInError
 from .runner_record import HeldModel, RunnerRecord, Stage
 
-MOST = 2.0**53  # above it numbers of JSON are not exact
-STAGES = {"ready": Stage.READY, "draining": Stage.DRAINING}
+MAX_EXACT_NUMBER = 2.0**53  # above it numbers of JSON are not exact
+MAX_PORT = 65535
+STAGES_BY_STATE = {"ready": Stage.READY, "draining": Stage.DRAINING}
 
 
-def parse_check_in(id: str, body: bytes) -> RunnerRecord:
-    """The runner as it describes itself; `id` is from the path. Raises CheckInError."""
-    if not id:
+def parse_check_in(runner_id: str, body: bytes) -> RunnerRecord:
+    """Reads a check-in.
+
+    Args:
+        runner_id: The id in the path of the request.
+        body: Its body.
+
+    Returns:
+        The runner as it describes itself, without an owner.
+
+    Raises:
+        CheckInError: The check-in cannot be used.
+    """
+    if not runner_id:
         raise CheckInError("id", "is empty", "put the runner's id into the path")
     raw = _decode(body)
     return RunnerRecord(
-        id=id,
-        service=_text(raw, "service", required=True),
+        id=RunnerId(runner_id),
+        service=_text(raw, "service", is_required=True),
         address=_address(raw),
         zone=_text(raw, "zone"),
         stage=_stage(raw),
@@ -47,13 +61,13 @@
     return raw
 
 
-def _text(raw: dict[str, Any], field: str, required: bool = False) -> str:
+def _text(raw: dict[str, Any], field: str, is_required: bool = False) -> str:
     value = raw.get(field)
-    if value is None and not required:
+    if value is None and not is_required:
         return ""
-    if isinstance(value, (int, float)) and not isinstance(value, bool) and not required:
+    if isinstance(value, (int, float)) and not isinstance(value, bool) and not is_required:
         return str(value)
-    if not isinstance(value, str) or (required and not value):
+    if not isinstance(value, str) or (is_required and not value):
         raise CheckInError(field, f"is {value!r}", "send a text")
     return value
 
@@ -62,24 +76,24 @@
     value = raw.get(field)
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < MOST:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < MAX_EXACT_NUMBER:
         raise CheckInError(field, f"is {value!r}", "send a number")
     return float(value)
 
 
 def _address(raw: dict[str, Any]) -> str:
-    address = _text(raw, "address", required=True)
+    address = _text(raw, "address", is_required=True)
     host, colon, port = address.rpartition(":")
-    if not (host and colon and port.isdecimal() and 0 < int(port) < 65536):
+    if not (host and colon and port.isdecimal() and 0 < int(port) <= MAX_PORT):
         raise CheckInError("address", f"is {address!r}", 'send "host:port"')
     return address
 
 
 def _stage(raw: dict[str, Any]) -> Stage:
     state = raw.get("state", "ready")
-    stage = STAGES.get(state) if isinstance(state, str) else None
+    stage = STAGES_BY_STATE.get(state) if isinstance(state, str) else None
     if stage is None:
-        raise CheckInError("state", f"is {state!r}", f"send one of {', '.join(STAGES)}")
+        raise CheckInError("state", f"is {state!r}", f"send one of {', '.join(STAGES_BY_STATE)}")
     return stage
 
 
@@ -97,4 +111,4 @@
     if not isinstance(adapters, list) or not all(isinstance(name, str) for name in adapters):
         raise CheckInError(f"{field}.adapters", "is no list of names", "send a list of texts")
     version = int(_number(raw, "config_version", 0.0))
-    return HeldModel(_text(raw, "name", required=True), version, tuple(adapters))
+    return HeldModel(_text(raw, "name", is_required=True), version, tuple(adapters))
--- a/larchgw/runner_directory/errors.py
+++ b/larchgw/runner_directory/errors.py
@@ -20,5 +20,6 @@
     status = 400
 
     def __init__(self, field: str, problem: str, remedy: str) -> None:
+        """Makes the text of the answer out of the three."""
         super().__init__(f"{field}: {problem}; {remedy}")
         self.field, self.problem, self.remedy = field, problem, remedy
--- a/larchgw/runner_directory/runner_record.py
+++ b/larchgw/runner_directory/runner_record.py
@@ -1,4 +1,8 @@
-"""A runner as its check-ins describe it, and how that is written into the registry."""
+"""A runner as its check-ins describe it, and its form in the registry.
+
+In the registry a record is a JSON array: the order of its elements is the wire format, field names are not
+part of it.
+"""
 
 from __future__ import annotations
 
@@ -7,19 +11,36 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
+from ..identifiers import RunnerId
+
 
 class Stage(IntEnum):
-    """How far a runner's life has gone. It never goes back, but from SILENT to where it was."""
+    """How far a runner has come in its lifecycle; never goes back, but from SILENT to READY.
+
+    The numbers are stored and sent; the names stand in statuses in lower case.
+
+    Attributes:
+        READY: It takes requests.
+        SILENT: Its check-ins have stopped; a later one brings it back.
+        DRAINING: It takes no new requests (graceful shutdown).
+        GONE: It has left for good; its record is a tombstone.
+    """
 
     READY = 0
-    SILENT = 1  # its check-ins have stopped; a later one brings it back
+    SILENT = 1
     DRAINING = 2
     GONE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class HeldModel:
-    """A model that a runner holds, the version of its weights, and the adapters there."""
+    """A model that a runner holds.
+
+    Attributes:
+        name: Of the model.
+        config_version: Version of the configuration that its weights are from.
+        adapters: Names of the adapters that are loaded with it.
+    """
 
     name: str
     config_version: int = 0
@@ -30,12 +51,24 @@
 class RunnerRecord:
     """The newest that is known of one incarnation of a runner.
 
-    `left_ms` is the time until it is taken away, -1 where that is not told; `cold_left_ms` how long it is
-    slow yet; both as of the check-in that brought the record. `owner` is the control process that
-    acknowledged the runner's last check-in (the name of its directory), which watches for its silence.
+    Attributes:
+        id: Names this incarnation.
+        service: The service that it serves.
+        address: Its `host:port`.
+        zone: The zone that it runs in; empty: not told.
+        stage: How far it has come in its lifecycle.
+        slots: How many requests it works on at once.
+        config_version: As it tells it; carried along.
+        phase: As it tells it; carried along.
+        cold_left_ms: How long it is slow yet (warming up), as of the check-in that brought the record.
+        left_ms: Time until it is taken away, as of that check-in; -1 where that is not told.
+        call_count: Number of that check-in; rises with each.
+        models: What it holds.
+        owner: The control process that acknowledged its last check-in (the name of its directory), which
+            watches for its silence.
     """
 
-    id: str
+    id: RunnerId
     service: str
     address: str
     zone: str
@@ -50,14 +83,14 @@
     owner: str = ""
 
     def holds(self, model: str, adapter: str = "") -> bool:
-        """Whether it holds the model and, if one is named, the adapter."""
+        """Returns whether it holds the model and, if one is named, the adapter."""
         for held in self.models:
             if held.name == model and (not adapter or adapter in held.adapters):
                 return True
         return False
 
     def encode(self) -> bytes:
-        """JSON for the registry."""
+        """Returns the value of its registry entry."""
         models = [[held.name, held.config_version, list(held.adapters)] for held in self.models]
         fields = [
             self.id,
@@ -78,15 +111,39 @@
 
     @classmethod
     def decode(cls, data: bytes) -> RunnerRecord:
-        """The record in a registry entry."""
-        (id, service, address, zone, stage, slots, version, phase, cold, left, calls, models, owner) = (
-            json.loads(data)
-        )
+        """Reads the value of a registry entry."""
+        (
+            id,
+            service,
+            address,
+            zone,
+            stage,
+            slots,
+            config_version,
+            phase,
+            cold_left_ms,
+            left_ms,
+            call_count,
+            models,
+            owner,
+        ) = json.loads(data)
         # Many runners hold the same models and adapters: their names are kept once.
-        held = tuple(
-            HeldModel(sys.intern(held_name), held_version, tuple(map(sys.intern, adapters)))
-            for held_name, held_version, adapters in models
+        held_models = tuple(
+            HeldModel(sys.intern(name), version, tuple(map(sys.intern, adapters)))
+            for name, version, adapters in models
         )
         return cls(
-            id, service, address, zone, Stage(stage), slots, version, phase, cold, left, calls, held, owner
+            id,
+            service,
+            address,
+            zone,
+            Stage(stage),
+            slots,
+            config_version,
+            phase,
+            cold_left_ms,
+            left_ms,
+            call_count,
+            held_models,
+            owner,
         )
--- a/larchgw/runner_directory/runner_view.py
+++ b/larchgw/runner_directory/runner_view.py
@@ -22,38 +22,45 @@
 
 
 class RunnerView:
-    """The runners by id and by service. Runners that are gone are in neither.
+    """The runners by id and by service. Runners that are gone, or replaced at their address, are in neither.
 
     There is no index by what they hold: with 60,000 adapters in the records of 1,400 runners it took 20 MB.
     """
 
     def __init__(self, registry: Registry, clock: Callable[[], float] = time.monotonic) -> None:
+        """Reads the runners that the registry knows, and follows it from now on.
+
+        Args:
+            registry: The dispatcher's copy.
+            clock: Seconds, monotonic.
+        """
         self._registry = registry
         self._clock = clock
         self._known: dict[str, RunnerRecord] = {}  # also those that are gone or replaced
         self._changed_at: dict[str, float] = {}
         self._listed: dict[str, RunnerRecord] = {}
-        self._services: dict[str, dict[str, RunnerRecord]] = {}
-        self._at_address: dict[str, list[str]] = {}  # ids, the newest last
+        self._listed_by_service: dict[str, dict[str, RunnerRecord]] = {}
+        self._ids_at_address: dict[str, list[str]] = {}  # the newest last
         self._watchers: list[Watcher] = []
         for entry in registry.items(RUNNER_PREFIX):
-            self._learn(entry)
-        registry.watch(RUNNER_PREFIX, self._learn)
-        registry.watch_removals(RUNNER_PREFIX, self._forgotten)
+            self._update(entry)
+        registry.watch(RUNNER_PREFIX, self._update)
+        registry.watch_removals(RUNNER_PREFIX, self._handle_removal)
 
     def __len__(self) -> int:
+        """Returns how many runners are listed."""
         return len(self._listed)
 
-    def get(self, id: str) -> RunnerRecord | None:
-        """The runner, unless it is gone or another has its address."""
-        return self._listed.get(id)
+    def get(self, runner_id: str) -> RunnerRecord | None:
+        """Returns the runner, unless it is gone or another has its address."""
+        return self._listed.get(runner_id)
 
     def by_service(self, service: str) -> dict[str, RunnerRecord]:
-        """The service's runners of every stage but GONE; not to be changed by the caller."""
-        return self._services.get(service, {})
+        """Returns the service's runners of every stage but GONE, by id; not to be changed by the caller."""
+        return self._listed_by_service.get(service, {})
 
     def holders(self, service: str, model: str, adapter: str = "") -> list[RunnerRecord]:
-        """The ready runners that hold the model and, if one is named, the adapter."""
+        """Returns the ready runners that hold the model and, if one is named, the adapter."""
         return [
             record
             for record in self.by_service(service).values()
@@ -67,80 +74,87 @@
     def remove_expired(self) -> None:
         """Drops runners that have not been ready for TOMBSTONE_RETENTION_S; to be called now and then."""
         before = self._clock() - TOMBSTONE_RETENTION_S
-        old = {
-            id
-            for id, record in self._known.items()
-            if record.stage is not Stage.READY and self._changed_at[id] <= before
+        expired = {
+            runner_id
+            for runner_id, record in self._known.items()
+            if record.stage is not Stage.READY and self._changed_at[runner_id] <= before
         }
-        if not old:
+        if not expired:
             return
-        self._registry.remove_if(RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in old)
+        self._registry.remove_if(
+            RUNNER_PREFIX, lambda entry: entry.key.removeprefix(RUNNER_PREFIX) in expired
+        )
 
-    def _learn(self, entry: Entry) -> None:
+    def _update(self, entry: Entry) -> None:
         record = RunnerRecord.decode(entry.value)
         old = self._known.get(record.id)
-        moved = old is not None and old.address != record.address
-        if old is not None and moved:
+        has_moved = old is not None and old.address != record.address
+        if old is not None and has_moved:
             self._leave_address(old)
         self._known[record.id] = record
         self._changed_at[record.id] = self._clock()
         if record.address:
-            ids = self._at_address.setdefault(record.address, [])
+            ids = self._ids_at_address.setdefault(record.address, [])
             if record.id not in ids:
                 ids.append(record.id)
-        for id in self._at_address.get(record.address, [record.id]):
-            self._list(id, tell=id == record.id)
-        if old is not None and moved:
-            for id in self._at_address.get(old.address, []):
-                self._list(id, tell=False)
+        for runner_id in self._ids_at_address.get(record.address, [record.id]):
+            self._update_indexes(runner_id, notify=runner_id == record.id)
+        if old is not None and has_moved:
+            for runner_id in self._ids_at_address.get(old.address, []):
+                self._update_indexes(runner_id, notify=False)
 
-    def _forgotten(self, entry: Entry) -> None:
+    def _handle_removal(self, entry: Entry) -> None:
         record = self._known.pop(entry.key.removeprefix(RUNNER_PREFIX))
         del self._changed_at[record.id]
-        listed = record.id in self._listed
-        self._unlist(record.id)
+        was_listed = record.id in self._listed
+        self._remove_from_indexes(record.id)
         self._leave_address(record)
-        if listed:
-            self._tell(record, gone=True)
-        for id in self._at_address.get(record.address, []):
-            self._list(id, tell=False)
+        if was_listed:
+            self._notify_watchers(record, is_gone=True)
+        for runner_id in self._ids_at_address.get(record.address, []):
+            self._update_indexes(runner_id, notify=False)
 
     def _leave_address(self, record: RunnerRecord) -> None:
-        ids = self._at_address.get(record.address, [])
+        ids = self._ids_at_address.get(record.address, [])
         if record.id in ids:
             ids.remove(record.id)
         if not ids:
-            self._at_address.pop(record.address, None)
-
-    def _replaced(self, record: RunnerRecord) -> bool:
-        """Whether a newer runner is at its address."""
-        ids = self._at_address.get(record.address, [])
-        newer = ids[ids.index(record.id) + 1 :] if record.id in ids else []
-        return any(self._known[id].stage in AT_ITS_ADDRESS for id in newer)
-
-    def _list(self, id: str, tell: bool) -> None:
-        """Puts the runner into the indexes as it is now, or takes it out."""
-        record, old = self._known[id], self._listed.get(id)
-        gone = record.stage is Stage.GONE or self._replaced(record)
-        if gone:
-            self._unlist(id)
-        elif record != old:
-            self._unlist(id)
-            self._listed[id] = record
-            self._services.setdefault(record.service, {})[id] = record
-        if tell or gone != (old is None):
-            self._tell(record, gone)
-
-    def _unlist(self, id: str) -> None:
-        record = self._listed.pop(id, None)
+            self._ids_at_address.pop(record.address, None)
+
+    def _is_replaced(self, record: RunnerRecord) -> bool:
+        """Returns whether a newer runner is at its address."""
+        ids = self._ids_at_address.get(record.address, [])
+        newer_ids = ids[ids.index(record.id) + 1 :] if record.id in ids else []
+        return any(self._known[newer_id].stage in AT_ITS_ADDRESS for newer_id in newer_ids)
+
+    def _update_indexes(self, runner_id: str, notify: bool) -> None:
+        """Puts the runner into the indexes as it is now, or takes it out.
+
+        Args:
+            runner_id: A known runner.
+            notify: Whether watchers are called also if it is as much listed as before.
+        """
+        record, listed = self._known[runner_id], self._listed.get(runner_id)
+        is_gone = record.stage is Stage.GONE or self._is_replaced(record)
+        if is_gone:
+            self._remove_from_indexes(runner_id)
+        elif record != listed:
+            self._remove_from_indexes(runner_id)
+            self._listed[runner_id] = record
+            self._listed_by_service.setdefault(record.service, {})[runner_id] = record
+        if notify or is_gone != (listed is None):
+            self._notify_watchers(record, is_gone)
+
+    def _remove_from_indexes(self, runner_id: str) -> None:
+        record = self._listed.pop(runner_id, None)
         if record is None:
             return
-        members = self._services[record.service]
-        del members[id]
-        if not members:
-            del self._services[record.service]
+        of_service = self._listed_by_service[record.service]
+        del of_service[runner_id]
+        if not of_service:
+            del self._listed_by_service[record.service]
 
-    def _tell(self, record: RunnerRecord, gone: bool) -> None:
-        shown = replace(record, stage=Stage.GONE) if gone else record
+    def _notify_watchers(self, record: RunnerRecord, is_gone: bool) -> None:
+        notified = replace(record, stage=Stage.GONE) if is_gone else record
         for callback in self._watchers:
-            callback(shown)
+            callback(notified)
