--- a/larchgw/cli/check.py
+++ b/larchgw/cli/check.py
@@ -10,7 +10,7 @@
 from ..configuration import settings as process_settings
 from ..configuration.errors import ConfigurationError, SettingsError
 from ..configuration.settings_check import settings_faults
-from ..configuration.validation import decode, examine
+from ..configuration.validation import decode_object, examine_configuration
 from ..dispatcher.config import startup
 from ..dispatcher.config.settings_file import Fault, read
 from .command import WRONG_CALL, Command, UsageError, textual
@@ -54,7 +54,7 @@
 
 def _configuration_faults(path: Path) -> list[Fault]:
     try:
-        faults = examine(decode(path.read_bytes()))[1]
+        faults = examine_configuration(decode_object(path.read_bytes()))[1]
     except OSError as error:
         return [Fault(str(path), "", f"cannot read it: {error.strerror}")]
     except ConfigurationError as error:
@@ -64,7 +64,7 @@
 
 def _settings_faults(path: Path) -> list[Fault]:
     try:
-        faults = settings_faults(process_settings.load(str(path)))
+        faults = settings_faults(process_settings.load_settings(str(path)))
     except SettingsError as error:
         faults = [error]
     return [_fault(path, fault) for fault in faults]
--- a/larchgw/cli/system_common.py
+++ b/larchgw/cli/system_common.py
@@ -29,12 +29,11 @@
         if not found or wrong is not None:
             raise UsageError(f"--at: {wrong or at!r} is no HOST:PORT; give some, separated by commas")
         return found
-    if not os.environ.get(process_settings.VARIABLE):
-        raise UsageError(
-            f"--at: name control processes, or set {process_settings.VARIABLE} to the settings of one"
-        )
+    variable = process_settings.SETTINGS_FILE_VARIABLE
+    if not os.environ.get(variable):
+        raise UsageError(f"--at: name control processes, or set {variable} to the settings of one")
     try:
-        return list(of_settings(process_settings.load()))
+        return list(of_settings(process_settings.load_settings()))
     except SettingsError as error:
         raise UsageError(str(error)) from None
 
--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -59,7 +59,7 @@
     if data_dir is None:
         raise UsageError("--data-dir: name the empty data_dir of the process that begins anew")
     try:
-        terms = process_settings.load(settings)
+        terms = process_settings.load_settings(settings)
     except SettingsError as error:
         raise UsageError(f"--settings: {error}") from None
     if terms.first_boot:
--- a/larchgw/configuration/change.py
+++ b/larchgw/configuration/change.py
@@ -8,47 +8,49 @@
 from typing import Any
 
 from .errors import InvalidConfigurationError, MalformedConfigurationError, StaleConfigurationError
+from .json_reader import shown
 from .model import Configuration
-from .records import shown
-from .validation import decode, parse
+from .validation import decode_object, parse_configuration
 
 REPLACE, CHANGE = "replace", "change"
-NOT_GIVEN = -1  # `built_on` of an order that names no version
+NO_BASE_VERSION = -1  # `base_version` of an order that names no version
 _EMPTY: dict[str, Any] = {"config_version": 0, "routes": [], "services": []}
 
 
-def canonical(raw: Mapping[str, Any]) -> bytes:
+def canonical_json(raw: Mapping[str, Any]) -> bytes:
     """The same bytes for the same JSON object, whatever the order of its fields and its spaces."""
     return json.dumps(raw, sort_keys=True, separators=(",", ":"), allow_nan=False).encode()
 
 
-def digest(operation: str, built_on: int, body: bytes) -> str:
+def order_digest(operation: str, base_version: int, body: bytes) -> str:
     """Recognises an order that is sent again: the same operation on the same version with the same bytes."""
-    head = f"{operation} {built_on}\n".encode()
+    head = f"{operation} {base_version}\n".encode()
     return hashlib.sha256(head + body).hexdigest()
 
 
-def evaluate(current: Configuration | None, operation: str, built_on: int, body: bytes) -> Configuration:
+def evaluate_order(
+    current: Configuration | None, operation: str, base_version: int, body: bytes
+) -> Configuration:
     """The version that a "replace" or "change" order asks for.
 
     Raises StaleConfigurationError where it builds on another version than the current one (0 stands for
     none), MalformedConfigurationError or InvalidConfigurationError where it cannot be taken at all.
     """
     version = current.config_version if current else 0
-    if built_on not in (NOT_GIVEN, version):
+    if base_version not in (NO_BASE_VERSION, version):
         raise StaleConfigurationError(
             "X-Built-On",
-            f"{built_on} is not the current version, {version}",
+            f"{base_version} is not the current version, {version}",
             "read the configuration and build on it",
         )
-    raw = decode(body)
+    raw = decode_object(body)
     if operation == CHANGE:
         raw = apply_change(current.raw if current else _EMPTY, raw)
     elif operation != REPLACE:
         raise InvalidConfigurationError(
             "operation", f"{operation!r} is unknown", f"use {REPLACE} or {CHANGE}"
         )
-    wanted = parse(raw, current)
+    wanted = parse_configuration(raw, current)
     if wanted.config_version <= version:
         raise InvalidConfigurationError(
             "config_version",
--- a/larchgw/configuration/records.py
+++ b/larchgw/configuration/json_reader.py
@@ -14,7 +14,8 @@
 
 from .errors import ConfigurationError, InvalidConfigurationError, MalformedConfigurationError
 
-LARGEST = 2**63 - 1  # what the 64-bit integers of the internal protocol hold; versions, times and sizes alike
+MAX_NUMBER = 2**63 - 1
+"""What the 64-bit integers of the internal protocol hold; versions, times and sizes alike."""
 _SHOWN = 60  # characters of a wrong value that a message repeats
 
 T = TypeVar("T")
@@ -58,7 +59,7 @@
         return []
 
     def integer(self, value: object, path: str) -> int | None:
-        """A whole number from 0 to LARGEST; None, and a note, where it is something else."""
+        """A whole number from 0 to MAX_NUMBER; None, and a note, where it is something else."""
         try:
             return _integer(value)
         except InvalidValueError as error:
@@ -89,8 +90,8 @@
 def _number(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise InvalidValueError(f"{shown(value)} is no number", "give a number that is not negative")
-    if not 0 <= value <= LARGEST:  # NaN compares as false
-        raise InvalidValueError(f"{shown(value)} is out of range", f"give a number from 0 to {LARGEST}")
+    if not 0 <= value <= MAX_NUMBER:  # NaN compares as false
+        raise InvalidValueError(f"{shown(value)} is out of range", f"give a number from 0 to {MAX_NUMBER}")
     return float(value)
 
 
--- a/larchgw/configuration/route_reader.py
+++ b/larchgw/configuration/route_reader.py
@@ -6,8 +6,8 @@
 from itertools import product
 from typing import Any
 
+from .json_reader import MAX_NUMBER, Findings
 from .model import KINDS, Route, Share
-from .records import LARGEST, Findings
 
 # Field, value where it is left out, and JSON types that need no closer look. Order is that of `Route`.
 _FIELDS: tuple[tuple[str, object, tuple[type, ...]], ...] = (
@@ -47,9 +47,9 @@
     split = _ordinary_shares(shares) if shares else ()
     if split is None or not (name and host and kind in KINDS and (service or split)):
         return None
-    if not (start[:1] == "/" == start[-1:] and 0 < deadline <= LARGEST and 0 <= target <= LARGEST):
+    if not (start[:1] == "/" == start[-1:] and 0 < deadline <= MAX_NUMBER and 0 <= target <= MAX_NUMBER):
         return None
-    if not (0 <= rank <= LARGEST and 1 <= tries <= LARGEST and 0 <= gap <= LARGEST):
+    if not (0 <= rank <= MAX_NUMBER and 1 <= tries <= MAX_NUMBER and 0 <= gap <= MAX_NUMBER):
         return None
     return Route(
         name,
@@ -77,7 +77,7 @@
             return None
         service: Any = value.get("service")
         weight: Any = value.get("weight")
-        if type(service) is not str or type(weight) not in (int, float) or not 0 <= weight <= LARGEST:
+        if type(service) is not str or type(weight) not in (int, float) or not 0 <= weight <= MAX_NUMBER:
             return None
         total += weight
         shares.append(Share(service, float(weight)))
--- a/larchgw/configuration/routing.py
+++ b/larchgw/configuration/route_table.py
@@ -6,10 +6,10 @@
 
 from .model import Configuration, Route
 
-HOSTS_KEPT = 512  # normalised names; clients may send any, of up to the size of a header each
+MAX_CACHED_HOSTS = 512  # normalised names; clients may send any, of up to the size of a header each
 
 
-@lru_cache(HOSTS_KEPT)
+@lru_cache(MAX_CACHED_HOSTS)
 def normalised_host(host: str) -> str:
     """A `Host` value for comparison: lower case, without a port."""
     name = host.strip().lower()
--- a/larchgw/configuration/settings.py
+++ b/larchgw/configuration/settings.py
@@ -11,9 +11,9 @@
 import dacite
 
 from .errors import SettingsError
-from .records import InvalidValueError, shown
+from .json_reader import InvalidValueError, shown
 
-VARIABLE = "LARCHGW_NODE_FILE"
+SETTINGS_FILE_VARIABLE = "LARCHGW_NODE_FILE"
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,7 +131,7 @@
     return {name: _given(inner) for name, inner in value.items() if inner is not None and inner != ""}
 
 
-def parse(raw: dict[str, Any]) -> NodeSettings:
+def parse_settings(raw: dict[str, Any]) -> NodeSettings:
     """The settings in a decoded file; unknown fields are ignored. Raises SettingsError."""
     try:
         settings = dacite.from_dict(NodeSettings, _given(raw), _LENIENT)
@@ -150,15 +150,15 @@
     return settings
 
 
-def load(path: str | None = None) -> NodeSettings:
+def load_settings(path: str | None = None) -> NodeSettings:
     """Reads the file at `path`, or the one that the environment names. Raises SettingsError."""
-    name = path or os.environ.get(VARIABLE, "")
+    name = path or os.environ.get(SETTINGS_FILE_VARIABLE, "")
     if not name:
-        raise SettingsError(VARIABLE, "is not set", "set it to the path of the settings file")
+        raise SettingsError(SETTINGS_FILE_VARIABLE, "is not set", "set it to the path of the settings file")
     try:
         raw = json.loads(Path(name).read_text())
     except (OSError, ValueError) as error:
         raise SettingsError(name, str(error), "make it a readable JSON file") from error
     if not isinstance(raw, dict):
         raise SettingsError(name, "is no JSON object", "make it an object of settings")
-    return parse(raw)
+    return parse_settings(raw)
--- a/larchgw/configuration/validation.py
+++ b/larchgw/configuration/validation.py
@@ -12,18 +12,18 @@
 from typing import Any, NoReturn, TypeVar
 
 from .errors import ConfigurationError, MalformedConfigurationError
+from .json_reader import Findings, shown
 from .model import Configuration, Limits, Model, Route, Runtime, Service
-from .records import Findings, shown
 from .route_reader import read_route
-from .routing import normalised_host
+from .route_table import normalised_host
 
-WHOLE = "configuration"  # the path that errors name where no single field is at fault
-MOST_NESTED = 64  # levels of JSON; Python's own limit depends on who calls, and replicas must agree
+WHOLE_BODY = "configuration"  # the path that errors name where no single field is at fault
+MAX_NESTING = 64  # levels of JSON; Python's own limit depends on who calls, and replicas must agree
 Named = TypeVar("Named", Route, Service, Model)
 Reader = Callable[[object, str, Findings], Named | None]
 
 
-def decode(body: bytes) -> dict[str, Any]:
+def decode_object(body: bytes) -> dict[str, Any]:
     """The JSON object in a body. Raises MalformedConfigurationError."""
     try:
         raw = json.loads(
@@ -33,18 +33,18 @@
             json.dumps(raw, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
         raise MalformedConfigurationError(
-            WHOLE, f"is not JSON ({error})", "send one whole JSON object"
+            WHOLE_BODY, f"is not JSON ({error})", "send one whole JSON object"
         ) from None
     if _is_too_deep(raw):
         raise MalformedConfigurationError(
-            WHOLE, f"is nested over {MOST_NESTED} levels deep", "send it flatter"
+            WHOLE_BODY, f"is nested over {MAX_NESTING} levels deep", "send it flatter"
         )
     return _object(raw)
 
 
 def _is_too_deep(value: object) -> bool:
     level = [value]
-    for _ in range(MOST_NESTED):
+    for _ in range(MAX_NESTING):
         level = [inner for outer in level for inner in _inside(outer)]
         if not level:
             return False
@@ -63,7 +63,7 @@
 
 def _object(value: object) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise MalformedConfigurationError(WHOLE, f"{shown(value)} is no JSON object", "send an object")
+        raise MalformedConfigurationError(WHOLE_BODY, f"{shown(value)} is no JSON object", "send an object")
     return value
 
 
@@ -80,15 +80,17 @@
 def _finite(text: str) -> float:
     number = float(text)
     if math.isinf(number):
-        raise MalformedConfigurationError(WHOLE, f"holds {text}, which is too large", "give a smaller number")
+        raise MalformedConfigurationError(
+            WHOLE_BODY, f"holds {text}, which is too large", "give a smaller number"
+        )
     return number
 
 
 def _no_constant(text: str) -> NoReturn:
-    raise MalformedConfigurationError(WHOLE, f"holds {text}, which is not JSON", "give a finite number")
+    raise MalformedConfigurationError(WHOLE_BODY, f"holds {text}, which is not JSON", "give a finite number")
 
 
-def parse(raw: Mapping[str, Any], known: Configuration | None = None) -> Configuration:
+def parse_configuration(raw: Mapping[str, Any], known: Configuration | None = None) -> Configuration:
     """The configuration in a decoded body.
 
     Routes and services of `known` whose JSON objects are the very ones in `raw`, as after
@@ -109,14 +111,14 @@
         raw = json.loads(body)
     except ValueError as error:
         raise MalformedConfigurationError(
-            WHOLE, f"is not JSON ({error})", "send one whole JSON object"
+            WHOLE_BODY, f"is not JSON ({error})", "send one whole JSON object"
         ) from None
     return _whole(
         _object(raw), _unless_equal(known, "routes", read_route), _unless_equal(known, "services", _service)
     )
 
 
-def examine(raw: Mapping[str, Any]) -> tuple[Configuration | None, list[ConfigurationError]]:
+def examine_configuration(raw: Mapping[str, Any]) -> tuple[Configuration | None, list[ConfigurationError]]:
     """The configuration, or None and every fault that was found."""
     return _examine(raw, read_route, _service)
 
--- a/larchgw/control/configuration_state.py
+++ b/larchgw/control/configuration_state.py
@@ -8,10 +8,10 @@
 import structlog
 from expression import Error, Ok, Result
 
-from ..configuration.change import digest, evaluate
+from ..configuration.change import evaluate_order, order_digest
 from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
-from ..configuration.validation import parse
+from ..configuration.validation import parse_configuration
 from .configuration_size import encode_json
 
 log = structlog.get_logger()
@@ -40,7 +40,7 @@
 
     def digest(self) -> str:
         """The same for the same order, however often it is sent."""
-        return digest(self.operation, self.base_version, self.body)
+        return order_digest(self.operation, self.base_version, self.body)
 
 
 class ConfigurationState:
@@ -67,7 +67,7 @@
         if self._evaluated is not None and self._evaluated[:2] == (order, self.version):
             return Ok(self._evaluated[2])
         try:
-            changed = evaluate(self.current, order.operation, order.base_version, order.body)
+            changed = evaluate_order(self.current, order.operation, order.base_version, order.body)
         except ConfigurationError as error:
             return Error(error)
         self._evaluated = (order, self.version, changed)
@@ -100,6 +100,6 @@
         """Becomes what a snapshot holds."""
         fields = json.loads(data)
         raw = fields["configuration"]
-        self.current = parse(raw) if raw is not None else None
+        self.current = parse_configuration(raw) if raw is not None else None
         self.record_index = fields["index"]
         self._accepted_versions = fields["taken"]
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -10,8 +10,8 @@
 import tornado.httpserver
 import tornado.web
 
-from ..configuration.change import NOT_GIVEN
-from ..configuration.records import LARGEST
+from ..configuration.change import NO_BASE_VERSION
+from ..configuration.json_reader import MAX_NUMBER
 from ..net.address import parse_address
 from ..runner_directory.errors import CheckInError
 from .operator_service import OperatorResponse
@@ -35,7 +35,7 @@
 
         Args:
             operation: "replace", "change" or "read".
-            base_version: The version that an order builds on; NOT_GIVEN if it names none.
+            base_version: The version that an order builds on; NO_BASE_VERSION if it names none.
             body: The order as it came.
         """
 
@@ -68,10 +68,10 @@
 
 
 def _base_version(text: str) -> int | None:
-    """The version in the header, NOT_GIVEN if it is left out, None where it can be no version."""
+    """The version in the header, NO_BASE_VERSION if it is left out, None where it can be no version."""
     if not text:
-        return NOT_GIVEN
-    if _VERSION.fullmatch(text) is None or int(text) > LARGEST:
+        return NO_BASE_VERSION
+    if _VERSION.fullmatch(text) is None or int(text) > MAX_NUMBER:
         return None
     return int(text)
 
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -14,7 +14,7 @@
 
 from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
-from ..configuration.validation import decode, parse
+from ..configuration.validation import decode_object, parse_configuration
 from ..replication.forced_new_view import ForcedView, write_forced_view
 from ..replication.replica import split_frame
 from ..storage.errors import StorageError
@@ -95,7 +95,7 @@
 def _from_json(source: Path) -> RestorableState:
     state = ConfigurationState()
     try:
-        state.current = parse(decode(source.read_bytes()))
+        state.current = parse_configuration(decode_object(source.read_bytes()))
     except (OSError, ConfigurationError) as error:
         raise RestoreError(
             source, f"is no valid configuration: {error}", "mend it or restore from another copy"
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -10,7 +10,7 @@
 import structlog
 
 from ..configuration.model import Configuration, Limits, Route
-from ..configuration.routing import RouteTable
+from ..configuration.route_table import RouteTable
 from ..configuration.settings import NodeSettings
 from ..net.address import parse_address
 from ..net.counters import Counters
--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from ...configuration.settings import VARIABLE, TimeLimits
+from ...configuration.settings import SETTINGS_FILE_VARIABLE, TimeLimits
 from ...fault_injection.switchboard import Switchboard
 from .network import CONTROL_OFFSET, FRONT_OFFSET, READY_OFFSET, Network
 from .records import Records, Trouble
@@ -129,7 +129,7 @@
         if settings["data_dir"]:
             Path(settings["data_dir"]).mkdir(exist_ok=True)
         paths = filter(None, (str(self.source), os.environ.get("PYTHONPATH")))
-        environment = os.environ | {VARIABLE: str(file), "PYTHONPATH": os.pathsep.join(paths)}
+        environment = os.environ | {SETTINGS_FILE_VARIABLE: str(file), "PYTHONPATH": os.pathsep.join(paths)}
         with self.log.open("ab") as log, ExitStack() as inherited:
             program, descriptors = ["larchgw"], []
             if self._switchboard is not None:
--- a/larchgw/experiments/fleet_dispatchers.py
+++ b/larchgw/experiments/fleet_dispatchers.py
@@ -13,7 +13,7 @@
 
 from ..configuration.model import Configuration, Route
 from ..configuration.packing import unpack
-from ..configuration.routing import RouteTable
+from ..configuration.route_table import RouteTable
 from ..configuration.validation import parse_committed
 from ..distribution.keys import CONFIGURATION_KEY
 from ..distribution.pull_settings import PullSettings
--- a/larchgw/model_checking/operator_calls/mutants.py
+++ b/larchgw/model_checking/operator_calls/mutants.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
 
-from ...configuration.change import NOT_GIVEN
+from ...configuration.change import NO_BASE_VERSION
 from ...configuration.model import Configuration
 from ...control import configuration_state as state_module
 from ...control.configuration_state import ConfigurationState, OperatorOrder
@@ -58,7 +58,7 @@
 
 def _by_text(original: Digest) -> Digest:
     def digest(operation: str, base_version: int, body: bytes) -> str:
-        return original(operation, NOT_GIVEN, body)
+        return original(operation, NO_BASE_VERSION, body)
 
     return digest
 
@@ -115,7 +115,7 @@
     def evaluate(
         current: Configuration | None, operation: str, base_version: int, body: bytes
     ) -> Configuration:
-        return original(current, operation, NOT_GIVEN, body)
+        return original(current, operation, NO_BASE_VERSION, body)
 
     return evaluate
 
@@ -154,10 +154,13 @@
         "recognises an order by what it builds on",
         play_faults,
         1,
-        (Patch(state_module, "digest", _by_operation_and_base),),
+        (Patch(state_module, "order_digest", _by_operation_and_base),),
     ),
     Mutant(
-        "recognises an order by its text alone", play_faults, 1, (Patch(state_module, "digest", _by_text),)
+        "recognises an order by its text alone",
+        play_faults,
+        1,
+        (Patch(state_module, "order_digest", _by_text),),
     ),
     Mutant(
         "acknowledges what it proposed behind an undecided order",
@@ -190,7 +193,7 @@
         "takes an order on any version",
         play_faults,
         1,
-        (Patch(state_module, "evaluate", _without_regard_to_the_base),),
+        (Patch(state_module, "evaluate_order", _without_regard_to_the_base),),
     ),
     Mutant(
         "judges before what it took over is committed",
--- a/larchgw/runtime/process.py
+++ b/larchgw/runtime/process.py
@@ -11,7 +11,7 @@
 import structlog
 
 from ..configuration.errors import SettingsError
-from ..configuration.settings import NodeSettings, load
+from ..configuration.settings import NodeSettings, load_settings
 from ..storage.errors import StorageError
 from . import logs
 from .background_tasks import BackgroundTasks
@@ -52,7 +52,7 @@
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it, it would end the process
     try:
-        settings = load()
+        settings = load_settings()
     except SettingsError as error:
         return _report_settings(error)
     logs.configure(settings.node_name)
--- a/larchgw/runtime/settings_watch.py
+++ b/larchgw/runtime/settings_watch.py
@@ -8,7 +8,7 @@
 import structlog
 
 from ..configuration.errors import SettingsError
-from ..configuration.settings import NodeSettings, load
+from ..configuration.settings import NodeSettings, load_settings
 
 log = structlog.get_logger()
 
@@ -24,7 +24,7 @@
     """Hands changed settings to a role."""
 
     def __init__(
-        self, role: Reloadable, settings: NodeSettings, read: Callable[[], NodeSettings] = load
+        self, role: Reloadable, settings: NodeSettings, read: Callable[[], NodeSettings] = load_settings
     ) -> None:
         """Reads nothing yet.
 
--- a/tests/configuration/test_change.py
+++ b/tests/configuration/test_change.py
@@ -10,17 +10,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchgw.configuration.change import CHANGE, REPLACE, apply_change, canonical, digest, evaluate
+from larchgw.configuration.change import (
+    CHANGE,
+    REPLACE,
+    apply_change,
+    canonical_json,
+    evaluate_order,
+    order_digest,
+)
 from larchgw.configuration.errors import (
     ConfigurationError,
     InvalidConfigurationError,
     MalformedConfigurationError,
     StaleConfigurationError,
 )
-from larchgw.configuration.validation import MOST_NESTED, parse
+from larchgw.configuration.validation import MAX_NESTING, parse_configuration
 from tests.support.configurations import EXAMPLE, body, configurations, example, routes_of, with_value
 
-CURRENT = parse(EXAMPLE)
+CURRENT = parse_configuration(EXAMPLE)
 ADDED = {
     "name": "r-new",
     "hostname": "desk.example",
@@ -39,7 +46,7 @@
 @pytest.mark.parametrize("built_on", [0, 6, 8])
 def test_of_two_orders_on_one_version_the_second_is_stale(operation: str, built_on: int) -> None:
     with pytest.raises(StaleConfigurationError) as caught:
-        evaluate(CURRENT, operation, built_on, body(example(config_version=9)))
+        evaluate_order(CURRENT, operation, built_on, body(example(config_version=9)))
     assert caught.value.status == 412
 
 
@@ -48,19 +55,19 @@
 def test_a_version_that_does_not_rise_is_refused(version: int, built_on: int) -> None:
     for operation in (REPLACE, CHANGE):
         with pytest.raises(InvalidConfigurationError, match="config_version"):
-            evaluate(CURRENT, operation, built_on, body(example(config_version=version)))
+            evaluate_order(CURRENT, operation, built_on, body(example(config_version=version)))
 
 
 def test_the_first_configuration_builds_on_nothing() -> None:
-    assert evaluate(None, REPLACE, 0, body(EXAMPLE)) == CURRENT
+    assert evaluate_order(None, REPLACE, 0, body(EXAMPLE)) == CURRENT
     with pytest.raises(StaleConfigurationError):
-        evaluate(None, REPLACE, 3, body(EXAMPLE))
+        evaluate_order(None, REPLACE, 3, body(EXAMPLE))
 
 
 def test_a_change_adds_replaces_and_removes_by_name() -> None:
     replaced = {**EXAMPLE["routes"][0], "deadline_ms": 1}
     order = change(add={"routes": [replaced, ADDED]}, remove={"routes": ["r-note", "r-never-was"]})
-    wanted = evaluate(CURRENT, CHANGE, 7, order)
+    wanted = evaluate_order(CURRENT, CHANGE, 7, order)
     assert [route.name for route in wanted.routes] == ["r-plan", "r-level", "r-new"]
     assert wanted.raw["routes"] == [replaced, EXAMPLE["routes"][2], ADDED]
     assert (wanted.config_version, wanted.services, wanted.limits) == (9, CURRENT.services, CURRENT.limits)
@@ -68,7 +75,7 @@
 
 
 def test_a_removed_route_may_be_added_anew_in_the_same_change() -> None:
-    wanted = evaluate(
+    wanted = evaluate_order(
         CURRENT,
         CHANGE,
         7,
@@ -79,7 +86,7 @@
 
 def test_limits_in_a_change_keep_those_that_it_does_not_name() -> None:
     for order in (change(limits={"idle_ms": 1}), change(add={"limits": {"idle_ms": 1}})):
-        limits = evaluate(CURRENT, CHANGE, 7, order).limits
+        limits = evaluate_order(CURRENT, CHANGE, 7, order).limits
         assert (limits.idle_ms, limits.header_ms) == (1.0, 3000.0)
 
 
@@ -105,24 +112,26 @@
 )
 def test_a_change_that_leads_to_an_invalid_whole_is_refused(fields: dict[str, Any]) -> None:
     with pytest.raises(ConfigurationError):
-        evaluate(CURRENT, CHANGE, 7, change(**fields))
+        evaluate_order(CURRENT, CHANGE, 7, change(**fields))
 
 
 def test_an_unknown_operation_is_refused() -> None:
     with pytest.raises(InvalidConfigurationError, match="operation"):
-        evaluate(CURRENT, "patch", 7, change())
+        evaluate_order(CURRENT, "patch", 7, change())
 
 
 def test_two_orders_never_share_a_digest_but_the_same_order_does() -> None:
     orders = [(REPLACE, 7, b"{}"), (CHANGE, 7, b"{}"), (REPLACE, 8, b"{}"), (REPLACE, 7, b"{} ")]
-    assert len({digest(*order) for order in orders}) == len(orders)
-    assert digest(REPLACE, 7, body(EXAMPLE)) == digest(REPLACE, 7, body(example()))
+    assert len({order_digest(*order) for order in orders}) == len(orders)
+    assert order_digest(REPLACE, 7, body(EXAMPLE)) == order_digest(REPLACE, 7, body(example()))
 
 
 def test_the_canonical_form_does_not_depend_on_the_order_of_fields() -> None:
     turned = dict(reversed(EXAMPLE.items()))
-    assert canonical(turned) == canonical(EXAMPLE) and json.loads(canonical(EXAMPLE)) == EXAMPLE
-    assert canonical(with_value(EXAMPLE, "routes.0.rank", 1)) != canonical(EXAMPLE)
+    assert (
+        canonical_json(turned) == canonical_json(EXAMPLE) and json.loads(canonical_json(EXAMPLE)) == EXAMPLE
+    )
+    assert canonical_json(with_value(EXAMPLE, "routes.0.rank", 1)) != canonical_json(EXAMPLE)
 
 
 @settings(max_examples=60)
@@ -137,12 +146,12 @@
         "add": {"routes": [route]},
         "remove": {"routes": gone},
     }
-    wanted = evaluate(parse(raw), CHANGE, raw["config_version"], body(order))
+    wanted = evaluate_order(parse_configuration(raw), CHANGE, raw["config_version"], body(order))
     by_name = {r["name"]: r for r in before["routes"] if r["name"] not in gone} | {"r-added": route}
-    read_back = json.loads(canonical(wanted.raw))
+    read_back = json.loads(canonical_json(wanted.raw))
     assert {r["name"]: r for r in read_back["routes"]} == by_name
     assert read_back["config_version"] == order["config_version"]
-    assert parse(read_back) == wanted and raw == before
+    assert parse_configuration(read_back) == wanted and raw == before
 
 
 @given(configurations())
@@ -152,9 +161,9 @@
 
 
 def test_items_whose_names_are_no_text_are_passed_over_and_refuse_nothing() -> None:
-    current = parse({**EXAMPLE, "notes": [{"name": ["x"]}, {"name": {}}, 7]})
+    current = parse_configuration({**EXAMPLE, "notes": [{"name": ["x"]}, {"name": {}}, 7]})
     for order in (change(add={"notes": [{"name": "a"}]}), change(remove={"notes": ["a"]})):
-        assert evaluate(current, CHANGE, 7, order).raw["notes"][:3] == current.raw["notes"]
+        assert evaluate_order(current, CHANGE, 7, order).raw["notes"][:3] == current.raw["notes"]
 
 
 def test_how_deep_an_order_may_nest_does_not_depend_on_how_deep_the_caller_is() -> None:
@@ -163,11 +172,11 @@
         return text.replace('"notes": 0', '"notes": ' + "[" * levels + "]" * levels).encode()
 
     def below(frames: int, order: bytes) -> Any:
-        return below(frames - 1, order) if frames else evaluate(None, REPLACE, 0, order)
+        return below(frames - 1, order) if frames else evaluate_order(None, REPLACE, 0, order)
 
-    at_most = nested(MOST_NESTED - 1)  # the order itself is one level
-    assert evaluate(None, REPLACE, 0, at_most) == below(600, at_most)
-    for levels in (MOST_NESTED, 850, 100_000):
+    at_most = nested(MAX_NESTING - 1)  # the order itself is one level
+    assert evaluate_order(None, REPLACE, 0, at_most) == below(600, at_most)
+    for levels in (MAX_NESTING, 850, 100_000):
         for frames in (0, 600):
             with pytest.raises(MalformedConfigurationError):
                 below(frames, nested(levels))
@@ -176,4 +185,4 @@
 def test_a_number_that_json_cannot_give_back_is_refused_in_any_field() -> None:
     order = json.dumps({**EXAMPLE, "notes": 0}).replace('"notes": 0', '"notes": -1e999').encode()
     with pytest.raises(MalformedConfigurationError, match="1e999"):
-        evaluate(None, REPLACE, 0, order)
+        evaluate_order(None, REPLACE, 0, order)
--- a/tests/configuration/test_process_settings.py
+++ b/tests/configuration/test_process_settings.py
@@ -9,7 +9,7 @@
 import pytest
 
 from larchgw.configuration.errors import SettingsError
-from larchgw.configuration.settings import VARIABLE, load, parse
+from larchgw.configuration.settings import SETTINGS_FILE_VARIABLE, load_settings, parse_settings
 from larchgw.configuration.settings_check import is_address, settings_faults
 from tests.support.configurations import with_value
 
@@ -37,7 +37,7 @@
 
 
 def test_settings_are_read_with_their_types() -> None:
-    settings = parse(CONTROL)
+    settings = parse_settings(CONTROL)
     limits = settings.time_limits
     assert (limits.ack_ms, limits.fenced, settings.survive.zones) == (4000.0, True, 0)
     assert (settings.listen.control, settings.listen.front, settings.port(0)) == ("10.1.0.37:8146", "", 7660)
@@ -63,7 +63,7 @@
     ],
 )
 def test_fields_that_are_empty_or_unknown_do_not_stop_a_start(path: str, value: object) -> None:
-    assert parse(with_value(CONTROL, path, value)).node_name == "core-1"
+    assert parse_settings(with_value(CONTROL, path, value)).node_name == "core-1"
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
 )
 def test_settings_that_cannot_be_used_are_named(path: str, value: object) -> None:
     with pytest.raises(SettingsError) as caught:
-        parse(with_value(CONTROL, path, value))
+        parse_settings(with_value(CONTROL, path, value))
     assert caught.value.field == path and caught.value.remedy
 
 
@@ -107,7 +107,7 @@
     ],
 )
 def test_settings_that_can_be_read_but_do_not_fit_are_named(path: str, value: object, field: str) -> None:
-    faults = settings_faults(parse(with_value(CONTROL, path, value)))
+    faults = settings_faults(parse_settings(with_value(CONTROL, path, value)))
     assert faults and faults[0].field == field
 
 
@@ -134,19 +134,19 @@
 ) -> None:
     path = tmp_path / "local.json"
     path.write_text(json.dumps(CONTROL))
-    monkeypatch.setenv(VARIABLE, str(path))
-    assert load() == parse(CONTROL)
+    monkeypatch.setenv(SETTINGS_FILE_VARIABLE, str(path))
+    assert load_settings() == parse_settings(CONTROL)
     for text in ("[]", "{", ""):
         path.write_text(text)
         with pytest.raises(SettingsError, match="local.json"):
-            load()
-    monkeypatch.delenv(VARIABLE)
-    with pytest.raises(SettingsError, match=VARIABLE):
-        load()
+            load_settings()
+    monkeypatch.delenv(SETTINGS_FILE_VARIABLE)
+    with pytest.raises(SettingsError, match=SETTINGS_FILE_VARIABLE):
+        load_settings()
 
 
 def test_more_spare_ports_than_there_are_cannot_be_had() -> None:
-    settings = parse(CONTROL)
+    settings = parse_settings(CONTROL)
     assert settings.port(15) == 7675
     with pytest.raises(SettingsError, match="spare_ports"):
         settings.port(16)
--- a/tests/configuration/test_recorded_bytes.py
+++ b/tests/configuration/test_recorded_bytes.py
@@ -1,6 +1,6 @@
 """Settings files, configurations and orders recorded with an earlier release, read as that release read them.
 
-The names of fields, the packed and canonical bytes, the digests that recognise a repeated order and the
+The names of fields, the packed and canonical_json bytes, the digests that recognise a repeated order and the
 messages for operators are all part of the interface: each must come out as it was recorded.
 """
 
@@ -14,13 +14,18 @@
 
 import pytest
 
-from larchgw.configuration.change import canonical, digest, evaluate
+from larchgw.configuration.change import canonical_json, evaluate_order, order_digest
 from larchgw.configuration.errors import ConfigurationError
 from larchgw.configuration.model import Configuration
 from larchgw.configuration.packing import pack, unpack
-from larchgw.configuration.settings import parse as parse_settings
+from larchgw.configuration.settings import parse_settings
 from larchgw.configuration.settings_check import settings_faults
-from larchgw.configuration.validation import decode, examine, parse, parse_committed
+from larchgw.configuration.validation import (
+    decode_object,
+    examine_configuration,
+    parse_committed,
+    parse_configuration,
+)
 from tests.support.configurations import EXAMPLE, with_value
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "configuration"
@@ -58,7 +63,7 @@
 
 
 def read_configuration(raw: Any) -> dict[str, Any]:
-    configuration, faults = examine(raw)
+    configuration, faults = examine_configuration(raw)
     return {
         "values": None if configuration is None else values_of(configuration),
         "faults": [describe_error(fault) for fault in faults],
@@ -67,15 +72,15 @@
 
 def take_order(current: Any, operation: str, built_on: int, body: str) -> dict[str, Any]:
     try:
-        known = None if current is None else parse(current)
-        return {"raw": evaluate(known, operation, built_on, body.encode()).raw}
+        known = None if current is None else parse_configuration(current)
+        return {"raw": evaluate_order(known, operation, built_on, body.encode()).raw}
     except ConfigurationError as error:
         return {"error": describe_error(error)}
 
 
 def read_body(body: str) -> dict[str, Any]:
     try:
-        return {"raw": decode(body.encode())}
+        return {"raw": decode_object(body.encode())}
     except ConfigurationError as error:
         return {"error": describe_error(error)}
 
@@ -100,7 +105,7 @@
 def test_order_gives_the_recorded_configuration_or_error(case: dict[str, Any]) -> None:
     found = take_order(case["current"], case["operation"], case["built_on"], case["body"])
     assert_same_json(found, case["expected"])
-    assert digest(case["operation"], case["built_on"], case["body"].encode()) == case["digest"]
+    assert order_digest(case["operation"], case["built_on"], case["body"].encode()) == case["digest"]
 
 
 @pytest.mark.parametrize("case", load_cases("bodies.json"))
@@ -114,4 +119,4 @@
     assert unpack(packed) == text
     assert_same_json(values_of(parse_committed(unpack(packed), None)), case["values"])
     assert pack(case["raw"]) == zlib.compress(text, COMPRESSION_LEVEL)
-    assert canonical(case["raw"]).decode() == case["canonical"]
+    assert canonical_json(case["raw"]).decode() == case["canonical"]
--- a/tests/configuration/test_routing.py
+++ b/tests/configuration/test_route_table.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from larchgw.configuration.model import Configuration, Route
-from larchgw.configuration.routing import RouteTable, normalised_host
-from larchgw.configuration.validation import parse
+from larchgw.configuration.route_table import RouteTable, normalised_host
+from larchgw.configuration.validation import parse_configuration
 from tests.support.configurations import configurations, example
 
 
@@ -19,7 +19,7 @@
     routes = [
         template | {"name": f"{host}{start}", "hostname": host, "path_start": start} for host, start in places
     ]
-    return RouteTable(parse(example(routes=routes)))
+    return RouteTable(parse_configuration(example(routes=routes)))
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
     st.lists(st.sampled_from(["", "a", "b", "aa", "a-b", "?"])),
 )
 def test_the_table_finds_what_the_definition_finds(raw: dict[str, Any], host: str, steps: list[str]) -> None:
-    configuration = parse(raw)
+    configuration = parse_configuration(raw)
     path = "/" + "/".join(steps)
     for asked in (host, host.upper() + ":8144"):
         assert RouteTable(configuration).find(asked, path) == naive(configuration, host, path)
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -10,14 +10,19 @@
 from hypothesis import strategies as st
 
 from larchgw.configuration.errors import ConfigurationError, MalformedConfigurationError
-from larchgw.configuration.records import Findings
+from larchgw.configuration.json_reader import Findings
 from larchgw.configuration.route_reader import ordinary_route, route_by_record
-from larchgw.configuration.validation import decode, examine, parse, parse_committed
+from larchgw.configuration.validation import (
+    decode_object,
+    examine_configuration,
+    parse_committed,
+    parse_configuration,
+)
 from tests.support.configurations import EXAMPLE, body, configurations, example, with_value
 
 
 def test_every_field_of_a_valid_configuration_is_read() -> None:
-    read = parse(decode(body(EXAMPLE)))
+    read = parse_configuration(decode_object(body(EXAMPLE)))
     plan, note, level = read.routes
     assert (read.config_version, len(read.services), read.limits.idle_ms) == (7, 2, 15000.0)
     assert (plan.service, plan.deadline_ms, plan.gap_aim_ms, plan.idempotent) == ("models", 15000, 300, False)
@@ -30,8 +35,8 @@
 
 def test_unknown_fields_are_passed_over_and_read_back() -> None:
     raw = with_value(example(later={"a": 1}), "routes.0.tenant", "t1")
-    read = parse(decode(body(raw)))
-    assert read.raw == raw and read.routes == parse(EXAMPLE).routes
+    read = parse_configuration(decode_object(body(raw)))
+    assert read.raw == raw and read.routes == parse_configuration(EXAMPLE).routes
 
 
 WRONG: list[tuple[str, Any]] = [
@@ -121,7 +126,7 @@
 @pytest.mark.parametrize("path, value", WRONG)
 def test_one_wrong_field_spoils_the_whole_and_is_named(path: str, value: object) -> None:
     with pytest.raises(ConfigurationError) as caught:
-        parse(decode(body(with_value(EXAMPLE, path, value))))
+        parse_configuration(decode_object(body(with_value(EXAMPLE, path, value))))
     named, spoilt = caught.value.field, path.replace(".0", "[0]").replace(".1", "[1]")
     assert named.startswith(spoilt) or spoilt.startswith(named)
     assert caught.value.status == 400 and caught.value.remedy and str(caught.value).startswith(named)
@@ -151,7 +156,7 @@
 )
 def test_a_body_that_cannot_be_read_whole_is_refused(spoilt: bytes) -> None:
     with pytest.raises(MalformedConfigurationError):
-        parse(decode(spoilt))
+        parse_configuration(decode_object(spoilt))
 
 
 @pytest.mark.parametrize(
@@ -175,21 +180,21 @@
     ],
 )
 def test_what_the_protocol_allows_is_not_refused(path: str, value: object) -> None:
-    assert parse(decode(body(with_value(EXAMPLE, path, value)))).config_version == 7
+    assert parse_configuration(decode_object(body(with_value(EXAMPLE, path, value)))).config_version == 7
 
 
 def test_hosts_that_differ_in_case_alone_are_one_place() -> None:
     raw = with_value(EXAMPLE, "routes.1.path_start", "/plan/")
     raw = with_value(raw, "routes.1.hostname", "DESK.example")
     with pytest.raises(ConfigurationError, match=r"routes\[1\].path_start"):
-        parse(raw)
+        parse_configuration(raw)
 
 
 def test_the_operator_is_told_of_all_faulty_items_at_once() -> None:
     raw = with_value(with_value(EXAMPLE, "routes.0.kind", "batch"), "routes.2.deadline_ms", 0)
     raw = with_value(with_value(raw, "routes.1.shares.1.service", "nobody"), "routes.0.tries", 0)
     raw = with_value(with_value(raw, "routes.2.name", 3), "routes.2.hostname", ...)
-    configuration, faults = examine(raw)
+    configuration, faults = examine_configuration(raw)
     assert configuration is None
     assert [fault.field for fault in faults] == [
         "routes[0].kind",
@@ -201,16 +206,16 @@
 
 
 def test_routes_are_not_called_strangers_while_the_services_cannot_be_read() -> None:
-    faults = examine(with_value(EXAMPLE, "services.0.max_conns", "many"))[1]
+    faults = examine_configuration(with_value(EXAMPLE, "services.0.max_conns", "many"))[1]
     assert [fault.field for fault in faults] == ["services[0].max_conns"]
 
 
 def test_a_route_is_read_again_unless_it_is_the_very_object_that_was_checked() -> None:
-    known = parse(EXAMPLE)
-    same = parse(example(routes=EXAMPLE["routes"]), known)
+    known = parse_configuration(EXAMPLE)
+    same = parse_configuration(example(routes=EXAMPLE["routes"]), known)
     assert all(one is other for one, other in zip(same.routes, known.routes, strict=True))
     with pytest.raises(ConfigurationError):
-        parse(with_value(EXAMPLE, "routes.0.rank", False), known)
+        parse_configuration(with_value(EXAMPLE, "routes.0.rank", False), known)
 
 
 @pytest.mark.parametrize(
@@ -225,18 +230,22 @@
 )
 def test_a_committed_configuration_that_is_damaged_is_not_put_in_force(spoilt: bytes) -> None:
     with pytest.raises(ConfigurationError):
-        parse_committed(spoilt, parse(EXAMPLE))
+        parse_committed(spoilt, parse_configuration(EXAMPLE))
 
 
 @given(configurations(), configurations())
 def test_what_is_known_before_does_not_change_what_a_committed_configuration_says(
     before: dict[str, Any], raw: dict[str, Any]
 ) -> None:
-    assert parse_committed(body(raw), parse(before)) == parse(raw) == parse_committed(body(raw), None)
+    assert (
+        parse_committed(body(raw), parse_configuration(before))
+        == parse_configuration(raw)
+        == parse_committed(body(raw), None)
+    )
 
 
 def test_only_routes_that_changed_are_read_again_from_a_committed_configuration() -> None:
-    known = parse(EXAMPLE)
+    known = parse_configuration(EXAMPLE)
     changed = parse_committed(body(with_value(EXAMPLE, "routes.1.rank", 3)), known)
     assert [route is before for route, before in zip(changed.routes, known.routes, strict=True)] == [
         True,
@@ -247,7 +256,7 @@
 
 
 def test_a_service_that_changed_is_read_again_from_a_committed_configuration_and_no_other() -> None:
-    known = parse(EXAMPLE)
+    known = parse_configuration(EXAMPLE)
     changed = parse_committed(body(with_value(EXAMPLE, "services.0.max_conns", 7)), known)
     assert changed.services[0].max_conns == 7
     assert changed.services[1:] and all(
@@ -258,7 +267,7 @@
 @settings(max_examples=80)
 @given(configurations())
 def test_no_valid_configuration_is_refused(raw: dict[str, Any]) -> None:
-    read = parse(decode(body(raw)))
+    read = parse_configuration(decode_object(body(raw)))
     assert read.raw == raw and len(read.routes) == len(raw["routes"])
 
 
@@ -267,7 +276,7 @@
 def test_a_body_that_is_cut_short_anywhere_is_refused(raw: dict[str, Any], data: st.DataObject) -> None:
     whole = body(raw)
     with pytest.raises(MalformedConfigurationError):
-        parse(decode(whole[: data.draw(st.integers(0, len(whole) - 1))]))
+        parse_configuration(decode_object(whole[: data.draw(st.integers(0, len(whole) - 1))]))
 
 
 @given(configurations(), st.sampled_from(["routes", "services"]), st.data())
@@ -277,7 +286,7 @@
         return
     items.append(dict(data.draw(st.sampled_from(items)), hostname="another.example"))
     with pytest.raises(ConfigurationError):
-        parse(raw)
+        parse_configuration(raw)
 
 
 @settings(max_examples=60)
@@ -305,7 +314,7 @@
         return
     data.draw(st.sampled_from(raw["routes"]))[spoil[0]] = spoil[1]
     with pytest.raises(ConfigurationError):
-        parse(raw)
+        parse_configuration(raw)
 
 
 @given(configurations())
@@ -324,6 +333,6 @@
 )
 def test_no_json_at_all_breaks_the_reader(value: object) -> None:
     try:
-        parse(decode(json.dumps(value).encode()))
+        parse_configuration(decode_object(json.dumps(value).encode()))
     except ConfigurationError as error:
         assert error.status == 400
--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.configuration.change import evaluate
+from larchgw.configuration.change import evaluate_order
 from larchgw.control.configuration_size import (
     MAX_CONFIGURATION_BYTES,
     ConfigurationSizeLimit,
@@ -87,7 +87,7 @@
     current = None
     for version in range(1, 6):
         order = whole(version, 1, 10)
-        wanted = evaluate(current, order.operation, order.base_version, order.body)
+        wanted = evaluate_order(current, order.operation, order.base_version, order.body)
         limit.check(current, order.body, wanted)
         current = wanted
     assert limit.measurements <= 2
@@ -115,7 +115,7 @@
 
 def test_a_configuration_at_the_limit_passes_and_one_byte_more_does_not() -> None:
     order = whole(1, 1, 1000)
-    wanted = evaluate(None, order.operation, order.base_version, order.body)
+    wanted = evaluate_order(None, order.operation, order.base_version, order.body)
     size = len(encode_json(wanted.raw))
     ConfigurationSizeLimit(size).check(None, order.body, wanted)
     with pytest.raises(ConfigurationTooLargeError):
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -9,7 +9,7 @@
 import pytest
 from testtools import TestCase
 
-from larchgw.configuration.change import canonical
+from larchgw.configuration.change import canonical_json
 from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
 from larchgw.control.disk import ControlDisk
 from larchgw.control.errors import RestoreError
@@ -46,7 +46,7 @@
             self.log.tick()
 
     def replace(self, version: int, base_version: int) -> None:
-        body = canonical(example() | {"config_version": version})
+        body = canonical_json(example() | {"config_version": version})
         asyncio.run(self.log.propose(OperatorOrder("replace", base_version, body).encode()))
 
 
@@ -85,7 +85,7 @@
     lost.replace(4, 0)
     restored(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
-    body = canonical(example() | {"config_version": 4})
+    body = canonical_json(example() | {"config_version": 4})
     assert process.state.is_accepted(OperatorOrder("replace", 0, body))
 
 
@@ -93,7 +93,7 @@
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
     restored(tmp_path / "lost", tmp_path / "new")  # holds a snapshot and no records
-    (tmp_path / "read.json").write_bytes(canonical(example() | {"config_version": 4}))
+    (tmp_path / "read.json").write_bytes(canonical_json(example() | {"config_version": 4}))
     (snapshot,) = (tmp_path / "new" / "log").glob("snapshot-*")
     for source in (
         tmp_path / "lost",
@@ -106,7 +106,7 @@
 
 
 def test_a_second_restore_is_above_the_first_even_if_the_clock_went_back(tmp_path: Path) -> None:
-    (tmp_path / "read.json").write_bytes(canonical(example()))
+    (tmp_path / "read.json").write_bytes(canonical_json(example()))
     first = restored(tmp_path / "read.json", tmp_path / "first")
     found = read_source(tmp_path / "first")
     second = plan_forced_view("x", ADDRESS, 1000.0, found.last_epoch, found.last_index)
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -15,7 +15,7 @@
 from tornado.testing import AsyncHTTPTestCase
 
 from larchgw.configuration.settings import NodeSettings, TimeLimits
-from larchgw.configuration.validation import parse
+from larchgw.configuration.validation import parse_configuration
 from larchgw.control.node import ControlNode
 from larchgw.control.status import StatusService, StatusSources, to_json
 from larchgw.distribution.keys import PLACER_KEY
@@ -58,7 +58,7 @@
 def models_configuration() -> Any:
     raw = example()
     service = next(service for service in raw["services"] if service.get("runtime"))
-    return parse(raw), service["name"], service["runtime"]["models"][0]["name"]
+    return parse_configuration(raw), service["name"], service["runtime"]["models"][0]["name"]
 
 
 class ControlStatusTest(TestCase):
--- a/tests/emulator/test_system_trial.py
+++ b/tests/emulator/test_system_trial.py
@@ -18,7 +18,7 @@
 from larchgw.cli.command import UsageError
 from larchgw.cli.main import call
 from larchgw.cli.system_trial import TERMINATED
-from larchgw.configuration.settings import TimeLimits, parse
+from larchgw.configuration.settings import TimeLimits, parse_settings
 from larchgw.configuration.settings_check import settings_faults
 from larchgw.emulator.system.network import PORTS, Network
 from larchgw.emulator.system.records import Records
@@ -68,7 +68,9 @@
     network.close()
     rig = Rig(network, tmp_path, Records(), TimeLimits(), lambda: 0.0, controls=3, edges=4)
     for machine in rig.machines:
-        settings = parse(machine.settings(rig.control_addresses(), TimeLimits(fenced=True), first_boot=True))
+        settings = parse_settings(
+            machine.settings(rig.control_addresses(), TimeLimits(fenced=True), first_boot=True)
+        )
         assert settings_faults(settings) == [] and settings.time_limits.fenced
     assert len({machine.ip for machine in rig.machines}) == 7
 
