--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -148,16 +148,21 @@
         )
 
     def _configure(self, entry: Entry) -> None:
-        try:
-            configuration = parse_committed(unpack(entry.value), self._configuration)
-        except (ConfigurationError, zlib.error) as error:
-            log.error("configuration.unreadable", error=str(error))
+        configuration = self._parse(entry)
+        if isinstance(configuration, Exception):
+            log.error("configuration.unreadable", error=str(configuration))
             return
         self.selector.configure(configuration)
         self.proxy.configure(configuration)
         self._configuration = configuration
         log.info("configuration.in_force", config_version=configuration.config_version)
 
+    def _parse(self, entry: Entry) -> Configuration | ConfigurationError | zlib.error:
+        try:
+            return parse_committed(unpack(entry.value), self._configuration)
+        except (ConfigurationError, zlib.error) as error:
+            return error
+
     def _expected(self, service: str, model: str, adapter: str) -> Mapping[str, float]:
         known: Mapping[str, RunnerRecord] = self.view.by_service(service)
         found = self.expected_loads.expected(model, adapter)
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -240,7 +240,8 @@
             self._on_attempt_failed(self._verdict)
             return
         relay = self._stream if self._streaming else self._relay
-        assert relay is not None and self._head is not None
+        assert relay is not None
+        assert self._head is not None
         status = self._head.status
         try:
             relay.complete()
@@ -274,7 +275,8 @@
 
     def _stream_bytes(self, data: bytes) -> None:
         stream, attempt = self._stream, self._attempt
-        assert stream is not None and attempt is not None
+        assert stream is not None
+        assert attempt is not None
         started, now = stream.started, self._context.now()
         self._restart_stream_timeout(now)
         try:
