--- a/larchgw/control/configuration_state.py
+++ b/larchgw/control/configuration_state.py
@@ -1,4 +1,4 @@
-"""The replicated state made of committed records: the configuration and the orders that were taken."""
+"""The replicated state made of committed records: the configuration and the orders that were accepted."""
 
 from __future__ import annotations
 
@@ -8,49 +8,47 @@
 import structlog
 from expression import Error, Ok, Result
 
-from ..configuration.change import evaluate_order, order_digest
+from ..configuration.change import evaluate_order
 from ..configuration.errors import ConfigurationError
 from ..configuration.model import Configuration
 from ..configuration.validation import parse_configuration
 from .configuration_size import encode_json
+from .operator_order import OperatorOrder
 
 log = structlog.get_logger()
-MAX_REMEMBERED_ORDERS = 20_000  # orders remembered; one sent again after so many others gets 412
+MAX_REMEMBERED_ORDERS = 20_000  # accepted orders; one sent again after so many others gets 412
+
+# Keys of a snapshot; other versions read them.
+RECORD_INDEX_KEY = "index"
+CONFIGURATION_KEY = "configuration"
+ACCEPTED_VERSIONS_KEY = "taken"
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorOrder:
-    """One order of the operator: "replace" or "change". `base_version` is -1 where it was not given."""
+class _Evaluation:
+    """What `order` makes of the configuration of `version`."""
 
-    operation: str
-    base_version: int
-    body: bytes
+    order: OperatorOrder
+    version: int
+    configuration: Configuration
 
-    def encode(self) -> bytes:
-        """One record of the log: a line of JSON, then the body as it came."""
-        head = json.dumps({"operation": self.operation, "built_on": self.base_version})
-        return head.encode() + b"\n" + self.body
 
-    @classmethod
-    def decode(cls, record: bytes) -> OperatorOrder:
-        """The order in a record."""
-        head, _, body = record.partition(b"\n")
-        fields = json.loads(head)
-        return cls(fields["operation"], fields["built_on"], body)
+class ConfigurationState:
+    """The state machine that every replica runs over the committed records.
 
-    def digest(self) -> str:
-        """The same for the same order, however often it is sent."""
-        return order_digest(self.operation, self.base_version, self.body)
+    The digests of accepted orders are part of the state, so that an order that is sent again is acknowledged
+    again by whichever replica is primary then.
 
-
-class ConfigurationState:
-    """What all committed records make together."""
+    Attributes:
+        current: The configuration in force; None before the first.
+        record_index: Index of the record that made `current`; 0 for none.
+    """
 
     def __init__(self) -> None:
+        """Makes the state before the first record."""
         self.current: Configuration | None = None
-        self.record_index = 0  # of the record that made `current`
-        # The last order that was evaluated, the version it was tried on, and the result.
-        self._evaluated: tuple[OperatorOrder, int, Configuration] | None = None
+        self.record_index = 0
+        self._last_evaluation: _Evaluation | None = None
         self._accepted_versions: dict[str, int] = {}  # digest -> version, oldest first
 
     @property
@@ -64,20 +62,25 @@
 
     def evaluate(self, order: OperatorOrder) -> Result[Configuration, ConfigurationError]:
         """The configuration that the order would put in force, or why it cannot."""
-        if self._evaluated is not None and self._evaluated[:2] == (order, self.version):
-            return Ok(self._evaluated[2])
+        last = self._last_evaluation
+        if last is not None and last.order == order and last.version == self.version:
+            return Ok(last.configuration)
         try:
             changed = evaluate_order(self.current, order.operation, order.base_version, order.body)
         except ConfigurationError as error:
             return Error(error)
-        self._evaluated = (order, self.version, changed)
+        self._last_evaluation = _Evaluation(order, self.version, changed)
         return Ok(changed)
 
     def apply(self, index: int, record: bytes) -> None:
-        """Takes one committed record; every replica comes to the same state.
+        """Applies one committed record; every replica comes to the same state.
 
         An order that does not fit the state any more is without effect: it was proposed while the fate of one
         before it was not known.
+
+        Args:
+            index: Of the record in the log; rises with each call.
+            record: An OperatorOrder, encoded.
         """
         order = OperatorOrder.decode(record)
         result = self.evaluate(order)
@@ -85,21 +88,27 @@
             log.warning("record.without_effect", record_index=index, error=str(result.error))
             return
         self.current, self.record_index = result.ok, index
-        self._accepted_versions[order.digest()] = self.current.config_version
-        while len(self._accepted_versions) > MAX_REMEMBERED_ORDERS:
-            del self._accepted_versions[next(iter(self._accepted_versions))]
+        self._remember(order, self.current.config_version)
 
     def snapshot(self) -> bytes:
-        """All of it, for `restore`."""
-        raw = self.current.raw if self.current is not None else None
+        """The whole state, for `restore`."""
         return encode_json(
-            {"index": self.record_index, "configuration": raw, "taken": self._accepted_versions}
+            {
+                RECORD_INDEX_KEY: self.record_index,
+                CONFIGURATION_KEY: self.current.raw if self.current is not None else None,
+                ACCEPTED_VERSIONS_KEY: self._accepted_versions,
+            }
         )
 
     def restore(self, data: bytes) -> None:
         """Becomes what a snapshot holds."""
         fields = json.loads(data)
-        raw = fields["configuration"]
+        raw = fields[CONFIGURATION_KEY]
         self.current = parse_configuration(raw) if raw is not None else None
-        self.record_index = fields["index"]
-        self._accepted_versions = fields["taken"]
+        self.record_index = fields[RECORD_INDEX_KEY]
+        self._accepted_versions = fields[ACCEPTED_VERSIONS_KEY]
+
+    def _remember(self, order: OperatorOrder, version: int) -> None:
+        self._accepted_versions[order.digest()] = version
+        while len(self._accepted_versions) > MAX_REMEMBERED_ORDERS:
+            del self._accepted_versions[next(iter(self._accepted_versions))]
--- a/larchgw/control/operator_calls.py
+++ b/larchgw/control/operator_calls.py
@@ -10,7 +10,7 @@
 from ..rpc.errors import RpcError
 from ..rpc.generated.ttypes import OperatorAnswer, OperatorCall
 from ..runtime.rpc_clients import RpcClients
-from .configuration_state import OperatorOrder
+from .operator_order import OperatorOrder
 from .operator_service import (
     MAX_ORDER_BYTES,
     OperatorResponse,
--- a/larchgw/control/operator_service.py
+++ b/larchgw/control/operator_service.py
@@ -11,8 +11,9 @@
 
 from ..configuration.errors import ConfigurationError
 from .configuration_size import ConfigurationSizeLimit
-from .configuration_state import ConfigurationState, OperatorOrder
+from .configuration_state import ConfigurationState
 from .errors import ConfigurationTooLargeError, ReplicationUnavailableError
+from .operator_order import OperatorOrder
 
 log = structlog.get_logger()
 OK, NOT_FOUND, TOO_LARGE, UNCLEAR = 200, 404, 413, 503
--- a/larchgw/experiments/recovery.py
+++ b/larchgw/experiments/recovery.py
@@ -16,8 +16,9 @@
 from pathlib import Path
 from typing import Any
 
-from ..control.configuration_state import ConfigurationState, OperatorOrder
+from ..control.configuration_state import ConfigurationState
 from ..control.disk import ControlDisk
+from ..control.operator_order import OperatorOrder
 from ..replication.compaction import Compaction
 from ..replication.replica import Replica
 from ..replication.settings import MemberSettings
--- a/larchgw/model_checking/operator_calls/invariants.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 
 from ...configuration.change import REPLACE
-from ...control.configuration_state import ConfigurationState, OperatorOrder
+from ...control.configuration_state import ConfigurationState
+from ...control.operator_order import OperatorOrder
 from ..errors import InvariantError
 
 DONE = 200
--- a/larchgw/model_checking/operator_calls/mutants.py
+++ b/larchgw/model_checking/operator_calls/mutants.py
@@ -10,7 +10,9 @@
 from ...configuration.change import NO_BASE_VERSION
 from ...configuration.model import Configuration
 from ...control import configuration_state as state_module
-from ...control.configuration_state import ConfigurationState, OperatorOrder
+from ...control import operator_order as order_module
+from ...control.configuration_state import ConfigurationState
+from ...control.operator_order import OperatorOrder
 from ...control.operator_service import OperatorResponse, OperatorService
 from ...control.replicated_log import ReplicatedLog
 from ...replication.leadership import Leadership
@@ -154,13 +156,13 @@
         "recognises an order by what it builds on",
         play_faults,
         1,
-        (Patch(state_module, "order_digest", _by_operation_and_base),),
+        (Patch(order_module, "order_digest", _by_operation_and_base),),
     ),
     Mutant(
         "recognises an order by its text alone",
         play_faults,
         1,
-        (Patch(state_module, "order_digest", _by_text),),
+        (Patch(order_module, "order_digest", _by_text),),
     ),
     Mutant(
         "acknowledges what it proposed behind an undecided order",
--- a/larchgw/model_checking/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ...configuration.change import CHANGE, REPLACE
-from ...control.configuration_state import OperatorOrder
+from ...control.operator_order import OperatorOrder
 from ...control.operator_service import OperatorResponse
 from .cluster import SimulatedCluster
 from .invariants import Sent
--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -16,8 +16,9 @@
     ConfigurationSizeLimit,
     encode_json,
 )
-from larchgw.control.configuration_state import MAX_REMEMBERED_ORDERS, ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import MAX_REMEMBERED_ORDERS, ConfigurationState
 from larchgw.control.errors import ConfigurationTooLargeError
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.control.operator_service import MAX_ORDER_BYTES, OperatorResponse, OperatorService
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
 from larchgw.replication.replica import Replica
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -14,10 +14,11 @@
 from structlog.testing import capture_logs
 from testtools import TestCase
 
-from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import ConfigurationState
 from larchgw.control.disk import ControlDisk
 from larchgw.control.errors import ReplicationUnavailableError
 from larchgw.control.operator_calls import OperatorCallRouter
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.control.operator_service import MAX_ORDER_BYTES
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.replication.member import Member
--- a/tests/control/test_operator_failover.py
+++ b/tests/control/test_operator_failover.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import ConfigurationState
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.emulator import virtual_loop
 from larchgw.model_checking.operator_calls.cluster import Process, SimulatedCluster, no_link_is_cut
 
--- a/tests/control/test_operator_service.py
+++ b/tests/control/test_operator_service.py
@@ -6,8 +6,9 @@
 import testtools
 
 from larchgw.control import configuration_state as state_module
-from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import ConfigurationState
 from larchgw.control.errors import ReplicationUnavailableError
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.control.operator_service import OperatorService
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.emulator import virtual_loop
--- a/tests/control/test_publication.py
+++ b/tests/control/test_publication.py
@@ -6,7 +6,8 @@
 import testtools
 
 from larchgw.configuration.packing import pack, unpack
-from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import ConfigurationState
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.control.publication import BACKUP_PUBLISH_DELAY_S, ConfigurationPublisher
 from larchgw.distribution.keys import CONFIGURATION_KEY
 from larchgw.distribution.registry import Registry
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -20,12 +20,13 @@
 from larchgw.configuration.packing import pack
 from larchgw.configuration.settings import NodeSettings
 from larchgw.control import http_api, restore
-from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import ConfigurationState
 from larchgw.control.disk import ControlDisk
 from larchgw.control.errors import ReplicationUnavailableError
 from larchgw.control.latest_view import LatestView
 from larchgw.control.node import ControlNode
 from larchgw.control.operator_calls import OperatorCallRouter
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.control.operator_service import OperatorResponse, OperatorService
 from larchgw.control.publication import ConfigurationPublisher
 from larchgw.control.replicated_log import ReplicatedLog
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -10,9 +10,10 @@
 from testtools import TestCase
 
 from larchgw.configuration.change import canonical_json
-from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import ConfigurationState
 from larchgw.control.disk import ControlDisk
 from larchgw.control.errors import RestoreError
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.restore import check_empty, fresh_identity, read_source, write_folder
 from larchgw.model_checking.replication.cluster import SimulatedCluster
--- a/tests/model_checking/test_operator_calls.py
+++ b/tests/model_checking/test_operator_calls.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from larchgw.control.configuration_state import ConfigurationState, OperatorOrder
+from larchgw.control.configuration_state import ConfigurationState
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.model_checking.errors import InvariantError
 from larchgw.model_checking.mutants import Mutant
 from larchgw.model_checking.operator_calls import main as explore
