--- a/larchgw/membership/codec.py
+++ b/larchgw/membership/codec.py
@@ -10,7 +10,6 @@
 
 import struct
 from collections.abc import Callable
-from dataclasses import dataclass
 from zlib import crc32
 
 from ..identifiers import RpcAddress
@@ -155,16 +154,7 @@
     reader = _Reader(data, _FRONT.size)
     sequence, digest = reader.unpack(_BODY)
     read_message = _MESSAGE_READERS[MessageKind(kind)]
-    return read_message(reader, _Header(sequence, reader.update().member, digest))
-
-
-@dataclass(frozen=True, slots=True)
-class _Header:
-    """What stands before the fields of a message's kind."""
-
-    sequence: int
-    sender: Member
-    digest: int
+    return read_message(reader, Message(sequence, reader.update().member, digest))
 
 
 class _Reader:
@@ -224,34 +214,34 @@
         return tuple(updates)
 
 
-def _reader_without_fields(message_type: type[Message]) -> Callable[[_Reader, _Header], Message]:
+def _reader_without_fields(message_type: type[Message]) -> Callable[[_Reader, Message], Message]:
     """Returns the reader of a message that has no fields of its own."""
 
-    def read(reader: _Reader, header: _Header) -> Message:
+    def read(reader: _Reader, header: Message) -> Message:
         return message_type(header.sequence, header.sender, header.digest, reader.updates())
 
     return read
 
 
-def _read_ping_request(reader: _Reader, header: _Header) -> Message:
+def _read_ping_request(reader: _Reader, header: Message) -> Message:
     target = reader.address()
     return PingRequest(header.sequence, header.sender, header.digest, reader.updates(), target)
 
 
-def _read_pull(reader: _Reader, header: _Header) -> Message:
+def _read_pull(reader: _Reader, header: Message) -> Message:
     buckets = reader.unpack(_BUCKET_DIGESTS)
     cursor = reader.cursor()
     return Pull(header.sequence, header.sender, header.digest, reader.updates(), buckets, cursor)
 
 
-def _read_page(reader: _Reader, header: _Header) -> Message:
+def _read_page(reader: _Reader, header: Message) -> Message:
     has_next = reader.raw(1) != b"\0"
     cursor = reader.cursor()
     next_cursor = cursor if has_next else None
     return Page(header.sequence, header.sender, header.digest, reader.updates(), next_cursor)
 
 
-_MESSAGE_READERS: dict[MessageKind, Callable[[_Reader, _Header], Message]] = {
+_MESSAGE_READERS: dict[MessageKind, Callable[[_Reader, Message], Message]] = {
     MessageKind.PING: _reader_without_fields(Ping),
     MessageKind.ACK: _reader_without_fields(Ack),
     MessageKind.PING_REQUEST: _read_ping_request,
--- a/larchgw/membership/death_verification.py
+++ b/larchgw/membership/death_verification.py
@@ -12,22 +12,18 @@
 from .settings import SwimSettings
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ReportedDeath:
     """A death that another member reported.
 
     Attributes:
         dead: The record of the member, as dead.
         source: Address of the member that reported it.
+        pinged_at: When the member was pinged for it, None before that.
     """
 
     dead: Member
     source: str
-
-
-@dataclass(slots=True)
-class _Verification:
-    death: ReportedDeath
     pinged_at: float | None = None
 
 
@@ -37,12 +33,12 @@
     def __init__(self, settings: SwimSettings) -> None:
         """Begins without any."""
         self._settings = settings
-        self._pending: dict[str, _Verification] = {}
+        self._pending: dict[str, ReportedDeath] = {}
         self._next_ping_at = float("-inf")
 
     def add(self, dead: Member, source: str) -> None:
         """Begins to verify a death that `source` reported, unless its address is under verification."""
-        self._pending.setdefault(dead.address, _Verification(ReportedDeath(dead, source)))
+        self._pending.setdefault(dead.address, ReportedDeath(dead, source))
 
     def next_to_ping(self, now: float, is_in_question: Callable[[Member], bool]) -> Member | None:
         """Returns the record, as dead, of the member to ping now, if any.
@@ -54,23 +50,21 @@
         """
         if now < self._next_ping_at:
             return None
-        for address, verification in list(self._pending.items()):
-            dead = verification.death.dead
-            if not is_in_question(dead):
+        for address, death in list(self._pending.items()):
+            if not is_in_question(death.dead):
                 del self._pending[address]
-            elif verification.pinged_at is None:
-                verification.pinged_at = now
+            elif death.pinged_at is None:
+                death.pinged_at = now
                 self._next_ping_at = now + self._settings.verification_period_s
-                return dead
+                return death.dead
         return None
 
     def take_unanswered(self, now: float) -> list[ReportedDeath]:
         """Removes and returns the deaths that were not refuted in the probe period after the ping."""
         unanswered = [
-            verification.death
-            for verification in self._pending.values()
-            if verification.pinged_at is not None
-            and now - verification.pinged_at >= self._settings.probe_period_s
+            death
+            for death in self._pending.values()
+            if death.pinged_at is not None and now - death.pinged_at >= self._settings.probe_period_s
         ]
         for death in unanswered:
             del self._pending[death.dead.address]
--- a/larchgw/membership/failure_detector.py
+++ b/larchgw/membership/failure_detector.py
@@ -14,8 +14,9 @@
 
 from .local_health import LocalHealth
 from .member_states import MemberStates
+from .messages import PingRequest
 from .outbound_datagrams import OutboundDatagrams
-from .relayed_probes import ProbeRequester, RelayedProbes
+from .relayed_probes import RelayedProbe, RelayedProbes
 from .settings import SwimSettings
 
 
@@ -71,8 +72,8 @@
 
     def tick(self, now: float) -> None:
         """Reports on probes for others, and goes on with this process's own."""
-        for requester in self._relayed_probes.overdue(now):
-            self._outbound.add_nack(requester.address, requester.sequence)
+        for relayed in self._relayed_probes.overdue(now):
+            self._outbound.add_nack(relayed.requester, relayed.sequence)
         self._advance_probe(now)
 
     def abandon_probes(self) -> None:
@@ -92,22 +93,24 @@
             self._failed_sequence = None
             self._local_health.worsen()
             return
-        requester = self._relayed_probes.receive_ack(sequence)
-        if requester is not None:
-            self._outbound.add_ack(requester.address, requester.sequence)
+        relayed = self._relayed_probes.receive_ack(sequence)
+        if relayed is not None:
+            self._outbound.add_ack(relayed.requester, relayed.sequence)
 
     def receive_nack(self, sequence: int) -> None:
         """Counts a relay that works and has no answer of the probed member."""
         if self._probe is not None and self._probe.sequence == sequence:
             self._probe.nacks += 1
 
-    def receive_ping_request(self, now: float, requester: ProbeRequester, target: str) -> None:
-        """Pings `target` for another member, unless too many such probes are under way."""
+    def receive_ping_request(self, now: float, requester: str, request: PingRequest) -> None:
+        """Pings the target for the member at `requester`, unless too many such probes are under way."""
         sequence = self._outbound.next_sequence()
         nack_at = now + self._settings.nack_delay_s
         ends_at = now + self._settings.probe_period_s
-        if self._relayed_probes.add(sequence, requester, nack_at, ends_at):
-            self._outbound.add_ping(target, self._states.table.get(target), sequence)
+        relayed = RelayedProbe(requester, request.sequence, nack_at, ends_at)
+        if self._relayed_probes.add(sequence, relayed):
+            about = self._states.table.get(request.target)
+            self._outbound.add_ping(request.target, about, sequence)
 
     def _advance_probe(self, now: float) -> None:
         probe = self._probe
--- a/larchgw/membership/messages.py
+++ b/larchgw/membership/messages.py
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """What every message carries.
+    """What every message carries. Subclasses without fields of their own need no dataclass of their own.
 
     Attributes:
         sequence: Number of a request; what answers it carries the same.
@@ -70,17 +70,17 @@
     updates: tuple[Update, ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
 class Ping(Message):
     """Asks the receiver for an `Ack`."""
 
+    __slots__ = ()
     kind: ClassVar[MessageKind] = MessageKind.PING
 
 
-@dataclass(frozen=True, slots=True)
 class Ack(Message):
     """Answers a `Ping`, or reports to the author of a `PingRequest` that its target answered."""
 
+    __slots__ = ()
     kind: ClassVar[MessageKind] = MessageKind.ACK
 
 
@@ -93,17 +93,17 @@
     target: str = ""
 
 
-@dataclass(frozen=True, slots=True)
 class Nack(Message):
     """Reports to the author of a `PingRequest` that its target has not answered yet."""
 
+    __slots__ = ()
     kind: ClassVar[MessageKind] = MessageKind.NACK
 
 
-@dataclass(frozen=True, slots=True)
 class Gossip(Message):
     """Carries updates alone."""
 
+    __slots__ = ()
     kind: ClassVar[MessageKind] = MessageKind.GOSSIP
 
 
--- a/larchgw/membership/relayed_probes.py
+++ b/larchgw/membership/relayed_probes.py
@@ -10,22 +10,20 @@
 MAX_RELAYED_PROBES = 64  # at a time; requests for more are dropped
 
 
-@dataclass(frozen=True, slots=True)
-class ProbeRequester:
-    """Who asked for an indirect probe.
+@dataclass(slots=True)
+class RelayedProbe:
+    """A probe that this process makes for another member.
 
     Attributes:
-        address: Its address.
-        sequence: The number under which it waits for the answer.
+        requester: Address of the member that asked for it.
+        sequence: The number under which the requester waits for the answer.
+        nack_at: When the requester is sent a nack.
+        ends_at: When the probe is given up.
+        is_nacked: Whether the nack was sent.
     """
 
-    address: str
+    requester: str
     sequence: int
-
-
-@dataclass(slots=True)
-class _RelayedProbe:
-    requester: ProbeRequester
     nack_at: float
     ends_at: float
     is_nacked: bool = False
@@ -36,30 +34,34 @@
 
     def __init__(self) -> None:
         """Begins without any."""
-        self._probes: dict[int, _RelayedProbe] = {}
+        self._probes: dict[int, RelayedProbe] = {}
+
+    def add(self, own_sequence: int, probe: RelayedProbe) -> bool:
+        """Accepts a probe for another member; returns whether there was room for it.
 
-    def add(self, own_sequence: int, requester: ProbeRequester, nack_at: float, ends_at: float) -> bool:
-        """Accepts a probe for another member; returns whether there was room for it."""
+        Args:
+            own_sequence: Number of this process's own ping.
+            probe: The probe.
+        """
         if len(self._probes) >= MAX_RELAYED_PROBES:
             return False
-        self._probes[own_sequence] = _RelayedProbe(requester, nack_at, ends_at)
+        self._probes[own_sequence] = probe
         return True
 
-    def receive_ack(self, own_sequence: int) -> ProbeRequester | None:
-        """Ends the probe that was answered; returns whom to report to, None for an unknown number."""
-        probe = self._probes.pop(own_sequence, None)
-        return None if probe is None else probe.requester
+    def receive_ack(self, own_sequence: int) -> RelayedProbe | None:
+        """Ends and returns the probe that was answered, None for an unknown number."""
+        return self._probes.pop(own_sequence, None)
 
-    def overdue(self, now: float) -> list[ProbeRequester]:
-        """Returns, each once, who must be sent a nack; removes probes that ended."""
-        requesters: list[ProbeRequester] = []
+    def overdue(self, now: float) -> list[RelayedProbe]:
+        """Returns, each once, the probes for which a nack is due; removes those that are given up."""
+        overdue: list[RelayedProbe] = []
         for own_sequence, probe in list(self._probes.items()):
             if not probe.is_nacked and probe.nack_at <= now:
                 probe.is_nacked = True
-                requesters.append(probe.requester)
+                overdue.append(probe)
             if probe.ends_at <= now:
                 del self._probes[own_sequence]
-        return requesters
+        return overdue
 
     def clear(self) -> None:
         """Drops all probes under way."""
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -26,7 +26,6 @@
 from .member_states import MemberStates
 from .messages import Ack, Message, Nack, Page, Ping, PingRequest, Pull, Update
 from .outbound_datagrams import Datagram, OutboundDatagrams
-from .relayed_probes import ProbeRequester
 from .settings import SwimSettings
 from .table_synchronisation import TableSynchronisation
 from .verification_pings import DeadMemberPings, SuspectPings
@@ -170,8 +169,7 @@
             case Ack():
                 self._handle_ack(now, address, message)
             case PingRequest():
-                requester = ProbeRequester(address, message.sequence)
-                self._failure_detector.receive_ping_request(now, requester, message.target)
+                self._failure_detector.receive_ping_request(now, address, message)
             case Nack():
                 self._failure_detector.receive_nack(message.sequence)
             case Pull():
