--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -6,9 +6,8 @@
 from __future__ import annotations
 
 import asyncio
-import json
 from collections.abc import Callable, Coroutine
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 from random import Random
 from typing import Any
@@ -25,12 +24,12 @@
 from ...rpc.generated.ttypes import OperatorAnswer, OperatorCall, PeerMessage
 from ...runtime.rpc_clients import RpcClients
 from ..errors import SimulatedCrashError
+from ..links import CALM_DELAY_S, Links
 from ..simulated_disk import SimulatedDisk
 from .invariants import InvariantChecker
 
 COMPACT_RECORDS = 6  # so that snapshots are taken and sent all the time
 LEASE_TERM_S = 3.0
-CALM_DELAY_S = (0.0005, 0.004)
 CLOCKS_APART_S = 50.0  # clocks of different machines differ by up to this
 
 
@@ -200,25 +199,15 @@
         future.set_result(outcome)
 
 
-def _identity(disk: SimulatedDisk) -> str:
-    stored = disk.cells.get("identity")
-    return "" if stored is None else str(json.loads(stored)["id"])
-
-
-def no_link_is_cut(sender: str, receiver: str) -> bool:
-    """No link is cut."""
-    return False
-
-
 @dataclass
-class Links:
-    """How the links behave at present. Operators are never cut off, though their answers may be lost."""
+class OperatorLinks(Links):
+    """Links between machines, and those to operators, who are never cut off.
+
+    Attributes:
+        answer_loss_rate: Share of the answers to operators that are lost.
+    """
 
-    loss_rate: float = 0.0
-    duplication_rate: float = 0.0
-    delay_range_s: tuple[float, float] = CALM_DELAY_S
     answer_loss_rate: float = 0.2
-    is_cut: Callable[[str, str], bool] = field(default=no_link_is_cut)
 
 
 class SimulatedCluster:
@@ -228,7 +217,7 @@
         self.random = Random(seed)
         self.loop = asyncio.get_running_loop()
         self.checks = InvariantChecker()
-        self.links = Links()
+        self.links = OperatorLinks()
         self.addresses = tuple(f"m{number}:1" for number in range(machines))
         self.survive = machines // 2
         self.disks = {address: SimulatedDisk() for address in self.addresses}
@@ -270,7 +259,7 @@
         view = self._latest_view
         if view is None:
             return False
-        names = [_identity(disk) for disk in self.disks.values()]
+        names = [disk.member_id for disk in self.disks.values()]
         seated = [
             name
             for name in names
--- a/larchgw/model_checking/operator_calls/fault_injection.py
+++ b/larchgw/model_checking/operator_calls/fault_injection.py
@@ -1,4 +1,4 @@
-"""Troubles of the control processes and their links, and the calm after them."""
+"""Random faults of control processes, disks and links, and what must hold once they are over."""
 
 from __future__ import annotations
 
@@ -8,18 +8,25 @@
 
 from ...control.replicated_log import TICK_S
 from ..errors import InvariantError
-from .cluster import CALM_DELAY_S, Process, SimulatedCluster, no_link_is_cut
+from ..links import IsCut, cut_off, cut_off_one_way, no_link_is_cut
+from .cluster import Process, SimulatedCluster
 from .operators import Operators
 
-CALM_S = 8.0  # after the last trouble, until everything is served again
-CALM_BETWEEN_S = (0.1, 0.3, 0.8, 2.0)  # between two troubles, on average; which one is drawn for each run
+CONVERGENCE_S = 8.0  # after the last fault, until everything is served again
+FAULT_INTERVALS_S = (0.1, 0.3, 0.8, 2.0)  # between two faults, on average; which one is drawn for each run
 FIRST_BOOT_S = 0.2
-LOOK_S = 0.001  # how often it is looked for a proposal that is under way
-LONGEST_TROUBLE_S = 6.0  # when all of them have ended
+POLL_INTERVAL_S = 0.001  # how often it is looked for a proposal that is not decided
+MAX_FAULT_S = 6.0  # when all of them have ended
+RESTART_DELAYS_S = (0.05, 0.3, 1.0, 3.0)
+FREEZE_DURATIONS_S = (0.3, 0.8, 2.0, 4.0)
+PARTITION_DURATIONS_S = (0.3, 1.0, 2.0, 4.0)
+LEAVE_LIMITS_S = (0.05, 1.0, 2.0)  # from the request of a graceful leave to the end by force
+UNRELIABLE_S = 2.0
+DISK_FULL_RANGE_S = (0.2, 2.0)
 
 
 class FaultInjector:
-    """Plays troubles on a cluster. All choices come from its random generator."""
+    """Plays faults on a cluster. All choices come from its random generator."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
@@ -27,12 +34,12 @@
         faults: list[Callable[[], None]] = [
             self._kill,
             self._lose_power,
-            self._break_in_a_write,
+            self._crash_within_a_write,
             self._freeze,
-            self._cut,
-            self._cut_one_way,
-            self._unreliable,
-            self._leave,
+            self._partition,
+            self._partition_one_way,
+            self._make_links_unreliable,
+            self._restart_gracefully,
             self._fill_disk,
             self._kill_all,
             self._wipe,
@@ -40,41 +47,45 @@
         ]
         # Some sorts only, so that a run may have many of the same and of what goes together.
         drawn = self._random.sample(faults, self._random.choice((1, 2, 4, len(faults))))
-        self._faults = [self._cut_primary, self._cancel_calls, *drawn]
+        self._faults = [self._partition_primary, self._cancel_calls, *drawn]
 
     async def play(self, seconds: float) -> None:
-        """Starts all processes, and has troubles for so long."""
+        """Starts all processes, and has faults for so long."""
         for address in self._cluster.addresses:
-            self._later(self._random.uniform(0.0, FIRST_BOOT_S), partial(self._cluster.start, address, True))
+            self._schedule(
+                self._random.uniform(0.0, FIRST_BOOT_S), partial(self._cluster.start, address, True)
+            )
         end = self._cluster.loop.time() + seconds
-        between = self._random.choice(CALM_BETWEEN_S)
+        between = self._random.choice(FAULT_INTERVALS_S)
         await asyncio.sleep(1.0)
         while self._cluster.loop.time() < end:
             self._random.choice(self._faults)()
             await asyncio.sleep(self._random.expovariate(1.0 / between))
 
     async def recover(self, operators: Operators) -> None:
-        """Ends all troubles; what was acknowledged must be there, and acknowledged again."""
-        await asyncio.sleep(LONGEST_TROUBLE_S)
+        """Ends all faults; what was acknowledged must be there, and acknowledged again."""
+        await asyncio.sleep(MAX_FAULT_S)
         self._cluster.links.is_cut = no_link_is_cut
-        self._reliable()
+        self._cluster.links.become_reliable()
         for address, disk in self._cluster.disks.items():
             disk.full, disk.crash_after = False, None
             self._cluster.thaw(address)
             self._cluster.start(address)
-        await asyncio.sleep(CALM_S)
+        await asyncio.sleep(CONVERGENCE_S)
         self._cluster.links.answer_loss_rate = 0.0
         checks = self._cluster.checks
         if await operators.read() is None:
-            raise InvariantError(f"no read is answered {CALM_S} s after the last trouble")
+            raise InvariantError(f"no read is answered {CONVERGENCE_S} s after the last fault")
         for sent in checks.acknowledged[-3:]:
             if await operators.send(sent) != 200:
-                raise InvariantError(f"{sent} was acknowledged, and is not {CALM_S} s after the last trouble")
+                raise InvariantError(
+                    f"{sent} was acknowledged, and is not {CONVERGENCE_S} s after the last fault"
+                )
 
-    def _later(self, seconds: float, step: Callable[[], None]) -> None:
+    def _schedule(self, seconds: float, step: Callable[[], None]) -> None:
         self._cluster.loop.call_later(seconds, step)
 
-    def _any(self) -> str:
+    def _pick_address(self) -> str:
         """A machine; the primary's half of the time."""
         primaries = self._cluster.primaries
         if primaries and self._random.random() < 0.5:
@@ -82,17 +93,17 @@
         return self._random.choice(self._cluster.addresses)
 
     def _restart_later(self, address: str) -> None:
-        self._later(self._random.choice((0.05, 0.3, 1.0, 3.0)), partial(self._cluster.start, address))
+        self._schedule(self._random.choice(RESTART_DELAYS_S), partial(self._cluster.start, address))
 
-    # ---- troubles ----
+    # ---- faults ----
 
     def _kill(self) -> None:
-        address = self._any()
+        address = self._pick_address()
         self._cluster.kill(address)
         self._restart_later(address)
 
     def _lose_power(self) -> None:
-        address = self._any()
+        address = self._pick_address()
         self._cluster.kill(address, power=True)
         self._restart_later(address)
 
@@ -103,79 +114,71 @@
 
     def _wipe(self) -> None:
         if self._cluster.may_lose_a_disk():
-            address = self._any()
+            address = self._pick_address()
             self._cluster.wipe(address)
             self._restart_later(address)
 
-    def _break_in_a_write(self) -> None:
-        address = self._any()
+    def _crash_within_a_write(self) -> None:
+        address = self._pick_address()
         self._cluster.disks[address].crash_after = self._random.randrange(6)
-        self._later(3.0, partial(self._cluster.start, address))
+        self._schedule(3.0, partial(self._cluster.start, address))
 
     def _freeze(self) -> None:
-        address = self._any()
+        address = self._pick_address()
         self._cluster.freeze(address)
-        self._later(self._random.choice((0.3, 0.8, 2.0, 4.0)), partial(self._cluster.thaw, address))
+        self._schedule(self._random.choice(FREEZE_DURATIONS_S), partial(self._cluster.thaw, address))
 
-    def _side(self) -> set[str]:
+    def _draw_side(self) -> set[str]:
         if self._random.random() < 0.7:
-            return {self._any()}
+            return {self._pick_address()}
         return {address for address in self._cluster.addresses if self._random.random() < 0.5}
 
-    def _cut(self) -> None:
-        side = self._side()
-        self._cut_for(lambda sender, receiver: (sender in side) != (receiver in side))
+    def _partition(self) -> None:
+        self._apply_partition(cut_off(self._draw_side()))
 
-    def _cut_primary(self) -> None:
+    def _partition_primary(self) -> None:
         """Operators still reach it, and it does not know yet."""
-        primaries = self._cluster.primaries
-        self._cut_for(lambda sender, receiver: (sender in primaries) != (receiver in primaries))
+        self._apply_partition(cut_off(self._cluster.primaries))
 
-    def _cut_one_way(self) -> None:
-        side = self._side()
-        self._cut_for(lambda sender, receiver: sender in side and receiver not in side)
+    def _partition_one_way(self) -> None:
+        self._apply_partition(cut_off_one_way(self._draw_side()))
 
-    def _cut_for(self, cut: Callable[[str, str], bool]) -> None:
+    def _apply_partition(self, partition: IsCut) -> None:
         links = self._cluster.links
-        links.is_cut = cut
-        self._later(self._random.choice((0.3, 1.0, 2.0, 4.0)), lambda: self._heal(cut))
+        links.is_cut = partition
+        self._schedule(self._random.choice(PARTITION_DURATIONS_S), lambda: self._heal_partition(partition))
 
-    def _heal(self, cut: Callable[[str, str], bool]) -> None:
+    def _heal_partition(self, partition: IsCut) -> None:
         """Ends this cut, if it has not given way to another."""
-        if self._cluster.links.is_cut is cut:
+        if self._cluster.links.is_cut is partition:
             self._cluster.links.is_cut = no_link_is_cut
 
-    def _unreliable(self) -> None:
-        links = self._cluster.links
-        links.loss_rate, links.duplication_rate = self._random.choice(((0.05, 0.05), (0.3, 0.1), (0.0, 0.5)))
-        links.delay_range_s = self._random.choice((CALM_DELAY_S, (0.001, 0.2), (0.0, 0.03)))
-        self._later(2.0, self._reliable)
-
-    def _reliable(self) -> None:
+    def _make_links_unreliable(self) -> None:
         links = self._cluster.links
-        links.loss_rate, links.duplication_rate, links.delay_range_s = 0.0, 0.0, CALM_DELAY_S
+        links.become_unreliable(self._random)
+        self._schedule(UNRELIABLE_S, links.become_reliable)
 
-    def _leave(self) -> None:
+    def _restart_gracefully(self) -> None:
         """A planned end: by agreement with the others, or cut short."""
-        process = self._cluster.processes.get(self._any())
+        process = self._cluster.processes.get(self._pick_address())
         if process is not None:
             process.do(process.log.leave)
-            latest = self._cluster.loop.time() + self._random.choice((0.05, 1.0, 2.0))
-            self._end_once_left(process, latest)
+            latest = self._cluster.loop.time() + self._random.choice(LEAVE_LIMITS_S)
+            self._restart_once_left(process, latest)
 
-    def _end_once_left(self, process: Process, latest: float) -> None:
+    def _restart_once_left(self, process: Process, latest: float) -> None:
         if not process.is_alive:
             return
         if process.log.has_left or self._cluster.loop.time() >= latest:
             self._cluster.kill(process.address)
             self._restart_later(process.address)
         else:
-            self._later(TICK_S, lambda: self._end_once_left(process, latest))
+            self._schedule(TICK_S, lambda: self._restart_once_left(process, latest))
 
     def _fill_disk(self) -> None:
-        disk = self._cluster.disks[self._any()]
+        disk = self._cluster.disks[self._pick_address()]
         disk.full = True
-        self._later(self._random.uniform(0.2, 2.0), lambda: setattr(disk, "full", False))
+        self._schedule(self._random.uniform(*DISK_FULL_RANGE_S), lambda: setattr(disk, "full", False))
 
     def _cancel_calls(self) -> None:
         """Connections over which calls were passed on end: what serves them is cancelled where it stands.
@@ -192,4 +195,4 @@
                         task.cancel()
                 is_due = True
         if not is_due:
-            self._later(LOOK_S, lambda: self._cancel_at_a_proposal(latest))
+            self._schedule(POLL_INTERVAL_S, lambda: self._cancel_at_a_proposal(latest))
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -8,7 +8,7 @@
 import heapq
 import json
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 from math import inf
 from random import Random
@@ -22,43 +22,38 @@
 from ...rpc.codec import MAX_FRAME_BYTES
 from ...rpc.generated.ttypes import PeerMessage
 from ..errors import InvariantError, SimulatedCrashError
+from ..links import Links
 from ..simulated_disk import SimulatedDisk
 from .invariants import InvariantChecker
+from .machine import Machine, Proposal
 
 TICK = 0.02  # seconds
 LEASE_NAME = "placer"
 LEASE_TERM_S = 3.0
-PIECE_BYTES = 16  # so that a snapshot goes in several pieces
+CHUNK_BYTES = 16  # so that a snapshot goes in several pieces
 DELIVER_BYTES = 600  # so that records are handed out one to three at a time
 
 
 @dataclass
-class Machine:
-    """One machine: its disk, its process if that runs, and the state its process has built from records."""
-
-    address: str
-    disk: SimulatedDisk
-    clock_offset: float
-    member: Member | None = None
-    incarnation: int = 0
-    is_frozen: bool = False
-    inbox: list[Envelope] = field(default_factory=list)  # came while it was frozen
-    version: int = 0  # index of the newest record applied
-    # ticket -> the version it built on, its record
-    proposals: dict[int, tuple[int, bytes]] = field(default_factory=dict)
-    reads: dict[int, int] = field(default_factory=dict)  # ticket -> newest acknowledged when it began
-    digest: tuple[object, ...] = ()
+class ReplicationLinks(Links):
+    """Links that also limit and damage messages.
 
-    @property
-    def id(self) -> str:
-        """The identity on its disk; empty if there is none."""
-        stored = self.disk.cells.get("identity")
-        return "" if stored is None else str(json.loads(stored)["id"])
+    Attributes:
+        corruption_rate: Share of the chunks of snapshots that arrive altered.
+        corrupted_messages: How many did so far.
+        bytes_per_s: Throughput of each link.
+        max_body_bytes: Longer messages are dropped.
+    """
 
-    @property
-    def name(self) -> str:
-        """This life of the process."""
-        return f"{self.address}/{self.incarnation}"
+    corruption_rate: float = 0.0
+    corrupted_messages: int = 0
+    bytes_per_s: float = inf
+    max_body_bytes: int = MAX_FRAME_BYTES
+
+    def become_reliable(self) -> None:
+        """See Links."""
+        super().become_reliable()
+        self.corruption_rate = 0.0
 
 
 class SimulatedCluster:
@@ -79,17 +74,10 @@
         self.latest_view: View | None = None  # the newest in which somebody acted as primary
         self.write_s = 0.001
         self.has_leases = True
-        self.loss_rate = 0.0
-        self.duplication_rate = 0.0
-        self.corruption_rate = 0.0  # share of the pieces of snapshots that arrive altered
-        self.corrupted_messages = 0
-        self.max_body_bytes = MAX_FRAME_BYTES
-        self.snapshot_padding_bytes = 120  # of a snapshot besides what it says
-        self.piece_bytes = PIECE_BYTES
+        self.links = ReplicationLinks()
+        self.snapshot_padding_bytes = 120
+        self.chunk_bytes = CHUNK_BYTES
         self.compact_records = 12
-        self.link_bytes_per_s = inf  # a second
-        self.delay_range_s = (0.0005, 0.004)
-        self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self._queue: list[tuple[float, int, str, Envelope | None]] = []
         self._order = 0
 
@@ -114,14 +102,10 @@
             LEASE_TERM_S,
             compact_records=self.compact_records,
             batch_bytes=200,
-            chunk_bytes=self.piece_bytes,
+            chunk_bytes=self.chunk_bytes,
             deliver_bytes=DELIVER_BYTES,
         )
-        machine.version = 0
-        machine.proposals.clear()
-        machine.reads.clear()
-        machine.inbox.clear()
-        machine.is_frozen = False
+        machine.forget_process()
         try:
             machine.member = Member(
                 settings, machine.disk.ports(), partial(self._snapshot, machine), self.random
@@ -286,8 +270,8 @@
                     f"{machine.name} ends a call as of {done.index}, but has {machine.version}"
                 )
             if done.call.number in machine.proposals:
-                built_on, record = machine.proposals.pop(done.call.number)
-                self.checks.acknowledged(done.index, built_on, record)
+                proposal = machine.proposals.pop(done.call.number)
+                self.checks.acknowledged(done.index, proposal.base_version, proposal.record)
                 self.acknowledged += 1
             else:
                 self.checks.read(machine.name, machine.reads.pop(done.call.number), done.index)
@@ -308,7 +292,7 @@
             if self.latest_view is None or member.acting_epoch > self.latest_view.epoch:
                 self.latest_view = member.view
         self._check_lease(machine, member)
-        if member.discarded_snapshots and not self.corrupted_messages:
+        if member.discarded_snapshots and not self.links.corrupted_messages:
             raise InvariantError(f"{machine.name} has put a snapshot together wrongly")
         epoch = 0 if member.view is None else member.view.epoch
         machine.digest = (member.id, epoch, member.acting_epoch, member.committed_index, member.last_index)
@@ -320,16 +304,17 @@
             self.checks.holds_lease(self.now, member.id, lease.fencing_token)
 
     def _transmit(self, machine: Machine, outgoing: Outgoing, written: float) -> None:
+        links = self.links
         self._check_vote(outgoing.message)
-        if self.is_cut(machine.address, outgoing.address) or self.random.random() < self.loss_rate:
+        if links.is_cut(machine.address, outgoing.address) or self.random.random() < links.loss_rate:
             return
-        if outgoing.address not in self.machines or len(outgoing.message.body) > self.max_body_bytes:
+        if outgoing.address not in self.machines or len(outgoing.message.body) > links.max_body_bytes:
             return
-        copies = 2 if self.random.random() < self.duplication_rate else 1
+        copies = 2 if self.random.random() < links.duplication_rate else 1
         for _ in range(copies):
             message = self._altered(outgoing.message)
-            sent = written + len(message.body) / self.link_bytes_per_s
-            self._push(sent + self.random.uniform(*self.delay_range_s), outgoing.address, message)
+            sent = written + len(message.body) / links.bytes_per_s
+            self._push(sent + self.random.uniform(*links.delay_range_s), outgoing.address, message)
 
     def _check_vote(self, message: Envelope) -> None:
         if message.kind not in ("promise", "accepted"):
@@ -342,13 +327,10 @@
 
     def _altered(self, message: PeerMessage) -> PeerMessage:
         """The message as it arrives: a piece of a snapshot may be damaged on its way."""
-        if (
-            message.kind != "install"
-            or not self.corruption_rate
-            or self.random.random() >= self.corruption_rate
-        ):
+        rate = self.links.corruption_rate
+        if message.kind != "install" or not rate or self.random.random() >= rate:
             return message
-        self.corrupted_messages += 1
+        self.links.corrupted_messages += 1
         body = message.body[:-1] + bytes([message.body[-1] ^ 1])
         return PeerMessage(message.sender, message.receiver, message.kind, body)
 
@@ -364,17 +346,17 @@
         member = machine.member
         if member is None or machine.is_frozen or not member.is_primary:
             return False
-        built_on = member.last_index
-        record = json.dumps([built_on, self.random.randrange(1 << 30)]).encode()
+        base_version = member.last_index
+        record = json.dumps([base_version, self.random.randrange(1 << 30)]).encode()
         clock = self.clock(machine)
         try:
-            ticket, effects = member.propose(clock, record)
+            call, effects = member.propose(clock, record)
         except (NotPrimaryError, OSError):
             return False
         except SimulatedCrashError:
             self._crash(machine)
             return False
-        machine.proposals[ticket.number] = (built_on, record)
+        machine.proposals[call.number] = Proposal(base_version, record)
         self._carry_out(machine, effects, 2 * self.write_s)
         return True
 
@@ -384,10 +366,10 @@
         if member is None or machine.is_frozen:
             return False
         try:
-            ticket, effects = member.confirm(self.clock(machine))
+            call, effects = member.confirm(self.clock(machine))
         except NotPrimaryError:
             return False
-        machine.reads[ticket.number] = self.checks.newest_acknowledged
+        machine.reads[call.number] = self.checks.newest_acknowledged
         self._carry_out(machine, effects)
         return True
 
--- a/larchgw/model_checking/replication/exhaustive_search.py
+++ b/larchgw/model_checking/replication/exhaustive_search.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from .cluster import Machine
+from .machine import Machine
 from .random_walk import RandomWalk
 
 SUSPICION = 0.75  # seconds without the primary: enough for a backup to act
--- a/larchgw/model_checking/replication/fault_injection.py
+++ b/larchgw/model_checking/replication/fault_injection.py
@@ -1,5 +1,6 @@
-"""A random course of faults over a simulated set of machines, within what the system promises to survive, and
-what must hold once the faults are over."""
+"""Random faults over a simulated cluster, within what the system promises to survive, and what must hold
+once they are over.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +8,22 @@
 from functools import partial
 
 from ..errors import InvariantError
-from .cluster import LEASE_NAME, LEASE_TERM_S, Machine, SimulatedCluster
-
-STEP = 0.05  # seconds between two decisions
-FIRST_BOOT = 0.35  # seconds in which the machines start for the first time
-GRACE = 1.5  # seconds from the wish to end to the end by force
-CALM = 2 * LEASE_TERM_S + 4.0  # seconds after the last fault within which everything must work again
+from ..links import cut_off, cut_off_one_way, no_link_is_cut
+from .cluster import LEASE_NAME, LEASE_TERM_S, SimulatedCluster
+from .machine import Machine
+
+STEP_S = 0.05  # between two decisions, on average
+FIRST_BOOT_S = 0.35  # in which the machines start for the first time
+GRACE_S = 1.5  # from the request of a graceful leave to the end by force
+CONVERGENCE_S = 2 * LEASE_TERM_S + 4.0  # after the last fault, until everything must work again
+RESTART_DELAYS_S = (0.05, 0.3, 1.0, 3.0)
+FREEZE_DURATIONS_S = (0.3, 0.8, 2.0, 5.0)
+PARTITION_DURATIONS_S = (0.3, 1.0, 4.0)
+UNRELIABLE_S = 2.0
+SLOW_DISKS_S = 2.0
+DISK_FULL_RANGE_S = (0.2, 2.0)
+CALM_WRITE_S = 0.001
+SLOW_WRITES_S = (0.02, 0.1)
 
 
 class FaultInjector:
@@ -21,37 +32,37 @@
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self._random = cluster.random
-        self._due: list[tuple[float, Callable[[], None]]] = []  # ends of faults
-        self._leaving: dict[str, Callable[[], None]] = {}  # address -> what follows its end
+        self._scheduled: list[tuple[float, Callable[[], None]]] = []  # ends of faults
+        self._after_leave: dict[str, Callable[[], None]] = {}  # address -> what follows its end
         self._faults: list[Callable[[], None]] = [
             self._kill,
             self._lose_power,
-            self._break_in_a_write,
+            self._crash_within_a_write,
             self._freeze,
-            self._cut,
-            self._cut_one_way,
-            self._unreliable,
+            self._partition,
+            self._partition_one_way,
+            self._make_links_unreliable,
             self._wipe,
-            self._wipe_one_and_power_off,
+            self._wipe_and_power_off_all,
             self._kill_all,
             self._power_off_all,
             self._replace,
             self._step_down,
             self._fill_disk,
-            self._slow_disks,
-            self._leave,
-            self._replace_in_order,
+            self._make_disks_slow,
+            self._restart_gracefully,
+            self._replace_gracefully,
         ]
 
-    def play(self, seconds: float, calm_between: float) -> None:
-        """Plays faults, on average one in `calm_between` seconds."""
+    def play(self, seconds: float, mean_interval_s: float) -> None:
+        """Plays faults, on average one in `mean_interval_s` seconds."""
         self._first_boot()
         end = self._cluster.now + seconds
-        while self._cluster.now < end - seconds + FIRST_BOOT:
+        while self._cluster.now < end - seconds + FIRST_BOOT_S:
             self._step()
         while self._cluster.now < end:
             self._step()
-            if self._random.random() < STEP / calm_between:
+            if self._random.random() < STEP_S / mean_interval_s:
                 self._random.choice(self._faults)()
 
     def recover(self) -> None:
@@ -65,37 +76,37 @@
             late = self._random.random() < 0.1 and late_left > 0
             late_left -= late
             if not late:
-                self._after(self._random.uniform(0.0, 0.3), partial(self._start, address, True))
+                self._schedule(self._random.uniform(0.0, 0.3), partial(self._start, address, True))
             else:  # killed before it had said anything: its next start is not a first boot
-                self._after(self._random.uniform(0.5, 3.0), partial(self._start, address))
+                self._schedule(self._random.uniform(0.5, 3.0), partial(self._start, address))
 
     def _step(self) -> None:
         """Time passes, faults end, and the operator sends a few calls to whoever may be primary."""
         cluster = self._cluster
-        cluster.run(self._random.uniform(0.1, 1.9) * STEP)
-        ended = [end for at, end in self._due if at <= cluster.now]
-        self._due = [(at, end) for at, end in self._due if at > cluster.now]
+        cluster.run(self._random.uniform(0.1, 1.9) * STEP_S)
+        ended = [end for at, end in self._scheduled if at <= cluster.now]
+        self._scheduled = [(at, end) for at, end in self._scheduled if at > cluster.now]
         for end in ended:
             end()
-        for address in [address for address in self._leaving if cluster.end_if_left(address)]:
-            self._leaving.pop(address)()
+        for address in [address for address in self._after_leave if cluster.end_if_left(address)]:
+            self._after_leave.pop(address)()
         for machine in cluster.primaries():
             if self._random.random() < 0.5:
                 cluster.change(machine)
             if self._random.random() < 0.5:
                 cluster.read(machine)
 
-    def _after(self, seconds: float, end: Callable[[], None]) -> None:
-        self._due.append((self._cluster.now + seconds, end))
+    def _schedule(self, seconds: float, end: Callable[[], None]) -> None:
+        self._scheduled.append((self._cluster.now + seconds, end))
 
     def _start(self, address: str, first_boot: bool = False) -> None:
         if address not in self._cluster.removed_addresses and self._cluster.machines[address].member is None:
             self._cluster.start(address, first_boot)
 
     def _restart_later(self, address: str) -> None:
-        self._after(self._random.choice((0.05, 0.3, 1.0, 3.0)), partial(self._start, address))
+        self._schedule(self._random.choice(RESTART_DELAYS_S), partial(self._start, address))
 
-    def _any(self) -> Machine | None:
+    def _pick_machine(self) -> Machine | None:
         """A running machine; the primary half of the time."""
         candidates = self._cluster.primaries() if self._random.random() < 0.5 else []
         candidates = candidates or self._cluster.running
@@ -104,109 +115,101 @@
     # ---- faults ----
 
     def _kill(self) -> None:
-        if (machine := self._any()) is not None:
+        if (machine := self._pick_machine()) is not None:
             self._cluster.kill(machine.address)
             self._restart_later(machine.address)
 
     def _lose_power(self) -> None:
-        if (machine := self._any()) is not None:
+        if (machine := self._pick_machine()) is not None:
             self._cluster.lose_power(machine.address)
             self._restart_later(machine.address)
 
-    def _break_in_a_write(self) -> None:
-        if (machine := self._any()) is not None:
+    def _crash_within_a_write(self) -> None:
+        if (machine := self._pick_machine()) is not None:
             machine.disk.crash_after = self._random.randrange(6)
 
     def _freeze(self) -> None:
-        if (machine := self._any()) is not None:
+        if (machine := self._pick_machine()) is not None:
             self._cluster.freeze(machine.address)
-            self._after(
-                self._random.choice((0.3, 0.8, 2.0, 5.0)), partial(self._cluster.thaw, machine.address)
+            self._schedule(
+                self._random.choice(FREEZE_DURATIONS_S), partial(self._cluster.thaw, machine.address)
             )
 
-    def _cut(self) -> None:
-        side = self._side()
-        self._cluster.is_cut = lambda sender, receiver: (sender in side) != (receiver in side)
-        self._after(self._random.choice((0.3, 1.0, 4.0)), self._heal)
+    def _partition(self) -> None:
+        self._cluster.links.is_cut = cut_off(self._draw_side())
+        self._schedule(self._random.choice(PARTITION_DURATIONS_S), self._heal_partition)
 
-    def _side(self) -> set[str]:
+    def _draw_side(self) -> set[str]:
         """One machine alone, or about half of them."""
-        if self._random.random() < 0.5 and (machine := self._any()) is not None:
+        if self._random.random() < 0.5 and (machine := self._pick_machine()) is not None:
             return {machine.address}
         return {address for address in self._cluster.machines if self._random.random() < 0.5}
 
-    def _cut_one_way(self) -> None:
-        side = self._side()
-        self._cluster.is_cut = lambda sender, receiver: sender in side and receiver not in side
-        self._after(self._random.choice((0.3, 1.0, 4.0)), self._heal)
-
-    def _heal(self) -> None:
-        self._cluster.is_cut = lambda sender, receiver: False
+    def _partition_one_way(self) -> None:
+        self._cluster.links.is_cut = cut_off_one_way(self._draw_side())
+        self._schedule(self._random.choice(PARTITION_DURATIONS_S), self._heal_partition)
 
-    def _unreliable(self) -> None:
-        self._cluster.loss_rate, self._cluster.duplication_rate = self._random.choice(
-            ((0.05, 0.05), (0.3, 0.1), (0.0, 0.5))
-        )
-        self._cluster.delay_range_s = self._random.choice(((0.0005, 0.004), (0.001, 0.2), (0.0, 0.03)))
-        self._cluster.corruption_rate = self._random.choice((0.0, 0.0, 0.3))
-        self._after(2.0, self._reliable)
+    def _heal_partition(self) -> None:
+        self._cluster.links.is_cut = no_link_is_cut
 
-    def _reliable(self) -> None:
-        self._cluster.loss_rate = self._cluster.duplication_rate = self._cluster.corruption_rate = 0.0
-        self._cluster.delay_range_s = (0.0005, 0.004)
+    def _make_links_unreliable(self) -> None:
+        links = self._cluster.links
+        links.become_unreliable(self._random)
+        links.corruption_rate = self._random.choice((0.0, 0.0, 0.3))
+        self._schedule(UNRELIABLE_S, links.become_reliable)
 
     def _step_down(self) -> None:
-        if (machine := self._any()) is not None:
+        if (machine := self._pick_machine()) is not None:
             self._cluster.step_down(machine)
 
-    def _leave(self) -> None:
-        if (machine := self._any()) is not None:
-            self._end_in_order(machine.address, partial(self._restart_later, machine.address))
+    def _restart_gracefully(self) -> None:
+        if (machine := self._pick_machine()) is not None:
+            self._leave_gracefully(machine.address, partial(self._restart_later, machine.address))
 
-    def _replace_in_order(self) -> None:
+    def _replace_gracefully(self) -> None:
         """The new machine first, then the end of the old."""
-        machine = self._any()
+        machine = self._pick_machine()
         if machine is not None and self._cluster.may_lose_a_disk():
             self._start(self._cluster.new_machine().address)
             ends_after = self._random.choice((0.0, 0.5, 2.0))
-            self._after(ends_after, partial(self._take_away_in_order, machine.address))
+            self._schedule(ends_after, partial(self._remove_gracefully, machine.address))
 
-    def _take_away_in_order(self, address: str) -> None:
+    def _remove_gracefully(self, address: str) -> None:
         if address not in self._cluster.removed_addresses and self._cluster.may_lose_a_disk():
-            self._end_in_order(address, partial(self._take_away, address))
+            self._leave_gracefully(address, partial(self._remove, address))
 
-    def _take_away(self, address: str) -> None:
+    def _remove(self, address: str) -> None:
         """Its disk goes too, unless others were lost meanwhile."""
         if self._cluster.may_lose_a_disk(address):
             self._cluster.destroy(address)
         else:
             self._restart_later(address)
 
-    def _end_in_order(self, address: str, after: Callable[[], None]) -> None:
-        """Asks the process to end, and ends it by force after GRACE."""
-        if address not in self._leaving:
+    def _leave_gracefully(self, address: str, after: Callable[[], None]) -> None:
+        """Asks the process to end, and ends it by force after GRACE_S."""
+        if address not in self._after_leave:
             self._cluster.leave(address)
-            self._leaving[address] = after
-            self._after(GRACE, partial(self._end_by_force, address))
+            self._after_leave[address] = after
+            self._schedule(GRACE_S, partial(self._kill_if_still_leaving, address))
 
-    def _end_by_force(self, address: str) -> None:
-        if address in self._leaving:
+    def _kill_if_still_leaving(self, address: str) -> None:
+        if address in self._after_leave:
             self._cluster.kill(address)
 
     def _fill_disk(self) -> None:
-        if (machine := self._any()) is not None:
+        if (machine := self._pick_machine()) is not None:
             machine.disk.full = True
-            self._after(self._random.uniform(0.2, 2.0), partial(self._free_disk, machine))
+            self._schedule(self._random.uniform(*DISK_FULL_RANGE_S), partial(self._free_disk, machine))
 
     def _free_disk(self, machine: Machine) -> None:
         machine.disk.full = False
 
-    def _slow_disks(self) -> None:
-        self._cluster.write_s = self._random.choice((0.02, 0.1))
-        self._after(2.0, self._fast_disks)
+    def _make_disks_slow(self) -> None:
+        self._cluster.write_s = self._random.choice(SLOW_WRITES_S)
+        self._schedule(SLOW_DISKS_S, self._make_disks_fast)
 
-    def _fast_disks(self) -> None:
-        self._cluster.write_s = 0.001
+    def _make_disks_fast(self) -> None:
+        self._cluster.write_s = CALM_WRITE_S
 
     def _kill_all(self) -> None:
         for address in self._cluster.machines:
@@ -221,19 +224,19 @@
     # ---- losses of disks, no more than the system promises to survive ----
 
     def _wipe(self) -> None:
-        machine = self._any()
+        machine = self._pick_machine()
         if machine is not None and self._cluster.may_lose_a_disk():
             self._cluster.wipe(machine.address)
             self._restart_later(machine.address)
 
-    def _wipe_one_and_power_off(self) -> None:
-        machine = self._any()
+    def _wipe_and_power_off_all(self) -> None:
+        machine = self._pick_machine()
         if machine is not None and self._cluster.may_lose_a_disk():
             self._power_off_all()
             self._cluster.wipe(machine.address)
 
     def _replace(self) -> None:
-        machine = self._any()
+        machine = self._pick_machine()
         if machine is not None and self._cluster.may_lose_a_disk():
             self._cluster.destroy(machine.address)
             self._restart_later(self._cluster.new_machine().address)
@@ -241,14 +244,14 @@
     # ---- afterwards ----
 
     def _end_faults(self) -> None:
-        for address, after in self._leaving.items():
+        for address, after in self._after_leave.items():
             self._cluster.kill(address)
             after()
-        self._leaving = {}
-        self._due = []
-        self._heal()
-        self._reliable()
-        self._fast_disks()
+        self._after_leave = {}
+        self._scheduled = []
+        self._heal_partition()
+        self._cluster.links.become_reliable()
+        self._make_disks_fast()
         for machine in self._cluster.machines.values():
             machine.disk.full = False
             machine.disk.crash_after = None
@@ -258,14 +261,14 @@
 
     def _check_recovery(self) -> None:
         cluster = self._cluster
-        end = cluster.now + CALM
+        end = cluster.now + CONVERGENCE_S
         while cluster.now < end:
             self._step()
         before = cluster.acknowledged, cluster.confirmed
         for _ in range(20):
             self._step()
         if cluster.acknowledged == before[0] or cluster.confirmed == before[1]:
-            raise InvariantError(f"no change or no read is taken {CALM} s after the last fault")
+            raise InvariantError(f"no change or no read is taken {CONVERGENCE_S} s after the last fault")
         self._check_members()
 
     def _check_members(self) -> None:
@@ -275,9 +278,9 @@
             machine.id for machine in cluster.running if view is None or machine.id not in view.in_sync
         ]
         if outside:
-            raise InvariantError(f"{outside} are not in sync {CALM} s after the last fault: {view}")
+            raise InvariantError(f"{outside} are not in sync {CONVERGENCE_S} s after the last fault: {view}")
         if not any(
             machine.member is not None and machine.member.lease(cluster.clock(machine), LEASE_NAME)
             for machine in cluster.running
         ):
-            raise InvariantError(f"nobody holds the lease {CALM} s after the last fault")
+            raise InvariantError(f"nobody holds the lease {CONVERGENCE_S} s after the last fault")
--- a/larchgw/model_checking/replication/random_walk.py
+++ b/larchgw/model_checking/replication/random_walk.py
@@ -6,7 +6,9 @@
 from __future__ import annotations
 
 from ...replication.messages import Envelope
-from .cluster import Machine, SimulatedCluster
+from ..links import no_link_is_cut
+from .cluster import SimulatedCluster
+from .machine import Machine
 
 LEAPS = (0.02, 0.02, 0.05, 0.12, 0.12, 0.55, 0.7)  # seconds by which a clock runs ahead of a tick
 MAX_PENDING = 60  # messages under way; beyond this the oldest are lost
@@ -18,7 +20,7 @@
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
         super().__init__(seed, machines, seeds, survive)
         self.has_leases = False
-        self.corruption_rate = 0.03 * (seed % 2)
+        self.links.corruption_rate = 0.03 * (seed % 2)
         self.pending: list[tuple[str, Envelope]] = []
         for address in self.machines:
             self.start(address, first_boot=True)
@@ -113,10 +115,10 @@
         """Cuts one machine off, the primary most of the time, or ends all cuts."""
         candidates = self.primaries() or self.running
         if self.random.random() < 0.5 or not candidates:
-            self.is_cut = lambda sender, receiver: False
+            self.links.is_cut = no_link_is_cut
             return
         alone = self.random.choice(candidates).address
-        self.is_cut = lambda sender, receiver: alone in (sender, receiver)
+        self.links.is_cut = lambda sender, receiver: alone in (sender, receiver)
 
     def _lose_a_disk(self) -> None:
         machine = self.random.choice(list(self.machines.values()))
--- a/larchgw/model_checking/replication/redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -12,14 +12,15 @@
 from dataclasses import dataclass
 
 from ...runtime.logs import muted
-from .cluster import Machine, SimulatedCluster
+from .cluster import SimulatedCluster
+from .machine import Machine
 
 LINK_S = 0.0015
 WRITE_S = 0.005
 LINK_BYTES_PER_S = 125e6  # a second
 CHANGE_EVERY = 0.02  # seconds
 COMPACT_RECORDS = 100
-PIECE_BYTES = 256 << 10
+CHUNK_BYTES = 256 << 10
 WARM_UP = 2.5  # seconds, enough for a snapshot to be needed
 LARGE = 5_000_000  # bytes of state
 GIVES_UP = 15.0  # seconds
@@ -56,11 +57,11 @@
 def seconds_to_redundancy(case: Case, shape: tuple[int, int, int], seed: int, state_bytes: int) -> float:
     """Plays one case; GIVES_UP if it takes longer than that."""
     cluster = SimulatedCluster(seed, *shape)
-    cluster.delay_range_s = (LINK_S, LINK_S)
+    cluster.links.delay_range_s = (LINK_S, LINK_S)
     cluster.write_s = WRITE_S
-    cluster.link_bytes_per_s = LINK_BYTES_PER_S
+    cluster.links.bytes_per_s = LINK_BYTES_PER_S
     cluster.compact_records = COMPACT_RECORDS
-    cluster.piece_bytes = PIECE_BYTES
+    cluster.chunk_bytes = CHUNK_BYTES
     cluster.snapshot_padding_bytes = state_bytes
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
--- a/larchgw/model_checking/simulated_disk.py
+++ b/larchgw/model_checking/simulated_disk.py
@@ -4,9 +4,11 @@
 from __future__ import annotations
 
 import errno
+import json
 from collections.abc import Iterator
 from random import Random
 
+from ..identifiers import MemberId
 from ..replication.ports import Ports
 from .errors import SimulatedCrashError
 
@@ -41,6 +43,12 @@
                 self.crash_after = None
                 raise SimulatedCrashError
 
+    @property
+    def member_id(self) -> MemberId:
+        """The identity of the replicated state's member; empty if none is stored."""
+        stored = self.cells.get("identity")
+        return MemberId("" if stored is None else str(json.loads(stored)["id"]))
+
     def ports(self) -> Ports:
         """The ports of the process that starts on this disk."""
         return Ports(
--- a/tests/control/test_operator_failover.py
+++ b/tests/control/test_operator_failover.py
@@ -11,7 +11,8 @@
 from larchgw.control.configuration_state import ConfigurationState
 from larchgw.control.operator_order import OperatorOrder
 from larchgw.emulator import virtual_loop
-from larchgw.model_checking.operator_calls.cluster import Process, SimulatedCluster, no_link_is_cut
+from larchgw.model_checking.links import no_link_is_cut
+from larchgw.model_checking.operator_calls.cluster import Process, SimulatedCluster
 
 SILENCE_S = 1.0  # of an operator
 FAILOVER_S = 2.0  # a new primary acts within this
--- a/tests/model_checking/test_power_loss_after_acknowledgement.py
+++ b/tests/model_checking/test_power_loss_after_acknowledgement.py
@@ -48,7 +48,7 @@
 
 def run_until_acknowledged(cluster: SimulatedCluster) -> int:
     """Submits changes, some at once, and stops right after an acknowledgement; returns its index."""
-    cluster.delay_range_s = cluster.random.choice(((0.0005, 0.004), (0.0005, 0.03)))
+    cluster.links.delay_range_s = cluster.random.choice(((0.0005, 0.004), (0.0005, 0.03)))
     cluster.write_s = cluster.random.choice((0.001, 0.01))
     began, acknowledged = cluster.now, cluster.acknowledged
     while cluster.acknowledged == acknowledged:
@@ -68,7 +68,7 @@
 
 
 def start_in_any_order(cluster: SimulatedCluster, addresses: list[str]) -> None:
-    cluster.delay_range_s, cluster.write_s = (0.0005, 0.004), 0.001
+    cluster.links.delay_range_s, cluster.write_s = (0.0005, 0.004), 0.001
     for address in cluster.random.sample(addresses, len(addresses)):
         cluster.run(cluster.random.choice((0.0, 0.0, 0.05, 0.5)))
         cluster.start(address)
--- a/tests/model_checking/test_second_loss.py
+++ b/tests/model_checking/test_second_loss.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from larchgw.model_checking.replication.cluster import Machine, SimulatedCluster
+from larchgw.model_checking.replication.cluster import SimulatedCluster
+from larchgw.model_checking.replication.machine import Machine
 from larchgw.model_checking.replication.redundancy import is_redundant
 
 CATCH_UP = 4.0  # seconds after a machine's return in which it counts as lost
--- a/tests/replication/test_graceful_leave.py
+++ b/tests/replication/test_graceful_leave.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from larchgw.model_checking.replication.cluster import LEASE_NAME, Machine, SimulatedCluster
+from larchgw.model_checking.replication.cluster import LEASE_NAME, SimulatedCluster
+from larchgw.model_checking.replication.machine import Machine
 from larchgw.replication.planning import ObservedMembers, failover_view, next_view
 from larchgw.replication.view import View, first_view
 
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from larchgw.model_checking.replication.cluster import DELIVER_BYTES, Machine, SimulatedCluster
+from larchgw.model_checking.replication.cluster import DELIVER_BYTES, SimulatedCluster
+from larchgw.model_checking.replication.machine import Machine
 from larchgw.replication.effects import Effects
 
 
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -11,7 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchgw.model_checking.replication.cluster import Machine, SimulatedCluster
+from larchgw.model_checking.replication.cluster import SimulatedCluster
+from larchgw.model_checking.replication.machine import Machine
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
 from larchgw.replication.follower import Follower
@@ -344,7 +345,7 @@
 def test_no_message_grows_with_the_snapshot() -> None:
     """Before snapshots went in pieces a member that needed a larger one was never taken in again."""
     world = started(filling_bytes=4000)
-    world.max_body_bytes = 1000
+    world.links.max_body_bytes = 1000
     lost = backup(world).address
     world.wipe(lost)
     serve(world, 1.0)
@@ -359,10 +360,10 @@
     lost = backup(world).address
     world.wipe(lost)
     serve(world, 1.0)
-    world.loss_rate, world.duplication_rate = loss, double
+    world.links.loss_rate, world.links.duplication_rate = loss, double
     world.start(lost)
     assert serve(world, 20.0) >= 60
-    world.loss_rate = world.duplication_rate = 0.0
+    world.links.loss_rate = world.links.duplication_rate = 0.0
     serve(world, 4.0)
     assert in_sync(world, lost)
 
