--- a/larchgw/placement/completion_publisher.py
+++ b/larchgw/placement/completion_publisher.py
@@ -5,13 +5,15 @@
 import math
 from collections.abc import Callable
 
+from ..identifiers import RunnerId
+
 UNLOADING_MS = -1.0  # published instead of a time: the model or adapter is being unloaded
 
 
 class CompletionPublisher:
     """Keeps what was published last of each runner."""
 
-    def __init__(self, publish: Callable[[str, dict[str, float]], None]) -> None:
+    def __init__(self, publish: Callable[[RunnerId, dict[str, float]], None]) -> None:
         """Starts with nothing published.
 
         Args:
@@ -19,9 +21,9 @@
                 there.
         """
         self._publish = publish
-        self._published: dict[str, dict[str, float]] = {}
+        self._published: dict[RunnerId, dict[str, float]] = {}
 
-    def update(self, now_s: float, completions: dict[str, dict[str, float]]) -> None:
+    def update(self, now_s: float, completions: dict[RunnerId, dict[str, float]]) -> None:
         """Publishes what has changed, and withdraws what is not expected any more.
 
         Args:
--- a/larchgw/placement/demand_reports.py
+++ b/larchgw/placement/demand_reports.py
@@ -88,12 +88,12 @@
             if reported.waiting:
                 self._waiting.setdefault(key, {})[dispatcher] = reported
 
-    def drop_silent(self, now_s: float) -> None:
-        """Removes the reports of dispatchers that are silent by now."""
+    def drop_expired(self, now_s: float) -> None:
+        """Removes the reports of dispatchers that have been silent for too long."""
         if now_s <= self._next_expiry_s:
             return
-        silent = [name for name, known in self._dispatchers.items() if now_s > known.expires_at_s]
-        for name in silent:
+        expired = [name for name, known in self._dispatchers.items() if now_s > known.expires_at_s]
+        for name in expired:
             self._remove(name)
         self._next_expiry_s = min(
             (known.expires_at_s for known in self._dispatchers.values()), default=math.inf
--- a/larchgw/placement/demand_tracker.py
+++ b/larchgw/placement/demand_tracker.py
@@ -79,24 +79,26 @@
         if self._observed_since_s is None:
             self._observed_since_s = now_s - interval_s
         demand = {}
-        for line in report.models:
-            key = (line.service_name, line.model, line.adapter or "")
-            self._count_arrivals(now_s, key, line)
-            left_s = line.urgency_ms / 1000.0 if line.waiting > 0 and line.urgency_ms > 0 else math.inf
-            demand[key] = KeyDemand(max(line.waiting, 0), max(line.in_flight, 0), now_s + left_s)
+        for reported in report.models:
+            key = (reported.service_name, reported.model, reported.adapter or "")
+            self._count_arrivals(now_s, key, reported)
+            left_s = (
+                reported.urgency_ms / 1000.0 if reported.waiting > 0 and reported.urgency_ms > 0 else math.inf
+            )
+            demand[key] = KeyDemand(max(reported.waiting, 0), max(reported.in_flight, 0), now_s + left_s)
         self._reports.replace(now_s, report.node_name, interval_s, demand)
 
-    def _count_arrivals(self, now_s: float, key: DemandKey, line: ModelDemandLike) -> None:
+    def _count_arrivals(self, now_s: float, key: DemandKey, reported: ModelDemandLike) -> None:
         model_key = key[:2]
         if key not in self._rates:
             self._rates[key] = RequestRate(now_s)
             self._adapters.setdefault(model_key, set()).add(key[2])
             if model_key not in self._model_rates:
                 self._model_rates[model_key] = RequestRate(now_s)
-        if line.arrivals > 0:
-            value = line.worth if line.worth > 0.0 else float(line.arrivals)
-            self._rates[key].add(now_s, line.arrivals, value)
-            self._model_rates[model_key].add(now_s, line.arrivals, value)
+        if reported.arrivals > 0:
+            value = reported.worth if reported.worth > 0.0 else float(reported.arrivals)
+            self._rates[key].add(now_s, reported.arrivals, value)
+            self._model_rates[model_key].add(now_s, reported.arrivals, value)
 
     def requests_per_s(self, key: DemandKey) -> float:
         """Returns the expected rate for this very key."""
@@ -165,7 +167,7 @@
             del self._adapters[model_key], self._model_rates[model_key]
 
     def _current_reports(self) -> DemandReports:
-        self._reports.drop_silent(self._clock())
+        self._reports.drop_expired(self._clock())
         return self._reports
 
     def _expected_rate(self, rate: RequestRate | None) -> float:
--- a/larchgw/placement/evictions.py
+++ b/larchgw/placement/evictions.py
@@ -5,6 +5,7 @@
 import math
 from dataclasses import dataclass
 
+from ..identifiers import RunnerId
 from .load_candidates import LoadCandidate
 from .model import loadable_name
 from .runner_state import MEMORY_MARGIN_MB, RunnerState
@@ -37,7 +38,7 @@
         """
         self._demand, self._capacity = demand, demand.inputs.capacity
         self._used_mb = {runner.id: runner.used_mb(self._capacity) for runner in runners}
-        self._model_evictions: dict[str, list[Eviction]] = {}  # by runner id
+        self._model_evictions: dict[RunnerId, list[Eviction]] = {}
 
     def evictions_for(self, candidate: LoadCandidate, runner: RunnerState) -> list[Eviction] | None:
         """Returns what to give up at `runner` so that the load fits; None if that can't be done now."""
--- a/larchgw/placement/load_completions.py
+++ b/larchgw/placement/load_completions.py
@@ -5,6 +5,7 @@
 import math
 from collections.abc import Iterable
 
+from ..identifiers import RunnerId
 from .model import Order
 from .runner_state import RunnerState
 
@@ -33,12 +34,14 @@
     state.unconfirmed_unloads = {name: at for name, at in state.unconfirmed_unloads.items() if name in listed}
 
 
-def expected_load_completions(now_s: float, runners: Iterable[RunnerState]) -> dict[str, dict[str, float]]:
+def expected_load_completions(
+    now_s: float, runners: Iterable[RunnerState]
+) -> dict[RunnerId, dict[str, float]]:
     """Returns, by runner id and `loadable_name`, when each model or adapter can be used there.
 
     What is being unloaded has an infinite time. What check-ins show already has no entry.
     """
-    completions: dict[str, dict[str, float]] = {}
+    completions: dict[RunnerId, dict[str, float]] = {}
     for state in runners:
         _drop_unconfirmed(now_s, state)
         by_name = dict.fromkeys(state.unconfirmed_unloads, math.inf) | state.unconfirmed_loads
--- a/larchgw/placement/load_rate_limit.py
+++ b/larchgw/placement/load_rate_limit.py
@@ -12,6 +12,8 @@
 import math
 from collections.abc import Set
 
+from ..identifiers import RunnerId
+
 EXTRA_LOADS = 3  # that the rule allows in a window on top of the rate
 MARGIN_SHARE = 0.1  # of the limit, kept back for loads that a predecessor began unseen; one at least
 
@@ -32,7 +34,7 @@
         """
         self._window_s, self._rate_factor = window_s, rate_factor
         self._limit = 1
-        self._reserved_at: dict[str, float] = {}  # runner id -> when its order was sent; outcome not seen
+        self._reserved_at: dict[RunnerId, float] = {}  # when its order was sent; outcome not seen
         self._begun_by: list[float] = []  # latest times at which loads can have begun
         self._exhausted_until = -math.inf
         self.set_rate(loads_per_s)
@@ -54,22 +56,22 @@
         self._begun_by = [at for at in self._begun_by if at + self._window_s >= now_s]
         return self._limit - len(self._begun_by) - len(self._reserved_at)
 
-    def reserved_runner_ids(self) -> Set[str]:
+    def reserved_runner_ids(self) -> Set[RunnerId]:
         """Returns the runners at which an ordered load may yet begin."""
         return self._reserved_at.keys()
 
-    def reserve(self, now_s: float, runner_id: str) -> None:
+    def reserve(self, now_s: float, runner_id: RunnerId) -> None:
         """Counts a load whose order is about to be sent: it may begin from now on."""
         if runner_id in self._reserved_at:
             self.confirm(now_s, runner_id)
         self._reserved_at[runner_id] = now_s
 
-    def confirm(self, now_s: float, runner_id: str) -> None:
+    def confirm(self, now_s: float, runner_id: RunnerId) -> None:
         """Ends a reservation whose load has begun, or never will: it can not begin later than now."""
         if self._reserved_at.pop(runner_id, None) is not None:
             self._begun_by.append(now_s)
 
-    def release(self, runner_id: str) -> None:
+    def release(self, runner_id: RunnerId) -> None:
         """Gives a reservation back: the order was not taken and never will be."""
         self._reserved_at.pop(runner_id, None)
 
--- a/larchgw/placement/model.py
+++ b/larchgw/placement/model.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum, StrEnum, auto
 
+from ..identifiers import RunnerId
+
 
 class OrderAction(StrEnum):
     """What an order asks a runner to do; the value is the text of "order" in the body of POST /order."""
@@ -33,7 +35,7 @@
         purpose: For an unload, the `loadable_name` of what is to be loaded into the memory that it frees.
     """
 
-    runner_id: str
+    runner_id: RunnerId
     address: str
     action: OrderAction
     model: str
--- a/larchgw/placement/orders.py
+++ b/larchgw/placement/orders.py
@@ -16,6 +16,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPClientError, HTTPResponse
 
+from ..identifiers import RunnerId
 from .model import Order, OrderOutcome, RunnerReport
 
 log = structlog.get_logger()
@@ -65,7 +66,7 @@
             return _failure(error, body)
         return outcome_of(response.code)
 
-    async def report(self, runner_id: str, address: str) -> RunnerReport | None:
+    async def report(self, runner_id: RunnerId, address: str) -> RunnerReport | None:
         """Reads a runner's report; None if it gave none."""
         try:
             response = await self._call(runner_id, address, "/report")
@@ -79,7 +80,7 @@
 
     async def _call(
         self,
-        runner_id: str,
+        runner_id: RunnerId,
         address: str,
         path: str,
         *,
--- a/larchgw/placement/polls.py
+++ b/larchgw/placement/polls.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Container, Iterable
 
+from ..identifiers import RunnerId
 from .runner_state import RunnerState
 
 MIN_POLL_INTERVAL_S = 0.15  # between polls of a runner whose order should be done, growing to the next
@@ -14,7 +15,7 @@
 
 
 def due_polls(
-    now_s: float, runners: Iterable[RunnerState], pending: Container[str], limit: int
+    now_s: float, runners: Iterable[RunnerState], pending: Container[RunnerId], limit: int
 ) -> list[RunnerState]:
     """Returns the runners whose report is wanted now, and notes when each is to be asked again.
 
--- a/larchgw/placement/popularity_change.py
+++ b/larchgw/placement/popularity_change.py
@@ -79,8 +79,7 @@
         """Returns the expected value, a second, of the requests for a model that becomes busy.
 
         It is weighed by how likely that is within the horizon. A model whose demand has begun to fall counts
-        as idle
-        already: it may come back.
+        as idle already: it may come back.
         """
         weight = self._weights.get(name, 0.0)
         if weight == 0.0:
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -1,8 +1,7 @@
 """The current state of all runners: check-ins, reports and outcomes of orders in; polls and completions out.
 
-Pure: time is an argument (seconds, monotonic clock). The loop that this is a part of is described in the
-    package's
-docstring, the phases of one runner at `OrderTracker`.
+Pure: time is an argument (seconds, monotonic clock). The package's docstring describes the loop that this is
+a part of, `OrderTracker` the phases of one runner.
 """
 
 from __future__ import annotations
@@ -10,6 +9,7 @@
 from collections.abc import Container
 
 from ..configuration.model import Configuration
+from ..identifiers import RunnerId
 from ..runner_directory.runner_record import RunnerRecord, Stage
 from .errors import InvalidStateError
 from .load_completions import confirm_by_check_in, expected_load_completions
@@ -39,14 +39,14 @@
         """
         self.load_limiter = load_limiter
         self.capacities: dict[str, ServiceCapacity] = {}
-        self._runners: dict[str, RunnerState] = {}
+        self._runners: dict[RunnerId, RunnerState] = {}
         self._durations = OrderDurations(self._loads_in_progress)
         self._orders = OrderTracker(settings, load_limiter, self._durations)
 
     # ---- What is known ----
 
     @property
-    def runners(self) -> dict[str, RunnerState]:
+    def runners(self) -> dict[RunnerId, RunnerState]:
         """All runners by id."""
         return self._runners
 
@@ -71,7 +71,7 @@
             has_lease: Whether this process places models. One that does not counts what others load, so that
                 it knows the store's budget if it becomes the holder.
         """
-        state = self._runners.get(record.id)
+        state = self._runners.get(RunnerId(record.id))
         if record.stage is Stage.GONE:
             if state is not None:
                 self._remove(now_s, state)
@@ -84,7 +84,7 @@
 
     def _add(self, record: RunnerRecord) -> None:
         state = RunnerState(record, held_models(record))
-        self._runners[record.id] = state
+        self._runners[state.id] = state
         self._durations.remember_models(state)
 
     def _update(self, now_s: float, state: RunnerState, record: RunnerRecord, has_lease: bool) -> None:
@@ -110,18 +110,18 @@
     # ---- Polls ----
 
     def due_polls(
-        self, now_s: float, pending: Container[str] = (), limit: int = MAX_POLLS
+        self, now_s: float, pending: Container[RunnerId] = (), limit: int = MAX_POLLS
     ) -> list[RunnerState]:
         """Returns the runners whose report is wanted now; see `polls.due_polls`."""
         return due_polls(now_s, self._runners.values(), pending, limit)
 
-    def receive_report(self, now_s: float, runner_id: str, report: RunnerReport) -> None:
+    def receive_report(self, now_s: float, runner_id: RunnerId, report: RunnerReport) -> None:
         """Takes in a runner's report, which is some hundred milliseconds old."""
         state = self._runners.get(runner_id)
         if state is not None:
             self._orders.receive_report(now_s, state, report)
 
-    def poll_failed(self, now_s: float, runner_id: str) -> None:
+    def poll_failed(self, now_s: float, runner_id: RunnerId) -> None:
         """Notes that a runner gave no report."""
         state = self._runners.get(runner_id)
         if state is not None:
@@ -155,7 +155,7 @@
 
     # ---- What is published ----
 
-    def expected_completions(self, now_s: float) -> dict[str, dict[str, float]]:
+    def expected_completions(self, now_s: float) -> dict[RunnerId, dict[str, float]]:
         """Returns when what is being loaded can be used; see `load_completions.expected_load_completions`."""
         return expected_load_completions(now_s, self._runners.values())
 
@@ -175,7 +175,7 @@
         if gone:
             raise InvalidStateError(min(gone), "a load is reserved only for a runner that is known")
 
-    def _invariants(self, runner_id: str, state: RunnerState) -> dict[str, bool]:
+    def _invariants(self, runner_id: RunnerId, state: RunnerState) -> dict[str, bool]:
         in_progress = state.order_in_progress
         is_untaken_store_load = (
             in_progress is not None
--- a/larchgw/placement/runner_exchange.py
+++ b/larchgw/placement/runner_exchange.py
@@ -6,6 +6,7 @@
 
 import structlog
 
+from ..identifiers import RunnerId
 from .lease_watch import LeaseWatch
 from .model import Order, OrderOutcome
 from .orders import MAX_ORDERS
@@ -32,7 +33,7 @@
         """
         self._runtime, self._clock = runtime, runtime.clock
         self._lease_watch, self._reconciler = lease_watch, reconciler
-        self._polled: set[str] = set()  # ids of runners whose reports are awaited
+        self._polled: set[RunnerId] = set()  # ids of runners whose reports are awaited
         self._order_slots = asyncio.Semaphore(MAX_ORDERS)
 
     def poll_due(self, now_s: float) -> None:
--- a/larchgw/placement/runner_selection.py
+++ b/larchgw/placement/runner_selection.py
@@ -6,6 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from ..identifiers import RunnerId
 from .evictions import Eviction, EvictionPlanner
 from .load_candidates import LoadCandidate
 from .runner_state import RunnerState
@@ -78,7 +79,7 @@
         return LoadOption(runner, tuple(evictions), cost)
 
 
-def _work_shares(demand: ServiceDemand) -> dict[str, float]:
+def _work_shares(demand: ServiceDemand) -> dict[RunnerId, float]:
     """Returns each runner's part of the service's requests, were they spread evenly over holders."""
     work = {}
     for runner in demand.inputs.runners:
--- a/larchgw/placement/runner_state.py
+++ b/larchgw/placement/runner_state.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
+from ..identifiers import RunnerId
 from ..runner_directory.runner_record import RunnerRecord, Stage
 from .load_rate_limit import LoadRateLimiter
 from .model import Order, loadable_name
@@ -53,6 +54,7 @@
     """One incarnation of a runner. Times are on the monotonic clock, in seconds.
 
     Attributes:
+        id: The incarnation's id.
         record: Its newest check-in.
         held: Model -> adapters that it holds, by its newest report or, before the first, by its check-ins.
         order_count: Orders that it has taken; None until a report has shown it.
@@ -80,11 +82,11 @@
     backoff_until_s: float = 0.0
     unconfirmed_loads: dict[str, float] = field(default_factory=dict)
     unconfirmed_unloads: dict[str, float] = field(default_factory=dict)
+    id: RunnerId = field(init=False)
 
-    @property
-    def id(self) -> str:
-        """The incarnation's id."""
-        return self.record.id
+    def __post_init__(self) -> None:
+        """Takes the id from the first record; later ones bear the same."""
+        self.id = RunnerId(self.record.id)
 
     @property
     def phase(self) -> RunnerPhase:
@@ -177,7 +179,7 @@
         loads_in_progress: Loads from the weight store that are in progress.
     """
 
-    runners: Mapping[str, RunnerState]
+    runners: Mapping[RunnerId, RunnerState]
     load_limiter: LoadRateLimiter
     loads_in_progress: int = 0
 
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -90,7 +90,7 @@
     def receive_demand_report(self, report: DemandReportLike) -> None:
         """Takes in a dispatcher's report of demand."""
         self._demand.receive_report(report)
-        if any(line.waiting > 0 for line in report.models):
+        if any(reported.waiting > 0 for reported in report.models):
             self._request_waits.set()
 
     def summary(self) -> PlacementSummary | None:
--- a/larchgw/placement/service_runtime.py
+++ b/larchgw/placement/service_runtime.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+from ..identifiers import RunnerId
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 
 
@@ -29,7 +30,7 @@
     async def order(self, order: Order, fencing_token: int) -> OrderOutcome:
         """Sends an order; raises nothing."""
 
-    async def report(self, runner_id: str, address: str) -> RunnerReport | None:
+    async def report(self, runner_id: RunnerId, address: str) -> RunnerReport | None:
         """Reads a runner's report; None if it gave none."""
 
 
@@ -43,7 +44,7 @@
     task.add_done_callback(_tasks.discard)
 
 
-def publish_nothing(runner_id: str, completions_ms: dict[str, float]) -> None:
+def publish_nothing(runner_id: RunnerId, completions_ms: dict[str, float]) -> None:
     """Stands for `PlacementRuntime.publish` where no dispatcher listens."""
 
 
@@ -66,7 +67,7 @@
     clock: Callable[[], float]
     lease: Callable[[], Lease | None]
     calls: RunnerCalls
-    publish: Callable[[str, dict[str, float]], None] = publish_nothing
+    publish: Callable[[RunnerId, dict[str, float]], None] = publish_nothing
     spawn: Callable[[Coroutine[Any, Any, None]], None] = spawn_task
     settings: PlacementSettings = field(default_factory=PlacementSettings)
     random_source: random.Random = field(default_factory=random.Random)
--- a/larchgw/placement/summary.py
+++ b/larchgw/placement/summary.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 
+from ..identifiers import RunnerId
 from .demand_tracker import DemandTracker, ModelSummary
 from .reconciler import Reconciler
 
@@ -45,7 +46,7 @@
         is_accepted: Whether the runner is known to have taken it.
     """
 
-    runner_id: str
+    runner_id: RunnerId
     action: str
     name: str
     age_s: float
--- a/tests/placement/test_demand_reports.py
+++ b/tests/placement/test_demand_reports.py
@@ -35,7 +35,7 @@
         longest_s = max(interval_s, previous[1] if previous else 0.0)
         if previous is not None and now_s > previous[0]:
             longest_s = interval_s
-        table.drop_silent(now_s)
+        table.drop_expired(now_s)
         table.replace(now_s, dispatcher, interval_s, demand)
         expires_at_s = now_s + max(EXPIRY_S, EXPIRY_INTERVALS * longest_s)
         newest[dispatcher] = expires_at_s, interval_s, demand
