--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -2,34 +2,15 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
-from .messages import Accept, Append, AppendReply, Heartbeat, HeartbeatReply, InstallSnapshotReply
+from .log_sender import LogSender
+from .messages import Accept, AppendReply, Heartbeat, HeartbeatReply, InstallSnapshotReply
 from .outbound_messages import OutboundMessages
+from .peer import NEVER, Peer
 from .planning import ObservedMembers
 from .replica import Replica
 from .settings import MemberSettings
-from .snapshot_transfer import OutgoingSnapshot, Snapshot
 from .view import View
 
-NEVER = float("-inf")
-
-
-@dataclass(slots=True)
-class Peer:
-    """What the primary knows of one other member in this epoch."""
-
-    last_seen_at: float
-    next_index: int
-    match: int = -1  # everything up to here is durable there; -1 until that is known in this epoch
-    round: int = 0  # the newest heartbeat it granted
-    resend_at: float = NEVER  # of the append that is under way
-    in_flight: bool = False
-    overdue_at: float | None = None  # when it no longer counts as keeping up
-    replicating: bool = False
-    view_sent_at: float = NEVER
-    snapshot: OutgoingSnapshot | None = None  # on its way there; records wait until it is installed
-
 
 class Leadership:
     """The primary of one view that a quorum has accepted. Renewed with each view it forms while it stays
@@ -54,6 +35,7 @@
         self._settings = settings
         self._timing = settings.timing
         self._peers: dict[str, Peer] = {}
+        self._sender = LogSender(view.epoch, replica, outbox, settings, self._peers)
         self._proposed_backups: set[str] = set()
         self._entering: frozenset[str] = frozenset()  # a ballot is under way to take them in
         self._heartbeat_at = now
@@ -173,9 +155,7 @@
         return self.view.has_quorum((present | {self._member_id}) - released - {member})
 
     def _is_healthy(self, now: float, peer: Peer) -> bool:
-        if now - peer.last_seen_at > self._timing.backup_silence_s:
-            return False
-        return peer.overdue_at is None or now <= peer.overdue_at
+        return peer.is_healthy(now, self._timing.backup_silence_s)
 
     def _may_enter(self, now: float, member: str, leaving: frozenset[str]) -> bool:
         peer = self._peers[member]
@@ -239,64 +219,13 @@
             self.joined.pop(member, None)
 
     def replicate(self, now: float) -> None:
-        """Sends each replica what it lacks, one message under way at a time."""
-        for member, peer in self._peers.items():
-            if peer.replicating:
-                self._replicate_to(now, member, peer)
-
-    def _replicate_to(self, now: float, member: str, peer: Peer) -> None:
-        last = self._replica.last_index
-        if peer.match >= last:
-            peer.overdue_at = None
-            peer.in_flight = False
-            return
-        if peer.in_flight and now < peer.resend_at:
-            return
-        if peer.snapshot is None and peer.next_index < self._replica.first_index:
-            peer.snapshot = self._start_snapshot()
-        sent_bytes = (
-            self._send_records(member, peer)
-            if peer.snapshot is None
-            else self._send_chunk(member, peer.snapshot)
-        )
-        outstanding_bytes = sent_bytes if peer.snapshot is None else peer.snapshot.remaining_bytes
-        peer.in_flight = True
-        peer.resend_at = now + self._timing.retransmit_s + sent_bytes / self._timing.slowest_link_bytes_per_s
-        if peer.overdue_at is None:
-            peer.overdue_at = (
-                now
-                + self._timing.backup_silence_s
-                + outstanding_bytes / self._timing.slowest_link_bytes_per_s
-            )
-
-    def _send_records(self, member: str, peer: Peer) -> int:
-        replica = self._replica
-        first = peer.next_index
-        epochs, records = replica.batch(first, self._settings.batch_bytes)
-        append = Append(
-            self.view.epoch, first - 1, replica.epoch_at(first - 1), replica.committed, epochs, records
-        )
-        self._outbox.send(member, append)
-        return sum(map(len, records))
+        """Sends each replica what it lacks."""
+        self._sender.replicate(now)
 
     @property
     def is_sending_snapshot(self) -> bool:
         """Whether some member is being sent a snapshot: the records after it should be kept until then."""
-        return any(peer.snapshot is not None for peer in self._peers.values())
-
-    def _start_snapshot(self) -> OutgoingSnapshot:
-        """A transfer of the newest snapshot, which is read once for all members that need it."""
-        newest = self._replica.first_index - 1
-        shared = (peer.snapshot.snapshot for peer in self._peers.values() if peer.snapshot is not None)
-        snapshot = next((each for each in shared if each.index == newest), None)
-        if snapshot is None:
-            snapshot = Snapshot.of(*self._replica.snapshot())
-        return OutgoingSnapshot(self.view.epoch, snapshot, self._settings.chunk_bytes)
-
-    def _send_chunk(self, member: str, outgoing: OutgoingSnapshot) -> int:
-        install = outgoing.chunk()
-        self._outbox.send(member, install)
-        return len(install.chunk)
+        return self._sender.is_sending_snapshot
 
     def _send_view(self, now: float, member: str, peer: Peer) -> None:
         if now - peer.view_sent_at >= self._timing.heartbeat_interval_s / 2:
@@ -307,10 +236,9 @@
 
     def heartbeat_reply(self, now: float, sender: str, reply: HeartbeatReply) -> None:
         """A peer has answered a heartbeat of this epoch."""
-        peer = self._peers.get(sender)
-        if peer is None or reply.epoch != self.view.epoch:
+        peer = self._observe_reply(now, sender, reply.epoch)
+        if peer is None:
             return
-        peer.last_seen_at = now
         if not reply.granted:
             if self.refused_since is None:
                 self.refused_since = now
@@ -321,48 +249,27 @@
 
     def append_reply(self, now: float, sender: str, reply: AppendReply) -> None:
         """A replica has answered records of this epoch, or has installed a snapshot."""
-        peer = self._peers.get(sender)
-        if peer is None or reply.epoch != self.view.epoch:
-            return
-        peer.last_seen_at = now
-        if peer.snapshot is not None:
-            if not reply.matched or reply.index < peer.snapshot.snapshot.index:
-                return  # a late answer to records that were sent before the snapshot
-            peer.snapshot = None
-        if reply.matched:
-            if reply.index > peer.match:
-                peer.match = reply.index
-                peer.overdue_at = None
-            peer.next_index = peer.match + 1
-        else:
-            peer.next_index = min(reply.index, self._replica.last_index) + 1
-        peer.in_flight = False
-        self._replicate_to(now, sender, peer)
+        peer = self._observe_reply(now, sender, reply.epoch)
+        if peer is not None:
+            self._sender.append_reply(now, sender, peer, reply)
 
     def install_reply(self, now: float, sender: str, reply: InstallSnapshotReply) -> None:
-        """A replica tells how far a snapshot of this epoch has come."""
+        """A replica says how far a snapshot of this epoch has come."""
+        peer = self._observe_reply(now, sender, reply.epoch)
+        if peer is not None:
+            self._sender.install_reply(now, sender, peer, reply)
+
+    def _observe_reply(self, now: float, sender: str, epoch: int) -> Peer | None:
+        """The peer that replied, if it is known and the reply is of this epoch."""
         peer = self._peers.get(sender)
-        if peer is None or reply.epoch != self.view.epoch:
-            return
+        if peer is None or epoch != self.view.epoch:
+            return None
         peer.last_seen_at = now
-        if peer.snapshot is not None and peer.snapshot.acknowledge(reply.index, reply.offset):
-            peer.in_flight = False
-            self._replicate_to(now, sender, peer)
+        return peer
 
     def volatile_state(self) -> tuple[object, ...]:
         """Everything that answers have changed, times left out."""
-        peers = tuple(
-            (
-                member,
-                peer.match,
-                peer.next_index,
-                peer.round,
-                peer.in_flight,
-                peer.replicating,
-                None if peer.snapshot is None else peer.snapshot.offset,
-            )
-            for member, peer in sorted(self._peers.items())
-        )
+        peers = tuple((member, *peer.volatile_state()) for member, peer in sorted(self._peers.items()))
         return (self.view.epoch, self.round, self.takeover_index, frozenset(self._proposed_backups), peers)
 
     def successor(self, now: float, leaving: frozenset[str]) -> str | None:
