--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -8,7 +8,8 @@
 
 import structlog
 
-from ..replication.effects import Effects, NotPrimaryError, Outgoing, PendingCall
+from ..replication.effects import Effects, Outgoing, PendingCall
+from ..replication.errors import NotPrimaryError
 from ..replication.lease import Lease
 from ..replication.member import Member
 from ..rpc.generated.ttypes import PeerMessage
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -13,7 +13,8 @@
 from math import inf
 from random import Random
 
-from ...replication.effects import Effects, NotPrimaryError, Outgoing
+from ...replication.effects import Effects, Outgoing
+from ...replication.errors import NotPrimaryError
 from ...replication.member import Member
 from ...replication.message_codec import decode
 from ...replication.messages import Accepted, Envelope, Promise
--- a/larchgw/model_checking/replication/mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TypeVar
 
-from ...replication import identity, member, snapshot_transfer, view
+from ...replication import identity, member_parts, snapshot_transfer, view
 from ...replication.graceful_leave import GracefulLeave
 from ...replication.leadership import Leadership
 from ...replication.lease import LeaseHolder
@@ -151,7 +151,7 @@
     original: Callable[[ViewChanges, float, int, view.View], None],
 ) -> Callable[[ViewChanges, float, int, view.View], None]:
     def chosen(self: ViewChanges, now: float, epoch: int, chosen_view: view.View) -> None:
-        self.lead(now, chosen_view)
+        self._role.lead(now, chosen_view)
 
     return chosen
 
@@ -230,13 +230,13 @@
         "goes on as primary after a restart",
         play_random_walk,
         0,
-        (Patch(member, "load_or_create_identity", _leads_after_a_restart),),
+        (Patch(member_parts, "load_or_create_identity", _leads_after_a_restart),),
     ),
     Mutant(
         "keeps its vote after the loss of its disk",
         play_random_walk,
         15,
-        (Patch(member, "load_or_create_identity", _names_a_wiped_disk_as_before),),
+        (Patch(member_parts, "load_or_create_identity", _names_a_wiped_disk_as_before),),
     ),
     Mutant(
         "answers before its records are synced", play_random_walk, 0, (Patch(Replica, "sync", _always(None)),)
--- a/larchgw/replication/effects.py
+++ b/larchgw/replication/effects.py
@@ -8,10 +8,6 @@
 from .messages import Envelope
 
 
-class NotPrimaryError(Exception):
-    """Only the primary takes this call: pass it on to `Member.primary`, or try again once there is one."""
-
-
 class Role(Enum):
     """What a member is to the log. Votes as a witness are independent of it."""
 
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -8,97 +8,78 @@
 
 import structlog
 
-from .candidate import Candidate
-from .compaction import Compaction
-from .effects import Effects, NotPrimaryError, PendingCall, Role
-from .follower import Follower
-from .graceful_leave import GracefulLeave
-from .identity import load_or_create_identity
+from .effects import Effects, PendingCall, Role
+from .errors import MessageDecodeError, NotPrimaryError
+from .leadership import Leadership
 from .lease import Lease
-from .lease_acceptor import LeaseAcceptor
-from .lease_table import LeaseTable
-from .member_addresses import MemberAddresses
-from .message_codec import DecodeError, decode
-from .messages import (
-    Accept,
-    Accepted,
-    Append,
-    AppendReply,
-    Envelope,
-    Heartbeat,
-    HeartbeatReply,
-    InstallSnapshot,
-    InstallSnapshotReply,
-    JoinRequest,
-    LeaseRelease,
-    LeaseReply,
-    LeaseRequest,
-    LeaveGranted,
-    LeaveRequest,
-    Message,
-    Prepare,
-    PreVoteReply,
-    PreVoteRequest,
-    Promise,
-    TakeOver,
-)
-from .outbound_messages import OutboundMessages
-from .pending_calls import PendingCalls
+from .member_parts import assemble
+from .message_codec import decode
+from .message_router import MessageRouter
+from .messages import Envelope
 from .ports import Ports
-from .replica import Replica
 from .settings import MemberSettings
 from .view import View
-from .view_changes import ViewChanges
-from .witness import Witness
 
 log = structlog.get_logger()
 
 
 class Member:
-    """Fed messages and time; every call returns what the caller has to do. Not thread safe.
+    """A member of the replicated control state: fed messages and time, it returns what the caller has to do.
 
-    `snapshot` gives the caller's state as of the last record that an Effects has handed to it; it is asked at
-    the beginning of a tick, when all Effects returned before must have been carried out. Times are seconds on
-    a monotonic clock that counts time spent frozen."""
+    The state is a log of records, replicated from a primary to its backups. At any time each member plays
+    three parts that are independent of one another:
+
+    - A replica, as the last accepted view says: primary (appends, sends and acknowledges records), backup (in
+      sync: holds every acknowledged record) or learner (behind, or without data; asks to join).
+    - A witness, if the view names it as one: it promises epochs, accepts views and grants leases. A majority
+      of the witnesses is a quorum.
+    - A candidate, while it tries to form a view: as a backup that misses the primary, or as the primary that
+      changes its backups or witnesses.
+
+    What happens in order:
+
+    1. A record is appended at the primary, synced, and sent to the backups. It is acknowledged once it is
+       durable at the primary and at every backup of the view, `tolerated_failures` + 1 copies at least. So
+       every member of the in-sync set holds every acknowledged record, and whichever of them becomes primary
+       next has lost nothing.
+    2. A backup that is silent is left out by a new view, and one that has caught up is taken in by a new
+       view.
+    3. A primary that is silent is replaced: a backup asks a quorum whether they miss it too (pre-vote), and
+       then forms a view in two phases (`view_changes.ViewChanges`).
+    4. A read is confirmed by a heartbeat that a quorum grants after the read began: had another view been
+       formed before, a witness of that quorum would have promised its epoch and refused.
+
+    Every call is followed by the same steps: the member's own votes are counted, records that have enough
+    copies count as acknowledged, acknowledged records are handed out, and calls that wait for them end.
+    Nothing that a failed write was to make durable is ever sent.
+
+    Not thread safe. Times are seconds on a monotonic clock that counts time spent frozen.
+
+    Source: Viewstamped Replication Revisited (Liskov and Cowling, 2012); Paxos Made Simple (Lamport, 2001)
+    for the choice of views; Leases (Gray and Cheriton, 1989).
+
+    Attributes:
+        disk_error: The last write that the disk refused; None if none was.
+    """
 
     def __init__(
-        self, settings: MemberSettings, ports: Ports, snapshot: Callable[[], bytes], random: Random
+        self, settings: MemberSettings, ports: Ports, snapshot: Callable[[], bytes], random_source: Random
     ) -> None:
+        """Reads the disk; a member without an identity is given one.
+
+        Args: settings: Settings of the member. ports: Its durable storage. snapshot: Gives the caller's state
+            as of the last record that an Effects has handed to it; asked at the beginning of a tick, when all
+            Effects returned before must have been carried out. random_source: Staggers candidates.
+
+        Raises:
+            OSError: The disk refuses the first identity.
+        """
         self._settings = settings
         self._timing = settings.timing
-        self._witness = Witness(ports.witness)
-        self._lease_acceptor = LeaseAcceptor(ports.leases, settings.lease_term_s)
-        self._identity = load_or_create_identity(
-            ports.identity, settings, self._witness, self._lease_acceptor
-        )
-        self._member_id = self._identity.id
-        self._replica = Replica(ports.journal)
-        self._outbox = OutboundMessages(self._member_id, settings.address)
-        self._addresses = MemberAddresses(self._outbox)
-        self._follower = Follower(
-            self._member_id, settings.address, self._witness, self._replica, self._outbox, self._timing
-        )
-        candidate = Candidate(self._member_id, self._outbox, self._timing, random)
-        self._views = ViewChanges(
-            self._member_id,
-            settings,
-            self._witness,
-            self._lease_acceptor,
-            self._replica,
-            self._outbox,
-            self._addresses,
-            self._follower,
-            candidate,
-            self._fail_pending_calls,
-        )
-        self._leases = LeaseTable(self._member_id, self._lease_acceptor, settings, self._outbox, random)
-        self._compaction = Compaction(self._replica, settings, snapshot)
-        self._graceful_leave = GracefulLeave(self._member_id, self._outbox, self._timing)
-        self._pending_calls = PendingCalls()
+        self._parts = assemble(settings, ports, snapshot, random_source)
+        self._member_id = self._parts.identity.id
+        self._router = MessageRouter(self._member_id, self._parts)
         self._contacts: tuple[str, ...] = settings.seeds
-        self._effects = Effects()
-        self._role = Role.LEARNER
-        self._delivered = 0
         self._last_call_at = 0.0
         self.disk_error: OSError | None = None
 
@@ -111,311 +92,247 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether this member acts as primary and everything it took over is acknowledged. It may have been
-        replaced without knowing: only a done call proves anything."""
-        return self._views.leading is not None and self._views.leading.is_ready
+        """Whether this member acts as primary and everything it took over is acknowledged.
+
+        It may have been replaced without knowing: only a call that is done proves anything.
+        """
+        leading = self._parts.role.leading
+        return leading is not None and leading.is_ready
 
     @property
     def primary(self) -> str | None:
         """The rpc address of the primary, as far as it is known and was heard lately."""
-        if self._views.leading is not None:
+        if self._parts.role.leading is not None:
             return self._settings.address
-        view = self._witness.view
-        if (
-            view is None
-            or view.primary == self._member_id
-            or not self._follower.has_recent_primary(self._last_call_at)
-        ):
+        view = self._parts.witness.view
+        if view is None or view.primary == self._member_id:
             return None
-        return self._outbox.address_of(view.primary)
+        if not self._parts.follower.has_recent_primary(self._last_call_at):
+            return None
+        return self._parts.outbox.address_of(view.primary)
 
     @property
     def view(self) -> View | None:
-        """The last view that this member has accepted."""
-        return self._views.view
+        """The view that this member acts in as primary, or else the last that it has accepted."""
+        return self._parts.views.view
 
     @property
     def committed_index(self) -> int:
         """The newest record known to be acknowledged."""
-        return self._replica.committed
+        return self._parts.replica.committed
 
     @property
     def last_index(self) -> int:
         """The newest record of the log, acknowledged or not."""
-        return self._replica.last_index
+        return self._parts.replica.last_index
 
     @property
     def has_left(self) -> bool:
-        """Whether, after `leave`, no acknowledgement needs this member's copy, it has no role, and the others
-        are enough to decide without it."""
-        return self._views.leading is None and self._graceful_leave.is_over(self._witness.view)
+        """Whether this member may end, after `leave`.
+
+        No acknowledgement needs its copy, it has no role, and the others are enough to decide without it.
+        """
+        return self._parts.role.leading is None and self._parts.graceful_leave.is_over(
+            self._parts.witness.view
+        )
 
     @property
     def acting_epoch(self) -> int | None:
         """The epoch in which this member acts as primary; None if it does not."""
-        return None if self._views.leading is None else self._views.leading.view.epoch
+        leading = self._parts.role.leading
+        return None if leading is None else leading.view.epoch
 
     @property
     def discarded_snapshots(self) -> int:
-        """Snapshots that came whole and did not agree with their checksum."""
-        return self._follower.incoming.discarded
+        """Snapshots that came to their end and did not agree with their checksum."""
+        return self._parts.follower.incoming.discarded
 
     def volatile_state(self) -> tuple[object, ...]:
         """What is kept in memory only, times left out; for explorations that compare states."""
         return (
-            self._replica.committed,
-            *self._views.volatile_state(),
-            *self._graceful_leave.volatile_state(),
+            self._parts.replica.committed,
+            *self._parts.views.volatile_state(),
+            *self._parts.graceful_leave.volatile_state(),
         )
 
+    def validate_state(self) -> None:
+        """Checks what must hold between any two calls. Cheap; tests call it, production does not.
+
+        Raises:
+            AssertionError: An invariant does not hold; the message names it.
+        """
+        parts = self._parts
+        view, replica, leading = parts.witness.view, parts.replica, parts.role.leading
+        assert view is None or view.epoch <= parts.witness.promised, "a view above the promise is accepted"
+        assert replica.committed <= replica.last_index, "an acknowledged record is not in the log"
+        assert parts.effects.delivered <= replica.committed, "an unacknowledged record was handed out"
+        assert replica.first_index <= replica.committed + 1, "an unacknowledged record was compacted"
+        if leading is not None:
+            assert leading.view.primary == self._member_id, "it leads a view of another primary"
+            assert leading.takeover_index <= replica.last_index, "records that it took over are gone"
+
     # ---- calls ----
 
     def start(self, now: float) -> Effects:
-        """Once, before any other call. Hands out the snapshot on the disk, if there is one."""
+        """Begins; once, before any other call. Hands out the snapshot on the disk, if there is one."""
+        parts = self._parts
         self._last_call_at = now
-        self._follower.start(now)
-        index, _, snapshot = self._replica.snapshot()
-        if index:
-            self._effects.installed = (index, snapshot)
-        self._delivered = index
-        view = self._witness.view
+        parts.follower.start(now)
+        index, _, snapshot = parts.replica.snapshot()
+        parts.effects.start_from(index, snapshot)
+        view = parts.witness.view
         if view is not None:
-            self._addresses.update_from_view(view)
-        if not self._identity.is_new:
-            self._lease_acceptor.observe_restart(now)
+            parts.addresses.update_from_view(view)
+        if not parts.identity.is_new:
+            parts.lease_acceptor.observe_restart(now)
         elif view is not None and view.primary == self._member_id:
-            self._views.lead(now, view)
+            parts.role.lead(now, view)
         return self._finish(now)
 
     def receive(self, now: float, envelope: Envelope) -> Effects:
-        """A message from another member; what cannot be read or is not for this member is dropped."""
+        """Takes a message from another member; what cannot be read or is not for this member is dropped."""
         self._observe_time(now)
         if envelope.receiver not in ("", self._member_id) or envelope.sender == self._member_id:
             return self._finish(now)
         try:
             message, address = decode(envelope.kind, envelope.body)
-        except DecodeError as error:
+        except MessageDecodeError as error:
             log.warning("replication.message_undecodable", error=str(error))
             return self._finish(now)
-        self._addresses.record_sender(envelope.sender, address, self.view)
-        return self._guarded(now, lambda: self._handle(now, envelope.sender, message))
+        self._parts.addresses.record_sender(envelope.sender, address, self.view)
+        return self._guarded(now, lambda: self._router.handle(now, envelope.sender, message))
 
     def tick(self, now: float) -> Effects:
-        """Timers; at least every 20 ms."""
+        """Runs timers; to be called at least every 20 ms."""
         self._observe_time(now)
-        return self._guarded(now, lambda: self._on_tick(now))
+        return self._guarded(now, lambda: self._run_timers(now))
 
     def propose(self, now: float, record: bytes) -> tuple[PendingCall, Effects]:
-        """Appends a record. Raises NotPrimaryError, or OSError of the journal; then nothing is promised.
-        Until the call is done the record may or may not become acknowledged."""
+        """Appends a record. Until the call is done the record may or may not become acknowledged.
+
+        Raises:
+            NotPrimaryError: This member is not primary, or has not yet acknowledged what it took over.
+            OSError: The disk refuses the record; then nothing is promised.
+        """
         self._observe_time(now)
-        if self._views.leading is None or not self._views.leading.is_ready:
-            raise NotPrimaryError(
-                f"{self._member_id} is not primary; send this to {self.primary or 'another member'}"
-            )
+        leading = self._parts.role.leading
+        if leading is None or not leading.is_ready:
+            raise NotPrimaryError(self._member_id, self.primary)
         try:
-            index = self._replica.append(self._views.leading.view.epoch, record)
+            index = self._parts.replica.append(leading.view.epoch, record)
         except OSError as error:
             self._handle_disk_error(now, error)
             raise
-        call = self._pending_calls.add_proposal(index)
-        self._views.leading.replicate(now)
+        call = self._parts.effects.add_proposal(index)
+        leading.replicate(now)
         return call, self._finish(now)
 
     def confirm(self, now: float) -> tuple[PendingCall, Effects]:
-        """Done once it is proven that nobody else has acknowledged anything before this call. Raises
-        NotPrimaryError."""
+        """Begins a read: done once it is proven that nobody else has acknowledged anything before this call.
+
+        Raises:
+            NotPrimaryError: This member is not primary.
+        """
         self._observe_time(now)
-        if self._views.leading is None:
-            raise NotPrimaryError(
-                f"{self._member_id} is not primary; send this to {self.primary or 'another member'}"
-            )
-        self._views.leading.heartbeat(now)
-        call = self._pending_calls.add_read(self._views.leading.round)
+        leading = self._parts.role.leading
+        if leading is None:
+            raise NotPrimaryError(self._member_id, self.primary)
+        leading.heartbeat(now)
+        call = self._parts.effects.add_read(leading.round)
         return call, self._finish(now)
 
     def step_down(self, now: float) -> Effects:
-        """Hands the primary's role to a backup, gives up leases, and stands for neither for some seconds.
-        What is proposed and not acknowledged fails as possibly taken."""
+        """Hands the primary's role to a backup, gives up leases, and tries for neither for some seconds.
+
+        What is proposed and not acknowledged fails as possibly committed.
+        """
         self._observe_time(now)
         self._give_up_roles(now, self._timing.step_down_pause_s)
         return self._finish(now)
 
     def leave(self, now: float) -> Effects:
-        """A planned end is ahead: hands over as `step_down` does, for good, and asks to be left out of the
-        in-sync set until `has_left`. The vote stays. To be followed by ticks; safe to be cut short."""
+        """Prepares a planned end, to be followed by ticks until `has_left`; safe to be cut short.
+
+        Hands over as `step_down` does, for good, and asks to be left out of the in-sync set. The vote stays.
+        """
         self._observe_time(now)
-        self._graceful_leave.begin()
+        self._parts.graceful_leave.begin()
         self._give_up_roles(now, inf)
-        self._graceful_leave.request(now, self._witness.view)
+        self._parts.graceful_leave.request(now, self._parts.witness.view)
         return self._finish(now)
 
     def lease(self, now: float, name: str) -> Lease | None:
-        """The lease, if it is held and may be acted on now; otherwise it is asked for from now on, unless
-        this member leaves."""
-        if self._graceful_leave.has_begun:
+        """The lease, if it is held and may be acted on now.
+
+        Otherwise it is asked for from now on, unless this member leaves.
+        """
+        if self._parts.graceful_leave.has_begun:
             return None
-        return self._leases.lease(now, name)
+        return self._parts.leases.lease(now, name)
 
     def set_contacts(self, addresses: Iterable[str]) -> None:
-        """Rpc addresses of other members known from elsewhere, to be asked for admission besides the
-        seeds."""
+        """Sets rpc addresses of members known from elsewhere, to be asked for admission besides the seeds."""
         self._contacts = tuple(dict.fromkeys((*addresses, *self._settings.seeds)))
 
-    # ---- messages ----
-
-    def _handle(self, now: float, sender: str, message: Message) -> None:
-        match message:
-            case Heartbeat():
-                self._follower.heartbeat(now, sender, message)
-            case HeartbeatReply():
-                self._views.heartbeat_reply(now, sender, message)
-            case Append():
-                self._follower.append(now, sender, message)
-            case InstallSnapshot():
-                self._on_install(now, sender, message)
-            case InstallSnapshotReply():
-                if self._views.leading is not None:
-                    self._views.leading.install_reply(now, sender, message)
-            case AppendReply():
-                if self._views.leading is not None:
-                    self._views.leading.append_reply(now, sender, message)
-            case PreVoteRequest():
-                self._views.receive_pre_vote_request(now, sender, message)
-            case PreVoteReply():
-                self._views.receive_pre_vote_reply(now, sender, message)
-            case Prepare():
-                self._views.prepare(sender, message)
-            case Promise():
-                self._views.promise(now, sender, message)
-            case Accept():
-                self._views.accept(now, sender, message)
-            case Accepted():
-                self._views.accepted(sender, message)
-            case JoinRequest():
-                self._on_join(now, sender, message)
-            case LeaveRequest():
-                self._views.leave(now, sender, message)
-            case LeaveGranted():
-                self._graceful_leave.receive_granted(message)
-            case TakeOver():
-                self._views.take_over(now, message)
-            case LeaseRequest():
-                self._leases.handle_request(now, sender, message, self._witness.view)
-            case LeaseReply():
-                if message.view is not None:
-                    self._views.adopt(now, message.view)
-                self._leases.receive_reply(now, sender, message, self._rank())
-            case LeaseRelease():
-                self._leases.release(now, sender, message, self._rank())
-
-    def _on_install(self, now: float, sender: str, message: InstallSnapshot) -> None:
-        installed = self._follower.install(now, sender, message)
-        if installed is not None:
-            self._effects.installed = installed
-            self._effects.committed = []
-            self._delivered = installed[0]
-
-    def _on_join(self, now: float, sender: str, join: JoinRequest) -> None:
-        self._addresses.record_sender(join.member, join.address, self.view)
-        self._views.join(now, join)
-        if self._views.leading is not None:
-            return
-        if (
-            sender == join.member
-            and self._follower.has_recent_primary(now)
-            and self._witness.view is not None
-        ):
-            self._outbox.send(self._witness.view.primary, join)
-
     # ---- time ----
 
-    def _on_tick(self, now: float) -> None:
-        leading = self._views.leading
-        is_sending = leading is not None and leading.is_sending_snapshot
-        self._compaction.tick(now, self._delivered, is_sending)
-        self._views.tick(now, self._contacts, self._graceful_leave.has_begun)
-        if self._graceful_leave.has_begun:
-            self._graceful_leave.request(now, self._witness.view)
-        self._leases.tick(now, self._witness.view, self._rank())
-
-    def _rank(self) -> int:
-        view = self._witness.view
-        if view is None:
-            return 0
-        return view.in_sync.index(self._member_id) if self._member_id in view.in_sync else len(view.in_sync)
+    def _run_timers(self, now: float) -> None:
+        parts = self._parts
+        leading = parts.role.leading
+        is_sending_snapshot = leading is not None and leading.is_sending_snapshot
+        parts.compaction.tick(now, parts.effects.delivered, is_sending_snapshot)
+        parts.views.tick(now, self._contacts, parts.graceful_leave.has_begun)
+        if parts.graceful_leave.has_begun:
+            parts.graceful_leave.request(now, parts.witness.view)
+        parts.leases.tick(now, parts.witness.view, self._router.lease_rank)
 
-    def _give_up_roles(self, now: float, seconds: float) -> None:
-        self._views.step_down(now, seconds)
-        self._leases.give_up_all(now, self.view, seconds)
+    def _observe_time(self, now: float) -> None:
+        """Notes the time. After a pause of the process itself, silence of others means nothing."""
+        if self._last_call_at and now - self._last_call_at > self._timing.process_pause_s:
+            self._parts.views.reset_silence(now)
+        self._last_call_at = now
 
-    def _fail_pending_calls(self, reason: str) -> None:
-        self._pending_calls.fail(reason, self._effects)
+    def _give_up_roles(self, now: float, pause_s: float) -> None:
+        self._parts.role.step_down(now, pause_s)
+        self._parts.leases.give_up_all(now, self.view, pause_s)
 
     # ---- after every call ----
 
     def _finish(self, now: float) -> Effects:
+        parts = self._parts
         self._process_own_messages(now)
-        self._advance_commit(now)
-        self._deliver()
-        self._complete_calls()
-        self._update_role()
-        effects, self._effects = self._effects, Effects()
-        effects.messages = self._outbox.drain()
-        return effects
+        leading = parts.role.leading
+        if leading is not None:
+            self._advance_commit(now, leading)
+        parts.effects.deliver()
+        if leading is not None:
+            parts.effects.complete_calls(leading, parts.witness.promised <= leading.view.epoch)
+        parts.effects.update_role(self._current_role())
+        return parts.effects.take(parts.outbox)
 
     def _process_own_messages(self, now: float) -> None:
-        """Own votes, and the ballot as far as it has come."""
+        """Counts this member's own votes, and takes its view change as far as it comes."""
         while True:
-            own = self._outbox.drain_to_self()
-            for message in own:
-                self._handle(now, self._member_id, message)
-            if not self._views.advance_view_change(now) and not own:
+            own_messages = self._parts.outbox.drain_to_self()
+            for message in own_messages:
+                self._router.handle(now, self._member_id, message)
+            if not self._parts.views.advance(now) and not own_messages:
                 return
 
-    def _advance_commit(self, now: float) -> None:
-        """Counts as acknowledged what has enough copies."""
-        leading = self._views.leading
-        if leading is None:
-            return
-        commit = leading.commit_index()
-        if commit > self._replica.committed:
-            self._replica.committed = commit
+    def _advance_commit(self, now: float, leading: Leadership) -> None:
+        """Counts as acknowledged what has enough copies, and lets the backups know."""
+        index = leading.commit_index()
+        if index > self._parts.replica.committed:
+            self._parts.replica.committed = index
             leading.heartbeat(now)
 
-    def _deliver(self) -> None:
-        """Hands out acknowledged records, a few at a time where the state is large: the caller needs time for
-        each, and heartbeats must go on meanwhile."""
-        if self._delivered >= self._replica.committed:
-            return
-        max_records = max(1, self._settings.deliver_bytes // max(1, self._replica.state_bytes))
-        last = min(self._replica.committed, self._delivered + max_records)
-        self._effects.committed.extend(self._replica.read(self._delivered + 1, last))
-        self._delivered = last
-
-    def _complete_calls(self) -> None:
-        """Ends the calls whose records have been handed out, and the reads that are proven."""
-        leading = self._views.leading
-        if leading is None:
-            return
-        self._pending_calls.acknowledge(self._delivered, self._effects)
-        has_all = leading.is_ready and self._delivered == self._replica.committed
-        if self._pending_calls.has_reads and has_all:
-            self_granted = self._witness.promised <= leading.view.epoch
-            self._pending_calls.confirm(
-                leading.proven_round(self_granted), self._replica.committed, self._effects
-            )
-
-    def _update_role(self) -> None:
-        view = self._witness.view
+    def _current_role(self) -> Role:
         if self.is_primary:
-            role = Role.PRIMARY
-        elif view is not None and self._member_id in view.in_sync:
-            role = Role.BACKUP
-        else:
-            role = Role.LEARNER
-        if role is not self._role:
-            self._role = self._effects.role = role
+            return Role.PRIMARY
+        view = self._parts.witness.view
+        if view is not None and self._member_id in view.in_sync:
+            return Role.BACKUP
+        return Role.LEARNER
 
     def _guarded(self, now: float, work: Callable[[], None]) -> Effects:
         """Nothing that a failed write was to make durable is sent."""
@@ -424,22 +341,14 @@
             return self._finish(now)
         except OSError as error:
             self._handle_disk_error(now, error)
-        effects, self._effects = self._effects, Effects()
-        effects.messages = self._outbox.drain()
-        return effects
+        return self._parts.effects.take(self._parts.outbox)
 
     def _handle_disk_error(self, now: float, error: OSError) -> None:
-        if now >= self._views.no_candidacy_until:
+        if now >= self._parts.role.no_candidacy_until:
             log.error(
                 "disk.write_failed", error=str(error), remedy="free space in data_dir or replace the disk"
             )
         self.disk_error = error
-        self._outbox.drain_to_self()
+        self._parts.outbox.drain_to_self()
         self._give_up_roles(now, self._timing.step_down_pause_s)
-        self._outbox.drain_to_self()
-
-    def _observe_time(self, now: float) -> None:
-        """Notes the time. After a pause of the process itself, silence of others means nothing."""
-        if self._last_call_at and now - self._last_call_at > self._timing.process_pause_s:
-            self._views.reset_silence(now)
-        self._last_call_at = now
+        self._parts.outbox.drain_to_self()
--- /dev/null
+++ b/larchgw/replication/member_parts.py
@@ -0,0 +1,108 @@
+"""The parts of a member, and how they are put together."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+
+from .candidate import Candidate
+from .compaction import Compaction
+from .effects_collector import EffectsCollector
+from .follower import Follower
+from .graceful_leave import GracefulLeave
+from .identity import Identity, load_or_create_identity
+from .lease_acceptor import LeaseAcceptor
+from .lease_table import LeaseTable
+from .member_addresses import MemberAddresses
+from .outbound_messages import OutboundMessages
+from .ports import Ports
+from .primary_role import PrimaryRole
+from .replica import Replica
+from .settings import MemberSettings
+from .view_changes import ViewChanges
+from .view_voter import ViewVoter
+from .witness import Witness
+
+
+@dataclass(frozen=True, slots=True)
+class MemberParts:
+    """The parts of one member, each a state machine of its own.
+
+    Attributes:
+        identity: Who this member is.
+        witness: Durable: the epoch promised and the view accepted.
+        replica: Durable: the log.
+        outbox: Messages to send.
+        addresses: Where the other members are.
+        follower: What this member does for a primary.
+        role: Whether it is primary itself.
+        voter: Its votes on views.
+        views: Its own attempts to form a view.
+        lease_acceptor: Durable: its part as a witness of leases.
+        leases: The leases that it holds or asks for.
+        graceful_leave: Its own planned end.
+        compaction: When the log is cut.
+        effects: What the present call has come to.
+    """
+
+    identity: Identity
+    witness: Witness
+    replica: Replica
+    outbox: OutboundMessages
+    addresses: MemberAddresses
+    follower: Follower
+    role: PrimaryRole
+    voter: ViewVoter
+    views: ViewChanges
+    lease_acceptor: LeaseAcceptor
+    leases: LeaseTable
+    graceful_leave: GracefulLeave
+    compaction: Compaction
+    effects: EffectsCollector
+
+
+def assemble(
+    settings: MemberSettings, ports: Ports, snapshot: Callable[[], bytes], random_source: Random
+) -> MemberParts:
+    """Reads what the disk holds, sets up an identity where there is none, and connects the parts.
+
+    Args:
+        settings: Settings of the member.
+        ports: Its durable storage.
+        snapshot: Gives the caller's state as of the last record that was handed to it.
+        random_source: Staggers candidates.
+
+    Raises:
+        OSError: The disk refuses the first identity.
+    """
+    timing = settings.timing
+    witness = Witness(ports.witness)
+    lease_acceptor = LeaseAcceptor(ports.leases, settings.lease_term_s)
+    identity = load_or_create_identity(ports.identity, settings, witness, lease_acceptor)
+    replica = Replica(ports.journal)
+    outbox = OutboundMessages(identity.id, settings.address)
+    addresses = MemberAddresses(outbox)
+    effects = EffectsCollector(replica, settings.deliver_bytes)
+    follower = Follower(identity.id, settings.address, witness, replica, outbox, timing)
+    candidate = Candidate(identity.id, outbox, timing, random_source)
+    role = PrimaryRole(
+        identity.id, settings, replica, outbox, addresses, follower, candidate, effects.fail_calls
+    )
+    voter = ViewVoter(identity.id, witness, lease_acceptor, addresses, outbox, follower, candidate, role)
+    return MemberParts(
+        identity=identity,
+        witness=witness,
+        replica=replica,
+        outbox=outbox,
+        addresses=addresses,
+        follower=follower,
+        role=role,
+        voter=voter,
+        views=ViewChanges(identity.id, settings, witness, follower, candidate, role, voter),
+        lease_acceptor=lease_acceptor,
+        leases=LeaseTable(identity.id, lease_acceptor, settings, outbox, random_source),
+        graceful_leave=GracefulLeave(identity.id, outbox, timing),
+        compaction=Compaction(replica, settings, snapshot),
+        effects=effects,
+    )
--- a/larchgw/replication/message_codec.py
+++ b/larchgw/replication/message_codec.py
@@ -16,6 +16,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from .errors import MessageDecodeError
 from .messages import (
     Accept,
     Accepted,
@@ -47,10 +48,6 @@
 _EPOCHS_KEY = "epochs"
 
 
-class DecodeError(Exception):
-    """A body that is no message of this protocol; it is dropped. Check that all members run one version."""
-
-
 @dataclass(frozen=True, slots=True)
 class _WireFormat:
     """How one type of message is sent.
@@ -185,7 +182,7 @@
     """The message and its sender's address.
 
     Raises:
-        DecodeError: The kind is not known, or the body is not one of that kind.
+        MessageDecodeError: The kind is not known, or the body is not one of that kind.
     """
     try:
         wire_format = _FORMAT_BY_KIND[kind]
@@ -199,8 +196,7 @@
             arguments[attributes[key]] = _from_json(key, value)
         return wire_format.message_type(**arguments), address
     except (KeyError, TypeError, ValueError, AttributeError, struct.error) as error:
-        reason = f"a {kind!r} message cannot be read: {error}; do all members run one version?"
-        raise DecodeError(reason) from error
+        raise MessageDecodeError(kind, str(error)) from error
 
 
 def _payload_arguments(kind: str, header: dict[str, Any], body: bytes, start: int) -> dict[str, Any]:
--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -181,15 +181,15 @@
         member, said = self.member, self.said
         assert member is not None
         assert not member.is_primary and member.acting_epoch is None
-        assert member._witness.promised >= max(said.promised, said.accepted)
+        assert member._parts.witness.promised >= max(said.promised, said.accepted)
         if said.accepted:
             assert member.view is not None and member.view.epoch >= said.accepted
         epoch, index, matched = said.matched
         is_of_this_view = member.view is not None and member.view.epoch == epoch
         assert member.last_index >= (index if is_of_this_view else min(index, ACKNOWLEDGED_IN_FIRST))
-        if matched is not None and is_of_this_view and index >= member._replica.first_index:
-            assert list(member._replica.read(index, index)) == [(index, matched)]
-        stored = member._lease_acceptor._leases.get("placer")
+        if matched is not None and is_of_this_view and index >= member._parts.replica.first_index:
+            assert list(member._parts.replica.read(index, index)) == [(index, matched)]
+        stored = member._parts.lease_acceptor._leases.get("placer")
         assert said.fencing_token == 0 or stored is not None and stored.fencing_token >= said.fencing_token
 
 
@@ -205,7 +205,7 @@
     backup = Backup(FaultyFiles())
     backup.start()
     backup.play()
-    assert backup.member._replica.first_index > 31
+    assert backup.member._parts.replica.first_index > 31
     assert backup.said.promised == 5 and backup.said.accepted == 5 and backup.said.fencing_token == 140_000
 
 
--- a/tests/replication/test_parts.py
+++ b/tests/replication/test_parts.py
@@ -11,8 +11,9 @@
 
 from larchgw.model_checking.errors import SimulatedCrashError
 from larchgw.model_checking.simulated_disk import SimulatedDisk
+from larchgw.replication.errors import MessageDecodeError
 from larchgw.replication.leadership import Leadership
-from larchgw.replication.message_codec import DecodeError, decode, encode
+from larchgw.replication.message_codec import decode, encode
 from larchgw.replication.messages import (
     Accept,
     Append,
@@ -70,13 +71,13 @@
 
 @given(st.sampled_from(["append", "accept", "promise", "unheard of"]), st.binary(max_size=60))
 def test_garbage_is_refused_as_such(kind: str, body: bytes) -> None:
-    with pytest.raises(DecodeError):
+    with pytest.raises(MessageDecodeError):
         decode(kind, body)
 
 
 def test_an_append_that_was_cut_short_is_not_taken_for_a_shorter_one() -> None:
     kind, body = encode(Append(1, 0, 0, 0, (1, 1), (b"one", b"two")), "x:1")
-    with pytest.raises(DecodeError):
+    with pytest.raises(MessageDecodeError):
         decode(kind, body[:-1])
 
 
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -15,9 +15,10 @@
 from larchgw.model_checking.replication.machine import Machine
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
+from larchgw.replication.errors import MessageDecodeError
 from larchgw.replication.follower import Follower
 from larchgw.replication.leadership import Leadership
-from larchgw.replication.message_codec import DecodeError, decode
+from larchgw.replication.message_codec import decode
 from larchgw.replication.messages import AppendReply, InstallSnapshot, InstallSnapshotReply
 from larchgw.replication.outbound_messages import OutboundMessages
 from larchgw.replication.replica import Replica
@@ -203,7 +204,7 @@
 
 def test_a_whole_snapshot_as_earlier_versions_sent_it_is_dropped_as_unreadable() -> None:
     header = json.dumps({"from": "a", "epoch": 1, "index": 9, "index_epoch": 1}).encode()
-    with pytest.raises(DecodeError):
+    with pytest.raises(MessageDecodeError):
         decode("install", len(header).to_bytes(4, "big") + header + CONTENT)
 
 
