--- a/larchgw/distribution/registry.py
+++ b/larchgw/distribution/registry.py
@@ -203,6 +203,23 @@
                     callback(entry)
         return len(removed)
 
+    def validate_state(self) -> None:
+        """Raises AssertionError if the indexes disagree with the entries; for tests."""
+        assert list(self._keys) == sorted(self._entries)
+        assert self._positions.keys() == self._entries.keys()
+        positions = [self._positions[key] for key in self._entries]
+        assert positions == sorted(positions)
+        assert all(position <= self._position for position in positions)
+        indexed = {
+            (origin, sequence, key)
+            for origin, keys_by_sequence in self._keys_by_origin.items()
+            for sequence, key in keys_by_sequence.items()
+        }
+        assert indexed == {(entry.origin, entry.sequence, key) for key, entry in self._entries.items()}
+        assert all(self._keys_by_origin.values())
+        assert self._vector.keys() <= self._keys_by_origin.keys() | {self.origin}
+        assert self._vector.get(self.origin, 0) == self._sequence
+
     def _merge_one(self, entry: Entry) -> bool:
         held = self._entries.get(entry.key)
         if held is not None and rank(held) >= rank(entry):
--- a/tests/distribution/test_pull_service.py
+++ b/tests/distribution/test_pull_service.py
@@ -6,6 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
+import pytest
 import testtools
 
 from larchgw.distribution.pull_service import GATHER_DELAY_S, PullService
@@ -32,28 +33,28 @@
     def test_a_caller_that_is_new_here_is_answered_at_once_though_there_is_nothing(self) -> None:
         async def main() -> None:
             reply = await self.service.pull(request())
-            self.assertEqual((0.0, []), (now(), reply.entries))
+            assert (now(), reply.entries) == (0.0, [])
 
         self.play(main())
 
-    def test_without_news_the_answer_comes_at_the_end_of_the_wait(self) -> None:
+    def test_without_a_change_the_answer_comes_at_the_end_of_the_wait(self) -> None:
         async def main() -> None:
             first = await self.service.pull(request())
             reply = await self.service.pull(request(first))
-            self.assertEqual([], reply.entries)
-            self.assertAlmostEqual(0.5, now(), places=3)
+            assert reply.entries == []
+            assert now() == pytest.approx(0.5, abs=0.0005)
 
         self.play(main())
 
-    def test_a_waiting_caller_gets_news_within_the_gathering_time(self) -> None:
+    def test_a_waiting_caller_gets_a_change_within_the_gathering_delay(self) -> None:
         async def main() -> None:
             first = await self.service.pull(request())
             waiting = asyncio.ensure_future(self.service.pull(request(first)))
             await asyncio.sleep(0.2)
             self.registry.put("view", b"x", 1)
             reply = await waiting
-            self.assertEqual(["view"], [entry.key for entry in reply.entries])
-            self.assertLess(now(), 0.2 + 2 * GATHER_DELAY_S)
+            assert [entry.key for entry in reply.entries] == ["view"]
+            assert now() < 0.2 + 2 * GATHER_DELAY_S
 
         self.play(main())
 
@@ -65,7 +66,7 @@
             for number in range(5):
                 self.registry.put(f"runner/{number}", b"x", 1)
                 await asyncio.sleep(GATHER_DELAY_S / 10)
-            self.assertEqual(5, len((await waiting).entries))
+            assert len((await waiting).entries) == 5
 
         self.play(main())
 
@@ -76,8 +77,8 @@
             await asyncio.sleep(0.1)
             self.registry.put("view", b"x", 1)
             reply = await waiting
-            self.assertEqual([], reply.entries)
-            self.assertAlmostEqual(0.5, now(), places=3)
+            assert reply.entries == []
+            assert now() == pytest.approx(0.5, abs=0.0005)
 
         self.play(main())
 
@@ -86,8 +87,8 @@
             first = await self.service.pull(request())
             self.peer.is_isolated = True
             reply = await self.service.pull(request(first))
-            self.assertTrue(reply.isolated)
-            self.assertEqual(0.0, now())
+            assert reply.isolated
+            assert now() == 0.0
 
         self.play(main())
 
@@ -98,8 +99,8 @@
             await asyncio.sleep(0.1)
             self.peer.is_isolated = True
             self.service.wake()
-            self.assertTrue((await waiting).isolated)
-            self.assertLess(now(), 0.2)
+            assert (await waiting).isolated
+            assert now() < 0.2
 
         self.play(main())
 
@@ -116,8 +117,8 @@
                 have = reply.upto
                 if not reply.more:
                     break
-            self.assertEqual(100, len(copy))
-            self.assertGreater(replies, 10)
+            assert len(copy) == 100
+            assert replies > 10
 
         self.play(main())
 
@@ -128,7 +129,7 @@
             await asyncio.sleep(0.0)
             pushed = Entry("runner/x", 3, 2, "b.1", 9, b"draining")
             await self.service.push(PushRequest(node_name="b", entries=[pushed]))
-            self.assertEqual([pushed], (await waiting).entries)
+            assert [pushed] == (await waiting).entries
 
         self.play(main())
 
@@ -139,6 +140,6 @@
             await asyncio.sleep(0.1)
             waiting.cancel()
             await asyncio.sleep(0.0)
-            self.assertEqual({}, self.service._waiting)
+            assert self.service._waiting == {}
 
         self.play(main())
--- a/tests/runner_directory/test_runner_view.py
+++ b/tests/runner_directory/test_runner_view.py
@@ -39,71 +39,71 @@
 
     def test_holders_follow_loads_and_unloads(self) -> None:
         self.publish("x", models=(HeldModel("m", 1, ("a1",)),))
-        self.assertEqual((["x"], ["x"]), (self.holders("m"), self.holders("m", "a1")))
-        self.assertEqual([], self.holders("m", "a2"))
+        assert (self.holders("m"), self.holders("m", "a1")) == (["x"], ["x"])
+        assert self.holders("m", "a2") == []
         self.publish("x", models=(HeldModel("n"),))
-        self.assertEqual(([], [], ["x"]), (self.holders("m"), self.holders("m", "a1"), self.holders("n")))
+        assert (self.holders("m"), self.holders("m", "a1"), self.holders("n")) == ([], [], ["x"])
 
-    def test_one_that_drains_or_is_silent_is_no_holder_but_stays_listed(self) -> None:
+    def test_a_draining_or_silent_runner_is_no_holder_but_stays_listed(self) -> None:
         for stage in (Stage.SILENT, Stage.DRAINING):
             self.publish("x", stage, models=(HeldModel("m"),))
-            self.assertEqual([], self.holders("m"))
-            self.assertEqual(stage, self.view.by_service("llm")["x"].stage)
+            assert self.holders("m") == []
+            assert stage == self.view.by_service("llm")["x"].stage
 
-    def test_one_that_left_is_nowhere(self) -> None:
+    def test_a_runner_that_left_is_in_no_index(self) -> None:
         self.publish("x", models=(HeldModel("m"),))
         self.publish("x", Stage.GONE)
-        self.assertEqual(({}, []), (self.view.by_service("llm"), self.holders("m")))
-        self.assertEqual((None, 0), (self.view.get("x"), len(self.view)))
+        assert (self.view.by_service("llm"), self.holders("m")) == ({}, [])
+        assert (self.view.get("x"), len(self.view)) == (None, 0)
 
     def test_a_new_runner_at_an_address_shows_that_the_older_one_is_gone(self) -> None:
-        told: list[tuple[str, Stage]] = []
-        self.view.watch(lambda record: told.append((record.id, record.stage)))
+        notified: list[tuple[str, Stage]] = []
+        self.view.watch(lambda record: notified.append((record.id, record.stage)))
         self.publish("old", models=(HeldModel("m"),))
         self.publish("new", service="other")
-        self.assertIsNone(self.view.get("old"))
-        self.assertEqual([], self.holders("m"))
-        self.assertEqual([("old", Stage.READY), ("old", Stage.GONE), ("new", Stage.READY)], told)
+        assert self.view.get("old") is None
+        assert self.holders("m") == []
+        assert notified == [("old", Stage.READY), ("old", Stage.GONE), ("new", Stage.READY)]
 
-    def test_news_of_the_older_one_does_not_put_the_newer_one_out(self) -> None:
+    def test_a_change_of_the_older_runner_does_not_unlist_the_newer_one(self) -> None:
         self.publish("old")
         self.publish("new")
         self.publish("old", Stage.SILENT)
-        self.assertIsNotNone(self.view.get("new"))
-        self.assertIsNone(self.view.get("old"))
+        assert self.view.get("new") is not None
+        assert self.view.get("old") is None
 
-    def test_entries_that_came_in_the_wrong_order_are_put_right_by_the_silence_of_the_older_one(self) -> None:
+    def test_entries_in_the_wrong_order_are_corrected_by_the_silence_of_the_older_runner(self) -> None:
         self.publish("new")
         self.publish("old")
-        self.assertIsNone(self.view.get("new"))
+        assert self.view.get("new") is None
         self.publish("old", Stage.SILENT)
-        self.assertIsNotNone(self.view.get("new"))
+        assert self.view.get("new") is not None
 
     def test_an_older_one_at_another_address_is_left_alone(self) -> None:
         self.publish("old", address="h:1")
         self.publish("new", address="h:2")
-        self.assertIsNotNone(self.view.get("old"))
+        assert self.view.get("old") is not None
 
-    def test_what_the_registry_held_before_is_there(self) -> None:
+    def test_runners_that_the_registry_held_before_are_listed(self) -> None:
         self.publish("x")
-        self.assertIsNotNone(RunnerView(self.registry).get("x"))
+        assert RunnerView(self.registry).get("x") is not None
 
-    def test_runners_that_have_not_been_ready_for_long_are_forgotten(self) -> None:
+    def test_runners_that_have_not_been_ready_for_long_are_removed(self) -> None:
         self.publish("x", address="h:1")
         self.publish("y", Stage.SILENT, address="h:2")
         self.publish("z", Stage.GONE, address="h:3")
         self.clock[0] = TOMBSTONE_RETENTION_S + 1.0
         self.view.remove_expired()
-        self.assertEqual(["runner/x"], [entry.key for entry in self.registry.items()])
-        self.assertEqual(1, len(self.view))
+        assert [entry.key for entry in self.registry.items()] == ["runner/x"]
+        assert len(self.view) == 1
 
-    def test_one_that_is_dropped_from_the_registry_is_told_as_gone(self) -> None:
-        told: list[tuple[str, Stage]] = []
+    def test_a_runner_dropped_from_the_registry_is_notified_as_gone(self) -> None:
+        notified: list[tuple[str, Stage]] = []
         self.publish("x", models=(HeldModel("m"),))
-        self.view.watch(lambda record: told.append((record.id, record.stage)))
+        self.view.watch(lambda record: notified.append((record.id, record.stage)))
         self.registry.remove_if("runner/", lambda entry: True)
-        self.assertEqual(([], []), (self.holders("m"), list(self.view.by_service("llm"))))
-        self.assertEqual([("x", Stage.GONE)], told)
+        assert (self.holders("m"), list(self.view.by_service("llm"))) == ([], [])
+        assert notified == [("x", Stage.GONE)]
 
 
 steps = st.lists(
@@ -125,8 +125,8 @@
 ) -> None:
     registry = Registry("c.1")
     view = RunnerView(registry)
-    told: dict[str, RunnerRecord] = {}
-    view.watch(lambda record: told.__setitem__(record.id, record))
+    notified: dict[str, RunnerRecord] = {}
+    view.watch(lambda record: notified.__setitem__(record.id, record))
     for number, (id, stage, address, service, models) in enumerate(published, start=1):
         held = tuple(HeldModel(name, 0, ("a1",)) for name in models)
         record = RunnerRecord(id, service, address, "z", stage=stage, call_count=number, models=held)
@@ -150,5 +150,5 @@
                     assert {r.id for r in view.holders(name, model, adapter)} == expected
         active = [r.address for r in listed.values() if r.stage in (Stage.READY, Stage.DRAINING)]
         assert len(active) == len(set(active))
-        for seen in told.values():
+        for seen in notified.values():
             assert (seen.stage is Stage.GONE) == (view.get(seen.id) is None)
