--- a/tests/membership/test_single_process.py
+++ b/tests/membership/test_single_process.py
@@ -3,6 +3,8 @@
 from dataclasses import replace
 from random import Random
 
+import pytest
+
 from larchgw.membership.codec import DatagramBuilder, decode
 from larchgw.membership.member import Member, MemberState
 from larchgw.membership.messages import Ack, Gossip, MessageKind, Ping, PingRequest, Update
@@ -14,20 +16,26 @@
 PEER = Member("control-1", "10.0.0.2:7661", "control", 2000)
 
 
-def started_swim(settings=SETTINGS):
-    swim = Swim(ME, settings, Random(1))
+def started_swim():
+    swim = Swim(ME, SETTINGS, Random(1))
     swim.tick(0.0)
     return swim
 
 
+@pytest.fixture
+def swim():
+    """A process that knows of no other."""
+    return started_swim()
+
+
 def deliver(swim, now, *members, accuser="", message_type=Gossip, sender=PEER):
+    """Hands over a message of `sender` with an update on each member; returns the answers."""
     updates = tuple(Update(member, accuser) for member in members)
     message = message_type(5, sender, updates=updates)
     return swim.receive(now, sender.address, DatagramBuilder(message).build())
 
 
-def test_suspicion_of_oneself_is_refuted_in_the_next_datagram():
-    swim = started_swim()
+def test_suspicion_of_oneself_is_refuted_in_the_next_datagram(swim):
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT), accuser=PEER.address)
     answers = [decode(d.data) for d in swim.tick(0.2)]
     assert answers
@@ -35,30 +43,27 @@
     assert swim.health_score == 1
 
 
-def test_old_suspicion_of_oneself_is_ignored():
-    swim = started_swim()
+def test_old_suspicion_of_oneself_is_ignored(swim):
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=4))
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=2))
     deliver(swim, 0.1, replace(ME, state=MemberState.DEAD, incarnation=900))
     assert (swim.me.refutations, swim.me.incarnation) == (5, 1000)
 
 
-def test_death_that_no_suspicion_preceded_is_verified_and_then_becomes_a_suspicion():
-    swim = started_swim()
+def test_death_that_no_suspicion_preceded_is_verified_and_then_becomes_a_suspicion(swim):
     victim = replace(ME, address="10.0.0.9:7662")
     dead = replace(victim, state=MemberState.DEAD)
     deliver(swim, 0.1, victim)
     deliver(swim, 0.2, dead)
     assert victim in swim.members()
-    asked = [decode(d.data).updates[0] for d in swim.tick(0.3) if d.address == victim.address]
-    assert Update(dead) in asked
+    reported = [decode(d.data).updates[0] for d in swim.tick(0.3) if d.address == victim.address]
+    assert Update(dead) in reported
     for step in range(4, 15):
         swim.tick(step / 10)
     assert [m.state for m in swim.members() if m.address == victim.address] == [MemberState.SUSPECT]
 
 
-def test_death_that_its_member_refutes_changes_nothing():
-    swim = started_swim()
+def test_death_that_its_member_refutes_changes_nothing(swim):
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, victim)
     deliver(swim, 0.2, replace(victim, state=MemberState.DEAD))
@@ -73,8 +78,7 @@
     assert [member for member in changes if member.address == victim.address] == []
 
 
-def test_death_of_a_mature_suspect_is_believed():
-    swim = started_swim()
+def test_death_of_a_mature_suspect_is_believed(swim):
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
     deliver(swim, 0.2, replace(victim, state=MemberState.DEAD))
@@ -85,8 +89,7 @@
     assert [m.address for m in swim.dead()] == [victim.address]
 
 
-def test_stale_death_does_not_bring_a_forgotten_member_back():
-    swim = started_swim()
+def test_stale_death_does_not_bring_a_forgotten_member_back(swim):
     deliver(swim, 0.1, replace(ME, address="10.0.0.9:7662", state=MemberState.DEAD))
     assert swim.members() == [ME, PEER]
     assert swim.dead() == []
@@ -113,40 +116,37 @@
     assert confirmed < lone / 2.5
 
 
-def test_suspect_is_pinged_before_it_is_declared_dead():
-    swim = started_swim()
+def test_suspect_is_pinged_before_it_is_declared_dead(swim):
     victim = replace(ME, address="10.0.0.9:7662")
     for n in range(20):  # so many that the round of probes does not come to the victim by chance
         deliver(swim, 0.1, *(replace(ME, address=f"10.1.{n}.{m}:7662") for m in range(10)))
     deliver(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
-    asked = []
+    pinged = []
     step = 2
     while not swim.dead():
-        asked += [
+        pinged += [
             step / 10
             for d in swim.tick(step / 10)
             if d.address == victim.address and decode(d.data).updates[:1]
         ]
         step += 1
-    assert asked
-    assert step / 10 - asked[-1] <= SETTINGS.final_ping_lead_s + 0.2
+    assert pinged
+    assert step / 10 - pinged[-1] <= SETTINGS.final_ping_lead_s + 0.2
 
 
-def test_no_suspect_of_many_is_declared_dead_before_it_was_pinged():
-    swim = started_swim()
+def test_no_suspect_of_many_is_declared_dead_before_it_was_pinged(swim):
     victims = [replace(ME, address=f"10.0.1.{n}:7662", state=MemberState.SUSPECT) for n in range(40)]
     for n in range(0, 40, 10):
         deliver(swim, 0.1, *victims[n : n + 10], accuser=PEER.address)
-    asked = set()
+    pinged = set()
     step = 2
     while len(swim.dead()) < 40:
-        asked |= {d.address for d in swim.tick(step / 10)}
-        assert {member.address for member in swim.dead()} <= asked
+        pinged |= {d.address for d in swim.tick(step / 10)}
+        assert {member.address for member in swim.dead()} <= pinged
         step += 1
 
 
-def test_probe_that_a_freeze_interrupted_accuses_nobody():
-    swim = started_swim()
+def test_probe_that_a_freeze_interrupted_accuses_nobody(swim):
     deliver(swim, 0.1, replace(PEER, refutations=1))
     swim.tick(0.2)  # begins a probe of the peer
     swim.tick(30.0)
@@ -155,8 +155,7 @@
     assert swim.health_score > 0
 
 
-def test_unhealthy_member_probes_more_slowly():
-    swim = started_swim()
+def test_unhealthy_member_probes_more_slowly(swim):
     deliver(swim, 0.1, PEER)
     for refutations in range(3):
         deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=refutations))
@@ -166,8 +165,7 @@
     assert len(pings) <= 2
 
 
-def test_relay_sends_a_nack_when_its_probe_has_no_answer():
-    swim = started_swim()
+def test_relay_sends_a_nack_when_its_probe_has_no_answer(swim):
     request = PingRequest(77, PEER, target="10.0.0.9:7662")
     first = swim.receive(0.1, PEER.address, DatagramBuilder(request).build())
     assert [(d.address, decode(d.data).kind) for d in first] == [("10.0.0.9:7662", MessageKind.PING)]
@@ -175,8 +173,7 @@
     assert [m.sequence for m in later if m.kind is MessageKind.NACK] == [77]
 
 
-def test_relay_forwards_the_ack():
-    swim = started_swim()
+def test_relay_forwards_the_ack(swim):
     request = PingRequest(77, PEER, target="10.0.0.9:7662")
     ping = decode(swim.receive(0.1, PEER.address, DatagramBuilder(request).build())[0].data)
     target = replace(ME, address="10.0.0.9:7662")
@@ -186,8 +183,7 @@
     ]
 
 
-def test_process_that_left_sends_nothing_more():
-    swim = started_swim()
+def test_process_that_left_sends_nothing_more(swim):
     deliver(swim, 0.1, PEER)
     assert [decode(d.data).sender.state for d in swim.leave(0.2)] == [MemberState.LEFT]
     assert swim.tick(0.3) == []
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -18,7 +18,7 @@
 SEEDS = [address(n) for n in range(3)]
 
 
-def fleet(count, seed=1, link=None, settled=10.0):
+def fleet(count, seed=1, link=None, run_s=10.0):
     """Three control processes, which are the seeds, and edges; all started within 0.3 s."""
     network = DatagramNetwork(seed, link)
     random = Random(seed)
@@ -32,20 +32,21 @@
         )
         for n in range(count)
     ]
-    network.run(settled)
+    network.run(run_s)
     return network, swims
 
 
-def sizes(network):
+def member_counts(network):
+    """How many members each running process counts."""
     return {len(process.swim.members()) for process in network.processes.values() if process.running}
 
 
-def states(network, of, since=0.0):
+def observed_states(network, of, since=0.0):
     """Which states of a process the others observed."""
     return {member.state for time, _, member in network.changes if member.address == of and time >= since}
 
 
-def others_that_saw_dead(network, of):
+def processes_that_observed_death(network, of):
     return {
         who for _, who, member in network.changes if member.address == of and member.state is MemberState.DEAD
     }
@@ -53,7 +54,7 @@
 
 def test_processes_started_together_find_each_other_from_seeds():
     network, swims = fleet(11)
-    assert sizes(network) == {11}
+    assert member_counts(network) == {11}
     assert all((swim.count("edge"), swim.count("control")) == (8, 3) for swim in swims)
     assert {member.address_rpc for member in swims[5].members("control")} == {
         f"10.0.0.{n + 1}:7660" for n in range(3)
@@ -62,13 +63,13 @@
 
 def test_hundred_processes_that_join_at_once_do_not_overload_the_seeds():
     network, _ = fleet(100)
-    assert sizes(network) == {100}
+    assert member_counts(network) == {100}
     assert max(process.bytes for process in network.processes.values()) < 200_000
 
 
 def test_idle_member_sends_little_and_the_same_at_any_size():
     for count in (11, 80):
-        network, _ = fleet(count, settled=20.0)
+        network, _ = fleet(count, run_s=20.0)
         before = {a: (p.datagrams, p.bytes) for a, p in network.processes.items()}
         network.run(30.0)
         for a, process in network.processes.items():
@@ -80,7 +81,7 @@
     network, _ = fleet(20)
     network.kill(address(7))
     network.run(15.0)
-    assert sizes(network) == {19}
+    assert member_counts(network) == {19}
     dead = {member.address for _, _, member in network.changes if member.state is MemberState.DEAD}
     assert dead == {address(7)}
     assert [m.name for m in network.processes[address(0)].swim.dead("edge")] == [f"edge-{address(7)}"]
@@ -98,9 +99,9 @@
     network, _ = fleet(11)
     network.freeze(address(6), 3.0)
     network.run(30.0)
-    assert states(network, address(6)) >= {MemberState.ALIVE, MemberState.SUSPECT}
+    assert observed_states(network, address(6)) >= {MemberState.ALIVE, MemberState.SUSPECT}
     assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
-    assert sizes(network) == {11}
+    assert member_counts(network) == {11}
 
 
 def test_member_behind_one_bad_link_is_kept_alive_by_indirect_probes():
@@ -108,8 +109,8 @@
     network.lost_paths.add((address(4), address(5)))
     network.lost_paths.add((address(5), address(4)))
     network.run(120.0)
-    assert not states(network, address(5), since=110.0)
-    assert not states(network, address(4), since=110.0)
+    assert not observed_states(network, address(5), since=110.0)
+    assert not observed_states(network, address(4), since=110.0)
 
 
 def test_nobody_is_declared_dead_while_one_link_loses_one_way():
@@ -123,14 +124,14 @@
     network, _ = fleet(20)
     network.freeze(address(3), 40.0)
     network.run(39.0)
-    assert len(others_that_saw_dead(network, address(3))) == 19
+    assert len(processes_that_observed_death(network, address(3))) == 19
     network.run(31.0)
     assert all(
         member.address == address(3)
         for _, _, member in network.changes
         if member.state in (MemberState.SUSPECT, MemberState.DEAD)
     )
-    assert sizes(network) == {20}
+    assert member_counts(network) == {20}
 
 
 def test_all_processes_frozen_at_once_stay_members():
@@ -153,7 +154,7 @@
         if who == address(2) and member.address == address(8)
     ]
     assert seen[-2:] == [(old, MemberState.DEAD), (new.me.incarnation, MemberState.ALIVE)]
-    assert sizes(network) == {11}
+    assert member_counts(network) == {11}
     assert swims[0].count("edge") == 8
 
 
@@ -162,7 +163,7 @@
     network.kill(address(4))
     swim = network.start(address(4), "edge", SEEDS, clock_error=-50.0)
     network.run(10.0)
-    assert sizes(network) == {5}
+    assert member_counts(network) == {5}
     assert swim.me in network.processes[address(1)].swim.members()
 
 
@@ -170,18 +171,18 @@
     network, _ = fleet(30)
     network.leave(address(12))
     network.run(3.0)
-    assert sizes(network) == {29}
-    assert states(network, address(12), since=network.now - 3.0) == {MemberState.LEFT}
+    assert member_counts(network) == {29}
+    assert observed_states(network, address(12), since=network.now - 3.0) == {MemberState.LEFT}
 
 
 def test_partitioned_halves_find_each_other_again():
     network, swims = fleet(20)
     network.part([address(n) for n in range(10)], [address(n) for n in range(10, 20)])
     network.run(60.0)
-    assert sizes(network) == {10}
+    assert member_counts(network) == {10}
     network.part()
     network.run(40.0)
-    assert sizes(network) == {20}
+    assert member_counts(network) == {20}
 
 
 def test_partitioned_halves_heal_after_the_dead_were_forgotten():
@@ -191,7 +192,7 @@
     assert swims[0].dead() == []
     network.part()
     network.run(40.0)
-    assert sizes(network) == {11}
+    assert member_counts(network) == {11}
 
 
 def test_process_that_was_cut_off_declares_nobody_dead_when_it_is_back():
@@ -201,7 +202,7 @@
     healed = network.now
     network.part()
     network.run(40.0)
-    assert sizes(network) == {20}
+    assert member_counts(network) == {20}
     blamed = {
         m.address
         for t, who, m in network.changes
@@ -215,10 +216,10 @@
     stale = [address(100), address(101), address(2)]
     swims = [network.start(address(n), "edge", stale) for n in range(3, 6)]
     network.run(20.0)
-    assert sizes(network) == {1}
+    assert member_counts(network) == {1}
     network.start(address(2), "control", stale)
     network.run(15.0)
-    assert sizes(network) == {4}
+    assert member_counts(network) == {4}
     assert {m.address for m in swims[0].members()} == {address(n) for n in range(2, 6)}  # no stale seed
 
 
@@ -229,7 +230,7 @@
     network.run(30.0)
     lost.join([address(2)])
     network.run(1.5)
-    assert sizes(network) == {2}
+    assert member_counts(network) == {2}
 
 
 def test_seed_without_an_answer_is_asked_with_backoff():
@@ -253,10 +254,10 @@
     network, _ = fleet(30, seed, Link(delay=0.002, spread=0.2, loss=0.05, duplicates=0.1))
     network.run(180.0)
     assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
-    assert sizes(network) == {30}
+    assert member_counts(network) == {30}
     network.kill(address(20))
     network.run(25.0)
-    assert sizes(network) == {29}
+    assert member_counts(network) == {29}
 
 
 def test_same_random_seed_gives_the_same_run():
