--- /dev/null
+++ b/tests/placement/test_lease_watch.py
@@ -0,0 +1,58 @@
+"""When a process may order under the placer's lease."""
+
+import pytest
+
+from larchgw.experiments.place import Calls, HeldLease
+from larchgw.placement.lease_watch import LeaseWatch
+from larchgw.placement.service_runtime import PlacementRuntime
+
+
+@pytest.fixture
+def held():
+    """The lease that the process holds, in a list of one."""
+    return [None]
+
+
+@pytest.fixture
+def changes():
+    return []
+
+
+@pytest.fixture
+def watch(clock, held, changes):
+    runtime = PlacementRuntime(clock, lambda: held[0], Calls(None))
+    return LeaseWatch(
+        runtime,
+        on_acquired=lambda now_s, fencing_token: changes.append(("acquired", now_s, fencing_token)),
+        on_lost=lambda now_s: changes.append(("lost", now_s)),
+    )
+
+
+def test_a_lease_that_ends_before_an_order_may_arrive_is_not_used(clock, held, watch, changes):
+    held[0] = HeldLease(3, clock.now_s + 0.8)
+    assert watch.current() is None
+    held[0] = HeldLease(3, clock.now_s + 0.9)
+    assert watch.current() is held[0]
+    clock.now_s += 0.2
+    assert watch.current() is None
+    assert changes == [("acquired", 100.0, 3), ("lost", 100.2)]
+
+
+def test_a_lease_that_follows_another_is_lost_first_and_then_acquired(clock, held, watch, changes):
+    held[0] = HeldLease(3)
+    watch.current()
+    clock.now_s += 1.0
+    held[0] = HeldLease(5)
+    assert watch.current() is held[0]
+    assert watch.current() is held[0]
+    assert changes == [("acquired", 100.0, 3), ("lost", 101.0), ("acquired", 101.0, 5)]
+    assert (watch.fencing_token, watch.acquired_at_s) == (5, 101.0)
+
+
+def test_a_superseded_lease_is_not_used_and_a_later_one_is(held, watch):
+    held[0] = HeldLease(3)
+    watch.current()
+    watch.supersede(3)
+    assert watch.current() is None
+    held[0] = HeldLease(4)
+    assert watch.current() is held[0]
