--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -10,10 +10,11 @@
 import tornado.httpserver
 import tornado.web
 
-from ..configuration.change import NO_BASE_VERSION
+from ..configuration.change import CHANGE, NO_BASE_VERSION, REPLACE
 from ..configuration.json_reader import MAX_NUMBER
 from ..net.address import parse_address
 from ..runner_directory.errors import CheckInError
+from .operator_calls import READ
 from .operator_service import OperatorResponse
 
 MAX_BODY_BYTES = 64 << 20  # a configuration of many thousand routes
@@ -91,17 +92,17 @@
 
 class _ReplaceHandler(_OperatorHandler):
     async def post(self) -> None:
-        await self.call("replace")
+        await self.call(REPLACE)
 
 
 class _ChangeHandler(_OperatorHandler):
     async def post(self) -> None:
-        await self.call("change")
+        await self.call(CHANGE)
 
 
 class _ReadHandler(_OperatorHandler):
     async def get(self) -> None:
-        await self.call("read")
+        await self.call(READ)
 
 
 class _RunnerHandler(_Handler):
--- a/larchgw/control/operator_calls.py
+++ b/larchgw/control/operator_calls.py
@@ -13,26 +13,32 @@
 from .operator_order import OperatorOrder
 from .operator_service import (
     MAX_ORDER_BYTES,
+    STATUS_UNCONFIRMED,
     OperatorResponse,
     OperatorService,
     order_too_large_response,
     unconfirmed_response,
 )
 
+READ = "read"
+"""The operation that gives the configuration; the others are those of configuration/change.py."""
+
 CALL_TIMEOUT_S = 0.85  # an operator goes to another process after a second of silence
 LARGE_CALL_TIMEOUT_S = 2.5  # and later where the body is large
 LARGE_BODY_BYTES = 256 * 1024
-PRIMARY_POLL_S = 0.02  # how often it is looked for a primary while there is none
+PRIMARY_POLL_S = 0.02  # between two attempts while there is no primary
 
 
 def _timeout_s(call: OperatorCall) -> float:
     return LARGE_CALL_TIMEOUT_S if len(call.body) > LARGE_BODY_BYTES else CALL_TIMEOUT_S
 
 
-async def _in_time(call: OperatorCall, answer: Coroutine[Any, Any, OperatorResponse]) -> OperatorResponse:
+async def _with_timeout(
+    call: OperatorCall, response: Coroutine[Any, Any, OperatorResponse]
+) -> OperatorResponse:
     try:
         async with asyncio.timeout(_timeout_s(call)):
-            return await answer
+            return await response
     except TimeoutError:
         return unconfirmed_response("no primary answered in time")
 
@@ -41,45 +47,67 @@
     """Serves a call here if this is the primary, else at the primary that is known here."""
 
     def __init__(self, member: Member, service: OperatorService, clients: RpcClients) -> None:
+        """Routes calls.
+
+        Args:
+            member: Tells who is primary.
+            service: Serves calls while this process is primary.
+            clients: Connections to the other control processes.
+        """
         self._member, self._service, self._clients = member, service, clients
 
     async def operator_call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse:
-        """One call; 503 where no primary gave a clear answer in time."""
+        """Serves one call of the operator that came to this process.
+
+        Args:
+            operation: "replace", "change" or "read".
+            base_version: The version that an order builds on; NO_BASE_VERSION if it names none.
+            body: The order as it came.
+
+        Returns:
+            The primary's response; status 503 where no primary gave a clear one in time.
+        """
         if len(body) > MAX_ORDER_BYTES:
             return order_too_large_response(len(body))
         call = OperatorCall(operation, base_version, body)
-        until = asyncio.get_running_loop().time() + _timeout_s(call)
-        return await _in_time(call, self._until_clear(call, until))
+        deadline = asyncio.get_running_loop().time() + _timeout_s(call)
+        return await _with_timeout(call, self._retry_until_clear(call, deadline))
 
     async def serve_forwarded(self, call: OperatorCall) -> OperatorAnswer:
-        """A call that another process passes on; it ends when that one has given it up at the latest."""
+        """Serves a call that another process forwards.
+
+        It ends, at the latest, when that process has given the call up.
+        """
         if not self._member.is_primary:
-            return OperatorAnswer(503, b"", "")
-        answer = await _in_time(call, self._serve(call))
-        return OperatorAnswer(answer.status, answer.body, self._member.id)
+            return OperatorAnswer(STATUS_UNCONFIRMED, b"", "")
+        response = await _with_timeout(call, self._serve(call))
+        return OperatorAnswer(response.status, response.body, self._member.id)
+
+    async def _retry_until_clear(self, call: OperatorCall, deadline: float) -> OperatorResponse:
+        """Tries again while there is no primary: its place is filled within a second.
 
-    async def _until_clear(self, call: OperatorCall, until: float) -> OperatorResponse:
-        """Asks again while there is no primary: its place is filled within a second."""
+        `deadline` is a time of the event loop.
+        """
         while True:
             if self._member.is_primary:
-                answer = await self._serve(call)
+                response = await self._serve(call)
             else:
-                answer = await self._pass_on(call, until - asyncio.get_running_loop().time())
-            if answer.status != 503:
-                return answer
+                response = await self._forward(call, deadline - asyncio.get_running_loop().time())
+            if response.status != STATUS_UNCONFIRMED:
+                return response
             await asyncio.sleep(PRIMARY_POLL_S)
 
     async def _serve(self, call: OperatorCall) -> OperatorResponse:
-        if call.operation == "read":
+        if call.operation == READ:
             return await self._service.read()
         return await self._service.submit(OperatorOrder(call.operation, call.built_on, call.body))
 
-    async def _pass_on(self, call: OperatorCall, timeout: float) -> OperatorResponse:
+    async def _forward(self, call: OperatorCall, timeout_s: float) -> OperatorResponse:
         address = self._member.primary
         if not address:
             return unconfirmed_response("no primary is known here")
         try:
-            answer = await self._clients.get(address).call("submit", call, max(timeout, PRIMARY_POLL_S))
+            answer = await self._clients.get(address).call("submit", call, max(timeout_s, PRIMARY_POLL_S))
         except RpcError as error:
             return unconfirmed_response(str(error))
         return OperatorResponse(answer.status, answer.body)
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -1,4 +1,4 @@
-"""Drives this process's replication member: time, messages to the others, and what its calls came to."""
+"""Runs this process's replication member: its time, its messages, and the calls that wait for it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import structlog
 
-from ..replication.effects import Effects, Outgoing, PendingCall
+from ..replication.effects import Effects, Outgoing, PendingCall, Role
 from ..replication.errors import NotPrimaryError
 from ..replication.lease import Lease
 from ..replication.member import Member
@@ -18,14 +18,23 @@
 from .errors import ReplicationUnavailableError
 
 log = structlog.get_logger()
-TICK_S = 0.02  # heartbeats and time-outs of the protocol are some times this
+TICK_S = 0.02  # heartbeats and time-outs of the protocol are multiples of this
 DISK_RETRY_S = 1.0  # after the disk refused a write, before it is written to again
 
 
 class ReplicatedLog:
-    """The member, the state that its committed records make, and the calls that wait for it.
+    """Carries out what the replication member asks for, on the event loop of the process.
 
-    `changed` is called after the state has changed.
+    The member itself is a state machine without I/O: each step returns the effects of a message, of a call or
+    of time that has passed. Here they are carried out in their order: a snapshot and committed records go
+    into the state, calls that wait are answered, messages are sent.
+
+    A disk that refuses a write stops all steps for DISK_RETRY_S, in which the other members take this one for
+    silent.
+
+    Attributes:
+        member: The replication member.
+        state: What the committed records make.
     """
 
     def __init__(
@@ -33,43 +42,55 @@
         member: Member,
         state: ConfigurationState,
         clients: RpcClients,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """Runs nothing before `start`.
+
+        Args:
+            member: The replication member; called from here only.
+            state: Replaced and extended from here only.
+            clients: Connections to the other members.
+            on_change: Called after the state has changed.
+            clock: Seconds, monotonic.
+        """
         self.member, self.state = member, state
-        self._clients, self._changed, self._clock = clients, changed, clock
-        self._waiting: dict[PendingCall, asyncio.Future[int]] = {}
-        self._disk_rests_until = 0.0
+        self._clients, self._on_change, self._clock = clients, on_change, clock
+        self._pending_calls: dict[PendingCall, asyncio.Future[int]] = {}
+        self._paused_until = 0.0
 
     def start(self) -> None:
-        """Takes up what the disk holds."""
-        self._guard(lambda: self.member.start(self._clock()))
+        """Begins with what the disk holds."""
+        self._run_step(lambda: self.member.start(self._clock()))
 
     def tick(self) -> None:
-        """To be called each TICK_S."""
-        self._guard(lambda: self.member.tick(self._clock()))
+        """Lets time pass; to be called each TICK_S."""
+        self._run_step(lambda: self.member.tick(self._clock()))
 
     def receive(self, message: PeerMessage) -> None:
-        """A message of another member has come."""
-        self._guard(lambda: self.member.receive(self._clock(), message))
+        """Handles a message of another member."""
+        self._run_step(lambda: self.member.receive(self._clock(), message))
 
     def leave(self) -> None:
-        """A planned end is ahead; `has_left` tells when the others go on without this process."""
-        self._guard(lambda: self.member.leave(self._clock()))
+        """Asks the others to go on without this process; `has_left` tells when they do."""
+        self._run_step(lambda: self.member.leave(self._clock()))
 
     @property
     def has_left(self) -> bool:
-        """See Member.has_left."""
+        """Whether the others go on without this process; see Member.has_left."""
         return self.member.has_left
 
     def lease(self, name: str) -> Lease | None:
-        """The lease, while it is held here."""
+        """The lease of that name, while it is held here."""
         return self.member.lease(self._clock(), name)
 
     async def wait_until_decided(self) -> None:
-        """See operator_service.Replication.
+        """Returns once no record that was proposed here is undecided.
 
         A backup's log may hold undecided records for ever, a primary's not.
+
+        Raises:
+            ReplicationUnavailableError: This process is not the primary.
         """
         while self.member.is_primary and self.member.committed_index < self.member.last_index:
             await asyncio.sleep(TICK_S)
@@ -77,11 +98,19 @@
             raise ReplicationUnavailableError(f"{self.member.id} is not primary")
 
     async def confirm_primary(self) -> None:
-        """See operator_service.Replication."""
+        """Returns once it is certain that this process was primary after the call began.
+
+        Raises:
+            ReplicationUnavailableError: It is not, or the disk refuses writes.
+        """
         await self._call(self.member.confirm)
 
     async def propose(self, record: bytes) -> int:
-        """See operator_service.Replication."""
+        """Adds a record to the log; returns its index once it is committed and applied here.
+
+        Raises:
+            ReplicationUnavailableError: It may be committed or not, now or later.
+        """
         return await self._call(lambda now: self.member.propose(now, record))
 
     async def _call(self, begin: Callable[[float], tuple[PendingCall, Effects]]) -> int:
@@ -90,59 +119,63 @@
         except NotPrimaryError as error:
             raise ReplicationUnavailableError(str(error)) from error
         except OSError as error:
-            self._disk_failed(error)
+            self._pause(error)
             raise ReplicationUnavailableError(f"the disk refuses writes: {error}") from error
-        future = self._waiting[call] = asyncio.get_running_loop().create_future()
+        future = self._pending_calls[call] = asyncio.get_running_loop().create_future()
         try:
-            self._carry_out(effects)
+            self._apply_effects(effects)
             index: int = await future
             return index
         finally:
-            self._waiting.pop(call, None)
+            self._pending_calls.pop(call, None)
 
-    def _guard(self, step: Callable[[], Effects]) -> None:
-        if self._clock() < self._disk_rests_until:
+    def _run_step(self, step: Callable[[], Effects]) -> None:
+        if self._clock() < self._paused_until:
             return
         try:
-            self._carry_out(step())
+            self._apply_effects(step())
         except OSError as error:
-            self._disk_failed(error)
+            self._pause(error)
 
-    def _disk_failed(self, error: OSError) -> None:
-        """Nothing was promised. While the disk rests the others see us silent and go on without us."""
+    def _pause(self, error: OSError) -> None:
+        """Stops all steps for a while. Nothing was promised by the one that failed."""
         log.error("replication.paused", error=str(error), pause_s=DISK_RETRY_S)
-        self._disk_rests_until = self._clock() + DISK_RETRY_S
+        self._paused_until = self._clock() + DISK_RETRY_S
 
-    def _carry_out(self, effects: Effects) -> None:
-        before = self.state.record_index
+    def _apply_effects(self, effects: Effects) -> None:
+        """Carries effects out, in the order that Effects asks for."""
+        index_before = self.state.record_index
         if effects.installed is not None:
             self.state.restore(effects.installed[1])
         for index, record in effects.committed:
             self.state.apply(index, record)
-        if self.state.record_index != before:
-            self._changed()
+        if self.state.record_index != index_before:
+            self._on_change()
         for done in effects.done:
-            self._settle(done.call, done.index)
+            self._complete(done.call, done.index)
         for failed in effects.failed:
             self._fail(failed.call, failed.reason)
         for outgoing in effects.messages:
-            self._post(outgoing)
+            self._send(outgoing)
         if effects.role is not None:
-            view = self.member.view
-            epoch = None if view is None else view.epoch
-            log.info("replication.role_changed", role=effects.role.name, view_epoch=epoch)
+            self._log_role(effects.role)
+
+    def _log_role(self, role: Role) -> None:
+        view = self.member.view
+        epoch = None if view is None else view.epoch
+        log.info("replication.role_changed", role=role.name, view_epoch=epoch)
 
-    def _post(self, outgoing: Outgoing) -> None:
+    def _send(self, outgoing: Outgoing) -> None:
         message = outgoing.message
         sent = PeerMessage(message.sender, message.receiver, message.kind, message.body)
         self._clients.get(outgoing.address).post("deliver", sent)
 
-    def _settle(self, call: PendingCall, index: int) -> None:
-        future = self._waiting.get(call)
+    def _complete(self, call: PendingCall, index: int) -> None:
+        future = self._pending_calls.get(call)
         if future is not None and not future.done():
             future.set_result(index)
 
     def _fail(self, call: PendingCall, reason: str) -> None:
-        future = self._waiting.get(call)
+        future = self._pending_calls.get(call)
         if future is not None and not future.done():
             future.set_exception(ReplicationUnavailableError(reason))
--- a/larchgw/model_checking/operator_calls/mutants.py
+++ b/larchgw/model_checking/operator_calls/mutants.py
@@ -75,7 +75,7 @@
             return self._accepted()
         fits = self.state.evaluate(order)
         if fits.is_error():
-            return self._refused(fits.error)
+            return self._rejected(fits.error)
         await propose(self, order.encode())
         return self._accepted()
 
@@ -99,7 +99,7 @@
         await self.replication.confirm_primary()
         fits = self.state.evaluate(order)
         if fits.is_error():
-            return self._refused(fits.error)
+            return self._rejected(fits.error)
         return await original(self, order)
 
     return submit
