--- /dev/null
+++ b/larchgw/model_checking/check_ins/fault_injection.py
@@ -0,0 +1,131 @@
+"""Random faults of processes and links, and what must hold once they are over.
+
+Restarts forget what is in memory only, so they come while no more control processes are in a fault than the
+deployment survives; partitions and freezes come in any number.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Collection
+from functools import partial
+
+from ..errors import InvariantError
+from .cluster import SimulatedCluster
+from .invariants import OBSERVATION_INTERVAL_S
+from .processes import now
+
+FAULT_INTERVAL_S = 0.7  # on average
+CONFIGURATION_INTERVAL_S = 1.0  # on average
+FAULT_DURATION_S = (0.3, 6.0)
+EDGE_PARTITION_S = (0.5, 6.0)
+RECOVERY_S = 3.0  # after its fault a process counts as in a fault for so long
+CONVERGENCE_S = 6.0  # after the last fault, until everything must work again
+SYMMETRIC_SHARE = 0.6  # of the partitions
+CUT_EDGE_SHARE = 0.6  # of the edges that restart, those that reach one control process only
+
+
+class FaultInjector:
+    """Plays faults on a cluster. All choices come from the cluster's random generator."""
+
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        """Takes a cluster that is started before `play`."""
+        self._cluster = cluster
+        self._network = cluster.network
+        self._random = cluster.random
+        self._in_fault_until: dict[str, float] = {}  # by control process
+        self._scheduled: list[tuple[float, Callable[[], None]]] = []  # ends of faults
+
+    async def play(self, seconds: float) -> None:
+        """Plays faults and changes of the configuration; raises InvariantError."""
+        end = now() + seconds
+        while now() < end:
+            await self._step()
+            if self._random.random() < OBSERVATION_INTERVAL_S / CONFIGURATION_INTERVAL_S:
+                self._cluster.configure()
+            if self._random.random() < OBSERVATION_INTERVAL_S / FAULT_INTERVAL_S:
+                await self._random.choice(
+                    [self._partition, self._partition, self._freeze, self._restart, self._restart_edge]
+                )()
+
+    async def recover(self) -> None:
+        """Ends all faults; raises InvariantError if not everything works again after a while."""
+        for _, heal in self._scheduled:
+            heal()
+        self._scheduled = []
+        for process in self._cluster.processes:
+            self._network.heal(process.name)
+        self._cluster.observe()
+        acknowledged_before = self._cluster.acknowledged_calls()
+        end = now() + CONVERGENCE_S
+        while now() < end:
+            await self._step()
+        self._cluster.checks.check_converged()
+        if self._cluster.acknowledged_calls() == acknowledged_before:
+            raise InvariantError("no runner is acknowledged any more")
+
+    async def _step(self) -> None:
+        await asyncio.sleep(OBSERVATION_INTERVAL_S)
+        scheduled, self._scheduled = self._scheduled, []
+        for at, end in scheduled:
+            if at <= now():
+                end()
+            else:
+                self._scheduled.append((at, end))
+        self._cluster.observe()
+        self._cluster.checks.check()
+
+    # ---- faults ----
+
+    async def _partition(self) -> None:
+        """Cuts some control processes off from the others, or only what they send or receive."""
+        names = {process.name for process in self._cluster.control}
+        count = self._random.randrange(1, self._cluster.survive + 1)
+        cut_off = set(self._random.sample(sorted(names), count))
+        others = names - cut_off
+        is_symmetric = self._random.random() < SYMMETRIC_SHARE
+        if is_symmetric or self._random.random() < 0.5:
+            self._network.cut(cut_off, others)
+        if is_symmetric or self._random.random() < 0.5:
+            self._network.cut(others, cut_off)
+        self._heal_later(cut_off)
+
+    async def _freeze(self) -> None:
+        name = self._random.choice(self._cluster.control).name
+        self._network.freeze(name)
+        self._heal_later({name})
+
+    async def _restart(self) -> None:
+        process = self._random.choice(self._cluster.control)
+        if len(self._in_fault() | {process.name}) > self._cluster.survive:
+            return
+        await process.end()
+        process.start()
+        self._in_fault_until[process.name] = now() + RECOVERY_S
+
+    async def _restart_edge(self) -> None:
+        """Restarts an edge, most of the time as one that reaches one control process only for a while."""
+        edge = self._random.choice(self._cluster.edges)
+        await edge.end()
+        if self._random.random() < CUT_EDGE_SHARE:
+            self._network.heal(edge.name)
+            reached = self._random.choice(self._cluster.control).name
+            unreachable = {process.name for process in self._cluster.control} - {reached}
+            self._network.cut({edge.name}, unreachable)
+            self._network.cut(unreachable, {edge.name})
+            heals_at = now() + self._random.uniform(*EDGE_PARTITION_S)
+            self._scheduled.append((heals_at, partial(self._network.heal, edge.name)))
+        edge.start()
+
+    def _heal_later(self, names: Collection[str]) -> None:
+        until = now() + self._random.uniform(*FAULT_DURATION_S)
+        for name in names:
+            self._in_fault_until[name] = max(until + RECOVERY_S, self._in_fault_until.get(name, 0.0))
+        self._scheduled.append((until, partial(self._heal, names)))
+
+    def _heal(self, names: Collection[str]) -> None:
+        for name in names:
+            self._network.heal(name)
+
+    def _in_fault(self) -> set[str]:
+        return {name for name, until in self._in_fault_until.items() if until > now()}
--- a/larchgw/model_checking/check_ins/main.py
+++ b/larchgw/model_checking/check_ins/main.py
@@ -20,8 +20,8 @@
 
     def add(self, finished: SimulatedCluster) -> None:
         """See ExplorationReport."""
-        self.states += len(finished.states)
-        self.acknowledged += len(finished.acknowledged)
+        self.states += len(finished.checks.states)
+        self.acknowledged += len(finished.checks.acknowledged)
 
 
 def explore(seconds: float, seed: int) -> CheckInReport:
--- a/larchgw/model_checking/check_ins/network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -1,112 +1,148 @@
-"""A network between modelled processes, for `larchgw explore check-ins`: calls are delayed, held up by cuts
-and freezes, or lost with the process that was to answer. In virtual time, without sockets.
+"""The network between simulated processes: calls in virtual time, without sockets.
+
+A call is delayed both ways, held up by partitions and frozen processes, or lost with the process that was to
+reply.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-from typing import Any, Protocol
+from collections.abc import Collection
+from dataclasses import dataclass
+from typing import Protocol, TypeAlias
 
+from ...identifiers import RunnerId
 from ...rpc.errors import RpcConnectionError, RpcTimeoutError
+from ...rpc.generated.ttypes import PullReply, PullRequest, PushReply, PushRequest
+from ...runner_directory.runner_record import Stage
+
+DELAY_RANGE_S = (0.001, 0.04)  # one way
+
+
+@dataclass(frozen=True, slots=True)
+class RunnerCall:
+    """A check-in of a runner, or its Leave.
+
+    Attributes:
+        runner: The caller.
+        body: Of the check-in, JSON.
+        stage: What the runner reports itself to be; GONE makes the call a Leave.
+    """
+
+    runner: RunnerId
+    body: bytes
+    stage: Stage
 
-FASTEST_S, SLOWEST_S = 0.001, 0.04  # one way
+
+Argument: TypeAlias = PullRequest | PushRequest | RunnerCall
+Reply: TypeAlias = PullReply | PushReply | bool
+"""Of a RunnerCall: whether it is acknowledged."""
 
 
 class Service(Protocol):
-    """A process that answers calls. `life` changes with each start."""
+    """A process that replies to calls.
+
+    Attributes:
+        incarnation: Another one with each start.
+        is_running: Whether the process runs.
+    """
 
     incarnation: int
-    running: bool
+    is_running: bool
 
-    async def serve(self, method: str, argument: Any) -> Any:
-        """The answer to a call."""
+    async def serve(self, argument: Argument) -> Reply:
+        """Serves one call."""
 
 
 class Network:
-    """Links between named processes. What a cut or a freeze holds up arrives once that is over."""
+    """Links between named processes. What a partition or a freeze holds up arrives once that is over."""
 
     def __init__(self, random_source: random.Random) -> None:
+        """Takes the source of delays."""
         self._random_source = random_source
         self._services: dict[str, Service] = {}
-        self._cut: set[tuple[str, str]] = set()  # (sender, receiver)
+        self._cut_links: set[tuple[str, str]] = set()  # sender and receiver
         self._frozen: set[str] = set()
         self._changed = asyncio.Event()
 
     def add(self, name: str, service: Service) -> None:
-        """The process that answers under this name."""
+        """Adds the process that replies under this name."""
         self._services[name] = service
 
-    def cut(self, senders: set[str], receivers: set[str]) -> None:
-        """Nothing of these senders reaches these receivers any more."""
-        self._cut |= {(one, other) for one in senders for other in receivers if one != other}
+    def cut(self, senders: Collection[str], receivers: Collection[str]) -> None:
+        """Holds up all that these senders send to these receivers from now on."""
+        links = ((sender, receiver) for sender in senders for receiver in receivers)
+        self._cut_links.update(link for link in links if link[0] != link[1])
 
     def freeze(self, name: str) -> None:
-        """The process neither hears nor says anything."""
+        """Lets the process neither receive nor send anything."""
         self._frozen.add(name)
 
     def heal(self, name: str) -> None:
-        """Ends all cuts and freezes of this process."""
-        self._cut = {link for link in self._cut if name not in link}
+        """Ends all partitions and freezes of this process."""
+        self._cut_links = {link for link in self._cut_links if name not in link}
         self._frozen.discard(name)
         self._changed.set()
         self._changed = asyncio.Event()
 
     def is_frozen(self, name: str) -> bool:
-        """Whether the process does not run."""
+        """Returns whether the process stands still."""
         return name in self._frozen
 
-    def passes(self, sender: str, receiver: str) -> bool:
-        """Whether a message arrives now."""
-        return (sender, receiver) not in self._cut and not {sender, receiver} & self._frozen
-
-    def connected(self, one: str, other: str) -> bool:
-        """Whether both run and messages pass both ways."""
-        return (
-            self._services[one].running
-            and self._services[other].running
-            and self.passes(one, other)
-            and self.passes(other, one)
-        )
-
-    async def call(self, sender: str, receiver: str, method: str, argument: Any, timeout_s: float) -> Any:
-        """The answer. Raises RpcError."""
+    def is_open(self, sender: str, receiver: str) -> bool:
+        """Returns whether a message would arrive now."""
+        return (sender, receiver) not in self._cut_links and not {sender, receiver} & self._frozen
+
+    def is_connected(self, process: str, peer: str) -> bool:
+        """Returns whether both run and messages pass both ways."""
+        are_running = self._services[process].is_running and self._services[peer].is_running
+        return are_running and self.is_open(process, peer) and self.is_open(peer, process)
+
+    async def call(self, sender: str, receiver: str, argument: Argument, timeout_s: float) -> Reply:
+        """Calls a process.
+
+        Raises:
+            RpcTimeoutError: No reply came in time.
+            RpcConnectionError: The called process has ended meanwhile.
+        """
         try:
             async with asyncio.timeout(timeout_s):
-                return await self._exchange(sender, receiver, method, argument)
-        except TimeoutError:
-            raise RpcTimeoutError(f"{receiver} is silent") from None
+                return await self._exchange(sender, receiver, argument)
+        except TimeoutError as error:
+            raise RpcTimeoutError(f"{receiver}: no reply in {timeout_s} s") from error
 
-    async def _exchange(self, sender: str, receiver: str, method: str, argument: Any) -> Any:
+    async def _exchange(self, sender: str, receiver: str, argument: Argument) -> Reply:
         service = self._services[receiver]
         incarnation = service.incarnation
         await self._travel(sender, receiver)
         self._check_incarnation(service, incarnation, receiver)
-        # The one called goes on though its caller gives up, as on sockets.
-        answer = await asyncio.shield(asyncio.ensure_future(service.serve(method, argument)))
+        # The called process goes on though its caller gives up, as over sockets.
+        reply = await asyncio.shield(asyncio.ensure_future(service.serve(argument)))
         await self._travel(receiver, sender)
         self._check_incarnation(service, incarnation, receiver)
-        return answer
+        return reply
 
     async def _travel(self, sender: str, receiver: str) -> None:
-        await asyncio.sleep(self._random_source.uniform(FASTEST_S, SLOWEST_S))
-        while not self.passes(sender, receiver):
+        await asyncio.sleep(self._random_source.uniform(*DELAY_RANGE_S))
+        while not self.is_open(sender, receiver):
             await self._changed.wait()
 
     def _check_incarnation(self, service: Service, incarnation: int, name: str) -> None:
-        if not service.running or service.incarnation != incarnation:
+        if not service.is_running or service.incarnation != incarnation:
             raise RpcConnectionError(f"{name} ended")
 
 
-class Connection:
-    """What a process calls another one by; a distribution.connection.Connection."""
+class SimulatedConnection:
+    """One process's connection to another one; see distribution.connection.Connection."""
 
     def __init__(self, network: Network, sender: str, receiver: str) -> None:
+        """Takes the names of the process that calls and of the one that is called."""
         self._network, self._sender, self._receiver = network, sender, receiver
 
-    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
-        """See distribution.connection.Connection."""
-        return await self._network.call(self._sender, self._receiver, method, argument, timeout_s)
+    async def call(self, method: str, argument: Argument, timeout_s: float) -> Reply:
+        """Calls the process; the type of the argument says which method."""
+        return await self._network.call(self._sender, self._receiver, argument, timeout_s)
 
     def close(self) -> None:
-        """Nothing is kept open."""
+        """Does nothing: no connection is kept open."""
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -1,5 +1,6 @@
-"""The processes of `larchgw explore check-ins`: those parts of control processes and edges that have to do
-with check-ins, the real ones, put together without sockets; and runners.
+"""Simulated control processes and edges, and runners.
+
+Of control processes and edges, the parts that have to do with check-ins are the real ones, without sockets.
 """
 
 from __future__ import annotations
@@ -8,38 +9,57 @@
 import json
 import random
 from collections.abc import Callable, Sequence
-from typing import Any
+from dataclasses import dataclass
+from itertools import count
 
 from ...control.majority_contact import PullContact
 from ...control.runner_check_ins import RunnerCheckIns
 from ...distribution.hinted_handoff import HintedHandoff
-from ...distribution.keys import CONFIGURATION_KEY
+from ...distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
 from ...distribution.peer_pullers import PeerPullers
 from ...distribution.pull_service import PullService
 from ...distribution.pull_settings import PullSettings
 from ...distribution.puller import Puller
 from ...distribution.registry import Registry
+from ...identifiers import RunnerId
 from ...replication.view import first_view
 from ...rpc.errors import RpcError
+from ...rpc.generated.ttypes import PullRequest, PushRequest
 from ...runner_directory.directory import RunnerDirectory
-from ...runner_directory.runner_record import Stage
-from .network import Connection, Network
+from ...runner_directory.runner_record import RunnerRecord, Stage
+from .network import Argument, Network, Reply, RunnerCall, SimulatedConnection
 
-BEAT_S = 0.5
+HEARTBEAT_S = 0.5
 DIRECTORY_TICK_S = 0.25
 RUNNER_TIMEOUT_S = 1.0  # PROTOCOL: an acknowledgement counts if it comes within a second
 MAX_REPLY_BYTES = 600  # so that replies are cut
+DRAIN_SHARE = 0.7  # of the runners that leave
+
+OnAcknowledged = Callable[[str, RunnerCall], None]
+"""Observes that the control process of this name acknowledges this call."""
+
+CONFIGURATION = b"configuration"  # its content plays no part, only its version
 
-Acknowledged = Callable[[str, str, Stage], None]  # by which control process, which runner, its stage
+
+@dataclass(frozen=True, slots=True)
+class StoredConfiguration:
+    """The configuration on the disk of a control process."""
+
+    version: int
+    content: bytes
 
 
 def now() -> float:
-    """Virtual seconds."""
+    """Returns the time of the running loop, in virtual seconds."""
     return asyncio.get_running_loop().time()
 
 
 class ControlProcess:
-    """One control process. All of `names` are the witnesses; `acknowledged` is told of each answer."""
+    """One control process.
+
+    Attributes:
+        stored: What is on its disk; a start publishes it.
+    """
 
     def __init__(
         self,
@@ -47,20 +67,29 @@
         names: Sequence[str],
         network: Network,
         random_source: random.Random,
-        acknowledged: Acknowledged,
+        on_acknowledged: OnAcknowledged,
     ) -> None:
-        self.name, self.incarnation, self.running = name, 0, False
+        """Prepares a process that does not run yet.
+
+        Args:
+            name: Its name and address.
+            names: Of all control processes, itself included; all are witnesses.
+            network: Where it is called.
+            random_source: Of its pauses.
+            on_acknowledged: Is called whenever it acknowledges a runner.
+        """
+        self.name, self.incarnation, self.is_running = name, 0, False
         self._names, self._network, self._random_source = list(names), network, random_source
         self._others = [other for other in names if other != name]
-        self._acknowledged = acknowledged
+        self._on_acknowledged = on_acknowledged
         self._tasks: list[asyncio.Task[None]] = []
-        self.disk: tuple[int, bytes] | None = None  # the configuration that a start publishes
+        self.stored: StoredConfiguration | None = None
         network.add(name, self)
 
     def start(self) -> None:
-        """A new incarnation: of the one before only the disk is left."""
+        """Starts a new incarnation; of the one before only the disk is left."""
         self.incarnation += 1
-        self.running = True
+        self.is_running = True
         self.registry = Registry(f"{self.name}.{self.incarnation}")
         peers = PeerPullers(
             self.registry,
@@ -75,47 +104,54 @@
             self.registry, self.contact.is_isolated, lambda: self._names, max_reply_bytes=MAX_REPLY_BYTES
         )
         self.handoff = HintedHandoff(self._connect, lambda: self._others)
-        self.directory = RunnerDirectory(self.registry, now, BEAT_S, self.registry.origin)
+        self.directory = RunnerDirectory(self.registry, now, HEARTBEAT_S, self.registry.origin)
         self.check_ins = RunnerCheckIns(self.directory, self.registry, self.contact, self.handoff)
-        if self.disk is not None:
-            self.registry.put(CONFIGURATION_KEY, self.disk[1], self.disk[0])
+        if self.stored is not None:
+            self.registry.put(CONFIGURATION_KEY, self.stored.content, self.stored.version)
         self._tasks = [asyncio.ensure_future(work()) for work in (peers.run, self.handoff.run, self._tick)]
 
     async def end(self) -> None:
         """Kills the process."""
-        self.running = False
+        self.is_running = False
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def configure(self, version: int) -> None:
-        """Takes a configuration, as the primary does once it is committed."""
-        self.disk = (version, b"configuration")
-        self.registry.put(CONFIGURATION_KEY, b"configuration", version)
+        """Publishes a configuration, as the primary does once it is committed."""
+        self.stored = StoredConfiguration(version, CONFIGURATION)
+        self.registry.put(CONFIGURATION_KEY, CONFIGURATION, version)
 
-    def stage(self, runner: str) -> Stage | None:
-        """What it knows of a runner."""
+    def store_published_configuration(self) -> None:
+        """Keeps the configuration that its registry has, its own or another process's, on the disk."""
+        entry = self.registry.get(CONFIGURATION_KEY)
+        if entry is not None:
+            self.stored = StoredConfiguration(entry.major, entry.value)
+
+    def stage_of(self, runner: RunnerId) -> Stage | None:
+        """Returns what it knows of a runner; None if nothing."""
         record = self.directory.get(runner)
         return record.stage if record is not None else None
 
-    async def serve(self, method: str, argument: Any) -> Any:
-        """See explore_network.Service."""
-        if method in ("pull", "push"):
-            return await getattr(self.pulls, method)(argument)
-        return await self._serve_runner(method, argument)
-
-    async def _serve_runner(self, method: str, argument: tuple[str, bytes, Stage]) -> bool:
-        runner, body, stage = argument
-        if method == "checkin":
-            taken = await self.check_ins.check_in(runner, body)
+    async def serve(self, argument: Argument) -> Reply:
+        """See network.Service."""
+        if isinstance(argument, PullRequest):
+            return await self.pulls.pull(argument)
+        if isinstance(argument, PushRequest):
+            return await self.pulls.push(argument)
+        return await self._serve_runner(argument)
+
+    async def _serve_runner(self, call: RunnerCall) -> bool:
+        if call.stage is Stage.GONE:
+            is_acknowledged = await self.check_ins.leave(call.runner)
         else:
-            taken = await self.check_ins.leave(runner)
-        if taken and not self._network.is_frozen(self.name) and self.running:
-            self._acknowledged(self.name, runner, stage)
-        return taken
+            is_acknowledged = await self.check_ins.check_in(call.runner, call.body)
+        if is_acknowledged and not self._network.is_frozen(self.name) and self.is_running:
+            self._on_acknowledged(self.name, call)
+        return is_acknowledged
 
-    def _connect(self, address: str) -> Connection:
-        return Connection(self._network, self.name, address)
+    def _connect(self, address: str) -> SimulatedConnection:
+        return SimulatedConnection(self._network, self.name, address)
 
     async def _tick(self) -> None:
         while True:
@@ -124,24 +160,25 @@
 
 
 class Edge:
-    """One dispatcher: what it knows, and since when."""
+    """One edge dispatcher: what it knows, and since when."""
 
     def __init__(
         self, name: str, sources: Sequence[str], network: Network, random_source: random.Random
     ) -> None:
-        self.name, self.incarnation, self.running = name, 0, False
+        """Prepares an edge that does not run yet and pulls from the control processes `sources`."""
+        self.name, self.incarnation, self.is_running = name, 0, False
         self._sources, self._network, self._random_source = list(sources), network, random_source
         self._task: asyncio.Task[None] | None = None
         network.add(name, self)
 
     def start(self) -> None:
-        """A new life that knows nothing."""
+        """Starts a new incarnation that knows nothing."""
         self.incarnation += 1
-        self.running = True
+        self.is_running = True
         self.registry = Registry(f"{self.name}.{self.incarnation}")
         self.puller = Puller(
             self.registry,
-            lambda address: Connection(self._network, self.name, address),
+            lambda address: SimulatedConnection(self._network, self.name, address),
             lambda: self._sources,
             PullSettings(),
             self._random_source,
@@ -151,70 +188,77 @@
 
     async def end(self) -> None:
         """Kills the process."""
-        self.running = False
+        self.is_running = False
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def configuration(self) -> int:
-        """The version in force; 0: none, and every request is answered 503."""
+    def configuration_version(self) -> int:
+        """Returns the version in force; 0 for none, and every request gets 503."""
         entry = self.registry.get(CONFIGURATION_KEY)
         return entry.major if entry is not None else 0
 
-    async def serve(self, method: str, argument: Any) -> Any:
-        """Nobody calls an edge here."""
-        raise AssertionError(f"{method} at an edge")
+    def stage_of(self, runner: RunnerId) -> Stage | None:
+        """Returns what it knows of a runner; None if nothing."""
+        entry = self.registry.get(RUNNER_PREFIX + runner)
+        return RunnerRecord.decode(entry.value).stage if entry is not None else None
+
+    async def serve(self, argument: Argument) -> Reply:
+        """Fails: nobody calls an edge here."""
+        raise AssertionError(f"{argument} at an edge")
 
 
 class Runner:
-    """One runner: beats, drains after a while, leaves after its drain was acknowledged, and begins anew."""
+    """One runner after another: each checks in, drains after a while most of the time, and leaves.
+
+    Attributes:
+        acknowledged: How many calls were acknowledged.
+    """
 
     def __init__(
         self, name: str, control: Sequence[str], network: Network, random_source: random.Random
     ) -> None:
+        """Takes the names of the control processes that it calls."""
         self.name = name
         self._control, self._network, self._random_source = list(control), network, random_source
-        self._beat_to = ""
-        self._count = 0
+        self._preferred = ""  # the control process that acknowledged the last call
+        self._call_count = 0
         self.acknowledged = 0
 
     async def run(self) -> None:
-        """One life after another."""
-        number = 0
-        while True:
-            number += 1
-            await self._live(f"{self.name}.{number}")
+        """Runs until it is cancelled."""
+        for number in count(1):
+            await self._run_one(RunnerId(f"{self.name}.{number}"))
 
-    async def _live(self, id: str) -> None:
+    async def _run_one(self, runner: RunnerId) -> None:
         for _ in range(self._random_source.randrange(1, 8)):
-            await self._say(id, Stage.READY)
-            await asyncio.sleep(BEAT_S)
-        if self._random_source.random() < 0.7:
-            await self._say(id, Stage.DRAINING)
-            await asyncio.sleep(BEAT_S)
-        await self._say(id, Stage.GONE)
-
-    async def _say(self, id: str, stage: Stage) -> None:
-        """Calls one process after another until it is acknowledged, or gives up after a round."""
-        others = self._random_source.sample(self._control, len(self._control))
-        for address in dict.fromkeys([self._beat_to or others[0], *others]):
-            if await self._call(address, id, stage):
-                self._beat_to = address
+            await self._report(runner, Stage.READY)
+            await asyncio.sleep(HEARTBEAT_S)
+        if self._random_source.random() < DRAIN_SHARE:
+            await self._report(runner, Stage.DRAINING)
+            await asyncio.sleep(HEARTBEAT_S)
+        await self._report(runner, Stage.GONE)
+
+    async def _report(self, runner: RunnerId, stage: Stage) -> None:
+        """Calls one control process after another until one acknowledges; gives up after a round."""
+        in_any_order = self._random_source.sample(self._control, len(self._control))
+        for address in dict.fromkeys([self._preferred or in_any_order[0], *in_any_order]):
+            if await self._call(address, runner, stage):
+                self._preferred = address
                 self.acknowledged += 1
                 return
-        self._beat_to = ""
+        self._preferred = ""
 
-    async def _call(self, address: str, id: str, stage: Stage) -> bool:
-        self._count += 1
+    async def _call(self, address: str, runner: RunnerId, stage: Stage) -> bool:
+        self._call_count += 1
         body = {
             "service": "s",
             "address": "10.0.0.9:80",
-            "call_count": self._count,
+            "call_count": self._call_count,
             "state": "draining" if stage is Stage.DRAINING else "ready",
         }
-        method = "leave" if stage is Stage.GONE else "checkin"
-        argument = (id, json.dumps(body).encode(), stage)
+        call = RunnerCall(runner, json.dumps(body).encode(), stage)
         try:
-            return bool(await self._network.call(self.name, address, method, argument, RUNNER_TIMEOUT_S))
+            return await self._network.call(self.name, address, call, RUNNER_TIMEOUT_S) is True
         except RpcError:
             return False
--- a/larchgw/model_checking/check_ins/runs.py
+++ b/larchgw/model_checking/check_ins/runs.py
@@ -4,6 +4,7 @@
 
 from ...emulator import virtual_loop
 from .cluster import SimulatedCluster
+from .fault_injection import FaultInjector
 
 CONTROL_PROCESSES = (3, 5)  # by turns
 FAULTS_S = 15.0
@@ -20,5 +21,11 @@
 
 async def _play(seed: int) -> SimulatedCluster:
     cluster = SimulatedCluster(seed, CONTROL_PROCESSES[seed % len(CONTROL_PROCESSES)])
-    await cluster.play(FAULTS_S)
+    injector = FaultInjector(cluster)
+    cluster.start()
+    try:
+        await injector.play(FAULTS_S)
+        await injector.recover()
+    finally:
+        await cluster.end()
     return cluster
--- a/tests/model_checking/test_check_ins.py
+++ b/tests/model_checking/test_check_ins.py
@@ -13,8 +13,9 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_course_of_cuts_freezes_and_restarts_breaks_a_property(seed: int) -> None:
-    cluster = play_faults(seed)
-    assert cluster.acknowledged and len(cluster.states) > 50
+    checks = play_faults(seed).checks
+    assert checks.acknowledged
+    assert len(checks.states) > 50
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
@@ -23,7 +24,7 @@
 
 
 def test_a_course_is_repeated_by_its_seed() -> None:
-    first, second = play_faults(3), play_faults(3)
+    first, second = play_faults(3).checks, play_faults(3).checks
     assert first.acknowledged == second.acknowledged
     assert first.states == second.states
 
@@ -39,7 +40,7 @@
 def test_a_missed_mistake_is_named_and_fails_the_run(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    unchanged = Patch(SimulatedCluster, "_configure", lambda original: original)
+    unchanged = Patch(SimulatedCluster, "configure", lambda original: original)
     harmless = Mutant("changes nothing", play_faults, 0, (unchanged,))
     monkeypatch.setattr(explore, "MUTANTS", (harmless,))
     assert explore.main(0.1, 1) == 1
