--- a/larchgw/routing/selection.py
+++ b/larchgw/routing/selection.py
@@ -227,7 +227,7 @@
         """The ordinary path, among the holders that the terms around it prefer."""
         if len(holders) == 1:
             return holders[0]
-        warm = [record for record in holders if record.cold_left_ms <= 0.0] or list(holders)
+        warm = [record for record in holders if record.warm_up_left_ms <= 0.0] or list(holders)
         with_room = self._with_room(now, request, warm)
         if not with_room:
             return self._least_busy(holders)
@@ -323,7 +323,7 @@
             load = requests / self._slots(record)
             crowded = load if load > self._settings.free_share else 0.0
             return (
-                record.cold_left_ms > 0.0,
+                record.warm_up_left_ms > 0.0,
                 crowded,
                 record.zone != self._zone,
                 load,
--- a/larchgw/runner_directory/check_in_parser.py
+++ b/larchgw/runner_directory/check_in_parser.py
@@ -44,8 +44,8 @@
         slots=max(int(_number(raw, "slots", 1.0)), 1),
         config_version=_text(raw, "config_version"),
         phase=_text(raw, "phase"),
-        cold_left_ms=max(_number(raw, "cold_left_ms", 0.0), 0.0),
-        left_ms=_number(raw, "left_ms", -1.0),
+        warm_up_left_ms=max(_number(raw, "cold_left_ms", 0.0), 0.0),
+        time_left_ms=_number(raw, "left_ms", -1.0),
         call_count=int(_number(raw, "call_count", 0.0)),
         models=_models(raw),
     )
--- a/larchgw/runner_directory/directory.py
+++ b/larchgw/runner_directory/directory.py
@@ -73,11 +73,13 @@
 
     That is: counts, and the times that run down by themselves until they come to an end.
     """
-    alike = replace(new, call_count=old.call_count, cold_left_ms=old.cold_left_ms, left_ms=old.left_ms)
+    alike = replace(
+        new, call_count=old.call_count, warm_up_left_ms=old.warm_up_left_ms, time_left_ms=old.time_left_ms
+    )
     return (
         alike == old
-        and (new.cold_left_ms > 0.0) == (old.cold_left_ms > 0.0)
-        and (new.left_ms >= 0.0) == (old.left_ms >= 0.0)
+        and (new.warm_up_left_ms > 0.0) == (old.warm_up_left_ms > 0.0)
+        and (new.time_left_ms >= 0.0) == (old.time_left_ms >= 0.0)
     )
 
 
--- a/larchgw/runner_directory/runner_record.py
+++ b/larchgw/runner_directory/runner_record.py
@@ -60,8 +60,9 @@
         slots: How many requests it works on at once.
         config_version: As it tells it; carried along.
         phase: As it tells it; carried along.
-        cold_left_ms: How long it is slow yet (warming up), as of the check-in that brought the record.
-        left_ms: Time until it is taken away, as of that check-in; -1 where that is not told.
+        warm_up_left_ms: How long it is still slow (`cold_left_ms` of a check-in), as of the check-in that
+            brought the record.
+        time_left_ms: Time until it is taken away (`left_ms`), as of that check-in; -1 where it is not known.
         call_count: Number of that check-in; rises with each.
         models: What it holds.
         owner: The control process that acknowledged its last check-in (the name of its directory), which
@@ -76,8 +77,8 @@
     slots: int = 1
     config_version: str = ""
     phase: str = ""
-    cold_left_ms: float = 0.0
-    left_ms: float = -1.0
+    warm_up_left_ms: float = 0.0
+    time_left_ms: float = -1.0
     call_count: int = 0
     models: tuple[HeldModel, ...] = field(default=())
     owner: str = ""
@@ -101,8 +102,8 @@
             self.slots,
             self.config_version,
             self.phase,
-            self.cold_left_ms,
-            self.left_ms,
+            self.warm_up_left_ms,
+            self.time_left_ms,
             self.call_count,
             models,
             self.owner,
@@ -121,8 +122,8 @@
             slots,
             config_version,
             phase,
-            cold_left_ms,
-            left_ms,
+            warm_up_left_ms,
+            time_left_ms,
             call_count,
             models,
             owner,
@@ -141,8 +142,8 @@
             slots,
             config_version,
             phase,
-            cold_left_ms,
-            left_ms,
+            warm_up_left_ms,
+            time_left_ms,
             call_count,
             held_models,
             owner,
--- a/tests/emulator/test_system_runners.py
+++ b/tests/emulator/test_system_runners.py
@@ -282,7 +282,7 @@
     before, after = (parse_check_in(runner.id, call.body) for call in (first.calls[0], second.calls[0]))
     assert first.calls[0].path == f"/Runners.Checkin/{runner.id}"
     assert before.service == "lm" and before.holds("m1", "") and before.stage is Stage.READY
-    assert (after.stage, after.left_ms) == (Stage.DRAINING, 500.0)
+    assert (after.stage, after.time_left_ms) == (Stage.DRAINING, 500.0)
     assert after.call_count > before.call_count
     assert second.calls[1].path == f"/Runners.Leave/{runner.id}"
     assert [one.runner for one in records.acknowledgements] == [runner.id, runner.id]
--- a/tests/runner_directory/test_check_in_parser.py
+++ b/tests/runner_directory/test_check_in_parser.py
@@ -76,7 +76,7 @@
 
     def test_a_missing_field_gets_a_default(self) -> None:
         got = parse_check_in("i-1", b'{"service":"s","address":"h:1"}')
-        assert (got.stage, got.slots, got.left_ms, got.models) == (Stage.READY, 1, -1.0, ())
+        assert (got.stage, got.slots, got.time_left_ms, got.models) == (Stage.READY, 1, -1.0, ())
 
     def test_a_rejected_check_in_names_field_and_remedy(self) -> None:
         for field, sent in UNUSABLE:
@@ -103,6 +103,6 @@
     def test_a_record_survives_the_registry(self) -> None:
         held = (HeldModel("m", 2, ("a1",)),)
         record = RunnerRecord(
-            "i-1", "llm", "10.0.0.9:8080", "z1", left_ms=5.0, call_count=1, models=held, owner="c.1"
+            "i-1", "llm", "10.0.0.9:8080", "z1", time_left_ms=5.0, call_count=1, models=held, owner="c.1"
         )
         assert RunnerRecord.decode(record.encode()) == record
--- a/tests/runner_directory/test_directory.py
+++ b/tests/runner_directory/test_directory.py
@@ -71,9 +71,9 @@
         assert len(self.a.published) == 1
 
     def test_times_that_run_down_are_not_published_but_their_end_is(self) -> None:
-        self.a.directory.check_in(record(count=1, cold_left_ms=900.0))
-        assert not self.a.directory.check_in(record(count=2, cold_left_ms=400.0)).is_published
-        assert self.a.directory.check_in(record(count=3, cold_left_ms=0.0)).is_published
+        self.a.directory.check_in(record(count=1, warm_up_left_ms=900.0))
+        assert not self.a.directory.check_in(record(count=2, warm_up_left_ms=400.0)).is_published
+        assert self.a.directory.check_in(record(count=3, warm_up_left_ms=0.0)).is_published
 
     def test_a_loaded_model_is_published_and_needs_no_replication(self) -> None:
         self.a.directory.check_in(record(count=1))
--- a/tests/support/routing_factories.py
+++ b/tests/support/routing_factories.py
@@ -39,7 +39,7 @@
     """A runner that holds these models, one letter each, with adapter a1."""
     held = tuple(HeldModel(name, 1, ("a1",)) for name in models)
     return RunnerRecord(
-        id, service, f"{id}:1", zone, stage, slots, cold_left_ms=cold_ms, call_count=calls, models=held
+        id, service, f"{id}:1", zone, stage, slots, warm_up_left_ms=cold_ms, call_count=calls, models=held
     )
 
 
