--- a/larchgw/configuration/change.py
+++ b/larchgw/configuration/change.py
@@ -1,4 +1,4 @@
-"""What an order of the operator makes of the current configuration."""
+"""Applies an operator's "replace" or "change" order to the current configuration."""
 
 from __future__ import annotations
 
@@ -8,22 +8,26 @@
 from typing import Any
 
 from .errors import InvalidConfigurationError, MalformedConfigurationError, StaleConfigurationError
-from .json_reader import shown
+from .json_decoding import decode_object
+from .json_values import abbreviate
 from .model import Configuration
-from .validation import decode_object, parse_configuration
+from .validation import parse_configuration
 
-REPLACE, CHANGE = "replace", "change"
-NO_BASE_VERSION = -1  # `base_version` of an order that names no version
-_EMPTY: dict[str, Any] = {"config_version": 0, "routes": [], "services": []}
+REPLACE = "replace"
+CHANGE = "change"
+NO_BASE_VERSION = -1
+"""`base_version` of an order that names no version."""
+_BASE_VERSION_HEADER = "X-Built-On"
+_EMPTY_CONFIGURATION: dict[str, Any] = {"config_version": 0, "routes": [], "services": []}
 
 
 def canonical_json(raw: Mapping[str, Any]) -> bytes:
-    """The same bytes for the same JSON object, whatever the order of its fields and its spaces."""
+    """Returns the same bytes for the same JSON object, whatever the order of its fields and its spaces."""
     return json.dumps(raw, sort_keys=True, separators=(",", ":"), allow_nan=False).encode()
 
 
 def order_digest(operation: str, base_version: int, body: bytes) -> str:
-    """Recognises an order that is sent again: the same operation on the same version with the same bytes."""
+    """Returns a key that recognises a repeated order: the same operation, base version and bytes."""
     head = f"{operation} {base_version}\n".encode()
     return hashlib.sha256(head + body).hexdigest()
 
@@ -31,114 +35,132 @@
 def evaluate_order(
     current: Configuration | None, operation: str, base_version: int, body: bytes
 ) -> Configuration:
-    """The version that a "replace" or "change" order asks for.
+    """Returns the configuration that an operator's order asks for.
 
-    Raises StaleConfigurationError where it builds on another version than the current one (0 stands for
-    none), MalformedConfigurationError or InvalidConfigurationError where it cannot be taken at all.
+    Args:
+        current: The configuration in force; None if there is none yet.
+        operation: REPLACE or CHANGE.
+        base_version: The version that the order builds on: 0 for none yet, NO_BASE_VERSION for any.
+        body: A whole configuration, or a change as `apply_change` takes it, as JSON.
+
+    Raises:
+        StaleConfigurationError: The order builds on another version than the current one.
+        MalformedConfigurationError, InvalidConfigurationError: It cannot be accepted at all.
     """
-    version = current.config_version if current else 0
-    if base_version not in (NO_BASE_VERSION, version):
+    current_version = current.config_version if current else 0
+    if base_version not in (NO_BASE_VERSION, current_version):
         raise StaleConfigurationError(
-            "X-Built-On",
-            f"{base_version} is not the current version, {version}",
+            _BASE_VERSION_HEADER,
+            f"{base_version} is not the current version, {current_version}",
             "read the configuration and build on it",
         )
     raw = decode_object(body)
     if operation == CHANGE:
-        raw = apply_change(current.raw if current else _EMPTY, raw)
+        raw = apply_change(current.raw if current else _EMPTY_CONFIGURATION, raw)
     elif operation != REPLACE:
-        raise InvalidConfigurationError(
-            "operation", f"{operation!r} is unknown", f"use {REPLACE} or {CHANGE}"
-        )
-    wanted = parse_configuration(raw, current)
-    if wanted.config_version <= version:
+        problem = f"{operation!r} is unknown"
+        raise InvalidConfigurationError("operation", problem, f"use {REPLACE} or {CHANGE}")
+    new = parse_configuration(raw, current)
+    if new.config_version <= current_version:
         raise InvalidConfigurationError(
             "config_version",
-            f"{wanted.config_version} is not above {version}",
-            f"number it from {version + 1}",
+            f"{new.config_version} is not above {current_version}",
+            f"number it from {current_version + 1}",
         )
-    return wanted
+    return new
 
 
 def apply_change(current: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
-    """The raw configuration after a change; `current` stays as it is and shares its unchanged items.
+    """Returns the raw configuration after a change.
+
+    Items named under `remove` go first, and names that are not there are ignored. Those under `add` take the
+    place of the item of their name, or stand at the end. `limits` replace the fields they name.
+
+    Args:
+        current: The raw configuration. It stays as it is, and the result shares its unchanged items.
+        change: The JSON object of the change.
 
-    Items named under `remove` go first, and names that are not there are passed over. Those under `add` take
-    the place of the item of their name, or stand at the end. `limits` replace the fields they name.
-    Raises MalformedConfigurationError.
+    Raises:
+        MalformedConfigurationError: A part of the change, or of the configuration it applies to, has the
+            wrong type.
+        InvalidConfigurationError: The change adds an item twice.
     """
-    removals = _mapping(_given(change, "remove"), "remove")
-    additions = _mapping(_given(change, "add"), "add")
+    removals = _require_object(_field_or_empty(change, "remove"), "remove")
+    additions = _require_object(_field_or_empty(change, "add"), "add")
     changed = {**current, "config_version": change.get("config_version")}
     for field, names in removals.items():
-        changed[field] = _without(_list_of(changed, field), names, f"remove.{field}")
+        changed[field] = _remove_items(_item_list(changed, field), names, f"remove.{field}")
     for field, items in additions.items():
         if isinstance(items, dict):
-            changed[field] = _merged(changed, field, items)
+            changed[field] = _merge_fields(changed, field, items)
         else:
-            changed[field] = _with(_list_of(changed, field), items, f"add.{field}")
+            changed[field] = _add_items(_item_list(changed, field), items, f"add.{field}")
     if change.get("limits") is not None:
-        changed["limits"] = _merged(changed, "limits", _mapping(change["limits"], "limits"))
+        changed["limits"] = _merge_fields(changed, "limits", _require_object(change["limits"], "limits"))
     return changed
 
 
-def _mapping(value: object, path: str) -> Mapping[str, Any]:
+def _require_object(value: object, path: str) -> Mapping[str, Any]:
     if not isinstance(value, dict):
-        raise MalformedConfigurationError(path, f"{shown(value)} is no JSON object", "give an object")
+        raise MalformedConfigurationError(path, f"{abbreviate(value)} is no JSON object", "give an object")
     return value
 
 
-def _sequence(value: object, path: str) -> list[Any]:
+def _require_list(value: object, path: str) -> list[Any]:
     if not isinstance(value, list):
-        raise MalformedConfigurationError(path, f"{shown(value)} is no list", "give a list")
+        raise MalformedConfigurationError(path, f"{abbreviate(value)} is no list", "give a list")
     return value
 
 
-def _given(change: Mapping[str, Any], field: str) -> object:
+def _field_or_empty(change: Mapping[str, Any], field: str) -> object:
     value = change.get(field)
     return {} if value is None else value
 
 
-def _list_of(raw: Mapping[str, Any], field: str) -> list[Any]:
+def _item_list(raw: Mapping[str, Any], field: str) -> list[Any]:
+    """The named items that a field of the configuration holds."""
     value = raw.get(field)
     if value is not None and not isinstance(value, list):
-        raise MalformedConfigurationError(field, "is no list of named items", "send the whole configuration")
+        problem = "is no list of named items"
+        raise MalformedConfigurationError(field, problem, "send the whole configuration")
     return value or []
 
 
-def _merged(raw: Mapping[str, Any], field: str, fields: Mapping[str, Any]) -> dict[str, Any]:
+def _merge_fields(raw: Mapping[str, Any], field: str, fields: Mapping[str, Any]) -> dict[str, Any]:
     value = raw.get(field)
-    return {**_mapping({} if value is None else value, field), **fields}
+    return {**_require_object({} if value is None else value, field), **fields}
 
 
-def _name(item: object) -> str | None:
+def _item_name(item: object) -> str | None:
     name = item.get("name") if isinstance(item, dict) else None
     return name if isinstance(name, str) else None
 
 
-def _without(items: list[Any], names: object, path: str) -> list[Any]:
-    gone = set()
-    for index, name in enumerate(_sequence(names, path)):
+def _remove_items(items: list[Any], names: object, path: str) -> list[Any]:
+    removed_names = set()
+    for index, name in enumerate(_require_list(names, path)):
         if not isinstance(name, str):
-            raise MalformedConfigurationError(f"{path}[{index}]", f"{shown(name)} is no name", "list names")
-        gone.add(name)
-    return [item for item in items if _name(item) not in gone]
-
-
-def _with(items: list[Any], additions: object, path: str) -> list[Any]:
-    places = {_name(item): place for place, item in enumerate(items)}
-    found = list(items)
-    added: set[str] = set()
-    for index, item in enumerate(_sequence(additions, path)):
-        name = _mapping(item, f"{path}[{index}]").get("name")
-        where = f"{path}[{index}].name"
+            problem = f"{abbreviate(name)} is no name"
+            raise MalformedConfigurationError(f"{path}[{index}]", problem, "list names")
+        removed_names.add(name)
+    return [item for item in items if _item_name(item) not in removed_names]
+
+
+def _add_items(items: list[Any], additions: object, path: str) -> list[Any]:
+    """Puts each addition in the place of the item of its name, or at the end."""
+    position_by_name = {_item_name(item): position for position, item in enumerate(items)}
+    result = list(items)
+    added_names: set[str] = set()
+    for index, item in enumerate(_require_list(additions, path)):
+        name = _require_object(item, f"{path}[{index}]").get("name")
+        name_path = f"{path}[{index}].name"
         if not isinstance(name, str):
-            raise MalformedConfigurationError(where, f"{shown(name)} is no name", "name the item")
-        if name in added:
-            raise InvalidConfigurationError(where, f"{name!r} is added twice", "keep one of them")
-        added.add(name)
-        if name in places:
-            found[places[name]] = item
+            raise MalformedConfigurationError(name_path, f"{abbreviate(name)} is no name", "name the item")
+        if name in added_names:
+            raise InvalidConfigurationError(name_path, f"{name!r} is added twice", "keep one of them")
+        added_names.add(name)
+        if name in position_by_name:
+            result[position_by_name[name]] = item
         else:
-            found.append(item)
-    return found
+            result.append(item)
+    return result
--- a/larchgw/configuration/errors.py
+++ b/larchgw/configuration/errors.py
@@ -2,19 +2,32 @@
 
 from __future__ import annotations
 
+HTTP_BAD_REQUEST = 400
+HTTP_PRECONDITION_FAILED = 412
+
 
 class ConfigurationError(Exception):
-    """Something the operator must mend. `field` is a path such as "routes[2].deadline_ms"."""
+    """Something that the operator must correct.
+
+    Attributes:
+        status: The HTTP status that the operator is answered with.
+        field: Path of the field, such as "routes[2].deadline_ms".
+        problem: What is wrong with it.
+        remedy: What to give instead.
+    """
 
-    status = 400
+    status = HTTP_BAD_REQUEST
 
     def __init__(self, field: str, problem: str, remedy: str) -> None:
+        """Makes the message from the three fields."""
         super().__init__(f"{field}: {problem}; {remedy}")
-        self.field, self.problem, self.remedy = field, problem, remedy
+        self.field = field
+        self.problem = problem
+        self.remedy = remedy
 
 
 class MalformedConfigurationError(ConfigurationError):
-    """It cannot be read whole: not JSON, a field missing or of another type."""
+    """It cannot be read: not JSON, a field missing or of another type."""
 
 
 class InvalidConfigurationError(ConfigurationError):
@@ -24,7 +37,7 @@
 class StaleConfigurationError(ConfigurationError):
     """It builds on another version than the current one."""
 
-    status = 412
+    status = HTTP_PRECONDITION_FAILED
 
 
 class SettingsError(ConfigurationError):
--- a/larchgw/configuration/json_reader.py
+++ b/larchgw/configuration/json_reader.py
@@ -1,134 +1,140 @@
-"""Reads one JSON object into one of the model's dataclasses, with dacite.
-
-dacite alone takes a boolean for a number and knows no ranges; the hooks here are strict. No number of a
-configuration may be negative, so that is checked here once and for all.
-"""
+"""Reads decoded JSON into the dataclasses of the model, and collects what is wrong with it."""
 
 from __future__ import annotations
 
 import dataclasses
-from collections.abc import Callable, Mapping
-from typing import Any, TypeVar, get_type_hints
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from typing import Any, Protocol, TypeVar, get_type_hints
 
 import dacite
 
 from .errors import ConfigurationError, InvalidConfigurationError, MalformedConfigurationError
+from .json_values import STRICT_TYPE_HOOKS, InvalidValueError, abbreviate, check_integer
+
+_STRICT = dacite.Config(type_hooks=STRICT_TYPE_HOOKS)
+
+
+class Named(Protocol):
+    """An item that is known by its name."""
+
+    @property
+    def name(self) -> str:
+        """Unique among the items of its list."""
 
-MAX_NUMBER = 2**63 - 1
-"""What the 64-bit integers of the internal protocol hold; versions, times and sizes alike."""
-_SHOWN = 60  # characters of a wrong value that a message repeats
 
-T = TypeVar("T")
+RecordT = TypeVar("RecordT")
+ItemT = TypeVar("ItemT")
 
 
-class InvalidValueError(dacite.DaciteFieldError):
-    """A value that a hook refuses; dacite adds the path of its field."""
+@dataclasses.dataclass(frozen=True, slots=True)
+class FieldFault:
+    """A field that dacite would reject."""
 
-    def __init__(self, problem: str, remedy: str) -> None:
-        super().__init__()
-        self.problem, self.remedy = problem, remedy
+    name: str
+    problem: str
+    remedy: str
 
 
-class Findings:
-    """The faults found so far. Reading goes on after a fault, so that the operator learns of all at once."""
+class JsonReader:
+    """Reads JSON values by type.
+
+    Reading goes on after a fault, so that the operator learns of all at once. The `path` of a value, such as
+    "routes[2].shares", goes into the messages.
+
+    Attributes:
+        faults: What was found to be wrong so far, in the order of reading.
+    """
 
     def __init__(self) -> None:
+        """Starts without faults."""
         self.faults: list[ConfigurationError] = []
 
-    def malformed(self, path: str, problem: str, remedy: str) -> None:
-        """Notes a field that is missing or of another type."""
+    def add_malformed(self, path: str, problem: str, remedy: str) -> None:
+        """Adds the fault of a field that is missing or of another type."""
         self.faults.append(MalformedConfigurationError(path, problem, remedy))
 
-    def require(self, holds: bool, path: str, problem: str, remedy: str) -> None:
-        """Notes a contradiction unless `holds`."""
-        if not holds:
-            self.faults.append(InvalidConfigurationError(path, problem, remedy))
-
-    def mapping(self, value: object, path: str) -> Mapping[str, Any] | None:
-        """A JSON object; None, and a note, where it is something else."""
+    def add_invalid(self, path: str, problem: str, remedy: str) -> None:
+        """Adds the fault of a value that contradicts another or a rule."""
+        self.faults.append(InvalidConfigurationError(path, problem, remedy))
+
+    def require(self, is_valid: bool, path: str, problem: str, remedy: str) -> None:
+        """Adds a fault, as `add_invalid` does, unless `is_valid`."""
+        if not is_valid:
+            self.add_invalid(path, problem, remedy)
+
+    def require_unique_names(self, list_name: str, items: Sequence[tuple[str, Named]]) -> None:
+        """Adds a fault for each item with the name of an earlier one; `items` come with their paths."""
+        paths: dict[str, str] = {}
+        for path, item in items:
+            first = paths.setdefault(item.name, path)
+            if first is not path:
+                problem = f"{item.name!r} is the name of {first} too"
+                self.add_invalid(f"{path}.name", problem, f"rename one of these {list_name}")
+
+    def read_object(self, value: object, path: str) -> Mapping[str, Any] | None:
+        """Returns a JSON object; None, and a fault, where it is something else."""
         if isinstance(value, dict):
             return value
-        self.malformed(path, f"{shown(value)} is no JSON object", "give an object")
+        self.add_malformed(path, f"{abbreviate(value)} is no JSON object", "give an object")
         return None
 
-    def sequence(self, value: object, path: str) -> list[Any]:
-        """A JSON list; an empty one, and a note, where it is something else."""
+    def read_list(self, value: object, path: str) -> list[Any]:
+        """Returns a JSON list; an empty one, and a fault, where it is something else."""
         if isinstance(value, list):
             return value
-        self.malformed(path, f"{shown(value)} is no list", "give a list")
+        self.add_malformed(path, f"{abbreviate(value)} is no list", "give a list")
         return []
 
-    def integer(self, value: object, path: str) -> int | None:
-        """A whole number from 0 to MAX_NUMBER; None, and a note, where it is something else."""
+    def read_integer(self, value: object, path: str) -> int | None:
+        """Returns a whole number from 0 to MAX_NUMBER; None, and a fault, where it is something else."""
         try:
-            return _integer(value)
+            return check_integer(value)
         except InvalidValueError as error:
-            self.malformed(path, error.problem, error.remedy)
+            self.add_malformed(path, error.problem, error.remedy)
             return None
 
-    def record(self, data_class: type[T], raw: Mapping[str, Any], path: str) -> T | None:
-        """An instance of `data_class`; None, and a note for each wrong field, where it cannot be made.
+    def read_record(self, data_class: type[RecordT], raw: Mapping[str, Any], path: str) -> RecordT | None:
+        """Returns an instance of `data_class`; None, and a fault for each wrong field, if there is any.
 
-        A field that is null counts as left out, and unknown ones are ignored. Fields that are dataclasses
-        or tuples must have been made before.
+        A field that is null counts as left out, and unknown ones are ignored. Fields that are dataclasses or
+        tuples must have been made before.
         """
         present = {name: value for name, value in raw.items() if value is not None}
         try:
             return dacite.from_dict(data_class, present, _STRICT)
         except dacite.DaciteFieldError:
-            for name, problem, remedy in _wrong_fields(data_class, present):
-                self.malformed(f"{path}.{name}", problem, remedy)
+            for fault in _wrong_fields(data_class, present):
+                self.add_malformed(f"{path}.{fault.name}", fault.problem, fault.remedy)
             return None
 
+    def read_items(
+        self, values: object, path: str, read: Callable[[object, str, JsonReader], ItemT | None]
+    ) -> list[tuple[str, ItemT]]:
+        """Returns the items of a list that can be read, each with its path.
 
-def shown(value: object) -> str:
-    """A wrong value as a message repeats it: short."""
-    text = repr(value)
-    return text if len(text) <= _SHOWN else f"{text[:_SHOWN]}..."
-
-
-def _number(value: object) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise InvalidValueError(f"{shown(value)} is no number", "give a number that is not negative")
-    if not 0 <= value <= MAX_NUMBER:  # NaN compares as false
-        raise InvalidValueError(f"{shown(value)} is out of range", f"give a number from 0 to {MAX_NUMBER}")
-    return float(value)
-
-
-def _integer(value: object) -> int:
-    number = _number(value)
-    if not number.is_integer():
-        raise InvalidValueError(f"{shown(value)} is no whole number", "give a whole number")
-    return value if isinstance(value, int) else int(number)
-
-
-def _text(value: object) -> str:
-    if not isinstance(value, str):
-        raise InvalidValueError(f"{shown(value)} is no text", "give a string")
-    return value
-
-
-def _flag(value: object) -> bool:
-    if not isinstance(value, bool):
-        raise InvalidValueError(f"{shown(value)} is neither true nor false", "give true or false")
-    return value
-
-
-_HOOKS: dict[Any, Callable[[Any], Any]] = {float: _number, int: _integer, str: _text, bool: _flag}
-_STRICT = dacite.Config(type_hooks=_HOOKS)
+        Args:
+            values: The JSON list.
+            path: Its path.
+            read: Reads one item; None where it cannot be read, after adding the faults.
+        """
+        items = []
+        for index, value in enumerate(self.read_list(values, path)):
+            item_path = f"{path}[{index}]"
+            item = read(value, item_path, self)
+            if item is not None:
+                items.append((item_path, item))
+        return items
 
 
-def _wrong_fields(data_class: type, present: Mapping[str, Any]) -> list[tuple[str, str, str]]:
-    """Field, problem and remedy of each field that dacite would refuse; it stops at the first."""
+def _wrong_fields(data_class: type, present: Mapping[str, Any]) -> Iterator[FieldFault]:
+    """Yields every field that dacite would reject; dacite itself stops at the first."""
     hints = get_type_hints(data_class)
-    found = []
     for field in dataclasses.fields(data_class):
         if field.name not in present:
             if field.default is dataclasses.MISSING:
-                found.append((field.name, "is missing", "add it"))
+                yield FieldFault(field.name, "is missing", "add it")
             continue
         try:
-            _HOOKS.get(hints[field.name], lambda value: value)(present[field.name])
+            STRICT_TYPE_HOOKS.get(hints[field.name], lambda value: value)(present[field.name])
         except InvalidValueError as error:
-            found.append((field.name, error.problem, error.remedy))
-    return found
+            yield FieldFault(field.name, error.problem, error.remedy)
--- a/larchgw/configuration/model.py
+++ b/larchgw/configuration/model.py
@@ -1,10 +1,17 @@
-"""The operator's configuration as frozen dataclasses, which `validation.py` makes from JSON."""
+"""The operator's configuration as frozen dataclasses, which `validation` makes from JSON.
+
+The names of fields are those of the JSON: dacite reads them from the dataclasses, and they are the operator's
+interface. Where the field's own term differs, the attribute's text gives it.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-KINDS = ("read_only", "writing", "streaming")
+READ_ONLY = "read_only"
+WRITING = "writing"
+STREAMING = "streaming"
+ROUTE_KINDS = (READ_ONLY, WRITING, STREAMING)
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +24,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests for `hostname` whose path begins with `path_start`. Times are milliseconds."""
+    """Requests for one host whose path begins with one prefix. Times are milliseconds.
+
+    Attributes:
+        name: Unique among the routes.
+        hostname: The host, as in the `Host` header.
+        path_start: The path prefix; begins and ends with a slash.
+        kind: One of ROUTE_KINDS.
+        deadline_ms: How long a request may be held.
+        target_ms: Latency target; 0 for none.
+        rank: Priority class; 0 is the most important.
+        service: Where requests go, unless the route is split.
+        shares: Where requests of a split route go.
+        tries: Most attempts of one request, the first included.
+        pinned: Whether requests of one client go to the same runner (affinity).
+        can_resume: Whether a broken stream may be resumed on another runner.
+        gap_aim_ms: Latency target between two parts of a stream; 0 for none.
+    """
 
     name: str
     hostname: str
@@ -34,20 +57,25 @@
     gap_aim_ms: float = 0.0
 
     def split(self) -> tuple[Share, ...]:
-        """Its services with their weights; one of weight 1 where it is not split."""
+        """Returns its services with their weights; one of weight 1 where it is not split."""
         return self.shares or (Share(self.service, 1.0),)
 
     @property
-    def idempotent(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind == "read_only" or (self.kind == "streaming" and self.can_resume)
+        return self.kind == READ_ONLY or (self.kind == STREAMING and self.can_resume)
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
     """A model that a service can serve.
 
-    Weights in MB, load time in seconds. Adapters are named a1, a2, ...
+    Attributes:
+        name: Unique among the models of its service.
+        weights_mb: Size of its weights.
+        load_s: How long a runner takes to load them.
+        adapters: How many adapters it has; they are named a1, a2, ...
+        adapter_mb: Size of one adapter.
     """
 
     name: str
@@ -59,7 +87,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """The engine of a service's runners; `weights_mb` and `adapter_slots` are what one runner holds."""
+    """The inference engine of a service's runners.
+
+    Attributes:
+        slots: How many requests one runner decodes at a time.
+        cache_tokens: Size of one runner's KV cache, in tokens.
+        token_bytes, link_mbps, stride: Not used by this program.
+        models: What the service can serve.
+        weights_mb: Memory for weights on one runner.
+        adapter_slots: How many adapters one runner holds.
+        loads_per_s: Rate limit of loads from the weight store.
+    """
 
     slots: int = 1
     cache_tokens: float = 0.0
@@ -72,13 +110,20 @@
     loads_per_s: float = 0.0
 
     def model(self, name: str) -> Model | None:
-        """The model of this name."""
+        """Returns the model of this name."""
         return next((model for model in self.models if model.name == name), None)
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of runners that are alike. `runtime` is None where it serves no models."""
+    """A group of runners that are alike.
+
+    Attributes:
+        name: Unique among the services.
+        max_conns: Most connections to one runner, shared by all edges; 0 for no limit.
+        runtime: Its inference engine; None where it serves no models.
+        health_path, protocol, uses_tls: Not used by this program.
+    """
 
     name: str
     health_path: str = ""
@@ -90,7 +135,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, in bytes, and how long it may take or rest, in milliseconds."""
+    """What a client may send, and how long it may take.
+
+    Attributes:
+        header_bytes: Most bytes of a request's head.
+        body_bytes: Most bytes of a request's body.
+        header_ms: How long the head may take to arrive.
+        idle_ms: How long a connection may be idle.
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -100,7 +152,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole version. `raw` is the JSON object as the operator would read it back."""
+    """One whole version.
+
+    Attributes:
+        config_version: From 1; a new version is above the one before.
+        routes: In the operator's order.
+        services: In the operator's order.
+        limits: For all clients.
+        raw: The JSON object as the operator would read it back.
+    """
 
     config_version: int
     routes: tuple[Route, ...] = ()
@@ -109,5 +169,5 @@
     raw: dict[str, object] = field(default_factory=dict, compare=False, hash=False, repr=False)
 
     def service(self, name: str) -> Service | None:
-        """The service of this name."""
+        """Returns the service of this name."""
         return next((service for service in self.services if service.name == name), None)
--- a/larchgw/configuration/packing.py
+++ b/larchgw/configuration/packing.py
@@ -1,4 +1,7 @@
-"""The configuration as it goes between processes: JSON, compressed, since every process gets each version."""
+"""The form in which a configuration goes between processes.
+
+It is compressed JSON: every process receives every version.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,19 @@
 from collections.abc import Mapping
 from typing import Any
 
-LEVEL = 6  # names and numbers repeat: about a tenth of the size; higher levels cost more than they save
+COMPRESSION_LEVEL = 6
+"""Names and numbers repeat: about a tenth of the size; higher levels cost more than they save."""
 
 
 def pack(raw: Mapping[str, Any]) -> bytes:
-    """The bytes for a configuration's JSON object."""
-    return zlib.compress(json.dumps(raw, separators=(",", ":")).encode(), LEVEL)
+    """Returns the packed form of a configuration's JSON object."""
+    return zlib.compress(json.dumps(raw, separators=(",", ":")).encode(), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> bytes:
-    """The JSON text in such bytes. Raises zlib.error if they are none."""
+    """Returns the JSON text in a packed form.
+
+    Raises:
+        zlib.error: The data is not in that form.
+    """
     return zlib.decompress(data)
--- a/larchgw/configuration/route_reader.py
+++ b/larchgw/configuration/route_reader.py
@@ -1,4 +1,4 @@
-"""Reads one route. An operator may send ten thousand, so ordinary ones avoid dacite's reflection."""
+"""Reads one route. An operator may send ten thousand, so those without a fault avoid dacite's reflection."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 from itertools import product
 from typing import Any
 
-from .json_reader import MAX_NUMBER, Findings
-from .model import KINDS, Route, Share
+from .json_reader import JsonReader
+from .json_values import MAX_NUMBER
+from .model import ROUTE_KINDS, Route, Share
 
-# Field, value where it is left out, and JSON types that need no closer look. Order is that of `Route`.
+# Field, default, and JSON types that need no closer look. The order is that of `Route`.
 _FIELDS: tuple[tuple[str, object, tuple[type, ...]], ...] = (
     ("name", None, (str,)),
     ("hostname", None, (str,)),
@@ -27,25 +28,25 @@
 )
 _NAMES = tuple(name for name, _, _ in _FIELDS)
 _DEFAULTS = tuple(default for _, default, _ in _FIELDS)
-_ORDINARY = frozenset(product(*(types for _, _, types in _FIELDS)))
+_PLAIN_TYPES = frozenset(product(*(types for _, _, types in _FIELDS)))
 
 
-def read_route(value: object, path: str, findings: Findings) -> Route | None:
-    """The route in this JSON object, checked by itself; None where `findings` tells what is wrong."""
-    raw = findings.mapping(value, path)
+def read_route(value: object, path: str, reader: JsonReader) -> Route | None:
+    """Returns the route in this JSON object, checked by itself; None, and faults, where it cannot be read."""
+    raw = reader.read_object(value, path)
     if raw is None:
         return None
-    return ordinary_route(raw) or route_by_record(raw, path, findings)
+    return read_plain_route(raw) or read_route_by_dacite(raw, path, reader)
 
 
-def ordinary_route(raw: Mapping[str, Any]) -> Route | None:
-    """The same as `route_by_record` would give, sooner; None where anything is unusual and it must look."""
+def read_plain_route(raw: Mapping[str, Any]) -> Route | None:
+    """Returns what `read_route_by_dacite` would, sooner; None where anything is unusual and it must look."""
     values = tuple(map(raw.get, _NAMES, _DEFAULTS))
-    if tuple(map(type, values)) not in _ORDINARY:
+    if tuple(map(type, values)) not in _PLAIN_TYPES:
         return None
     name, host, start, kind, deadline, target, rank, service, shares, tries, pinned, resume, gap = values
-    split = _ordinary_shares(shares) if shares else ()
-    if split is None or not (name and host and kind in KINDS and (service or split)):
+    split = _read_plain_shares(shares) if shares else ()
+    if split is None or not (name and host and kind in ROUTE_KINDS and (service or split)):
         return None
     if not (start[:1] == "/" == start[-1:] and 0 < deadline <= MAX_NUMBER and 0 <= target <= MAX_NUMBER):
         return None
@@ -68,8 +69,8 @@
     )
 
 
-def _ordinary_shares(values: list[Any]) -> tuple[Share, ...] | None:
-    """The shares of a split route; None where `route_by_record` must look."""
+def _read_plain_shares(values: list[Any]) -> tuple[Share, ...] | None:
+    """Returns the shares of a split route; None where `read_route_by_dacite` must look."""
     shares = []
     total = 0.0
     for value in values:
@@ -84,30 +85,30 @@
     return tuple(shares) if total > 0 else None
 
 
-def route_by_record(raw: Mapping[str, Any], path: str, findings: Findings) -> Route | None:
-    """The route by way of dacite, which names what is wrong."""
-    before = len(findings.faults)
-    shares = _shares(raw.get("shares"), f"{path}.shares", findings)
-    route = findings.record(Route, {**raw, "shares": shares}, path)
+def read_route_by_dacite(raw: Mapping[str, Any], path: str, reader: JsonReader) -> Route | None:
+    """Returns the route by way of dacite, which names what is wrong; None, and faults, if anything is."""
+    faults_before = len(reader.faults)
+    shares = _read_shares(raw.get("shares"), f"{path}.shares", reader)
+    route = reader.read_record(Route, {**raw, "shares": shares}, path)
     if route is not None:
-        _check(route, path, findings)
-    return route if len(findings.faults) == before else None
+        _check_route(route, path, reader)
+    return route if len(reader.faults) == faults_before else None
 
 
-def _shares(value: object, path: str, findings: Findings) -> tuple[Share, ...]:
+def _read_shares(value: object, path: str, reader: JsonReader) -> tuple[Share, ...]:
     shares = []
-    for index, item in enumerate([] if value is None else findings.sequence(value, path)):
-        where = f"{path}[{index}]"
-        raw = findings.mapping(item, where)
-        share = None if raw is None else findings.record(Share, raw, where)
+    for index, item in enumerate([] if value is None else reader.read_list(value, path)):
+        share_path = f"{path}[{index}]"
+        raw = reader.read_object(item, share_path)
+        share = None if raw is None else reader.read_record(Share, raw, share_path)
         if share is not None:
             shares.append(share)
     return tuple(shares)
 
 
-def _check(route: Route, path: str, findings: Findings) -> None:
-    """What types cannot say."""
-    require = findings.require
+def _check_route(route: Route, path: str, reader: JsonReader) -> None:
+    """Adds the faults that types cannot say."""
+    require = reader.require
     require(route.name != "", f"{path}.name", "is empty", "name the route")
     require(route.hostname != "", f"{path}.hostname", "is empty", "name the host that the route serves")
     require(
@@ -116,7 +117,8 @@
         f"{route.path_start!r} does not begin and end with a slash",
         "write it as /prefix/",
     )
-    require(route.kind in KINDS, f"{path}.kind", f"{route.kind!r} is unknown", f"use {', '.join(KINDS)}")
+    is_known = route.kind in ROUTE_KINDS
+    require(is_known, f"{path}.kind", f"{route.kind!r} is unknown", f"use {', '.join(ROUTE_KINDS)}")
     require(route.deadline_ms > 0, f"{path}.deadline_ms", "is 0", "give the milliseconds it may be held")
     require(route.tries > 0, f"{path}.tries", "is 0", "allow at least one runner")
     require(
@@ -125,9 +127,9 @@
         "has neither service nor shares",
         "name a service, or split it in shares",
     )
-    weight = sum(share.weight for share in route.shares)
+    total_weight = sum(share.weight for share in route.shares)
     require(
-        weight > 0 or not route.shares,
+        total_weight > 0 or not route.shares,
         f"{path}.shares",
         "weights add up to 0",
         "give at least one share a weight above 0",
--- a/larchgw/configuration/settings.py
+++ b/larchgw/configuration/settings.py
@@ -4,21 +4,30 @@
 
 import json
 import os
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, SupportsFloat, SupportsIndex, SupportsInt
 
 import dacite
 
 from .errors import SettingsError
-from .json_reader import InvalidValueError, shown
+from .json_values import InvalidValueError, abbreviate
 
 SETTINGS_FILE_VARIABLE = "LARCHGW_NODE_FILE"
 
+# The names of the fields below are those of the settings file: dacite reads them from the dataclasses.
+
 
 @dataclass(frozen=True, slots=True)
 class Listen:
-    """Where the role listens, each "host:port"; empty if it does not serve that."""
+    """Where the role listens, each "host:port"; empty if it does not serve that.
+
+    Attributes:
+        front: Clients' requests (edge).
+        ready: Readiness (edge).
+        control: Operator's calls and runners' check-ins (control).
+    """
 
     front: str = ""
     ready: str = ""
@@ -27,7 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the machine gives this process."""
+    """What the machine gives this process.
+
+    Attributes:
+        open_files: Most open file descriptors.
+        memory_mb: Memory in MiB.
+        cpu_share, cpus, link_mbps, disk_mb: Not used by the process itself.
+    """
 
     cpu_share: float = 1.0
     cpus: int = 1
@@ -39,7 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Survive:
-    """How many may be lost at once while all promises hold."""
+    """How many failures are tolerated at once while all guarantees hold.
+
+    Attributes:
+        computers: Machines: a change is acknowledged with one replica more than this.
+        zones, regions: Above 0, every in-sync member has a vote.
+    """
 
     computers: int = 0
     zones: int = 0
@@ -48,7 +68,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeLimits:
-    """The bounds of the deployment; names ending in _ms are milliseconds, in _s seconds."""
+    """The bounds of the deployment; names ending in _ms are milliseconds, in _s seconds.
+
+    Those that are not listed are not used by the process itself.
+
+    Attributes:
+        grace_period_s: How long a process may take to stop after SIGTERM.
+        retry_ratio, retry_window_s, retry_extra: The retry budget: in any window, so many retries for each
+            request, and so many besides.
+        lease_term_ms: Term of a lease.
+        ceiling_window_s: Window of the load rate limit.
+        origin_rate_cap: Factor on `loads_per_s` in the load rate limit.
+        apply_ms: In which an edge must use a new configuration.
+        drain_end_ms: In which an edge must learn that a runner is draining.
+    """
 
     seed_lag_s: float = 3.0
     reuse_after_s: float = 2.0
@@ -76,7 +109,26 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """All that a process is told at its start."""
+    """All settings of a process, read at its start and again at SIGHUP.
+
+    Attributes:
+        node_name: Unique among all processes; stands in each log line.
+        ip: Address of this machine, for the rpc and membership ports.
+        zone: Failure domain of this machine.
+        role, machine_class, region, promises: Not used by the process itself.
+        serves: What the process serves, "edge" or "control"; for `settings_check`.
+        zones: Region of each zone; for `settings_check`.
+        listen: Addresses for clients, runners and operators.
+        spare_ports: First and last port for rpc and membership; see `port`.
+        seed_list: `listen.control` addresses of some control processes, through which all others are found.
+        first_boot: Whether this is the first start of the whole system: the seeds then form the first view.
+        counts_for_quorum: Whether the machine counts for the quorum; for `settings_check`.
+        limits: What the machine gives this process.
+        data_dir: Folder for durable state (control).
+        beat_ms: Period of a runner's check-ins, in milliseconds.
+        survive: How many failures are tolerated.
+        time_limits: The bounds of the deployment.
+    """
 
     node_name: str
     ip: str
@@ -99,42 +151,28 @@
     time_limits: TimeLimits = TimeLimits()
 
     def port(self, offset: int) -> int:
-        """The spare port at this place. Raises SettingsError if there are not that many."""
+        """Returns the spare port at this offset from the first one.
+
+        Raises:
+            SettingsError: There are not that many.
+        """
         first, last = self.spare_ports
         if first + offset > last:
             raise SettingsError("spare_ports", f"holds no port {first + offset}", "give it a wider range")
         return first + offset
 
 
-def _number(value: Any) -> float:
-    try:
-        return float(value)
-    except (TypeError, ValueError):
-        raise InvalidValueError(f"{shown(value)} is no number", "give a number") from None
-
-
-def _integer(value: Any) -> int:
-    try:
-        return int(value)
-    except (TypeError, ValueError, OverflowError):
-        raise InvalidValueError(f"{shown(value)} is no whole number", "give a whole number") from None
-
-
-# Lenient, as a process that does not start helps nobody; `settings_check` is what finds fault.
-_LENIENT = dacite.Config(type_hooks={float: _number, int: _integer})
+def parse_settings(raw: Mapping[str, Any]) -> NodeSettings:
+    """Returns the settings in a decoded file.
 
+    Unknown fields are ignored, and those that are null or empty text count as left out. It is lenient about
+    numbers, as a process that does not start helps nobody; `settings_check` finds fault.
 
-def _given(value: Any) -> Any:
-    """The value without the fields that are null or empty text, at any depth: these count as left out."""
-    if not isinstance(value, dict):
-        return value
-    return {name: _given(inner) for name, inner in value.items() if inner is not None and inner != ""}
-
-
-def parse_settings(raw: dict[str, Any]) -> NodeSettings:
-    """The settings in a decoded file; unknown fields are ignored. Raises SettingsError."""
+    Raises:
+        SettingsError: A field that is needed is missing, or one has a type that cannot be used.
+    """
     try:
-        settings = dacite.from_dict(NodeSettings, _given(raw), _LENIENT)
+        settings = dacite.from_dict(NodeSettings, _without_empty_fields(raw), _LENIENT)
     except InvalidValueError as error:
         raise SettingsError(str(error.field_path), error.problem, error.remedy) from None
     except dacite.MissingValueError as error:
@@ -142,7 +180,7 @@
     except dacite.WrongTypeError as error:
         raise SettingsError(
             str(error.field_path),
-            f"{shown(error.value)} has the wrong type",
+            f"{abbreviate(error.value)} has the wrong type",
             "see docs/operators-system.md for the fields",
         ) from None
     if len(settings.spare_ports) != 2:
@@ -151,14 +189,44 @@
 
 
 def load_settings(path: str | None = None) -> NodeSettings:
-    """Reads the file at `path`, or the one that the environment names. Raises SettingsError."""
-    name = path or os.environ.get(SETTINGS_FILE_VARIABLE, "")
-    if not name:
+    """Reads the file at `path`, or the one that the environment names.
+
+    Raises:
+        SettingsError: There is no such file, or it cannot be used.
+    """
+    file_name = path or os.environ.get(SETTINGS_FILE_VARIABLE, "")
+    if not file_name:
         raise SettingsError(SETTINGS_FILE_VARIABLE, "is not set", "set it to the path of the settings file")
     try:
-        raw = json.loads(Path(name).read_text())
+        raw = json.loads(Path(file_name).read_text())
     except (OSError, ValueError) as error:
-        raise SettingsError(name, str(error), "make it a readable JSON file") from error
+        raise SettingsError(file_name, str(error), "make it a readable JSON file") from error
     if not isinstance(raw, dict):
-        raise SettingsError(name, "is no JSON object", "make it an object of settings")
+        raise SettingsError(file_name, "is no JSON object", "make it an object of settings")
     return parse_settings(raw)
+
+
+def _to_number(value: str | SupportsFloat | SupportsIndex) -> float:
+    try:
+        return float(value)
+    except (TypeError, ValueError):
+        raise InvalidValueError(f"{abbreviate(value)} is no number", "give a number") from None
+
+
+def _to_integer(value: str | SupportsInt | SupportsIndex) -> int:
+    try:
+        return int(value)
+    except (TypeError, ValueError, OverflowError):
+        raise InvalidValueError(f"{abbreviate(value)} is no whole number", "give a whole number") from None
+
+
+_LENIENT = dacite.Config(type_hooks={float: _to_number, int: _to_integer})
+
+
+def _without_empty_fields(fields: Mapping[str, Any]) -> dict[str, Any]:
+    """Leaves out the fields that are null or empty text, at any depth."""
+    return {
+        name: _without_empty_fields(value) if isinstance(value, dict) else value
+        for name, value in fields.items()
+        if value is not None and value != ""
+    }
--- a/larchgw/configuration/settings_check.py
+++ b/larchgw/configuration/settings_check.py
@@ -1,4 +1,4 @@
-"""What is wrong with the settings of a process although they can be read; for `larchgw settings`."""
+"""Finds what is wrong with the settings of a process although they can be read; for `larchgw settings`."""
 
 from __future__ import annotations
 
@@ -8,68 +8,84 @@
 from .errors import SettingsError
 from .settings import NodeSettings
 
-PORTS_NEEDED = 3  # rpc, membership of control processes, membership of edges
-_LARGEST_PORT = 65535
-_NEEDED_ADDRESSES = {"edge": ("front", "ready"), "control": ("control",)}  # by what the role serves
-_POSITIVE = ("contact_ms", "lease_term_ms", "retry_window_s", "ceiling_window_s", "grace_period_s")
+MIN_SPARE_PORTS = 3
+"""rpc, membership of control processes, membership of edges."""
+MAX_PORT = 65535
+_REQUIRED_ADDRESSES = {"edge": ("front", "ready"), "control": ("control",)}
+"""Fields of `listen`, by what the process serves."""
+_POSITIVE_TIME_LIMITS = (
+    "contact_ms",
+    "lease_term_ms",
+    "retry_window_s",
+    "ceiling_window_s",
+    "grace_period_s",
+)
 
 
 def settings_faults(settings: NodeSettings) -> list[SettingsError]:
-    """Every fault, in the order of the fields."""
-    return [*_addresses(settings), *_ports(settings), *_places(settings), *_figures(settings)]
+    """Returns every fault, in the order of the fields."""
+    return [
+        *_address_faults(settings),
+        *_port_faults(settings),
+        *_machine_faults(settings),
+        *_number_faults(settings),
+    ]
 
 
 def is_address(text: str) -> bool:
     """Whether it reads as host:port."""
     host, _, port = text.rpartition(":")
-    return host != "" and port.isascii() and port.isdigit() and 0 < int(port) <= _LARGEST_PORT
+    return host != "" and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
 
 
-def _addresses(settings: NodeSettings) -> Iterator[SettingsError]:
-    for what in settings.serves:
-        for name in _NEEDED_ADDRESSES.get(what, ()):
+def _address_faults(settings: NodeSettings) -> Iterator[SettingsError]:
+    for service in settings.serves:
+        for name in _REQUIRED_ADDRESSES.get(service, ()):
             if not getattr(settings.listen, name):
-                yield SettingsError(f"listen.{name}", f"is missing, though it serves {what}", "add host:port")
+                problem = f"is missing, though it serves {service}"
+                yield SettingsError(f"listen.{name}", problem, "add host:port")
     for field in fields(settings.listen):
         address = getattr(settings.listen, field.name)
         if address and not is_address(address):
-            yield SettingsError(f"listen.{field.name}", f"{address!r} is no address", "write it as host:port")
+            yield _not_an_address(f"listen.{field.name}", address)
     if not settings.seed_list:
         yield SettingsError("seed_list", "is empty", "name the control address of at least one machine")
     for index, address in enumerate(settings.seed_list):
         if not is_address(address):
-            yield SettingsError(f"seed_list[{index}]", f"{address!r} is no address", "write it as host:port")
+            yield _not_an_address(f"seed_list[{index}]", address)
 
 
-def _ports(settings: NodeSettings) -> Iterator[SettingsError]:
+def _not_an_address(field: str, address: str) -> SettingsError:
+    return SettingsError(field, f"{address!r} is no address", "write it as host:port")
+
+
+def _port_faults(settings: NodeSettings) -> Iterator[SettingsError]:
     first, last = settings.spare_ports
-    if not 0 < first <= last <= _LARGEST_PORT:
+    if not 0 < first <= last <= MAX_PORT:
         yield SettingsError(
             "spare_ports",
             f"{first} to {last} is no range of ports",
-            f"give two ports from 1 to {_LARGEST_PORT}, the lower one first",
-        )
-    elif last - first + 1 < PORTS_NEEDED:
-        yield SettingsError(
-            "spare_ports", f"{first} to {last} are too few ports", f"give a range of {PORTS_NEEDED} at least"
+            f"give two ports from 1 to {MAX_PORT}, the lower one first",
         )
+    elif last - first + 1 < MIN_SPARE_PORTS:
+        problem = f"{first} to {last} are too few ports"
+        yield SettingsError("spare_ports", problem, f"give a range of {MIN_SPARE_PORTS} at least")
 
 
-def _places(settings: NodeSettings) -> Iterator[SettingsError]:
+def _machine_faults(settings: NodeSettings) -> Iterator[SettingsError]:
     if settings.zones and settings.zone not in settings.zones:
         yield SettingsError("zone", f"{settings.zone!r} is not among zones", "add it there, with its region")
     if settings.counts_for_quorum and not settings.data_dir:
-        yield SettingsError(
-            "data_dir", "is missing, though the machine counts for the quorum", "name a folder on its disk"
-        )
+        problem = "is missing, though the machine counts for the quorum"
+        yield SettingsError("data_dir", problem, "name a folder on its disk")
 
 
-def _figures(settings: NodeSettings) -> Iterator[SettingsError]:
+def _number_faults(settings: NodeSettings) -> Iterator[SettingsError]:
     for part in ("limits", "survive", "time_limits"):
         values = getattr(settings, part)
         for field in fields(values):
             value = getattr(values, field.name)
             if value < 0:
                 yield SettingsError(f"{part}.{field.name}", f"{value:g} is negative", "give 0 or more")
-            elif value == 0 and field.name in _POSITIVE:
+            elif value == 0 and field.name in _POSITIVE_TIME_LIMITS:
                 yield SettingsError(f"{part}.{field.name}", "is 0", "give a time above 0")
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -11,7 +11,7 @@
 import tornado.web
 
 from ..configuration.change import CHANGE, NO_BASE_VERSION, REPLACE
-from ..configuration.json_reader import MAX_NUMBER
+from ..configuration.json_values import MAX_NUMBER
 from ..net.address import parse_address
 from ..runner_directory.errors import CheckInError
 from .operator_calls import READ
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -13,8 +13,9 @@
 from pathlib import Path
 
 from ..configuration.errors import ConfigurationError
+from ..configuration.json_decoding import decode_object
 from ..configuration.model import Configuration
-from ..configuration.validation import decode_object, parse_configuration
+from ..configuration.validation import parse_configuration
 from ..replication.forced_new_view import ForcedView, write_forced_view
 from ..replication.replica import split_frame
 from ..storage.errors import StorageError
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -169,7 +169,7 @@
             self._trace.sent(now)
         if self._arrivals:
             context.budget.record_retry(now, self.traits.service)
-        connection = context.pool.acquire(runner, idempotent=self.traits.route.idempotent)
+        connection = context.pool.acquire(runner, idempotent=self.traits.route.is_idempotent)
         if connection is None:
             self._on_attempt_failed(AttemptOutcome.UNSENT)
             return
@@ -361,7 +361,7 @@
     def _may_run_again(self, runs: int) -> bool:
         """Whether it may go to a further runner after it may have run so many times."""
         route = self.traits.route
-        if not route.idempotent or runs >= route.tries:
+        if not route.is_idempotent or runs >= route.tries:
             return False
         if not self.started:
             return True
--- a/tests/configuration/test_change.py
+++ b/tests/configuration/test_change.py
@@ -24,7 +24,8 @@
     MalformedConfigurationError,
     StaleConfigurationError,
 )
-from larchgw.configuration.validation import MAX_NESTING, parse_configuration
+from larchgw.configuration.json_decoding import MAX_NESTING
+from larchgw.configuration.validation import parse_configuration
 from tests.support.configurations import EXAMPLE, body, configurations, example, routes_of, with_value
 
 CURRENT = parse_configuration(EXAMPLE)
--- a/tests/configuration/test_recorded_bytes.py
+++ b/tests/configuration/test_recorded_bytes.py
@@ -16,12 +16,12 @@
 
 from larchgw.configuration.change import canonical_json, evaluate_order, order_digest
 from larchgw.configuration.errors import ConfigurationError
+from larchgw.configuration.json_decoding import decode_object
 from larchgw.configuration.model import Configuration
 from larchgw.configuration.packing import pack, unpack
 from larchgw.configuration.settings import parse_settings
 from larchgw.configuration.settings_check import settings_faults
 from larchgw.configuration.validation import (
-    decode_object,
     examine_configuration,
     parse_committed,
     parse_configuration,
@@ -63,10 +63,11 @@
 
 
 def read_configuration(raw: Any) -> dict[str, Any]:
-    configuration, faults = examine_configuration(raw)
+    examination = examine_configuration(raw)
+    configuration = examination.configuration
     return {
         "values": None if configuration is None else values_of(configuration),
-        "faults": [describe_error(fault) for fault in faults],
+        "faults": [describe_error(fault) for fault in examination.faults],
     }
 
 
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from larchgw.configuration.errors import ConfigurationError, MalformedConfigurationError
-from larchgw.configuration.json_reader import Findings
-from larchgw.configuration.route_reader import ordinary_route, route_by_record
+from larchgw.configuration.json_decoding import decode_object
+from larchgw.configuration.json_reader import JsonReader
+from larchgw.configuration.route_reader import read_plain_route, read_route_by_dacite
 from larchgw.configuration.validation import (
-    decode_object,
     examine_configuration,
     parse_committed,
     parse_configuration,
@@ -25,9 +25,14 @@
     read = parse_configuration(decode_object(body(EXAMPLE)))
     plan, note, level = read.routes
     assert (read.config_version, len(read.services), read.limits.idle_ms) == (7, 2, 15000.0)
-    assert (plan.service, plan.deadline_ms, plan.gap_aim_ms, plan.idempotent) == ("models", 15000, 300, False)
+    assert (plan.service, plan.deadline_ms, plan.gap_aim_ms, plan.is_idempotent) == (
+        "models",
+        15000,
+        300,
+        False,
+    )
     assert [(share.service, share.weight) for share in note.split()] == [("models", 90.0), ("lookups", 10.0)]
-    assert note.idempotent and [share.service for share in level.split()] == ["lookups"]
+    assert note.is_idempotent and [share.service for share in level.split()] == ["lookups"]
     runtime = read.services[0].runtime
     assert runtime is not None and runtime.model("m1") is not None and runtime.weights_mb == 230000.0
     assert read.services[1].runtime is None
@@ -194,9 +199,9 @@
     raw = with_value(with_value(EXAMPLE, "routes.0.kind", "batch"), "routes.2.deadline_ms", 0)
     raw = with_value(with_value(raw, "routes.1.shares.1.service", "nobody"), "routes.0.tries", 0)
     raw = with_value(with_value(raw, "routes.2.name", 3), "routes.2.hostname", ...)
-    configuration, faults = examine_configuration(raw)
-    assert configuration is None
-    assert [fault.field for fault in faults] == [
+    examination = examine_configuration(raw)
+    assert examination.configuration is None
+    assert [fault.field for fault in examination.faults] == [
         "routes[0].kind",
         "routes[0].tries",
         "routes[2].name",
@@ -206,7 +211,7 @@
 
 
 def test_routes_are_not_called_strangers_while_the_services_cannot_be_read() -> None:
-    faults = examine_configuration(with_value(EXAMPLE, "services.0.max_conns", "many"))[1]
+    faults = examine_configuration(with_value(EXAMPLE, "services.0.max_conns", "many")).faults
     assert [fault.field for fault in faults] == ["services[0].max_conns"]
 
 
@@ -319,8 +324,8 @@
 
 @given(configurations())
 def test_the_quick_reading_of_a_route_gives_what_dacite_gives(raw: dict[str, Any]) -> None:
-    quick = [ordinary_route(route) for route in raw["routes"]]
-    whole = [route_by_record(route, "r", Findings()) for route in raw["routes"]]
+    quick = [read_plain_route(route) for route in raw["routes"]]
+    whole = [read_route_by_dacite(route, "r", JsonReader()) for route in raw["routes"]]
     assert quick == whole
 
 
