--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -39,7 +39,7 @@
     return (FIXTURES / name).read_text(encoding="utf-8")
 
 
-def practised_dispatcher() -> Desk:
+def experienced_dispatcher() -> Desk:
     """A dispatcher that has served jobs, seen an error, and has one worker that does not answer."""
     desk = Desk([SAFE, RELEASE])
     desk.clock.offset = CLOCK_OFFSET_S
@@ -130,9 +130,10 @@
 
 
 def job_packet(has_attempt: bool) -> str:
-    desk = practised_dispatcher()
+    desk = experienced_dispatcher()
     packed = moving.pack(open_job(desk, has_attempt), desk.core)
-    assert packed is not None and packed[1] == ([11, 12] if has_attempt else [11])
+    assert packed is not None
+    assert packed[1] == ([11, 12] if has_attempt else [11])
     return packed[0].decode()
 
 
@@ -190,7 +191,7 @@
 
 def elder_lines(folder: Path) -> str:
     """What the process that serves sends to one that has come up, and the socket by which it is found."""
-    desk = practised_dispatcher()
+    desk = experienced_dispatcher()
     with process(folder, desk) as (handover, jobs, loop), socket.socket(socket.AF_UNIX) as newcomer:
         end_jobs(jobs, desk)
         desk.core.take_out(b"w3", 1001.5)
@@ -244,8 +245,8 @@
     """Everything that is recorded, by the fixture's name. `folder` is empty."""
     for name in ("elder", "newcomer", "cordons"):
         (folder / name).mkdir()
-    desk = practised_dispatcher()
-    busy = practised_dispatcher()
+    desk = experienced_dispatcher()
+    busy = experienced_dispatcher()
     busy.take(b"1")
     busy.take(b"2")
     return {
@@ -272,19 +273,21 @@
 
 
 def test_recorded_learned_state_is_taken_over() -> None:
-    old = practised_dispatcher()
+    old = experienced_dispatcher()
     new = new_dispatcher(old)
-    told = json.loads(recorded("learned_state.json"))
-    learned.take(new.core.dispatcher, told)
-    assert learned.tell(new.core.dispatcher) == told
-    holders = {name for name, worker in told["workers"].items() if KEY in [key for key, *_ in worker["keys"]]}
+    state = json.loads(recorded("learned_state.json"))
+    learned.take(new.core.dispatcher, state)
+    assert learned.tell(new.core.dispatcher) == state
+    holders = {
+        name for name, worker in state["workers"].items() if KEY in [key for key, *_ in worker["keys"]]
+    }
     new.core.take(Request(new, b"next", 0, b"/p", b"", 5.0, key=KEY))
     assert new.sent[-1].worker.decode() in holders
 
 
 @pytest.mark.parametrize("name, worker", [("job_at_worker.json", b"w2"), ("job_waiting.json", None)])
 def test_a_recorded_job_goes_on_where_it_stood(name: str, worker: bytes | None) -> None:
-    desk = new_dispatcher(practised_dispatcher())
+    desk = new_dispatcher(experienced_dispatcher())
     desk.clock.offset = 260.0  # another one than the process had that wrote it
     adopted = Adopted()
     client, at_worker = socket.socketpair()
@@ -292,7 +295,8 @@
         moving.unpack(recorded(name).encode(), [client, at_worker], desk.core, adopted, adopted)
     (request,) = desk.core.receive.open.values()
     assert adopted.client == (client, b"POST", b"/release?x=1", True)
-    assert adopted.exchange is not None and adopted.exchange.extra is request is not None
+    assert adopted.exchange is not None
+    assert adopted.exchange.extra is request is not None
     assert (request.name, request.job_class, request.target) == (b"job-\xe9", 1, b"/release?x=1")
     assert (request.body, request.once, request.tenant) == (b"\x00body", b"once-1", 1)
     assert (request.wait, request.key, request.slots) == (4.5, 9, 2.0)
@@ -312,7 +316,7 @@
 
 
 def test_recorded_lines_of_the_process_that_serves_are_understood(tmp_path: Path, fixed_pid: None) -> None:
-    old = practised_dispatcher()
+    old = experienced_dispatcher()
     new = new_dispatcher(old)
     with socket.socket(socket.AF_UNIX) as elder, process(tmp_path, new) as (handover, jobs, loop):
         elder.bind(str(tmp_path / "larchgw-74.sock"))
@@ -322,20 +326,23 @@
         with accepted:
             accepted.sendall(lines_only(recorded("elder_lines.txt")))
             loop.turn()
-            assert handover.peers[0].greeted and not handover.peers[0].younger
+            assert handover.peers[0].greeted
+            assert not handover.peers[0].younger
             assert handover.peers[0].pending
-            assert handover.open_elsewhere(b"open\xe9") and not handover.open_elsewhere(b"other")
+            assert handover.open_elsewhere(b"open\xe9")
+            assert not handover.open_elsewhere(b"other")
             assert new.core.boxes.banned == {}  # w3 and w1 were taken out and put back
             assert jobs.ended(1, b"u-1") == (b"H:larchgw:1", Answer(AnswerKind.SERVED, b"made\xff"))
             assert jobs.ended(1, b"u-2") == (b"H:larchgw:2", Answer(AnswerKind.FAILED, b"", 1.5, "it broke"))
-            assert jobs.elsewhere(1, b"u-3") and jobs.elsewhere(1, b"u-4")
-            told = learned.tell(new.core.dispatcher)
+            assert jobs.elsewhere(1, b"u-3")
+            assert jobs.elsewhere(1, b"u-4")
+            state = learned.tell(new.core.dispatcher)
             hello = json.loads(lines_only(recorded("elder_lines.txt")).splitlines()[0])
-            assert told["runs"] == hello["learned"]["runs"]
+            assert state["runs"] == hello["learned"]["runs"]
 
 
 def test_a_recorded_cordon_in_the_greeting_is_kept(tmp_path: Path, fixed_pid: None) -> None:
-    new = new_dispatcher(practised_dispatcher())
+    new = new_dispatcher(experienced_dispatcher())
     with socket.socket(socket.AF_UNIX) as elder, process(tmp_path, new) as (handover, _, loop):
         elder.bind(str(tmp_path / "larchgw-74.sock"))
         elder.listen()
@@ -348,7 +355,7 @@
 
 
 def test_recorded_lines_of_a_process_that_has_come_up_are_understood(tmp_path: Path, fixed_pid: None) -> None:
-    desk = practised_dispatcher()
+    desk = experienced_dispatcher()
     with process(tmp_path, desk) as (handover, _, loop), socket.socket(socket.AF_UNIX) as newcomer:
         handover.begin()
         assert handover.accepting()
