--- a/deploy/days/draw.py
+++ b/deploy/days/draw.py
@@ -42,11 +42,13 @@
 
 
 def starts(first: float, gap_s: float, last: float) -> tuple[float, ...]:
+    """Returns the times from `first` to at most `last`, `gap_s` apart; all in seconds of the day."""
     count = int((last - first) / gap_s) + 1
     return tuple(first + number * gap_s for number in range(count))
 
 
 def storm(for_s: float, gap_s: float) -> str:
+    """Returns an entry that changes the configuration every `gap_s` seconds for `for_s` seconds."""
     return f'kind = "config_storm", for_s = {for_s}, gap_s = {gap_s}'
 
 
@@ -140,17 +142,20 @@
     """Deals out what it holds in shuffled order, again and again."""
 
     def __init__(self, entries: list[str], chance: random.Random) -> None:
+        """Holds these entries and shuffles them with `chance`."""
         self.entries = entries
         self.chance = chance
         self.left: list[str] = []
 
     def deal(self) -> str:
+        """Returns the next entry; shuffles anew once all have been dealt out."""
         if not self.left:
             self.left = self.chance.sample(self.entries, len(self.entries))
         return self.left.pop()
 
 
 def is_planned(entry: str) -> bool:
+    """Whether the entry is planned work, which stands under `plan` and not under `faults`."""
     kind = entry.split('"')[1]
     if kind == "scale_in":
         return "spot" not in entry
@@ -158,6 +163,7 @@
 
 
 def lines(name: str, entries: list[tuple[float, str]]) -> list[str]:
+    """Returns the lines of a TOML list of entries, each with its time in seconds, in order of time."""
     return [f"{name} = [", *(f"  {{ at = {at:.2f}, {entry} }}," for at, entry in sorted(entries)), "]"]
 
 
