--- a/larchgw/distribution/__init__.py
+++ b/larchgw/distribution/__init__.py
@@ -8,7 +8,7 @@
     puller           the asking side, at dispatchers; `peer_pullers` runs one for each other control process
     source_selector  which control process a puller asks next
     pull_settings    the times of pulls
-    resync           anti-entropy: comparison with a whole registry after a long time out of touch
+    resync           anti-entropy: comparison with a complete registry after a long time out of touch
     hinted_handoff   pushes urgent entries to a quorum; `hints` keeps what a peer missed
     placer_entry     the entry that names the placer
     connection       a connection to another process, as this package needs it
--- a/larchgw/distribution/hinted_handoff.py
+++ b/larchgw/distribution/hinted_handoff.py
@@ -1,9 +1,9 @@
 """Hinted handoff: urgent entries are at other control processes before they are acknowledged.
 
 `HintedHandoff.replicate` pushes entries to every peer and returns those that have them, without waiting for
-the slowest once there is a quorum. What a peer did not take is kept as a hint, and handed over by `run` when
-the peer takes calls again, a batch at a time. Hints shorten the time until a returning peer knows what is
-urgent; nothing rests on them alone, since peers also pull from one another.
+the slowest once there is a quorum. What a peer did not accept is kept as a hint, and handed over by `run` in
+batches when the peer answers again. Hints shorten the time until a returning peer knows what is urgent; no
+guarantee depends on them, since peers also pull from one another.
 
 Source: DeCandia and others, "Dynamo", SOSP 2007, section 4.6.
 """
@@ -33,7 +33,7 @@
     """Pushes urgent entries to the other control processes.
 
     Attributes:
-        hints: What peers did not take.
+        hints: Entries that peers did not accept.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
 
         Args:
             connect: Opens a connection to an address.
-            peers: Gives the rpc addresses of the live control processes, the own one left out.
-            node_name: The own name, for the logs of the processes that answer.
+            peers: Gives the rpc addresses of the other live control processes.
+            node_name: Name of this process, for the logs of the processes that answer.
             max_hints: How many entries are kept for one peer.
         """
         self._connect = connect
@@ -98,7 +98,7 @@
             self.close()
 
     async def hand_over(self) -> None:
-        """Gives live peers what is kept for them; closes connections to those that are no peers any more."""
+        """Pushes hints to the peers that are live; closes connections to former peers."""
         live = set(self._peers())
         for address in set(self._connections) - live:
             self._connections.pop(address).close()
--- a/larchgw/distribution/hints.py
+++ b/larchgw/distribution/hints.py
@@ -1,4 +1,4 @@
-"""Entries kept for control processes that did not take them. Pure."""
+"""Entries kept for control processes that did not accept them. Pure."""
 
 from __future__ import annotations
 
--- a/larchgw/distribution/peer_pullers.py
+++ b/larchgw/distribution/peer_pullers.py
@@ -34,10 +34,10 @@
         Args:
             registry: Where entries are merged.
             connect: Opens a connection to an address.
-            peers: Gives the rpc addresses to pull from, the own one left out.
+            peers: Gives the rpc addresses of the other control processes.
             settings: Times of pulls.
             random_source: Draws pauses.
-            node_name: The own name, for the logs of the processes that answer.
+            node_name: Name of this process, for the logs of the processes that answer.
             clock: Seconds, monotonic.
         """
         self._registry = registry
--- a/larchgw/distribution/pull_service.py
+++ b/larchgw/distribution/pull_service.py
@@ -1,7 +1,7 @@
-"""The answering side of pulls: a control process keeps a caller that lacks nothing waiting (long poll).
+"""The answering side of pulls: long polls for changes of the registry.
 
-Changes are gathered for GATHER_DELAY_S before the waiting callers are woken, all at once; each then looks
-only at what was stored behind its cursor.
+A caller that is up to date is kept waiting for the next change. Changes are gathered for GATHER_DELAY_S
+before the waiting callers are woken, all at once; each is then sent only what was stored after its cursor.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
         registry.watch("", self._schedule_wake)
 
     async def pull(self, request: PullRequest) -> PullReply:
-        """Answers at once if the caller lacks something or has no cursor of this registry yet.
+        """Answers at once if there are entries to send, or the caller has no cursor of this registry yet.
 
         Else it answers with the first change within the caller's wait, or without entries at its end.
         """
--- a/larchgw/distribution/pull_settings.py
+++ b/larchgw/distribution/pull_settings.py
@@ -18,13 +18,14 @@
 
     Attributes:
         wait_s: How long a control process may keep a pull waiting (long poll).
-        reply_grace_s: How much later than that the reply may come; then the process counts as lost.
+        reply_grace_s: How much later than that the reply may come before the call times out.
         start_jitter_s: The first pull comes within this time, so that a start of all at once is spread.
         min_backoff_s: Pause once every process was tried in vain; doubles with each round.
         max_backoff_s: Where doubling ends.
-        zone_recheck_s: After this time one in the own zone is taken again if the current one is not.
-        resync_after_s: Out of touch for longer, tombstones may be missed: half of the time they are kept.
-        hand_back_after_s: After a change of the source, when entries that the new one lacks are given to it.
+        zone_recheck_s: After this time a source in the same zone is preferred again, if the current one is
+            elsewhere.
+        resync_after_s: Out of touch for longer, tombstones may have been missed; half of their retention.
+        hand_back_after_s: From a change of the source until runners that it does not know are handed to it.
     """
 
     wait_s: float = 0.5
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -1,10 +1,10 @@
 """The asking side of pulls: keeps a registry up to date from one control process at a time.
 
-A pull waits at the control process for a change (long poll). A process that errs, stays silent longer than
-the settings allow or says that it is cut off from the majority is left for another at once. Of what a cut-off
-process sends an edge takes the runners alone: its configuration may be an old one, and an edge that knows
-none yet would begin to serve with it. Control processes take all from one another, since merging never takes
-anything back.
+A pull waits at the control process for a change (long poll). A process whose call fails or times out, or
+that reports to be cut off from the majority, is replaced by another at once. From the reply of a cut-off
+process an edge merges only the runners: its configuration may be an old one, and an edge that knows none yet
+would begin to serve with it. Control processes merge everything from one another, since a merge never
+replaces an entry by an older one.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
         connection: The connection to it.
         cursors: How far its registry has been read; sent with each pull.
         vector: What it holds, as far as its replies have claimed.
-        hand_back_at: When entries that it lacks are given to it, by the puller's clock; None: no more.
+        hand_back_at: When runners that it does not know are handed to it, by the puller's clock; None: done.
     """
 
     def __init__(self, address: str, connection: Connection) -> None:
@@ -101,15 +101,15 @@
             addresses: Gives the control processes to start from.
             settings: Times of pulls.
             random_source: Draws sources, pauses and the time of handing back.
-            node_name: The own name, for the logs of the process that answers.
+            node_name: Name of this process, for the logs of the process that answers.
             prefixes: Keys to pull begin with one of these; none: all keys.
-            is_near: Whether an address is in the own zone.
+            is_near: Whether an address is in the zone of this process.
             is_only_source: Whether nothing else fills the registry. Further addresses are then learned from
-                the replies, replies of a cut-off process are taken in part, and after `resync_after_s` out
-                of touch the registry is compared with the whole of another (resync.py).
-            hands_back_runners: Whether entries of runners that the process pulled from lacks some time after
-                the change to it are given to it. After a restart of all control processes the dispatchers
-                are the only ones who know of a runner that crashed meanwhile.
+                the replies, replies of a cut-off process are merged in part, and after `resync_after_s` out
+                of touch the registry is compared with a complete other one (resync.py).
+            hands_back_runners: Whether entries of runners that the process pulled from does not hold some
+                time after the change to it are pushed to it. After a restart of all control processes the
+                dispatchers are the only ones who know of a runner that crashed meanwhile.
             clock: Seconds, monotonic.
         """
         self.registry = registry
--- a/larchgw/distribution/registry.py
+++ b/larchgw/distribution/registry.py
@@ -130,7 +130,7 @@
         return dict(self._vector)
 
     def delta(self, have: Mapping[str, int], prefixes: Sequence[str], limit_bytes: int) -> PullReply:
-        """Returns the entries that a caller lacks.
+        """Returns the entries that a caller does not hold.
 
         Args:
             have: The caller's version vector, with its cursor of this registry if it has one.
@@ -176,7 +176,7 @@
     def watch(self, prefix: str, callback: Watcher) -> None:
         """Calls back for each entry under the prefix that is stored from now on, made here or merged.
 
-        A callback may `put`; watchers are told of that after all of them were told of what came before.
+        A callback may `put`; watchers are called for that entry after all were called for the ones before.
         """
         self._watchers.append((prefix, callback))
 
--- a/larchgw/distribution/resync.py
+++ b/larchgw/distribution/resync.py
@@ -1,8 +1,9 @@
 """Anti-entropy after a time out of touch so long that tombstones may have been removed meanwhile.
 
 A runner's last entry, which says that it is gone (its tombstone), is removed after some minutes. A process
-that did not get it keeps the entry before it for ever, since no vector can tell it of an entry that nobody
-holds. After such a time it therefore claims nothing, is sent the whole registry, and drops what is not in it.
+that did not receive it would keep the entry before it for ever, since no version vector covers an entry that
+nobody holds. After such a time it therefore resets its vector, is sent the complete registry, and removes
+what is not in it.
 
 Source: Dynamo (SOSP 2007), section 4.7, in its simplest form: a comparison of all keys.
 """
@@ -22,7 +23,7 @@
 
 
 class Resync:
-    """One comparison of the registry with the whole of another: `start`, `observe` ..., `finish`."""
+    """One comparison of the registry with a complete other one: `start`, `observe` ..., `finish`."""
 
     def __init__(self, registry: Registry) -> None:
         """Compares `registry` with the one that a puller reads."""
--- a/larchgw/distribution/source_selector.py
+++ b/larchgw/distribution/source_selector.py
@@ -24,7 +24,7 @@
     """Stays with one process while it serves; tries every other one before it comes back to one that did not.
 
     After a round in which no process served comes a pause that doubles up to a bound, with jitter. A process
-    of the own zone is preferred, and looked for again some time after another one was selected.
+    of the same zone is preferred, and looked for again some time after another one was selected.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         random_source: random.Random,
         is_near: Callable[[str], bool] | None = None,
     ) -> None:
-        """Starts without a current source; `is_near` says of an address whether it is in the own zone."""
+        """Starts without a current source; `is_near` says of an address whether it is in the same zone."""
         self._settings = settings
         self._random_source = random_source
         self._is_near = is_near or (lambda address: False)
--- a/larchgw/runner_directory/__init__.py
+++ b/larchgw/runner_directory/__init__.py
@@ -7,5 +7,5 @@
     runner_view      a dispatcher's index of runners by id and by service
 
 A runner counts for the control process that acknowledged it last; when that process is lost, the others start
-their own clocks for its runners. A record is published again only when its content has changed.
+the silence time-out of its runners anew. A record is published again only when its content has changed.
 """
--- a/larchgw/runner_directory/runner_record.py
+++ b/larchgw/runner_directory/runner_record.py
@@ -55,14 +55,14 @@
         id: Names this incarnation.
         service: The service that it serves.
         address: Its `host:port`.
-        zone: The zone that it runs in; empty: not told.
+        zone: The zone that it runs in; empty: not reported.
         stage: How far it has come in its lifecycle.
         slots: How many requests it works on at once.
-        config_version: As it tells it; carried along.
-        phase: As it tells it; carried along.
+        config_version: As reported; passed on unchanged.
+        phase: As reported; passed on unchanged.
         warm_up_left_ms: How long it is still slow (`cold_left_ms` of a check-in), as of the check-in that
             brought the record.
-        time_left_ms: Time until it is taken away (`left_ms`), as of that check-in; -1 where it is not known.
+        time_left_ms: Time until it is terminated (`left_ms`), as of that check-in; -1 where it is not known.
         call_count: Number of that check-in; rises with each.
         models: What it holds.
         owner: The control process that acknowledged its last check-in (the name of its directory), which
--- a/tests/distribution/test_pull_service.py
+++ b/tests/distribution/test_pull_service.py
@@ -1,4 +1,4 @@
-"""Long polls: news comes at once, and nothing wakes a caller that it does not concern."""
+"""Long polls: changes arrive at once, and a change outside its prefixes does not wake a caller."""
 
 from __future__ import annotations
 
