--- a/larchgw/control/disk.py
+++ b/larchgw/control/disk.py
@@ -12,22 +12,36 @@
 from ..storage.reserve import Reserve
 
 LOG_FOLDER = "log"
-NEVER_KEPT = -1
-NOT_TOLD = -1  # free bytes where the file system gives no figure
+RESERVE_NEVER_FILLED = -1
+FREE_BYTES_UNKNOWN = -1  # in the status, where the file system does not tell
 
 
 class ControlDisk:
-    """What stands under one data folder. `ports` are for the member, which owns them."""
+    """The files under one data folder.
+
+    Attributes:
+        folder: Path of the data folder.
+        log: The log of the replication member.
+        ports: Storage for the member, which owns it.
+        reserve: Room for small values on a full disk.
+    """
 
     def __init__(self, folder: str, log: Log, reserve: Reserve, ports: Ports) -> None:
-        """Use ControlDisk.open."""
+        """Use `open`, which recovers the files."""
         self.folder, self.log, self.ports = folder, log, ports
         self.reserve = reserve
-        self._kept_at = NEVER_KEPT  # first index of the log when the reserve was last filled up
+        self._reserve_filled_at_index = RESERVE_NEVER_FILLED  # first index of the log at that time
 
     @classmethod
     def open(cls, files: FilePort, folder: str) -> ControlDisk:
-        """Recovers the files. Raises DiskFullError, DiskFailedError, CorruptLogError and CorruptCellError."""
+        """Recovers the files of a data folder; makes it if it is not there.
+
+        Raises:
+            DiskFullError: There is no room.
+            DiskFailedError: The disk refuses a call.
+            CorruptLogError: A record or snapshot is damaged.
+            CorruptCellError: A small value is damaged.
+        """
         reserve = Reserve(files, folder)
         log = Log.open(files, os.path.join(folder, LOG_FOLDER))
 
@@ -43,12 +57,12 @@
         At no other time: room that a cell has taken from the reserve on a full disk would be fought over
         with the log.
         """
-        if self.log.first_index != self._kept_at:
-            self._kept_at = self.log.first_index
+        if self.log.first_index != self._reserve_filled_at_index:
+            self._reserve_filled_at_index = self.log.first_index
             self.reserve.refill()
 
     def status(self) -> DiskStatus:
-        """Figures for people to look at."""
+        """Sizes and indexes of the files, for the status."""
         return DiskStatus(
             log_bytes=self.log.size_bytes,
             first_index=self.log.first_index,
@@ -61,7 +75,7 @@
 
 def _free_bytes(folder: str) -> int:
     try:
-        figures = os.statvfs(folder)
+        file_system = os.statvfs(folder)
     except OSError:
-        return NOT_TOLD
-    return figures.f_bavail * figures.f_frsize
+        return FREE_BYTES_UNKNOWN
+    return file_system.f_bavail * file_system.f_frsize
--- a/larchgw/control/main.py
+++ b/larchgw/control/main.py
@@ -7,5 +7,5 @@
 
 
 def run() -> int:
-    """Serves until SIGTERM; the exit status."""
+    """Serves until SIGTERM; returns the exit status."""
     return process.run(ControlNode)
--- a/larchgw/control/majority_contact.py
+++ b/larchgw/control/majority_contact.py
@@ -26,47 +26,67 @@
     """What a control process knows of its own contact with the others."""
 
     def is_isolated(self) -> bool:
-        """True unless a majority of the witnesses, this process included, has lately answered a call; also
-        while nothing has been proven since the start of this process."""
+        """Whether no majority of the witnesses, this process included, has lately answered a pull.
+
+        True also while nothing has been proven since the start of this process.
+        """
 
     def is_majority(self, addresses: Collection[str]) -> bool:
-        """Whether the processes at these rpc addresses, with this one, are a majority of the witnesses; of
-        the former set too while the set is being changed."""
+        """Whether the processes at these rpc addresses, with this one, are a majority of the witnesses.
+
+        While the set of witnesses is being changed, a majority of the former set is asked for too.
+        """
 
 
 class PullContact:
-    """Judges by the pulls from the other witnesses.
+    """MajorityContact by the pulls from the other witnesses.
 
-    `me` is the identity of this member, `view` gives the newest view that is known here, `proven_at` the time
-    of `clock` at which the last pull from an address began that was answered in full, or None.
+    Source: quorum intersection, as in Viewstamped Replication and Paxos; the begin of a call as the time that
+    counts, as for leases (Gray and Cheriton, 1989).
     """
 
     def __init__(
         self,
-        me: str,
+        member_id: str,
         view: Callable[[], View | None],
         proven_at: Callable[[str], float | None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._me, self._view, self._proven_at, self._clock = me, view, proven_at, clock
+        """Judges anew at each call.
+
+        Args:
+            member_id: Durable identity of this member.
+            view: Gives the latest view that is known here.
+            proven_at: When the last pull from an rpc address began that was answered in full; None if none
+                was. A time of `clock`.
+            clock: Seconds, monotonic.
+        """
+        self._member_id, self._view = member_id, view
+        self._proven_at, self._clock = proven_at, clock
 
     def is_isolated(self) -> bool:
-        """See MajorityContact. A process that knows no view does not know who decides, and is isolated."""
+        """Whether no majority is proven to be in reach; see MajorityContact.
+
+        A process that knows no view does not know who decides, and is isolated.
+        """
         view = self._view()
         return view is None or not self._has_quorum(view, self._is_proven)
 
     def is_majority(self, addresses: Collection[str]) -> bool:
-        """See MajorityContact."""
+        """Whether these addresses, with this process, make a majority; see MajorityContact."""
         view = self._view()
         return view is not None and self._has_quorum(view, lambda address: address in addresses)
 
     def _has_quorum(self, view: View, counts: Callable[[str], bool]) -> bool:
-        """`counts` is never true of the own address: this process counts by its identity, since one whose
-        disk was lost is no witness any more, though its address is that of one."""
+        """Whether the witnesses for whose address `counts` is true, with this process, are a quorum.
+
+        `counts` is never true of the own address: this process counts by its identity, since one whose disk
+        was lost is no witness any more, though its address is that of one.
+        """
         return view.has_quorum(
-            [name for name in view.electors if name == self._me or counts(view.addresses[name])]
+            [name for name in view.electors if name == self._member_id or counts(view.addresses[name])]
         )
 
     def _is_proven(self, address: str) -> bool:
-        began = self._proven_at(address)
-        return began is not None and self._clock() - began <= MAX_CONTACT_AGE_S
+        began_at = self._proven_at(address)
+        return began_at is not None and self._clock() - began_at <= MAX_CONTACT_AGE_S
--- a/larchgw/control/metrics.py
+++ b/larchgw/control/metrics.py
@@ -13,6 +13,8 @@
 
 
 class _StatusCollector(Collector):
+    """Collects the gauges of one status."""
+
     def __init__(self, status: ControlStatus) -> None:
         self._status = status
 
@@ -50,7 +52,7 @@
 
 
 def metrics_text(status: ControlStatus) -> bytes:
-    """The metrics in Prometheus's text format."""
+    """The metrics of a status in Prometheus's text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_StatusCollector(status))
     return generate_latest(registry)
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -28,9 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RestorableState:
-    """What was found: the state, and the highest epoch and index in the log that it came from (0: none).
+    """What a source holds. Of several copies the one with the highest (last_epoch, last_index) is the newest.
 
-    Of several copies the one with the highest (last_epoch, last_index) is the newest.
+    Attributes:
+        state: The replicated state.
+        configuration: The configuration in it.
+        last_epoch: Highest view epoch in the log that it came from; 0 for none.
+        last_index: Highest record index in that log; 0 for none.
     """
 
     state: ConfigurationState
@@ -40,10 +44,13 @@
 
 
 def read_source(source: Path) -> RestorableState:
-    """The state in a data folder, a log's folder, a snapshot's file or a JSON configuration.
+    """Reads the state in a data folder, a log's folder, a snapshot's file or a JSON configuration.
 
-    All records of a log are taken, also those whose acknowledgement is not known: an operator who got no
-    clear answer expects either. Raises RestoreError; only reads.
+    All records of a log are applied, also those whose acknowledgement is not known: an operator who got no
+    clear answer expects either.
+
+    Raises:
+        RestoreError: The source cannot be read or holds no configuration.
     """
     try:
         if source.is_dir():
@@ -58,7 +65,11 @@
 
 
 def check_empty(folder: Path) -> None:
-    """Raises RestoreError unless the folder is empty or not there."""
+    """Checks that a folder may be written to.
+
+    Raises:
+        RestoreError: It holds something.
+    """
     if folder.exists() and (not folder.is_dir() or any(folder.iterdir())):
         raise RestoreError(folder, "is not empty", "move what it holds aside; it may still be needed")
 
@@ -66,7 +77,17 @@
 def write_folder(
     folder: Path, found: RestorableState, begin: ForcedView, files: FilePort | None = None
 ) -> None:
-    """Writes the data folder of the process that begins anew. Raises StorageError; remove the folder then."""
+    """Writes the data folder of the process that begins anew.
+
+    Args:
+        folder: Empty, or not there.
+        found: The state to begin with.
+        begin: Identity, view epoch and record index to begin with.
+        files: Where to write; the machine's disk if left out.
+
+    Raises:
+        StorageError: The folder is not whole; remove it.
+    """
     state = ConfigurationState()
     state.restore(found.state.snapshot())
     state.record_index = begin.index
@@ -80,12 +101,12 @@
     return inner if inner.is_dir() else source
 
 
-def _from_log(source: Path, held: LogContents) -> RestorableState:
-    state, epoch, index = ConfigurationState(), 0, held.snapshot_index
-    if held.snapshot is not None:
-        epoch, snapshot = split_frame(held.snapshot)
+def _from_log(source: Path, log_contents: LogContents) -> RestorableState:
+    state, epoch, index = ConfigurationState(), 0, log_contents.snapshot_index
+    if log_contents.snapshot is not None:
+        epoch, snapshot = split_frame(log_contents.snapshot)
         state.restore(snapshot)
-    for index, framed in held.records:
+    for index, framed in log_contents.records:
         epoch, record = split_frame(framed)
         state.apply(index, record)
     if state.current is None:
@@ -105,7 +126,7 @@
 
 
 def describe(found: RestorableState) -> str:
-    """One line on what would be restored."""
+    """Describes in one line what would be restored."""
     configuration = found.configuration
     size = len(json.dumps(configuration.raw))
     return (
@@ -116,5 +137,5 @@
 
 
 def fresh_identity(address: str) -> str:
-    """An identity that no process has had."""
+    """Makes an identity that no process has had, for the process at this rpc address."""
     return f"{address}#{os.urandom(8).hex()}"
--- a/larchgw/control/rpc_service.py
+++ b/larchgw/control/rpc_service.py
@@ -37,25 +37,25 @@
         self._operator_calls, self._status = operator_calls, status
 
     async def pull(self, request: PullRequest) -> PullReply:
-        """Entries that the caller lacks."""
+        """Answers with the entries that the caller lacks."""
         return await self._pull_service.pull(request)
 
     async def push(self, request: PushRequest) -> PushReply:
-        """Entries handed over."""
+        """Merges entries that another control process hands over."""
         return await self._pull_service.push(request)
 
     async def demand(self, report: DemandReport) -> None:
-        """What a dispatcher is asked for."""
+        """Counts what a dispatcher was asked for."""
         self._placer.receive_demand_report(report)
 
     async def submit(self, call: OperatorCall) -> OperatorAnswer:
-        """An operator's call."""
+        """Serves an operator's call that another control process forwards."""
         return await self._operator_calls.serve_forwarded(call)
 
     async def deliver(self, message: PeerMessage) -> None:
-        """A message of the replication protocol."""
+        """Handles a message of the replication protocol."""
         self._replicated_log.receive(message)
 
     async def status(self, request: StatusRequest) -> ControlStatus:
-        """What this process tells of itself."""
+        """Reports the status of this process."""
         return await self._status.status(request)
--- a/larchgw/control/runner_check_ins.py
+++ b/larchgw/control/runner_check_ins.py
@@ -1,4 +1,4 @@
-"""Which check-ins and Leaves of runners are acknowledged."""
+"""Which check-ins and leaves of runners are acknowledged."""
 
 from __future__ import annotations
 
@@ -21,35 +21,55 @@
     async def replicate(
         self, entries: Sequence[Entry], timeout: float, enough: Callable[[set[str]], bool]
     ) -> set[str]:
-        """The processes that have the entries, as soon as these are enough, at the latest after `timeout`."""
+        """Pushes entries to the other control processes.
+
+        Returns:
+            The rpc addresses of those that have the entries, as soon as `enough` is true of them, at the
+            latest after `timeout` seconds.
+        """
 
 
 class RunnerCheckIns:
     """Records every check-in, and acknowledges it only in proven contact with a majority of the witnesses.
 
-    A runner that is not acknowledged calls another process. What it said is kept all the same, so that edges
-    that can reach no other process than this one know the runner. That a runner drains or has left is at a
-    majority of the witnesses before it is acknowledged: each control process that edges may pull from then
-    knows it within MAX_CONTACT_AGE_S (contact.py).
+    A runner that is not acknowledged calls another process. What it reported is kept all the same, so that
+    edges that can reach no other process than this one know the runner. That a runner drains or has left is
+    at a majority of the witnesses before it is acknowledged: each control process that edges may pull from
+    then knows it within MAX_CONTACT_AGE_S (majority_contact.py).
     """
 
     def __init__(
         self, directory: RunnerDirectory, registry: Registry, contact: MajorityContact, replicator: Replicator
     ) -> None:
+        """Takes the calls of runners.
+
+        Args:
+            directory: Where they are recorded.
+            registry: Holds the entries that the directory publishes.
+            contact: Whether anything may be acknowledged now.
+            replicator: Pushes to the other control processes what is urgent.
+        """
         self._directory, self._registry = directory, registry
         self._contact, self._replicator = contact, replicator
         self._is_closed = False
 
     def close(self) -> None:
-        """The process is about to end: runners are sent to another one from now on."""
+        """Acknowledges nothing from now on: this process is about to end, and runners go to another one."""
         self._is_closed = True
 
     async def check_in(self, runner: str, body: bytes) -> bool:
-        """See http_api.ControlService."""
+        """Records a runner's check-in.
+
+        Returns:
+            Whether it may be acknowledged.
+
+        Raises:
+            CheckInError: The body cannot be read.
+        """
         return await self._acknowledge(runner, self._directory.check_in(parse_check_in(runner, body)))
 
     async def leave(self, runner: str) -> bool:
-        """See http_api.ControlService."""
+        """Records that a runner has left; returns whether that may be acknowledged."""
         return await self._acknowledge(runner, self._directory.leave(runner))
 
     async def _acknowledge(self, runner: str, outcome: CheckInOutcome) -> bool:
@@ -58,12 +78,13 @@
         return not outcome.needs_replication or await self._replicate(runner)
 
     async def _replicate(self, runner: str) -> bool:
+        """Whether a majority of the witnesses has the runner's entry."""
         entry = self._registry.get(RUNNER_PREFIX + runner)
         record = self._directory.get(runner)
         if entry is None or record is None:
             return False
-        enough = self._contact.is_majority
-        if not enough(await self._replicator.replicate([entry], HANDOFF_TIMEOUT_S, enough)):
+        is_majority = self._contact.is_majority
+        if not is_majority(await self._replicator.replicate([entry], HANDOFF_TIMEOUT_S, is_majority)):
             return False
         self._directory.mark_replicated(runner, record.stage)
         return True
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -1,15 +1,16 @@
-"""What a control process tells of itself to people and their programs: over rpc, and as JSON."""
+"""The status of a control process: over rpc, as JSON and as metrics."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Protocol, cast
 
 from ..distribution.placer_entry import known_placer
 from ..distribution.registry import Registry
 from ..membership.member import Member as Process
+from ..membership.member import MemberState
 from ..membership.swim import Swim
 from ..placement.summary import PlacementSummary
 from ..replication.effects import Role
@@ -17,14 +18,42 @@
 from ..replication.view import View
 from ..rpc.generated import ttypes
 from ..runner_directory.directory import RunnerDirectory
+from ..runner_directory.runner_record import Stage
 from .configuration_state import ConfigurationState
 from .disk import ControlDisk
 from .majority_contact import MajorityContact
 
+# How the status names what it tells of; operators' programs read these names.
+ROLE_NAMES = {Role.PRIMARY: "primary", Role.BACKUP: "backup", Role.LEARNER: "learner"}
+STAGE_NAMES = {
+    Stage.READY: "ready",
+    Stage.SILENT: "silent",
+    Stage.DRAINING: "draining",
+    Stage.GONE: "gone",
+}
+PROCESS_STATE_NAMES = {
+    MemberState.ALIVE: "alive",
+    MemberState.SUSPECT: "suspect",
+    MemberState.DEAD: "dead",
+    MemberState.LEFT: "left",
+}
+
 
 @dataclass(frozen=True, slots=True)
 class StatusSources:
-    """The parts of a control process that a status is read from. `placement` gives None unless it places."""
+    """The parts of a control process that a status is read from.
+
+    Attributes:
+        node_name: Name of the process.
+        member: Its replication member.
+        state: The replicated state.
+        swim: Membership.
+        registry: Names the placer.
+        directory: The runners.
+        disk: The data folder.
+        contact: Whether the process is isolated.
+        placement: Gives what is placed; None unless this process places models.
+    """
 
     node_name: str
     member: Member
@@ -41,22 +70,23 @@
     """Reads the status anew at each call; nothing is kept."""
 
     def __init__(self, sources: StatusSources) -> None:
-        self._from = sources
+        """Reads from `sources`."""
+        self._sources = sources
 
     async def status(self, request: ttypes.StatusRequest) -> ttypes.ControlStatus:
-        """The rpc method."""
+        """The status for the rpc call of that name, with what is placed if it is asked for."""
         status = self.read()
-        summary = self._from.placement() if request.placement else None
+        summary = self._sources.placement() if request.placement else None
         if summary is not None:
             status.placement = _placement(summary)
         return status
 
     def read(self) -> ttypes.ControlStatus:
-        """All but what is placed."""
-        sources = self._from
+        """The status but for what is placed."""
+        sources = self._sources
         view = sources.member.view
         placer = known_placer(sources.registry)
-        stages = Counter(record.stage.name.lower() for record in sources.directory.runners())
+        stages = Counter(STAGE_NAMES[record.stage] for record in sources.directory.runners())
         return ttypes.ControlStatus(
             node_name=sources.node_name,
             identity=sources.member.id,
@@ -73,23 +103,31 @@
         )
 
     def as_json(self) -> dict[str, Any]:
-        """The same as `read`, as an object for JSON."""
-        status: dict[str, Any] = to_json(self.read())
-        return status
+        """The status that `read` gives, as an object for JSON."""
+        return cast(dict[str, Any], to_json(self.read()))
 
     def metrics(self) -> bytes:
-        """The figures of `read` as Prometheus text. The library is loaded only where it is asked for."""
+        """The status that `read` gives, as Prometheus text.
+
+        The metrics library is loaded only where it is asked for.
+        """
         from .metrics import metrics_text
 
         return metrics_text(self.read())
 
     def _processes(self) -> list[Process]:
-        """All that are there, and those that ended without leaving."""
-        found = [*self._from.swim.members(), *self._from.swim.dead()]
+        """The members, and those that ended without leaving, by role and name."""
+        found = [*self._sources.swim.members(), *self._sources.swim.dead()]
         return sorted(found, key=lambda process: (process.role, process.name))
 
 
-def to_json(value: Any) -> Any:
+class _ThriftStruct(Protocol):
+    """What thrift's generated structs have in common."""
+
+    __slots__: tuple[str, ...]
+
+
+def to_json(value: object) -> object:
     """A thrift struct with all that it holds as dicts and lists; fields that are not set are left out."""
     if isinstance(value, list):
         return [to_json(item) for item in value]
@@ -97,15 +135,16 @@
         return {key: to_json(item) for key, item in value.items()}
     if not hasattr(value, "thrift_spec"):
         return value
-    fields = {name: getattr(value, name) for name in value.__slots__}
+    struct: _ThriftStruct = value
+    fields = {name: getattr(struct, name) for name in struct.__slots__}
     return {name: to_json(field) for name, field in fields.items() if field is not None}
 
 
 def _role(member: Member, view: View | None) -> str:
     if member.acting_epoch is not None:
-        return Role.PRIMARY.name.lower()
+        return ROLE_NAMES[Role.PRIMARY]
     in_sync = view is not None and member.id in view.in_sync
-    return (Role.BACKUP if in_sync else Role.LEARNER).name.lower()
+    return ROLE_NAMES[Role.BACKUP if in_sync else Role.LEARNER]
 
 
 def _view(view: View | None) -> ttypes.View | None:
@@ -118,7 +157,7 @@
 
 def _process(process: Process) -> ttypes.ProcessStatus:
     return ttypes.ProcessStatus(
-        process.name, process.role, process.address, process.zone, process.state.name.lower()
+        process.name, process.role, process.address, process.zone, PROCESS_STATE_NAMES[process.state]
     )
 
 
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -31,13 +31,21 @@
 from larchgw.control.publication import ConfigurationPublisher
 from larchgw.control.replicated_log import ReplicatedLog
 from larchgw.control.runner_ownership import owner_name
-from larchgw.control.status import StatusService, StatusSources
+from larchgw.control.status import (
+    PROCESS_STATE_NAMES,
+    ROLE_NAMES,
+    STAGE_NAMES,
+    StatusService,
+    StatusSources,
+)
 from larchgw.distribution.placer_entry import publish_placer
 from larchgw.distribution.registry import Registry
 from larchgw.membership.member import Member as Process
+from larchgw.membership.member import MemberState
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
 from larchgw.placement.summary import OpenOrder, PlacedModel, PlacementSummary
+from larchgw.replication.effects import Role
 from larchgw.replication.forced_new_view import ForcedView
 from larchgw.replication.lease import Lease
 from larchgw.replication.member import Member
@@ -47,7 +55,7 @@
 from larchgw.rpc.generated import ttypes
 from larchgw.runner_directory.directory import RunnerDirectory
 from larchgw.runner_directory.errors import CheckInError
-from larchgw.runner_directory.runner_record import RunnerRecord
+from larchgw.runner_directory.runner_record import RunnerRecord, Stage
 from larchgw.runtime.rpc_clients import RpcClients
 from tests.support.faulty_files import FaultyFiles
 
@@ -225,6 +233,13 @@
     assert json.dumps(scripted_status().as_json(), indent=1) + "\n" == (FIXTURES / "status.json").read_text()
 
 
+def test_each_role_stage_and_process_state_has_its_name_in_the_status() -> None:
+    assert list(ROLE_NAMES) == [Role.PRIMARY, Role.BACKUP, Role.LEARNER] and set(ROLE_NAMES) == set(Role)
+    assert list(ROLE_NAMES.values()) == ["primary", "backup", "learner"]
+    assert [STAGE_NAMES[stage] for stage in Stage] == ["ready", "silent", "draining", "gone"]
+    assert [PROCESS_STATE_NAMES[state] for state in MemberState] == ["alive", "suspect", "dead", "left"]
+
+
 def test_the_status_with_placement_is_as_recorded_over_rpc() -> None:
     status = asyncio.run(scripted_status().status(ttypes.StatusRequest(True)))
     assert encode_struct(status).hex() + "\n" == (FIXTURES / "status_rpc.hex").read_text()
