--- a/tests/distribution/test_hinted_handoff.py
+++ b/tests/distribution/test_hinted_handoff.py
@@ -10,9 +10,9 @@
 import testtools
 
 from larchgw.distribution.hinted_handoff import BATCH_ENTRIES, BATCH_PAUSE_S, HintedHandoff
-from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import Entry
 from tests.support.scripted_peers import ScriptedPeer, connect_to, now
+from tests.support.virtual_time import in_virtual_time
 
 
 def entry(key: str, major: int = 1) -> Entry:
@@ -29,82 +29,66 @@
         self.peers = [ScriptedPeer("a"), ScriptedPeer("b")]
         self.handoff = HintedHandoff(connect_to(self.peers), lambda: ["a", "b"], node_name="me")
 
-    def test_all_live_peers_have_it_when_replicate_returns(self) -> None:
-        async def main() -> None:
-            assert {"a", "b"} == await self.handoff.replicate([entry("runner/x")], 0.4)
-            for peer in self.peers:
-                assert peer.registry.get("runner/x") is not None
-
-        run(main())
-
-    def test_a_hung_peer_holds_an_acknowledgement_up_no_longer_than_the_timeout(self) -> None:
-        async def main() -> None:
-            self.peers[1].is_hung = True
-            assert {"a"} == await self.handoff.replicate([entry("runner/x")], 0.4)
-            assert now() == pytest.approx(0.4, abs=0.005)
-
-        run(main())
-
-    def test_replicate_waits_for_a_quorum_and_no_longer(self) -> None:
-        async def main() -> None:
-            self.peers[1].is_hung = True
-            taken = await self.handoff.replicate([entry("runner/x")], 0.4, lambda taken: "a" in taken)
-            assert {"a"} == taken
-            assert now() < 0.05
-            await asyncio.sleep(0.41)
-            assert self.handoff.hints.peers() == ["b"]
-
-        run(main())
-
-    def test_a_peer_that_is_slow_and_then_accepts_gets_no_hint(self) -> None:
-        async def main() -> None:
-            self.peers[1].is_hung = True
-            await self.handoff.replicate([entry("runner/x")], 0.4, lambda taken: "a" in taken)
-            await asyncio.sleep(0.2)
-            self.peers[1].is_hung = False
-            await asyncio.sleep(0.3)
-            assert self.peers[1].registry.get("runner/x") is not None
-            assert self.handoff.hints.peers() == []
-
-        run(main())
-
-    def test_what_a_peer_missed_is_handed_over_when_it_returns(self) -> None:
-        async def main() -> None:
-            task = asyncio.ensure_future(self.handoff.run())
-            self.peers[1].is_down = True
-            await self.handoff.replicate([entry("runner/x")], 0.4)
-            await asyncio.sleep(5.0)
-            self.peers[1].start(2)
-            self.peers[1].is_down = False
-            await asyncio.sleep(1.0)
-            assert self.peers[1].registry.get("runner/x") is not None
-            assert self.handoff.hints.peers() == []
-            task.cancel()
-
-        run(main())
-
-    def test_many_hints_are_handed_over_in_paced_batches(self) -> None:
-        async def main() -> None:
-            self.handoff.hints.add("b", entries(5 * BATCH_ENTRIES))
-            await self.handoff.hand_over()
-            assert len(self.peers[1].registry) == 5 * BATCH_ENTRIES
-            times = [at for at, _ in self.peers[1].calls]
-            assert len(times) == 5
-            assert times[-1] - times[0] >= 4 * BATCH_PAUSE_S - 1e-09
-
-        run(main())
-
-    def test_nothing_is_sent_to_a_process_that_is_no_peer_now(self) -> None:
-        async def main() -> None:
-            self.handoff.hints.add("gone", entries(1))
-            await self.handoff.hand_over()
-            assert self.handoff.hints.peers() == ["gone"]
-
-        run(main())
-
-    def test_without_peers_replicate_returns_at_once(self) -> None:
-        async def main() -> None:
-            alone = HintedHandoff(connect_to([]), list)
-            assert set() == await alone.replicate([entry("runner/x")], 0.4)
-
-        run(main())
+    @in_virtual_time
+    async def test_all_live_peers_have_it_when_replicate_returns(self) -> None:
+        assert {"a", "b"} == await self.handoff.replicate([entry("runner/x")], 0.4)
+        for peer in self.peers:
+            assert peer.registry.get("runner/x") is not None
+
+    @in_virtual_time
+    async def test_a_hung_peer_holds_an_acknowledgement_up_no_longer_than_the_timeout(self) -> None:
+        self.peers[1].is_hung = True
+        assert {"a"} == await self.handoff.replicate([entry("runner/x")], 0.4)
+        assert now() == pytest.approx(0.4, abs=0.005)
+
+    @in_virtual_time
+    async def test_replicate_waits_for_a_quorum_and_no_longer(self) -> None:
+        self.peers[1].is_hung = True
+        taken = await self.handoff.replicate([entry("runner/x")], 0.4, lambda taken: "a" in taken)
+        assert {"a"} == taken
+        assert now() < 0.05
+        await asyncio.sleep(0.41)
+        assert self.handoff.hints.peers() == ["b"]
+
+    @in_virtual_time
+    async def test_a_peer_that_is_slow_and_then_accepts_gets_no_hint(self) -> None:
+        self.peers[1].is_hung = True
+        await self.handoff.replicate([entry("runner/x")], 0.4, lambda taken: "a" in taken)
+        await asyncio.sleep(0.2)
+        self.peers[1].is_hung = False
+        await asyncio.sleep(0.3)
+        assert self.peers[1].registry.get("runner/x") is not None
+        assert self.handoff.hints.peers() == []
+
+    @in_virtual_time
+    async def test_what_a_peer_missed_is_handed_over_when_it_returns(self) -> None:
+        task = asyncio.ensure_future(self.handoff.run())
+        self.peers[1].is_down = True
+        await self.handoff.replicate([entry("runner/x")], 0.4)
+        await asyncio.sleep(5.0)
+        self.peers[1].start(2)
+        self.peers[1].is_down = False
+        await asyncio.sleep(1.0)
+        assert self.peers[1].registry.get("runner/x") is not None
+        assert self.handoff.hints.peers() == []
+        task.cancel()
+
+    @in_virtual_time
+    async def test_many_hints_are_handed_over_in_paced_batches(self) -> None:
+        self.handoff.hints.add("b", entries(5 * BATCH_ENTRIES))
+        await self.handoff.hand_over()
+        assert len(self.peers[1].registry) == 5 * BATCH_ENTRIES
+        times = [at for at, _ in self.peers[1].calls]
+        assert len(times) == 5
+        assert times[-1] - times[0] >= 4 * BATCH_PAUSE_S - 1e-09
+
+    @in_virtual_time
+    async def test_nothing_is_sent_to_a_process_that_is_no_peer_now(self) -> None:
+        self.handoff.hints.add("gone", entries(1))
+        await self.handoff.hand_over()
+        assert self.handoff.hints.peers() == ["gone"]
+
+    @in_virtual_time
+    async def test_without_peers_replicate_returns_at_once(self) -> None:
+        alone = HintedHandoff(connect_to([]), list)
+        assert set() == await alone.replicate([entry("runner/x")], 0.4)
--- a/tests/distribution/test_pull_service.py
+++ b/tests/distribution/test_pull_service.py
@@ -3,17 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine
-from typing import Any
 
 import pytest
 import testtools
 
 from larchgw.distribution.pull_service import GATHER_DELAY_S, PullService
 from larchgw.distribution.registry import Registry
-from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.generated.ttypes import Entry, PullReply, PullRequest, PushRequest
 from tests.support.scripted_peers import ScriptedPeer, now
+from tests.support.virtual_time import in_virtual_time
 
 
 def request(reply: PullReply | None = None, prefixes: tuple[str, ...] = ()) -> PullRequest:
@@ -27,119 +25,96 @@
         self.peer = ScriptedPeer("a")
         self.registry, self.service = self.peer.registry, self.peer.service
 
-    def play(self, main: Coroutine[Any, Any, None]) -> None:
-        run(main)
-
-    def test_a_caller_that_is_new_here_is_answered_at_once_though_there_is_nothing(self) -> None:
-        async def main() -> None:
-            reply = await self.service.pull(request())
-            assert (now(), reply.entries) == (0.0, [])
-
-        self.play(main())
-
-    def test_without_a_change_the_answer_comes_at_the_end_of_the_wait(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request())
-            reply = await self.service.pull(request(first))
-            assert reply.entries == []
-            assert now() == pytest.approx(0.5, abs=0.0005)
-
-        self.play(main())
-
-    def test_a_waiting_caller_gets_a_change_within_the_gathering_delay(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request())
-            waiting = asyncio.ensure_future(self.service.pull(request(first)))
-            await asyncio.sleep(0.2)
-            self.registry.put("view", b"x", 1)
-            reply = await waiting
-            assert [entry.key for entry in reply.entries] == ["view"]
-            assert now() < 0.2 + 2 * GATHER_DELAY_S
-
-        self.play(main())
-
-    def test_changes_that_come_together_go_out_in_one_reply(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request())
-            waiting = asyncio.ensure_future(self.service.pull(request(first)))
-            await asyncio.sleep(0.1)
-            for number in range(5):
-                self.registry.put(f"runner/{number}", b"x", 1)
-                await asyncio.sleep(GATHER_DELAY_S / 10)
-            assert len((await waiting).entries) == 5
-
-        self.play(main())
-
-    def test_a_change_outside_the_prefixes_does_not_end_the_wait(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request(prefixes=("runner/",)))
-            waiting = asyncio.ensure_future(self.service.pull(request(first, ("runner/",))))
-            await asyncio.sleep(0.1)
-            self.registry.put("view", b"x", 1)
-            reply = await waiting
-            assert reply.entries == []
-            assert now() == pytest.approx(0.5, abs=0.0005)
-
-        self.play(main())
-
-    def test_a_process_cut_off_from_the_majority_says_so_at_once(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request())
-            self.peer.is_isolated = True
-            reply = await self.service.pull(request(first))
-            assert reply.isolated
-            assert now() == 0.0
-
-        self.play(main())
-
-    def test_a_waiting_caller_learns_of_isolation_when_woken(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request())
-            waiting = asyncio.ensure_future(self.service.pull(request(first)))
-            await asyncio.sleep(0.1)
-            self.peer.is_isolated = True
-            self.service.wake()
-            assert (await waiting).isolated
-            assert now() < 0.2
-
-        self.play(main())
-
-    def test_a_large_registry_comes_in_parts_that_add_up(self) -> None:
-        async def main() -> None:
-            service = PullService(self.registry, lambda: False, list, max_reply_bytes=1000)
-            for number in range(100):
-                self.registry.put(f"runner/{number}", b"x" * 100, 1)
-            copy, have, replies = Registry("edge.1"), {}, 0
-            while True:
-                reply = await service.pull(PullRequest(have=have, wait_ms=0, prefixes=[]))
-                replies += 1
-                copy.merge(reply.entries)
-                have = reply.upto
-                if not reply.more:
-                    break
-            assert len(copy) == 100
-            assert replies > 10
-
-        self.play(main())
-
-    def test_pushed_entries_reach_waiting_callers(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request())
-            waiting = asyncio.ensure_future(self.service.pull(request(first)))
-            await asyncio.sleep(0.0)
-            pushed = Entry("runner/x", 3, 2, "b.1", 9, b"draining")
-            await self.service.push(PushRequest(node_name="b", entries=[pushed]))
-            assert [pushed] == (await waiting).entries
-
-        self.play(main())
-
-    def test_a_caller_that_gives_up_leaves_nothing_behind(self) -> None:
-        async def main() -> None:
-            first = await self.service.pull(request())
-            waiting = asyncio.ensure_future(self.service.pull(request(first)))
-            await asyncio.sleep(0.1)
-            waiting.cancel()
-            await asyncio.sleep(0.0)
-            assert self.service._waiting == {}
-
-        self.play(main())
+    @in_virtual_time
+    async def test_a_caller_that_is_new_here_is_answered_at_once_though_there_is_nothing(self) -> None:
+        reply = await self.service.pull(request())
+        assert (now(), reply.entries) == (0.0, [])
+
+    @in_virtual_time
+    async def test_without_a_change_the_answer_comes_at_the_end_of_the_wait(self) -> None:
+        first = await self.service.pull(request())
+        reply = await self.service.pull(request(first))
+        assert reply.entries == []
+        assert now() == pytest.approx(0.5, abs=0.0005)
+
+    @in_virtual_time
+    async def test_a_waiting_caller_gets_a_change_within_the_gathering_delay(self) -> None:
+        first = await self.service.pull(request())
+        waiting = asyncio.ensure_future(self.service.pull(request(first)))
+        await asyncio.sleep(0.2)
+        self.registry.put("view", b"x", 1)
+        reply = await waiting
+        assert [entry.key for entry in reply.entries] == ["view"]
+        assert now() < 0.2 + 2 * GATHER_DELAY_S
+
+    @in_virtual_time
+    async def test_changes_that_come_together_go_out_in_one_reply(self) -> None:
+        first = await self.service.pull(request())
+        waiting = asyncio.ensure_future(self.service.pull(request(first)))
+        await asyncio.sleep(0.1)
+        for number in range(5):
+            self.registry.put(f"runner/{number}", b"x", 1)
+            await asyncio.sleep(GATHER_DELAY_S / 10)
+        assert len((await waiting).entries) == 5
+
+    @in_virtual_time
+    async def test_a_change_outside_the_prefixes_does_not_end_the_wait(self) -> None:
+        first = await self.service.pull(request(prefixes=("runner/",)))
+        waiting = asyncio.ensure_future(self.service.pull(request(first, ("runner/",))))
+        await asyncio.sleep(0.1)
+        self.registry.put("view", b"x", 1)
+        reply = await waiting
+        assert reply.entries == []
+        assert now() == pytest.approx(0.5, abs=0.0005)
+
+    @in_virtual_time
+    async def test_a_process_cut_off_from_the_majority_says_so_at_once(self) -> None:
+        first = await self.service.pull(request())
+        self.peer.is_isolated = True
+        reply = await self.service.pull(request(first))
+        assert reply.isolated
+        assert now() == 0.0
+
+    @in_virtual_time
+    async def test_a_waiting_caller_learns_of_isolation_when_woken(self) -> None:
+        first = await self.service.pull(request())
+        waiting = asyncio.ensure_future(self.service.pull(request(first)))
+        await asyncio.sleep(0.1)
+        self.peer.is_isolated = True
+        self.service.wake()
+        assert (await waiting).isolated
+        assert now() < 0.2
+
+    @in_virtual_time
+    async def test_a_large_registry_comes_in_parts_that_add_up(self) -> None:
+        service = PullService(self.registry, lambda: False, list, max_reply_bytes=1000)
+        for number in range(100):
+            self.registry.put(f"runner/{number}", b"x" * 100, 1)
+        copy, have, replies = Registry("edge.1"), {}, 0
+        while True:
+            reply = await service.pull(PullRequest(have=have, wait_ms=0, prefixes=[]))
+            replies += 1
+            copy.merge(reply.entries)
+            have = reply.upto
+            if not reply.more:
+                break
+        assert len(copy) == 100
+        assert replies > 10
+
+    @in_virtual_time
+    async def test_pushed_entries_reach_waiting_callers(self) -> None:
+        first = await self.service.pull(request())
+        waiting = asyncio.ensure_future(self.service.pull(request(first)))
+        await asyncio.sleep(0.0)
+        pushed = Entry("runner/x", 3, 2, "b.1", 9, b"draining")
+        await self.service.push(PushRequest(node_name="b", entries=[pushed]))
+        assert [pushed] == (await waiting).entries
+
+    @in_virtual_time
+    async def test_a_caller_that_gives_up_leaves_nothing_behind(self) -> None:
+        first = await self.service.pull(request())
+        waiting = asyncio.ensure_future(self.service.pull(request(first)))
+        await asyncio.sleep(0.1)
+        waiting.cancel()
+        await asyncio.sleep(0.0)
+        assert self.service._waiting == {}
