--- a/larchgw/replication/__init__.py
+++ b/larchgw/replication/__init__.py
@@ -1,3 +1,1 @@
-"""Control state on a primary and its backups; witnesses store epochs and decide failover; leases for
-singleton roles.
-"""
+"""Replicated control state: a primary and backups, witnesses that decide failover, leases."""
--- a/larchgw/replication/candidate.py
+++ b/larchgw/replication/candidate.py
@@ -1,4 +1,4 @@
-"""How a member of the in-sync set tries to become primary, and how a primary forms its next view."""
+"""A candidate: an in-sync member that tries to become primary, or a primary that forms its next view."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class _PreVoteRound:
-    """One round of probes: would a quorum let this member try?"""
+    """One round of pre-votes: would a quorum let this member try?"""
 
     number: int
     view: View
@@ -23,9 +23,28 @@
 
 
 class Candidate:
-    """Probes first, so that a member that was merely cut off disturbs nobody; then holds a ballot."""
+    """Collects pre-votes, and then runs one view change. Times are seconds of the member's clock.
+
+    Pre-votes come first because a view change costs the present primary its role: a member that was merely
+    partitioned from the others must not raise epochs when it comes back. A backup therefore begins only once
+    a quorum too has not seen the primary lately.
+
+    Source: Raft, section 9.6 of the thesis (Ongaro, 2014); Paxos Made Simple, section 2.2 (proposers).
+
+    Attributes:
+        view_change: The attempt in progress.
+        highest_epoch: The highest epoch seen anywhere; the next attempt takes a higher one.
+    """
 
     def __init__(self, member_id: str, outbox: OutboundMessages, timing: Timing, random: Random) -> None:
+        """Begins without an attempt.
+
+        Args:
+            member_id: The identity of this member.
+            outbox: Takes the requests to the others.
+            timing: Time-outs.
+            random: Staggers candidates, so that two do not outbid each other again and again.
+        """
         self._member_id = member_id
         self._outbox = outbox
         self._timing = timing
@@ -34,7 +53,7 @@
         self._pre_vote_rounds = 0
         self._next_attempt_at = 0.0
         self.view_change: ViewChangeRound | None = None
-        self.highest_epoch = 0  # seen anywhere
+        self.highest_epoch = 0
 
     def observe_epoch(self, epoch: int) -> None:
         """An epoch that another has promised or proposed."""
@@ -57,7 +76,7 @@
             self._outbox.send(member, PreVoteRequest(self._pre_vote_rounds))
 
     def receive_pre_vote(self, now: float, sender: str, number: int) -> None:
-        """A member would let this one try; with a quorum of them a ballot begins."""
+        """A member would let this one try; with a quorum of them a view change begins."""
         pre_vote_round = self._pre_vote_round
         if pre_vote_round is None or pre_vote_round.number != number or now >= pre_vote_round.ends_at:
             return
@@ -66,7 +85,7 @@
             self.start(now, pre_vote_round.view)
 
     def start(self, now: float, base: View) -> None:
-        """Begins a ballot with an epoch above all that were seen."""
+        """Begins a view change with an epoch above all that were seen."""
         self._pre_vote_round = None
         self.highest_epoch = max(self.highest_epoch, base.epoch) + 1
         self.view_change = ViewChangeRound(self.highest_epoch, base, now, self._timing)
@@ -79,7 +98,7 @@
         self.postpone_until(now + self._timing.rank_stagger_s * (1 + self._random.random()))
 
     def propose(self, view: View) -> None:
-        """The second phase of the ballot."""
+        """Begins the second phase: asks for the acceptance of `view`."""
         assert self.view_change is not None
         self.view_change.propose(view)
         self._send_proposal(self.view_change.participants)
@@ -103,6 +122,7 @@
             self._outbox.send(member, Prepare(self.view_change.epoch))
 
     def _send_proposal(self, members: tuple[str, ...]) -> None:
-        assert self.view_change is not None and self.view_change.proposal is not None
+        assert self.view_change is not None
+        assert self.view_change.proposal is not None
         for member in members:
             self._outbox.send(member, Accept(self.view_change.proposal))
--- a/larchgw/replication/compaction.py
+++ b/larchgw/replication/compaction.py
@@ -12,9 +12,16 @@
 
 
 class Compaction:
-    """`snapshot` gives the caller's state as of the last record that was handed to it."""
+    """Cuts the log once it has grown past its bounds. Times are seconds of the member's clock."""
 
     def __init__(self, replica: Replica, settings: MemberSettings, snapshot: Callable[[], bytes]) -> None:
+        """Begins.
+
+        Args:
+            replica: The log.
+            settings: Its bounds.
+            snapshot: Gives the caller's state as of the last record that was handed to it.
+        """
         self._replica = replica
         self._settings = settings
         self._snapshot = snapshot
@@ -25,7 +32,10 @@
 
         While a snapshot is being sent the log may grow further, so that its receiver finds the records after
         it: otherwise compactions could outrun a slow transfer for ever.
-        OSError if the disk refuses; it is tried again after some seconds."""
+
+        Raises:
+            OSError: The disk refuses; it is tried again after some seconds.
+        """
         if not self._has_outgrown(POSTPONED_FACTOR if is_sending_snapshot else 1):
             return
         if now < self._retry_at or delivered < self._replica.first_index:
--- a/larchgw/replication/effects.py
+++ b/larchgw/replication/effects.py
@@ -1,4 +1,4 @@
-"""What a member asks of its caller after each call, and the errors it raises."""
+"""What a member asks of its caller after each call."""
 
 from __future__ import annotations
 
@@ -18,14 +18,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """Stands for one `propose` or `confirm` until an Effects lists it as done or failed."""
+    """Stands for one `propose` or `confirm` until an Effects lists it as done or failed.
+
+    Attributes:
+        number: Unique within one member.
+    """
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallDone:
-    """A record is acknowledged at `index`, or a read is confirmed as of `index`."""
+    """A call has ended well.
+
+    Attributes:
+        call: The call.
+        index: Where the proposed record is, or as of which record the read is confirmed.
+    """
 
     call: PendingCall
     index: int
@@ -35,7 +44,8 @@
 class CallFailed:
     """A call has failed.
 
-    `may_be_committed`: the record may still be acknowledged by another primary; never answer it as refused.
+    Attributes: call: The call. reason: Why. may_be_committed: Whether the record may still be acknowledged by
+    another primary: never answer the call as rejected.
     """
 
     call: PendingCall
@@ -45,7 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """One message and the rpc address it goes to. It may be lost, doubled or late."""
+    """One message to send; it may be lost, doubled or late.
+
+    Attributes:
+        address: The rpc address it goes to.
+        message: The message.
+    """
 
     address: str
     message: Envelope
@@ -53,12 +68,20 @@
 
 @dataclass(slots=True)
 class Effects:
-    """To be carried out in this order: `installed`, `committed`, `done` and `failed`, `messages`. `committed`
-    records come once each, in order of their index, on every replica."""
+    """What a call asks of the caller, in this order: `installed`, `committed`, `done`, `failed`, `messages`.
+
+    Attributes:
+        messages: Messages to send.
+        installed: Index and content of a snapshot that replaces the caller's state.
+        committed: Acknowledged records with their index, each once and in order, on every member.
+        done: Calls that have ended well.
+        failed: Calls that have failed.
+        role: The new role; None where it has not changed.
+    """
 
     messages: list[Outgoing] = field(default_factory=list)
     installed: tuple[int, bytes] | None = None
     committed: list[tuple[int, bytes]] = field(default_factory=list)
     done: list[CallDone] = field(default_factory=list)
     failed: list[CallFailed] = field(default_factory=list)
-    role: Role | None = None  # set where the role has changed
+    role: Role | None = None
--- a/larchgw/replication/errors.py
+++ b/larchgw/replication/errors.py
@@ -16,6 +16,7 @@
     """
 
     def __init__(self, member_id: str, primary: str | None) -> None:
+        """See the attributes."""
         super().__init__(f"{member_id} is not primary; send this to {primary or 'another member'}")
         self.member_id = member_id
         self.primary = primary
@@ -29,5 +30,6 @@
     """
 
     def __init__(self, kind: str, reason: str) -> None:
+        """See the attributes; `reason` says what could not be read."""
         super().__init__(f"a {kind!r} message cannot be read: {reason}; do all members run one version?")
         self.kind = kind
--- a/larchgw/replication/follower.py
+++ b/larchgw/replication/follower.py
@@ -22,7 +22,12 @@
 
 
 class Follower:
-    """Follows the primary of the last accepted view. `primary_seen_at` is when a primary was last heard."""
+    """Follows the primary of the last accepted view. Times are seconds of the member's clock.
+
+    Attributes:
+        primary_seen_at: When a primary was last heard from; None until one was.
+        incoming: The snapshot that is being received.
+    """
 
     def __init__(
         self,
@@ -33,6 +38,16 @@
         outbox: OutboundMessages,
         timing: Timing,
     ) -> None:
+        """Begins without a primary.
+
+        Args:
+            member_id: The identity of this member.
+            address: Its rpc address, under which the others reach it.
+            witness: The epoch promised and the view accepted here.
+            replica: The log.
+            outbox: Takes the replies.
+            timing: Time-outs.
+        """
         self._member_id = member_id
         self._address = address
         self._witness = witness
@@ -68,8 +83,11 @@
         return self._started_at + self._timing.primary_silence_s + rank * self._timing.rank_stagger_s
 
     def heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> None:
-        """The primary of an epoch is there. Unless a higher one is promised, this is a proof for its
-        reads."""
+        """The primary of an epoch is there.
+
+        Unless a higher epoch is promised, granting it is a proof for its reads. A primary that lacks a newer
+        view is sent it.
+        """
         promised, view = self._witness.promised, self._witness.view
         granted = promised <= heartbeat.epoch
         accepted = 0 if view is None else view.epoch
@@ -83,7 +101,7 @@
         )
 
     def append(self, now: float, sender: str, append: Append) -> None:
-        """Records of the primary. Those of a view that is not accepted here are left alone."""
+        """Takes records of the primary. Those of a view that is not accepted here are dropped."""
         if not self._follows(sender, append.epoch):
             return
         self.primary_seen_at = now
@@ -97,7 +115,7 @@
         self._outbox.send(sender, AppendReply(append.epoch, matched, index))
 
     def install(self, now: float, sender: str, install: InstallSnapshot) -> tuple[int, bytes] | None:
-        """A piece of a snapshot of the primary; the snapshot is returned once it has replaced the log."""
+        """Takes a chunk of the primary's snapshot; returns the snapshot once it has replaced the log."""
         if not self._follows(sender, install.epoch):
             return None
         self.primary_seen_at = now
--- a/larchgw/replication/forced_new_view.py
+++ b/larchgw/replication/forced_new_view.py
@@ -37,15 +37,20 @@
 def plan_forced_view(
     identity: str, address: str, time_of_day: float, last_epoch: int, last_index: int
 ) -> ForcedView:
-    """Epoch and index above all that the former members can have reached: these count changes one by one,
-    never as many as seconds have passed since 1970. `last_epoch` and `last_index` are the highest known."""
+    """Epoch and index above all that the former members can have reached.
+
+    These count changes one by one, never as many as seconds have passed since 1970. `last_epoch` and
+    `last_index` are the highest known.
+    """
     seconds = int(time_of_day)
     return ForcedView(identity, address, max(seconds, last_epoch + 1), max(seconds, last_index + 1))
 
 
 def write_forced_view(ports: Ports, begin: ForcedView, snapshot: bytes) -> View:
     """Writes the first member into empty files, its identity last: until that stands, nothing counts.
-    Raises OSError."""
+
+    Raises OSError.
+    """
     member_id = begin.identity
     view = View(begin.epoch, member_id, (), (member_id,), (member_id,), {member_id: begin.address})
     Replica(ports.journal).install(begin.index, begin.epoch, snapshot)
--- a/larchgw/replication/graceful_leave.py
+++ b/larchgw/replication/graceful_leave.py
@@ -1,7 +1,8 @@
-"""Planned ends: a member that leaves asks the primary to go on without it, and ends once it has agreed.
+"""Graceful leave: a member that will end asks the primary to go on without it, and ends once it has agreed.
 
 Nothing acknowledged depends on this: a member that is killed while it leaves is a member that is lost. What
-it gives is that the end costs no redundancy that the others could have had before it."""
+it gives is that the end costs no redundancy that the others could have had before it.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +13,18 @@
 
 
 class LeavingMembers:
-    """What this member knows of others that leave. Kept in memory, by every member: whoever becomes primary
-    next knows it already. A member that stops repeating its wish has ended, or come back."""
+    """What this member knows of others that leave.
+
+    Kept in memory, by every member: whoever becomes primary next knows it already. A member that stops
+    repeating its wish has ended, or come back.
+    """
 
     def __init__(self, timing: Timing) -> None:
+        """Begins with nobody leaving.
+
+        Args:
+            timing: Time-outs.
+        """
         self._timing = timing
         self._requested_at: dict[str, float] = {}
         self._released: set[str] = set()
@@ -56,9 +65,20 @@
 
 
 class GracefulLeave:
-    """The end of this member: `begin`, and what is sent again and again until the primary has agreed."""
+    """The graceful leave of this member: begun once, and requested again and again until the primary agrees.
+
+    Attributes:
+        has_begun: Whether the end is wanted.
+    """
 
     def __init__(self, member_id: str, outbox: OutboundMessages, timing: Timing) -> None:
+        """Begins without the wish to leave.
+
+        Args:
+            member_id: The identity of this member.
+            outbox: Takes the requests.
+            timing: Time-outs.
+        """
         self._member_id = member_id
         self._outbox = outbox
         self._timing = timing
--- a/larchgw/replication/identity.py
+++ b/larchgw/replication/identity.py
@@ -23,9 +23,12 @@
 def load_or_create_identity(
     cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseAcceptor
 ) -> Identity:
-    """The identity on the disk, or a new one. A seed at the first boot is named by its address and takes the
-    first view for granted; any other empty disk has a fresh identity without vote or data. The identity is
-    stored last: while it is missing, nothing that was stored before it has been relied on."""
+    """The identity on the disk, or a new one.
+
+    A seed at the first boot is named by its address and takes the first view for granted; any other empty
+    disk has a fresh identity without vote or data. The identity is stored last: while it is missing, nothing
+    that was stored before it has been relied on.
+    """
     stored = cell.load()
     if stored is not None:
         return Identity(str(json.loads(stored)["id"]), False)
--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -13,9 +13,22 @@
 
 
 class Leadership:
-    """The primary of one view that a quorum has accepted. Renewed with each view it forms while it stays
-    primary; `before` is the one it continues. `leaving`: who asked to be left out before a planned end; such
-    a member did nothing wrong, and may come back as soon as it likes."""
+    """The primary of one view that a quorum has accepted; replaced with each further view that it forms.
+
+    Why an acknowledged record is never lost: it is acknowledged once it is durable at the primary and at
+    every backup, those of a proposed view included (`commit_index`). So every in-sync member of whatever view
+    comes next has it, and only in-sync members become primary.
+
+    Why a read is never stale: it is confirmed once a quorum has granted a heartbeat that was sent after the
+    read began (`proven_round`). A view formed before would have had the promise of a witness in that quorum.
+
+    Times are seconds of the member's clock.
+
+    Attributes: view: The view. round: Number of the newest heartbeat. takeover_index: The last record of the
+    log when the role was won; until all up to there is acknowledged, nothing new is taken. joined: Members
+    that asked to be brought up to date, and when last. refused_since: When a member first refused a heartbeat
+    because it has promised a higher epoch.
+    """
 
     def __init__(
         self,
@@ -28,6 +41,14 @@
         predecessor: Leadership | None,
         leaving: frozenset[str] = frozenset(),
     ) -> None:
+        """Begins to act as primary.
+
+        Args: member_id: The identity of this member. view: The view that was accepted. replica: The log.
+            outbox: Takes the messages. settings: Copies needed, and time-outs. now: Seconds of the member's
+            clock. predecessor: The view that this member led before, if it stays primary. leaving: Who asked
+            to be left out before a planned end: such a member did nothing wrong, and may come back as soon as
+            it likes.
+        """
         self.view = view
         self._member_id = member_id
         self._replica = replica
@@ -37,11 +58,11 @@
         self._peers: dict[str, Peer] = {}
         self._sender = LogSender(view.epoch, replica, outbox, settings, self._peers)
         self._proposed_backups: set[str] = set()
-        self._entering: frozenset[str] = frozenset()  # a ballot is under way to take them in
+        self._entering: frozenset[str] = frozenset()  # a view change is in progress to take them in
         self._heartbeat_at = now
         self.round = 0
         self.takeover_index = replica.last_index
-        self.joined: dict[str, float] = {}  # members that asked to be brought up to date -> when last
+        self.joined: dict[str, float] = {}
         self._removed_at: dict[str, float] = {}
         if predecessor is not None:
             self._continue(predecessor, now, leaving)
@@ -69,13 +90,18 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether everything it took over is acknowledged: only then may it judge new records or confirm
-        reads."""
+        """Whether everything it took over is acknowledged.
+
+        Only then may it judge new records or confirm reads.
+        """
         return self._replica.committed >= self.takeover_index
 
     def commit_index(self) -> int:
-        """Up to where records are durable at the primary and at every backup, those of a pending view
-        included."""
+        """Up to where records are durable at the primary and at every backup.
+
+        Those of a proposed view count as well: it may be chosen without this primary knowing, and its members
+        would be taken to hold everything acknowledged. So do members that are about to be taken in.
+        """
         if len(self.view.in_sync) < self._settings.tolerated_failures + 1:
             return self._replica.committed
         required = set(self.view.backups) | self._proposed_backups | self._entering
@@ -107,14 +133,15 @@
     # ---- views ----
 
     def set_entering(self, members: frozenset[str]) -> None:
-        """These are ready, and a ballot begins to take them in: until its end nothing is acknowledged without
-        them. Otherwise they would be a record behind again when the view is composed, and with a steady
-        stream of changes never enter. No members: no ballot is under way."""
+        """Sets the members that the view change which begins now is to take in; none if no change is needed.
+
+        Until its end nothing is acknowledged without them. Otherwise they would be a record behind again when
+        the view is composed, and with a steady stream of changes never enter.
+        """
         self._entering = members
 
     def propose(self, view: View) -> None:
-        """Until the view is decided its backups must hold what is acknowledged, as well as the present
-        ones."""
+        """A view was proposed: until it is decided its backups, too, must hold what is acknowledged."""
         self._proposed_backups.update(view.backups)
         for member in view.members:
             self._peer(member, NEVER)
@@ -122,8 +149,13 @@
     def observe_members(
         self, now: float, replaced: frozenset[str], leaving: frozenset[str]
     ) -> ObservedMembers:
-        """For the next view. `replaced`: identities whose address now belongs to another. `leaving`: members
-        that are about to end."""
+        """What the next view is to be planned by.
+
+        Args:
+            now: Seconds of the member's clock.
+            replaced: Identities whose address now belongs to another.
+            leaving: Members that are about to end.
+        """
         healthy = {
             member
             for member, peer in self._peers.items()
@@ -147,8 +179,10 @@
         return ObservedMembers(frozenset(healthy), tuple(sorted(ready)), frozenset(lost), leaving, addresses)
 
     def can_release(self, now: float, member: str, released: frozenset[str]) -> bool:
-        """Whether this member may end, and those `released` before too: no acknowledgement waits for its
-        copy, and the others that are there are a quorum."""
+        """Whether this member may end, and those `released` before too.
+
+        No acknowledgement waits for its copy, and the others that are there are a quorum.
+        """
         if member in self.view.in_sync or member in self._proposed_backups:
             return False
         present = {other for other, peer in self._peers.items() if self._is_healthy(now, peer)}
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import Enum, auto
 from random import Random
 
 import structlog
@@ -15,10 +16,23 @@
 
 log = structlog.get_logger()
 
-USABLE_TERM_SHARE = 0.7  # of a term counted from before it was asked for: the rest covers clocks that differ
+USABLE_TERM_SHARE = 0.7  # from before the lease was asked for; the rest covers clocks that run differently
 RENEWALS_PER_TERM = 5
-HANDOVER_TERMS = 1.05  # of a term: how long a new holder waits before it acts
-FENCING_TOKENS_PER_EPOCH = 1 << 16  # fences of a later view's witnesses are above all of an earlier one's
+HANDOVER_TERMS = 1.05  # how long a new holder waits before it acts, in terms
+FENCING_TOKENS_PER_EPOCH = 1 << 16  # tokens of a later view are above all of an earlier one
+
+
+class LeaseState(Enum):
+    """How far this member is with one lease."""
+
+    NOT_ELECTED = auto()
+    """No quorum of witnesses has granted the lease to this member."""
+
+    ELECTED = auto()
+    """A quorum has granted it, but does not know yet that this member acts: it must not act."""
+
+    ACTING = auto()
+    """A quorum has stored that this member acts under its token: it holds the lease until that expires."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,8 +61,7 @@
         return self.view.has_quorum([member for member, reply in self.replies.items() if reply.granted])
 
     def only_outdated(self) -> bool:
-        """Whether all answered, and those that refused did so for a fence or a view that is not the
-        newest."""
+        """Whether all answered, and refusals were only for an outdated fencing token or view."""
         refused = [reply for reply in self.replies.values() if not reply.granted]
         return len(self.replies) == len(self.view.electors) and all(
             reply.remaining_s <= 0.0 and (reply.fencing_token >= self.fencing_token or reply.view is not None)
@@ -66,12 +79,42 @@
 
 
 class LeaseHolder:
-    """Stands for one lease. It acts only after a quorum knows that it does, and, if another acted last or may
-    have, only after a whole term has passed since its election."""
+    """One member's side of one lease: it asks the witnesses of the view for it, renews it, and gives it up.
+
+    Transitions:
+
+    - NOT_ELECTED to ELECTED: a quorum of witnesses grants a new fencing token. Each witness grants to one
+      holder at a time, for one term, so two members are never both granted by a quorum within a term.
+    - ELECTED to ACTING: a quorum has stored that this member acts under its token. If another member acted
+      last, or may have, this is asked for only `HANDOVER_TERMS` after the election. The wait is needed
+      because the former holder may still act on its grant until its own clock says that the term is over: a
+      witness that restarted, or that joined with the view, has forgotten when it granted. After a whole term
+      on a clock that counts time spent frozen, no grant made before the election is still good.
+    - ACTING to ACTING: renewed `RENEWALS_PER_TERM` times a term. A grant is used for `USABLE_TERM_SHARE` of
+      the term from before it was asked for, hence never longer than any witness keeps it.
+    - to NOT_ELECTED: the grant has run out, or the lease is released.
+
+    Every act carries the fencing token, so that those who receive acts refuse those of an earlier holder,
+    should one arrive late.
+
+    Times are seconds of the member's clock. `rank` staggers candidates: 0 for a view's primary.
+
+    Source: Leases (Gray and Cheriton, 1989); The Chubby Lock Service (Burrows, 2006), section 2.4
+    (sequencers).
+    """
 
     def __init__(
         self, name: str, member_id: str, settings: MemberSettings, outbox: OutboundMessages, random: Random
     ) -> None:
+        """Begins without the lease.
+
+        Args:
+            name: The name of the lease.
+            member_id: The identity of this member.
+            settings: The term and time-outs.
+            outbox: Takes the requests to the witnesses.
+            random: Staggers candidates.
+        """
         self.name = name
         self._member_id = member_id
         self._term_s = settings.lease_term_s
@@ -80,23 +123,27 @@
         self._random = random
         self._attempt: _Attempt | None = None
         self._attempts = 0
-        self._fencing_token = 0  # elected under this fence; 0: not elected
+        self._state = LeaseState.NOT_ELECTED
+        self._fencing_token = 0  # that it was elected under; 0 while NOT_ELECTED
         self._expires_at = 0.0
         self._may_act_at = 0.0
-        self._known = False  # a quorum has stored that this holder acts under `_fencing_token`
         self._next_attempt_at: float | None = None
         self._highest_token = 0
         self._no_candidacy_until = 0.0
 
+    @property
+    def _is_elected(self) -> bool:
+        return self._state is not LeaseState.NOT_ELECTED
+
     def lease(self, now: float) -> Lease | None:
         """The lease, if it is held and may be acted on now."""
-        if self._fencing_token and self._known and now < self._expires_at:
+        if self._state is LeaseState.ACTING and now < self._expires_at:
             return Lease(self.name, self._fencing_token, self._expires_at)
         return None
 
     def release(self, now: float, view: View | None, pause_s: float) -> None:
         """Gives the lease up and does not stand for it for a while."""
-        if view is not None and (self._fencing_token or self._attempt is not None):
+        if view is not None and (self._is_elected or self._attempt is not None):
             self._send_release(view)
         self._give_up()
         self._no_candidacy_until = max(self._no_candidacy_until, now + pause_s)
@@ -108,7 +155,7 @@
             return
         if self._attempt is not None and now >= self._attempt.ends_at:
             self._fail(now, rank)
-        if self._fencing_token and now >= self._expires_at:
+        if self._is_elected and now >= self._expires_at:
             self._lose(now)
         if self._next_attempt_at is None:
             self._next_attempt_at = now + rank * self._timing.lease_round_s
@@ -117,7 +164,7 @@
 
     def observe_release(self, now: float, rank: int) -> None:
         """Its holder, or a candidate without success, has given the lease up."""
-        if self._fencing_token or self._attempt is not None or self._next_attempt_at is None:
+        if self._is_elected or self._attempt is not None or self._next_attempt_at is None:
             return
         stagger = (rank + self._random.random()) * self._timing.lease_round_s
         self._next_attempt_at = min(self._next_attempt_at, max(now, self._no_candidacy_until) + stagger)
@@ -136,7 +183,7 @@
 
     def _begin_attempt(self, now: float, view: View) -> None:
         self._attempts += 1
-        is_acting = bool(self._fencing_token) and now >= self._may_act_at
+        is_acting = self._is_elected and now >= self._may_act_at
         self._attempt = _Attempt(
             self._attempts, self._next_token(view), is_acting, view, now, now + self._timing.lease_round_s, {}
         )
@@ -149,24 +196,29 @@
             self._outbox.send(member, request)
 
     def _next_token(self, view: View) -> int:
-        """The present one; a new one when not elected, or when a witness has stored a higher one for another
-        who failed: it would not renew this one."""
-        if self._fencing_token and self._highest_token <= self._fencing_token:
+        """The present one; a new one when not elected, or when a witness would not renew the present one.
+
+        It would not if it has stored a higher one for another member whose election failed.
+        """
+        if self._is_elected and self._highest_token <= self._fencing_token:
             return self._fencing_token
         return max(self._highest_token, view.epoch * FENCING_TOKENS_PER_EPOCH) + 1
 
     def _granted(self, now: float, attempt: _Attempt) -> None:
         self._attempt = None
-        if not self._fencing_token:
+        if not self._is_elected:
             self._may_act_at = now + HANDOVER_TERMS * self._term_s if self._another_acted(attempt) else now
-            self._known = False
+            self._state = LeaseState.ELECTED
         self._fencing_token = attempt.fencing_token
         self._expires_at = attempt.asked_at + USABLE_TERM_SHARE * self._term_s
-        if attempt.is_acting and not self._known:
-            self._known = True
+        if attempt.is_acting and self._state is not LeaseState.ACTING:
+            self._state = LeaseState.ACTING
             log.info("lease.acquired", lease=self.name, fencing_token=self._fencing_token)
         renewal = attempt.asked_at + self._term_s / RENEWALS_PER_TERM
-        self._next_attempt_at = renewal if self._known else min(renewal, max(now, self._may_act_at))
+        if self._state is LeaseState.ACTING:
+            self._next_attempt_at = renewal
+        else:
+            self._next_attempt_at = min(renewal, max(now, self._may_act_at))
 
     def _another_acted(self, attempt: _Attempt) -> bool:
         """Whether somebody else acted last, as far as a quorum knows."""
@@ -180,7 +232,7 @@
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
-        if self._fencing_token:
+        if self._is_elected:
             self._next_attempt_at = now + self._timing.heartbeat_interval_s
             return
         if not attempt.refused_by_all():
@@ -197,8 +249,8 @@
         self._next_attempt_at = now
 
     def _give_up(self) -> None:
+        self._state = LeaseState.NOT_ELECTED
         self._fencing_token = 0
-        self._known = False
         self._attempt = None
 
     def _send_release(self, view: View) -> None:
--- a/larchgw/replication/lease_acceptor.py
+++ b/larchgw/replication/lease_acceptor.py
@@ -1,5 +1,8 @@
-"""What a witness keeps of leases: durable, the highest fence and who acted last; in memory, whom it granted
-to."""
+"""A witness's side of leases.
+
+Durable: the highest fencing token of each lease and who acted last. In memory: whom it granted to, and until
+when.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredLease:
-    """Durable, for one name. A fence belongs to one holder."""
+    """What is durable of one lease. A fencing token belongs to one holder.
+
+    Attributes:
+        fencing_token: The highest that was granted.
+        holder: The member that it was granted to; empty if this witness does not know.
+        acting_token: The highest under which a holder acted, as far as this witness was asked.
+        actor: Who acted under it: a member, NOBODY or UNKNOWN.
+    """
 
     fencing_token: int = 0
     holder: str = ""
@@ -48,11 +58,21 @@
 
 
 class LeaseAcceptor:
-    """Grants a lease to one holder at a time. After a restart, or as a new witness, it grants nothing to a
-    holder that it does not know for one whole term: it may have forgotten a grant, or stand for one who made
-    it."""
+    """Grants each lease to one holder at a time, for one term. Times are seconds of the member's clock.
+
+    After a restart, or as a new witness, it grants nothing for one whole term to a member other than the
+    stored
+    holder: it may have forgotten a grant, or counts now in place of a witness that made one. Without this,
+    two members could each have a quorum of grants within one term.
+    """
 
     def __init__(self, cell: Cell, term_s: float) -> None:
+        """Reads what is stored.
+
+        Args:
+            cell: Where the leases are stored.
+            term_s: For how long a grant is good.
+        """
         self._cell = cell
         self._term_s = term_s
         self._grants: dict[str, _Grant] = {}
--- a/larchgw/replication/lease_table.py
+++ b/larchgw/replication/lease_table.py
@@ -15,7 +15,8 @@
 class LeaseTable:
     """Hands messages about leases to the witness or to the holder that they concern.
 
-    Times are seconds of the member's clock. `rank` staggers candidates: 0 for a view's primary."""
+    Times are seconds of the member's clock. `rank` staggers candidates: 0 for a view's primary.
+    """
 
     def __init__(
         self,
@@ -25,6 +26,15 @@
         outbox: OutboundMessages,
         random: Random,
     ) -> None:
+        """Begins without any lease.
+
+        Args:
+            member_id: The identity of this member.
+            acceptor: Its part as a witness.
+            settings: The term and time-outs.
+            outbox: Takes requests and replies.
+            random: Staggers candidates.
+        """
         self._member_id = member_id
         self._acceptor = acceptor
         self._settings = settings
--- a/larchgw/replication/log_sender.py
+++ b/larchgw/replication/log_sender.py
@@ -29,6 +29,15 @@
         settings: MemberSettings,
         peers: Mapping[str, Peer],
     ) -> None:
+        """Begins with nothing sent.
+
+        Args:
+            epoch: The epoch of the primary's view.
+            replica: The log.
+            outbox: Takes the messages.
+            settings: Sizes of messages, and time-outs.
+            peers: The other members, by identity.
+        """
         self._epoch = epoch
         self._replica = replica
         self._outbox = outbox
@@ -70,6 +79,7 @@
             self._replicate_to(now, sender, peer)
 
     def _replicate_to(self, now: float, member: str, peer: Peer) -> None:
+        """Sends what the peer lacks, unless a message to it is in flight."""
         last = self._replica.last_index
         if peer.match >= last:
             peer.overdue_at = None
--- a/larchgw/replication/member_addresses.py
+++ b/larchgw/replication/member_addresses.py
@@ -10,6 +10,11 @@
     """Fills the outbox's addresses from views and from the messages of members."""
 
     def __init__(self, outbox: OutboundMessages) -> None:
+        """Begins without any address.
+
+        Args:
+            outbox: Is given the addresses.
+        """
         self._outbox = outbox
         self._replaced: set[str] = set()
 
@@ -19,8 +24,11 @@
         return frozenset(self._replaced)
 
     def record_sender(self, member: str, address: str, view: View | None) -> None:
-        """A message came from this member. One not known before, at an address that was another's in `view`,
-        has taken its place: the other's disk is gone."""
+        """A message came from this member.
+
+        One not known before, at an address that was another's in `view`, has taken its place: the other's
+        disk is gone.
+        """
         if self._outbox.address_of(member) is None:
             self._replaced.update(other for other in _members_at(address, view) if other != member)
             self._outbox.set_address(member, address)
--- a/larchgw/replication/message_codec.py
+++ b/larchgw/replication/message_codec.py
@@ -190,11 +190,8 @@
         payload_start = _HEADER_LENGTH.size + length
         header = json.loads(body[_HEADER_LENGTH.size : payload_start])
         address = str(header.pop(_SENDER_KEY))
-        arguments = _payload_arguments(kind, header, body, payload_start)
-        attributes = _ATTRIBUTES_BY_KIND[kind]
-        for key, value in header.items():
-            arguments[attributes[key]] = _from_json(key, value)
-        return wire_format.message_type(**arguments), address
+        payload = _payload_arguments(kind, header, body, payload_start)
+        return wire_format.message_type(**payload, **_header_arguments(kind, header)), address
     except (KeyError, TypeError, ValueError, AttributeError, struct.error) as error:
         raise MessageDecodeError(kind, str(error)) from error
 
@@ -208,12 +205,14 @@
     return {}
 
 
-def _from_json(key: str, value: Any) -> Any:
-    if key == _VIEW_KEY and value is not None:
-        return View.from_json(value)
-    if key == _EPOCHS_KEY:
-        return tuple(value)
-    return value
+def _header_arguments(kind: str, header: dict[str, Any]) -> dict[str, Any]:
+    """What the header says, by attribute; KeyError for a key that is not of this kind."""
+    if header.get(_VIEW_KEY) is not None:
+        header[_VIEW_KEY] = View.from_json(header[_VIEW_KEY])
+    if _EPOCHS_KEY in header:
+        header[_EPOCHS_KEY] = tuple(header[_EPOCHS_KEY])
+    attributes = _ATTRIBUTES_BY_KIND[kind]
+    return {attributes[key]: value for key, value in header.items()}
 
 
 def _records(lengths: list[int], body: bytes, start: int) -> tuple[bytes, ...]:
--- a/larchgw/replication/messages.py
+++ b/larchgw/replication/messages.py
@@ -12,8 +12,14 @@
 
 
 class Envelope(Protocol):
-    """What the transport carries: thrift's PeerMessage. `receiver` is empty where only an address is
-    known."""
+    """What the transport carries: thrift's PeerMessage.
+
+    Attributes:
+        sender: Identity of the sending member.
+        receiver: Identity of the receiver; empty where only an address is known.
+        kind: See `message_codec`.
+        body: See `message_codec`.
+    """
 
     sender: str
     receiver: str
@@ -23,14 +29,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVoteRequest:
-    """Would the receiver let the sender try to become primary? Binds nobody."""
+    """Asks whether the receiver would let the sender try to become primary; binds nobody.
+
+    Attributes:
+        round: Number of the sender's round of pre-votes.
+    """
 
     round: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreVoteReply:
-    """Whether the sender would let the prober try, and the highest epoch and last view that it knows."""
+    """Answers a pre-vote.
+
+    Attributes:
+        round: The round that was asked.
+        granted: Whether the sender of this reply misses the primary too.
+        promised: The highest epoch that it has promised.
+        view: The last view that it has accepted.
+    """
 
     round: int
     granted: bool
@@ -40,14 +57,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks for the promise to accept nothing below `epoch`."""
+    """Asks for the promise to accept nothing below `epoch`.
+
+    Attributes:
+        epoch: The candidate's epoch.
+    """
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """`view` is the last view accepted; `promised` the epoch that stands in the way of a refused one."""
+    """Answers a prepare.
+
+    Attributes:
+        epoch: The epoch that was asked for.
+        granted: Whether it is promised.
+        promised: The highest epoch promised, which stands in the way of a refused one.
+        view: The last view accepted.
+    """
 
     epoch: int
     granted: bool
@@ -57,14 +85,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks to accept a view; also tells a member that missed it."""
+    """Asks to accept a view; also sent to a member that missed it.
+
+    Attributes:
+        view: The view.
+    """
 
     view: View
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Whether the sender has accepted the view of `epoch`; `promised` is the highest epoch it promised."""
+    """Answers an accept.
+
+    Attributes:
+        epoch: The epoch of the view.
+        granted: Whether the view is accepted.
+        promised: The highest epoch promised.
+    """
 
     epoch: int
     granted: bool
@@ -73,7 +111,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The primary is there. `round` rises with each; `commit` is the newest acknowledged index."""
+    """The primary is there.
+
+    Attributes:
+        epoch: The epoch of its view.
+        round: Rises with each heartbeat.
+        committed_index: The newest acknowledged record.
+    """
 
     epoch: int
     round: int
@@ -82,8 +126,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """`granted`: the receiver has promised nothing above `epoch`. `view`: a newer one that the primary
-    lacks."""
+    """Answers a heartbeat.
+
+    Attributes:
+        epoch: The epoch of the heartbeat.
+        round: Its round.
+        granted: Whether nothing above `epoch` is promised.
+        promised: The highest epoch promised.
+        view_epoch: The epoch of the last view accepted; 0 if none is.
+        view: A newer view that the primary lacks.
+    """
 
     epoch: int
     round: int
@@ -95,7 +147,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Records that follow `previous_index`; `epochs` says in which epoch each was first proposed."""
+    """Records for a replica.
+
+    Attributes:
+        epoch: The epoch of the primary's view.
+        previous_index: The record before the first of them.
+        previous_epoch: The epoch in which that one was proposed.
+        committed_index: The newest acknowledged record.
+        epochs: For each record, the epoch in which it was first proposed.
+        records: The records.
+    """
 
     epoch: int
     previous_index: int
@@ -107,8 +168,17 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """The piece at `offset` of a snapshot that stands for all records up to `index`; the whole has `size`
-    bytes and this checksum."""
+    """One chunk of a snapshot.
+
+    Attributes:
+        epoch: The epoch of the primary's view.
+        index: The snapshot stands for all records up to this one.
+        index_epoch: The epoch in which that one was proposed.
+        offset: Where the chunk begins.
+        size_bytes: Bytes of the complete snapshot.
+        checksum: SHA-256 of the complete snapshot, in hex.
+        chunk: The bytes at `offset`.
+    """
 
     epoch: int
     index: int
@@ -121,7 +191,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshotReply:
-    """Of the snapshot up to `index` the sender holds the first `offset` bytes: go on from there."""
+    """How far a snapshot has come.
+
+    Attributes:
+        epoch: The epoch of the primary's view.
+        index: The record that the snapshot stands for.
+        offset: Bytes held: the sender is to go on from there.
+    """
 
     epoch: int
     index: int
@@ -130,7 +206,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """`matched`: everything up to `index` is durable and the primary's; otherwise go back to `index`."""
+    """Answers records, or a snapshot that is complete.
+
+    Attributes:
+        epoch: The epoch of the primary's view.
+        matched: Whether everything up to `index` is durable and the primary's.
+        index: That index; if not matched, the one to go back to.
+    """
 
     epoch: int
     matched: bool
@@ -139,7 +221,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinRequest:
-    """A member that is not in sync asks to be brought up to date and taken in."""
+    """A member that is not in sync asks to be brought up to date and taken in.
+
+    Attributes:
+        member: Its identity.
+        address: Its rpc address.
+    """
 
     member: str
     address: str
@@ -147,29 +234,49 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequest:
-    """A member is about to end: no acknowledgement shall wait for its copy."""
+    """A member is about to end: no acknowledgement shall wait for its copy.
+
+    Attributes:
+        member: Its identity.
+    """
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveGranted:
-    """The primary of `epoch` needs neither the copy nor the vote of the receiver: it may end."""
+    """The primary needs neither the copy nor the vote of the receiver, which may end.
+
+    Attributes:
+        epoch: The epoch of the primary's view.
+    """
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class TakeOver:
-    """The primary of `epoch` asks a backup to become primary at once."""
+    """The primary asks a backup to become primary at once.
+
+    Attributes:
+        epoch: The epoch of the primary's view.
+    """
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Asks a witness for one term. `renewal`: the sender was elected under this fence, otherwise it is a new
-    one. `acting`: the sender is about to act, or acts, under it."""
+    """Asks a witness for one term of a lease.
+
+    Attributes:
+        name: The lease.
+        fencing_token: The token to be granted.
+        is_renewal: Whether the sender was elected under this token; otherwise it is a new one.
+        view_epoch: The epoch of the view whose witnesses are asked.
+        attempt: Number of the sender's attempt.
+        is_acting: Whether the sender acts under the token, or is about to.
+    """
 
     name: str
     fencing_token: int
@@ -181,8 +288,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReply:
-    """What the witness had stored before: the highest fence, and who was last known to act under which fence.
-    `remaining`: seconds until it is free to grant. `view`: a newer one that the asker lacks."""
+    """Answers a lease request with what the witness had stored before.
+
+    Attributes:
+        name: The lease.
+        attempt: The attempt that asked.
+        granted: Whether the token is granted for one term.
+        fencing_token: The highest token granted before.
+        actor: Who was last known to act; see `lease_acceptor`.
+        acting_token: The token under which it acted.
+        remaining_s: Seconds until the witness is free to grant.
+        view: A newer view that the sender of the request lacks.
+    """
 
     name: str
     attempt: int
@@ -196,7 +313,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRelease:
-    """The holder of `fence` will not use it any more."""
+    """The holder gives a lease up.
+
+    Attributes:
+        name: The lease.
+        fencing_token: It will not use this token any more, nor a lower one.
+    """
 
     name: str
     fencing_token: int
--- a/larchgw/replication/outbound_messages.py
+++ b/larchgw/replication/outbound_messages.py
@@ -12,6 +12,12 @@
     """Addresses come from views and from the messages themselves; a message to nowhere is dropped."""
 
     def __init__(self, member_id: str, address: str) -> None:
+        """Begins empty.
+
+        Args:
+            member_id: The identity of this member.
+            address: Its rpc address.
+        """
         self._member_id = member_id
         self._address = address
         self._addresses: dict[str, str] = {}
--- a/larchgw/replication/pending_calls.py
+++ b/larchgw/replication/pending_calls.py
@@ -11,6 +11,7 @@
     """Proposals in order of their index, reads in order of the heartbeat that must prove them."""
 
     def __init__(self) -> None:
+        """Begins with no call."""
         self._number = 0
         self._proposals: deque[tuple[int, PendingCall]] = deque()
         self._reads: deque[tuple[int, PendingCall]] = deque()
--- a/larchgw/replication/planning.py
+++ b/larchgw/replication/planning.py
@@ -10,12 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedMembers:
-    """What the primary knows of the other members."""
-
-    healthy: frozenset[str]  # members of the view that answer and keep up
-    ready: tuple[str, ...]  # not in sync, but hold everything acknowledged and may be taken in
-    lost: frozenset[str]  # silent for long, or their address belongs to a new identity
-    leaving: frozenset[str]  # about to end, and asked that nothing depends on them
+    """What the primary knows of the other members.
+
+    Attributes:
+        healthy: Members that answer and keep up.
+        ready: Members not in sync that hold everything acknowledged and may be taken in.
+        lost: Members silent for long, or whose address belongs to a new identity.
+        leaving: Members about to end, which asked that nothing depends on them.
+        addresses: Rpc address of each member.
+    """
+
+    healthy: frozenset[str]
+    ready: tuple[str, ...]
+    lost: frozenset[str]
+    leaving: frozenset[str]
     addresses: Mapping[str, str]
 
 
@@ -27,9 +35,21 @@
     leaving: Collection[str],
     min_copies: int,
 ) -> View:
-    """The view of a new primary: the in-sync members that answered and stay, and `min_copies` of them at
-    least. Those that leave fill it up, and then those that did not answer: they hold everything acknowledged,
-    and one of them may come back."""
+    """The view of a new primary.
+
+    The candidate is in sync in `base`, so it has every acknowledged record. The backups are the in-sync
+    members that answered and stay. If these are too few, the view is filled up to `min_copies` with members
+    that leave and then with members that did not answer: nothing is acknowledged until they are back or
+    replaced, but the rule holds that every in-sync member has all that was acknowledged.
+
+    Args:
+        epoch: The epoch of the new view.
+        candidate: The new primary.
+        base: The last accepted view.
+        answered: Members that promised the epoch.
+        leaving: Members that are about to end.
+        min_copies: Members in sync, at least.
+    """
     others = [member for member in base.in_sync if member != candidate]
     staying = [member for member in others if member in answered and member not in leaving]
     present_first = sorted(others, key=lambda member: member not in answered)
@@ -40,8 +60,19 @@
 def next_view(
     epoch: int, view: View, observed: ObservedMembers, min_copies: int, max_witnesses: int
 ) -> View | None:
-    """The change that the primary of `view` should make now; None if there is none. One step a view: the
-    in-sync set first, then the witnesses. `min_copies`: copies of what is acknowledged."""
+    """The change that the primary of `view` should make now; None if there is none.
+
+    One step a view, so that each is safe on its own: first the in-sync set, then the end of a joint view,
+    then the witnesses. Witnesses change by a joint view (`former_witnesses` the present ones) that the next
+    view ends.
+
+    Args:
+        epoch: The epoch of the new view.
+        view: The present view.
+        observed: What the primary knows of the other members.
+        min_copies: Copies that a record must have.
+        max_witnesses: Up to which the witness set grows.
+    """
     backups = _next_backups(view, observed, min_copies)
     if set(backups) != set(view.backups):
         return _changed(epoch, view, observed, backups, view.witnesses, view.former_witnesses)
@@ -80,10 +111,13 @@
 
 
 def _next_witnesses(view: View, observed: ObservedMembers, max_witnesses: int) -> tuple[str, ...]:
-    """One witness that is lost, or leaves, replaced by an in-sync member that is none yet; else more
-    witnesses, an odd number and no more than `max_witnesses`. The set never shrinks, as leases rely on it:
+    """The witnesses that the view should have.
+
+    One witness that is lost, or leaves, is replaced by an in-sync member that is none yet; else witnesses are
+    added, up to an odd number and no more than `max_witnesses`. The set never shrinks, as leases rely on it:
     if it grew with each machine that comes before the one that it replaces goes, those that went would soon
-    be half of it."""
+    be half of it.
+    """
     staying = (observed.healthy | {view.primary}) - observed.leaving
     spare = [member for member in view.in_sync if member not in view.witnesses and member in staying]
     lost = [member for member in view.witnesses if member in observed.lost | observed.leaving]
--- a/larchgw/replication/ports.py
+++ b/larchgw/replication/ports.py
@@ -1,5 +1,7 @@
-"""The narrow ports to durable storage; `larchgw/storage` satisfies them. All may raise OSError (a full
-disk)."""
+"""The narrow ports to durable storage; `larchgw/storage` satisfies them.
+
+All may raise OSError (a full disk).
+"""
 
 from __future__ import annotations
 
--- a/larchgw/replication/replica.py
+++ b/larchgw/replication/replica.py
@@ -1,5 +1,4 @@
-"""The log of one replica: records with the epoch in which they were proposed, so that divergent tails are
-found."""
+"""The log of one replica: records with the epoch of their proposal, so that divergent tails are found."""
 
 from __future__ import annotations
 
@@ -12,10 +11,23 @@
 
 
 class Replica:
-    """Owns the journal. `committed` is what is known to be acknowledged; it never shrinks and is not
-    durable."""
+    """The log of one replica, over a journal. Each record is stored as its epoch (64 bits) and its bytes.
+
+    The log of a member may end in records that the primary does not have: they were proposed by an earlier
+    primary and never acknowledged. They are found by their epoch (no two primaries share one) and replaced.
+
+    Source: Raft, section 5.3 (log matching).
+
+    Attributes:
+        committed: The newest record known to be acknowledged; never shrinks, and is not durable.
+    """
 
     def __init__(self, journal: Journal) -> None:
+        """Reads the epochs of all records.
+
+        Args:
+            journal: The durable records and snapshot.
+        """
         self._journal = journal
         self._base_index = 0
         self._base_epoch = 0
@@ -75,8 +87,11 @@
         return held[0], _epoch(held[1]), held[1][_EPOCH.size :]
 
     def append(self, epoch: int, record: bytes) -> int:
-        """Adds a record of one's own as primary, durable; on OSError it is taken back or counts as never
-        sent."""
+        """Adds a record as primary, durable, and returns its index.
+
+        Raises:
+            OSError: The disk refuses; the record is taken back, or counts as never sent.
+        """
         self._add(epoch, record)
         try:
             self.sync()
@@ -94,8 +109,14 @@
     def append_from_primary(
         self, previous_index: int, previous_epoch: int, epochs: Sequence[int], records: Sequence[bytes]
     ) -> tuple[bool, int]:
-        """Takes the primary's records after `previous_index` in, durable. Returns whether they fit, and then
-        up to which index the log is the primary's; if not, the index from which to try again."""
+        """Makes the primary's records after `previous_index` durable, in place of any that diverge.
+
+        They fit if the record at `previous_index` is there with `previous_epoch`: then, by induction,
+        everything up to it is the primary's too.
+
+        Returns: Whether they fit, and the index up to which the log is the primary's; if they do not fit, the
+            index from which to try again.
+        """
         if previous_index > self.last_index:
             return False, self.last_index
         if previous_index >= self._base_index and self.epoch_at(previous_index) != previous_epoch:
--- a/larchgw/replication/settings.py
+++ b/larchgw/replication/settings.py
@@ -1,4 +1,4 @@
-"""Terms and timing of a member."""
+"""Settings and timing of a member."""
 
 from __future__ import annotations
 
@@ -10,56 +10,85 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Seconds. A round trip inside a region takes some ms and a sync up to tens of ms; a restart some
-    seconds."""
+    """Intervals and time-outs, in seconds.
+
+    They are chosen for a round trip of some ms inside a region, syncs of up to tens of ms, and restarts of
+    some seconds.
+
+    Attributes: heartbeat_interval_s: Between two heartbeats of a primary. backup_silence_s: After which a
+    backup is left out: several heartbeats. primary_silence_s: After which a backup tries to become primary.
+    rank_stagger_s: Added by rank, so that candidates do not collide. own_restart_s: After which a restarted
+    primary tries again: it need not wait for itself. view_change_s: After which a view change without result
+    is given up. view_change_resend_s: Between two requests to a member that has not answered a view change.
+    promise_grace_s: For which a quorum of promises waits for the other in-sync members. quorum_contact_s:
+    After which a primary without a quorum gives up its role. refusal_s: After which a promise to another
+    member that leads to no view is overruled. join_interval_s: Between two requests of a member that is not
+    in sync. retransmit_s: After which an append without a reply is sent again, in addition to the time that
+    its bytes take over `slowest_link_bytes_per_s`. slowest_link_bytes_per_s: What the slowest link carries.
+    rejoin_delay_s: For which a backup that was left out for silence is not taken in again. One that is silent
+    time and again costs changes `backup_silence_s` each time, so less than a third of the time.
+    witness_silence_s: After which a witness is replaced, if an in-sync member can take its place.
+    forget_peer_s: After which a member outside the view that stopped asking is forgotten. pre_vote_s: To wait
+    for replies to a pre-vote. lease_round_s: To wait for replies of the witnesses to a lease request.
+    leave_interval_s: Between two requests of a member that is about to end. step_down_pause_s: After
+    `step_down`, before a member tries for a role again. process_pause_s: A gap between calls that means that
+    the process itself did not run.
+    """
 
     heartbeat_interval_s: float = 0.1
-    backup_silence_s: float = 0.5  # after which a backup is left out: several heartbeats
-    primary_silence_s: float = 0.6  # after which a backup tries to become primary
-    rank_stagger_s: float = 0.15  # added by rank, so that candidates do not collide
-    own_restart_s: float = 0.1  # a restarted primary need not wait for itself
-    view_change_s: float = 0.8  # a ballot without result is given up
+    backup_silence_s: float = 0.5
+    primary_silence_s: float = 0.6
+    rank_stagger_s: float = 0.15
+    own_restart_s: float = 0.1
+    view_change_s: float = 0.8
     view_change_resend_s: float = 0.15
-    promise_grace_s: float = 0.03  # a quorum waits this long for the other in-sync members
-    quorum_contact_s: float = 1.5  # a primary without a quorum for so long gives up its role
-    refusal_s: float = 0.3  # a promise to another that leads to no view is overruled after this
-    join_interval_s: float = 0.4  # between two requests of a member that is not in sync
-    retransmit_s: float = 0.4  # of an append without a reply; plus its size over `slowest_link_bytes_per_s`
-    slowest_link_bytes_per_s: float = 10e6  # bytes a second
-    # A backup that was left out for silence is not taken in again before this: one that is silent again costs
-    # changes `backup_silence_s`, less than a third of the time.
+    promise_grace_s: float = 0.03
+    quorum_contact_s: float = 1.5
+    refusal_s: float = 0.3
+    join_interval_s: float = 0.4
+    retransmit_s: float = 0.4
+    slowest_link_bytes_per_s: float = 10e6
     rejoin_delay_s: float = 1.2
-    witness_silence_s: float = 1.2  # a witness is replaced after this if an in-sync member stands by
-    forget_peer_s: float = 5.0  # a member outside the view that stopped asking
-    pre_vote_s: float = 0.25  # to wait for answers to a probe
-    lease_round_s: float = 0.3  # to wait for answers of witnesses to a request for a lease
-    leave_interval_s: float = 0.05  # between two requests of a member that is about to end
-    step_down_pause_s: float = 5.0  # after `step_down`, before a member stands for a role again
-    process_pause_s: float = 0.25  # a gap between ticks that means the process itself did not run
+    witness_silence_s: float = 1.2
+    forget_peer_s: float = 5.0
+    pre_vote_s: float = 0.25
+    lease_round_s: float = 0.3
+    leave_interval_s: float = 0.05
+    step_down_pause_s: float = 5.0
+    process_pause_s: float = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """`seeds` are the rpc addresses of the first witnesses, the same and in the same order at all of them.
-    `fresh_identity` is used if the disk is empty and this is not the first boot of a seed; it must be unique.
-    `tolerated_failures` members may be lost at once: a record is acknowledged with
-    tolerated_failures + 1 copies at least, and 2 * tolerated_failures + 1 decide. `all_in_sync_vote`: more
-    may be lost if they are near to one another, so every member in sync is to have a vote."""
+    """Settings of one member.
+
+    Attributes: address: Its rpc address. seeds: Rpc addresses of the first witnesses, the same and in the
+    same order at all of them. first_boot: Whether the system is started for the first time. fresh_identity:
+    Its identity if the disk is empty and this is not the first boot of a seed; must be unique.
+    tolerated_failures: Members that may be lost at once. A record is acknowledged with one copy more at
+    least, and twice as many and one witnesses decide. lease_term_s: For how long a lease is granted, in
+    seconds. all_in_sync_vote: Whether every in-sync member is to be a witness: more than `tolerated_failures`
+    may be lost if they share a failure domain. compact_records: A snapshot replaces the log once it holds so
+    many records, compact_bytes: or so many bytes, compact_replay_bytes: or once records times the size of the
+    state are so many: to apply a record after a restart costs time in proportion to the state
+    (docs/storage.md). deliver_bytes: Records times the size of the state that are handed out at a time.
+    batch_bytes: Records in one message, unless one alone is larger. chunk_bytes: Bytes of a snapshot in one
+    message. timing: Intervals and time-outs.
+    """
 
     address: str
     seeds: tuple[str, ...]
     first_boot: bool
     fresh_identity: str
     tolerated_failures: int
-    lease_term_s: float  # seconds
+    lease_term_s: float
     all_in_sync_vote: bool = False
-    compact_records: int = 100  # a snapshot replaces the log once it holds so many records
-    compact_bytes: int = 16 << 20  # or so many bytes
-    compact_replay_bytes: int = 128 << 20  # or if records times the size of the state are so many: to take a
-    # record in after a restart costs time in proportion to the state (docs/storage.md)
-    deliver_bytes: int = 8 << 20  # records times the size of the state that are handed out at a time
-    batch_bytes: int = 1 << 20  # of records in one message, unless one alone is larger
-    chunk_bytes: int = CHUNK_BYTES  # of a snapshot in one message
+    compact_records: int = 100
+    compact_bytes: int = 16 << 20
+    compact_replay_bytes: int = 128 << 20
+    deliver_bytes: int = 8 << 20
+    batch_bytes: int = 1 << 20
+    chunk_bytes: int = CHUNK_BYTES
     timing: Timing = field(default_factory=Timing)
 
     @property
--- a/larchgw/replication/snapshot_transfer.py
+++ b/larchgw/replication/snapshot_transfer.py
@@ -1,8 +1,10 @@
 """A snapshot on its way from the primary to a member that lacks records which are no longer kept.
 
-It goes in pieces, one under way at a time, so that heartbeats pass between them and no message grows with the
-state. The receiver says from where to go on; nothing is replaced before the whole is there and its checksum
-agrees. What is received lies in memory: a receiver that ends begins anew.
+It goes in chunks, one in flight at a time, so that heartbeats pass between them and no message grows with the
+state. The receiver says from where to go on; nothing is replaced before all of it is there and its checksum
+agrees. What is received lies in memory: a receiver that restarts begins anew.
+
+Source: Raft, section 7.
 """
 
 from __future__ import annotations
@@ -35,17 +37,30 @@
 
 
 def checksum_of(content: bytes) -> str:
-    """What tells a whole snapshot from one that was put together wrongly."""
+    """SHA-256 of a snapshot, in hex: tells a complete one from one that was put together wrongly."""
     return hashlib.sha256(content).hexdigest()
 
 
 class OutgoingSnapshot:
-    """The sender's side: one snapshot for one member, kept until the member has it, though a newer one may
-    replace it on the disk meanwhile."""
+    """The sender's side: one snapshot for one member.
+
+    It is kept until the member has it, though a newer one may replace it on the disk meanwhile.
+
+    Attributes:
+        snapshot: What is sent.
+        offset: Where the chunk in flight, or the next one, begins.
+    """
 
     def __init__(self, epoch: int, snapshot: Snapshot, chunk_bytes: int) -> None:
+        """Begins at the start of the snapshot.
+
+        Args:
+            epoch: The epoch of the primary that sends it.
+            snapshot: What to send.
+            chunk_bytes: The size of a chunk.
+        """
         self.snapshot = snapshot
-        self.offset = 0  # where the piece under way, or the next one, begins
+        self.offset = 0
         self._epoch = epoch
         self._chunk_bytes = chunk_bytes
 
@@ -55,7 +70,7 @@
         return len(self.snapshot.content) - self.offset
 
     def chunk(self) -> InstallSnapshot:
-        """The message that carries the piece at `offset`."""
+        """The message that carries the chunk at `offset`."""
         snapshot = self.snapshot
         chunk = snapshot.content[self.offset : self.offset + self._chunk_bytes]
         return InstallSnapshot(
@@ -69,11 +84,11 @@
         )
 
     def acknowledge(self, index: int, offset: int) -> bool:
-        """Takes the receiver's answer; True if the next piece is to go at once.
+        """Goes on from the offset that the receiver reports; True if the next chunk is to be sent at once.
 
-        An answer that does not go beyond the piece under way is an old one, or the receiver has begun anew.
-        Either way the piece is sent again only when its time is over: sending on every answer would keep
-        as many pieces under way as answers were doubled.
+        A reply that does not go beyond the chunk in flight is an old one, or the receiver has begun anew.
+        Either way the chunk is sent again only after a time-out: sending on every reply would keep as many
+        chunks in flight as replies were doubled.
         """
         if index != self.snapshot.index or not 0 <= offset <= len(self.snapshot.content):
             return False
@@ -83,10 +98,14 @@
 
 
 class IncomingSnapshot:
-    """The receiver's side: at most one snapshot, as far as it has come. `discarded` counts those that were
-    whole and wrong."""
+    """The receiver's side: at most one snapshot, as far as it has come.
+
+    Attributes:
+        discarded: How many were complete and did not agree with their checksum.
+    """
 
     def __init__(self) -> None:
+        """Begins with nothing received."""
         self.discarded = 0
         self._transfer: tuple[object, ...] = ()
         self._order = (0, 0)
@@ -108,7 +127,7 @@
             self.discard()
 
     def begin(self, install: InstallSnapshot) -> bool:
-        """Turns to the transfer that the piece belongs to; False if the piece is to be left alone.
+        """Turns to the transfer that the chunk belongs to; False if the chunk is to be dropped.
 
         A transfer of a higher epoch, or of a newer snapshot, takes the place of the one before.
         """
@@ -126,9 +145,9 @@
         return True
 
     def receive(self, install: InstallSnapshot) -> bytes | None:
-        """Takes a piece of the present transfer; the snapshot if this piece makes it whole.
+        """Takes a chunk of the present transfer; returns the snapshot if this chunk completes it.
 
-        The last piece is not kept: until the snapshot is durable, and `forget` is called, it can come again.
+        The last chunk is not kept: until the snapshot is durable, and `discard` is called, it can come again.
         """
         if not self._fits(install):
             return None
@@ -150,7 +169,7 @@
 
 
 def _transfer_of(install: InstallSnapshot) -> tuple[object, ...]:
-    """What all pieces of one transfer have in common."""
+    """What all chunks of one transfer have in common."""
     return install.epoch, install.index, install.index_epoch, install.size_bytes, install.checksum
 
 
--- a/larchgw/replication/view.py
+++ b/larchgw/replication/view.py
@@ -14,8 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """One view. `former_witnesses` differs from `witnesses` only while the witness set is being changed:
-    until the next view, both sets must agree to everything (joint quorums)."""
+    """One view of the replicated control state.
+
+    Attributes: epoch: Its number; no two views share one. primary: Who proposes records. backups: Who must
+    have a record before it is acknowledged. witnesses: Whose majority is a quorum. former_witnesses: The
+    witnesses of the view before, while the witness set is being changed; else the same as `witnesses`. Until
+    the next view majorities of both sets must agree to everything: a majority of the former and one of the
+    new need not share a witness, but each shares one with a joint quorum. addresses: Rpc address of each
+    member.
+
+    Source: Raft, section 6 (joint consensus).
+    """
 
     epoch: int
     primary: str
@@ -73,7 +82,9 @@
 
 
 def first_view(seeds: Collection[str]) -> View:
-    """The view that all seeds take for granted at the first start of the system; their ids are their
-    addresses."""
+    """The view that all seeds take for granted at the first start of the system.
+
+    The ids of the seeds are their addresses.
+    """
     ids = tuple(dict.fromkeys(seeds))
     return View(1, ids[0], ids[1:], ids, ids, {seed: seed for seed in ids})
--- a/larchgw/replication/view_change_round.py
+++ b/larchgw/replication/view_change_round.py
@@ -11,6 +11,14 @@
     """Counts the answers to one candidate's epoch. The candidate itself answers through the same calls."""
 
     def __init__(self, epoch: int, base: View, now: float, timing: Timing) -> None:
+        """Begins with the first phase.
+
+        Args:
+            epoch: The candidate's epoch, above all it has seen.
+            base: The last view that the candidate has accepted.
+            now: Seconds of the member's clock.
+            timing: Time-outs.
+        """
         self.epoch = epoch
         self.base = base  # the highest accepted view reported so far
         self.proposal: View | None = None
@@ -27,7 +35,10 @@
         return frozenset(self._promised)
 
     def promise(self, now: float, sender: str, promise: Promise) -> None:
-        """A granted promise came. A higher accepted view changes whose quorum is needed."""
+        """Counts a granted promise. A higher accepted view changes whose quorum is needed.
+
+        It may have been chosen, and then the quorum of the former base decides nothing any more.
+        """
         self._promised.add(sender)
         if promise.view is not None and promise.view.epoch > self.base.epoch:
             self.base = promise.view
@@ -36,7 +47,11 @@
             self._quorum_at = now
 
     def may_propose(self, now: float) -> bool:
-        """Whether a quorum has promised, and the other in-sync members have too or had time to."""
+        """Whether a quorum has promised, and the other in-sync members have too or had time to.
+
+        A short wait for them keeps backups that are there in the new view: one that is left out costs a
+        further view change to come back.
+        """
         if self.proposal is not None or self._quorum_at is None:
             return False
         return (
@@ -53,7 +68,12 @@
 
     @property
     def is_chosen(self) -> bool:
-        """Whether quorums of the view before it and of its own have accepted the proposal."""
+        """Whether quorums of the view before it and of its own have accepted the proposal.
+
+        The first quorum rules out another successor of the base: whoever prepares a higher epoch meets one of
+        these witnesses and is told of this view. The second makes the next candidate, which asks the
+        witnesses of this view, meet one that has accepted it.
+        """
         if self.proposal is None:
             return False
         return self.base.has_quorum(self._accepted) and self.proposal.has_quorum(self._accepted)
@@ -71,7 +91,7 @@
         return tuple(member for member in self.participants if member not in answered)
 
     def volatile_state(self) -> tuple[object, ...]:
-        """Everything that answers have changed; equal for ballots that will go on alike."""
+        """Everything that answers have changed; equal for rounds that will go on alike."""
         return (
             self.epoch,
             self.base.epoch,
--- a/larchgw/replication/witness.py
+++ b/larchgw/replication/witness.py
@@ -1,5 +1,4 @@
-"""The part of a member that decides failover: it stores only the epoch it promised and the view it
-accepted."""
+"""The durable state of a member's votes: the epoch it promised and the view it accepted."""
 
 from __future__ import annotations
 
@@ -20,9 +19,22 @@
 
 
 class Witness:
-    """Every change is stored before the call returns; OSError from the port leaves the state as it was."""
+    """The acceptor of views. Every change is stored before the call returns.
+
+    An epoch is promised to one candidate, and no view below the highest promise is accepted, also after a
+    restart.
+
+    Raises OSError from the port, which leaves the state as it was.
+
+    Source: Paxos Made Simple, section 2.2 (acceptors).
+    """
 
     def __init__(self, cell: Cell) -> None:
+        """Reads what is stored.
+
+        Args:
+            cell: Where it is stored.
+        """
         self._cell = cell
         self._state = _load(cell)
 
@@ -52,8 +64,11 @@
         return True
 
     def may_accept(self, view: View) -> bool:
-        """Whether no promise rules the view out. Of one epoch there is only one view, whoever was promised
-        it here: its primary has the promises of a quorum."""
+        """Whether no promise rules the view out.
+
+        Of one epoch there is only one view, whoever was promised it here: its primary has the promises of a
+        quorum.
+        """
         state = self._state
         if state.view is not None and state.view.epoch == view.epoch:
             return state.promised == view.epoch
