--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -73,7 +73,8 @@
     refused = submit(service, addition(3, "b", 1 << 20))
     detail = json.loads(refused.body)
     assert (refused.status, detail["field"], detail["config_version"]) == (413, "configuration", 2)
-    assert str(MAX_CONFIGURATION_BYTES) in detail["error"] and "remove" in detail["error"]
+    assert str(MAX_CONFIGURATION_BYTES) in detail["error"]
+    assert "remove" in detail["error"]
     assert replication.index == taken
     shrunk = {
         "config_version": 3,
@@ -148,4 +149,5 @@
         replica.append(1, content[: 5 << 20])
         compaction.tick(float(number), replica.last_index, is_sending_snapshot=number % 2 == 0)
         most = max(most, files.used())
-    assert replica.first_index > 10 and most <= DISK_BYTES // 2
+    assert replica.first_index > 10
+    assert most <= DISK_BYTES // 2
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -49,20 +49,20 @@
         self.disk.refill_reserve()
         self.files.capacity = self.files.used()
         self.disk.ports.witness.store(b"epoch 7")
-        self.assertEqual(b"epoch 7", ControlDisk.open(self.files, "data").ports.witness.load())
-        self.assertIsNone(self.files.size(RESERVE))
+        assert ControlDisk.open(self.files, "data").ports.witness.load() == b"epoch 7"
+        assert self.files.size(RESERVE) is None
 
     def test_the_reserve_is_not_taken_back_before_a_compaction_has_freed_room(self) -> None:
         self.disk.refill_reserve()
         self.files.capacity = self.files.used()
         self.disk.ports.witness.store(b"epoch 7")
         self.disk.refill_reserve()
-        self.assertIsNone(self.files.size(RESERVE))
+        assert self.files.size(RESERVE) is None
         self.files.capacity += 4 * RESERVE_BYTES
         self.disk.ports.journal.append(b"record")
         self.disk.ports.journal.compact(1, b"snapshot")
         self.disk.refill_reserve()
-        self.assertEqual(RESERVE_BYTES, self.files.size(RESERVE))
+        assert self.files.size(RESERVE) == RESERVE_BYTES
 
 
 class FullDiskTest(TestCase):
@@ -90,13 +90,14 @@
     def test_a_full_disk_leaves_a_change_unclear_and_the_process_running(self) -> None:
         self.run_call(self.log.propose(order(1, 0).encode()))
         self.files.refuses_writes = True
-        self.assertRaises(ReplicationUnavailableError, self.run_call, self.log.propose(order(2, 1).encode()))
+        with pytest.raises(ReplicationUnavailableError):
+            self.run_call(self.log.propose(order(2, 1).encode()))
         self.pass_time(10.0)
-        self.assertEqual(1, self.state.version)
+        assert self.state.version == 1
         self.files.refuses_writes = False
         self.pass_time(10.0)
         self.run_call(self.log.propose(order(3, 1).encode()))
-        self.assertEqual(3, self.state.version)
+        assert self.state.version == 3
 
 
 def test_the_largest_order_that_is_taken_fits_into_a_record_of_the_log() -> None:
@@ -108,7 +109,8 @@
 def test_an_order_that_no_record_can_hold_is_refused_before_it_is_passed_on() -> None:
     calls = OperatorCallRouter(None, None, None)  # type: ignore[arg-type]
     answer = asyncio.run(calls.operator_call("replace", 1, bytes(MAX_ORDER_BYTES + 1)))
-    assert answer.status == 413 and b"several changes" in answer.body
+    assert answer.status == 413
+    assert b"several changes" in answer.body
 
 
 @pytest.mark.parametrize("kind", [DiskFullError, DiskFailedError])
@@ -150,5 +152,7 @@
     with capture_logs() as lines:
         assert process.run(make) == 1
     (line,) = [line for line in lines if line["log_level"] == "error"]
-    assert line["event"] == "process.start_failed" and line["cause"] == "data_folder"
-    assert "witness-a" in line["error"] and "move the data folder" in line["error"]
+    assert line["event"] == "process.start_failed"
+    assert line["cause"] == "data_folder"
+    assert "witness-a" in line["error"]
+    assert "move the data folder" in line["error"]
--- a/tests/control/test_graceful_stop.py
+++ b/tests/control/test_graceful_stop.py
@@ -76,22 +76,22 @@
         return run(stop())
 
     def test_it_ends_soon_after_the_others_have_agreed(self) -> None:
-        self.assertLess(self.end(agreed_after=0.2), 0.5)
+        assert self.end(agreed_after=0.2) < 0.5
 
     def test_it_listens_and_takes_part_until_the_others_have_agreed(self) -> None:
         self.end(agreed_after=2.0)
-        self.assertEqual(["log.leave", "gossip.leave", "http.stop"], self.events[:3])
-        self.assertEqual({"tasks.stop", "rpc.stop", "clients.close"}, set(self.events[3:]))
+        assert self.events[:3] == ["log.leave", "gossip.leave", "http.stop"]
+        assert {"tasks.stop", "rpc.stop", "clients.close"} == set(self.events[3:])
 
     def test_without_their_agreement_it_ends_well_within_the_grace_period(self) -> None:
         took = self.end(agreed_after=1000.0)
-        self.assertGreater(took, GRACE_S / 4)
-        self.assertLess(took, GRACE_S * 0.6)
+        assert took > GRACE_S / 4
+        assert took < GRACE_S * 0.6
 
     def test_a_runner_that_checks_in_meanwhile_is_sent_to_another_process(self) -> None:
         async def check_in() -> bool:
             return await self.node.parts.runners.check_ins.check_in("i-1", BODY)
 
-        self.assertTrue(asyncio.run(check_in()))
+        assert asyncio.run(check_in())
         self.end(agreed_after=0.2)
-        self.assertFalse(asyncio.run(check_in()))
+        assert not asyncio.run(check_in())
--- a/tests/control/test_http_api.py
+++ b/tests/control/test_http_api.py
@@ -62,67 +62,67 @@
 
     def test_a_configuration_reaches_the_service_with_the_version_it_builds_on(self):
         answer = self.post("/Config.Replace", b'{"config_version": 7}', **{"X-Built-On": "5"})
-        self.assertEqual((200, b'{"config_version": 7}'), (answer.code, answer.body))
-        self.assertEqual([("replace", 5, b'{"config_version": 7}')], self.service.calls)
+        assert (answer.code, answer.body) == (200, b'{"config_version": 7}')
+        assert self.service.calls == [("replace", 5, b'{"config_version": 7}')]
 
     def test_a_change_without_the_version_it_builds_on_is_told_as_such(self):
         self.post("/Config.Change", b"{}")
-        self.assertEqual([("change", -1, b"{}")], self.service.calls)
+        assert self.service.calls == [("change", -1, b"{}")]
 
     def test_a_version_that_is_no_number_is_refused_and_not_taken(self):
-        self.assertEqual(400, self.post("/Config.Change", b"{}", **{"X-Built-On": "five"}).code)
-        self.assertEqual([], self.service.calls)
+        assert self.post("/Config.Change", b"{}", **{"X-Built-On": "five"}).code == 400
+        assert self.service.calls == []
 
     def test_what_only_pythons_int_takes_for_a_version_is_not_taken_for_one_or_for_none_given(self):
         for text in ("-1", "+5", "1_0", "5,5", "5.0", "\xb2", "9" * 19, "9" * 5000):
-            self.assertEqual(400, self.post("/Config.Replace", b"{}", **{"X-Built-On": text}).code, text[:30])
-        self.assertEqual([], self.service.calls)
+            assert self.post("/Config.Replace", b"{}", **{"X-Built-On": text}).code == 400, text[:30]
+        assert self.service.calls == []
 
     def test_a_version_may_have_zeros_in_front_and_be_as_large_as_versions_are(self):
         self.post("/Config.Replace", **{"X-Built-On": "007"})
         self.post("/Config.Replace", **{"X-Built-On": str(2**63 - 1)})
-        self.assertEqual([7, 2**63 - 1], [base_version for _, base_version, _ in self.service.calls])
+        assert [base_version for _, base_version, _ in self.service.calls] == [7, 2**63 - 1]
 
     def test_a_body_longer_than_any_that_is_read_is_refused_whatever_the_state_is(self):
         answer = self.raw(
             b"POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n"
             % (http_api.MAX_BODY_BYTES + 1)
         )
-        self.assertTrue(answer.startswith(b"HTTP/1.1 400 "), answer)
-        self.assertEqual([], self.service.calls)
+        assert answer.startswith(b"HTTP/1.1 400 "), answer
+        assert self.service.calls == []
 
     def test_a_body_that_breaks_off_is_no_order(self):
         self.raw(
             b'POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n{"config_version"',
             breaks_off=True,
         )
-        self.assertEqual([], self.service.calls)
+        assert self.service.calls == []
 
     def test_what_the_service_refuses_or_leaves_unclear_is_answered_so(self):
         for status in (400, 412, 503):
             self.service.answer = OperatorResponse(status, b"{}")
-            self.assertEqual(status, self.post("/Config.Replace").code)
+            assert status == self.post("/Config.Replace").code
 
     def test_the_configuration_is_read_whole(self):
         self.service.answer = OperatorResponse(200, b'{"routes": []}')
-        self.assertEqual(b'{"routes": []}', self.fetch("/Config.Read").body)
+        assert self.fetch("/Config.Read").body == b'{"routes": []}'
 
     def test_a_runner_is_acknowledged_and_told_to_stay_with_this_process(self):
         answer = self.post("/Runners.Checkin/i-1", b'{"service": "s"}')
-        self.assertEqual({"beat_to": ADDRESS}, json.loads(answer.body))
-        self.assertEqual([("checkin", "i-1", b'{"service": "s"}')], self.service.calls)
+        assert json.loads(answer.body) == {"beat_to": ADDRESS}
+        assert self.service.calls == [("checkin", "i-1", b'{"service": "s"}')]
 
     def test_a_draining_runner_is_not_acknowledged_by_a_process_that_cannot_tell_the_others(self):
         self.service.acknowledges = False
-        self.assertEqual(503, self.post("/Runners.Checkin/i-1").code)
-        self.assertEqual(503, self.post("/Runners.Leave/i-1").code)
+        assert self.post("/Runners.Checkin/i-1").code == 503
+        assert self.post("/Runners.Leave/i-1").code == 503
 
     def test_a_check_in_that_cannot_be_read_names_the_fault(self):
         self.service.error = CheckInError("service", "is missing", "send it")
         answer = self.post("/Runners.Checkin/i-1")
-        self.assertEqual(400, answer.code)
-        self.assertIn("service", json.loads(answer.body)["error"])
+        assert answer.code == 400
+        assert "service" in json.loads(answer.body)["error"]
 
     def test_other_paths_and_methods_are_not_there(self):
-        self.assertEqual(404, self.fetch("/Config").code)
-        self.assertEqual(405, self.fetch("/Config.Replace").code)
+        assert self.fetch("/Config").code == 404
+        assert self.fetch("/Config.Replace").code == 405
--- a/tests/control/test_majority_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -40,76 +40,76 @@
         return View(9, "a", ("b",), ("a", "b", "c"), ("d", "e", "f"), addresses)
 
     def test_one_of_three_alone_is_isolated(self) -> None:
-        self.assertTrue(self.contact.is_isolated())
+        assert self.contact.is_isolated()
 
     def test_a_start_is_isolated_until_a_majority_has_answered(self) -> None:
-        self.assertTrue(self.of("a").is_isolated())
+        assert self.of("a").is_isolated()
         self.proven["b"] = self.now
-        self.assertFalse(self.of("a").is_isolated())
+        assert not self.of("a").is_isolated()
 
     def test_two_of_three_are_not(self) -> None:
         self.proven["b"] = self.now
-        self.assertFalse(self.contact.is_isolated())
+        assert not self.contact.is_isolated()
 
     def test_two_of_four_are_isolated(self) -> None:
         self.view = first_view(["a", "b", "c", "d"])
         self.proven["b"] = self.now
-        self.assertTrue(self.contact.is_isolated())
+        assert self.contact.is_isolated()
 
     def test_two_of_five_that_hear_each_other_are_isolated(self) -> None:
         self.view = first_view(["a", "b", "c", "d", "e"])
         self.proven["b"] = self.now
-        self.assertTrue(self.contact.is_isolated())
+        assert self.contact.is_isolated()
         self.proven["e"] = self.now
-        self.assertFalse(self.contact.is_isolated())
+        assert not self.contact.is_isolated()
 
     def test_an_answer_to_a_call_that_began_long_ago_does_not_count(self) -> None:
         self.proven["b"] = self.now - MAX_CONTACT_AGE_S - 0.01
-        self.assertTrue(self.contact.is_isolated())
+        assert self.contact.is_isolated()
 
     def test_a_thawed_process_is_isolated_until_it_has_asked_again(self) -> None:
         self.proven["b"] = self.proven["c"] = self.now
         self.now += 20.0
-        self.assertTrue(self.contact.is_isolated())
+        assert self.contact.is_isolated()
 
     def test_one_that_is_alone_by_configuration_is_not_isolated(self) -> None:
         self.view = first_view(["a"])
-        self.assertFalse(self.contact.is_isolated())
+        assert not self.contact.is_isolated()
 
     def test_one_that_knows_no_view_is_isolated_whoever_answers(self) -> None:
         self.view = None
         self.proven["b"] = self.proven["c"] = self.now
-        self.assertTrue(self.contact.is_isolated())
-        self.assertFalse(self.contact.is_majority({"b", "c"}))
-        self.assertEqual([], LatestView(lambda: None, Registry("a.1")).other_witnesses("a"))
+        assert self.contact.is_isolated()
+        assert not self.contact.is_majority({"b", "c"})
+        assert LatestView(lambda: None, Registry("a.1")).other_witnesses("a") == []
 
     def test_one_that_is_no_witness_does_not_count_itself(self) -> None:
         standby = self.of("d")
         self.proven["b"] = self.now
-        self.assertTrue(standby.is_isolated())
+        assert standby.is_isolated()
         self.proven["c"] = self.now
-        self.assertFalse(standby.is_isolated())
+        assert not standby.is_isolated()
 
     def test_one_whose_disk_was_lost_does_not_count_as_the_witness_it_was(self) -> None:
         replaced = self.of("a#another")
         self.proven["b"] = self.now
-        self.assertTrue(replaced.is_isolated())
-        self.assertFalse(replaced.is_majority({"b"}))
+        assert replaced.is_isolated()
+        assert not replaced.is_majority({"b"})
 
     def test_both_sets_of_witnesses_count_while_they_change(self) -> None:
         self.view = self.joint()
         self.proven.update(b=self.now, c=self.now)
-        self.assertTrue(self.contact.is_isolated())
-        self.assertFalse(self.contact.is_majority({"b", "c", "d"}))
+        assert self.contact.is_isolated()
+        assert not self.contact.is_majority({"b", "c", "d"})
         self.proven.update(d=self.now, e=self.now)
-        self.assertFalse(self.contact.is_isolated())
-        self.assertTrue(self.contact.is_majority({"b", "d", "e"}))
+        assert not self.contact.is_isolated()
+        assert self.contact.is_majority({"b", "d", "e"})
         newest = LatestView(lambda: self.view, Registry("a.1"))
-        self.assertEqual(["b", "c", "d", "e", "f"], newest.other_witnesses("a"))
+        assert newest.other_witnesses("a") == ["b", "c", "d", "e", "f"]
 
     def test_processes_that_are_no_witnesses_make_no_majority(self) -> None:
-        self.assertFalse(self.contact.is_majority({"x", "y", "z"}))
-        self.assertTrue(self.contact.is_majority({"c"}))
+        assert not self.contact.is_majority({"x", "y", "z"})
+        assert self.contact.is_majority({"c"})
 
 
 class ProofByPullsTest(testtools.TestCase):
@@ -144,7 +144,7 @@
         async def main() -> None:
             await asyncio.sleep(SETTINGS.start_jitter_s + 0.01)
             for _ in range(1000):
-                self.assertFalse(self.contact.is_isolated(), now())
+                assert not self.contact.is_isolated(), now()
                 await asyncio.sleep(0.01)
 
         self.play(main)
@@ -156,7 +156,7 @@
         async def main() -> None:
             await asyncio.sleep(SETTINGS.start_jitter_s + 0.01)
             for _ in range(500):
-                self.assertFalse(self.contact.is_isolated(), now())
+                assert not self.contact.is_isolated(), now()
                 await asyncio.sleep(0.01)
 
         self.play(main)
@@ -166,12 +166,12 @@
             await asyncio.sleep(3.0)
             self.both("is_hung", True)
             await asyncio.sleep(MAX_CONTACT_AGE_S)
-            self.assertTrue(self.contact.is_isolated())
+            assert self.contact.is_isolated()
             await asyncio.sleep(20.0)
-            self.assertTrue(self.contact.is_isolated())
+            assert self.contact.is_isolated()
             self.both("is_hung", False)
             await asyncio.sleep(ANSWER_IN_TIME_S)
-            self.assertFalse(self.contact.is_isolated())
+            assert not self.contact.is_isolated()
 
         self.play(main)
 
@@ -181,7 +181,7 @@
         async def main() -> None:
             await asyncio.sleep(1.0)
             for _ in range(500):
-                self.assertFalse(self.contact.is_isolated(), now())
+                assert not self.contact.is_isolated(), now()
                 await asyncio.sleep(0.01)
 
         self.play(main)
@@ -195,8 +195,8 @@
             put = now()
             while (began := self.pullers.contact_proven_at("b")) is None or began < put:
                 await asyncio.sleep(0.001)
-            self.assertIsNotNone(self.registry.get("runner/x"))
-            self.assertLess(now() - put, MAX_CONTACT_AGE_S)
+            assert self.registry.get("runner/x") is not None
+            assert now() - put < MAX_CONTACT_AGE_S
 
         self.play(main)
 
@@ -207,11 +207,11 @@
 
         async def main() -> None:
             await asyncio.sleep(2.0)
-            self.assertFalse(self.contact.is_isolated())
+            assert not self.contact.is_isolated()
             LatestView(lambda: later, self.peers[0].registry).publish()
             await asyncio.sleep(0.1)
-            self.assertTrue(self.contact.is_isolated())
-            self.assertEqual(["b", "d", "e"], self.view.other_witnesses("a"))
+            assert self.contact.is_isolated()
+            assert self.view.other_witnesses("a") == ["b", "d", "e"]
 
         self.play(main)
 
@@ -219,8 +219,8 @@
         later = View(7, "b", ("d", "e"), ("b", "d", "e"), ("b", "d", "e"), {name: name for name in "bde"})
         LatestView(lambda: later, self.registry).publish()
         self.view.publish()
-        self.assertEqual(later, self.view.get())
-        self.assertEqual(7, self.registry.get("view").major)  # type: ignore[union-attr]
+        assert later == self.view.get()
+        assert self.registry.get("view").major == 7  # type: ignore[union-attr]
 
     def test_an_answer_that_was_held_up_proves_contact_at_its_begin_alone(self) -> None:
         async def main() -> None:
@@ -233,6 +233,6 @@
             for peer in self.peers:
                 began = self.pullers.contact_proven_at(peer.name)
                 assert began is not None
-                self.assertLessEqual(began, held_up_from)
+                assert began <= held_up_from
 
         self.play(main)
--- a/tests/control/test_operator_calls.py
+++ b/tests/control/test_operator_calls.py
@@ -73,13 +73,13 @@
         for status in (200, 412, 400):
             peers = ScriptedPeers(primary=[status])
             answer = run(calls(ScriptedMember(PRIMARY), None, peers).operator_call("replace", 1, b"x"))
-            self.assertEqual((status, b"x", [PRIMARY]), (answer.status, answer.body, peers.called))
+            assert (status, b"x", [PRIMARY]) == (answer.status, answer.body, peers.called)
 
     def test_a_call_waits_for_the_next_primary_and_is_sent_there(self) -> None:
         peers = ScriptedPeers(other=[503, 200])
         member = ScriptedMember(PRIMARY, None, None, OTHER)
         answer = run(calls(member, None, peers).operator_call("change", 1, b"x"))
-        self.assertEqual((200, [PRIMARY, OTHER, OTHER]), (answer.status, peers.called))
+        assert (answer.status, peers.called) == (200, [PRIMARY, OTHER, OTHER])
 
     def test_one_that_becomes_primary_meanwhile_serves_the_call_itself(self) -> None:
         member, service = ScriptedMember(PRIMARY), ScriptedService(OperatorResponse(200, b"mine"))
@@ -90,11 +90,10 @@
                 return super().get(address)
 
         answer = run(calls(member, service, Deposed()).operator_call("replace", 4, b"x"))
-        self.assertEqual((200, b"mine"), (answer.status, answer.body))
-        self.assertEqual(
-            [("replace", 4, b"x")],
-            [(order.operation, order.base_version, order.body) for order in service.orders],
-        )
+        assert (answer.status, answer.body) == (200, b"mine")
+        assert [(order.operation, order.base_version, order.body) for order in service.orders] == [
+            ("replace", 4, b"x")
+        ]
 
     def test_without_a_primary_the_call_is_left_unclear_before_the_operator_goes_on(self) -> None:
         async def timed() -> tuple[int, float]:
@@ -104,9 +103,9 @@
             return answer.status, loop.time() - began
 
         status, seconds = run(timed())
-        self.assertEqual(503, status)
-        self.assertLessEqual(seconds, CALL_TIMEOUT_S + 0.001)
-        self.assertLess(CALL_TIMEOUT_S, 1.0)
+        assert status == 503
+        assert seconds <= CALL_TIMEOUT_S + 0.001
+        assert CALL_TIMEOUT_S < 1.0
 
     def test_a_call_passed_on_ends_when_the_one_that_passed_it_on_has_given_it_up(self) -> None:
         class SilentService:
@@ -121,13 +120,13 @@
             answer = await calls(member, SilentService(), None).serve_forwarded(call)
             return answer.status, asyncio.get_running_loop().time()
 
-        self.assertEqual((503, CALL_TIMEOUT_S), run(timed()))
+        assert run(timed()) == (503, CALL_TIMEOUT_S)
 
     def test_a_call_passed_on_to_one_that_is_not_primary_comes_back_unclear_and_is_not_taken(self) -> None:
         service = ScriptedService(OperatorResponse(200))
         member = ScriptedMember(PRIMARY)
         answer = run(calls(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
-        self.assertEqual((503, []), (answer.status, service.orders))
+        assert (answer.status, service.orders) == (503, [])
         member.is_primary = True
         answer = run(calls(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
-        self.assertEqual((200, "me", 1), (answer.status, answer.primary, len(service.orders)))
+        assert (answer.status, answer.primary, len(service.orders)) == (200, "me", 1)
--- a/tests/control/test_operator_failover.py
+++ b/tests/control/test_operator_failover.py
@@ -217,7 +217,8 @@
         statuses = await asyncio.gather(
             *(playing.send(everywhere[number % 3], one) for number, one in enumerate(sent))
         )
-        assert sorted(statuses)[0] == 200 and statuses.count(200) == 1
+        assert sorted(statuses)[0] == 200
+        assert statuses.count(200) == 1
         assert statuses[6] in (400, 412)
         repeated = [await playing.send(everywhere[0], one) for one in sent]
         assert [status == 200 for status in repeated] == [status == 200 for status in statuses]
--- a/tests/control/test_operator_service.py
+++ b/tests/control/test_operator_service.py
@@ -3,6 +3,7 @@
 import asyncio
 import json
 
+import pytest
 import testtools
 
 from larchgw.control import configuration_state as state_module
@@ -92,39 +93,39 @@
 
     def test_the_same_order_sent_again_is_acknowledged_again_and_taken_once(self):
         order = replace(5, 0)
-        self.assertEqual([200], self.submit(order))
-        self.assertEqual([200], self.submit(order))
-        self.assertEqual(1, self.replication.index)
+        assert self.submit(order) == [200]
+        assert self.submit(order) == [200]
+        assert self.replication.index == 1
 
     def test_an_order_sent_again_after_later_ones_is_not_refused(self):
         first, second = replace(5, 0), replace(7, 5)
         self.submit(first)
         self.submit(second)
-        self.assertEqual([200], self.submit(first))
-        self.assertEqual(7, self.state.version)
+        assert self.submit(first) == [200]
+        assert self.state.version == 7
 
     def test_of_two_changes_at_once_on_one_version_one_wins(self):
         self.submit(replace(5, 0))
         statuses = self.submit(replace(7, 5, "/x/"), replace(8, 5, "/y/"))
-        self.assertEqual([200, 412], sorted(statuses))
+        assert sorted(statuses) == [200, 412]
 
     def test_two_different_changes_under_one_number_are_not_both_acknowledged(self):
         self.submit(replace(5, 0))
         statuses = self.submit(replace(7, 5, "/x/"), replace(7, 5, "/y/"))
-        self.assertEqual([200, 412], sorted(statuses))
+        assert sorted(statuses) == [200, 412]
 
     def test_an_order_whose_answer_was_lost_is_acknowledged_when_sent_again(self):
         order = replace(5, 0)
         self.replication.answer_lost = True
-        self.assertEqual([503], self.submit(order))
+        assert self.submit(order) == [503]
         self.replication.answer_lost = False
-        self.assertEqual([200], self.submit(order))
-        self.assertEqual(1, self.replication.index)
+        assert self.submit(order) == [200]
+        assert self.replication.index == 1
 
     def test_a_deposed_primary_gives_no_clear_answer_even_to_what_looks_stale(self):
         self.submit(replace(5, 0))
         self.replication.deposed = True
-        self.assertEqual([503], self.submit(replace(6, 4)))
+        assert self.submit(replace(6, 4)) == [503]
 
     def test_what_another_primary_took_meanwhile_is_acknowledged_and_not_refused(self):
         order = replace(5, 0)
@@ -134,14 +135,14 @@
                 self.replication.commit(order.encode())
 
         self.replication.before_confirm = taken_elsewhere
-        self.assertEqual([200], self.submit(order))
-        self.assertEqual(1, self.replication.index)
+        assert self.submit(order) == [200]
+        assert self.replication.index == 1
 
     def test_an_order_overtaken_between_proposal_and_commit_is_not_acknowledged(self):
         self.submit(replace(5, 0))
         self.replication.before_commit = lambda: self.replication.commit(replace(6, 5, "/z/").encode())
-        self.assertEqual([412], self.submit(replace(7, 5, "/x/")))
-        self.assertEqual(6, self.state.version)
+        assert self.submit(replace(7, 5, "/x/")) == [412]
+        assert self.state.version == 6
 
     def test_no_order_is_judged_or_proposed_while_the_one_that_an_ended_call_left_is_undecided(self):
         self.submit(replace(5, 0))
@@ -176,14 +177,14 @@
         async def play():
             self.replication.copies_missing = True
             answers = [await given_up(order) for order in (removal, return_, use)]
-            self.assertEqual((["no answer"] * 3, 1), (answers, len(self.replication.undecided)))
+            assert (answers, len(self.replication.undecided)) == (["no answer"] * 3, 1)
             self.replication.copies_missing = False
             self.replication.decide()
             answer, accepted = await given_up(use), self.state.is_accepted(use)
             return answer, accepted, await given_up(return_), await given_up(use)
 
         # Had all three been proposed, `use` would be refused after the first one and come into force later.
-        self.assertEqual((400, False, 200, 200), virtual_loop.run(play()))
+        assert virtual_loop.run(play()) == (400, False, 200, 200)
 
     def test_an_order_whose_call_ended_while_it_was_undecided_is_acknowledged_when_sent_again(self):
         order = replace(5, 0)
@@ -196,26 +197,27 @@
             again = asyncio.ensure_future(self.service.submit(order))
             other = asyncio.ensure_future(self.service.submit(replace(5, 0, "/x/")))
             await asyncio.sleep(0.1)
-            self.assertFalse(again.done() or other.done())
+            assert not (again.done())
+            assert not (other.done())
             self.replication.copies_missing = False
             self.replication.decide()
             return [(await call).status for call in (again, other)]
 
-        self.assertEqual([200, 412], virtual_loop.run(play()))
-        self.assertEqual(1, self.replication.index)
+        assert virtual_loop.run(play()) == [200, 412]
+        assert self.replication.index == 1
 
     def test_an_invalid_configuration_is_refused_and_not_proposed(self):
         body = configuration(5)
         body["routes"][0]["service"] = "unknown"
-        self.assertEqual([400], self.submit(OperatorOrder("replace", 0, json.dumps(body).encode())))
-        self.assertEqual(0, self.replication.index)
+        assert self.submit(OperatorOrder("replace", 0, json.dumps(body).encode())) == [400]
+        assert self.replication.index == 0
 
     def test_read_gives_the_whole_configuration_and_nothing_while_the_view_is_in_doubt(self):
-        self.assertEqual(404, asyncio.run(self.service.read()).status)
+        assert asyncio.run(self.service.read()).status == 404
         self.submit(replace(5, 0))
-        self.assertEqual(configuration(5), json.loads(asyncio.run(self.service.read()).body))
+        assert configuration(5) == json.loads(asyncio.run(self.service.read()).body)
         self.replication.deposed = True
-        self.assertEqual(503, asyncio.run(self.service.read()).status)
+        assert asyncio.run(self.service.read()).status == 503
 
 
 class ScriptedMember:
@@ -235,7 +237,7 @@
         async def play():
             waiting = asyncio.ensure_future(self.log.wait_until_decided())
             await asyncio.sleep(0.5)
-            self.assertFalse(waiting.done())
+            assert not waiting.done()
             for name, value in changes.items():
                 setattr(self.member, name, value)
             await waiting
@@ -246,7 +248,8 @@
         self.settled_after(committed_index=3)
 
     def test_one_that_is_primary_no_more_cannot_tell(self):
-        self.assertRaises(ReplicationUnavailableError, self.settled_after, is_primary=False)
+        with pytest.raises(ReplicationUnavailableError):
+            self.settled_after(is_primary=False)
 
 
 class ConfigurationStateTest(testtools.TestCase):
@@ -255,9 +258,9 @@
         order = replace(5, 0)
         state.apply(3, order.encode())
         other.restore(state.snapshot())
-        self.assertEqual(5, other.version)
-        self.assertEqual(3, other.record_index)
-        self.assertTrue(other.is_accepted(order))
+        assert other.version == 5
+        assert other.record_index == 3
+        assert other.is_accepted(order)
 
     def test_the_oldest_taken_orders_are_forgotten_first_also_after_a_restore(self):
         self.patch(state_module, "MAX_REMEMBERED_ORDERS", 3)
@@ -269,24 +272,24 @@
         for state in (kept, restored):
             for index, order in enumerate(orders[4:]):
                 state.apply(index + 5, order.encode())
-            self.assertEqual([False] * 3 + [True] * 3, [state.is_accepted(order) for order in orders])
-        self.assertEqual(kept.snapshot(), restored.snapshot())
+            assert [state.is_accepted(order) for order in orders] == [False] * 3 + [True] * 3
+        assert kept.snapshot() == restored.snapshot()
 
     def test_an_order_is_known_by_what_was_sent_not_by_what_it_means(self):
         state = ConfigurationState()
         state.apply(1, replace(5, 0).encode())
         for body in (json.dumps(configuration(5), indent=1), json.dumps(configuration(5), sort_keys=True)):
-            self.assertFalse(state.is_accepted(OperatorOrder("replace", 0, body.encode())))
-        self.assertFalse(state.is_accepted(OperatorOrder("change", 0, replace(5, 0).body)))
-        self.assertFalse(state.is_accepted(OperatorOrder("replace", 4, replace(5, 0).body)))
+            assert not state.is_accepted(OperatorOrder("replace", 0, body.encode()))
+        assert not state.is_accepted(OperatorOrder("change", 0, replace(5, 0).body))
+        assert not state.is_accepted(OperatorOrder("replace", 4, replace(5, 0).body))
 
     def test_an_empty_state_is_restored_as_empty(self):
         state = ConfigurationState()
         state.restore(ConfigurationState().snapshot())
-        self.assertIsNone(state.current)
+        assert state.current is None
 
     def test_a_record_that_does_not_fit_is_without_effect(self):
         state = ConfigurationState()
         state.apply(1, replace(5, 0).encode())
         state.apply(2, replace(9, 3).encode())
-        self.assertEqual((5, 1), (state.version, state.record_index))
+        assert (state.version, state.record_index) == (5, 1)
--- a/tests/control/test_publication.py
+++ b/tests/control/test_publication.py
@@ -32,14 +32,14 @@
     def test_the_primary_publishes_at_once(self):
         self.is_primary = True
         self.commit(3, 7, now=1.0)
-        self.assertEqual(3, self.published())
+        assert self.published() == 3
 
     def test_a_backup_publishes_what_the_primary_has_not(self):
         self.commit(3, 7, now=1.0)
         self.publisher.tick(1.0 + BACKUP_PUBLISH_DELAY_S - 0.01)
-        self.assertIsNone(self.published())
+        assert self.published() is None
         self.publisher.tick(1.0 + BACKUP_PUBLISH_DELAY_S)
-        self.assertEqual(3, self.published())
+        assert self.published() == 3
 
     def test_what_a_start_finds_on_the_disk_is_left_to_the_primary(self):
         """It is as old as the last snapshot; all may have started at once, with edges that know nothing."""
@@ -47,28 +47,28 @@
         self.publisher.on_restored()
         for tenth in range(100):
             self.publisher.tick(1.0 + tenth / 10.0)
-        self.assertIsNone(self.published())
+        assert self.published() is None
         self.is_primary = True
         self.publisher.tick(12.0)
-        self.assertEqual(3, self.published())
+        assert self.published() == 3
 
     def test_nothing_older_replaces_what_another_has_published(self):
         self.registry.put(CONFIGURATION_KEY, b"newer", 9)
         self.is_primary = True
         self.commit(3, 7, now=1.0)
-        self.assertEqual(9, self.published())
+        assert self.published() == 9
 
     def test_a_primary_without_a_configuration_publishes_nothing(self):
         self.is_primary = True
         self.publisher.tick(1.0)
-        self.assertIsNone(self.published())
+        assert self.published() is None
 
 
 class PackingTest(testtools.TestCase):
     def test_what_is_packed_comes_back_whole(self):
         routes = [{"name": f"r{n}", "path_start": f"/p{n}/"} for n in range(300)]
         raw = {"config_version": 3, "routes": routes}
-        self.assertEqual(raw, json.loads(unpack(pack(raw))))
+        assert raw == json.loads(unpack(pack(raw)))
 
     def test_many_alike_routes_take_less_than_a_fifth_of_their_size(self):
         dice = random.Random(7)
@@ -84,4 +84,4 @@
             for _ in range(400)
         ]
         raw = {"config_version": 3, "routes": routes}
-        self.assertLess(5 * len(pack(raw)), len(json.dumps(raw)))
+        assert 5 * len(pack(raw)) < len(json.dumps(raw))
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -234,7 +234,8 @@
 
 
 def test_each_role_stage_and_process_state_has_its_name_in_the_status() -> None:
-    assert list(ROLE_NAMES) == [Role.PRIMARY, Role.BACKUP, Role.LEARNER] and set(ROLE_NAMES) == set(Role)
+    assert list(ROLE_NAMES) == [Role.PRIMARY, Role.BACKUP, Role.LEARNER]
+    assert set(ROLE_NAMES) == set(Role)
     assert list(ROLE_NAMES.values()) == ["primary", "backup", "learner"]
     assert [STAGE_NAMES[stage] for stage in Stage] == ["ready", "silent", "draining", "gone"]
     assert [PROCESS_STATE_NAMES[state] for state in MemberState] == ["alive", "suspect", "dead", "left"]
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -64,7 +64,8 @@
     lost.replace(6, 4)
     begin = restored(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
-    assert process.member.is_primary and process.member.id == begin.identity
+    assert process.member.is_primary
+    assert process.member.id == begin.identity
     assert process.state.version == 6
     process.replace(9, 6)
     assert (process.state.version, Process(tmp_path / "new").state.version) == (9, 9)
@@ -76,7 +77,8 @@
     begin = restored(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
     assert process.state.record_index == begin.index > lost.state.record_index
-    assert process.member.view is not None and lost.member.view is not None
+    assert process.member.view is not None
+    assert lost.member.view is not None
     assert process.member.view.epoch * FENCING_TOKENS_PER_EPOCH < 1 << 53  # JSON keeps it whole
     assert process.member.view.epoch >= begin.epoch > lost.member.view.epoch
 
@@ -111,10 +113,11 @@
     first = restored(tmp_path / "read.json", tmp_path / "first")
     found = read_source(tmp_path / "first")
     second = plan_forced_view("x", ADDRESS, 1000.0, found.last_epoch, found.last_index)
-    assert second.epoch > first.epoch and second.index > first.index
+    assert second.epoch > first.epoch
+    assert second.index > first.index
 
 
-@pytest.mark.parametrize("content, word", [(b"{", "valid"), (b"{}", "config_version")])
+@pytest.mark.parametrize(("content", "word"), [(b"{", "valid"), (b"{}", "config_version")])
 def test_a_file_that_is_no_configuration_is_refused(content: bytes, word: str, tmp_path: Path) -> None:
     (tmp_path / "x.json").write_bytes(content)
     with pytest.raises(RestoreError, match=word):
@@ -167,24 +170,25 @@
         return self.world.acknowledged - before
 
     def test_nothing_is_acknowledged_before_as_many_copies_exist_as_must_be_survived(self) -> None:
-        self.assertEqual(0, self.changes(3.0))
+        assert self.changes(3.0) == 0
 
     def test_empty_disks_join_and_the_loss_of_one_is_survived_again(self) -> None:
         for address in ("m1:1", "m2:1"):
             self.world.start(address)
-        self.assertGreater(self.changes(4.0), 10)
+        assert self.changes(4.0) > 10
         (primary,) = self.world.primaries()
         self.world.wipe(primary.address)
         self.world.run(2.0)
-        self.assertGreater(self.changes(2.0), 10)
+        assert self.changes(2.0) > 10
 
     def test_a_process_with_an_old_disk_changes_nothing(self) -> None:
         self.world.machines["m2:1"].disk = self.stale
         self.world.start("m2:1")
         self.world.start("m1:1")
-        self.assertGreater(self.changes(4.0), 10)
+        assert self.changes(4.0) > 10
         (primary,) = self.world.primaries()
         member = primary.member
-        assert member is not None and member.view is not None
-        self.assertGreaterEqual(member.view.epoch, 1_800_000_000)
-        self.assertNotIn("m2:1", member.view.members)
+        assert member is not None
+        assert member.view is not None
+        assert member.view.epoch >= 1800000000
+        assert "m2:1" not in member.view.members
--- a/tests/control/test_runner_check_ins.py
+++ b/tests/control/test_runner_check_ins.py
@@ -68,11 +68,11 @@
     def test_a_check_in_is_not_acknowledged_by_a_process_that_is_cut_off_but_it_is_kept(self) -> None:
         async def main() -> None:
             self.contact.cut_off = True
-            self.assertFalse(await self.check_in())
+            assert not await self.check_in()
             record = self.directory.get("i-1")
-            self.assertIsNotNone(record)
+            assert record is not None
             self.contact.cut_off = False
-            self.assertTrue(await self.check_in())
+            assert await self.check_in()
 
         self.play(main())
 
@@ -80,43 +80,43 @@
         """The first moments of a cut, in which this process still counts as in contact."""
 
         async def main() -> None:
-            self.assertTrue(await self.check_in())
+            assert await self.check_in()
             for peer in self.peers:
                 peer.is_hung = True
-            self.assertFalse(await self.check_in("draining"))
-            self.assertFalse(await self.check_in("draining"))  # still urgent
-            self.assertFalse(await self.check_ins.leave("i-1"))
-            self.assertLess(now(), 3 * RUNNER_PATIENCE_S)
+            assert not await self.check_in("draining")
+            assert not await self.check_in("draining")  # still urgent
+            assert not await self.check_ins.leave("i-1")
+            assert now() < 3 * RUNNER_PATIENCE_S
 
         self.play(main())
 
     def test_a_drain_and_a_leave_are_at_a_majority_when_they_are_acknowledged(self) -> None:
         async def main() -> None:
             self.peers[0].is_down = True
-            self.assertTrue(await self.check_in("draining"))
-            self.assertIs(Stage.DRAINING, self.stage_at(self.peers[1]))
-            self.assertTrue(await self.check_ins.leave("i-1"))
-            self.assertIs(Stage.GONE, self.stage_at(self.peers[1]))
+            assert await self.check_in("draining")
+            assert Stage.DRAINING is self.stage_at(self.peers[1])
+            assert await self.check_ins.leave("i-1")
+            assert Stage.GONE is self.stage_at(self.peers[1])
 
         self.play(main())
 
     def test_a_process_that_is_about_to_end_keeps_check_ins_and_acknowledges_none(self) -> None:
         async def main() -> None:
-            self.assertTrue(await self.check_in())
+            assert await self.check_in()
             self.check_ins.close()
-            self.assertFalse(await self.check_in("draining"))
-            self.assertIs(Stage.DRAINING, self.stage())
-            self.assertFalse(await self.check_ins.leave("i-1"))
+            assert not await self.check_in("draining")
+            assert Stage.DRAINING is self.stage()
+            assert not await self.check_ins.leave("i-1")
 
         self.play(main())
 
     def test_a_frozen_process_does_not_hold_an_acknowledgement_up_and_gets_a_hint(self) -> None:
         async def main() -> None:
             self.peers[0].is_hung = True
-            self.assertTrue(await self.check_in("draining"))
-            self.assertLess(now(), PROMPT_S)
+            assert await self.check_in("draining")
+            assert now() < PROMPT_S
             await asyncio.sleep(HANDOFF_TIMEOUT_S + 0.01)
-            self.assertEqual(["b"], self.handoff.hints.peers())
+            assert self.handoff.hints.peers() == ["b"]
 
         self.play(main())
 
@@ -128,20 +128,20 @@
             await asyncio.sleep(0.01)
             self.directory.leave("i-1")  # as it comes in over another connection
             slow.proceed.set()
-            self.assertTrue(await draining)
-            self.assertTrue(self.directory.leave("i-1").needs_replication)
-            self.assertTrue(await self.check_ins.leave("i-1"))
-            self.assertIs(Stage.GONE, self.stage_at(self.peers[0]))
+            assert await draining
+            assert self.directory.leave("i-1").needs_replication
+            assert await self.check_ins.leave("i-1")
+            assert Stage.GONE is self.stage_at(self.peers[0])
 
         self.play(main())
 
     def test_a_process_that_is_cut_off_calls_nobody_silent_whom_it_turns_away(self) -> None:
         async def main() -> None:
-            self.assertTrue(await self.check_in())
+            assert await self.check_in()
             await self.tick_for(20.0, isolated=True)
-            self.assertIs(Stage.READY, self.stage())
+            assert Stage.READY is self.stage()
             await self.tick_for(SILENCE_TIMEOUT_HEARTBEATS * BEAT_S + 0.5, isolated=False)
-            self.assertIs(Stage.SILENT, self.stage())
+            assert Stage.SILENT is self.stage()
 
         self.play(main())
 
--- a/tests/control/test_runner_ownership.py
+++ b/tests/control/test_runner_ownership.py
@@ -34,7 +34,8 @@
         now += BEAT_S / 4
         directory.tick(now)
     standing = directory.get("i-1")
-    assert standing is not None and standing.stage is Stage.READY
+    assert standing is not None
+    assert standing.stage is Stage.READY
 
 
 def test_a_process_that_started_again_answers_for_runners_that_went_silent_while_it_was_down() -> None:
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -95,55 +95,52 @@
 
     def test_a_process_that_knows_nothing_yet_says_so(self) -> None:
         status = self.service.read()
-        self.assertEqual(
-            ("core-1", "backup", 0, "", 0, {}),
-            (
-                status.node_name,
-                status.role,
-                status.config_version,
-                status.placer,
-                status.placer_fence,
-                status.runners,
-            ),
-        )
-        self.assertEqual(["core-1"], [process.name for process in status.processes])
-        self.assertEqual((1, 0), (status.disk.first_index, status.disk.last_index))
+        assert (
+            status.node_name,
+            status.role,
+            status.config_version,
+            status.placer,
+            status.placer_fence,
+            status.runners,
+        ) == ("core-1", "backup", 0, "", 0, {})
+        assert [process.name for process in status.processes] == ["core-1"]
+        assert (status.disk.first_index, status.disk.last_index) == (1, 0)
 
     def test_the_placer_and_the_runners_are_those_of_the_registry(self) -> None:
         placer = json.dumps({"address": "10.0.0.3:7660"}).encode()
         self.parts.distribution.registry.put(PLACER_KEY, placer, 70_001)
         self.parts.runners.directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
         status = self.service.read()
-        self.assertEqual(("10.0.0.3:7660", 70_001), (status.placer, status.placer_fence))
-        self.assertEqual({"ready": 1}, status.runners)
+        assert (status.placer, status.placer_fence) == ("10.0.0.3:7660", 70001)
+        assert status.runners == {"ready": 1}
 
     def test_the_reserve_is_told_only_while_it_is_there(self) -> None:
-        self.assertFalse(self.service.read().disk.has_reserve)
+        assert not self.service.read().disk.has_reserve
         self.parts.replication.disk.refill_reserve()
-        self.assertTrue(self.service.read().disk.has_reserve)
+        assert self.service.read().disk.has_reserve
 
     def test_what_is_placed_is_told_only_to_who_asks_and_only_by_the_placer(self) -> None:
         ask = ttypes.StatusRequest(placement=True)
-        self.assertIsNone(asyncio.run(self.service.status(ask)).placement)
+        assert asyncio.run(self.service.status(ask)).placement is None
         service = PlacementService(PlacementRuntime(Clock(), lambda: None, None))  # type: ignore[arg-type]
-        self.assertIsNone(service.summary())
+        assert service.summary() is None
         demand, reconciler = (
             DemandTracker(Clock()),
             Reconciler(PlacementSettings(), LoadRateLimiter(2.0, 5.0, 1.1)),
         )
         self.placed = summarise(1000.0, 7, demand, reconciler)
-        self.assertEqual(7, asyncio.run(self.service.status(ask)).placement.fence)
-        self.assertIsNone(asyncio.run(self.service.status(ttypes.StatusRequest(False))).placement)
+        assert asyncio.run(self.service.status(ask)).placement.fence == 7
+        assert asyncio.run(self.service.status(ttypes.StatusRequest(False))).placement is None
 
     def test_the_status_is_json_and_its_figures_are_metrics(self) -> None:
-        self.assertEqual("core-1", json.loads(json.dumps(self.service.as_json()))["node_name"])
+        assert json.loads(json.dumps(self.service.as_json()))["node_name"] == "core-1"
         text = self.service.metrics().decode()
         for line in (
             "larchgw_control_config_version 0.0",
             "larchgw_control_is_primary 0.0",
             'larchgw_control_processes{role="control"} 1.0',
         ):
-            self.assertIn(line, text)
+            assert line in text
 
 
 def test_fields_that_are_not_set_are_left_out_of_the_json() -> None:
@@ -193,7 +190,8 @@
     found = summarise(clock() + 0.5, 9, demand, reconciler)
     (placed,) = [line for line in found.models if line.model == model]
     assert (placed.holders, placed.loading, placed.waiting, placed.in_flight) == (("i-1",), ("i-2",), 2, 1)
-    assert placed.requests_per_s > 0.0 and len(found.models) == len(reconciler.capacities[service].models)
+    assert placed.requests_per_s > 0.0
+    assert len(found.models) == len(reconciler.capacities[service].models)
     (order,) = found.orders
     assert (order.runner_id, order.name, order.age_s, order.is_accepted) == ("i-2", model, 0.5, False)
     assert found.available_loads == found.load_limit - 1
@@ -218,7 +216,8 @@
         "edge-1", lambda: False, lambda: configuration, puller, RunnerView(registry), swim, edge.proxy, budget
     )
     told = json.loads(json.dumps(status.read()))
-    assert told["config_version"] == configuration.config_version and not told["ready"]
+    assert told["config_version"] == configuration.config_version
+    assert not told["ready"]
     assert told["runners"][service] == {"ready": 1}
     assert told["control"] == {"source": "", "changes": 0, "silent_s": None}
     assert (told["dispatchers"], told["open_requests"], told["retries_left"]) == (1, 0, {})
