--- a/tests/configuration/test_change.py
+++ b/tests/configuration/test_change.py
@@ -1,4 +1,4 @@
-"""What an order of the operator makes of the current configuration."""
+"""What an operator's order makes of the current configuration."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
     StaleConfigurationError,
 )
 from larchgw.configuration.json_decoding import MAX_NESTING
+from larchgw.configuration.model import Configuration
 from larchgw.configuration.validation import parse_configuration
 from tests.support.configurations import EXAMPLE, body, configurations, example, routes_of, with_value
 
@@ -39,53 +40,53 @@
 }
 
 
-def change(**fields: Any) -> bytes:
+def change(**fields: object) -> bytes:
     return body({"config_version": 9, **fields})
 
 
 @pytest.mark.parametrize("operation", [REPLACE, CHANGE])
-@pytest.mark.parametrize("built_on", [0, 6, 8])
-def test_of_two_orders_on_one_version_the_second_is_stale(operation: str, built_on: int) -> None:
+@pytest.mark.parametrize("base_version", [0, 6, 8])
+def test_order_on_another_than_the_current_version_is_stale(operation: str, base_version: int) -> None:
     with pytest.raises(StaleConfigurationError) as caught:
-        evaluate_order(CURRENT, operation, built_on, body(example(config_version=9)))
+        evaluate_order(CURRENT, operation, base_version, body(example(config_version=9)))
     assert caught.value.status == 412
 
 
 @pytest.mark.parametrize("version", [1, 6, 7])
-@pytest.mark.parametrize("built_on", [7, -1])
-def test_a_version_that_does_not_rise_is_refused(version: int, built_on: int) -> None:
+@pytest.mark.parametrize("base_version", [7, -1])
+def test_version_that_is_not_above_the_current_one_is_rejected(version: int, base_version: int) -> None:
     for operation in (REPLACE, CHANGE):
         with pytest.raises(InvalidConfigurationError, match="config_version"):
-            evaluate_order(CURRENT, operation, built_on, body(example(config_version=version)))
+            evaluate_order(CURRENT, operation, base_version, body(example(config_version=version)))
 
 
-def test_the_first_configuration_builds_on_nothing() -> None:
+def test_first_configuration_builds_on_version_0() -> None:
     assert evaluate_order(None, REPLACE, 0, body(EXAMPLE)) == CURRENT
     with pytest.raises(StaleConfigurationError):
         evaluate_order(None, REPLACE, 3, body(EXAMPLE))
 
 
-def test_a_change_adds_replaces_and_removes_by_name() -> None:
+def test_change_adds_replaces_and_removes_items_by_name() -> None:
     replaced = {**EXAMPLE["routes"][0], "deadline_ms": 1}
     order = change(add={"routes": [replaced, ADDED]}, remove={"routes": ["r-note", "r-never-was"]})
-    wanted = evaluate_order(CURRENT, CHANGE, 7, order)
-    assert [route.name for route in wanted.routes] == ["r-plan", "r-level", "r-new"]
-    assert wanted.raw["routes"] == [replaced, EXAMPLE["routes"][2], ADDED]
-    assert (wanted.config_version, wanted.services, wanted.limits) == (9, CURRENT.services, CURRENT.limits)
+    new = evaluate_order(CURRENT, CHANGE, 7, order)
+    assert [route.name for route in new.routes] == ["r-plan", "r-level", "r-new"]
+    assert new.raw["routes"] == [replaced, EXAMPLE["routes"][2], ADDED]
+    assert (new.config_version, new.services, new.limits) == (9, CURRENT.services, CURRENT.limits)
     assert CURRENT.raw["routes"] == EXAMPLE["routes"]
 
 
-def test_a_removed_route_may_be_added_anew_in_the_same_change() -> None:
-    wanted = evaluate_order(
+def test_removed_route_may_be_added_in_the_same_change() -> None:
+    new = evaluate_order(
         CURRENT,
         CHANGE,
         7,
         change(add={"routes": [ADDED | {"name": "r-plan"}]}, remove={"routes": ["r-plan"]}),
     )
-    assert [route.path_start for route in wanted.routes] == ["/note/", "/level/", "/new/"]
+    assert [route.path_start for route in new.routes] == ["/note/", "/level/", "/new/"]
 
 
-def test_limits_in_a_change_keep_those_that_it_does_not_name() -> None:
+def test_change_of_limits_keeps_those_that_it_does_not_name() -> None:
     for order in (change(limits={"idle_ms": 1}), change(add={"limits": {"idle_ms": 1}})):
         limits = evaluate_order(CURRENT, CHANGE, 7, order).limits
         assert (limits.idle_ms, limits.header_ms) == (1.0, 3000.0)
@@ -111,79 +112,81 @@
         {"limits": 3},
     ],
 )
-def test_a_change_that_leads_to_an_invalid_whole_is_refused(fields: dict[str, Any]) -> None:
+def test_change_to_an_invalid_configuration_is_rejected(fields: dict[str, Any]) -> None:
     with pytest.raises(ConfigurationError):
         evaluate_order(CURRENT, CHANGE, 7, change(**fields))
 
 
-def test_an_unknown_operation_is_refused() -> None:
+def test_unknown_operation_is_rejected() -> None:
     with pytest.raises(InvalidConfigurationError, match="operation"):
         evaluate_order(CURRENT, "patch", 7, change())
 
 
-def test_two_orders_never_share_a_digest_but_the_same_order_does() -> None:
+def test_digest_is_equal_for_equal_orders_only() -> None:
     orders = [(REPLACE, 7, b"{}"), (CHANGE, 7, b"{}"), (REPLACE, 8, b"{}"), (REPLACE, 7, b"{} ")]
     assert len({order_digest(*order) for order in orders}) == len(orders)
     assert order_digest(REPLACE, 7, body(EXAMPLE)) == order_digest(REPLACE, 7, body(example()))
 
 
-def test_the_canonical_form_does_not_depend_on_the_order_of_fields() -> None:
-    turned = dict(reversed(EXAMPLE.items()))
-    assert (
-        canonical_json(turned) == canonical_json(EXAMPLE) and json.loads(canonical_json(EXAMPLE)) == EXAMPLE
-    )
+def test_canonical_json_does_not_depend_on_the_order_of_fields() -> None:
+    reversed_fields = dict(reversed(EXAMPLE.items()))
+    assert canonical_json(reversed_fields) == canonical_json(EXAMPLE)
+    assert json.loads(canonical_json(EXAMPLE)) == EXAMPLE
     assert canonical_json(with_value(EXAMPLE, "routes.0.rank", 1)) != canonical_json(EXAMPLE)
 
 
 @settings(max_examples=60)
 @given(configurations(), st.data())
-def test_what_a_change_asks_for_is_what_is_read_back(raw: dict[str, Any], data: st.DataObject) -> None:
+def test_change_is_read_back_as_it_was_ordered(raw: dict[str, Any], data: st.DataObject) -> None:
     before = copy.deepcopy(raw)
     services = [service["name"] for service in raw["services"]]
-    gone = data.draw(st.lists(st.sampled_from([r["name"] for r in raw["routes"]] or ["r-none"]), unique=True))
+    removed = data.draw(
+        st.lists(st.sampled_from([r["name"] for r in raw["routes"]] or ["r-none"]), unique=True)
+    )
     route = data.draw(routes_of(services)) | {"name": "r-added", "hostname": "added.example"}
     order = {
         "config_version": raw["config_version"] + 2,
         "add": {"routes": [route]},
-        "remove": {"routes": gone},
+        "remove": {"routes": removed},
     }
-    wanted = evaluate_order(parse_configuration(raw), CHANGE, raw["config_version"], body(order))
-    by_name = {r["name"]: r for r in before["routes"] if r["name"] not in gone} | {"r-added": route}
-    read_back = json.loads(canonical_json(wanted.raw))
+    new = evaluate_order(parse_configuration(raw), CHANGE, raw["config_version"], body(order))
+    by_name = {r["name"]: r for r in before["routes"] if r["name"] not in removed} | {"r-added": route}
+    read_back = json.loads(canonical_json(new.raw))
     assert {r["name"]: r for r in read_back["routes"]} == by_name
     assert read_back["config_version"] == order["config_version"]
-    assert parse_configuration(read_back) == wanted and raw == before
+    assert parse_configuration(read_back) == new
+    assert raw == before
 
 
 @given(configurations())
-def test_an_empty_change_changes_the_version_alone(raw: dict[str, Any]) -> None:
+def test_empty_change_changes_the_version_only(raw: dict[str, Any]) -> None:
     number = raw["config_version"] + 1
     assert apply_change(raw, {"config_version": number}) == raw | {"config_version": number}
 
 
-def test_items_whose_names_are_no_text_are_passed_over_and_refuse_nothing() -> None:
+def test_items_with_names_that_are_no_text_are_ignored_by_a_change() -> None:
     current = parse_configuration({**EXAMPLE, "notes": [{"name": ["x"]}, {"name": {}}, 7]})
     for order in (change(add={"notes": [{"name": "a"}]}), change(remove={"notes": ["a"]})):
         assert evaluate_order(current, CHANGE, 7, order).raw["notes"][:3] == current.raw["notes"]
 
 
-def test_how_deep_an_order_may_nest_does_not_depend_on_how_deep_the_caller_is() -> None:
+def test_allowed_nesting_does_not_depend_on_the_depth_of_the_caller() -> None:
     def nested(levels: int) -> bytes:
         text = json.dumps({**EXAMPLE, "notes": 0})
         return text.replace('"notes": 0', '"notes": ' + "[" * levels + "]" * levels).encode()
 
-    def below(frames: int, order: bytes) -> Any:
+    def below(frames: int, order: bytes) -> Configuration:
         return below(frames - 1, order) if frames else evaluate_order(None, REPLACE, 0, order)
 
-    at_most = nested(MAX_NESTING - 1)  # the order itself is one level
-    assert evaluate_order(None, REPLACE, 0, at_most) == below(600, at_most)
+    deepest = nested(MAX_NESTING - 1)  # the order itself is one level
+    assert evaluate_order(None, REPLACE, 0, deepest) == below(600, deepest)
     for levels in (MAX_NESTING, 850, 100_000):
         for frames in (0, 600):
             with pytest.raises(MalformedConfigurationError):
                 below(frames, nested(levels))
 
 
-def test_a_number_that_json_cannot_give_back_is_refused_in_any_field() -> None:
+def test_number_that_json_cannot_represent_is_rejected_in_any_field() -> None:
     order = json.dumps({**EXAMPLE, "notes": 0}).replace('"notes": 0', '"notes": -1e999').encode()
     with pytest.raises(MalformedConfigurationError, match="1e999"):
         evaluate_order(None, REPLACE, 0, order)
--- a/tests/configuration/test_process_settings.py
+++ b/tests/configuration/test_process_settings.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value",
+    ("path", "value"),
     [
         ("later", {"a": [1]}),
         ("discovery", ""),
@@ -62,12 +62,12 @@
         ("promises", None),
     ],
 )
-def test_fields_that_are_empty_or_unknown_do_not_stop_a_start(path: str, value: object) -> None:
+def test_empty_or_unknown_fields_do_not_prevent_a_start(path: str, value: object) -> None:
     assert parse_settings(with_value(CONTROL, path, value)).node_name == "core-1"
 
 
 @pytest.mark.parametrize(
-    "path, value",
+    ("path", "value"),
     [
         ("node_name", ...),
         ("node_name", ""),
@@ -82,14 +82,15 @@
         ("spare_ports", ...),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(path: str, value: object) -> None:
+def test_error_names_the_field_that_cannot_be_used(path: str, value: object) -> None:
     with pytest.raises(SettingsError) as caught:
         parse_settings(with_value(CONTROL, path, value))
-    assert caught.value.field == path and caught.value.remedy
+    assert caught.value.field == path
+    assert caught.value.remedy
 
 
 @pytest.mark.parametrize(
-    "path, value, field",
+    ("path", "value", "field"),
     [
         ("listen", {}, "listen.control"),
         ("listen.control", "10.1.0.37", "listen.control"),
@@ -106,13 +107,16 @@
         ("survive.computers", -1, "survive.computers"),
     ],
 )
-def test_settings_that_can_be_read_but_do_not_fit_are_named(path: str, value: object, field: str) -> None:
+def test_faults_name_the_field_that_contradicts_another_or_a_range(
+    path: str, value: object, field: str
+) -> None:
     faults = settings_faults(parse_settings(with_value(CONTROL, path, value)))
-    assert faults and faults[0].field == field
+    assert faults
+    assert faults[0].field == field
 
 
 @pytest.mark.parametrize(
-    "text, right",
+    ("text", "right"),
     [
         ("10.0.0.1:80", True),
         ("h:65535", True),
@@ -125,11 +129,11 @@
         ("h:8²", False),
     ],
 )
-def test_an_address_is_a_host_and_a_port(text: str, right: bool) -> None:
+def test_is_address_requires_host_and_port(text: str, right: bool) -> None:
     assert is_address(text) is right
 
 
-def test_the_file_is_the_one_that_the_environment_names(
+def test_settings_are_loaded_from_the_file_that_the_environment_names(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "local.json"
@@ -145,7 +149,7 @@
         load_settings()
 
 
-def test_more_spare_ports_than_there_are_cannot_be_had() -> None:
+def test_port_beyond_the_spare_ports_is_rejected() -> None:
     settings = parse_settings(CONTROL)
     assert settings.port(15) == 7675
     with pytest.raises(SettingsError, match="spare_ports"):
--- a/tests/configuration/test_recorded_bytes.py
+++ b/tests/configuration/test_recorded_bytes.py
@@ -36,11 +36,12 @@
     return [pytest.param(case, id=case["id"]) for case in json.loads((FIXTURES / name).read_text())]
 
 
-def values_of(configuration: Configuration) -> Any:
+def values_of(configuration: Configuration) -> dict[str, Any]:
     """All fields but `raw`, in their order, as JSON holds them."""
     fields = asdict(configuration)
     del fields["raw"]
-    return json.loads(json.dumps(fields))
+    values: dict[str, Any] = json.loads(json.dumps(fields))
+    return values
 
 
 def describe_error(error: ConfigurationError) -> dict[str, Any]:
@@ -53,7 +54,7 @@
     }
 
 
-def read_settings(raw: Any) -> dict[str, Any]:
+def read_settings(raw: dict[str, Any]) -> dict[str, Any]:
     try:
         settings = parse_settings(raw)
     except ConfigurationError as error:
@@ -62,7 +63,7 @@
     return {"values": values, "faults": [describe_error(fault) for fault in settings_faults(settings)]}
 
 
-def read_configuration(raw: Any) -> dict[str, Any]:
+def read_configuration(raw: dict[str, Any]) -> dict[str, Any]:
     examination = examine_configuration(raw)
     configuration = examination.configuration
     return {
@@ -71,7 +72,7 @@
     }
 
 
-def take_order(current: Any, operation: str, built_on: int, body: str) -> dict[str, Any]:
+def take_order(current: dict[str, Any] | None, operation: str, built_on: int, body: str) -> dict[str, Any]:
     try:
         known = None if current is None else parse_configuration(current)
         return {"raw": evaluate_order(known, operation, built_on, body.encode()).raw}
@@ -86,7 +87,7 @@
         return {"error": describe_error(error)}
 
 
-def assert_same_json(found: Any, expected: Any) -> None:
+def assert_same_json(found: object, expected: object) -> None:
     """Compares as text: the order of fields and the kinds of numbers count as well."""
     assert json.dumps(found, indent=1) == json.dumps(expected, indent=1)
 
--- a/tests/configuration/test_route_table.py
+++ b/tests/configuration/test_route_table.py
@@ -14,7 +14,7 @@
 from tests.support.configurations import configurations, example
 
 
-def table(*places: tuple[str, str]) -> RouteTable:
+def route_table(*places: tuple[str, str]) -> RouteTable:
     template = example()["routes"][2]
     routes = [
         template | {"name": f"{host}{start}", "hostname": host, "path_start": start} for host, start in places
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    "host, path, name",
+    ("host", "path", "name"),
     [
         ("a", "/x/1", "a/x/"),
         ("A:8144", "/x/", "a/x/"),
@@ -44,20 +44,20 @@
         ("a", "/x//y/", "a/x/"),
     ],
 )
-def test_the_longest_prefix_on_slash_boundaries_wins(host: str, path: str, name: str | None) -> None:
-    found = table(("a", "/x/"), ("a", "/x/y/"), ("b", "/"), ("[::1]", "/")).find(host, path)
+def test_longest_prefix_on_a_slash_boundary_is_found(host: str, path: str, name: str | None) -> None:
+    found = route_table(("a", "/x/"), ("a", "/x/y/"), ("b", "/"), ("[::1]", "/")).find(host, path)
     assert (found.name if found else None) == name
 
 
-def naive(configuration: Configuration, host: str, path: str) -> Route | None:
-    """The definition, word by word."""
+def find_linearly(configuration: Configuration, host: str, path: str) -> Route | None:
+    """The definition of what a route table finds."""
     path = path.split("?")[0]
-    fitting = [
+    matching = [
         route
         for route in configuration.routes
         if route.hostname == host and path.startswith(route.path_start)
     ]
-    return max(fitting, key=lambda route: len(route.path_start), default=None)
+    return max(matching, key=lambda route: len(route.path_start), default=None)
 
 
 @settings(max_examples=100)
@@ -66,12 +66,12 @@
     st.sampled_from(["a.example", "b.example", "c.example"]),
     st.lists(st.sampled_from(["", "a", "b", "aa", "a-b", "?"])),
 )
-def test_the_table_finds_what_the_definition_finds(raw: dict[str, Any], host: str, steps: list[str]) -> None:
+def test_table_finds_what_a_linear_search_finds(raw: dict[str, Any], host: str, steps: list[str]) -> None:
     configuration = parse_configuration(raw)
     path = "/" + "/".join(steps)
     for asked in (host, host.upper() + ":8144"):
-        assert RouteTable(configuration).find(asked, path) == naive(configuration, host, path)
+        assert RouteTable(configuration).find(asked, path) == find_linearly(configuration, host, path)
 
 
-def test_a_host_is_compared_without_port_and_case() -> None:
+def test_host_is_compared_without_port_and_case() -> None:
     assert [normalised_host(h) for h in ("A.B:1", "[::1]", "[FE80::1]:80")] == ["a.b", "[::1]", "[fe80::1]"]
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""What is taken as a configuration, and that nothing else is."""
+"""What is accepted as a configuration, and that nothing else is."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.support.configurations import EXAMPLE, body, configurations, example, with_value
 
 
-def test_every_field_of_a_valid_configuration_is_read() -> None:
+def test_valid_configuration_is_read_with_every_field() -> None:
     read = parse_configuration(decode_object(body(EXAMPLE)))
     plan, note, level = read.routes
     assert (read.config_version, len(read.services), read.limits.idle_ms) == (7, 2, 15000.0)
@@ -32,16 +32,20 @@
         False,
     )
     assert [(share.service, share.weight) for share in note.split()] == [("models", 90.0), ("lookups", 10.0)]
-    assert note.is_idempotent and [share.service for share in level.split()] == ["lookups"]
+    assert note.is_idempotent
+    assert [share.service for share in level.split()] == ["lookups"]
     runtime = read.services[0].runtime
-    assert runtime is not None and runtime.model("m1") is not None and runtime.weights_mb == 230000.0
+    assert runtime is not None
+    assert runtime.model("m1") is not None
+    assert runtime.weights_mb == 230000.0
     assert read.services[1].runtime is None
 
 
-def test_unknown_fields_are_passed_over_and_read_back() -> None:
+def test_unknown_fields_are_ignored_and_kept_in_raw() -> None:
     raw = with_value(example(later={"a": 1}), "routes.0.tenant", "t1")
     read = parse_configuration(decode_object(body(raw)))
-    assert read.raw == raw and read.routes == parse_configuration(EXAMPLE).routes
+    assert read.raw == raw
+    assert read.routes == parse_configuration(EXAMPLE).routes
 
 
 WRONG: list[tuple[str, Any]] = [
@@ -128,17 +132,19 @@
 ]
 
 
-@pytest.mark.parametrize("path, value", WRONG)
-def test_one_wrong_field_spoils_the_whole_and_is_named(path: str, value: object) -> None:
+@pytest.mark.parametrize(("path", "value"), WRONG)
+def test_one_wrong_field_is_rejected_and_named(path: str, value: object) -> None:
     with pytest.raises(ConfigurationError) as caught:
         parse_configuration(decode_object(body(with_value(EXAMPLE, path, value))))
-    named, spoilt = caught.value.field, path.replace(".0", "[0]").replace(".1", "[1]")
-    assert named.startswith(spoilt) or spoilt.startswith(named)
-    assert caught.value.status == 400 and caught.value.remedy and str(caught.value).startswith(named)
+    named, wrong = caught.value.field, path.replace(".0", "[0]").replace(".1", "[1]")
+    assert named.startswith(wrong) or wrong.startswith(named)
+    assert caught.value.status == 400
+    assert caught.value.remedy
+    assert str(caught.value).startswith(named)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "damaged",
     [
         b"",
         b"[]",
@@ -159,13 +165,13 @@
         body(EXAMPLE).replace(b'"r-plan"', b'"\\ud800"'),
     ],
 )
-def test_a_body_that_cannot_be_read_whole_is_refused(spoilt: bytes) -> None:
+def test_body_that_is_not_one_json_object_is_rejected(damaged: bytes) -> None:
     with pytest.raises(MalformedConfigurationError):
-        parse_configuration(decode_object(spoilt))
+        parse_configuration(decode_object(damaged))
 
 
 @pytest.mark.parametrize(
-    "path, value",
+    ("path", "value"),
     [
         ("routes.0.target_ms", None),
         ("routes.0.shares", []),
@@ -184,18 +190,18 @@
         ("routes.1.service", "models"),
     ],
 )
-def test_what_the_protocol_allows_is_not_refused(path: str, value: object) -> None:
+def test_allowed_value_is_accepted(path: str, value: object) -> None:
     assert parse_configuration(decode_object(body(with_value(EXAMPLE, path, value)))).config_version == 7
 
 
-def test_hosts_that_differ_in_case_alone_are_one_place() -> None:
+def test_hosts_that_differ_only_in_case_are_the_same() -> None:
     raw = with_value(EXAMPLE, "routes.1.path_start", "/plan/")
     raw = with_value(raw, "routes.1.hostname", "DESK.example")
     with pytest.raises(ConfigurationError, match=r"routes\[1\].path_start"):
         parse_configuration(raw)
 
 
-def test_the_operator_is_told_of_all_faulty_items_at_once() -> None:
+def test_all_faults_are_reported_at_once() -> None:
     raw = with_value(with_value(EXAMPLE, "routes.0.kind", "batch"), "routes.2.deadline_ms", 0)
     raw = with_value(with_value(raw, "routes.1.shares.1.service", "nobody"), "routes.0.tries", 0)
     raw = with_value(with_value(raw, "routes.2.name", 3), "routes.2.hostname", ...)
@@ -210,12 +216,12 @@
     ]
 
 
-def test_routes_are_not_called_strangers_while_the_services_cannot_be_read() -> None:
+def test_services_of_routes_are_not_checked_while_services_cannot_be_read() -> None:
     faults = examine_configuration(with_value(EXAMPLE, "services.0.max_conns", "many")).faults
     assert [fault.field for fault in faults] == ["services[0].max_conns"]
 
 
-def test_a_route_is_read_again_unless_it_is_the_very_object_that_was_checked() -> None:
+def test_route_is_read_again_unless_its_json_object_is_identical() -> None:
     known = parse_configuration(EXAMPLE)
     same = parse_configuration(example(routes=EXAMPLE["routes"]), known)
     assert all(one is other for one, other in zip(same.routes, known.routes, strict=True))
@@ -224,7 +230,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "damaged",
     [
         b"{",
         b"\xff",
@@ -233,13 +239,13 @@
         body(with_value(EXAMPLE, "routes.0.tries", 0)),
     ],
 )
-def test_a_committed_configuration_that_is_damaged_is_not_put_in_force(spoilt: bytes) -> None:
+def test_damaged_committed_configuration_is_rejected(damaged: bytes) -> None:
     with pytest.raises(ConfigurationError):
-        parse_committed(spoilt, parse_configuration(EXAMPLE))
+        parse_committed(damaged, parse_configuration(EXAMPLE))
 
 
 @given(configurations(), configurations())
-def test_what_is_known_before_does_not_change_what_a_committed_configuration_says(
+def test_previous_configuration_does_not_change_what_a_committed_one_says(
     before: dict[str, Any], raw: dict[str, Any]
 ) -> None:
     assert (
@@ -249,7 +255,7 @@
     )
 
 
-def test_only_routes_that_changed_are_read_again_from_a_committed_configuration() -> None:
+def test_only_changed_routes_of_a_committed_configuration_are_read_again() -> None:
     known = parse_configuration(EXAMPLE)
     changed = parse_committed(body(with_value(EXAMPLE, "routes.1.rank", 3)), known)
     assert [route is before for route, before in zip(changed.routes, known.routes, strict=True)] == [
@@ -260,32 +266,34 @@
     assert changed.routes[1].rank == 3
 
 
-def test_a_service_that_changed_is_read_again_from_a_committed_configuration_and_no_other() -> None:
+def test_only_changed_services_of_a_committed_configuration_are_read_again() -> None:
     known = parse_configuration(EXAMPLE)
     changed = parse_committed(body(with_value(EXAMPLE, "services.0.max_conns", 7)), known)
     assert changed.services[0].max_conns == 7
-    assert changed.services[1:] and all(
+    assert changed.services[1:]
+    assert all(
         service is before for service, before in zip(changed.services[1:], known.services[1:], strict=True)
     )
 
 
 @settings(max_examples=80)
 @given(configurations())
-def test_no_valid_configuration_is_refused(raw: dict[str, Any]) -> None:
+def test_any_valid_configuration_is_accepted(raw: dict[str, Any]) -> None:
     read = parse_configuration(decode_object(body(raw)))
-    assert read.raw == raw and len(read.routes) == len(raw["routes"])
+    assert read.raw == raw
+    assert len(read.routes) == len(raw["routes"])
 
 
 @settings(max_examples=60)
 @given(configurations(), st.data())
-def test_a_body_that_is_cut_short_anywhere_is_refused(raw: dict[str, Any], data: st.DataObject) -> None:
-    whole = body(raw)
+def test_body_cut_short_anywhere_is_rejected(raw: dict[str, Any], data: st.DataObject) -> None:
+    complete = body(raw)
     with pytest.raises(MalformedConfigurationError):
-        parse_configuration(decode_object(whole[: data.draw(st.integers(0, len(whole) - 1))]))
+        parse_configuration(decode_object(complete[: data.draw(st.integers(0, len(complete) - 1))]))
 
 
 @given(configurations(), st.sampled_from(["routes", "services"]), st.data())
-def test_a_repeated_name_is_always_refused(raw: dict[str, Any], field: str, data: st.DataObject) -> None:
+def test_repeated_name_is_always_rejected(raw: dict[str, Any], field: str, data: st.DataObject) -> None:
     items = raw[field]
     if not items:
         return
@@ -312,21 +320,21 @@
         ]
     ),
 )
-def test_one_spoilt_route_among_many_is_always_refused(
-    raw: dict[str, Any], data: st.DataObject, spoil: tuple[str, object]
+def test_one_invalid_route_among_many_is_always_rejected(
+    raw: dict[str, Any], data: st.DataObject, change: tuple[str, object]
 ) -> None:
     if not raw["routes"]:
         return
-    data.draw(st.sampled_from(raw["routes"]))[spoil[0]] = spoil[1]
+    data.draw(st.sampled_from(raw["routes"]))[change[0]] = change[1]
     with pytest.raises(ConfigurationError):
         parse_configuration(raw)
 
 
 @given(configurations())
-def test_the_quick_reading_of_a_route_gives_what_dacite_gives(raw: dict[str, Any]) -> None:
-    quick = [read_plain_route(route) for route in raw["routes"]]
-    whole = [read_route_by_dacite(route, "r", JsonReader()) for route in raw["routes"]]
-    assert quick == whole
+def test_plain_reading_of_a_route_gives_what_dacite_gives(raw: dict[str, Any]) -> None:
+    plain = [read_plain_route(route) for route in raw["routes"]]
+    by_dacite = [read_route_by_dacite(route, "r", JsonReader()) for route in raw["routes"]]
+    assert plain == by_dacite
 
 
 @given(
@@ -336,8 +344,10 @@
         | st.dictionaries(st.sampled_from(["config_version", "routes", "services", "limits", "name"]), inner),
     )
 )
-def test_no_json_at_all_breaks_the_reader(value: object) -> None:
+def test_no_json_value_crashes_the_reader(value: object) -> None:
+    status = 400
     try:
         parse_configuration(decode_object(json.dumps(value).encode()))
     except ConfigurationError as error:
-        assert error.status == 400
+        status = error.status
+    assert status == 400
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of the operator's, for tests: one that is valid and what spoils it."""
+"""Operator's configurations for tests: a valid example, changes of it, and random valid ones."""
 
 from __future__ import annotations
 
@@ -81,28 +81,29 @@
 }
 
 
-def example(**fields: Any) -> dict[str, Any]:
+def example(**fields: object) -> dict[str, Any]:
     """The example with these fields in place of its own."""
     return {**copy.deepcopy(EXAMPLE), **fields}
 
 
-def body(raw: Any) -> bytes:
+def body(raw: object) -> bytes:
+    """The body of a request with this JSON."""
     return json.dumps(raw).encode()
 
 
 def with_value(raw: dict[str, Any], path: str, value: object) -> dict[str, Any]:
     """A copy with the value at a path such as "routes.0.kind" replaced; `...` drops it."""
     changed = copy.deepcopy(raw)
-    *above, last = path.split(".")
-    place: Any = changed
-    for step in above:
-        place = place[int(step)] if isinstance(place, list) else place[step]
+    *parents, last = path.split(".")
+    container: Any = changed
+    for step in parents:
+        container = container[int(step)] if isinstance(container, list) else container[step]
     if value is ...:
-        del place[last]
-    elif isinstance(place, list):
-        place[int(last)] = value
+        del container[last]
+    elif isinstance(container, list):
+        container[int(last)] = value
     else:
-        place[last] = value
+        container[last] = value
     return changed
 
 
@@ -112,7 +113,7 @@
 
 
 def routes_of(services: list[str]) -> st.SearchStrategy[dict[str, Any]]:
-    """A valid route to these services, but for its name and place, which must be its own."""
+    """Valid routes to these services, without a name; their hosts and prefixes may coincide."""
     service = st.sampled_from(services)
     target = st.one_of(
         st.fixed_dictionaries({"service": service}),
@@ -143,7 +144,7 @@
             "later": st.none() | st.integers(),
         },
     )
-    return st.builds(lambda one, other: one | other, target, rest)
+    return st.builds(lambda target_fields, other_fields: target_fields | other_fields, target, rest)
 
 
 @st.composite
