--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -46,16 +46,21 @@
 
 
 class ScriptedPlay:
-    """Plays `ticks` ticks and gives what the service did in `events`."""
+    """Plays `ticks` ticks and gives what the service did in `events`.
 
-    def __init__(self, seed, ticks):
+    `loads_per_s` is the rate of the weight store, `waiting_share` the share of demand lines with waiting
+    requests: with a high rate and a low share the planner chooses by value, else by deadline.
+    """
+
+    def __init__(self, seed, ticks, loads_per_s=1.5, waiting_share=0.3):
+        self.waiting_share = waiting_share
         self.now, self.ticks = 0.0, ticks
         self.random_source = random.Random(seed)
         self.planner_random_source = random.Random(seed + 1)
         self.events = []
         self.waiting_calls = []
         self.call_number = 0
-        self.configuration = make_configuration()
+        self.configuration = make_configuration(loads_per_s)
         self.runners = make_runners(self.configuration)
         self.down = set()
         self.incarnation = 0
@@ -196,7 +201,7 @@
             if not arrivals and draw.random() < 0.7:
                 continue
             adapter = f"a{draw.randint(1, 12)}" if service == "chat" and draw.random() < 0.3 else ""
-            waiting = draw.randint(0, 2) if draw.random() < 0.3 else 0
+            waiting = draw.randint(0, 2) if draw.random() < self.waiting_share else 0
             in_flight = draw.randint(0, 12) if is_busy else 0
             worth = arrivals * draw.choice([0.0, 1.0, 3.0])
             urgency_ms = draw.choice([400, 2000, 5000]) if waiting else 0
@@ -221,14 +226,14 @@
     return ordered
 
 
-def make_configuration():
+def make_configuration(loads_per_s):
     services = []
     for service, load_s, adapters in (("chat", 0.6, 12), ("code", 1.5, 0)):
         models = tuple(
             Model(f"{service}-m{number}", (65.1 if number % 3 else 72.7) * GB, load_s, adapters, 66.0)
             for number in range(10)
         )
-        runtime = Runtime(64, models=models, weights_mb=230 * GB, adapter_slots=4, loads_per_s=1.5)
+        runtime = Runtime(64, models=models, weights_mb=230 * GB, adapter_slots=4, loads_per_s=loads_per_s)
         services.append(Service(service, runtime=runtime))
     return Configuration(1, services=(*services, Service("plain")))
 
--- a/tests/placement/test_recorded_bytes.py
+++ b/tests/placement/test_recorded_bytes.py
@@ -1,7 +1,7 @@
 """Placement sends, reads and decides what the code of commit 0d35ed7 did.
 
-The fixtures were made by running that code: `wire.json` by the functions below, `decisions.json` by
-`ScriptedPlay(SEED, TICKS)`.
+The fixtures were made by running that code: `wire.json` by the functions below, the decisions by
+`ScriptedPlay` with the arguments that stand at the test.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from .scripted_play import ScriptedPlay
 
 FIXTURES = Path(__file__).parent.parent / "fixtures" / "placement"
-SEED, TICKS = 7, 440
+TICKS = 440
 
 ORDERS = [
     Order("i-7", "10.0.0.1:80", OrderAction.LOADING, "m"),
@@ -155,9 +155,13 @@
     assert demand_values(recorded["demand_reports"]) == recorded["demand"]
 
 
-def test_scripted_play_makes_the_recorded_orders_polls_and_publications_to_the_digit():
-    recorded = json.loads((FIXTURES / "decisions.json").read_text())
-    played = json.loads(json.dumps(ScriptedPlay(SEED, TICKS).play()))
+@pytest.mark.parametrize(
+    ("fixture", "arguments"),
+    [("decisions.json", (7, TICKS)), ("decisions_by_value.json", (11, TICKS, 8.0, 0.03))],
+)
+def test_scripted_play_makes_the_recorded_orders_polls_and_publications_to_the_digit(fixture, arguments):
+    recorded = json.loads((FIXTURES / fixture).read_text())
+    played = json.loads(json.dumps(ScriptedPlay(*arguments).play()))
     assert len(played) == len(recorded)
     for now, before in zip(played, recorded, strict=True):
         assert now == before
