--- a/larchgw/dispatcher/daemon.py
+++ b/larchgw/dispatcher/daemon.py
@@ -130,7 +130,7 @@
         cap, gearman_cap = self._caps()
         self.platform.server.resize(cap, self.node.body_cap)
         if self.gearman:
-            self.gearman.listener.cap = gearman_cap
+            self.gearman.listener.max_connections = gearman_cap
 
     def _changed(self) -> None:
         """Another process of this dispatcher came, began to serve, or ended."""
@@ -200,7 +200,9 @@
             server.close_idle()
             if gearman:
                 gearman.close_idle()
-            waiting = len(server.links) + self.node.loop.finishing + (gearman.clients() if gearman else 0)
+            waiting = (
+                len(server.connections) + self.node.loop.finishing + (gearman.clients() if gearman else 0)
+            )
             if not waiting and not self.node.core.open_requests():
                 log.info("stop.end", seconds=round(now - self._stop_at, 3))
                 self.node.loop.stop()
@@ -213,7 +215,7 @@
         for request in list(core.receive.open.values()):
             packed = moving.pack(request, core)
             if packed is not None and self.handover.move(*packed):
-                request.extra.link.detach()
+                request.extra.channel.detach()
                 core.moved(request)
                 moved += 1
         if moved:
--- a/larchgw/dispatcher/fronts/agentcheck.py
+++ b/larchgw/dispatcher/fronts/agentcheck.py
@@ -8,7 +8,7 @@
 from ...net.connection import Connection
 from ...net.connection_outcome import ConnectionOutcome
 from ...net.counters import Counters
-from ...net.http_server import MAX_BODY, Exchange, HttpServer
+from ...net.http_server import MAX_BODY_BYTES, Exchange, HttpServer
 from ...net.listener import Listener
 from ...net.loop import Loop
 from ..capacity import Planner
@@ -82,7 +82,7 @@
         planner: Planner | None = None,
     ) -> None:
         self._core, self._ready, self._planner = core, ready, planner
-        self.server = HttpServer(loop, core.counters, address, self, CAP, MAX_BODY)
+        self.server = HttpServer(loop, core.counters, address, self, CAP, MAX_BODY_BYTES)
 
     def on_exchange(self, exchange: Exchange) -> None:
         if exchange.method not in (b"GET", b"HEAD"):
--- a/larchgw/dispatcher/fronts/gearman.py
+++ b/larchgw/dispatcher/fronts/gearman.py
@@ -172,7 +172,7 @@
 
     def on_packet(self, link: GearmanLink, packet: Packet) -> None:
         kind, args = packet.type, packet.args
-        if kind in PRIORITY and kind not in BACKGROUND and link.connection.over:
+        if kind in PRIORITY and kind not in BACKGROUND and link.connection.peer_ended:
             return  # its client left right behind it
         if kind in PRIORITY:
             self._submit(link, kind, *args)
--- a/larchgw/dispatcher/hot_restart/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -29,7 +29,7 @@
     """
     exchange, out = request.extra, [a for a in request.attempts if not a.ended]
     offset, job_class = core.clock.offset, core.settings.classes[request.job_class].name
-    if not isinstance(exchange, Exchange) or not exchange.link.movable(exchange) or request.over():
+    if not isinstance(exchange, Exchange) or not exchange.channel.movable(exchange) or request.over():
         return None
     told: dict[str, Any] = {
         "name": _text(request.name),
@@ -42,13 +42,13 @@
         "tenant": request.tenant,
         "figures": [request.wait, request.key, request.slots, request.memory, request.hint, request.repeat],
         "method": _text(exchange.method),
-        "keep": exchange.keep,
+        "keep": exchange.keep_alive,
         "attempts": [
             [_text(a.worker), a.sent_at - offset, a.started and a.started_at - offset, a.status]
             for a in request.attempts
         ],
     }
-    fds = [exchange.link.descriptor()]
+    fds = [exchange.channel.descriptor()]
     if out:
         link = out[0].carrier
         if out != request.attempts[-1:] or not isinstance(link, RunnerLink) or not link.movable():
--- a/larchgw/dispatcher/workers/pool.py
+++ b/larchgw/dispatcher/workers/pool.py
@@ -10,7 +10,7 @@
 
 from ...net.connection import Connection
 from ...net.connection_outcome import ConnectionOutcome
-from ...net.keep_alive import SETTLE, KeepAliveLimit
+from ...net.keep_alive_limit import MIN_IDLE_S, KeepAliveLimit
 from ...net.loop import Loop
 from ..core import Attempt, Core, End
 from ..core.requests import Reach
@@ -92,7 +92,7 @@
         if self.addresses.get(link.worker) != link.address:
             link.close()
             return
-        link.time(self._keep_alive.at(link.idle_since), ConnectionOutcome.IDLE)
+        link.time(self._keep_alive.limit_s(link.idle_since), ConnectionOutcome.IDLE)
         self.idle.setdefault(link.worker, deque()).append(link)
 
     def forget(self, link: RunnerLink) -> None:
@@ -121,7 +121,7 @@
 
     def distrust(self, worker: WorkerId, stood: float) -> None:
         """A connection that had stood so long was dead, and nobody had told us."""
-        limit = self._keep_alive.proved_dead(self.loop.clock.now(), stood)
+        limit = self._keep_alive.observe_stale(self.loop.clock.now(), stood)
         self.core.counters.dead.inc()
         log.info(
             "runner.dead_connection",
@@ -146,7 +146,7 @@
 
     def _close_old(self, worker: WorkerId) -> None:
         now = self.loop.clock.now()
-        limit, idle = self._keep_alive.at(now), self.idle.get(worker)
+        limit, idle = self._keep_alive.limit_s(now), self.idle.get(worker)
         while idle and now - idle[0].idle_since >= limit:
             idle[0].close()  # the longest idle first; closing takes it out
             idle = self.idle.get(worker)
@@ -154,8 +154,8 @@
     def _kept(self, idle: deque[RunnerLink]) -> RunnerLink | None:
         """The one that rests for the shortest time, of those that are still good."""
         now = self.loop.clock.now()
-        for link in [x for x in reversed(idle) if now - x.idle_since >= SETTLE]:
-            if not isinstance(link.connection, Connection) or not link.connection.quiet():
+        for link in [x for x in reversed(idle) if now - x.idle_since >= MIN_IDLE_S]:
+            if not isinstance(link.connection, Connection) or not link.connection.is_reusable():
                 link.close()  # its end, or a second answer, lies in our socket: its turn has not come yet
                 self.core.counters.stale.inc()
                 continue
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -135,8 +135,8 @@
             self.net_counters,
             parse_address(address),
             self,
-            cap=max(int(CLIENT_SHARE * files), 1),
-            max_held=int(BODY_SHARE * self._settings.limits.memory_mb * (1 << 20)),
+            max_connections=max(int(CLIENT_SHARE * files), 1),
+            max_body_memory_bytes=int(BODY_SHARE * self._settings.limits.memory_mb * (1 << 20)),
             limits=limits,
         )
         return self._server.listener.address
@@ -170,11 +170,11 @@
         if self._server is not None:
             if self._server.listener.open:
                 self._server.listener.close()
-            for link in list(self._server.links):
-                link.close()
-                link.connection.close()
-            for connection in list(self._server.lingering):
+            for connection in list(self._server.connections):
                 connection.close()
+                connection.connection.close()
+            for lingering in list(self._server.lingering):
+                lingering.close()
 
     @property
     def open_count(self) -> int:
@@ -190,7 +190,7 @@
 
     def on_exchange(self, exchange: Exchange) -> None:
         """A complete request has come."""
-        if exchange.old:
+        if exchange.predates_http_1_1:
             self._own_answer(exchange, 505, "use HTTP/1.1")
             return
         if self._routes is None:
@@ -275,7 +275,7 @@
         server = self._server
         if server is not None:
             server.close_idle()
-        if self._open or (server is not None and (server.links or server.lingering)):
+        if self._open or (server is not None and (server.connections or server.lingering)):
             self._drain_timer = self.loop.deadlines.add(
                 self.loop.clock.now() + DRAIN_POLL_S, self._check_drained
             )
--- a/larchgw/edge/runner_connection.py
+++ b/larchgw/edge/runner_connection.py
@@ -262,7 +262,7 @@
 
     def _is_reusable(self) -> bool:
         connection, answer = self.connection, self._answer
-        if not isinstance(connection, Connection) or connection.closed or connection.over:
+        if not isinstance(connection, Connection) or connection.closed or connection.peer_ended:
             return False
         if answer.has_surplus or answer.has_foreign_answer:
             return False
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -150,7 +150,7 @@
             if idle_s > limit_s:
                 return None
             connections.idle.pop()
-            if isinstance(connection.connection, Connection) and connection.connection.quiet():
+            if isinstance(connection.connection, Connection) and connection.connection.is_reusable():
                 connection.idle_s = idle_s
                 connection.is_reused = True
                 self._counters.connections.labels("reused").inc()
--- a/larchgw/net/client_connection.py
+++ b/larchgw/net/client_connection.py
@@ -16,16 +16,18 @@
 from .limits import ServerLimits
 from .loop import EventLoop
 from .request_reader import RequestReader
-from .response_writer import ReplyWriter
+from .response_writer import ResponseWriter
 from .timers import Deadline
 
-MAX_WAITING = 8  # requests read ahead on one connection, or bodies of the greatest size; then reading waits
-LOOK = 0.1  # seconds between two looks for the end of a connection of which nothing is read for now
-RETRY_AFTER = "0.5"  # seconds, where there is no memory for a request now
-WRITE_TIME = 30.0  # for a client to read an answer
+MAX_WAITING_REQUESTS = (
+    8  # requests read ahead on one connection, or bodies of the greatest size; then reading waits
+)
+LOOK_S = 0.1  # seconds between two looks for the end of a connection of which nothing is read for now
+RETRY_AFTER_S = "0.5"  # seconds, where there is no memory for a request now
+WRITE_TIMEOUT_S = 30.0  # for a client to read an answer
 
 
-class LinkOwner(Protocol):
+class ClientConnectionOwner(Protocol):
     """What a client's connection needs of the server that let it in, and what it tells it."""
 
     loop: EventLoop
@@ -40,36 +42,36 @@
     def limits(self) -> ServerLimits:
         """Those in force now."""
 
-    def holds(self, link: Link) -> bool:
+    def holds(self, link: ClientConnection) -> bool:
         """Whether the connection is still open to requests."""
 
-    def heard(self, link: Link) -> None:
+    def heard(self, link: ClientConnection) -> None:
         """Bytes have come."""
 
-    def begun(self, link: Link) -> None:
+    def begun(self, link: ClientConnection) -> None:
         """A request has begun to come in."""
 
-    def proven(self, link: Link) -> None:
+    def proven(self, link: ClientConnection) -> None:
         """A first request has come in whole, or an error is owed."""
 
-    def rests(self, link: Link) -> None:
+    def rests(self, link: ClientConnection) -> None:
         """All has been answered, and the next request may come."""
 
-    def drop(self, link: Link) -> None:
+    def drop(self, link: ClientConnection) -> None:
         """The connection is over, or about to be."""
 
 
-class Link:
+class ClientConnection:
     """A client's connection."""
 
-    def __init__(self, server: LinkOwner, sock: socket.socket) -> None:
+    def __init__(self, server: ClientConnectionOwner, sock: socket.socket) -> None:
         self.server = server
         self.current: Exchange | None = None
         self.waiting: deque[Exchange] = deque()
         self._advancing = False
         self._timer: Deadline | None = None
         self._look: Deadline | None = None
-        self._writer: ReplyWriter | None = None  # of the answer that was begun
+        self._writer: ResponseWriter | None = None  # of the answer that was begun
         self._reader = RequestReader(self, server.bodies, lambda: server.limits)
         self.opened = self.heard = self._began = server.loop.clock.now()
         self.proven = False  # whether a request has come in whole
@@ -163,7 +165,7 @@
         """Goes on with a request that another process has read on this connection."""
         self.proven = True
         exchange = self.current = Exchange(self, self.server.loop.clock.now(), method, target)
-        exchange.keep = keep
+        exchange.keep_alive = keep
         self._time(None)
         return exchange
 
@@ -175,13 +177,17 @@
         self._advancing = True
         # The next one waits until the last answer is written: a client that never reads costs one answer.
         # Nor does one go on whose client has left: its end lies behind the request.
-        while self.waiting and self.current is None and not (self.connection.busy() or self.connection.over):
+        while (
+            self.waiting
+            and self.current is None
+            and not (self.connection.busy() or self.connection.peer_ended)
+        ):
             exchange = self.current = self.waiting.popleft()
             self.server.bodies.release(len(exchange.body))  # from here on it is the handler's to count
             if exchange.error is not None:
                 self.server.counters.bad.labels(self.server.handler.name, str(exchange.error[0])).inc()
                 status, reason = exchange.error
-                later = (("Retry-After", RETRY_AFTER),) if status == 503 else ()
+                later = (("Retry-After", RETRY_AFTER_S),) if status == 503 else ()
                 exchange.reply(status, reason.encode() + b"\n", later)
             else:
                 self.server.handler.on_exchange(exchange)
@@ -190,20 +196,20 @@
 
     def _pace(self) -> None:
         """Reads ahead only so far: what is read is held in memory until its turn comes."""
-        ahead = len(self.waiting) >= MAX_WAITING or (
+        ahead = len(self.waiting) >= MAX_WAITING_REQUESTS or (
             sum(len(x.body) for x in self.waiting) > self.server.limits.body_bytes
         )
         self.connection.pause(ahead)
         if ahead and self._look is None and not self.connection.closed:
             deadlines, now = self.server.loop.deadlines, self.server.loop.clock.now()
-            self._look = deadlines.add(now + LOOK, self._look_for_end)
+            self._look = deadlines.add(now + LOOK_S, self._look_for_end)
 
     def _look_for_end(self) -> None:
         """While nothing is read its client's end is not heard of, and what waits would be sent for nobody."""
         self._look = None
         if self.connection.closed or self._reader.stopped:
             return
-        if self.connection.left():
+        if self.connection.peer_closed():
             self.connection.close()
             self.on_end(ConnectionOutcome.CLOSED)
         else:
@@ -235,7 +241,7 @@
     def _keeps(self, exchange: Exchange) -> bool:
         """Whether the connection stays open after the answer to this request."""
         stops = self.server.stopping and not self.waiting
-        return exchange.keep and not stops and not self.server.one_call
+        return exchange.keep_alive and not stops and not self.server.one_call
 
     def _answered(self, keep: bool) -> None:
         self.current = None
@@ -254,9 +260,9 @@
     ) -> None:
         if exchange is not self.current:
             return
-        exchange.keep = self._keeps(exchange)
-        connection = [] if exchange.keep else [CLOSE]
-        self._writer = ReplyWriter(
+        exchange.keep_alive = self._keeps(exchange)
+        connection = [] if exchange.keep_alive else [CLOSE]
+        self._writer = ResponseWriter(
             self.connection, status, reason, fields + connection, length, exchange.method == b"HEAD"
         )
 
@@ -265,12 +271,12 @@
             return
         self._writer.send(data)
         if self.connection.unsent and self._timer is None:
-            self._time(WRITE_TIME, ConnectionOutcome.CLOGGED)
+            self._time(WRITE_TIMEOUT_S, ConnectionOutcome.CLOGGED)
 
     def end(self, exchange: Exchange, complete: bool) -> None:
         writer, self._writer = self._writer, None
         if exchange is self.current and writer is not None:
-            self._answered(writer.end(complete) and exchange.keep)
+            self._answered(writer.end(complete) and exchange.keep_alive)
 
     def retire(self) -> None:
         """Closes it if it rests. A request that lies in our socket came first: it is read and answered."""
@@ -290,7 +296,7 @@
     def _rearm(self) -> None:
         """What the other side has to do next, and how long it may take. A job's own time is the core's."""
         if self.connection.unsent:
-            self._time(WRITE_TIME, ConnectionOutcome.CLOGGED)
+            self._time(WRITE_TIMEOUT_S, ConnectionOutcome.CLOGGED)
         elif self._reader.coming is not None:
             self._time(self.server.limits.message_s, ConnectionOutcome.SLOW)
         elif self.idle():
--- a/larchgw/net/connection.py
+++ b/larchgw/net/connection.py
@@ -11,13 +11,13 @@
 from .loop import CLIENTS, READ, WRITE, EventLoop
 from .timers import Deadline
 
-CHUNK = 65536
-READS = 4  # chunks read in one turn: what came last may be the end
-MAX_UNSENT = 1 << 20
-LINGER = 1.0  # seconds for the other side to read our last answer before the connection is closed
+READ_BYTES = 65536
+MAX_READS = 4  # chunks read in one turn: what came last may be the end
+MAX_UNSENT_BYTES = 1 << 20
+LINGER_S = 1.0  # seconds for the other side to read our last answer before the connection is closed
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     def on_open(self) -> None:
         """It has come up."""
 
@@ -32,19 +32,25 @@
 
 
 class Connection:
-    """`unsent` is what the kernel has not taken yet; `over`: the other side's end has been read already."""
+    """A connection on an event loop.
+
+    Attributes:
+        peer_ended: Whether the peer's end of stream has been read already.
+        max_unsent: Bytes; whoever writes more at once has to raise it.
+        reads_to_end: Whether a turn also looks for the end behind a chunk that was short.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
         sock: socket.socket,
-        owner: Owner,
+        owner: ConnectionOwner,
         connecting: bool = False,
         rank: int = CLIENTS,
     ) -> None:
         self.loop, self.sock, self.owner, self.rank = loop, sock, owner, rank
-        self.over = False
-        self.max_unsent = MAX_UNSENT  # bytes; whoever writes more at once has to raise it
+        self.peer_ended = False
+        self.max_unsent = MAX_UNSENT_BYTES  # bytes; whoever writes more at once has to raise it
         self.reads_to_end = True  # whether a turn also looks for the end behind a chunk that was short
         self.connecting, self.closed, self._paused = connecting, False, False
         self._finishing = False
@@ -90,7 +96,7 @@
         self._finishing = True
         self.loop.finishing += 1
         now = self.loop.clock.now()
-        self._linger = self.loop.deadlines.add(now + LINGER, self.close)
+        self._linger = self.loop.deadlines.add(now + LINGER_S, self.close)
         if lingering is not None:
             self._lingering = lingering
             lingering[self] = now
@@ -173,9 +179,9 @@
     def _receive(self) -> tuple[list[bytes], ConnectionOutcome | None]:
         """What lies in the socket, so much of it as one turn takes, and the end behind it if it is there."""
         chunks: list[bytes] = []
-        for _ in range(READS):
+        for _ in range(MAX_READS):
             try:
-                data = self.sock.recv(CHUNK)
+                data = self.sock.recv(READ_BYTES)
             except BlockingIOError:
                 break
             except OSError:
@@ -183,14 +189,14 @@
             if not data:
                 return chunks, ConnectionOutcome.CLOSED
             chunks.append(data)
-            if len(data) < CHUNK and not self.reads_to_end:
+            if len(data) < READ_BYTES and not self.reads_to_end:
                 break
         return chunks, None
 
     def _read(self) -> None:
-        """Hands over what came. Whoever is told of bytes can see in `over` that nobody waits behind them."""
+        """Hands over what came; the owner sees in `peer_ended` that nobody waits behind the bytes."""
         chunks, ending = self._receive()
-        self.over = ending is not None
+        self.peer_ended = ending is not None
         for data in chunks:
             if not self._finishing and not self.closed:
                 self.owner.on_data(data)
@@ -202,7 +208,7 @@
         if not self.closed and not self.connecting:
             self._read()
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether nothing has come, no byte and no end. Else a connection that rests is of no more use."""
         try:
             self.sock.recv(1)
@@ -212,7 +218,7 @@
             pass
         return False
 
-    def left(self) -> bool:
+    def peer_closed(self) -> bool:
         """Whether the other side has closed it or is gone, though bytes of it lie unread: while paused."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
@@ -220,7 +226,7 @@
 
 
 def connect(
-    loop: EventLoop, address: tuple[str, int], owner: Owner, rank: int
+    loop: EventLoop, address: tuple[str, int], owner: ConnectionOwner, rank: int
 ) -> Connection | ConnectionOutcome:
     """Opens a connection, or says at once why not."""
     try:
--- a/larchgw/net/exchange.py
+++ b/larchgw/net/exchange.py
@@ -8,7 +8,7 @@
 from .heads import Fields
 
 
-class ReplyChannel(Protocol):
+class ResponseChannel(Protocol):
     """The connection that a request came on, as its answer and its move to another process need it."""
 
     @property
@@ -49,7 +49,7 @@
     """
 
     __slots__ = (
-        "link",
+        "channel",
         "method",
         "target",
         "path",
@@ -58,54 +58,56 @@
         "body",
         "began",
         "arrived",
-        "keep",
+        "keep_alive",
         "error",
         "extra",
         "done",
-        "old",
+        "predates_http_1_1",
         "on_drained",
     )
 
-    def __init__(self, link: ReplyChannel, arrived: float, method: bytes = b"", target: bytes = b"") -> None:
-        self.link, self.method, self.target = link, method, target
+    def __init__(
+        self, channel: ResponseChannel, arrived: float, method: bytes = b"", target: bytes = b""
+    ) -> None:
+        self.channel, self.method, self.target = channel, method, target
         self.began = self.arrived = arrived
         self.path = target.partition(b"?")[0]
         self.headers: dict[bytes, bytes] = {}
         self.fields: Fields = []
         self.body = b""
-        self.keep = True
+        self.keep_alive = True
         self.error: tuple[int, str] | None = None
         self.extra: Any = None
         self.done = False
-        self.old = False  # whether its client speaks a version before HTTP/1.1
+        self.predates_http_1_1 = False  # whether its client speaks a version before HTTP/1.1
         self.on_drained: Callable[[], None] | None = None
 
     def reply(self, status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()) -> None:
         """The whole answer at once. After an answer, as below, nothing happens."""
         if not self.done:
             self.done = True
-            self.link.reply(self, status, body, headers)
+            self.channel.reply(self, status, body, headers)
 
     def start(self, status: int, reason: bytes, fields: Fields, length: int | None) -> None:
         """Begins an answer of `length` bytes, or in chunks where that is None."""
         if not self.done:
-            self.link.start(self, status, reason, fields, length)
+            self.channel.start(self, status, reason, fields, length)
 
     def send(self, data: bytes) -> None:
         """The next bytes of the answer that was begun."""
         if not self.done:
-            self.link.send(self, data)
+            self.channel.send(self, data)
 
     def end(self, complete: bool) -> None:
         """Ends the answer that was begun; one that is not complete is seen as such by the client."""
         if not self.done:
             self.done = True
-            self.link.end(self, complete)
+            self.channel.end(self, complete)
 
     @property
     def unsent(self) -> int:
         """Bytes of answers on its connection that the kernel has not taken yet."""
-        return self.link.unsent
+        return self.channel.unsent
 
 
 class Handler(Protocol):
--- a/larchgw/net/heads.py
+++ b/larchgw/net/heads.py
@@ -42,7 +42,7 @@
     return [field for field in fields if field[0].lower() not in unwanted]
 
 
-def reply_head(status: int, reason: bytes, fields: Iterable[tuple[bytes, bytes]]) -> bytes:
+def response_head(status: int, reason: bytes, fields: Iterable[tuple[bytes, bytes]]) -> bytes:
     """The head of an answer, with the empty line behind it."""
     lines = [b"HTTP/1.1 %d %b" % (status, reason)]
     lines += [b"%b: %b" % field for field in fields]
--- a/larchgw/net/limits.py
+++ b/larchgw/net/limits.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-MAX_BODY = 65536
-MAX_HEAD = 16384
+MAX_BODY_BYTES = 65536
+MAX_HEAD_BYTES = 16384
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,8 +15,8 @@
     A client that sends nothing, or half a request, costs a descriptor that others need.
     """
 
-    head_bytes: int = MAX_HEAD
-    body_bytes: int = MAX_BODY
+    head_bytes: int = MAX_HEAD_BYTES
+    body_bytes: int = MAX_BODY_BYTES
     first_s: float = 2.0  # for a connection's first byte
     message_s: float = 2.6  # for a request to come in whole, from its first byte, or the connection's start
     silence_s: float = 1.0  # after that, for the next piece of one that still comes ...
--- a/larchgw/net/listener.py
+++ b/larchgw/net/listener.py
@@ -11,8 +11,8 @@
 from .loop import NEWCOMERS, READ, EventLoop
 
 BACKLOG = 1024
-AT_ONCE = 64  # connections accepted in one turn
-PAUSE = 0.05
+MAX_ACCEPTS = 64  # connections accepted in one turn
+RETRY_PAUSE_S = 0.05
 log = structlog.get_logger()
 
 
@@ -25,13 +25,14 @@
         counters: Counters,
         name: str,
         address: tuple[str, int],
-        cap: int,
+        max_connections: int,
         take: Callable[[socket.socket], None],
         count: Callable[[], int],
         make_room: Callable[[], bool],
         inherited: int | None = None,
     ) -> None:
-        self.loop, self.counters, self.name, self.cap = loop, counters, name, cap
+        self.loop, self.counters, self.name = loop, counters, name
+        self.max_connections = max_connections
         self.take, self.count, self.make_room = take, count, make_room
         self.last_accept = 0.0
         self._capped = self._paused = False
@@ -79,10 +80,10 @@
             self.loop.watch(self.sock, READ, self._ready, NEWCOMERS)
 
     def _ready(self, mask: int = READ) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_ACCEPTS):
             if not self.open or self._paused:
                 return
-            if self.count() >= self.cap and not self.make_room():
+            if self.count() >= self.max_connections and not self.make_room():
                 self._wait()
                 return
             try:
@@ -100,10 +101,10 @@
     def _wait(self) -> None:
         if not self._capped:
             self._capped = True
-            log.warning("cap.connections", listener=self.name, cap=self.cap)
+            log.warning("cap.connections", listener=self.name, cap=self.max_connections)
         self.counters.caps.labels(self.name).inc()
         self.loop.watch(self.sock, 0, self._ready)
-        self.loop.deadlines.add(self.loop.clock.now() + PAUSE, self._again)
+        self.loop.deadlines.add(self.loop.clock.now() + RETRY_PAUSE_S, self._again)
 
     def _again(self) -> None:
         if self.open and not self._paused:
@@ -111,7 +112,7 @@
 
     def close(self) -> None:
         if self.open and not self._paused:
-            for _ in range(BACKLOG // AT_ONCE):
+            for _ in range(BACKLOG // MAX_ACCEPTS):
                 self._ready()  # whoever the kernel has let in by now was promised an answer
             self.loop.forget(self.sock)
         self.open = False
--- a/larchgw/net/loop.py
+++ b/larchgw/net/loop.py
@@ -17,7 +17,7 @@
 # Whose news a turn hears first. A list, or a client that has left, must be known before a worker's answer
 # frees a slot and a job that waits is sent there.
 FIRST, CLIENTS, WORKERS, NEWCOMERS = range(4)
-LONGEST_WAIT = 1.0
+MAX_WAIT_S = 1.0
 log = structlog.get_logger()
 
 
@@ -98,7 +98,7 @@
 
     def turn(self) -> None:
         due = self.deadlines.next()
-        wait = LONGEST_WAIT if due is None else min(max(due - self.clock.now(), 0.0), LONGEST_WAIT)
+        wait = MAX_WAIT_S if due is None else min(max(due - self.clock.now(), 0.0), MAX_WAIT_S)
         for key, mask in sorted(self._selector.select(wait), key=lambda event: event[0].data[0]):
             self._guard(lambda ready=key.data[1], mask=mask: ready(mask))  # type: ignore[misc]
         while self._calls:
--- a/larchgw/net/request_reader.py
+++ b/larchgw/net/request_reader.py
@@ -8,14 +8,14 @@
 import httptools
 
 from .body_memory import BodyMemory
-from .connection import CHUNK
+from .connection import READ_BYTES
 from .exchange import Exchange
 from .limits import ServerLimits
 
 MAX_HEADERS = 100
 # Given twice, one of these is two requests in one: joined by what no value may hold, so that no reader takes
 # it for a value. Others are lists.
-SINGLE = frozenset(
+SINGLE_VALUED = frozenset(
     (b"x-request-id", b"x-deadline-ms", b"x-tenant", b"x-key", b"x-cost-hint", b"x-retry", b"idempotency-key")
 )
 
@@ -63,7 +63,7 @@
             self._raw += len(data)
             # A head that never ends is seen by its bytes alone: the parser tells of no header before its end.
             limits = self._limits()
-            if self._raw > (limits.raw_bytes if self.coming.method else limits.head_bytes + CHUNK):
+            if self._raw > (limits.raw_bytes if self.coming.method else limits.head_bytes + READ_BYTES):
                 self.refuse(400, "the request is too long")
 
     def refuse(self, status: int, reason: str) -> None:
@@ -73,7 +73,7 @@
         self.stopped, self.coming = True, None
         self.drop_body()
         error = self._owner.new_exchange()
-        error.error, error.keep = (status, reason), False
+        error.error, error.keep_alive = (status, reason), False
         self._owner.on_refused(error)
 
     def drop_body(self) -> None:
@@ -107,7 +107,7 @@
         if len(headers) >= MAX_HEADERS or self._head > self._limits().head_bytes:
             self.refuse(431, "too many headers")
         elif name in headers and name != b"cookie":
-            headers[name] += (b"\n" if name in SINGLE else b",") + value
+            headers[name] += (b"\n" if name in SINGLE_VALUED else b",") + value
         else:
             headers[name] = value
         coming.fields.append((original, value))
@@ -118,8 +118,8 @@
             return
         coming.method = self._parser.get_method()
         coming.target, coming.path = self._url, self._url.partition(b"?")[0]
-        coming.keep = self._parser.should_keep_alive()
-        coming.old = self._parser.get_http_version() != "1.1"
+        coming.keep_alive = self._parser.should_keep_alive()
+        coming.predates_http_1_1 = self._parser.get_http_version() != "1.1"
         length = coming.headers.get(b"content-length", b"0")
         if b"transfer-encoding" in coming.headers and b"content-length" in coming.headers:
             # Two lengths: whoever goes by the other one reads a second request out of the body.
--- a/larchgw/net/response_writer.py
+++ b/larchgw/net/response_writer.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from .connection import Connection
-from .heads import CHUNKED, Fields, reply_head
+from .heads import CHUNKED, Fields, response_head
 
 LAST_CHUNK = b"0\r\n\r\n"
 BODYLESS = (204, 304)  # statuses whose answers end with the head
 
 
-class ReplyWriter:
+class ResponseWriter:
     """Writes an answer with a length, or in chunks where the length is None.
 
     The head goes out with the first piece, so that a short answer costs one write.
@@ -34,7 +34,7 @@
             framing = []
         else:
             framing = [(b"Content-Length", b"%d" % length)]
-        self._head = reply_head(status, reason, [*fields, *framing])
+        self._head = response_head(status, reason, [*fields, *framing])
 
     def send(self, data: bytes) -> None:
         """The next bytes of the body; more than the length that was told are left out."""
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -22,7 +22,7 @@
 from .dispatcher.core import Answer, AnswerKind, Request
 from .dispatcher.core.requests import News
 from .dispatcher.fronts.jobheaders import ONCE, http_answer, key_number, read_job
-from .net.http_server import MAX_BODY
+from .net.http_server import MAX_BODY_BYTES
 
 GRACE = 0.5  # seconds beyond a job's time for its answer to cross threads
 StartResponse = Callable[..., Any]
@@ -89,7 +89,7 @@
         ValueError for one that no header can carry.
         """
         number = self._classes[job_class]
-        if len(body) > MAX_BODY:
+        if len(body) > MAX_BODY_BYTES:
             raise ValueError("a body holds 64 KiB at most")
         if once and not ONCE.fullmatch(once.encode()):
             raise ValueError("once: must be 1 to 256 printable characters of ASCII")
@@ -180,7 +180,7 @@
             length = int(environ.get("CONTENT_LENGTH") or 0)
         except ValueError as error:
             return 400, f"{error}\n".encode(), ()
-        if not 0 <= length <= MAX_BODY:
+        if not 0 <= length <= MAX_BODY_BYTES:
             return 413, b"the body is over 64 KiB\n", ()
         body = environ["wsgi.input"].read(length)
         target = environ["PATH_INFO"] + ("?" + environ["QUERY_STRING"] if environ.get("QUERY_STRING") else "")
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -108,7 +108,7 @@
         self.client = arguments
         _, method, target, keep = arguments
         self.exchange = Exchange(IdleChannel(), 0.0, method, target)
-        self.exchange.keep = keep
+        self.exchange.keep_alive = keep
         return self.exchange
 
 
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -181,7 +181,7 @@
     assert sock.recv(4096).endswith(b"made /1")
     yield loop, server, handler, sock
     sock.close()
-    for link in list(server.links):
+    for link in list(server.connections):
         link.connection.close()
     server.listener.close()
     loop.close()
@@ -196,7 +196,7 @@
 def test_a_request_that_lies_unread_when_its_connection_is_to_end_is_answered(served: Any, end: str) -> None:
     loop, server, handler, sock = served
     send(sock, b"GET /2 HTTP/1.1\r\n\r\n")
-    link = next(iter(server.links))
+    link = next(iter(server.connections))
     if end == "stop":
         server.close_idle()
     elif end == "idle":
@@ -217,7 +217,7 @@
         handler.hold = True
         send(sock, b"GET /2 HTTP/1.1\r\n\r\n")
         server.resize(1, 1 << 20)
-        assert second.recv(4096) == b"" and len(server.links) == 1
+        assert second.recv(4096) == b"" and len(server.connections) == 1
         handler.held[0].reply(200, b"made /2")
         assert sock.recv(4096).endswith(b"made /2")
 
@@ -231,8 +231,8 @@
     handler.hold = True
     send(sock, b"GET /2 HTTP/1.1\r\n\r\n")
     until(lambda: (loop.turn(), handler.held)[1])
-    link = next(iter(server.links))
-    handler.held[0].keep = False
+    link = next(iter(server.connections))
+    handler.held[0].keep_alive = False
     handler.held[0].reply(200, b"x" * 50_000)
     send(sock, b"GET /3 HTTP/1.1\r\n\r\n" * 3)
     if later == "linger":
@@ -246,7 +246,7 @@
 
 def test_a_client_that_is_not_read_is_looked_at_for_its_end_every_tenth_of_a_second() -> None:
     # what waits on its connection may be sent on up to 0.3 s after its end
-    assert client_connection.LOOK <= 0.15
+    assert client_connection.LOOK_S <= 0.15
 
 
 # A probe that hears what was meant for a job
--- a/tests/dispatcher/test_worker_answer.py
+++ b/tests/dispatcher/test_worker_answer.py
@@ -11,7 +11,14 @@
 from larchgw.dispatcher.workers.answer import MAX_ANSWER, MAX_LINE, MAX_RAW, MAX_REPORT, AnswerReader
 from larchgw.dispatcher.workers.load_report import ReportReader
 from larchgw.net.connection_outcome import ConnectionOutcome
-from larchgw.net.keep_alive import DISTRUST, IDLE_MARGIN, IDLE_SHARE, REGAIN, SETTLE, KeepAliveLimit
+from larchgw.net.keep_alive_limit import (
+    MIN_IDLE_S,
+    RECOVERY_S,
+    STALE_SHARE,
+    USABLE_MARGIN_S,
+    USABLE_SHARE,
+    KeepAliveLimit,
+)
 
 
 @dataclass
@@ -157,20 +164,26 @@
 
 def test_a_connection_is_trusted_for_less_after_one_that_stood_as_long_was_dead_and_regains_it() -> None:
     limit = KeepAliveLimit(15.0)
-    full = min(15.0 * IDLE_SHARE, 15.0 - IDLE_MARGIN)
-    assert limit.at(0.0) == limit.at(1e6) == full
-    assert limit.proved_dead(100.0, 4.0) == limit.at(100.0) == DISTRUST * 4.0
-    assert limit.at(100.0 + REGAIN) == 2 * DISTRUST * 4.0
-    assert limit.proved_dead(100.0, 50.0) == DISTRUST * DISTRUST * 4.0, "it stood no longer than was trusted"
-    assert limit.at(100.0 + 100 * REGAIN) == full
-    limit.proved_dead(200.0, 0.0)
-    assert limit.at(200.0) == SETTLE, "else it would never be trusted again"
+    full = min(15.0 * USABLE_SHARE, 15.0 - USABLE_MARGIN_S)
+    assert limit.limit_s(0.0) == limit.limit_s(1e6) == full
+    assert limit.observe_stale(100.0, 4.0) == limit.limit_s(100.0) == STALE_SHARE * 4.0
+    assert limit.limit_s(100.0 + RECOVERY_S) == 2 * STALE_SHARE * 4.0
+    assert limit.observe_stale(100.0, 50.0) == STALE_SHARE * STALE_SHARE * 4.0, (
+        "it stood no longer than was trusted"
+    )
+    assert limit.limit_s(100.0 + 100 * RECOVERY_S) == full
+    limit.observe_stale(200.0, 0.0)
+    assert limit.limit_s(200.0) == MIN_IDLE_S, "else it would never be trusted again"
     limit.configure(0.5)
-    assert limit.at(5000.0) == pytest.approx(0.05)
+    assert limit.limit_s(5000.0) == pytest.approx(0.05)
 
 
 def test_a_connection_that_died_long_ago_is_forgotten_however_long_ago_it_was() -> None:
     """After 1,024 doublings the power was out of a float's range, and every send that asked for it failed."""
     limit = KeepAliveLimit(15.0)
-    limit.proved_dead(0.0, 1.0)
-    assert [limit.at(age * 3600.0) for age in (1, 8, 9, 24, 24 * 365)] == [limit.at(3600.0)] * 5 == [12.0] * 5
+    limit.observe_stale(0.0, 1.0)
+    assert (
+        [limit.limit_s(age * 3600.0) for age in (1, 8, 9, 24, 24 * 365)]
+        == [limit.limit_s(3600.0)] * 5
+        == [12.0] * 5
+    )
--- a/tests/net/test_request_reader.py
+++ b/tests/net/test_request_reader.py
@@ -9,11 +9,11 @@
 
 from larchgw.net.body_memory import BodyMemory
 from larchgw.net.counters import Counters
-from larchgw.net.exchange import Exchange, ReplyChannel
+from larchgw.net.exchange import Exchange, ResponseChannel
 from larchgw.net.limits import ServerLimits
 from larchgw.net.request_reader import MAX_HEADERS, RequestReader
 
-NO_CHANNEL = cast(ReplyChannel, None)
+NO_CHANNEL = cast(ResponseChannel, None)
 LIMITS = ServerLimits(head_bytes=2000, body_bytes=100)
 
 
@@ -36,7 +36,7 @@
         self.requests.append(exchange)
 
     def on_refused(self, exchange: Exchange) -> None:
-        assert exchange.error is not None and not exchange.keep
+        assert exchange.error is not None and not exchange.keep_alive
         self.refused.append(exchange.error)
 
     def on_continue_expected(self) -> None:
@@ -65,9 +65,9 @@
     first, second = told.requests
     assert (first.method, first.target, first.path, first.body) == (b"POST", b"/a?x=1", b"/a", b"hello")
     assert (first.headers[b"x-list"], first.headers[b"x-key"]) == (b"1,2", b"3\n4")
-    assert first.fields[0] == (b"X-List", b"1") and first.keep and not first.old
-    assert (second.path, second.keep, second.old) == (b"/b", False, True)
-    assert (told.begun, told.continues, told.refused, bodies.held) == (2, 1, [], 5)
+    assert first.fields[0] == (b"X-List", b"1") and first.keep_alive and not first.predates_http_1_1
+    assert (second.path, second.keep_alive, second.predates_http_1_1) == (b"/b", False, True)
+    assert (told.begun, told.continues, told.refused, bodies.used_bytes) == (2, 1, [], 5)
 
 
 @pytest.mark.parametrize(
@@ -96,14 +96,14 @@
 ) -> None:
     told, bodies = read(data + b"GET /next HTTP/1.1\r\n\r\n", piece)
     assert [refused for refused, _ in told.refused] == [status]
-    assert bodies.held == sum(len(request.body) for request in told.requests)
+    assert bodies.used_bytes == sum(len(request.body) for request in told.requests)
     assert all(request.path != b"/next" for request in told.requests)
 
 
 def test_a_body_beyond_the_memory_is_refused_and_counted() -> None:
     told, bodies = read(TWO, 10_000, memory=4)
     assert [status for status, _ in told.refused] == [503] and not told.requests
-    assert bodies.held == 0
+    assert bodies.used_bytes == 0
     counted: dict[str, Any] = bodies._counters.figures()
     assert counted == {"larchgw_caps_total_test_bodies": 1.0}
 
@@ -115,4 +115,4 @@
     reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 20\r\n\r\n" + b"x" * 10)
     limits[0] = ServerLimits(body_bytes=15)
     reader.feed(b"x" * 10)
-    assert [status for status, _ in told.refused] == [413] and bodies.held == 0
+    assert [status for status, _ in told.refused] == [413] and bodies.used_bytes == 0
