--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -84,7 +84,7 @@
     assert submit(service, OperatorOrder("change", -1, json.dumps(shrunk).encode())).status == 200
 
 
-def test_the_size_is_measured_only_where_the_bound_does_not_do() -> None:
+def test_size_is_measured_only_where_the_bound_exceeds_the_limit() -> None:
     limit = ConfigurationSizeLimit(SMALL_LIMIT)
     current = None
     for version in range(1, 6):
@@ -103,7 +103,7 @@
 
 
 @given(JSON, st.sampled_from(["1e15", "-9E15", "0.1e16", "1E0", "12e14"]))
-def test_no_order_makes_more_than_the_bound_says(value: Any, number: str) -> None:
+def test_no_order_grows_beyond_the_bound(value: Any, number: str) -> None:
     """The bound is of the order's own bytes, so that nothing too large passes unmeasured."""
     body = f'{{"config_version":1,"routes":[],"services":[],"other":[{json.dumps(value)},{number}]}}'.encode()
     raw = json.loads(body)
@@ -124,7 +124,7 @@
         ConfigurationSizeLimit(size - 1).check(None, order.body, wanted)
 
 
-def test_the_bounds_fit_each_other() -> None:
+def test_size_limits_of_order_record_snapshot_and_disk_are_consistent() -> None:
     """The largest order is a record; the largest state is a snapshot that a member sets room aside for."""
     taken = {"f" * 64: 10**15}
     most_taken_bytes = MAX_REMEMBERED_ORDERS * len(encode_json(taken))
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -87,7 +87,7 @@
     def run_call(self, call: Coroutine[Any, Any, int]) -> int:
         return asyncio.run(call)
 
-    def test_a_full_disk_leaves_a_change_unclear_and_the_process_running(self) -> None:
+    def test_full_disk_leaves_a_change_unconfirmed_and_the_process_running(self) -> None:
         self.run_call(self.log.propose(order(1, 0).encode()))
         self.files.refuses_writes = True
         with pytest.raises(ReplicationUnavailableError):
@@ -100,13 +100,13 @@
         assert self.state.version == 3
 
 
-def test_the_largest_order_that_is_taken_fits_into_a_record_of_the_log() -> None:
+def test_largest_accepted_order_fits_into_a_record_of_the_log() -> None:
     log = ControlDisk.open(FaultyFiles(), "data").log
     log.append(bytes(64) + OperatorOrder("replace", 2**62, bytes(MAX_ORDER_BYTES)).encode())
     assert log.last_index == 1
 
 
-def test_an_order_that_no_record_can_hold_is_refused_before_it_is_passed_on() -> None:
+def test_order_that_no_record_can_hold_is_rejected_before_it_is_forwarded() -> None:
     calls = OperatorCallRouter(None, None, None)  # type: ignore[arg-type]
     answer = asyncio.run(calls.operator_call("replace", 1, bytes(MAX_ORDER_BYTES + 1)))
     assert answer.status == 413
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("kind", [DiskFullError, DiskFailedError])
-def test_what_a_disk_refuses_is_an_os_error_and_still_names_file_and_remedy(kind: type[Exception]) -> None:
+def test_disk_error_is_an_os_error_that_names_file_and_remedy(kind: type[Exception]) -> None:
     error = kind("log/segment", "no room", "free some")
     assert isinstance(error, OSError)
     assert str(error) == "log/segment: no room; free some"
--- a/tests/control/test_http_api.py
+++ b/tests/control/test_http_api.py
@@ -65,15 +65,15 @@
         assert (answer.code, answer.body) == (200, b'{"config_version": 7}')
         assert self.service.calls == [("replace", 5, b'{"config_version": 7}')]
 
-    def test_a_change_without_the_version_it_builds_on_is_told_as_such(self):
+    def test_change_without_a_base_version_is_marked_as_such(self):
         self.post("/Config.Change", b"{}")
         assert self.service.calls == [("change", -1, b"{}")]
 
-    def test_a_version_that_is_no_number_is_refused_and_not_taken(self):
+    def test_base_version_that_is_no_number_is_rejected(self):
         assert self.post("/Config.Change", b"{}", **{"X-Built-On": "five"}).code == 400
         assert self.service.calls == []
 
-    def test_what_only_pythons_int_takes_for_a_version_is_not_taken_for_one_or_for_none_given(self):
+    def test_text_that_only_pythons_int_accepts_is_no_base_version(self):
         for text in ("-1", "+5", "1_0", "5,5", "5.0", "\xb2", "9" * 19, "9" * 5000):
             assert self.post("/Config.Replace", b"{}", **{"X-Built-On": text}).code == 400, text[:30]
         assert self.service.calls == []
@@ -98,21 +98,21 @@
         )
         assert self.service.calls == []
 
-    def test_what_the_service_refuses_or_leaves_unclear_is_answered_so(self):
+    def test_rejected_and_unconfirmed_responses_keep_their_status(self):
         for status in (400, 412, 503):
             self.service.answer = OperatorResponse(status, b"{}")
             assert status == self.post("/Config.Replace").code
 
-    def test_the_configuration_is_read_whole(self):
+    def test_read_returns_the_complete_configuration(self):
         self.service.answer = OperatorResponse(200, b'{"routes": []}')
         assert self.fetch("/Config.Read").body == b'{"routes": []}'
 
-    def test_a_runner_is_acknowledged_and_told_to_stay_with_this_process(self):
+    def test_acknowledgement_names_this_process_for_the_next_check_in(self):
         answer = self.post("/Runners.Checkin/i-1", b'{"service": "s"}')
         assert json.loads(answer.body) == {"beat_to": ADDRESS}
         assert self.service.calls == [("checkin", "i-1", b'{"service": "s"}')]
 
-    def test_a_draining_runner_is_not_acknowledged_by_a_process_that_cannot_tell_the_others(self):
+    def test_runner_gets_503_where_it_must_not_be_acknowledged(self):
         self.service.acknowledges = False
         assert self.post("/Runners.Checkin/i-1").code == 503
         assert self.post("/Runners.Leave/i-1").code == 503
--- a/tests/control/test_majority_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -47,7 +47,7 @@
         self.proven["b"] = self.now
         assert not self.of("a").is_isolated()
 
-    def test_two_of_three_are_not(self) -> None:
+    def test_two_of_three_are_not_isolated(self) -> None:
         self.proven["b"] = self.now
         assert not self.contact.is_isolated()
 
@@ -161,7 +161,7 @@
 
         self.play(main)
 
-    def test_a_cut_shows_within_its_bound_and_its_end_soon(self) -> None:
+    def test_partition_is_detected_within_the_maximum_contact_age_and_its_end_soon(self) -> None:
         async def main() -> None:
             await asyncio.sleep(3.0)
             self.both("is_hung", True)
@@ -186,7 +186,7 @@
 
         self.play(main)
 
-    def test_what_a_majority_held_is_known_here_by_the_end_of_the_bound(self) -> None:
+    def test_entry_held_by_a_majority_is_known_here_within_the_maximum_contact_age(self) -> None:
         """An entry is at peer b when a pull from there that proves contact begins after it."""
 
         async def main() -> None:
@@ -215,7 +215,7 @@
 
         self.play(main)
 
-    def test_an_older_view_takes_nothing_back(self) -> None:
+    def test_older_view_does_not_replace_a_later_one(self) -> None:
         later = View(7, "b", ("d", "e"), ("b", "d", "e"), ("b", "d", "e"), {name: name for name in "bde"})
         LatestView(lambda: later, self.registry).publish()
         self.view.publish()
--- a/tests/control/test_operator_calls.py
+++ b/tests/control/test_operator_calls.py
@@ -69,19 +69,19 @@
 
 
 class OperatorCallsTest(TestCase):
-    def test_a_backup_passes_a_call_on_and_gives_the_primarys_answer(self) -> None:
+    def test_backup_forwards_call_and_returns_the_primarys_response(self) -> None:
         for status in (200, 412, 400):
             peers = ScriptedPeers(primary=[status])
             answer = run(calls(ScriptedMember(PRIMARY), None, peers).operator_call("replace", 1, b"x"))
             assert (status, b"x", [PRIMARY]) == (answer.status, answer.body, peers.called)
 
-    def test_a_call_waits_for_the_next_primary_and_is_sent_there(self) -> None:
+    def test_call_waits_for_the_next_primary_and_is_forwarded_there(self) -> None:
         peers = ScriptedPeers(other=[503, 200])
         member = ScriptedMember(PRIMARY, None, None, OTHER)
         answer = run(calls(member, None, peers).operator_call("change", 1, b"x"))
         assert (answer.status, peers.called) == (200, [PRIMARY, OTHER, OTHER])
 
-    def test_one_that_becomes_primary_meanwhile_serves_the_call_itself(self) -> None:
+    def test_process_that_becomes_primary_meanwhile_serves_the_call_itself(self) -> None:
         member, service = ScriptedMember(PRIMARY), ScriptedService(OperatorResponse(200, b"mine"))
 
         class Deposed(ScriptedPeers):
@@ -95,7 +95,7 @@
             ("replace", 4, b"x")
         ]
 
-    def test_without_a_primary_the_call_is_left_unclear_before_the_operator_goes_on(self) -> None:
+    def test_call_without_a_primary_is_unconfirmed_before_the_operator_times_out(self) -> None:
         async def timed() -> tuple[int, float]:
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -107,7 +107,7 @@
         assert seconds <= CALL_TIMEOUT_S + 0.001
         assert CALL_TIMEOUT_S < 1.0
 
-    def test_a_call_passed_on_ends_when_the_one_that_passed_it_on_has_given_it_up(self) -> None:
+    def test_forwarded_call_ends_when_its_forwarder_has_timed_out(self) -> None:
         class SilentService:
             async def submit(self, order: Any) -> OperatorResponse:
                 await asyncio.Event().wait()
@@ -122,7 +122,7 @@
 
         assert run(timed()) == (503, CALL_TIMEOUT_S)
 
-    def test_a_call_passed_on_to_one_that_is_not_primary_comes_back_unclear_and_is_not_taken(self) -> None:
+    def test_call_forwarded_to_a_non_primary_is_unconfirmed_and_not_accepted(self) -> None:
         service = ScriptedService(OperatorResponse(200))
         member = ScriptedMember(PRIMARY)
         answer = run(calls(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
--- a/tests/control/test_operator_failover.py
+++ b/tests/control/test_operator_failover.py
@@ -188,7 +188,7 @@
     played(3, scene)
 
 
-def test_that_there_is_no_configuration_is_not_said_by_a_process_that_cannot_know_it() -> None:
+def test_missing_configuration_is_not_reported_by_a_process_that_cannot_know_it() -> None:
     async def play() -> None:
         playing = await Scene.begin(3)
         old = playing.primary
--- a/tests/control/test_operator_service.py
+++ b/tests/control/test_operator_service.py
@@ -91,7 +91,7 @@
 
         return [answer.status for answer in asyncio.run(all_of_them())]
 
-    def test_the_same_order_sent_again_is_acknowledged_again_and_taken_once(self):
+    def test_same_order_sent_again_is_acknowledged_again_and_applied_once(self):
         order = replace(5, 0)
         assert self.submit(order) == [200]
         assert self.submit(order) == [200]
@@ -127,7 +127,7 @@
         self.replication.deposed = True
         assert self.submit(replace(6, 4)) == [503]
 
-    def test_what_another_primary_took_meanwhile_is_acknowledged_and_not_refused(self):
+    def test_order_accepted_by_another_primary_meanwhile_is_acknowledged(self):
         order = replace(5, 0)
 
         def taken_elsewhere():
@@ -212,7 +212,7 @@
         assert self.submit(OperatorOrder("replace", 0, json.dumps(body).encode())) == [400]
         assert self.replication.index == 0
 
-    def test_read_gives_the_whole_configuration_and_nothing_while_the_view_is_in_doubt(self):
+    def test_read_returns_the_complete_configuration_and_nothing_while_the_primary_is_unconfirmed(self):
         assert asyncio.run(self.service.read()).status == 404
         self.submit(replace(5, 0))
         assert configuration(5) == json.loads(asyncio.run(self.service.read()).body)
@@ -247,13 +247,13 @@
     def test_it_waits_until_the_last_record_of_this_primary_is_committed(self):
         self.settled_after(committed_index=3)
 
-    def test_one_that_is_primary_no_more_cannot_tell(self):
+    def test_waiting_fails_once_the_process_is_no_longer_primary(self):
         with pytest.raises(ReplicationUnavailableError):
             self.settled_after(is_primary=False)
 
 
 class ConfigurationStateTest(testtools.TestCase):
-    def test_a_restored_state_knows_the_configuration_and_what_was_taken(self):
+    def test_restored_state_knows_the_configuration_and_the_accepted_orders(self):
         state, other = ConfigurationState(), ConfigurationState()
         order = replace(5, 0)
         state.apply(3, order.encode())
@@ -262,7 +262,7 @@
         assert other.record_index == 3
         assert other.is_accepted(order)
 
-    def test_the_oldest_taken_orders_are_forgotten_first_also_after_a_restore(self):
+    def test_oldest_accepted_orders_are_forgotten_first_also_after_a_restore(self):
         self.patch(state_module, "MAX_REMEMBERED_ORDERS", 3)
         orders = [replace(version, version - 1) for version in range(1, 7)]
         kept, restored = ConfigurationState(), ConfigurationState()
--- a/tests/control/test_publication.py
+++ b/tests/control/test_publication.py
@@ -34,14 +34,14 @@
         self.commit(3, 7, now=1.0)
         assert self.published() == 3
 
-    def test_a_backup_publishes_what_the_primary_has_not(self):
+    def test_backup_publishes_after_a_delay_what_the_primary_has_not_published(self):
         self.commit(3, 7, now=1.0)
         self.publisher.tick(1.0 + BACKUP_PUBLISH_DELAY_S - 0.01)
         assert self.published() is None
         self.publisher.tick(1.0 + BACKUP_PUBLISH_DELAY_S)
         assert self.published() == 3
 
-    def test_what_a_start_finds_on_the_disk_is_left_to_the_primary(self):
+    def test_configuration_found_on_the_disk_at_start_is_published_by_the_primary_only(self):
         """It is as old as the last snapshot; all may have started at once, with edges that know nothing."""
         self.commit(3, 7, now=1.0)
         self.publisher.on_restored()
@@ -65,7 +65,7 @@
 
 
 class PackingTest(testtools.TestCase):
-    def test_what_is_packed_comes_back_whole(self):
+    def test_packed_configuration_is_unpacked_unchanged(self):
         routes = [{"name": f"r{n}", "path_start": f"/p{n}/"} for n in range(300)]
         raw = {"config_version": 3, "routes": routes}
         assert raw == json.loads(unpack(pack(raw)))
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -71,7 +71,7 @@
     assert (process.state.version, Process(tmp_path / "new").state.version) == (9, 9)
 
 
-def test_dispatchers_that_went_on_running_take_the_restored_state_for_newer(tmp_path: Path) -> None:
+def test_restored_state_is_newer_than_that_of_running_dispatchers(tmp_path: Path) -> None:
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
     begin = restored(tmp_path / "lost", tmp_path / "new")
@@ -83,7 +83,7 @@
     assert process.member.view.epoch >= begin.epoch > lost.member.view.epoch
 
 
-def test_an_order_taken_before_the_loss_is_acknowledged_again_after_the_restore(tmp_path: Path) -> None:
+def test_order_accepted_before_the_loss_is_acknowledged_again_after_the_restore(tmp_path: Path) -> None:
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
     restored(tmp_path / "lost", tmp_path / "new")
@@ -92,7 +92,7 @@
     assert process.state.is_accepted(OperatorOrder("replace", 0, body))
 
 
-def test_all_forms_of_what_is_left_give_the_same_configuration(tmp_path: Path) -> None:
+def test_all_forms_of_a_source_restore_the_same_configuration(tmp_path: Path) -> None:
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
     restored(tmp_path / "lost", tmp_path / "new")  # holds a snapshot and no records
--- a/tests/control/test_runner_check_ins.py
+++ b/tests/control/test_runner_check_ins.py
@@ -110,7 +110,7 @@
 
         self.play(main())
 
-    def test_a_frozen_process_does_not_hold_an_acknowledgement_up_and_gets_a_hint(self) -> None:
+    def test_frozen_process_does_not_delay_an_acknowledgement_and_gets_a_hint(self) -> None:
         async def main() -> None:
             self.peers[0].is_hung = True
             assert await self.check_in("draining")
@@ -135,7 +135,7 @@
 
         self.play(main())
 
-    def test_a_process_that_is_cut_off_calls_nobody_silent_whom_it_turns_away(self) -> None:
+    def test_isolated_process_marks_no_runner_silent_that_it_turns_away(self) -> None:
         async def main() -> None:
             assert await self.check_in()
             await self.tick_for(20.0, isolated=True)
--- a/tests/control/test_runner_ownership.py
+++ b/tests/control/test_runner_ownership.py
@@ -42,6 +42,6 @@
     assert not is_owner_present(owner_name(HERE, EARLIER), HERE, [process(EARLIER, HERE)])
 
 
-def test_runners_of_a_lost_process_are_taken_for_unwatched() -> None:
+def test_runners_of_a_lost_process_have_no_owner_present() -> None:
     others = [process(EARLIER, "10.0.0.3:7660")]
     assert not is_owner_present(owner_name(THERE, EARLIER), HERE, others)
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -93,7 +93,7 @@
             )
         )
 
-    def test_a_process_that_knows_nothing_yet_says_so(self) -> None:
+    def test_status_of_a_fresh_process_is_empty(self) -> None:
         status = self.service.read()
         assert (
             status.node_name,
@@ -114,12 +114,12 @@
         assert (status.placer, status.placer_fence) == ("10.0.0.3:7660", 70001)
         assert status.runners == {"ready": 1}
 
-    def test_the_reserve_is_told_only_while_it_is_there(self) -> None:
+    def test_reserve_is_reported_only_while_it_exists(self) -> None:
         assert not self.service.read().disk.has_reserve
         self.parts.replication.disk.refill_reserve()
         assert self.service.read().disk.has_reserve
 
-    def test_what_is_placed_is_told_only_to_who_asks_and_only_by_the_placer(self) -> None:
+    def test_placement_is_reported_only_on_request_and_only_by_the_placer(self) -> None:
         ask = ttypes.StatusRequest(placement=True)
         assert asyncio.run(self.service.status(ask)).placement is None
         service = PlacementService(PlacementRuntime(Clock(), lambda: None, None))  # type: ignore[arg-type]
@@ -132,7 +132,7 @@
         assert asyncio.run(self.service.status(ask)).placement.fence == 7
         assert asyncio.run(self.service.status(ttypes.StatusRequest(False))).placement is None
 
-    def test_the_status_is_json_and_its_figures_are_metrics(self) -> None:
+    def test_status_is_json_and_its_values_are_metrics(self) -> None:
         assert json.loads(json.dumps(self.service.as_json()))["node_name"] == "core-1"
         text = self.service.metrics().decode()
         for line in (
@@ -175,7 +175,7 @@
         assert decode_struct(ttypes.ControlStatus, encode_struct(status)) == status
 
 
-def test_a_summary_tells_holders_loads_under_way_and_what_the_store_allows() -> None:
+def test_summary_reports_holders_loads_in_flight_and_available_loads() -> None:
     configuration, service, model = models_configuration()
     clock = Clock()
     demand, reconciler = DemandTracker(clock), Reconciler(PlacementSettings(), LoadRateLimiter(2.0, 5.0, 1.1))
@@ -198,7 +198,7 @@
 
 
 @on_loop
-async def test_an_edge_tells_its_configuration_source_runners_and_what_is_left_of_its_retries() -> None:
+async def test_edge_status_reports_configuration_source_runners_and_remaining_retries() -> None:
     edge = Edge()
     registry = Registry("edge-1/1")
     configuration, service, _ = models_configuration()
