--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -154,17 +154,17 @@
         if source.pause_s > 0.0:
             await asyncio.sleep(source.pause_s)
         session = self._open_session(source.address)
-        began = self._clock()
+        began_at = self._clock()
         try:
             reply = await self._pull(session)
         except RpcError as error:
             self._record_no_answer(source.address, error)
             return
         self._unresponsive.discard(source.address)
-        if self._is_only_source and not self._is_current(reply, began):
+        if self._is_only_source and not self._is_current(reply, began_at):
             self._merge_from_isolated(session, reply)
             return
-        self._accept(session, reply, began)
+        self._accept(session, reply, began_at)
         await self._hand_back_runners(session)
 
     async def _pull(self, session: _Session) -> PullReply:
@@ -184,9 +184,9 @@
         self._selector.record_failure(address)
         self._close_session()
 
-    def _is_current(self, reply: PullReply, began: float) -> bool:
+    def _is_current(self, reply: PullReply, began_at: float) -> bool:
         """Returns whether its sender was in contact with the majority, and so lately that it still holds."""
-        return not reply.isolated and self._clock() - began <= self._settings.timeout_s
+        return not reply.isolated and self._clock() - began_at <= self._settings.timeout_s
 
     def _merge_from_isolated(self, session: _Session, reply: PullReply) -> None:
         """Merges the runners. Nothing is claimed, so that what is left out is sent again."""
@@ -194,11 +194,11 @@
         self._selector.record_failure(session.address)
         self._close_session()
 
-    def _accept(self, session: _Session, reply: PullReply, began: float) -> None:
+    def _accept(self, session: _Session, reply: PullReply, began_at: float) -> None:
         now = self._clock()
         self._merge(reply)
         if not reply.more:
-            self.contact_proven_at = began
+            self.contact_proven_at = began_at
         if session.update(reply) and self._hands_back_runners:
             delay_s = self._settings.hand_back_after_s * self._random_source.uniform(1.0, 1.5)
             session.hand_back_at = now + delay_s
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -116,27 +116,20 @@
     return asyncio.get_running_loop().time()
 
 
-def produce_edge_pulls() -> list[list[Any]]:
-    """A dispatcher pulls from two control processes through cut replies, a loss, a cut-off, a restart and a
-    long silence after which it compares its registry with another.
-    """
-    transcript = Transcript()
-    isolated: set[str] = set()
-    registries = {name: Registry(f"{name}.1") for name in ("a", "b")}
+class EdgeScenario:
+    """A dispatcher that pulls from two control processes, a and b; a is in its zone."""
 
-    def serve(name: str) -> None:
-        transcript.services[name] = PullService(
-            registries[name], lambda: name in isolated, lambda: ["a", "b"], max_reply_bytes=MAX_REPLY_BYTES
-        )
-
-    async def main() -> None:
-        for number, (name, registry) in enumerate(registries.items()):
-            serve(name)
+    def __init__(self) -> None:
+        self.transcript = Transcript()
+        self.isolated: set[str] = set()
+        self.registries: dict[str, Registry] = {}
+        for number, name in enumerate("ab"):
+            self.start(name, incarnation=1)
             for runner in range(3):
-                registry.put(f"runner/{name}{runner}", b"x" * 60, runner + 1, number)
-        puller = Puller(
+                self.registries[name].put(f"runner/{name}{runner}", b"x" * 60, runner + 1, number)
+        self.puller = Puller(
             Registry("edge.1"),
-            transcript.connect_from("edge"),
+            self.transcript.connect_from("edge"),
             lambda: ["a", "b"],
             PullSettings(),
             random.Random(11),
@@ -146,39 +139,72 @@
             hands_back_runners=True,
             clock=now,
         )
-        task = asyncio.ensure_future(puller.run())
+
+    def start(self, name: str, incarnation: int) -> None:
+        self.registries[name] = Registry(f"{name}.{incarnation}")
+        self.transcript.services[name] = PullService(
+            self.registries[name],
+            lambda: name in self.isolated,
+            lambda: ["a", "b"],
+            max_reply_bytes=MAX_REPLY_BYTES,
+        )
+
+    async def play(self) -> None:
+        task = asyncio.ensure_future(self.puller.run())
+        await self.pull_and_lose_the_source()
+        await self.pull_from_a_cut_off_process()
+        await self.restart_the_source()
+        await self.be_out_of_touch()
+        await self.resync()
+        self.transcript.calls.append([entry.key for entry in self.puller.registry.items()])
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    async def pull_and_lose_the_source(self) -> None:
         await asyncio.sleep(1.2)
-        registries["a"].put("configuration", b"first", 1)
+        self.registries["a"].put("configuration", b"first", 1)
         await asyncio.sleep(0.4)
-        transcript.unreachable.add("a")
+        self.transcript.unreachable.add("a")
         await asyncio.sleep(1.0)
-        isolated.add("b")
-        registries["b"].put("runner/b0", b"y", 9)
-        registries["b"].put("configuration", b"second", 2)
-        transcript.services["b"].wake()
+
+    async def pull_from_a_cut_off_process(self) -> None:
+        self.isolated.add("b")
+        self.registries["b"].put("runner/b0", b"y", 9)
+        self.registries["b"].put("configuration", b"second", 2)
+        self.transcript.services["b"].wake()
         await asyncio.sleep(1.5)
-        isolated.clear()
-        transcript.unreachable.clear()
-        registries["a"] = Registry("a.2")
-        serve("a")
+        self.isolated.clear()
+        self.transcript.unreachable.clear()
+
+    async def restart_the_source(self) -> None:
+        """The new incarnation knows nothing; the dispatcher hands back the runners that it knows."""
+        self.start("a", incarnation=2)
         await asyncio.sleep(8.0)
-        transcript.hung.update("ab")
+
+    async def be_out_of_touch(self) -> None:
+        """For so long that tombstones may be missed; only the first calls of that time are kept."""
+        self.transcript.hung.update("ab")
         await asyncio.sleep(2.0)
-        transcript.unreachable.update("ab")
-        transcript.hung.clear()
-        calls_before_silence = len(transcript.calls)
+        self.transcript.unreachable.update("ab")
+        self.transcript.hung.clear()
+        calls_before = len(self.transcript.calls)
         await asyncio.sleep(155.0)
-        del transcript.calls[calls_before_silence + 10 :]
-        registries["a"].remove_if("runner/b1", lambda entry: True)
-        registries["a"].put("runner/new", b"z", 1)
-        transcript.unreachable.clear()
+        del self.transcript.calls[calls_before + 10 :]
+
+    async def resync(self) -> None:
+        self.registries["a"].remove_if("runner/b1", lambda entry: True)
+        self.registries["a"].put("runner/new", b"z", 1)
+        self.transcript.unreachable.clear()
         await asyncio.sleep(2.0)
-        transcript.calls.append([entry.key for entry in puller.registry.items()])
-        task.cancel()
-        await asyncio.gather(task, return_exceptions=True)
 
-    run(main())
-    return transcript.calls
+
+def produce_edge_pulls() -> list[list[Any]]:
+    """Cut replies, a loss, a cut-off, a restart and a long time out of touch, after which registries are
+    compared.
+    """
+    scenario = EdgeScenario()
+    run(scenario.play())
+    return scenario.transcript.calls
 
 
 def produce_control_exchange() -> list[list[Any]]:
