--- a/larchgw/configuration/json_decoding.py
+++ b/larchgw/configuration/json_decoding.py
@@ -14,7 +14,7 @@
 from .errors import MalformedConfigurationError
 from .json_values import abbreviate
 
-WHOLE_BODY = "configuration"
+ROOT_PATH = "configuration"
 """The path that errors name where no single field is at fault."""
 MAX_NESTING = 64
 """Levels of JSON. Python's own limit depends on how deep the caller is."""
@@ -40,14 +40,14 @@
         raise not_json(error) from None
     if _is_too_deep(raw):
         problem = f"is nested over {MAX_NESTING} levels deep"
-        raise MalformedConfigurationError(WHOLE_BODY, problem, "send it flatter")
+        raise MalformedConfigurationError(ROOT_PATH, problem, "send it flatter")
     return require_object(raw)
 
 
 def not_json(error: Exception) -> MalformedConfigurationError:
     """Returns the error for a body that cannot be decoded."""
     problem = f"is not JSON ({error})"
-    return MalformedConfigurationError(WHOLE_BODY, problem, "send one whole JSON object")
+    return MalformedConfigurationError(ROOT_PATH, problem, "send one whole JSON object")
 
 
 def require_object(value: object) -> dict[str, Any]:
@@ -58,7 +58,7 @@
     """
     if not isinstance(value, dict):
         problem = f"{abbreviate(value)} is no JSON object"
-        raise MalformedConfigurationError(WHOLE_BODY, problem, "send an object")
+        raise MalformedConfigurationError(ROOT_PATH, problem, "send an object")
     return value
 
 
@@ -95,10 +95,10 @@
     number = float(text)
     if math.isinf(number):
         problem = f"holds {text}, which is too large"
-        raise MalformedConfigurationError(WHOLE_BODY, problem, "give a smaller number")
+        raise MalformedConfigurationError(ROOT_PATH, problem, "give a smaller number")
     return number
 
 
 def _reject_constant(text: str) -> NoReturn:
     problem = f"holds {text}, which is not JSON"
-    raise MalformedConfigurationError(WHOLE_BODY, problem, "give a finite number")
+    raise MalformedConfigurationError(ROOT_PATH, problem, "give a finite number")
--- a/larchgw/configuration/settings_check.py
+++ b/larchgw/configuration/settings_check.py
@@ -81,11 +81,11 @@
 
 
 def _number_faults(settings: NodeSettings) -> Iterator[SettingsError]:
-    for part in ("limits", "survive", "time_limits"):
-        values = getattr(settings, part)
+    for section in ("limits", "survive", "time_limits"):
+        values = getattr(settings, section)
         for field in fields(values):
             value = getattr(values, field.name)
             if value < 0:
-                yield SettingsError(f"{part}.{field.name}", f"{value:g} is negative", "give 0 or more")
+                yield SettingsError(f"{section}.{field.name}", f"{value:g} is negative", "give 0 or more")
             elif value == 0 and field.name in _POSITIVE_TIME_LIMITS:
-                yield SettingsError(f"{part}.{field.name}", "is 0", "give a time above 0")
+                yield SettingsError(f"{section}.{field.name}", "is 0", "give a time above 0")
--- a/larchgw/configuration/validation.py
+++ b/larchgw/configuration/validation.py
@@ -102,7 +102,7 @@
     limits = _read_limits(raw.get("limits"), reader)
     reader.require_unique_names("services", services)
     reader.require_unique_names("routes", routes)
-    _check_unique_places(routes, reader)
+    _check_unique_prefixes(routes, reader)
     if are_services_known:
         _check_services_exist(routes, {service.name for _, service in services}, reader)
     if reader.faults or version is None or limits is None:
@@ -139,6 +139,7 @@
     }
 
     def read_changed(value: object, path: str, reader: JsonReader) -> Item | None:
+        """Returns the item of `previous` if its JSON object is equal, else reads it."""
         name = value.get("name") if isinstance(value, dict) else None
         before = item_by_name.get(name) if isinstance(name, str) else None
         if before is not None and before[0] == value:
@@ -178,7 +179,7 @@
     return limits
 
 
-def _check_unique_places(routes: Iterable[tuple[str, Route]], reader: JsonReader) -> None:
+def _check_unique_prefixes(routes: Iterable[tuple[str, Route]], reader: JsonReader) -> None:
     """Adds a fault for each route with the host and prefix of an earlier one."""
     paths: dict[tuple[str, str], str] = {}
     for path, route in routes:
--- a/larchgw/storage/cleanup.py
+++ b/larchgw/storage/cleanup.py
@@ -21,7 +21,7 @@
     """Nothing."""
     TORN = auto()
     """Bytes of a write that failed or was cut short; they must be cut off."""
-    CUT = auto()
+    TRUNCATED = auto()
     """Bytes were cut off, and the file has to be synced."""
 
 
@@ -79,8 +79,8 @@
             self._is_folder_unsynced = False
         if self._tail_state is TailState.TORN:
             self._port.truncate(segments[-1].path, segments[-1].end_offset)
-            self._tail_state = TailState.CUT
-        if self._tail_state is TailState.CUT:
+            self._tail_state = TailState.TRUNCATED
+        if self._tail_state is TailState.TRUNCATED:
             self._port.sync_file(segments[-1].path)
             self._tail_state = TailState.CLEAN
 
--- a/larchgw/storage/log.py
+++ b/larchgw/storage/log.py
@@ -147,7 +147,7 @@
             while self._segments and self._segments[-1].first_index > index:
                 self._remove_last_segment()
             if self.last_index > index:
-                self._cut_last_segment(index)
+                self._truncate_last_segment(index)
 
     def read(self, first: int, last: int) -> Iterator[tuple[int, bytes]]:
         """Returns the records from `first` to `last`, in order, durable or not; none if `first > last`.
@@ -282,11 +282,11 @@
         self._durability.drop_after(self.last_index)
         self._cleanup.finish(self._segments)
 
-    def _cut_last_segment(self, index: int) -> None:
+    def _truncate_last_segment(self, index: int) -> None:
         segment = self._segments[-1]
         self._port.truncate(segment.path, segment.locate(index + 1).offset)
         segment.drop_records_after(index)
-        self._cleanup.set_tail_state(TailState.CUT)
+        self._cleanup.set_tail_state(TailState.TRUNCATED)
         self._durability.drop_after(self.last_index)
         self._cleanup.finish(self._segments)
 
--- a/larchgw/storage/segments.py
+++ b/larchgw/storage/segments.py
@@ -85,10 +85,10 @@
 
     def drop_records_after(self, index: int) -> None:
         """Counts the records above `index` no more."""
-        kept = max(0, index - self.first_index + 1)
-        if kept < len(self.record_offsets):
-            self.end_offset = self.record_offsets[kept]
-            del self.record_offsets[kept:]
+        remaining = max(0, index - self.first_index + 1)
+        if remaining < len(self.record_offsets):
+            self.end_offset = self.record_offsets[remaining]
+            del self.record_offsets[remaining:]
 
 
 @dataclass(frozen=True, slots=True)
