--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -1,6 +1,8 @@
-"""Puts the parts of a control process together. Wiring only; what the parts do stands in their modules.
+"""Makes and connects the components of a control process.
 
-The parts are made in a fixed order, since several of them draw from one random source.
+Wiring only; what the components do stands in their modules.
+
+The components are made in a fixed order, since several of them draw from one random source.
 """
 
 from __future__ import annotations
@@ -46,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicationParts:
+class ReplicationComponents:
     """The replicated log with the state that it makes, on this process's disk.
 
     Attributes:
@@ -68,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DistributionParts:
+class DistributionComponents:
     """The registry and its exchange with other processes.
 
     Attributes:
@@ -93,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunnerParts:
+class RunnerComponents:
     """What concerns runners.
 
     Attributes:
@@ -108,15 +110,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ControlParts:
-    """All parts of a control process but for its sockets and tasks.
+class ControlComponents:
+    """All components of a control process but for its sockets and tasks.
 
     Attributes:
         clients: Connections to other control processes, for replication and the operator's calls.
         swim: Membership.
-        replication: See ReplicationParts.
-        distribution: See DistributionParts.
-        runners: See RunnerParts.
+        replication: See ReplicationComponents.
+        distribution: See DistributionComponents.
+        runners: See RunnerComponents.
         periodic_work: The ticks.
         rpc_service: What other processes may call.
         status: What people and their programs are told.
@@ -124,16 +126,16 @@
 
     clients: RpcClients
     swim: Swim
-    replication: ReplicationParts
-    distribution: DistributionParts
-    runners: RunnerParts
+    replication: ReplicationComponents
+    distribution: DistributionComponents
+    runners: RunnerComponents
     periodic_work: PeriodicWork
     rpc_service: RpcService
     status: StatusService
 
 
-def assemble(settings: NodeSettings, data_folder: str) -> ControlParts:
-    """Makes the parts of one control process and recovers its files; nothing runs yet.
+def assemble(settings: NodeSettings, data_folder: str) -> ControlComponents:
+    """Makes the components of one control process and recovers its files; nothing runs yet.
 
     Args:
         settings: Of this process.
@@ -155,14 +157,14 @@
     )
     # The placer's lease comes from the log, and the placer works by the configuration in the log.
     log = ReplicatedLog(member, state, clients, lambda: propagation.on_state_changed())
-    replication = ReplicationParts(
+    replication = ReplicationComponents(
         disk, state, log, OperatorCallRouter(member, OperatorService(state, log), clients)
     )
     distribution = _distribution(settings, replication, registry, swim, random_source)
     runners = _runners(settings, replication, distribution, incarnation, random_source)
     propagation = ConfigurationPropagation(state, runners.placer.configure, distribution.publisher)
     status = _status(settings, swim, replication, distribution, runners)
-    return ControlParts(
+    return ControlComponents(
         clients,
         swim,
         replication,
@@ -188,11 +190,11 @@
 
 def _distribution(
     settings: NodeSettings,
-    replication: ReplicationParts,
+    replication: ReplicationComponents,
     registry: Registry,
     swim: Swim,
     random_source: Random,
-) -> DistributionParts:
+) -> DistributionComponents:
     member = replication.member
     latest_view = LatestView(lambda: member.view, registry)
     processes = ControlProcesses(swim, latest_view, rpc_address(settings), seed_rpc_addresses(settings))
@@ -205,7 +207,7 @@
         node_name=settings.node_name,
     )
     contact = PullContact(member.id, latest_view.get, pullers.contact_proven_at)
-    return DistributionParts(
+    return DistributionComponents(
         registry=registry,
         publisher=ConfigurationPublisher(replication.state, registry, lambda: member.is_primary),
         latest_view=latest_view,
@@ -219,11 +221,11 @@
 
 def _runners(
     settings: NodeSettings,
-    replication: ReplicationParts,
-    distribution: DistributionParts,
+    replication: ReplicationComponents,
+    distribution: DistributionComponents,
     incarnation: int,
     random_source: Random,
-) -> RunnerParts:
+) -> RunnerComponents:
     address, registry, contact = rpc_address(settings), distribution.registry, distribution.contact
     ownership = RunnerOwnership(address, contact, distribution.processes.present)
     directory = RunnerDirectory(
@@ -243,11 +245,11 @@
         random_source,
     )
     check_ins = RunnerCheckIns(directory, registry, contact, distribution.handoff)
-    return RunnerParts(directory, check_ins, placer)
+    return RunnerComponents(directory, check_ins, placer)
 
 
 def _periodic_work(
-    replication: ReplicationParts, distribution: DistributionParts, runners: RunnerParts
+    replication: ReplicationComponents, distribution: DistributionComponents, runners: RunnerComponents
 ) -> PeriodicWork:
     return PeriodicWork(
         replication.log,
@@ -264,9 +266,9 @@
 def _status(
     settings: NodeSettings,
     swim: Swim,
-    replication: ReplicationParts,
-    distribution: DistributionParts,
-    runners: RunnerParts,
+    replication: ReplicationComponents,
+    distribution: DistributionComponents,
+    runners: RunnerComponents,
 ) -> StatusService:
     return StatusService(
         StatusSources(
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -59,6 +59,8 @@
 
 
 class _Handler(tornado.web.RequestHandler):
+    """Answers in JSON, without entity tags."""
+
     def answer(self, status: int, body: bytes) -> None:
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
@@ -78,6 +80,8 @@
 
 
 class _OperatorHandler(_Handler):
+    """Passes a call of the operator on, with the version that its header names."""
+
     def initialize(self, operator_calls: OperatorCallService) -> None:
         self.operator_calls = operator_calls
 
@@ -91,21 +95,29 @@
 
 
 class _ReplaceHandler(_OperatorHandler):
+    """`Config.Replace`."""
+
     async def post(self) -> None:
         await self.call(REPLACE)
 
 
 class _ChangeHandler(_OperatorHandler):
+    """`Config.Change`."""
+
     async def post(self) -> None:
         await self.call(CHANGE)
 
 
 class _ReadHandler(_OperatorHandler):
+    """`Config.Read`."""
+
     async def get(self) -> None:
         await self.call(READ)
 
 
 class _RunnerHandler(_Handler):
+    """Acknowledges a call of a runner, or sends the runner to another control process."""
+
     def initialize(self, check_ins: CheckInService, address: str) -> None:
         self.check_ins, self.address = check_ins, address
 
@@ -118,6 +130,8 @@
 
 
 class _CheckInHandler(_RunnerHandler):
+    """`Runners.Checkin`."""
+
     async def post(self, runner: str) -> None:
         try:
             may_acknowledge = await self.check_ins.check_in(runner, self.request.body)
@@ -128,6 +142,8 @@
 
 
 class _LeaveHandler(_RunnerHandler):
+    """`Runners.Leave`."""
+
     async def post(self, runner: str) -> None:
         self.acknowledge(await self.check_ins.leave(runner))
 
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -23,7 +23,7 @@
 from .replicated_log import TICK_S
 
 log = structlog.get_logger()
-LEAVE_SHARE = 0.5  # of the grace period; then it ends without the agreement of the others
+LEAVE_TIMEOUT_FRACTION = 0.5  # of the grace period; then it ends without the agreement of the others
 OPEN_CALLS_GRACE_S = 0.1  # after the others have agreed, for answers that are under way
 
 
@@ -32,7 +32,7 @@
 
     Attributes:
         settings: Those in force.
-        parts: What it consists of but for its sockets and tasks.
+        components: What it consists of but for its sockets and tasks.
         tasks: Its background tasks.
     """
 
@@ -46,7 +46,7 @@
         if settings.data_dir is None:
             raise SettingsError("data_dir", "is not given", "control keeps its state on disk: name a folder")
         self.settings = settings
-        self.parts = assemble(settings, settings.data_dir)
+        self.components = assemble(settings, settings.data_dir)
         self.tasks = BackgroundTasks()
 
     async def start(self) -> None:
@@ -55,22 +55,22 @@
         Raises:
             OSError: An address cannot be listened at.
         """
-        parts = self.parts
-        parts.runners.placer.start()
-        parts.replication.log.start()
-        parts.distribution.publisher.on_restored()
+        components = self.components
+        components.runners.placer.start()
+        components.replication.log.start()
+        components.distribution.publisher.on_restored()
         await self._listen()
-        parts.periodic_work.start(self.tasks)
-        self.tasks.start("peers", parts.distribution.pullers.run)
-        self.tasks.start("handoff", parts.distribution.handoff.run)
-        self.tasks.start("placement", parts.runners.placer.run)
-        log.info("control.started", member=parts.replication.member.id)
+        components.periodic_work.start(self.tasks)
+        self.tasks.start("peers", components.distribution.pullers.run)
+        self.tasks.start("handoff", components.distribution.handoff.run)
+        self.tasks.start("placement", components.runners.placer.run)
+        log.info("control.started", member=components.replication.member.id)
 
     def reload(self, settings: NodeSettings) -> None:
         """Takes other seeds; addresses stay."""
         self.settings = settings
-        self.parts.distribution.processes.set_seeds(seed_rpc_addresses(settings))
-        self.parts.swim.join(seed_gossip_addresses(settings))
+        self.components.distribution.processes.set_seeds(seed_rpc_addresses(settings))
+        self.components.swim.join(seed_gossip_addresses(settings))
 
     async def stop(self) -> None:
         """Hands over what it is alone in doing, and ends once the others go on without it.
@@ -79,10 +79,10 @@
         refused, which sends the runner to another process at once. Nothing depends on the end being in
         order; cut short, it is the loss of a process.
         """
-        self.parts.runners.check_ins.close()
-        self.parts.replication.log.leave()
+        self.components.runners.check_ins.close()
+        self.components.replication.log.leave()
         self._gossip.leave()
-        if await self._has_left_within(LEAVE_SHARE * self.settings.time_limits.grace_period_s):
+        if await self._has_left_within(LEAVE_TIMEOUT_FRACTION * self.settings.time_limits.grace_period_s):
             log.info("control.left")
         else:
             log.warning("control.left_without_agreement")
@@ -90,24 +90,24 @@
         await asyncio.sleep(OPEN_CALLS_GRACE_S)
         self.tasks.stop()
         self._rpc.stop()
-        self.parts.clients.close()
+        self.components.clients.close()
 
     async def _listen(self) -> None:
-        settings, parts = self.settings, self.parts
-        self._rpc = RpcServer(parts.rpc_service)
+        settings, components = self.settings, self.components
+        self._rpc = RpcServer(components.rpc_service)
         await self._rpc.start(settings.ip, settings.port(RPC_PORT))
-        self._gossip = SwimTransport(parts.swim, settings.ip, settings.port(CONTROL_GOSSIP_PORT))
+        self._gossip = SwimTransport(components.swim, settings.ip, settings.port(CONTROL_GOSSIP_PORT))
         await self._gossip.start()
         self._http = http_api.serve(
-            parts.replication.operator_calls,
-            parts.runners.check_ins,
+            components.replication.operator_calls,
+            components.runners.check_ins,
             settings.listen.control,
-            http_status.rules(parts.status.as_json, parts.status.metrics),
+            http_status.rules(components.status.as_json, components.status.metrics),
         )
 
     async def _has_left_within(self, seconds: float) -> bool:
         """Whether the others have agreed to its end within this time."""
-        replicated_log = self.parts.replication.log
+        replicated_log = self.components.replication.log
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while not replicated_log.has_left and loop.time() < until:
--- a/tests/control/test_graceful_stop.py
+++ b/tests/control/test_graceful_stop.py
@@ -17,8 +17,8 @@
 BODY = b'{"service":"s","address":"10.0.0.9:1","zone":"a","slots":1,"state":"ready","call_count":1}'
 
 
-class Part:
-    """A part of the node that notes its calls."""
+class RecordingStub:
+    """Stands in for a component of the node and records its calls."""
 
     def __init__(self, name: str, events: list[str]) -> None:
         self._name, self._events = name, events
@@ -27,7 +27,7 @@
         return lambda *arguments: self._events.append(f"{self._name}.{call}")
 
 
-class Log(Part):
+class ReplicatedLogStub(RecordingStub):
     """The replicated log; the others agree to the end after `agreed_after` seconds."""
 
     def __init__(self, events: list[str], agreed_after: float) -> None:
@@ -39,7 +39,7 @@
         return asyncio.get_running_loop().time() >= self._agreed_after
 
 
-class ControlEndTest(TestCase):
+class ControlStopTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         folder = tempfile.TemporaryDirectory()
@@ -58,16 +58,16 @@
         )
         self.events: list[str] = []
 
-    def end(self, agreed_after: float) -> float:
+    def stop_node(self, agreed_after: float) -> float:
         """Stops the process; returns the seconds that it took."""
         node: Any = self.node
-        log: Any = Log(self.events, agreed_after)
-        clients: Any = Part("clients", self.events)
-        node.parts = replace(
-            node.parts, clients=clients, replication=replace(node.parts.replication, log=log)
+        log: Any = ReplicatedLogStub(self.events, agreed_after)
+        clients: Any = RecordingStub("clients", self.events)
+        node.components = replace(
+            node.components, clients=clients, replication=replace(node.components.replication, log=log)
         )
         for name in ("_gossip", "_http", "_rpc", "tasks"):
-            setattr(node, name, Part(name.strip("_"), self.events))
+            setattr(node, name, RecordingStub(name.strip("_"), self.events))
 
         async def stop() -> float:
             await self.node.stop()
@@ -76,22 +76,22 @@
         return run(stop())
 
     def test_it_ends_soon_after_the_others_have_agreed(self) -> None:
-        assert self.end(agreed_after=0.2) < 0.5
+        assert self.stop_node(agreed_after=0.2) < 0.5
 
     def test_it_listens_and_takes_part_until_the_others_have_agreed(self) -> None:
-        self.end(agreed_after=2.0)
+        self.stop_node(agreed_after=2.0)
         assert self.events[:3] == ["log.leave", "gossip.leave", "http.stop"]
         assert {"tasks.stop", "rpc.stop", "clients.close"} == set(self.events[3:])
 
     def test_without_their_agreement_it_ends_well_within_the_grace_period(self) -> None:
-        took = self.end(agreed_after=1000.0)
+        took = self.stop_node(agreed_after=1000.0)
         assert took > GRACE_S / 4
         assert took < GRACE_S * 0.6
 
     def test_a_runner_that_checks_in_meanwhile_is_sent_to_another_process(self) -> None:
         async def check_in() -> bool:
-            return await self.node.parts.runners.check_ins.check_in("i-1", BODY)
+            return await self.node.components.runners.check_ins.check_in("i-1", BODY)
 
         assert asyncio.run(check_in())
-        self.end(agreed_after=0.2)
+        self.stop_node(agreed_after=0.2)
         assert not asyncio.run(check_in())
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -177,9 +177,9 @@
     )
     node = ControlNode(settings)
     lease = Lease("placer", 70_001, 1e12)
-    placer, registry = node.parts.runners.placer, node.parts.distribution.registry
+    placer, registry = node.components.runners.placer, node.components.distribution.registry
     placer._lease = lambda name: lease if name == "placer" else None
-    node.parts.periodic_work.update_contacts()
+    node.components.periodic_work.update_contacts()
     placer.publish_expected_loads("i-1", {"m": 12.5})
     placer.publish_expected_loads("i-1", {})
     entries = list(registry.items(""))
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -77,18 +77,18 @@
             seed_list=["127.0.0.1:8146"],
             data_dir=folder.name,
         )
-        self.parts = ControlNode(settings).parts
+        self.components = ControlNode(settings).components
         self.placed: Any = None
         self.service = StatusService(
             StatusSources(
                 "core-1",
-                self.parts.replication.member,
-                self.parts.replication.state,
-                self.parts.swim,
-                self.parts.distribution.registry,
-                self.parts.runners.directory,
-                self.parts.replication.disk,
-                self.parts.distribution.contact,
+                self.components.replication.member,
+                self.components.replication.state,
+                self.components.swim,
+                self.components.distribution.registry,
+                self.components.runners.directory,
+                self.components.replication.disk,
+                self.components.distribution.contact,
                 lambda: self.placed,
             )
         )
@@ -108,15 +108,15 @@
 
     def test_the_placer_and_the_runners_are_those_of_the_registry(self) -> None:
         placer = json.dumps({"address": "10.0.0.3:7660"}).encode()
-        self.parts.distribution.registry.put(PLACER_KEY, placer, 70_001)
-        self.parts.runners.directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
+        self.components.distribution.registry.put(PLACER_KEY, placer, 70_001)
+        self.components.runners.directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
         status = self.service.read()
         assert (status.placer, status.placer_fence) == ("10.0.0.3:7660", 70001)
         assert status.runners == {"ready": 1}
 
     def test_reserve_is_reported_only_while_it_exists(self) -> None:
         assert not self.service.read().disk.has_reserve
-        self.parts.replication.disk.refill_reserve()
+        self.components.replication.disk.refill_reserve()
         assert self.service.read().disk.has_reserve
 
     def test_placement_is_reported_only_on_request_and_only_by_the_placer(self) -> None:
--- a/tests/placement/test_orders.py
+++ b/tests/placement/test_orders.py
@@ -238,5 +238,5 @@
             seed_list=["127.0.0.1:8146"],
             data_dir=str(folder),
         )
-        ControlNode(settings).parts.runners.placer.start()
+        ControlNode(settings).components.runners.placer.start()
     assert owners == ["127.0.0.1:7660"] * 3
