--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -1,4 +1,4 @@
-"""Control processes on simulated disks and links; their members, logs and operator's calls are the real ones.
+"""Control processes on simulated disks and links; their members, logs and operator calls are the real ones.
 
 Everything follows from one seed. A frozen process takes nothing in and sends nothing; its timers go on.
 """
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 from random import Random
-from typing import Any
+from typing import Any, TypeVar
 
 from ...control.configuration_state import ConfigurationState
 from ...control.operator_calls import OperatorCallRouter
@@ -22,6 +22,7 @@
 from ...rpc.client import RpcClient
 from ...rpc.errors import RpcConnectionError, RpcTimeoutError
 from ...rpc.generated.ttypes import OperatorAnswer, OperatorCall, PeerMessage
+from ...rpc.structs import Argument, Reply
 from ...runtime.rpc_clients import RpcClients
 from ..errors import SimulatedCrashError
 from ..links import CALM_DELAY_S, Links
@@ -30,21 +31,32 @@
 
 COMPACT_RECORDS = 6  # so that snapshots are taken and sent all the time
 LEASE_TERM_S = 3.0
-CLOCKS_APART_S = 50.0  # clocks of different machines differ by up to this
+MAX_CLOCK_OFFSET_S = 50.0  # clocks of different machines differ by at most this
+
+
+ResultT = TypeVar("ResultT")
 
 
 class Process:
-    """One life of a control process."""
+    """One incarnation of a control process.
+
+    Attributes:
+        is_alive: False from its end on.
+        is_frozen: Whether it stands still, while its timers go on.
+        held: What came, or should go out, while it was frozen.
+        tasks: Calls that it serves.
+    """
 
     def __init__(
         self, cluster: SimulatedCluster, address: str, disk: SimulatedDisk, first_boot: bool
     ) -> None:
+        """Takes up the disk; `start` brings the process to work."""
         self.cluster, self.address, self.disk = cluster, address, disk
         self.is_alive = True
         self.is_frozen = False
-        self.held: list[Callable[[], None]] = []  # what came, or should go out, while it was frozen
-        self.tasks: list[asyncio.Task[None]] = []  # calls that are served
-        self._offset = cluster.random.uniform(0.0, CLOCKS_APART_S)
+        self.held: list[Callable[[], None]] = []
+        self.tasks: list[asyncio.Task[None]] = []
+        self._offset = cluster.random.uniform(0.0, MAX_CLOCK_OFFSET_S)
         self.state = ConfigurationState()
         settings = MemberSettings(
             address,
@@ -68,7 +80,7 @@
         self.cluster.checks.in_force(self.address, self.state)
 
     def start(self) -> None:
-        """Takes up its disk, and ticks from now on."""
+        """Begins to tick and to take part."""
         self.member.set_contacts(self.cluster.addresses)
         self.log.start()
         self._changed()
@@ -81,7 +93,7 @@
                 self.do(self.log.tick)
 
     def do(self, step: Callable[[], None]) -> None:
-        """One step of this process, in which it may break off."""
+        """Carries out one step of this process, in which it may crash; a frozen one does so later."""
         if not self.is_alive:
             return
         if self.is_frozen:
@@ -115,11 +127,11 @@
 
     @property
     def has_undecided(self) -> bool:
-        """Whether it is primary and has proposed what has not enough copies yet."""
+        """Whether it is primary and has proposed records that are not committed yet."""
         return self.member.is_primary and self.member.last_index > self.member.committed_index
 
     def digest(self) -> tuple[object, ...]:
-        """What its state comes to, seen from outside."""
+        """Returns what its state comes to, seen from outside."""
         member = self.member
         return (
             self.address,
@@ -131,16 +143,17 @@
         )
 
     def end(self) -> None:
-        """The process ends, and whatever it served with it."""
+        """Ends the process, and whatever it serves with it."""
         self.is_alive = False
         for task in list(self.tasks):
             task.cancel()
 
 
 class SimulatedClients(RpcClients):
-    """The clients of one process."""
+    """The rpc clients of one process."""
 
     def __init__(self, process: Process) -> None:
+        """Takes the process that calls."""
         super().__init__()
         self._process = process
 
@@ -150,22 +163,30 @@
 
 
 class SimulatedClient(RpcClient):
-    """One process's calls to another one."""
+    """One process's calls to another one, over the simulated links."""
 
     def __init__(self, caller: Process, address: str) -> None:
+        """Takes the process that calls and the address of the one that is called."""
         super().__init__(address)
         self._caller, self._cluster = caller, caller.cluster
 
-    def post(self, method: str, argument: Any) -> None:
-        """A message of the replication protocol; it may be lost or doubled."""
-        message: PeerMessage = argument
+    def post(self, method: str, argument: Argument) -> None:
+        """Sends a message of the replication protocol; it may be lost or doubled."""
+        assert isinstance(argument, PeerMessage)
+        message = argument
         copies = 2 if self._cluster.random.random() < self._cluster.links.duplication_rate else 1
         for _ in range(copies):
             self._cluster.transmit(self._caller, self.address, lambda receiver: receiver.log.receive(message))
 
-    async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
-        """A call that is passed on. Raises RpcError."""
-        call: OperatorCall = argument
+    async def call(self, method: str, argument: Argument, timeout_s: float) -> Reply:
+        """Forwards an operator's call.
+
+        Raises:
+            RpcTimeoutError: There was no answer in time.
+            RpcConnectionError: The called process ended as it served the call.
+        """
+        assert isinstance(argument, OperatorCall)
+        call = argument
         future: asyncio.Future[OperatorAnswer] = self._cluster.loop.create_future()
         self._cluster.transmit(
             self._caller,
@@ -175,8 +196,8 @@
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
-        except TimeoutError:
-            raise RpcTimeoutError(f"{self.address}: no answer in {timeout_s:.2f} s") from None
+        except TimeoutError as error:
+            raise RpcTimeoutError(f"{self.address}: no answer in {timeout_s:.2f} s") from error
 
     async def _answer(
         self, receiver: Process, call: OperatorCall, future: asyncio.Future[OperatorAnswer]
@@ -190,7 +211,7 @@
             self._cluster.transmit(receiver, self._caller.address, lambda caller: _settle(future, answer))
 
 
-def _settle(future: asyncio.Future[Any], outcome: Any) -> None:
+def _settle(future: asyncio.Future[ResultT], outcome: ResultT | Exception) -> None:
     if future.done() or future.get_loop().is_closed():
         return
     if isinstance(outcome, Exception):
@@ -211,9 +232,18 @@
 
 
 class SimulatedCluster:
-    """The machines of one run, each with a disk and at most one process. Belongs to the running loop."""
+    """The machines of one run, each with a disk and at most one process.
+
+    Attributes:
+        loop: The loop it belongs to, whose time is virtual.
+        survive: How many machines may be lost at a time.
+        processes: Those that run, by their address.
+        states: Different states of the cluster that were seen, as hashes.
+        failed: Done with the first error of a call that is served; ends the run.
+    """
 
     def __init__(self, seed: int, machines: int) -> None:
+        """Makes empty machines in the running loop; nothing runs on them yet."""
         self.random = Random(seed)
         self.loop = asyncio.get_running_loop()
         self.checks = InvariantChecker()
@@ -223,7 +253,7 @@
         self.disks = {address: SimulatedDisk() for address in self.addresses}
         self.processes: dict[str, Process] = {}
         self.states: set[int] = set()
-        self._latest_view: View | None = None  # in which somebody acted as primary
+        self._latest_view: View | None = None  # in which a member acted as primary
         self.failed: asyncio.Future[None] = self.loop.create_future()
 
     # ---- machines ----
@@ -241,7 +271,7 @@
             self.disks[address].lose_power(self.random)
 
     def kill(self, address: str, power: bool = False) -> None:
-        """The process ends; with its power, unsynced writes may be gone too."""
+        """Ends the process; if the machine loses power, unsynced writes may be lost too."""
         process = self.processes.pop(address, None)
         if process is not None:
             process.end()
@@ -249,36 +279,38 @@
             self.disks[address].lose_power(self.random)
 
     def wipe(self, address: str) -> None:
-        """The process ends, and its disk is empty from now on."""
+        """Ends the process and empties its disk."""
         self.kill(address)
         self.disks[address] = SimulatedDisk()
 
     def may_lose_a_disk(self) -> bool:
-        """Whether one more disk may be lost within what the system survives; those whose successors are not
-        in sync and witnesses yet count as lost."""
+        """Returns whether one more disk may be lost within what the system survives.
+
+        Those whose successors are not in sync and witnesses yet count as lost.
+        """
         view = self._latest_view
         if view is None:
             return False
-        names = [disk.member_id for disk in self.disks.values()]
-        seated = [
-            name
-            for name in names
-            if name in view.in_sync and name in view.witnesses and name in view.former_witnesses
+        members = [disk.member_id for disk in self.disks.values()]
+        replaced = [
+            member
+            for member in members
+            if member in view.in_sync and member in view.witnesses and member in view.former_witnesses
         ]
-        return len(names) - len(seated) < self.survive
+        return len(members) - len(replaced) < self.survive
 
     def crash(self, process: Process) -> None:
-        """The process has broken off in the middle of a write."""
+        """Ends a process that has crashed in the middle of a write."""
         if self.processes.get(process.address) is process:
             self.kill(process.address, power=self.random.random() < 0.5)
 
     def freeze(self, address: str) -> None:
-        """The process stands still."""
+        """Lets the process stand still."""
         if address in self.processes:
             self.processes[address].is_frozen = True
 
     def thaw(self, address: str) -> None:
-        """The process goes on with what came meanwhile."""
+        """Lets the process go on with what came meanwhile."""
         process = self.processes.get(address)
         if process is not None and process.is_frozen:
             process.is_frozen = False
@@ -310,9 +342,9 @@
             process.do(partial(step, process))
 
     async def call(
-        self, address: str, operation: str, base_version: int, body: bytes, patience: float
+        self, address: str, operation: str, base_version: int, body: bytes, timeout_s: float
     ) -> OperatorResponse | None:
-        """An operator's call to a machine; None where no answer came."""
+        """Makes an operator's call to a machine; returns None where no answer came."""
         future: asyncio.Future[OperatorResponse] = self.loop.create_future()
 
         async def serve(process: Process) -> None:
@@ -329,7 +361,7 @@
 
         self.loop.call_later(self.random.uniform(*CALM_DELAY_S), arrive)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
             return None
@@ -338,17 +370,17 @@
         if self.random.random() >= self.links.answer_loss_rate:
             self.loop.call_later(self.random.uniform(*CALM_DELAY_S), _settle, future, answer)
 
-    # ---- what is seen ----
+    # ---- observations ----
 
     def observe(self, process: Process) -> None:
-        """Counts the states that the processes are in, and notes the view in which this one acts."""
+        """Counts the state that all processes are in, and notes the view in which this one acts."""
         view, newest = process.member.view, self._latest_view
-        if process.member.acting_epoch is not None and view is not None:
-            if newest is None or view.epoch > newest.epoch:
-                self._latest_view = view
+        is_acting = process.member.acting_epoch is not None
+        if is_acting and view is not None and (newest is None or view.epoch > newest.epoch):
+            self._latest_view = view
         self.states.add(hash(tuple(process.digest() for process in self.processes.values())))
 
     def fail(self, error: BaseException) -> None:
-        """Something served has broken a property or ended in an error: the run ends with it."""
+        """Ends the run with the error of a call that was served, or of an operator."""
         if not self.failed.done():
             self.failed.set_exception(error)
--- a/larchgw/model_checking/operator_calls/fault_injection.py
+++ b/larchgw/model_checking/operator_calls/fault_injection.py
@@ -29,6 +29,7 @@
     """Plays faults on a cluster. All choices come from its random generator."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
+        """Takes a cluster of which nothing runs yet, and draws which kinds of fault this run has."""
         self._cluster = cluster
         self._random = cluster.random
         faults: list[Callable[[], None]] = [
@@ -45,7 +46,7 @@
             self._wipe,
             self._wipe,
         ]
-        # Some sorts only, so that a run may have many of the same and of what goes together.
+        # A few kinds only, so that a run may have many of the same and of what goes together.
         drawn = self._random.sample(faults, self._random.choice((1, 2, 4, len(faults))))
         self._faults = [self._partition_primary, self._cancel_calls, *drawn]
 
@@ -68,7 +69,7 @@
         self._cluster.links.is_cut = no_link_is_cut
         self._cluster.links.become_reliable()
         for address, disk in self._cluster.disks.items():
-            disk.full, disk.crash_after = False, None
+            disk.is_full, disk.writes_until_crash = False, None
             self._cluster.thaw(address)
             self._cluster.start(address)
         await asyncio.sleep(CONVERGENCE_S)
@@ -120,7 +121,7 @@
 
     def _crash_within_a_write(self) -> None:
         address = self._pick_address()
-        self._cluster.disks[address].crash_after = self._random.randrange(6)
+        self._cluster.disks[address].writes_until_crash = self._random.randrange(6)
         self._schedule(3.0, partial(self._cluster.start, address))
 
     def _freeze(self) -> None:
@@ -177,13 +178,14 @@
 
     def _fill_disk(self) -> None:
         disk = self._cluster.disks[self._pick_address()]
-        disk.full = True
-        self._schedule(self._random.uniform(*DISK_FULL_RANGE_S), lambda: setattr(disk, "full", False))
+        disk.is_full = True
+        self._schedule(self._random.uniform(*DISK_FULL_RANGE_S), lambda: setattr(disk, "is_full", False))
 
     def _cancel_calls(self) -> None:
         """Connections over which calls were passed on end: what serves them is cancelled where it stands.
 
-        Mostly that is while a record is undecided, which it is for some ms only."""
+        Mostly that is while a record is undecided, which it is for some ms only.
+        """
         self._cancel_at_a_proposal(self._cluster.loop.time() + self._random.choice((0.0, 0.5, 0.5)))
 
     def _cancel_at_a_proposal(self, latest: float) -> None:
--- a/larchgw/model_checking/operator_calls/invariants.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -1,7 +1,8 @@
-"""What operators may rely on, checked by what was sent, what came back, and what is in force."""
+"""What operators may rely on, checked by what was sent, what was answered, and what is in force."""
 
 from __future__ import annotations
 
+from collections import Counter
 from dataclasses import dataclass
 
 from ...configuration.change import REPLACE
@@ -14,27 +15,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """One order, however often it is sent. `version` is the number that it asks for."""
+    """One order, however often it is sent.
+
+    Attributes:
+        order: What is sent.
+        version: The version number that it asks for.
+        is_valid: Whether it could be put in force at all.
+    """
 
     order: OperatorOrder
     version: int
     is_valid: bool
 
     def __str__(self) -> str:
-        sort = "whole" if self.order.operation == REPLACE else "change"
-        return f"{sort} {self.version} on {self.order.base_version} ({self.order.digest()[:6]})"
+        """Names the order in messages of violations."""
+        kind = "whole" if self.order.operation == REPLACE else "change"
+        return f"{kind} {self.version} on {self.order.base_version} ({self.order.digest()[:6]})"
 
 
 class InvariantChecker:
-    """Watches one run."""
+    """Watches a run from outside: orders, their answers and the configurations in force.
+
+    Attributes:
+        answers: By status, how many answers operators got.
+        newest_acknowledged: The newest version whose order was acknowledged; 0 if there is none.
+    """
 
     def __init__(self) -> None:
+        """Begins before any order is sent."""
         self._sent: dict[int, list[Sent]] = {}  # by the version asked for
         self._acknowledged: dict[str, Sent] = {}  # by digest, in the order of the first acknowledgement
         self._refused: set[str] = set()
         self._won: dict[int, Sent] = {}  # base version -> what is, or was, in force on top of it
         self._in_force: dict[int, Sent] = {}  # by version
-        self.answers: dict[int, int] = {}  # status -> how many operators saw it
+        self.answers: Counter[int] = Counter()
         self.newest_acknowledged = 0
 
     @property
@@ -43,12 +57,12 @@
         return list(self._acknowledged.values())
 
     def sends(self, sent: Sent) -> None:
-        """An operator is about to send this order for the first time."""
+        """Observes that an operator is about to send this order for the first time."""
         self._sent.setdefault(sent.version, []).append(sent)
 
     def answered(self, sent: Sent, status: int) -> None:
-        """An operator got this answer to an order."""
-        self.answers[status] = self.answers.get(status, 0) + 1
+        """Observes an answer to an order."""
+        self.answers[status] += 1
         if status == DONE:
             self._accepted(sent)
         elif 400 <= status < 500:
@@ -75,8 +89,8 @@
         self._refused.add(digest)
 
     def read(self, acknowledged_before: int, version: int) -> None:
-        """A read gave `version`, 0 for none; it began when `acknowledged_before` was the newest."""
-        self.answers[DONE] = self.answers.get(DONE, 0) + 1
+        """Observes that a read gave `version`, 0 for none; it began after `acknowledged_before` was."""
+        self.answers[DONE] += 1
         if version < acknowledged_before:
             raise InvariantError(
                 f"a read gave {version}; {acknowledged_before} was acknowledged before it began"
@@ -85,7 +99,7 @@
             raise InvariantError(f"a read gave {version}, which was never in force")
 
     def in_force(self, process: str, state: ConfigurationState) -> None:
-        """A process has applied records."""
+        """Observes that a process has applied records."""
         for sent in self._sent.get(state.version, []):
             if state.is_accepted(sent.order):
                 self._comes_into_force(process, sent)
--- a/larchgw/model_checking/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -1,4 +1,4 @@
-"""Operators as the pages have them: they race, lose answers, and send the same again until it is clear."""
+"""Simulated operators: they race, lose answers, and send an order again until its outcome is clear."""
 
 from __future__ import annotations
 
@@ -12,37 +12,44 @@
 from .cluster import SimulatedCluster
 from .invariants import Sent
 
-SILENCE_S = 1.0  # then another process is called
-MAX_AT_ONCE = 8  # orders under way
-MAX_SENDS = 25  # of one order, before its operator gives it up
-INVALID_SHARE = 0.1
-AGAIN_SHARE = 0.4  # of rounds in which an old order is sent again
-TWIN_SHARE = 0.2  # of sends that go to two processes at once
+CALL_TIMEOUT_S = 1.0  # then another process is called
+MAX_CONCURRENT_ORDERS = 8
+MAX_ATTEMPTS = 25  # to send one order, before its operator gives up
+INVALID_SHARE = 0.1  # of orders
+RESEND_SHARE = 0.4  # of rounds in which an acknowledged order is sent again
+DUPLICATE_SHARE = 0.2  # of attempts that go to two processes at once
 OTHER_BASE_SHARE = 0.1  # of orders whose very text is sent on top of another version as well
+ROUND_PAUSE_S = (0.0, 0.3)
+RETRY_PAUSE_S = (0.02, 0.4)
 
 
 class Operators:
-    """A few operators who know nothing of each other."""
+    """A few operators who know nothing of each other.
+
+    Attributes:
+        is_working: False once they should come to an end.
+    """
 
     def __init__(self, cluster: SimulatedCluster) -> None:
+        """Takes the cluster that they call."""
         self._cluster = cluster
         self._checks = cluster.checks
         self._random = cluster.random
         self._serial = 0
-        self.is_working = True  # false once they should come to an end
+        self.is_working = True
 
     async def work(self) -> None:
-        """One operator's days."""
+        """Works as one operator until `is_working` is False."""
         while self.is_working:
             base = await self.read()
             if base is not None:
                 await asyncio.gather(*(self.send(sent) for sent in self._orders(base)))
-            if self._checks.acknowledged and self._random.random() < AGAIN_SHARE:
+            if self._checks.acknowledged and self._random.random() < RESEND_SHARE:
                 await self.send(self._random.choice(self._checks.acknowledged[-4:]))
-            await asyncio.sleep(self._random.uniform(0.0, 0.3))
+            await asyncio.sleep(self._random.uniform(*ROUND_PAUSE_S))
 
     async def read(self) -> int | None:
-        """The current version as read from any process; None where there was no clear answer."""
+        """Reads the current version from any process; returns None where there was no clear answer."""
         before = self._checks.newest_acknowledged
         answer = await self._call("read", -1, b"")
         if answer is None or answer.status not in (200, 404):
@@ -52,19 +59,19 @@
         return int(version)
 
     async def send(self, sent: Sent) -> int | None:
-        """Sends an order until there is a clear answer; None if there is none."""
-        for _ in range(MAX_SENDS):
+        """Sends an order until there is a clear answer, and returns its status; None if there is none."""
+        for _ in range(MAX_ATTEMPTS):
             if not self.is_working:
                 return None
-            twins = 2 if self._random.random() < TWIN_SHARE else 1
-            statuses = await asyncio.gather(*(self._send_once(sent) for _ in range(twins)))
+            copies = 2 if self._random.random() < DUPLICATE_SHARE else 1
+            statuses = await asyncio.gather(*(self._attempt(sent) for _ in range(copies)))
             clear = [status for status in statuses if status is not None and status < 500]
             if clear:
                 return clear[0]
-            await asyncio.sleep(self._random.uniform(0.02, 0.4))
+            await asyncio.sleep(self._random.uniform(*RETRY_PAUSE_S))
         return None
 
-    async def _send_once(self, sent: Sent) -> int | None:
+    async def _attempt(self, sent: Sent) -> int | None:
         order = sent.order
         answer = await self._call(order.operation, order.base_version, order.body)
         if answer is None:
@@ -74,12 +81,12 @@
 
     async def _call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse | None:
         address = self._random.choice(self._cluster.addresses)
-        return await self._cluster.call(address, operation, base_version, body, SILENCE_S)
+        return await self._cluster.call(address, operation, base_version, body, CALL_TIMEOUT_S)
 
     # ---- orders ----
 
     def _orders(self, base: int) -> list[Sent]:
-        count = self._random.choice((1, 1, 2, 3, MAX_AT_ONCE))
+        count = self._random.choice((1, 1, 2, 3, MAX_CONCURRENT_ORDERS))
         orders = [self._order(base) for _ in range(count)]
         if self._random.random() < OTHER_BASE_SHARE and base > 1:
             order = orders[0].order
@@ -90,7 +97,7 @@
         return orders
 
     def _order(self, base: int) -> Sent:
-        """A whole configuration or a change; different ones may bear the same number."""
+        """Makes a whole configuration or a change; different ones may ask for the same version number."""
         version = base + self._random.randint(1, 2)
         self._serial += 1
         service = {"name": "s", "health_path": f"/{self._serial}"}
@@ -100,11 +107,11 @@
             operation, body = CHANGE, {"config_version": version, "add": {"services": [service]}}
         text, is_valid = json.dumps(body), True
         if self._random.random() < INVALID_SHARE:
-            text, is_valid = self._spoiled(body, base), False
+            text, is_valid = self._make_invalid(body, base), False
         return Sent(OperatorOrder(operation, base, text.encode()), version, is_valid)
 
-    def _spoiled(self, body: dict[str, Any], base: int) -> str:
-        """The same order, but invalid."""
+    def _make_invalid(self, body: dict[str, Any], base: int) -> str:
+        """Returns the text of the same order, but invalid."""
         route = {
             "name": "r",
             "hostname": "h.example",
@@ -114,11 +121,11 @@
             "service": f"none-{self._serial}",
             "tries": 1,
         }
-        part = body["add"] if "add" in body else body
+        services = body.get("add", body)
         return self._random.choice(
             (
                 json.dumps(body)[:-2],
                 json.dumps({**body, "config_version": base}),
-                json.dumps({**body, "add": {**part, "routes": [route]}, "routes": [route]}),
+                json.dumps({**body, "add": {**services, "routes": [route]}, "routes": [route]}),
             )
         )
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -28,10 +28,11 @@
 from .invariants import InvariantChecker
 from .machine import Machine, Proposal
 
-TICK = 0.02  # seconds
+TICK_S = 0.02
+MAX_CLOCK_OFFSET_S = 50.0
 LEASE_NAME = "placer"
 LEASE_TERM_S = 3.0
-CHUNK_BYTES = 16  # so that a snapshot goes in several pieces
+CHUNK_BYTES = 16  # so that a snapshot goes in several chunks
 DELIVER_BYTES = 600  # so that records are handed out one to three at a time
 
 
@@ -58,9 +59,34 @@
 
 
 class SimulatedCluster:
-    """Machines a, b, c, ...; the first `seeds` are the seeds of the first boot."""
+    """The machines of one run, with links and disks that misbehave as set.
+
+    Attributes:
+        now: Seconds of the simulation; the clocks of machines differ from it and from one another.
+        survive: How many disks may be lost at a time.
+        seeds: Addresses of the seeds of the first boot.
+        events: How many messages and ticks were played.
+        states: Different states of the cluster that were seen, as hashes.
+        acknowledged: How many changes were.
+        confirmed: How many reads were.
+        removed_addresses: Of machines that were taken away for good.
+        latest_view: The latest in which a member acted as primary.
+        write_s: How long a write to a disk takes.
+        has_leases: Whether leases are checked; they depend on a common time.
+        snapshot_padding_bytes: Of a snapshot, besides its state.
+        chunk_bytes: A snapshot is sent in messages of so many bytes.
+        compact_records: A log is compacted once it has so many records.
+    """
 
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
+        """Makes a cluster of which nothing runs yet.
+
+        Args:
+            seed: Of the random generator from which everything is drawn.
+            machines: How many there are at the start.
+            seeds: How many of them are seeds of the first boot.
+            survive: How many disks may be lost at a time.
+        """
         self.random = Random(seed)
         self.now = 100.0
         self.checks = InvariantChecker(LEASE_TERM_S)
@@ -71,8 +97,8 @@
         self.states: set[int] = set()
         self.acknowledged = 0
         self.confirmed = 0
-        self.removed_addresses: set[str] = set()  # addresses of machines that were taken away
-        self.latest_view: View | None = None  # the newest in which somebody acted as primary
+        self.removed_addresses: set[str] = set()
+        self.latest_view: View | None = None
         self.write_s = 0.001
         self.has_leases = True
         self.links = ReplicationLinks()
@@ -85,9 +111,11 @@
     # ---- machines ----
 
     def new_machine(self) -> Machine:
-        """An empty machine at a new address."""
+        """Adds a machine with an empty disk at a new address."""
         address = f"m{len(self.machines)}:1"
-        self.machines[address] = Machine(address, SimulatedDisk(), self.random.uniform(0.0, 50.0))
+        self.machines[address] = Machine(
+            address, SimulatedDisk(), self.random.uniform(0.0, MAX_CLOCK_OFFSET_S)
+        )
         return self.machines[address]
 
     def start(self, address: str, first_boot: bool = False) -> None:
@@ -117,35 +145,35 @@
         except SimulatedCrashError:
             machine.member = None
             return
-        self._push(self.random.uniform(0.0, TICK), address, None)
+        self._push(self.random.uniform(0.0, TICK_S), address, None)
 
     def kill(self, address: str) -> None:
-        """The process ends; its files stay as they are."""
+        """Ends the process; its files stay as they are."""
         self.machines[address].member = None
 
     def lose_power(self, address: str) -> None:
-        """The process ends, and writes that were not synced may be gone."""
+        """Ends the process; writes that were not synced may be lost."""
         machine = self.machines[address]
         machine.member = None
         machine.disk.lose_power(self.random)
 
     def destroy(self, address: str) -> None:
-        """The machine and its disk are taken away for good."""
+        """Takes the machine and its disk away for good."""
         self.wipe(address)
         self.removed_addresses.add(address)
 
     def wipe(self, address: str) -> None:
-        """The process ends, and its disk is empty from now on."""
+        """Ends the process and empties its disk."""
         machine = self.machines[address]
         machine.member = None
         machine.disk = SimulatedDisk()
 
     def freeze(self, address: str) -> None:
-        """The process stands still; its clock does not."""
+        """Lets the process stand still while its clock goes on."""
         self.machines[address].is_frozen = True
 
     def thaw(self, address: str) -> None:
-        """The process goes on and finds what came meanwhile."""
+        """Lets the process go on; it receives what came meanwhile."""
         machine = self.machines[address]
         machine.is_frozen = False
         if machine.member is not None:
@@ -155,9 +183,11 @@
             self._push(0.0, address, message)
 
     def may_lose_a_disk(self, at: str = "") -> bool:
-        """Whether one more disk, the one at this address, may be lost within what the system survives. A
-        member of the view whose disk is gone counts as lost until another has its place, and so does a
-        witness that is not in sync."""
+        """Returns whether one more disk, the one at this address, may be lost and the system survive it.
+
+        A member of the view whose disk is gone counts as lost until another has its place, and so does a
+        witness that is not in sync.
+        """
         view = self.latest_view
         if view is None or min(len(view.witnesses), len(view.former_witnesses)) < 2 * self.survive + 1:
             return False  # machines have been added just now, and count as lost until all is settled
@@ -167,8 +197,8 @@
             for member in view.members
             if member not in disks or member in view.electors and member not in view.in_sync
         ]
-        own = self.machines[at].id if at else ""
-        return len(set(lost) - {own}) < self.survive
+        itself = self.machines[at].id if at else ""
+        return len(set(lost) - {itself}) < self.survive
 
     @property
     def running(self) -> list[Machine]:
@@ -220,24 +250,24 @@
             if message is not None:
                 machine.inbox.append(message)
             else:
-                self._push(TICK, machine.address, None)
+                self._push(TICK_S, machine.address, None)
             return
         self.events += 1
         if message is None:
-            self._push(TICK, machine.address, None)
+            self._push(TICK_S, machine.address, None)
             self._call(machine, lambda member, clock: member.tick(clock))
         else:
             self._call(machine, lambda member, clock: member.receive(clock, message))
 
     def _call(self, machine: Machine, call: Callable[[Member, float], Effects]) -> None:
         assert machine.member is not None
-        writes = machine.disk.writes
+        writes = machine.disk.write_count
         try:
             effects = call(machine.member, self.clock(machine))
         except SimulatedCrashError:
             self._crash(machine)
             return
-        self._carry_out(machine, effects, self.write_s * (machine.disk.writes - writes))
+        self._carry_out(machine, effects, self.write_s * (machine.disk.write_count - writes))
         self._observe(machine)
 
     def _crash(self, machine: Machine) -> None:
@@ -247,7 +277,7 @@
             self.kill(machine.address)
 
     def clock(self, machine: Machine) -> float:
-        """What the machine's monotonic clock shows."""
+        """Returns what the machine's monotonic clock shows."""
         return self.now + machine.clock_offset
 
     def _snapshot(self, machine: Machine) -> bytes:
@@ -327,7 +357,7 @@
             self.checks.accepted(message.sender, vote.epoch)
 
     def _altered(self, message: PeerMessage) -> PeerMessage:
-        """The message as it arrives: a piece of a snapshot may be damaged on its way."""
+        """Returns the message as it arrives: a chunk of a snapshot may be damaged on its way."""
         rate = self.links.corruption_rate
         if message.kind != "install" or not rate or self.random.random() >= rate:
             return message
@@ -342,8 +372,11 @@
     # ---- the operator ----
 
     def change(self, machine: Machine) -> bool:
-        """An operator's change on top of the newest version that the machine knows; False if it takes
-        none."""
+        """Submits an operator's change on top of the newest version that the machine knows.
+
+        Returns:
+            False if it accepts none now.
+        """
         member = machine.member
         if member is None or machine.is_frozen or not member.is_primary:
             return False
@@ -362,7 +395,7 @@
         return True
 
     def read(self, machine: Machine) -> bool:
-        """An operator's read; False if the machine takes none."""
+        """Submits an operator's read; returns False if the machine accepts none now."""
         member = machine.member
         if member is None or machine.is_frozen:
             return False
@@ -375,17 +408,17 @@
         return True
 
     def step_down(self, machine: Machine) -> None:
-        """The disk is in trouble, or the operator wants another primary."""
+        """Asks the process to be primary no longer, as an operator or a failing disk does."""
         self._call(machine, lambda member, clock: member.step_down(clock))
 
     def leave(self, address: str) -> None:
-        """A planned end is ahead."""
+        """Requests a graceful leave."""
         machine = self.machines[address]
         if machine.member is not None and not machine.is_frozen:
             self._call(machine, lambda member, clock: member.leave(clock))
 
     def end_if_left(self, address: str) -> bool:
-        """The process ends if it may, and then nothing must depend on it; whether it does not run now."""
+        """Ends the process if it has left; then no view may need it. Returns whether it does not run now."""
         machine = self.machines[address]
         if machine.member is not None and not machine.is_frozen and machine.member.has_left:
             if self.latest_view is not None and machine.id in self.latest_view.in_sync:
--- a/larchgw/model_checking/replication/exhaustive_search.py
+++ b/larchgw/model_checking/replication/exhaustive_search.py
@@ -8,11 +8,12 @@
 import time
 from collections import deque
 from dataclasses import dataclass
+from enum import Enum, auto
 
 from .machine import Machine
 from .random_walk import RandomWalk
 
-SUSPICION = 0.75  # seconds without the primary: enough for a backup to act
+SUSPICION_S = 0.75  # without the primary: enough for a backup to act
 MAX_TIMEOUTS = 3
 MAX_RESTARTS = 1
 MAX_CHANGES = 2
@@ -20,21 +21,36 @@
 BOOT_STEPS = 60  # messages after which the first view is at work
 
 
+class Action(Enum):
+    """What may happen next."""
+
+    DELIVER = auto()  # the message with the choice's number in `pending`
+    TIME_OUT = auto()  # the machine with this number suspects the primary
+    RESTART = auto()
+    LEAVE = auto()
+    CHANGE = auto()  # the operator sends a change to it
+
+
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One step: "deliver" the message with this number, or do something to the machine with this number."""
+    """One step, with the number of the message or machine that it is about."""
 
-    action: str
+    action: Action
     number: int
 
 
 class ExhaustiveSearch:
-    """Three machines, one of which may be lost; two changes, some timeouts, a restart and a planned
-    end at any point."""
+    """Three machines, one of which may be lost; a few changes, time-outs, restarts and leaves at any point.
+
+    Attributes:
+        states: Different states that were found, as hashes.
+        max_depth: Choices on the longest path to one of them.
+    """
 
     def __init__(self) -> None:
+        """Begins without any state."""
         self.states: set[int] = set()
-        self.deepest = 0
+        self.max_depth = 0
 
     def explore(self, max_states: int, until: float) -> None:
         """Plays every choice from every state found, up to a number of states or a time (time.monotonic)."""
@@ -50,7 +66,7 @@
         if state in self.states:
             return
         self.states.add(state)
-        self.deepest = max(self.deepest, len(path))
+        self.max_depth = max(self.max_depth, len(path))
         queue.append(path)
 
 
@@ -68,16 +84,16 @@
 
 
 def _take(cluster: RandomWalk, choice: Choice) -> None:
-    if choice.action == "deliver":
+    if choice.action is Action.DELIVER:
         cluster.deliver(choice.number)
         return
     machine = list(cluster.machines.values())[choice.number]
-    if choice.action == "time out":
-        cluster.tick(machine, SUSPICION)
-    elif choice.action == "restart":
+    if choice.action is Action.TIME_OUT:
+        cluster.tick(machine, SUSPICION_S)
+    elif choice.action is Action.RESTART:
         cluster.kill(machine.address)
         cluster.start(machine.address)
-    elif choice.action == "leave":
+    elif choice.action is Action.LEAVE:
         cluster.leave(machine.address)
     else:
         cluster.change(machine)
@@ -85,18 +101,18 @@
 
 def _choices(cluster: RandomWalk, path: tuple[Choice, ...]) -> list[Choice]:
     taken = [choice.action for choice in path]
-    choices = [Choice("deliver", number) for number in range(len(cluster.pending))]
+    choices = [Choice(Action.DELIVER, number) for number in range(len(cluster.pending))]
     for number, machine in enumerate(cluster.machines.values()):
-        if taken.count("restart") < MAX_RESTARTS:
-            choices.append(Choice("restart", number))
+        if taken.count(Action.RESTART) < MAX_RESTARTS:
+            choices.append(Choice(Action.RESTART, number))
         if machine.member is None:
             continue
-        if taken.count("leave") < MAX_LEAVES:
-            choices.append(Choice("leave", number))
-        if taken.count("time out") < MAX_TIMEOUTS:
-            choices.append(Choice("time out", number))
-        if taken.count("change") < MAX_CHANGES and machine.member.is_primary:
-            choices.append(Choice("change", number))
+        if taken.count(Action.LEAVE) < MAX_LEAVES:
+            choices.append(Choice(Action.LEAVE, number))
+        if taken.count(Action.TIME_OUT) < MAX_TIMEOUTS:
+            choices.append(Choice(Action.TIME_OUT, number))
+        if taken.count(Action.CHANGE) < MAX_CHANGES and machine.member.is_primary:
+            choices.append(Choice(Action.CHANGE, number))
     return choices
 
 
@@ -109,6 +125,6 @@
 
 def _state_of(machine: Machine) -> tuple[object, ...]:
     disk = machine.disk
-    stored = (tuple(sorted(disk.cells.items())), disk.base, tuple(disk.records), disk.synced)
+    stored = (tuple(sorted(disk.cells.items())), disk.stored_snapshot, tuple(disk.records), disk.synced_count)
     kept = None if machine.member is None else machine.member.volatile_state()
     return (stored, kept, machine.clock_offset, machine.incarnation, tuple(sorted(machine.proposals.items())))
--- a/larchgw/model_checking/replication/fault_injection.py
+++ b/larchgw/model_checking/replication/fault_injection.py
@@ -1,6 +1,4 @@
-"""Random faults over a simulated cluster, within what the system promises to survive, and what must hold
-once they are over.
-"""
+"""Random faults within what the system promises to survive, and what must hold once they are over."""
 
 from __future__ import annotations
 
@@ -30,6 +28,7 @@
     """Starts the cluster and plays faults on it. All choices come from the cluster's random generator."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
+        """Takes a cluster of which nothing runs yet."""
         self._cluster = cluster
         self._random = cluster.random
         self._scheduled: list[tuple[float, Callable[[], None]]] = []  # ends of faults
@@ -126,7 +125,7 @@
 
     def _crash_within_a_write(self) -> None:
         if (machine := self._pick_machine()) is not None:
-            machine.disk.crash_after = self._random.randrange(6)
+            machine.disk.writes_until_crash = self._random.randrange(6)
 
     def _freeze(self) -> None:
         if (machine := self._pick_machine()) is not None:
@@ -198,11 +197,11 @@
 
     def _fill_disk(self) -> None:
         if (machine := self._pick_machine()) is not None:
-            machine.disk.full = True
+            machine.disk.is_full = True
             self._schedule(self._random.uniform(*DISK_FULL_RANGE_S), partial(self._free_disk, machine))
 
     def _free_disk(self, machine: Machine) -> None:
-        machine.disk.full = False
+        machine.disk.is_full = False
 
     def _make_disks_slow(self) -> None:
         self._cluster.write_s = self._random.choice(SLOW_WRITES_S)
@@ -253,8 +252,8 @@
         self._cluster.links.become_reliable()
         self._make_disks_fast()
         for machine in self._cluster.machines.values():
-            machine.disk.full = False
-            machine.disk.crash_after = None
+            machine.disk.is_full = False
+            machine.disk.writes_until_crash = None
             if machine.is_frozen:
                 self._cluster.thaw(machine.address)
             self._start(machine.address)
--- a/larchgw/model_checking/replication/invariants.py
+++ b/larchgw/model_checking/replication/invariants.py
@@ -6,16 +6,20 @@
 
 
 class InvariantChecker:
-    """Watches a run from outside: it sees what members hand to their callers, never their insides."""
+    """Watches a run from outside: it sees what members hand to their callers, never their internal state.
 
-    def __init__(self, lease_term: float) -> None:
-        self._term = lease_term
+    Each method is called when what it is named after happens; it raises InvariantError if that must not be.
+    """
+
+    def __init__(self, lease_term_s: float) -> None:
+        """Takes the term of leases."""
+        self._lease_term_s = lease_term_s
         self._committed: dict[int, bytes] = {}  # index -> the record that some replica handed out
         self._acknowledged: dict[int, bytes] = {}
         self._built_on: dict[int, bytes] = {}  # version -> the acknowledged change of it
         self._primaries: dict[int, str] = {}  # epoch -> who acted in it
-        self._highest_fence = 0
-        self._holder_of: dict[int, str] = {}  # fence -> holder
+        self._highest_fencing_token = 0
+        self._holder_of: dict[int, str] = {}  # fencing token -> holder
         self._promised: dict[str, int] = {}  # identity -> the highest epoch it promised to another
         self._snapshots: dict[bytes, int] = {}  # content -> version
         self._acted: dict[str, float] = {}  # holder -> when it last acted
@@ -84,21 +88,25 @@
             raise InvariantError(f"{member} leads view {epoch} after it promised {self._promised[member]}")
 
     def acts(self, member: str, epoch: int) -> None:
-        """A member acts as primary in this epoch. `member` names one life of its process."""
-        other = self._primaries.setdefault(epoch, member)
-        if other != member:
-            raise InvariantError(f"{member} and {other} both act as primary of epoch {epoch}")
+        """A member acts as primary in this epoch. `member` names one incarnation of its process."""
+        first = self._primaries.setdefault(epoch, member)
+        if first != member:
+            raise InvariantError(f"{member} and {first} both act as primary of epoch {epoch}")
 
-    def holds_lease(self, now: float, holder: str, fence: int) -> None:
+    def holds_lease(self, now: float, holder: str, fencing_token: int) -> None:
         """A member acts under a lease."""
-        if fence < self._highest_fence:
-            raise InvariantError(f"{holder} acts with fence {fence} after {self._highest_fence} was in use")
-        if self._holder_of.setdefault(fence, holder) != holder:
-            raise InvariantError(f"{holder} acts with fence {fence}, which is {self._holder_of[fence]}'s")
+        if fencing_token < self._highest_fencing_token:
+            raise InvariantError(
+                f"{holder} acts with token {fencing_token} after {self._highest_fencing_token} was in use"
+            )
+        if self._holder_of.setdefault(fencing_token, holder) != holder:
+            raise InvariantError(
+                f"{holder} acts with token {fencing_token}, which is {self._holder_of[fencing_token]}'s"
+            )
         for other, at in self._acted.items():
-            if other != holder and now - at < self._term:
+            if other != holder and now - at < self._lease_term_s:
                 raise InvariantError(
-                    f"{holder} acts {now - at:.3f} s after {other} did; the term is {self._term} s"
+                    f"{holder} acts {now - at:.3f} s after {other} did; the term is {self._lease_term_s} s"
                 )
-        self._highest_fence = fence
+        self._highest_fencing_token = fencing_token
         self._acted[holder] = now
--- a/larchgw/model_checking/replication/random_walk.py
+++ b/larchgw/model_checking/replication/random_walk.py
@@ -1,7 +1,8 @@
-"""Random walks over single steps, without regard to time: any message may come next, late, twice or never;
-any clock may run ahead; any process may end between two steps or within a write.
+"""Random walks over single steps, without regard to time.
 
-Nothing here may depend on timing, so leases, which do, are left to the courses of `explore_faults`."""
+Any message may come next, late, twice or never; any clock may run ahead; any process may end between two
+steps or within a write. Leases depend on timing, so they are left to the runs of faults.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +11,19 @@
 from .cluster import SimulatedCluster
 from .machine import Machine
 
-LEAPS = (0.02, 0.02, 0.05, 0.12, 0.12, 0.55, 0.7)  # seconds by which a clock runs ahead of a tick
+CLOCK_LEAPS_S = (0.02, 0.02, 0.05, 0.12, 0.12, 0.55, 0.7)  # by which a clock runs ahead of a tick
 MAX_PENDING = 60  # messages under way; beyond this the oldest are lost
 
 
 class RandomWalk(SimulatedCluster):
-    """A cluster without a common time: every machine's clock goes on only when the walk says so."""
+    """A cluster without a common time: every machine's clock goes on only when the walk says so.
+
+    Attributes:
+        pending: Addresses and messages that are on their way, the oldest first.
+    """
 
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
+        """Starts all machines; see SimulatedCluster."""
         super().__init__(seed, machines, seeds, survive)
         self.has_leases = False
         self.links.corruption_rate = 0.03 * (seed % 2)
@@ -46,22 +52,22 @@
         elif choice < 0.985:
             self._operate()
         elif choice < 0.996:
-            self._disturb()
+            self._start_or_stop()
         elif choice < 0.9985:
-            self._cut_or_heal()
+            self._partition_or_heal()
         else:
             self._lose_a_disk()
         for machine in self.running:
             self.end_if_left(machine.address)
 
     def deliver(self, number: int) -> None:
-        """The message under way with this number arrives."""
+        """Lets the message with this number in `pending` arrive."""
         address, message = self.pending.pop(number)
         self._event(self.machines[address], message)
 
-    def tick(self, machine: Machine, leap: float) -> None:
-        """The machine's clock goes on by `leap` seconds, and its process looks at it."""
-        machine.clock_offset += leap
+    def tick(self, machine: Machine, leap_s: float) -> None:
+        """The machine's clock goes on by `leap_s` seconds, and its process looks at it."""
+        machine.clock_offset += leap_s
         self._event(machine, None)
 
     def _deliver(self) -> None:
@@ -77,7 +83,7 @@
 
     def _tick(self) -> None:
         if self.running:
-            self.tick(self.random.choice(self.running), self.random.choice(LEAPS))
+            self.tick(self.random.choice(self.running), self.random.choice(CLOCK_LEAPS_S))
 
     def _operate(self) -> None:
         for machine in self.primaries():
@@ -86,7 +92,7 @@
             else:
                 self.read(machine)
 
-    def _disturb(self) -> None:
+    def _start_or_stop(self) -> None:
         machine = self.random.choice(list(self.machines.values()))
         if machine.address in self.removed_addresses:
             return
@@ -102,7 +108,7 @@
         elif fate == 1:
             self.lose_power(machine.address)
         elif fate == 2:
-            machine.disk.crash_after = self.random.randrange(4)
+            machine.disk.writes_until_crash = self.random.randrange(4)
         elif fate == 3:
             self.step_down(machine)
         elif fate == 4:
@@ -111,7 +117,7 @@
             self.kill(machine.address)
             self.start(machine.address)
 
-    def _cut_or_heal(self) -> None:
+    def _partition_or_heal(self) -> None:
         """Cuts one machine off, the primary most of the time, or ends all cuts."""
         candidates = self.primaries() or self.running
         if self.random.random() < 0.5 or not candidates:
--- a/larchgw/model_checking/replication/redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -2,7 +2,8 @@
 
 Full redundancy: every machine that is there is in sync, and 2 * survive + 1 of them decide, with no change of
 the witnesses under way. Virtual time, links of 1.5 ms and 1 Gbit/s, 5 ms a write, a change every 20 ms; the
-processes' own start is not in it."""
+processes' own start is not in it.
+"""
 
 from __future__ import annotations
 
@@ -18,12 +19,12 @@
 LINK_S = 0.0015
 WRITE_S = 0.005
 LINK_BYTES_PER_S = 125e6  # a second
-CHANGE_EVERY = 0.02  # seconds
+CHANGE_INTERVAL_S = 0.02
 COMPACT_RECORDS = 100
 CHUNK_BYTES = 256 << 10
-WARM_UP = 2.5  # seconds, enough for a snapshot to be needed
-LARGE = 5_000_000  # bytes of state
-GIVES_UP = 15.0  # seconds
+WARM_UP_S = 2.5  # enough for a snapshot to be needed
+LARGE_STATE_BYTES = 5_000_000
+LIMIT_S = 15.0
 RUNS = 200
 SHAPES = ((3, 3, 1), (5, 3, 2))  # machines, seeds among them, machines that may be lost
 
@@ -36,11 +37,11 @@
     begin: Callable[[SimulatedCluster], None]
 
 
-def calm(cluster: SimulatedCluster, seconds: float) -> None:
+def run_with_changes(cluster: SimulatedCluster, seconds: float) -> None:
     """Time passes, and the operator goes on changing the configuration."""
     end = cluster.now + seconds
     while cluster.now < end:
-        cluster.run(CHANGE_EVERY)
+        cluster.run(CHANGE_INTERVAL_S)
         for machine in cluster.primaries():
             cluster.change(machine)
 
@@ -55,7 +56,7 @@
 
 
 def seconds_to_redundancy(case: Case, shape: tuple[int, int, int], seed: int, state_bytes: int) -> float:
-    """Plays one case; GIVES_UP if it takes longer than that."""
+    """Plays one case; LIMIT_S if it takes longer than that."""
     cluster = SimulatedCluster(seed, *shape)
     cluster.links.delay_range_s = (LINK_S, LINK_S)
     cluster.write_s = WRITE_S
@@ -66,11 +67,11 @@
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
     if case.name != FIRST_START:
-        calm(cluster, WARM_UP + cluster.random.uniform(0.0, 0.5))
+        run_with_changes(cluster, WARM_UP_S + cluster.random.uniform(0.0, 0.5))
     case.begin(cluster)
     began = cluster.now
-    while not is_redundant(cluster) and cluster.now - began < GIVES_UP:
-        calm(cluster, CHANGE_EVERY)
+    while not is_redundant(cluster) and cluster.now - began < LIMIT_S:
+        run_with_changes(cluster, CHANGE_INTERVAL_S)
     return cluster.now - began
 
 
@@ -82,38 +83,38 @@
     address = _victim(cluster).address
     cluster.leave(address)
     while not cluster.end_if_left(address):
-        calm(cluster, CHANGE_EVERY)
-    calm(cluster, cluster.random.uniform(0.3, 2.0))
+        run_with_changes(cluster, CHANGE_INTERVAL_S)
+    run_with_changes(cluster, cluster.random.uniform(0.3, 2.0))
     cluster.start(address)
 
 
 def _kill(cluster: SimulatedCluster) -> None:
     address = _victim(cluster).address
     cluster.kill(address)
-    calm(cluster, cluster.random.uniform(0.3, 2.0))
+    run_with_changes(cluster, cluster.random.uniform(0.3, 2.0))
     cluster.start(address)
 
 
 def _wipe(cluster: SimulatedCluster) -> None:
     address = _victim(cluster).address
     cluster.wipe(address)
-    calm(cluster, cluster.random.uniform(0.3, 2.0))
+    run_with_changes(cluster, cluster.random.uniform(0.3, 2.0))
     cluster.start(address)
 
 
 def _replace(cluster: SimulatedCluster) -> None:
     cluster.destroy(_victim(cluster).address)
-    calm(cluster, 1.0)
+    run_with_changes(cluster, 1.0)
     cluster.start(cluster.new_machine().address)
 
 
 def _replace_in_order(cluster: SimulatedCluster) -> None:
     old = _victim(cluster).address
     cluster.start(cluster.new_machine().address)
-    calm(cluster, 1.0)
+    run_with_changes(cluster, 1.0)
     cluster.leave(old)
     while not cluster.end_if_left(old):
-        calm(cluster, CHANGE_EVERY)
+        run_with_changes(cluster, CHANGE_INTERVAL_S)
     cluster.destroy(old)
 
 
@@ -139,14 +140,14 @@
 def _print_cases(seconds: float, seed: int) -> int:
     """Prints a line for each case; returns how many runs came to redundancy too late."""
     late = 0
-    lines = [(case, shape, size) for size in (0, LARGE) for shape in SHAPES for case in CASES]
+    lines = [(case, shape, size) for size in (0, LARGE_STATE_BYTES) for shape in SHAPES for case in CASES]
     print(f"{'case':24} machines survive state MB runs median s worst s")
     for case, shape, size in lines:
         until = time.monotonic() + seconds / len(lines)
         taken: list[float] = []
         while len(taken) < RUNS and (not taken or time.monotonic() < until):
             taken.append(seconds_to_redundancy(case, shape, seed * RUNS + len(taken), size))
-        late += sum(value >= GIVES_UP for value in taken)
+        late += sum(value >= LIMIT_S for value in taken)
         print(
             f"{case.name:24} {shape[0]:8} {shape[2]:7} {size / 1e6:8.0f} {len(taken):4} "
             f"{statistics.median(taken):8.2f} {max(taken):7.2f}",
--- a/tests/control/test_operator_failover.py
+++ b/tests/control/test_operator_failover.py
@@ -160,12 +160,12 @@
     async def scene(playing: Scene) -> None:
         primary = playing.primary
         for address in playing.others(primary):
-            playing.cluster.disks[address].full = True
+            playing.cluster.disks[address].is_full = True
         sent = [asyncio.ensure_future(playing.send(primary.address, what)) for what in (LOST, LOST, RIVAL)]
         statuses = await asyncio.gather(*sent)
         assert statuses == [UNCLEAR] * 3
         for disk in playing.cluster.disks.values():
-            disk.full = False
+            disk.is_full = False
         await asyncio.sleep(CATCH_UP_S)
         assert [
             await playing.send(address, what)
--- a/tests/model_checking/test_power_loss_after_acknowledgement.py
+++ b/tests/model_checking/test_power_loss_after_acknowledgement.py
@@ -12,7 +12,7 @@
 
 from larchgw.model_checking.replication.cluster import SimulatedCluster
 from larchgw.model_checking.replication.fault_injection import FaultInjector
-from larchgw.model_checking.replication.redundancy import calm, is_redundant
+from larchgw.model_checking.replication.redundancy import is_redundant, run_with_changes
 
 SHAPES = ((3, 3, 1), (4, 3, 1), (5, 3, 2), (5, 5, 2))  # machines, seeds among them, machines that may be lost
 LOSSES = [(shape, lost) for shape in SHAPES for lost in combinations(range(shape[0]), shape[2])]
@@ -29,7 +29,7 @@
     """First boot, then two to three seconds of changes."""
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
-    calm(cluster, cluster.random.uniform(2.0, 3.0))
+    run_with_changes(cluster, cluster.random.uniform(2.0, 3.0))
 
 
 def run_through_faults(cluster: SimulatedCluster) -> None:
@@ -43,7 +43,7 @@
     began = cluster.now
     while not is_redundant(cluster):
         assert cluster.now - began < CONVERGENCE_LIMIT_S, f"not redundant: {cluster.latest_view}"
-        calm(cluster, 0.1)
+        run_with_changes(cluster, 0.1)
 
 
 def run_until_acknowledged(cluster: SimulatedCluster) -> int:
@@ -92,5 +92,5 @@
     assert len(cluster.running) == len(addresses)
     assert all(machine.version >= newest for machine in cluster.running)
     acknowledged = cluster.acknowledged
-    calm(cluster, 1.0)
+    run_with_changes(cluster, 1.0)
     assert cluster.acknowledged > acknowledged
--- a/tests/model_checking/test_redundancy.py
+++ b/tests/model_checking/test_redundancy.py
@@ -6,7 +6,7 @@
 
 from larchgw.model_checking.replication.redundancy import (
     CASES,
-    LARGE,
+    LARGE_STATE_BYTES,
     SHAPES,
     Case,
     seconds_to_redundancy,
@@ -23,7 +23,7 @@
 
 def test_a_large_state_is_copied_in_time() -> None:
     for case in CASES:
-        assert seconds_to_redundancy(case, SHAPES[0], 1, LARGE) < ENOUGH
+        assert seconds_to_redundancy(case, SHAPES[0], 1, LARGE_STATE_BYTES) < ENOUGH
 
 
 @pytest.mark.parametrize(("name", "seed"), [("replaced", 223), ("restart in order", 251)])
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -45,7 +45,7 @@
 
 
 def test_the_checks_see_each_kind_of_break() -> None:
-    checks = InvariantChecker(lease_term=3.0)
+    checks = InvariantChecker(lease_term_s=3.0)
     checks.committed("a", 1, b"one")
     checks.acknowledged(1, 0, b"one")
     checks.acts("a/1", 4)
--- a/tests/replication/test_lease.py
+++ b/tests/replication/test_lease.py
@@ -78,11 +78,11 @@
 def test_a_full_disk_grants_nothing() -> None:
     disk = SimulatedDisk()
     held = witness(disk)
-    disk.full = True
+    disk.is_full = True
     try:
         held.handle_request(0.0, "x", ask(1), VIEW)
     except OSError:
-        disk.full = False
+        disk.is_full = False
     assert held.handle_request(0.0, "y", ask(1), VIEW).granted
 
 
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -157,7 +157,7 @@
 def test_a_full_disk_makes_the_primary_hand_over() -> None:
     world = started()
     machine = primary(world)
-    machine.disk.full = True
+    machine.disk.is_full = True
     assert not world.change(machine)
     world.run(1.5)
     assert primary(world) is not machine
@@ -192,10 +192,10 @@
     world.start(machine.address, first_boot=True)
     serve(world, 0.4)
     world.kill(machine.address)
-    assert machine.disk.synced == len(machine.disk.records) > 0
-    machine.disk.synced -= 1  # killed between the append and the sync
+    assert machine.disk.synced_count == len(machine.disk.records) > 0
+    machine.disk.synced_count -= 1  # killed between the append and the sync
     world.start(machine.address)
     while not world.primaries():
         world.run(0.001)
     assert machine.member.committed_index == machine.member.last_index
-    assert machine.disk.synced == len(machine.disk.records)
+    assert machine.disk.synced_count == len(machine.disk.records)
--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -258,7 +258,7 @@
         Witness(disk.ports().witness).reset(outside)
         disk.cells["identity"] = b'{"id": "b"}'
         seat = View(4, "a", ("b", "c"), ("a", "b", "c"), ("a", "c", "d"), {each: each for each in "abcd"})
-        disk.crash_after = crash_after
+        disk.writes_until_crash = crash_after
         settings = MemberSettings("b", SEEDS, False, "b#new", 1, TERM)
         try:
             member = Member(settings, disk.ports(), lambda: b"", Random(1))
@@ -267,7 +267,7 @@
             member.receive(100.0, PeerMessage("a", "b", kind, body))
         except SimulatedCrashError:
             pass
-        disk.crash_after = None
+        disk.writes_until_crash = None
         member = Member(settings, disk.ports(), lambda: b"", Random(1))
         member.start(101.0)
         kind, body = encode(Accept(seat), "a")
--- a/tests/replication/test_parts.py
+++ b/tests/replication/test_parts.py
@@ -124,7 +124,7 @@
 def test_a_witness_whose_disk_is_full_has_promised_nothing() -> None:
     disk = SimulatedDisk()
     full = witness(disk)
-    disk.full = True
+    disk.is_full = True
     with pytest.raises(OSError):
         full.promise(3, "a")
     assert full.promised == 0
@@ -170,11 +170,11 @@
 def test_a_record_that_could_not_be_synced_is_not_in_the_log() -> None:
     disk = SimulatedDisk()
     log = replica(disk)
-    disk.crash_after = 1
+    disk.writes_until_crash = 1
     with pytest.raises(SimulatedCrashError):
         log.append(1, b"one")
     disk.lose_power(Random(1))
-    assert disk.synced == len(disk.records)
+    assert disk.synced_count == len(disk.records)
 
 
 def test_compaction_keeps_what_follows_and_a_snapshot_replaces_what_is_behind() -> None:
--- a/tests/replication/test_recorded_bytes.py
+++ b/tests/replication/test_recorded_bytes.py
@@ -318,6 +318,6 @@
 def test_recorded_snapshot_is_read(name: str, snapshot: tuple[int, int, bytes]) -> None:
     index, framed = recorded("journal")[name]
     disk = SimulatedDisk()
-    disk.base = (index, bytes.fromhex(framed))
+    disk.stored_snapshot = (index, bytes.fromhex(framed))
     assert Replica(disk.ports().journal).snapshot() == snapshot
     assert split_frame(bytes.fromhex(framed)) == snapshot[1:]
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -194,11 +194,11 @@
     *first, last = pieces()
     for piece in first:
         member.install(piece)
-    member.disk.full = True
+    member.disk.is_full = True
     with pytest.raises(OSError):
         member.install(last)
     assert member.replica.last_index == 0
-    member.disk.full = False
+    member.disk.is_full = False
     assert member.install(last) == (9, CONTENT)
 
 
