--- a/larchgw/dispatcher/hot_restart/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -29,7 +29,7 @@
     """
     exchange, out = request.extra, [a for a in request.attempts if not a.ended]
     offset, job_class = core.clock.offset, core.settings.classes[request.job_class].name
-    if not isinstance(exchange, Exchange) or not exchange.channel.movable(exchange) or request.over():
+    if not isinstance(exchange, Exchange) or not exchange.channel.is_movable(exchange) or request.over():
         return None
     told: dict[str, Any] = {
         "name": _text(request.name),
--- a/larchgw/net/exchange.py
+++ b/larchgw/net/exchange.py
@@ -31,7 +31,7 @@
     def end(self, exchange: Exchange, complete: bool) -> None:
         """Ends the answer that was begun."""
 
-    def movable(self, exchange: Exchange) -> bool:
+    def is_movable(self, exchange: Exchange) -> bool:
         """Whether nothing but this request, read whole and not answered, is on the connection."""
 
     def descriptor(self) -> int:
--- a/larchgw/net/http_server.py
+++ b/larchgw/net/http_server.py
@@ -19,7 +19,17 @@
 
 
 class HttpServer:
-    """Listens, and keeps its clients' connections in the order of their coming."""
+    """Listens, and keeps its clients' connections in the order of their coming.
+
+    Attributes:
+        limits: What a client may send; may be replaced, and is in force from the next bytes and waits on.
+        one_call: Whether each connection is for one request.
+        stopping: Whether connections close behind their last answer.
+        connections: Those open to requests.
+        unproven: Those of them of which no whole request has come, the one silent for longest first.
+        idle: Those of them between two requests, the one idle for longest first.
+        lingering: Connections answered and not yet closed, with the times; they hold descriptors.
+    """
 
     def __init__(
         self,
@@ -33,15 +43,31 @@
         inherited: int | None = None,
         limits: ServerLimits | None = None,
     ) -> None:
+        """Listens from now on.
+
+        Args:
+            loop: The loop that it runs on.
+            counters: Where refusals are counted.
+            address: Host and port to listen at.
+            handler: Takes the requests; its name is the listener's.
+            max_connections: Connections at a time; at that number idle ones are closed for new ones.
+            max_body_memory_bytes: Of bodies that the handler does not have yet.
+            one_call: Whether each connection is for one request.
+            inherited: A listening descriptor to use instead of `address`.
+            limits: What a client may send.
+
+        Raises:
+            OSError: It cannot listen there.
+        """
         self.loop, self.counters, self.handler = loop, counters, handler
-        self.limits = limits or ServerLimits()  # may be replaced; in force from the next bytes and waits on
-        self.one_call = one_call  # on each connection
+        self.limits = limits or ServerLimits()
+        self.one_call = one_call
         self.bodies = BodyMemory(counters, handler.name, max_body_memory_bytes)
         self.connections: dict[ClientConnection, None] = {}
-        # Both in order of age, so that at the cap each newcomer costs no search.
-        self.unproven: dict[ClientConnection, None] = {}  # no whole request has come
-        self.idle: dict[ClientConnection, None] = {}  # between requests
-        self.lingering: dict[Connection, float] = {}  # answered, not yet closed; they hold descriptors
+        # Both in order of age, so that at the limit each newcomer costs no search.
+        self.unproven: dict[ClientConnection, None] = {}
+        self.idle: dict[ClientConnection, None] = {}
+        self.lingering: dict[Connection, float] = {}
         self.stopping = False
         self.listener = Listener(
             loop,
@@ -49,43 +75,49 @@
             handler.name,
             address,
             max_connections,
-            self._take,
+            self._accept,
             lambda: len(self.connections) + len(self.lingering),
             self._make_room,
             inherited,
         )
 
-    def _take(self, sock: socket.socket) -> None:
-        link = ClientConnection(self, sock)
-        self.connections[link] = self.unproven[link] = None
+    def _accept(self, sock: socket.socket) -> None:
+        connection = ClientConnection(self, sock)
+        self.connections[connection] = self.unproven[connection] = None
 
     def adopt(self, sock: socket.socket, method: bytes, target: bytes, keep: bool) -> Exchange:
         """A connection that another process had, and the request on it that it has read."""
-        link = ClientConnection(self, sock)
-        self.connections[link] = None
-        return link.resume(method, target, keep)
+        connection = ClientConnection(self, sock)
+        self.connections[connection] = None
+        return connection.resume(method, target, keep)
 
     # From the connections
 
-    def holds(self, link: ClientConnection) -> bool:
-        return link in self.connections
+    def is_open(self, connection: ClientConnection) -> bool:
+        """Whether the connection is still open to requests."""
+        return connection in self.connections
 
-    def heard(self, link: ClientConnection) -> None:
-        if link in self.unproven:  # whoever still sends is no silent one: to the end of that line
-            self.unproven[link] = self.unproven.pop(link)
+    def on_received(self, connection: ClientConnection) -> None:
+        """Bytes have come: it is the last one to be closed as silent."""
+        if connection in self.unproven:
+            self.unproven[connection] = self.unproven.pop(connection)
 
-    def begun(self, link: ClientConnection) -> None:
-        self.idle.pop(link, None)
+    def on_request_begun(self, connection: ClientConnection) -> None:
+        """A request has begun to come in."""
+        self.idle.pop(connection, None)
 
-    def proven(self, link: ClientConnection) -> None:
-        self.unproven.pop(link, None)
+    def on_request_received(self, connection: ClientConnection) -> None:
+        """A first request has come in whole, or an error is owed."""
+        self.unproven.pop(connection, None)
 
-    def rests(self, link: ClientConnection) -> None:
-        self.idle[link] = None
+    def on_idle(self, connection: ClientConnection) -> None:
+        """All has been answered, and the next request may come."""
+        self.idle[connection] = None
 
-    def drop(self, link: ClientConnection) -> None:
-        for kept in (self.connections, self.unproven, self.idle):
-            kept.pop(link, None)
+    def on_closed(self, connection: ClientConnection) -> None:
+        """The connection is over, or about to be."""
+        for group in (self.connections, self.unproven, self.idle):
+            group.pop(connection, None)
 
     # How many there are
 
@@ -93,38 +125,44 @@
         """Closes one connection that is owed nothing.
 
         First one that has had its answer for a while. Then the one of those that never sent a whole request
-        that has said nothing for longest, unless it has only just come: a good client's first request is on
-        its way, and would be lost. Then the one that stood idle longest.
+        that has sent nothing for longest, unless it has only just come: a good client's first request is on
+        its way, and would be lost. Then the one that was idle longest.
         """
         silent, idle = next(iter(self.unproven), None), next(iter(self.idle), None)
-        last, since = next(iter(self.lingering.items()), (None, 0.0))
+        answered, since = next(iter(self.lingering.items()), (None, 0.0))
         recent = self.loop.clock.now() - NEWCOMER_S
-        if last is not None and since < recent:
-            last.close()
+        if answered is not None and since < recent:
+            answered.close()
             return True
-        if silent is not None and (idle is None or silent.heard < recent):
-            link = silent
+        if silent is not None and (idle is None or silent.received_at < recent):
+            chosen = silent
         elif idle is not None:
-            link = idle
+            chosen = idle
         else:
             return False
-        link.connection.read_now()
-        if link in self.connections:
-            if link.current is not None or link.waiting:
-                return self._make_room()  # it has just asked, and is no longer among these
-            link.close()
-            link.connection.close()  # lingering, it would hold the descriptor that the new one needs
+        chosen.connection.read_now()
+        if chosen in self.connections:
+            if chosen.current is not None or chosen.waiting:
+                return self._make_room()  # it has just sent a request, and is no longer among these
+            chosen.close()
+            chosen.connection.close()  # lingering, it would hold the descriptor that the new one needs
         self.counters.caps.labels(self.handler.name + "_idle").inc()
         return True
 
     def resize(self, max_connections: int, max_body_memory_bytes: int) -> None:
-        """Other caps; what stands idle above them is closed."""
+        """Other limits; what is idle above them is closed."""
         self.listener.max_connections = max_connections
         self.bodies.limit_bytes = max_body_memory_bytes
         while self.listener.count() > max_connections and self._make_room():
             pass
 
     def close_idle(self) -> None:
-        newest = self.loop.clock.now() - NEWCOMER_S  # the first request of whoever came later is on its way
-        for link in [x for x in self.connections if x.idle() and (x.proven or x.opened < newest)]:
-            link.retire()
+        """Closes what is idle, except newcomers: the first request of such a one is on its way."""
+        newest = self.loop.clock.now() - NEWCOMER_S
+        idle = [
+            connection
+            for connection in self.connections
+            if connection.is_idle() and (connection.has_sent_request or connection.opened_at < newest)
+        ]
+        for connection in idle:
+            connection.retire()
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -65,7 +65,7 @@
 class IdleChannel:
     """A client's connection with nothing but the one request on it."""
 
-    def movable(self, exchange: Exchange) -> bool:
+    def is_movable(self, exchange: Exchange) -> bool:
         return True
 
     def descriptor(self) -> int:
