--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -44,7 +44,7 @@
 class CheckInService(Protocol):
     """Serves the calls of runners."""
 
-    async def check_in(self, runner: str, body: bytes) -> bool:
+    async def check_in(self, runner_id: str, body: bytes) -> bool:
         """Records a runner's check-in.
 
         Returns:
@@ -54,7 +54,7 @@
             CheckInError: The body cannot be read.
         """
 
-    async def leave(self, runner: str) -> bool:
+    async def leave(self, runner_id: str) -> bool:
         """Records that a runner has left; False if that must not be acknowledged now."""
 
 
@@ -132,9 +132,9 @@
 class _CheckInHandler(_RunnerHandler):
     """`Runners.Checkin`."""
 
-    async def post(self, runner: str) -> None:
+    async def post(self, runner_id: str) -> None:
         try:
-            may_acknowledge = await self.check_ins.check_in(runner, self.request.body)
+            may_acknowledge = await self.check_ins.check_in(runner_id, self.request.body)
         except CheckInError as error:
             self.answer(400, json.dumps({"error": str(error)}).encode())
             return
@@ -144,8 +144,8 @@
 class _LeaveHandler(_RunnerHandler):
     """`Runners.Leave`."""
 
-    async def post(self, runner: str) -> None:
-        self.acknowledge(await self.check_ins.leave(runner))
+    async def post(self, runner_id: str) -> None:
+        self.acknowledge(await self.check_ins.leave(runner_id))
 
 
 def application(
--- a/larchgw/control/placer_role.py
+++ b/larchgw/control/placer_role.py
@@ -98,11 +98,11 @@
         if lease is not None:
             publish_placer(self._registry, self._own_address, lease.fencing_token)
 
-    def publish_expected_loads(self, runner: str, names: dict[str, float]) -> None:
+    def publish_expected_loads(self, runner_id: str, names: dict[str, float]) -> None:
         """Publishes what a runner is expected to hold soon; see PlacementRuntime.publish.
 
         Args:
-            runner: Id of the runner.
+            runner_id: Id of the runner.
             names: Milliseconds until each model, or "model/adapter", can be used there.
         """
         lease = self.current_lease()
@@ -110,13 +110,13 @@
             return
         self._expected_loads_serial += 1
         self._registry.put(
-            EXPECTED_LOADS_PREFIX + runner,
+            EXPECTED_LOADS_PREFIX + runner_id,
             json.dumps(names).encode(),
             lease.fencing_token,
             self._expected_loads_serial,
         )
 
-    def _update_runner(self, runner: str) -> None:
-        record = self._directory.get(runner)
+    def _update_runner(self, runner_id: str) -> None:
+        record = self._directory.get(runner_id)
         if record is not None:
             self.service.update_runner(record)
--- a/larchgw/control/runner_check_ins.py
+++ b/larchgw/control/runner_check_ins.py
@@ -19,13 +19,13 @@
     """Brings entries to the other control processes; hinted_handoff.HintedHandoff is the real one."""
 
     async def replicate(
-        self, entries: Sequence[Entry], timeout: float, enough: Callable[[set[str]], bool]
+        self, entries: Sequence[Entry], timeout_s: float, quorum_reached: Callable[[set[str]], bool]
     ) -> set[str]:
         """Pushes entries to the other control processes.
 
         Returns:
-            The rpc addresses of those that have the entries, as soon as `enough` is true of them, at the
-            latest after `timeout` seconds.
+            The rpc addresses of those that have the entries, as soon as `quorum_reached` is true of
+            them, at the latest after `timeout_s`.
         """
 
 
@@ -57,7 +57,7 @@
         """Acknowledges nothing from now on: this process is about to end, and runners go to another one."""
         self._is_closed = True
 
-    async def check_in(self, runner: str, body: bytes) -> bool:
+    async def check_in(self, runner_id: str, body: bytes) -> bool:
         """Records a runner's check-in.
 
         Returns:
@@ -66,25 +66,25 @@
         Raises:
             CheckInError: The body cannot be read.
         """
-        return await self._acknowledge(runner, self._directory.check_in(parse_check_in(runner, body)))
+        return await self._acknowledge(runner_id, self._directory.check_in(parse_check_in(runner_id, body)))
 
-    async def leave(self, runner: str) -> bool:
+    async def leave(self, runner_id: str) -> bool:
         """Records that a runner has left; returns whether that may be acknowledged."""
-        return await self._acknowledge(runner, self._directory.leave(runner))
+        return await self._acknowledge(runner_id, self._directory.leave(runner_id))
 
-    async def _acknowledge(self, runner: str, outcome: CheckInOutcome) -> bool:
+    async def _acknowledge(self, runner_id: str, outcome: CheckInOutcome) -> bool:
         if self._is_closed or self._contact.is_isolated():
             return False
-        return not outcome.needs_replication or await self._replicate(runner)
+        return not outcome.needs_replication or await self._replicate(runner_id)
 
-    async def _replicate(self, runner: str) -> bool:
+    async def _replicate(self, runner_id: str) -> bool:
         """Whether a majority of the witnesses has the runner's entry."""
-        entry = self._registry.get(RUNNER_PREFIX + runner)
-        record = self._directory.get(runner)
+        entry = self._registry.get(RUNNER_PREFIX + runner_id)
+        record = self._directory.get(runner_id)
         if entry is None or record is None:
             return False
         is_majority = self._contact.is_majority
         if not is_majority(await self._replicator.replicate([entry], HANDOFF_TIMEOUT_S, is_majority)):
             return False
-        self._directory.mark_replicated(runner, record.stage)
+        self._directory.mark_replicated(runner_id, record.stage)
         return True
