--- a/larchgw/control/__init__.py
+++ b/larchgw/control/__init__.py
@@ -1,1 +1,13 @@
-"""The control role: the operator's API, check-ins, replicated configuration, distribution, placement."""
+"""The control role: replicated configuration, check-ins of runners, distribution and placement.
+
+Start reading at `node`, the lifecycle of the process, and `assembly`, which connects its components:
+
+    operator's calls  `http_api` -> `operator_calls` -> `operator_service` -> `replicated_log`
+    replicated state  `operator_order` (a record), `configuration_state`, `configuration_size`, `disk`
+    runners           `http_api` -> `runner_check_ins`; `runner_ownership`: whose runners are watched
+    contact           `latest_view`, `majority_contact`, `contact_monitor`, `control_processes`
+    distribution      `publication`: the configuration in the registry; `rpc_service`: calls of processes
+    placement         `placer_role`
+    periodic work     `periodic_work`
+    operation         `status`, `metrics`, `restore`
+"""
--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -121,7 +121,7 @@
         runners: See RunnerComponents.
         periodic_work: The ticks.
         rpc_service: What other processes may call.
-        status: What people and their programs are told.
+        status: The status of the process, for people and their programs.
     """
 
     clients: RpcClients
--- a/larchgw/control/control_processes.py
+++ b/larchgw/control/control_processes.py
@@ -53,5 +53,5 @@
         return list(dict.fromkeys([*self.peers(), *witnesses]))
 
     def contacts(self) -> set[str]:
-        """Addresses at which the replication member asks to be taken in, and among which it is elected."""
+        """Addresses at which the replication member asks to join, and among which the election goes on."""
         return set(self.peers()) | set(self._seeds) - {self._own_address}
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -1,4 +1,4 @@
-"""The life of a control process: it starts, takes changed settings, and ends in good order."""
+"""The lifecycle of a control process: start, changed settings, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         log.info("control.started", member=components.replication.member.id)
 
     def reload(self, settings: NodeSettings) -> None:
-        """Takes other seeds; addresses stay."""
+        """Applies changed settings: the seeds. Addresses stay."""
         self.settings = settings
         self.components.distribution.processes.set_seeds(seed_rpc_addresses(settings))
         self.components.swim.join(seed_gossip_addresses(settings))
--- a/larchgw/control/placer_role.py
+++ b/larchgw/control/placer_role.py
@@ -73,7 +73,7 @@
         )
 
     async def run(self) -> None:
-        """Places models, whenever the lease is held here, until it is cancelled."""
+        """Places models while this process holds the lease; runs until it is cancelled."""
         await self.service.run()
 
     def configure(self, configuration: Configuration) -> None:
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -81,7 +81,7 @@
         return self.member.has_left
 
     def lease(self, name: str) -> Lease | None:
-        """The lease of that name, while it is held here."""
+        """The lease of that name, while this process is its holder."""
         return self.member.lease(self._clock(), name)
 
     async def wait_until_decided(self) -> None:
