--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -146,9 +146,9 @@
         """Carries effects out, in the order that Effects asks for."""
         index_before = self.state.record_index
         if effects.installed is not None:
-            self.state.restore(effects.installed[1])
-        for index, record in effects.committed:
-            self.state.apply(index, record)
+            self.state.restore(effects.installed.content)
+        for committed in effects.committed:
+            self.state.apply(committed.index, committed.record)
         if self.state.record_index != index_before:
             self._on_change()
         for done in effects.done:
--- a/larchgw/experiments/recovery.py
+++ b/larchgw/experiments/recovery.py
@@ -141,7 +141,7 @@
     return {
         "seconds": seconds,
         "snapshot": float(len(snapshot)),
-        "records": float(replica.size[0]),
+        "records": float(replica.size.records),
         "disk": float(disk.log.size_bytes),
     }
 
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -289,12 +289,16 @@
 
     def _carry_out(self, machine: Machine, effects: Effects, written: float = 0.0) -> None:
         if effects.installed is not None:
-            machine.version = self.checks.installed(machine.name, *effects.installed)
-        for index, record in effects.committed:
-            self.checks.committed(machine.name, index, record)
-            if index != machine.version + 1:
-                raise InvariantError(f"{machine.name} was handed record {index} after {machine.version}")
-            machine.version = index
+            machine.version = self.checks.installed(
+                machine.name, effects.installed.index, effects.installed.content
+            )
+        for committed in effects.committed:
+            self.checks.committed(machine.name, committed.index, committed.record)
+            if committed.index != machine.version + 1:
+                raise InvariantError(
+                    f"{machine.name} was handed record {committed.index} after {machine.version}"
+                )
+            machine.version = committed.index
         for done in effects.done:
             if done.index > machine.version:
                 raise InvariantError(
--- a/larchgw/replication/candidate.py
+++ b/larchgw/replication/candidate.py
@@ -36,19 +36,21 @@
         highest_epoch: The highest epoch seen anywhere; the next attempt takes a higher one.
     """
 
-    def __init__(self, member_id: str, outbox: OutboundMessages, timing: Timing, random: Random) -> None:
+    def __init__(
+        self, member_id: str, outbox: OutboundMessages, timing: Timing, random_source: Random
+    ) -> None:
         """Begins without an attempt.
 
         Args:
             member_id: The identity of this member.
             outbox: Takes the requests to the others.
             timing: Time-outs.
-            random: Staggers candidates, so that two do not outbid each other again and again.
+            random_source: Staggers candidates, so that two do not outbid each other again and again.
         """
         self._member_id = member_id
         self._outbox = outbox
         self._timing = timing
-        self._random = random
+        self._random_source = random_source
         self._pre_vote_round: _PreVoteRound | None = None
         self._pre_vote_rounds = 0
         self._next_attempt_at = 0.0
@@ -70,7 +72,7 @@
         if self._pre_vote_round is not None and now < self._pre_vote_round.ends_at:
             return
         self._pre_vote_rounds += 1
-        ends_at = now + self._timing.pre_vote_s * (1 + self._random.random())
+        ends_at = now + self._timing.pre_vote_s * (1 + self._random_source.random())
         self._pre_vote_round = _PreVoteRound(self._pre_vote_rounds, view, ends_at)
         for member in view.electors:
             self._outbox.send(member, PreVoteRequest(self._pre_vote_rounds))
@@ -95,7 +97,7 @@
         """Gives up what is under way and leaves others some time."""
         self.view_change = None
         self._pre_vote_round = None
-        self.postpone_until(now + self._timing.rank_stagger_s * (1 + self._random.random()))
+        self.postpone_until(now + self._timing.rank_stagger_s * (1 + self._random_source.random()))
 
     def propose(self, view: View) -> None:
         """Begins the second phase: asks for the acceptance of `view`."""
--- a/larchgw/replication/compaction.py
+++ b/larchgw/replication/compaction.py
@@ -45,10 +45,10 @@
         self._retry_at = now
 
     def _has_outgrown(self, factor: int) -> bool:
-        records, size = self._replica.size
+        size = self._replica.size
         settings = self._settings
         return (
-            records >= factor * settings.compact_records
-            or size >= factor * settings.compact_bytes
-            or records * self._replica.state_bytes >= factor * settings.compact_replay_bytes
+            size.records >= factor * settings.compact_records
+            or size.size_bytes >= factor * settings.compact_bytes
+            or size.records * self._replica.state_bytes >= factor * settings.compact_replay_bytes
         )
--- a/larchgw/replication/effects.py
+++ b/larchgw/replication/effects.py
@@ -66,22 +66,48 @@
     message: Envelope
 
 
+@dataclass(frozen=True, slots=True)
+class CommittedRecord:
+    """An acknowledged record.
+
+    Attributes:
+        index: Its place in the log.
+        record: Its bytes.
+    """
+
+    index: int
+    record: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class InstalledSnapshot:
+    """A snapshot that takes the place of the caller's state.
+
+    Attributes:
+        index: The record as of which it was taken.
+        content: The bytes that the caller of some member gave.
+    """
+
+    index: int
+    content: bytes
+
+
 @dataclass(slots=True)
 class Effects:
     """What a call asks of the caller, in this order: `installed`, `committed`, `done`, `failed`, `messages`.
 
     Attributes:
         messages: Messages to send.
-        installed: Index and content of a snapshot that replaces the caller's state.
-        committed: Acknowledged records with their index, each once and in order, on every member.
+        installed: A snapshot that replaces the caller's state.
+        committed: Acknowledged records, each once and in order of index, on every member.
         done: Calls that have ended well.
         failed: Calls that have failed.
         role: The new role; None where it has not changed.
     """
 
     messages: list[Outgoing] = field(default_factory=list)
-    installed: tuple[int, bytes] | None = None
-    committed: list[tuple[int, bytes]] = field(default_factory=list)
+    installed: InstalledSnapshot | None = None
+    committed: list[CommittedRecord] = field(default_factory=list)
     done: list[CallDone] = field(default_factory=list)
     failed: list[CallFailed] = field(default_factory=list)
     role: Role | None = None
--- a/larchgw/replication/effects_collector.py
+++ b/larchgw/replication/effects_collector.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .effects import Effects, PendingCall, Role
+from .effects import CommittedRecord, Effects, InstalledSnapshot, PendingCall, Role
 from .leadership import Leadership
 from .outbound_messages import OutboundMessages
 from .pending_calls import PendingCalls
@@ -45,14 +45,14 @@
     def start_from(self, index: int, snapshot: bytes) -> None:
         """Hands out the snapshot on the disk, if there is one (`index` above 0)."""
         if index:
-            self._effects.installed = (index, snapshot)
+            self._effects.installed = InstalledSnapshot(index, snapshot)
         self.delivered = index
 
-    def install(self, index: int, snapshot: bytes) -> None:
+    def install(self, snapshot: InstalledSnapshot) -> None:
         """A snapshot has replaced the log: it is handed out in place of the records before it."""
-        self._effects.installed = (index, snapshot)
+        self._effects.installed = snapshot
         self._effects.committed = []
-        self.delivered = index
+        self.delivered = snapshot.index
 
     def deliver(self) -> None:
         """Hands out acknowledged records.
@@ -64,7 +64,8 @@
             return
         max_records = max(1, self._deliver_bytes // max(1, self._replica.state_bytes))
         last = min(self._replica.committed, self.delivered + max_records)
-        self._effects.committed.extend(self._replica.read(self.delivered + 1, last))
+        records = self._replica.read(self.delivered + 1, last)
+        self._effects.committed.extend(CommittedRecord(index, record) for index, record in records)
         self.delivered = last
 
     def complete_calls(self, leading: Leadership, self_granted: bool) -> None:
--- a/larchgw/replication/follower.py
+++ b/larchgw/replication/follower.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterable
 
+from .effects import InstalledSnapshot
 from .messages import (
     Append,
     AppendReply,
@@ -114,7 +115,7 @@
             self._update_committed(append.epoch, append.committed_index)
         self._outbox.send(sender, AppendReply(append.epoch, matched, index))
 
-    def install(self, now: float, sender: str, install: InstallSnapshot) -> tuple[int, bytes] | None:
+    def install(self, now: float, sender: str, install: InstallSnapshot) -> InstalledSnapshot | None:
         """Takes a chunk of the primary's snapshot; returns the snapshot once it has replaced the log."""
         if not self._follows(sender, install.epoch):
             return None
@@ -133,7 +134,7 @@
             return None
         self._replica.install(install.index, install.index_epoch, snapshot)
         self._confirm_installed(sender, install)
-        return install.index, snapshot
+        return InstalledSnapshot(install.index, snapshot)
 
     def _confirm_installed(self, sender: str, install: InstallSnapshot) -> None:
         self.incoming.discard()
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -104,7 +104,12 @@
     """
 
     def __init__(
-        self, name: str, member_id: str, settings: MemberSettings, outbox: OutboundMessages, random: Random
+        self,
+        name: str,
+        member_id: str,
+        settings: MemberSettings,
+        outbox: OutboundMessages,
+        random_source: Random,
     ) -> None:
         """Begins without the lease.
 
@@ -113,14 +118,14 @@
             member_id: The identity of this member.
             settings: The term and time-outs.
             outbox: Takes the requests to the witnesses.
-            random: Staggers candidates.
+            random_source: Staggers candidates.
         """
         self.name = name
         self._member_id = member_id
         self._term_s = settings.lease_term_s
         self._timing = settings.timing
         self._outbox = outbox
-        self._random = random
+        self._random_source = random_source
         self._attempt: _Attempt | None = None
         self._attempts = 0
         self._state = LeaseState.NOT_ELECTED
@@ -166,7 +171,7 @@
         """Its holder, or a candidate without success, has given the lease up."""
         if self._is_elected or self._attempt is not None or self._next_attempt_at is None:
             return
-        stagger = (rank + self._random.random()) * self._timing.lease_round_s
+        stagger = (rank + self._random_source.random()) * self._timing.lease_round_s
         self._next_attempt_at = min(self._next_attempt_at, max(now, self._no_candidacy_until) + stagger)
 
     def receive_reply(self, now: float, sender: str, reply: LeaseReply, rank: int) -> None:
@@ -240,7 +245,7 @@
         if attempt.only_outdated():
             self._next_attempt_at = now
             return
-        stagger = (rank + self._random.random()) * self._timing.lease_round_s
+        stagger = (rank + self._random_source.random()) * self._timing.lease_round_s
         self._next_attempt_at = now + attempt.remaining_refusal_s() + stagger
 
     def _lose(self, now: float) -> None:
--- a/larchgw/replication/lease_table.py
+++ b/larchgw/replication/lease_table.py
@@ -24,7 +24,7 @@
         acceptor: LeaseAcceptor,
         settings: MemberSettings,
         outbox: OutboundMessages,
-        random: Random,
+        random_source: Random,
     ) -> None:
         """Begins without any lease.
 
@@ -33,20 +33,20 @@
             acceptor: Its part as a witness.
             settings: The term and time-outs.
             outbox: Takes requests and replies.
-            random: Staggers candidates.
+            random_source: Staggers candidates.
         """
         self._member_id = member_id
         self._acceptor = acceptor
         self._settings = settings
         self._outbox = outbox
-        self._random = random
+        self._random_source = random_source
         self._holders: dict[str, LeaseHolder] = {}
 
     def lease(self, now: float, name: str) -> Lease | None:
         """The lease, if it is held and may be acted on now; otherwise it is asked for from now on."""
         holder = self._holders.get(name)
         if holder is None:
-            holder = LeaseHolder(name, self._member_id, self._settings, self._outbox, self._random)
+            holder = LeaseHolder(name, self._member_id, self._settings, self._outbox, self._random_source)
             self._holders[name] = holder
         return holder.lease(now)
 
--- a/larchgw/replication/message_router.py
+++ b/larchgw/replication/message_router.py
@@ -92,7 +92,7 @@
     def _install_snapshot(self, now: float, sender: str, message: InstallSnapshot) -> None:
         installed = self._parts.follower.install(now, sender, message)
         if installed is not None:
-            self._parts.effects.install(*installed)
+            self._parts.effects.install(installed)
 
     def _install_snapshot_reply(self, now: float, sender: str, reply: InstallSnapshotReply) -> None:
         if self._parts.role.leading is not None:
--- a/larchgw/replication/replica.py
+++ b/larchgw/replication/replica.py
@@ -4,12 +4,26 @@
 
 import struct
 from collections.abc import Sequence
+from dataclasses import dataclass
 
 from .ports import Journal
 
 _EPOCH = struct.Struct(">Q")
 
 
+@dataclass(frozen=True, slots=True)
+class LogSize:
+    """The records after the snapshot.
+
+    Attributes:
+        records: How many.
+        size_bytes: Their bytes.
+    """
+
+    records: int
+    size_bytes: int
+
+
 class Replica:
     """The log of one replica, over a journal. Each record is stored as its epoch (64 bits) and its bytes.
 
@@ -60,9 +74,9 @@
         return self._base_index + 1
 
     @property
-    def size(self) -> tuple[int, int]:
-        """Records after the snapshot and their bytes."""
-        return len(self._epochs), sum(self._sizes)
+    def size(self) -> LogSize:
+        """What follows the snapshot."""
+        return LogSize(len(self._epochs), sum(self._sizes))
 
     @property
     def state_bytes(self) -> int:
--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -164,11 +164,12 @@
 
     def carry_out(self, effects: Effects) -> None:
         if effects.installed is not None:
-            self.version, content = effects.installed
-            assert content == self.snapshot()
-        for index, handed_out in effects.committed:
+            self.version = effects.installed.index
+            assert effects.installed.content == self.snapshot()
+        for committed in effects.committed:
+            index = committed.index
             assert index == self.version + 1
-            assert handed_out == (
+            assert committed.record == (
                 record(2, index) if 8 <= index < 37 else record(5 if index >= 37 else 1, index)
             )
             self.version = index
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -11,6 +11,7 @@
 
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.compaction import POSTPONED_FACTOR, Compaction
+from larchgw.replication.effects import InstalledSnapshot
 from larchgw.replication.errors import MessageDecodeError
 from larchgw.replication.follower import Follower
 from larchgw.replication.leadership import Leadership
@@ -143,7 +144,7 @@
             self.outbox.set_address(member, member)
         self.follower = Follower("b", "b", self.witness, self.replica, self.outbox, Timing())
 
-    def install(self, install: InstallSnapshot, sender: str = "a") -> tuple[int, bytes] | None:
+    def install(self, install: InstallSnapshot, sender: str = "a") -> InstalledSnapshot | None:
         return self.follower.install(0.0, sender, install)
 
     def answers(self) -> list[object]:
@@ -153,7 +154,7 @@
 def test_each_piece_is_answered_with_the_place_to_go_on_from_and_the_whole_as_matched() -> None:
     member = Following()
     installed = [member.install(piece) for piece in pieces()]
-    assert installed == [None, None, (9, CONTENT)]
+    assert installed == [None, None, InstalledSnapshot(9, CONTENT)]
     assert member.answers() == [
         InstallSnapshotReply(1, 9, 4),
         InstallSnapshotReply(1, 9, 8),
@@ -190,7 +191,7 @@
         member.install(last)
     assert member.replica.last_index == 0
     member.disk.is_full = False
-    assert member.install(last) == (9, CONTENT)
+    assert member.install(last) == InstalledSnapshot(9, CONTENT)
 
 
 def test_a_whole_snapshot_as_earlier_versions_sent_it_is_dropped_as_unreadable() -> None:
@@ -272,11 +273,11 @@
     replica = Replica(SimulatedDisk().ports().journal)
     compaction = Compaction(replica, settings, lambda: b"state")
     for number in range(5 * POSTPONED_FACTOR):
-        assert replica.size[0] == number
+        assert replica.size.records == number
         compaction.tick(1.0, replica.last_index, is_sending_snapshot=True)
         replica.append(1, b"record")
     compaction.tick(1.0, replica.last_index, is_sending_snapshot=True)
-    assert replica.size[0] == 0
+    assert replica.size.records == 0
 
 
 def test_the_larger_the_state_the_fewer_records_are_left_to_take_in_after_a_restart() -> None:
@@ -286,11 +287,11 @@
     replica.append(1, b"record")
     replica.compact(1, b"x" * 200)
     for number in range(5):
-        assert replica.size[0] == number
+        assert replica.size.records == number
         compaction.tick(1.0, replica.last_index, is_sending_snapshot=False)
         replica.append(1, b"record")
     compaction.tick(1.0, replica.last_index, is_sending_snapshot=False)
-    assert replica.size[0] == 0
+    assert replica.size.records == 0
 
 
 def test_one_snapshot_is_read_for_all_members_that_need_it() -> None:
