--- a/larchgw/net/__init__.py
+++ b/larchgw/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the loop, connections, HTTP, discovery and the transport to HTTP runners."""
+"""Sockets shared by the edge and the job dispatcher: event loops, timers, connections and an HTTP server."""
--- a/larchgw/net/address.py
+++ b/larchgw/net/address.py
@@ -4,7 +4,11 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """`host:port`; ValueError if it is not."""
+    """Splits a "host:port" text, an IPv6 host in brackets.
+
+    Raises:
+        ValueError: It is not of that form, or the port is too large.
+    """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{text!r} is not host:port")
--- a/larchgw/net/asyncio_loop.py
+++ b/larchgw/net/asyncio_loop.py
@@ -16,13 +16,14 @@
 
 
 class _ScheduledDeadlines(Deadlines):
-    """Tells its owner whenever an earlier time than before comes first."""
+    """Calls back whenever an earlier deadline than before comes first."""
 
     def __init__(self, on_earlier: Callable[[float], None]) -> None:
         super().__init__()
         self._on_earlier = on_earlier
 
     def add(self, at: float, action: Callable[[], None]) -> Deadline:
+        """See Deadlines."""
         entry = super().add(at, action)
         if self.next() == at:
             self._on_earlier(at)
@@ -30,7 +31,7 @@
 
 
 class _Watch:
-    """One watched socket; asyncio hears only of changes in the events that are wanted."""
+    """One watched socket; asyncio is called only where the wanted events change."""
 
     __slots__ = ("owner", "descriptor", "events", "ready")
 
@@ -61,12 +62,13 @@
 class AsyncLoop:
     """`EventLoop` for one asyncio loop. Times are those of `clock`, seconds.
 
-    Where `Loop` hears sockets of a lower rank first, this one hears them in the selector's order.
+    Where `Loop` serves sockets of a lower rank first, this one serves them in the selector's order.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock | None = None) -> None:
+        """Wraps `loop`; deadlines are times of `clock`."""
         self.loop, self.clock = loop, clock or Clock()
-        self.deadlines: Deadlines = _ScheduledDeadlines(self._earlier)
+        self.deadlines: Deadlines = _ScheduledDeadlines(self._schedule_sweep)
         self.counters: Counters | None = None
         self.finishing = 0
         self.reuse_port = False
@@ -96,17 +98,17 @@
         self.watch(sock, 0, lambda mask: None)
 
     def call(self, action: Callable[[], None]) -> None:
-        """From any thread: does this in one of the loop's next turns."""
+        """Runs the action in one of the loop's next turns. Safe from any thread."""
         self.loop.call_soon_threadsafe(self.guard, action)
 
     def close(self) -> None:
-        """Sweeps no more deadlines. What is watched is closed by its owners."""
+        """Runs no more deadlines. What is watched is closed by its owners."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
 
     def guard(self, action: Callable[[], object]) -> None:
-        """Does it; an error of one connection is logged and must not reach the others."""
+        """Runs the action; an error of one connection is logged and must not reach the others."""
         try:
             action()
         except Exception:
@@ -118,7 +120,7 @@
             self.counters.faults.labels("loop").inc()
         log.exception("fault.loop")
 
-    def _earlier(self, at: float) -> None:
+    def _schedule_sweep(self, at: float) -> None:
         if self._closed or at >= self._due:
             return
         if self._timer is not None:
@@ -131,4 +133,4 @@
         self.guard(lambda: self.deadlines.sweep(self.clock.now()))
         due = self.deadlines.next()
         if due is not None:
-            self._earlier(due)
+            self._schedule_sweep(due)
--- a/larchgw/net/connection.py
+++ b/larchgw/net/connection.py
@@ -18,8 +18,10 @@
 
 
 class ConnectionOwner(Protocol):
+    """Is called, on the loop, for what happens on a connection."""
+
     def on_open(self) -> None:
-        """It has come up."""
+        """The connection is established."""
 
     def on_data(self, data: bytes) -> None:
         """Bytes have come."""
@@ -28,7 +30,7 @@
         """Nothing is left to write."""
 
     def on_end(self, ending: ConnectionOutcome) -> None:
-        """It is over and closed; not called for an end that we asked for."""
+        """The connection is over and closed; not called for an end that this side asked for."""
 
 
 class Connection:
@@ -48,13 +50,22 @@
         connecting: bool = False,
         rank: int = CLIENTS,
     ) -> None:
+        """Watches the socket from now on.
+
+        Args:
+            loop: The loop that it runs on.
+            sock: The socket; set to non-blocking here.
+            owner: Is called for what happens.
+            connecting: Whether the connection is still being established.
+            rank: Its place among the sockets that are ready in one turn, see `loop`.
+        """
         self.loop, self.sock, self.owner, self.rank = loop, sock, owner, rank
         self.peer_ended = False
-        self.max_unsent = MAX_UNSENT_BYTES  # bytes; whoever writes more at once has to raise it
-        self.reads_to_end = True  # whether a turn also looks for the end behind a chunk that was short
+        self.max_unsent = MAX_UNSENT_BYTES
+        self.reads_to_end = True
         self.connecting, self.closed, self._paused = connecting, False, False
         self._finishing = False
-        self._lingering: dict[Connection, float] = {}  # where it stands while it finishes
+        self._lingering: dict[Connection, float] = {}  # where it is listed while it finishes
         self._linger: Deadline | None = None
         self._out = bytearray()
         sock.setblocking(False)
@@ -64,6 +75,7 @@
 
     @property
     def unsent(self) -> int:
+        """Bytes that the kernel has not taken yet."""
         return len(self._out)
 
     def busy(self) -> bool:
@@ -71,6 +83,10 @@
         return self.closed or bool(self._out)
 
     def write(self, data: bytes) -> None:
+        """Sends these bytes, as far as the kernel takes them now; the rest follows.
+
+        An owner that leaves more than `max_unsent` bytes unsent gets `on_end` with CLOGGED.
+        """
         if self.closed or self._finishing:
             return
         self._out += data
@@ -80,13 +96,13 @@
                 self._end(ConnectionOutcome.CLOGGED)
 
     def pause(self, paused: bool) -> None:
-        """Reads nothing for a while, so that the other side's writing stops."""
+        """Stops or resumes reading, so that the other side's writing stops."""
         if paused != self._paused and not self.closed:
             self._paused = paused
             self._watch()
 
     def finish(self, lingering: dict[Connection, float] | None = None) -> None:
-        """Writes what is left, then closes; until then it stands in `lingering`, with the time of this call.
+        """Writes what is left, then closes; until then it is in `lingering` with the time of this call.
 
         Closing at once while bytes from the other side lie unread would reset the connection, and the reset
         can overtake our last answer.
@@ -107,6 +123,7 @@
             self._watch()
 
     def close(self) -> None:
+        """Closes it at once; the owner is not called."""
         if self.closed:
             return
         self.closed = True
@@ -209,7 +226,7 @@
             self._read()
 
     def is_reusable(self) -> bool:
-        """Whether nothing has come, no byte and no end. Else a connection that rests is of no more use."""
+        """Whether nothing has come on an idle connection, no byte and no end."""
         try:
             self.sock.recv(1)
         except BlockingIOError:
@@ -219,7 +236,7 @@
         return False
 
     def peer_closed(self) -> bool:
-        """Whether the other side has closed it or is gone, though bytes of it lie unread: while paused."""
+        """Whether the other side has closed it or is gone; also while paused, behind unread bytes."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
         return bool(poll.poll(0))
@@ -228,7 +245,11 @@
 def connect(
     loop: EventLoop, address: tuple[str, int], owner: ConnectionOwner, rank: int
 ) -> Connection | ConnectionOutcome:
-    """Opens a connection, or says at once why not."""
+    """Opens a connection to an IP address and port, without blocking.
+
+    Returns:
+        The connection, which may still be on its way up, or why there is none.
+    """
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
--- a/larchgw/net/exchange.py
+++ b/larchgw/net/exchange.py
@@ -44,8 +44,24 @@
 class Exchange:
     """One request and its answer: either `reply`, or `start`, any number of `send`, and `end`.
 
-    `headers` holds each name once, in lower case; `fields` is what came. `on_drained` is called once all that
-    was sent has been written, where it is set. `began` is when its first byte came, `arrived` its last one.
+    After a whole answer, `reply`, `start`, `send` and `end` do nothing. Times are those of the loop's clock.
+
+    Attributes:
+        channel: The connection that it came on.
+        method: The method.
+        target: The request target.
+        path: The target without its query.
+        headers: Each name once, in lower case; values of one name are joined.
+        fields: The header fields as they came, in order.
+        body: The whole body.
+        began: When its first byte came.
+        arrived: When its last byte came.
+        keep_alive: Whether the connection may stay open after the answer.
+        error: Status and reason of the answer to a request that cannot be handled.
+        extra: What the handler keeps with the request.
+        done: Whether the answer is whole, or nobody waits for it any more.
+        predates_http_1_1: Whether its client speaks a version before HTTP/1.1.
+        on_drained: Called once all that was sent has been written, where it is set.
     """
 
     __slots__ = (
@@ -69,6 +85,7 @@
     def __init__(
         self, channel: ResponseChannel, arrived: float, method: bytes = b"", target: bytes = b""
     ) -> None:
+        """A request of which no more is known than these; `arrived` also stands for `began`."""
         self.channel, self.method, self.target = channel, method, target
         self.began = self.arrived = arrived
         self.path = target.partition(b"?")[0]
@@ -79,11 +96,11 @@
         self.error: tuple[int, str] | None = None
         self.extra: Any = None
         self.done = False
-        self.predates_http_1_1 = False  # whether its client speaks a version before HTTP/1.1
+        self.predates_http_1_1 = False
         self.on_drained: Callable[[], None] | None = None
 
     def reply(self, status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()) -> None:
-        """The whole answer at once. After an answer, as below, nothing happens."""
+        """Writes the whole answer at once."""
         if not self.done:
             self.done = True
             self.channel.reply(self, status, body, headers)
@@ -99,7 +116,7 @@
             self.channel.send(self, data)
 
     def end(self, complete: bool) -> None:
-        """Ends the answer that was begun; one that is not complete is seen as such by the client."""
+        """Ends the answer that was begun; the client can tell one that is not complete."""
         if not self.done:
             self.done = True
             self.channel.end(self, complete)
--- a/larchgw/net/heads.py
+++ b/larchgw/net/heads.py
@@ -43,14 +43,14 @@
 
 
 def response_head(status: int, reason: bytes, fields: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """The head of an answer, with the empty line behind it."""
+    """The head of an answer, with the empty line after it."""
     lines = [b"HTTP/1.1 %d %b" % (status, reason)]
     lines += [b"%b: %b" % field for field in fields]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def phrase(status: int) -> bytes:
-    """The usual reason of a status; empty where it has none."""
+    """The standard reason phrase of a status; empty where it has none."""
     try:
         return HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/larchgw/net/limits.py
+++ b/larchgw/net/limits.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-MAX_BODY_BYTES = 65536
+MAX_BODY_BYTES = 65536  # unless a server has other limits
 MAX_HEAD_BYTES = 16384
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """Sizes in bytes, times in seconds. The defaults are those of the deployments of `larchgw serve`.
+    """Limits of requests and connections. The defaults are those of the deployments of `larchgw serve`.
 
     A client that sends nothing, or half a request, costs a descriptor that others need.
     """
@@ -25,5 +25,5 @@
 
     @property
     def raw_bytes(self) -> int:
-        """Of a request as it comes, in chunks however small."""
+        """The most bytes of a request on the wire, in chunks however small."""
         return self.head_bytes + 8 * self.body_bytes
--- a/larchgw/net/listener.py
+++ b/larchgw/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that keeps to a number of connections."""
+"""A listening socket that keeps to a maximum number of connections."""
 
 from __future__ import annotations
 
@@ -12,12 +12,19 @@
 
 BACKLOG = 1024
 MAX_ACCEPTS = 64  # connections accepted in one turn
-RETRY_PAUSE_S = 0.05
+RETRY_PAUSE_S = 0.05  # without accepting, where there is no room or no descriptor
 log = structlog.get_logger()
 
 
 class Listener:
-    """Accepts for `take`. At the cap, `make_room` may close an idle connection; else accepting waits."""
+    """Accepts connections for a server. Where there is no room for one more, accepting waits.
+
+    Attributes:
+        max_connections: How many there may be; may be changed at any time.
+        last_accept: When the last one was accepted (loop's clock); 0 before.
+        address: Host and port where it listens.
+        open: Whether it has not been closed.
+    """
 
     def __init__(
         self,
@@ -26,17 +33,33 @@
         name: str,
         address: tuple[str, int],
         max_connections: int,
-        take: Callable[[socket.socket], None],
+        accept: Callable[[socket.socket], None],
         count: Callable[[], int],
         make_room: Callable[[], bool],
         inherited: int | None = None,
     ) -> None:
+        """Listens from now on.
+
+        Args:
+            loop: The loop that it runs on.
+            counters: Where it is counted that there was no room.
+            name: The listener's name in counters and logs.
+            address: Host and port to listen at.
+            max_connections: How many connections there may be.
+            accept: Takes each accepted socket.
+            count: How many connections there are.
+            make_room: Closes an idle connection where there is one; returns whether there was.
+            inherited: A listening descriptor, shared with other processes, to use instead of `address`.
+
+        Raises:
+            OSError: It cannot listen there.
+        """
         self.loop, self.counters, self.name = loop, counters, name
         self.max_connections = max_connections
-        self.take, self.count, self.make_room = take, count, make_room
+        self.accept, self.count, self.make_room = accept, count, make_room
         self.last_accept = 0.0
         self._capped = self._paused = False
-        self._inherited = inherited  # a descriptor whose queue others share
+        self._inherited = inherited
         self.sock = self._listen(address)
         self.address: tuple[str, int] = self.sock.getsockname()[:2]
         self.open = True
@@ -64,11 +87,11 @@
         return sock
 
     def pause(self, paused: bool) -> None:
-        """Leaves newcomers to the other process, or takes them again."""
+        """Leaves new connections to the other process, or accepts them again."""
         if paused == self._paused or not self.open:
             return
         if paused and self._inherited is None:
-            self._ready()  # its queue is ours alone: nobody else can empty it
+            self._ready()  # no other process can empty the queue of this socket
         self._paused = paused
         if paused:
             self.loop.forget(self.sock)
@@ -90,13 +113,13 @@
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 return
-            except OSError as error:  # out of descriptors, or the client was gone before we came
+            except OSError as error:  # out of descriptors, or the client has gone
                 log.warning("accept.error", listener=self.name, error=str(error))
                 self._wait()
                 return
             self._capped = False
             self.last_accept = self.loop.clock.now()
-            self.take(sock)
+            self.accept(sock)
 
     def _wait(self) -> None:
         if not self._capped:
@@ -111,9 +134,10 @@
             self.loop.watch(self.sock, READ, self._ready, NEWCOMERS)
 
     def close(self) -> None:
+        """Accepts what waits in the queue, and listens no longer."""
         if self.open and not self._paused:
             for _ in range(BACKLOG // MAX_ACCEPTS):
-                self._ready()  # whoever the kernel has let in by now was promised an answer
+                self._ready()  # for the clients in the queue the connection is established
             self.loop.forget(self.sock)
         self.open = False
         self.sock.close()
--- a/larchgw/net/loop.py
+++ b/larchgw/net/loop.py
@@ -1,4 +1,4 @@
-"""The one loop: waits for sockets and deadlines, and for whatever other threads hand in."""
+"""The job dispatcher's event loop: sockets, deadlines and calls from other threads."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import socket
 from collections import deque
 from collections.abc import Callable
+from contextlib import suppress
 from typing import Protocol
 
 import structlog
@@ -14,10 +15,10 @@
 from .timers import Clock, Deadlines
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-# Whose news a turn hears first. A list, or a client that has left, must be known before a worker's answer
-# frees a slot and a job that waits is sent there.
+# Ranks: the order in which a turn serves the sockets that are ready. An endpoint list, or a client that has
+# left, must be known before a worker's answer frees a slot and a job that waits is sent there.
 FIRST, CLIENTS, WORKERS, NEWCOMERS = range(4)
-MAX_WAIT_S = 1.0
+MAX_WAIT_S = 1.0  # of one turn for sockets
 log = structlog.get_logger()
 
 
@@ -39,13 +40,19 @@
         """Watches the socket no more."""
 
     def call(self, action: Callable[[], None]) -> None:
-        """From any thread: does this in one of the loop's next turns."""
+        """Runs the action in one of the loop's next turns. Safe from any thread."""
 
 
 class Loop:
-    """Each turn handles the sockets that are ready, then sweeps the deadlines."""
+    """`EventLoop` on a selector. Each turn serves the sockets that are ready, then calls, then deadlines.
+
+    Attributes:
+        on_signal: Called in a turn with each signal's number, where `wake_out` is the wake-up descriptor.
+        wake_out: Bytes written here wake the loop.
+    """
 
     def __init__(self, clock: Clock, deadlines: Deadlines) -> None:
+        """Deadlines are times of `clock`."""
         self.clock, self.deadlines = clock, deadlines
         self.counters: Counters | None = None
         self._selector = selectors.DefaultSelector()
@@ -73,30 +80,32 @@
             self._selector.register(sock, events, (rank, ready))
 
     def forget(self, sock: socket.socket) -> None:
+        """Watches the socket no more."""
         self.watch(sock, 0, lambda mask: None)
 
     def call(self, action: Callable[[], None]) -> None:
-        """From another thread: does this in the loop's next turn."""
+        """Runs the action in the loop's next turn. Safe from any thread."""
         self._calls.append(action)
-        try:
+        with suppress(OSError):  # the pipe is full, so the loop wakes anyway, or has ended
             self.wake_out.send(b"\0")
-        except (BlockingIOError, OSError):
-            pass  # the pipe is full, so the loop wakes anyway, or has ended
 
     def stop(self) -> None:
+        """Ends `run` after the present turn."""
         self._running = False
 
     def run(self) -> None:
+        """Takes turns until it is stopped."""
         while self._running:
             self.turn()
 
     def close(self) -> None:
-        """Once everything that it watched has been closed."""
+        """Frees its descriptors, once everything that it watched has been closed."""
         self._selector.close()
         self._wake_in.close()
         self.wake_out.close()
 
     def turn(self) -> None:
+        """Waits for sockets until the next deadline, and serves what is ready and due."""
         due = self.deadlines.next()
         wait = MAX_WAIT_S if due is None else min(max(due - self.clock.now(), 0.0), MAX_WAIT_S)
         for key, mask in sorted(self._selector.select(wait), key=lambda event: event[0].data[0]):
@@ -108,7 +117,7 @@
     def _guard(self, action: Callable[[], object]) -> None:
         try:
             action()
-        except Exception:  # one connection's bad luck must not end the process, and all others with it
+        except Exception:  # an error of one connection must not end all others
             if self.counters:
                 self.counters.faults.labels("loop").inc()
             log.exception("fault.loop")
--- a/larchgw/net/response_writer.py
+++ b/larchgw/net/response_writer.py
@@ -1,4 +1,4 @@
-"""Frames one answer of HTTP/1.1 that is written in pieces."""
+"""Frames one HTTP/1.1 response that is written in pieces."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 from .heads import CHUNKED, Fields, response_head
 
 LAST_CHUNK = b"0\r\n\r\n"
-BODYLESS = (204, 304)  # statuses whose answers end with the head
+BODYLESS_STATUSES = (204, 304)  # their responses end with the head
 
 
 class ResponseWriter:
-    """Writes an answer with a length, or in chunks where the length is None.
+    """Writes a response with a length, or in chunks where the length is None.
 
-    The head goes out with the first piece, so that a short answer costs one write.
+    The head goes out with the first piece, so that a short response costs one write.
+
+    Source: RFC 9112, section 6 (message body).
     """
 
     def __init__(
@@ -24,10 +26,20 @@
         length: int | None,
         head_only: bool = False,
     ) -> None:
+        """Builds the head and writes nothing yet.
+
+        Args:
+            connection: Where it is written.
+            status: The status.
+            reason: The reason phrase.
+            fields: All fields but those of framing.
+            length: Bytes of the body; None if unknown.
+            head_only: Whether the request was a HEAD.
+        """
         self._connection = connection
-        self._bodyless = head_only or status in BODYLESS
+        self._bodyless = head_only or status in BODYLESS_STATUSES
         self._chunked = length is None and not self._bodyless
-        self._left = length or 0
+        self._left_bytes = length or 0
         if self._chunked:
             framing = [CHUNKED]
         elif length is None or status == 204:
@@ -37,24 +49,28 @@
         self._head = response_head(status, reason, [*fields, *framing])
 
     def send(self, data: bytes) -> None:
-        """The next bytes of the body; more than the length that was told are left out."""
+        """Writes the next bytes of the body; those beyond the length are left out."""
         if self._bodyless or not data:
             return
         if not self._chunked:
-            data = data[: self._left]
-            self._left -= len(data)
+            data = data[: self._left_bytes]
+            self._left_bytes -= len(data)
             self._write(data)
         else:
             self._write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end(self, complete: bool) -> bool:
-        """Ends it. Returns whether the other side sees a whole answer; else its connection must be closed."""
-        whole = complete and (self._bodyless or self._left == 0)
-        if whole and self._chunked:
+        """Ends the response.
+
+        Returns:
+            Whether it is whole for the other side; else the connection must be closed.
+        """
+        is_whole = complete and (self._bodyless or self._left_bytes == 0)
+        if is_whole and self._chunked:
             self._write(LAST_CHUNK)
         elif self._head:
             self._write(b"")
-        return whole
+        return is_whole
 
     def _write(self, data: bytes) -> None:
         head, self._head = self._head, b""
