--- a/larchgw/runner_directory/directory.py
+++ b/larchgw/runner_directory/directory.py
@@ -208,8 +208,8 @@
     def _outcome(self, runner_id: str, is_published: bool) -> CheckInOutcome:
         record = self._records.get(runner_id)
         stage = record.stage if record is not None else Stage.READY
-        is_replicated = self._replicated_stages.get(runner_id) is stage
-        return CheckInOutcome(is_published, stage >= Stage.DRAINING and not is_replicated)
+        needs_replication = stage >= Stage.DRAINING and self._replicated_stages.get(runner_id) is not stage
+        return CheckInOutcome(is_published, needs_replication)
 
     def _highest_count(self, runner_id: str) -> int:
         """Returns the highest call_count known of the runner; -1 if it is not known."""
