--- a/tests/deploy/test_drawn_days.py
+++ b/tests/deploy/test_drawn_days.py
@@ -23,7 +23,8 @@
     if str(SCRIPT.parent) not in sys.path:
         sys.path.append(str(SCRIPT.parent))
     spec = importlib.util.spec_from_file_location("draw", SCRIPT)
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules["draw"] = module
     spec.loader.exec_module(module)
--- a/tests/deploy/test_play_days.py
+++ b/tests/deploy/test_play_days.py
@@ -36,7 +36,8 @@
 def script() -> ModuleType:
     path = str(ROOT / "deploy/days/play")
     spec = importlib.util.spec_from_loader("play", importlib.machinery.SourceFileLoader("play", path))
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules["play"] = module
     spec.loader.exec_module(module)
--- a/tests/deploy/test_system_packages.py
+++ b/tests/deploy/test_system_packages.py
@@ -75,7 +75,8 @@
 
 def check_python() -> ModuleType:
     spec = importlib.util.spec_from_file_location("check_python", ROOT / "deploy/check_python.py")
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     return module
--- a/tests/docs/test_calls_page.py
+++ b/tests/docs/test_calls_page.py
@@ -20,6 +20,8 @@
     assert len(ROWS) > 40
     for what, _, modules, tests in ROWS:
         names = re.findall(r"`([^`]+)`", modules)
-        assert names and [name for name in names if not (ROOT / "larchgw" / name).exists()] == [], what
+        assert names, what
+        assert [name for name in names if not (ROOT / "larchgw" / name).exists()] == [], what
         names = re.findall(r"`(\w+)`", tests)
-        assert names and [name for name in names if name not in known] == [], what
+        assert names, what
+        assert [name for name in names if name not in known] == [], what
--- a/tests/docs/test_control_state_page.py
+++ b/tests/docs/test_control_state_page.py
@@ -22,9 +22,11 @@
     assert len(ROWS) > 10
     for claim, _, _, modules, tests, _ in ROWS:
         names = re.findall(r"`([^`]+)`", modules)
-        assert names and [name for name in names if not (ROOT / "larchgw" / name).exists()] == [], claim
+        assert names, claim
+        assert [name for name in names if not (ROOT / "larchgw" / name).exists()] == [], claim
         names = re.findall(r"`(\w+)`", tests)
-        assert names and [name for name in names if name not in known] == [], claim
+        assert names, claim
+        assert [name for name in names if name not in known] == [], claim
 
 
 def test_every_claim_names_a_mutant_or_the_test_that_takes_its_place() -> None:
--- a/tests/emulator/test_engine_model.py
+++ b/tests/emulator/test_engine_model.py
@@ -132,7 +132,8 @@
     two = bench.submit()
     bench.engine.cancel(one)
     bench.run()
-    assert id(one) not in bench.done and id(two) in bench.done
+    assert id(one) not in bench.done
+    assert id(two) in bench.done
     assert bench.engine.cache.private == 0
 
 
--- a/tests/emulator/test_job_emulator.py
+++ b/tests/emulator/test_job_emulator.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    "order, first", [(Order.FIFO, "large"), (Order.BACKFILL, "small"), (Order.PRIORITY, "large")]
+    ("order", "first"), [(Order.FIFO, "large"), (Order.BACKFILL, "small"), (Order.PRIORITY, "large")]
 )
 def test_who_starts_first_depends_on_how_the_queue_is_served(order: Order, first: str) -> None:
     stage = Stage(replace(SPEC, order=order))
@@ -86,7 +86,8 @@
     stage.run(3.0)
     stage.offer("second", 1.0, 1, key=7)
     stage.run(3.0)
-    assert stage.said["first"][-1] == ("done", 2.0) and stage.said["second"][-1] == ("done", 4.0)
+    assert stage.said["first"][-1] == ("done", 2.0)
+    assert stage.said["second"][-1] == ("done", 4.0)
     assert stage.vault.fetches == 1
 
 
@@ -131,7 +132,9 @@
     stage.offer("next", 1.0, 4)
     stage.box.cancel(given_up)
     stage.run(2.0)
-    assert stage.ends("next") == "done" and stage.ends("given up") == "started" and stage.box.used == 0
+    assert stage.ends("next") == "done"
+    assert stage.ends("given up") == "started"
+    assert stage.box.used == 0
 
 
 def test_a_crash_loses_all_and_a_cold_box_can_be_pushed_over() -> None:
@@ -143,7 +146,8 @@
     assert stage.box.warm() == pytest.approx(SPEC.cold_from)
     for n in range(40):
         stage.offer(f"j{n}", 3.0)
-    assert len(stage.box.fell) == 1 and not stage.box.up
+    assert len(stage.box.fell) == 1
+    assert not stage.box.up
 
 
 def records(**changes: object) -> Records:
@@ -221,14 +225,17 @@
     world = World(Scenario(FleetSpec(6), LoadSpec(CLASSES, 4.0, keys=8), 1, seconds=20.0), 2)
     world.run()
     figures = summary(world)
-    assert world.records.broken() == [] and figures["failed"] == figures["given_up"] == 0.0
+    assert world.records.broken() == []
+    assert figures["failed"] == figures["given_up"] == 0.0
     assert figures["in_time_proof"] > 0.9
 
 
 def test_the_real_program_keeps_the_rules_among_emulated_boxes_on_sockets() -> None:
     outcome = asyncio.run(Trial(TrialSpec(5, 0.6, 4.0, 15.0, 2)).run())
-    assert outcome.broken == [] and outcome.exit_status == 0
-    assert outcome.counts["served"] > 20 and not outcome.interrupted
+    assert outcome.broken == []
+    assert outcome.exit_status == 0
+    assert outcome.counts["served"] > 20
+    assert not outcome.interrupted
     assert not [line for line in outcome.log if "event=fault" in line]
 
 
@@ -243,7 +250,9 @@
         await running
 
     asyncio.run(asyncio.wait_for(go(), 60.0))
-    assert trial.outcome.exit_status == 0 and trial.outcome.interrupted and trial.outcome.broken == []
+    assert trial.outcome.exit_status == 0
+    assert trial.outcome.interrupted
+    assert trial.outcome.broken == []
 
 
 def test_a_box_that_falls_over_under_work_of_those_not_told_of_its_start_is_nobodys_broken_rule():
@@ -273,7 +282,9 @@
     assert world.records.broken() == []
     assert all(d.alive for d in world.dispatchers)
     fleet = world.dispatchers[0].core.dispatcher.fleet
-    assert fleet.live and fleet.loads.sure and fleet.loads.cores == 5.0
+    assert fleet.live
+    assert fleet.loads.sure
+    assert fleet.loads.cores == 5.0
 
 
 def test_the_days_of_many_dispatchers_keep_the_rules_and_are_the_same_for_the_same_seed():
--- a/tests/emulator/test_system_clients.py
+++ b/tests/emulator/test_system_clients.py
@@ -68,8 +68,11 @@
         if closes:
             edge.close()
         await over
-        assert one.whole is whole and (one.status, one.seal, one.answer_id) == (200, "s1", "id1")
-        assert one.answer in (b"done", b"do") and strays == [] and link.usable is not closes
+        assert one.whole is whole
+        assert (one.status, one.seal, one.answer_id) == (200, "s1", "id1")
+        assert one.answer in (b"done", b"do")
+        assert strays == []
+        assert link.usable is not closes
 
 
 @pytest.mark.parametrize("surplus", [HEAD + b"Content-Length: 0\r\n\r\n", b"\x00 no answer"])
@@ -92,7 +95,8 @@
     def drawn(seed: int) -> list[Any]:
         return draw(site, 20.0, random.Random(seed), lambda due: site.model_names())
 
-    assert drawn(1) == drawn(1) and drawn(1) != drawn(2)
+    assert drawn(1) == drawn(1)
+    assert drawn(1) != drawn(2)
     assert {intent.wanted.name for intent in drawn(1)} == {one.name for one in site.classes}
     assert all(0.0 <= intent.due < 20.0 for intent in drawn(1))
     assert 800 < len(drawn(1)) < 1200
@@ -105,7 +109,8 @@
     for share in (0.01, 0.5, 0.9, 0.99, 1.0):
         exact = values[int(share * 1000) - 1]
         assert exact * (1 - PRECISION) <= histogram.quantile(share) <= exact * (1 + PRECISION)
-    assert histogram.most == 1.0 and Histogram().quantile(0.5) == 0.0
+    assert histogram.most == 1.0
+    assert Histogram().quantile(0.5) == 0.0
 
 
 @dataclass(slots=True)
@@ -181,11 +186,15 @@
 async def test_latency_counts_from_when_a_request_was_due() -> None:
     clients, _ = await play(ScriptedEdge([]), "ticket", late_s=2.0)
     result = clients.results["ticket"]
-    assert result.served == 1 and result.in_time == 0 and result.latency.most >= 2.0
+    assert result.served == 1
+    assert result.in_time == 0
+    assert result.latency.most >= 2.0
 
 
 @on_loop
 async def test_a_request_that_is_never_answered_is_given_up_at_its_deadline() -> None:
     clients, records = await play(ScriptedEdge([b""]), "ticket", late_s=3.9)
     (one,) = records.tries.values()
-    assert one.gave_up and one.status == 0 and clients.results["ticket"].failed == 1
+    assert one.gave_up
+    assert one.status == 0
+    assert clients.results["ticket"].failed == 1
--- a/tests/emulator/test_system_faults.py
+++ b/tests/emulator/test_system_faults.py
@@ -30,8 +30,11 @@
     assert outcome.broken == [], outcome.events
     assert outcome.statuses == [0] * (SITE.controls + SITE.edges)
     acknowledged = [one for one in outcome.records.configurations if one.acknowledged_at < math.inf]
-    assert acknowledged and outcome.records.reads and outcome.records.operator_answers
-    assert outcome.records.troubles and outcome.total("served") > 0
+    assert acknowledged
+    assert outcome.records.reads
+    assert outcome.records.operator_answers
+    assert outcome.records.troubles
+    assert outcome.total("served") > 0
 
 
 @pytest.mark.parametrize(
--- a/tests/emulator/test_system_judge.py
+++ b/tests/emulator/test_system_judge.py
@@ -348,7 +348,8 @@
         return rules(records([], [], checkins=kept, troubles=CUT))
 
     assert day(100.0 + bound + 0.1) == ["CUT"]
-    assert day(100.0 + bound - 0.1) == [] and day(120.1) == []
+    assert day(100.0 + bound - 0.1) == []
+    assert day(120.1) == []
 
 
 @pytest.mark.parametrize("status", [200, 404])
@@ -378,8 +379,10 @@
     def day(*reads: ReadSeen) -> list[str]:
         return rules(records([], [], configurations=calls, read_back=whole(2), reads=list(reads)))
 
-    assert day(read(1, 20.1)) == ["STALE"] and day(read(0, 20.1)) == ["STALE"]
-    assert day(read(1, 19.95)) == [] and day(read(2, 20.1)) == []
+    assert day(read(1, 20.1)) == ["STALE"]
+    assert day(read(0, 20.1)) == ["STALE"]
+    assert day(read(1, 19.95)) == []
+    assert day(read(2, 20.1)) == []
 
 
 def test_a_read_older_than_what_an_earlier_one_told_is_stale() -> None:
@@ -389,7 +392,8 @@
         return rules(records([], [], configurations=calls, read_back=whole(2), reads=list(reads)))
 
     assert day(read(2, 20.0), read(1, 20.2)) == ["STALE"]
-    assert day(read(2, 20.0), read(1, 20.05)) == [] and day(read(1, 20.0), read(2, 20.2)) == []
+    assert day(read(2, 20.0), read(1, 20.05)) == []
+    assert day(read(1, 20.0), read(2, 20.2)) == []
 
 
 def test_a_read_of_what_was_refused_or_never_sent_is_caught() -> None:
@@ -398,7 +402,8 @@
     def day(one: ReadSeen) -> list[str]:
         return rules(records([], [], configurations=calls, reads=[one]))
 
-    assert day(read(2, 20.0)) == ["CONFIG"] and day(read(1, 20.0, service="desk")) == ["CONFIG"]
+    assert day(read(2, 20.0)) == ["CONFIG"]
+    assert day(read(1, 20.0, service="desk")) == ["CONFIG"]
     assert day(read(1, 20.0)) == []
 
 
--- a/tests/emulator/test_system_operator.py
+++ b/tests/emulator/test_system_operator.py
@@ -30,10 +30,12 @@
         server.will_answer(503)
         server.will_answer(429)
         assert await operator(records, server.address).replace(Site().configuration(3))
-    assert len({(call.path, call.body) for call in server.calls}) == 1 and len(server.calls) == 3
+    assert len({(call.path, call.body) for call in server.calls}) == 1
+    assert len(server.calls) == 3
     assert server.calls[0].headers["X-Built-On"] == "0"
     (call,) = records.configurations
-    assert call.acknowledged_at < math.inf and not call.refused
+    assert call.acknowledged_at < math.inf
+    assert not call.refused
 
 
 @on_loop
@@ -53,7 +55,8 @@
     async with control() as server:
         server.will_answer(status)
         assert not await operator(records, server.address).replace(Site().configuration(1))
-    assert len(server.calls) == 1 and records.configurations[0].refused
+    assert len(server.calls) == 1
+    assert records.configurations[0].refused
 
 
 class FirstIsLost(random.Random):
@@ -83,7 +86,9 @@
         caller = Operator(lambda: [server.address], records, now, FirstIsLost(), lost_share=0.5)
         assert not await caller.replace(Site().configuration(1))
     (call,) = records.configurations
-    assert len(server.calls) == 2 and call.refused_after_acknowledgement and not call.refused
+    assert len(server.calls) == 2
+    assert call.refused_after_acknowledgement
+    assert not call.refused
 
 
 @on_loop
@@ -145,7 +150,8 @@
         caller.copies = 2
         assert await caller.replace(Site().configuration(1))
     assert records.configurations[0].refused_after_acknowledgement
-    assert len(server.calls) == 2 and len({call.body for call in server.calls}) == 1
+    assert len(server.calls) == 2
+    assert len({call.body for call in server.calls}) == 1
 
 
 def test_a_change_makes_the_same_whole_as_the_systems_own() -> None:
--- a/tests/emulator/test_system_runners.py
+++ b/tests/emulator/test_system_runners.py
@@ -35,8 +35,11 @@
     async with started(runner) as connect:
         reply = await (await connect()).ask("/ask/7?x=1", "id7", b"question")
     (arrival,) = records.arrivals
-    assert reply.whole and reply.status == 200 and reply.headers["x-attempt-id"] == "id7"
-    assert reply.headers["x-server-seal"] == arrival.seal and reply.body == arrival.answer
+    assert reply.whole
+    assert reply.status == 200
+    assert reply.headers["x-attempt-id"] == "id7"
+    assert reply.headers["x-server-seal"] == arrival.seal
+    assert reply.body == arrival.answer
     assert reply.headers["x-runner-load"].endswith(",2")
     assert (arrival.target, arrival.body, arrival.ran) == ("/ask/7?x=1", b"question", True)
 
@@ -50,7 +53,8 @@
         other = await caller.ask(X_Target_Runner="i-of-another")
         nameless = await caller.ask(id="")
     assert (other.status, nameless.status) == (421, 400)
-    assert "x-not-run" in other.headers and "x-not-run" in nameless.headers
+    assert "x-not-run" in other.headers
+    assert "x-not-run" in nameless.headers
     assert not any(arrival.ran for arrival in records.arrivals)
 
 
@@ -63,7 +67,8 @@
             (await connect()).send(id=f"id{number}")
         await until(lambda: runner.load() == (1, 2, 1))
         reply = await (await connect()).ask(id="full")
-    assert reply.status == 503 and "x-not-run" in reply.headers
+    assert reply.status == 503
+    assert "x-not-run" in reply.headers
     assert [arrival.ran for arrival in records.arrivals if arrival.id == "full"] == [False]
 
 
@@ -82,7 +87,8 @@
     async with started(runner) as connect:
         caller = await connect()
         well = await caller.ask("/health", "", method="GET")
-        assert well.status == 200 and well.headers["x-runner-id"] == runner.id
+        assert well.status == 200
+        assert well.headers["x-runner-id"] == runner.id
         runner.draining = True
         assert (await caller.ask("/health", "", method="GET")).status == 503
         assert (await caller.ask()).headers["connection"] == "close"
@@ -94,9 +100,12 @@
     async with started(engine(records, "m1")) as connect:
         reply = await (await connect()).ask(**STREAM)
     (arrival,) = records.arrivals
-    assert reply.whole and reply.headers["content-type"] == "text/event-stream"
-    assert numbers(reply) == [1, 2, 3, 4, 5] and arrival.last_event == 5
-    assert reply.body == arrival.answer and reply.headers["versions"] == "1"
+    assert reply.whole
+    assert reply.headers["content-type"] == "text/event-stream"
+    assert numbers(reply) == [1, 2, 3, 4, 5]
+    assert arrival.last_event == 5
+    assert reply.body == arrival.answer
+    assert reply.headers["versions"] == "1"
 
 
 @pytest.mark.parametrize("last", [1, 4, 5])
@@ -104,7 +113,8 @@
 async def test_a_stream_goes_on_behind_the_event_that_is_told(last: int) -> None:
     async with started(engine(Records(), "m1")) as connect:
         reply = await (await connect()).ask(**STREAM, Last_Event_Id=str(last))
-    assert reply.whole and numbers(reply) == list(range(last + 1, 6))
+    assert reply.whole
+    assert numbers(reply) == list(range(last + 1, 6))
 
 
 @on_loop
@@ -148,7 +158,8 @@
         caller = await connect()
         runner.placed.order(runner.time.now() + 600.0, runner.id, "loading", "m2", fence=1)
         reply = await caller.ask(**{**STREAM, "X_Model": "m2"})
-        assert reply.status == 503 and "x-not-run" in reply.headers
+        assert reply.status == 503
+        assert "x-not-run" in reply.headers
 
 
 @on_loop
@@ -163,7 +174,8 @@
             "/order", "", json.dumps({"order": "loading", "model": "m3", "owner": "o", "fence": 1}).encode()
         )
         await until(lambda: not runner.up)
-    assert [runner for runner, _ in records.overloads] == [old] and records.crashed == {old}
+    assert [runner for runner, _ in records.overloads] == [old]
+    assert records.crashed == {old}
 
 
 @on_loop
@@ -172,7 +184,8 @@
     async with started(runner) as connect:
         reply = await (await connect()).ask("/report", "", method="GET")
     report = decode_report(reply.body)
-    assert report is not None and report.models == {"m1": frozenset()}
+    assert report is not None
+    assert report.models == {"m1": frozenset()}
     assert (report.is_occupied, report.order_count) == (False, 0)
 
 
@@ -185,7 +198,8 @@
         runner.crash()
         runner.begin()
         caller: Caller = await connect()
-        assert runner.id != old and records.crashed == {old}
+        assert runner.id != old
+        assert records.crashed == {old}
         assert (await caller.ask(**STREAM)).status == 421
         assert await caller.order("loading", "m1") == 202
         await until(runner.held)
@@ -203,8 +217,10 @@
         cut, garbled = [await (await connect()).ask(**headers) for _ in range(2)]
         caller = await connect()
         good, surplus = await caller.ask(**headers), await caller.reply()
-    assert (cut.status, cut.whole) == (200, False) and garbled.status == 0
-    assert good.whole and surplus.headers["x-attempt-id"] == "nobody"
+    assert (cut.status, cut.whole) == (200, False)
+    assert garbled.status == 0
+    assert good.whole
+    assert surplus.headers["x-attempt-id"] == "nobody"
     assert [one.broke_off for one in records.arrivals] == [True, True, False]
     assert [one.whole for one in records.arrivals] == [False, False, True]
 
@@ -222,7 +238,9 @@
             with pytest.raises(ConnectionResetError):
                 await caller.reader.read()
     (arrival,) = records.arrivals
-    assert arrival.ran and arrival.broke_off and not arrival.whole
+    assert arrival.ran
+    assert arrival.broke_off
+    assert not arrival.whole
 
 
 @on_loop
@@ -237,7 +255,9 @@
         assert not records.arrivals[0].body_whole
         caller.writer.write(b"dy")
         later = await caller.ask(id="id2")
-    assert early.whole and early.headers["x-attempt-id"] == "id1" and later.headers["x-attempt-id"] == "id2"
+    assert early.whole
+    assert early.headers["x-attempt-id"] == "id1"
+    assert later.headers["x-attempt-id"] == "id2"
     assert [(one.body, one.body_whole) for one in records.arrivals] == [(b"body", True), (b"", True)]
 
 
@@ -264,9 +284,11 @@
         before = records.arrivals[0].answer
         other.send(id="unheard")
         await until(lambda: records.arrivals[0].broke_off)
-        assert records.arrivals[0].answer == before and len(records.arrivals) == 1
+        assert records.arrivals[0].answer == before
+        assert len(records.arrivals) == 1
         runner.end()
-        assert not (await caller.reply()).whole and not (await other.reply()).whole
+        assert not (await caller.reply()).whole
+        assert not (await other.reply()).whole
         assert len(records.arrivals) == 1
 
 
@@ -277,11 +299,15 @@
     async with started(runner), control() as first, control() as second:
         checkins = Checkins(runner, lambda: [first.address], 1.0, random.Random(1))
         first.will_answer(200, json.dumps({"beat_to": second.address}).encode())
-        assert await checkins.tell() and await checkins.drain(left_ms=500.0) and await checkins.leave()
+        assert await checkins.tell()
+        assert await checkins.drain(left_ms=500.0)
+        assert await checkins.leave()
         checkins.close()
     before, after = (parse_check_in(runner.id, call.body) for call in (first.calls[0], second.calls[0]))
     assert first.calls[0].path == f"/Runners.Checkin/{runner.id}"
-    assert before.service == "lm" and before.holds("m1", "") and before.stage is Stage.READY
+    assert before.service == "lm"
+    assert before.holds("m1", "")
+    assert before.stage is Stage.READY
     assert (after.stage, after.time_left_ms) == (Stage.DRAINING, 500.0)
     assert after.call_count > before.call_count
     assert second.calls[1].path == f"/Runners.Leave/{runner.id}"
@@ -313,9 +339,12 @@
     async with started(runner), control() as first, control() as second:
         checkins = Checkins(runner, lambda: [first.address, second.address], 10.0, random.Random(1))
         checkins.prefer(second.address)
-        assert await checkins.tell() and await checkins.drain()
+        assert await checkins.tell()
+        assert await checkins.drain()
         checkins.close()
-    assert len(second.calls) == 2 and not first.calls
+    assert len(second.calls) == 2
+    assert not first.calls
     (kept,), (ended,) = records.checkins, records.acknowledgements
-    assert not kept.tells_end and ended.tells_end
+    assert not kept.tells_end
+    assert ended.tells_end
     assert kept.sent_at <= kept.at <= ended.sent_at <= ended.at
--- a/tests/emulator/test_system_trial.py
+++ b/tests/emulator/test_system_trial.py
@@ -36,7 +36,8 @@
     assert set(outcome.results) == {one.name for one in site.classes}
     assert all(result.served > 0 for result in outcome.results.values())
     read_back = outcome.records.read_back
-    assert read_back is not None and read_back["config_version"] == 1
+    assert read_back is not None
+    assert read_back["config_version"] == 1
 
 
 def refused(address: str) -> bool:
@@ -60,7 +61,8 @@
     addresses = [
         json.loads(file.read_text())["listen"]["control"] for file in tmp_path.glob("control-*/local.json")
     ]
-    assert len(addresses) == 3 and all(refused(address) for address in addresses)
+    assert len(addresses) == 3
+    assert all(refused(address) for address in addresses)
 
 
 def test_the_settings_of_every_process_are_without_fault(tmp_path: Path) -> None:
@@ -71,7 +73,8 @@
         settings = parse_settings(
             machine.settings(rig.control_addresses(), TimeLimits(fenced=True), first_boot=True)
         )
-        assert settings_faults(settings) == [] and settings.time_limits.fenced
+        assert settings_faults(settings) == []
+        assert settings.time_limits.fenced
     assert len({machine.ip for machine in rig.machines}) == 7
 
 
--- a/tests/emulator/test_system_watch.py
+++ b/tests/emulator/test_system_watch.py
@@ -65,7 +65,8 @@
 async def test_of_two_that_call_themselves_primary_the_one_of_the_newer_view_is_meant() -> None:
     async with watched(told("a", role="primary"), told("b", 7, "primary"), None) as (watch, controls):
         primary = await watch.primary()
-        assert primary is not None and primary.control == controls[1].address
+        assert primary is not None
+        assert primary.control == controls[1].address
 
 
 @on_loop
--- a/tests/experiments/test_charts.py
+++ b/tests/experiments/test_charts.py
@@ -28,7 +28,8 @@
 
 def test_a_larger_value_stands_higher_and_rows_are_put_in_order() -> None:
     (x_30, y_30), (x_60, y_60) = points(draw(Chart("x.svg", "t", ("a",)), ROWS))
-    assert x_30 < x_60 and y_30 > y_60
+    assert x_30 < x_60
+    assert y_30 > y_60
 
 
 def test_a_measure_that_is_all_zero_is_drawn_at_the_bottom() -> None:
--- a/tests/experiments/test_distribution.py
+++ b/tests/experiments/test_distribution.py
@@ -19,7 +19,7 @@
         restarts_a_day=50_000,
     )
     result = experiment(Options(1, 1, 8.0, 1), size)
-    assert ["start", "ordinary day", "a control process lost"] == [row["phase"] for row in result.rows]
+    assert [row["phase"] for row in result.rows] == ["start", "ordinary day", "a control process lost"]
     assert result.figures["missing"] == 0
     assert result.figures["stale_s"] < 1.3
     for kind in ("configuration", "load", "leave"):
