--- a/tests/model_checking/test_check_ins.py
+++ b/tests/model_checking/test_check_ins.py
@@ -1,4 +1,4 @@
-"""The exploration of check-ins: bounded courses break nothing; every mistake put in on purpose is caught."""
+"""The exploration of check-ins: bounded runs violate no invariant; every mutant is caught."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_course_of_cuts_freezes_and_restarts_breaks_a_property(seed: int) -> None:
+def test_no_run_of_partitions_freezes_and_restarts_violates_an_invariant(seed: int) -> None:
     checks = play_faults(seed).checks
     assert checks.acknowledged
     assert len(checks.states) > 50
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
-def test_a_mistake_about_contact_put_in_on_purpose_is_caught(mutant: Mutant) -> None:
+def test_every_mutant_of_contact_is_caught(mutant: Mutant) -> None:
     assert is_caught(mutant)
 
 
-def test_a_course_is_repeated_by_its_seed() -> None:
+def test_a_run_of_check_ins_is_repeated_by_its_seed() -> None:
     first, second = play_faults(3).checks, play_faults(3).checks
     assert first.acknowledged == second.acknowledged
     assert first.states == second.states
 
 
-def test_the_last_line_tells_what_was_explored(
+def test_last_line_counts_what_was_explored(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(explore, "MUTANTS", ())
@@ -37,7 +37,7 @@
     assert capsys.readouterr().out.splitlines()[-1].startswith("explore: states=")
 
 
-def test_a_missed_mistake_is_named_and_fails_the_run(
+def test_a_missed_mutant_is_named_and_fails_the_exploration(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     unchanged = Patch(SimulatedCluster, "configure", lambda original: original)
--- a/tests/model_checking/test_operator_calls.py
+++ b/tests/model_checking/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""The exploration of the operator's calls: nothing breaks; every mistake put in on purpose is caught."""
+"""The exploration of operator calls: runs violate no invariant; every mutant is caught."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_no_run_breaks_what_operators_rely_on(seed: int) -> None:
+def test_no_run_violates_what_operators_rely_on(seed: int) -> None:
     assert play_faults(seed).checks.acknowledged
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
-def test_a_mistake_put_in_on_purpose_is_caught(mutant: Mutant) -> None:
+def test_every_mutant_is_caught(mutant: Mutant) -> None:
     assert explore.is_caught(mutant)
 
 
@@ -45,7 +45,7 @@
     return state
 
 
-def test_the_checks_see_each_kind_of_break() -> None:
+def test_checker_detects_each_kind_of_violation() -> None:
     first, rival, second = sent(1, 0), sent(1, 0, "rival"), sent(3, 1)
     refused, bad, unknown = sent(5, 3), sent(6, 3, is_valid=False), sent(2, 1, "unseen")
     checks = InvariantChecker()
@@ -73,7 +73,7 @@
             broken()
 
 
-def test_the_last_line_tells_what_was_explored(
+def test_last_line_counts_what_was_explored(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(explore, "MUTANTS", ())
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -1,4 +1,4 @@
-"""The exploration itself: a bounded run finds nothing broken; every mistake put in on purpose is caught."""
+"""The exploration of replication: bounded runs violate no invariant; every mutant is caught."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 from larchgw.model_checking.replication.runs import play_faults, play_random_walk
 
 
-def test_no_interleaving_of_a_few_steps_breaks_a_property() -> None:
+def test_no_interleaving_of_a_few_steps_violates_an_invariant() -> None:
     exhaustive = ExhaustiveSearch()
     exhaustive.explore(max_states=400, until=time.monotonic() + 60.0)
     assert len(exhaustive.states) >= 400
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_walk_breaks_a_property(seed: int) -> None:
+def test_no_random_walk_violates_an_invariant(seed: int) -> None:
     assert play_random_walk(seed).events > 1000
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_course_of_faults_breaks_a_property_and_everything_recovers(seed: int) -> None:
+def test_no_run_of_faults_violates_an_invariant_and_all_recovers(seed: int) -> None:
     cluster = play_faults(seed)
-    assert cluster.acknowledged and cluster.confirmed
+    assert cluster.acknowledged
+    assert cluster.confirmed
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
-def test_a_mistake_put_in_on_purpose_is_caught(mutant: Mutant) -> None:
-    mutant.play(mutant.seed)  # nothing breaks without the mistake
+def test_every_mutant_is_caught(mutant: Mutant) -> None:
+    mutant.play(mutant.seed)  # no invariant is violated without the mistake
     assert is_caught(mutant)
 
 
@@ -44,7 +45,7 @@
     assert (first.acknowledged, first.states) == (second.acknowledged, second.states)
 
 
-def test_the_checks_see_each_kind_of_break() -> None:
+def test_checker_detects_each_kind_of_violation() -> None:
     checks = InvariantChecker(lease_term_s=3.0)
     checks.committed("a", 1, b"one")
     checks.acknowledged(1, 0, b"one")
@@ -69,7 +70,7 @@
             broken()
 
 
-def test_the_last_line_tells_what_was_explored(
+def test_last_line_counts_what_was_explored(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(explore, "MUTANTS", ())
--- a/tests/model_checking/test_second_loss.py
+++ b/tests/model_checking/test_second_loss.py
@@ -10,7 +10,7 @@
 from larchgw.model_checking.replication.machine import Machine
 from larchgw.model_checking.replication.redundancy import is_redundant
 
-CATCH_UP = 4.0  # seconds after a machine's return in which it counts as lost
+CATCH_UP_S = 4.0  # after a machine's return, in which it counts as lost
 
 
 def started(machines: int = 3, seeds: int = 3, survive: int = 1, seed: int = 1) -> SimulatedCluster:
@@ -53,7 +53,7 @@
     cluster.wipe(address)
     serve(cluster, 1.0)
     cluster.start(address)
-    serve(cluster, CATCH_UP)
+    serve(cluster, CATCH_UP_S)
     assert is_redundant(cluster)
 
 
@@ -61,12 +61,14 @@
     cluster.destroy(address)
     serve(cluster, 1.0)
     cluster.start(cluster.new_machine().address)
-    serve(cluster, CATCH_UP)
+    serve(cluster, CATCH_UP_S)
     assert is_redundant(cluster)
 
 
 @pytest.mark.parametrize("whose", [primary, backup])
-def test_a_machine_loses_its_disk_twice_in_a_row(whose: Callable[[SimulatedCluster], Machine]) -> None:
+def test_a_machine_may_lose_its_disk_three_times_in_a_row(
+    whose: Callable[[SimulatedCluster], Machine],
+) -> None:
     cluster = started()
     address = whose(cluster).address
     for _ in range(3):
@@ -75,7 +77,7 @@
 
 
 @pytest.mark.parametrize("shape", [(3, 3, 1), (5, 3, 2)])
-def test_the_machine_that_lent_its_copy_is_lost_next(shape: tuple[int, int, int]) -> None:
+def test_the_machine_that_sent_its_snapshot_may_be_lost_next(shape: tuple[int, int, int]) -> None:
     cluster = started(*shape)
     for _ in range(6):
         lose_disk(cluster, primary(cluster).address)
@@ -101,7 +103,7 @@
     for address in cluster.machines:
         cluster.start(address)
     assert serves(cluster)
-    serve(cluster, CATCH_UP)
+    serve(cluster, CATCH_UP_S)
     assert is_redundant(cluster)
 
 
@@ -111,13 +113,13 @@
     cluster.freeze(first.address)  # out of sync, and still a witness
     serve(cluster, 1.0)
     cluster.thaw(first.address)
-    serve(cluster, CATCH_UP)
+    serve(cluster, CATCH_UP_S)
     cluster.wipe(second.address)
     cluster.destroy(first.address)
     assert serves(cluster)
     cluster.start(second.address)
     cluster.start(cluster.new_machine().address)
-    serve(cluster, CATCH_UP)
+    serve(cluster, CATCH_UP_S)
     assert is_redundant(cluster)
 
 
@@ -130,7 +132,8 @@
     while not (cluster.latest_view is not None and cluster.latest_view.is_joint) and waited < 4.0:
         cluster.run(0.002)
         waited += 0.002
-    assert cluster.latest_view is not None and cluster.latest_view.is_joint
+    assert cluster.latest_view is not None
+    assert cluster.latest_view.is_joint
     assert cluster.may_lose_a_disk()
     cluster.wipe(cluster.random.choice(cluster.running).address)
     assert serves(cluster)
@@ -148,7 +151,8 @@
         serve(cluster, 1.0 if busy else 2.0)
         cluster.start(address)
         serve(cluster, 1.0)
-    assert is_redundant(cluster) and serves(cluster)
+    assert is_redundant(cluster)
+    assert serves(cluster)
 
 
 def test_members_are_removed_in_order_down_to_as_few_as_the_copies_need() -> None:
