--- a/larchgw/cli/check.py
+++ b/larchgw/cli/check.py
@@ -14,7 +14,8 @@
 from ..configuration.validation import examine_configuration
 from ..dispatcher.config import startup
 from ..dispatcher.config.settings_file import Fault, read
-from .command import WRONG_CALL, Command, UsageError, textual
+from .command import WRONG_CALL, Command, textual
+from .errors import UsageError
 
 # Fields that a configuration of the operator's has and PROXY_CONFIG's file has not.
 _OPERATORS_FIELDS = frozenset({"config_version", "routes", "services"})
--- a/larchgw/cli/command.py
+++ b/larchgw/cli/command.py
@@ -18,6 +18,8 @@
 from fire.core import FireExit
 from fire.decorators import FIRE_METADATA, SetParseFn
 
+from .errors import UsageError
+
 Parameters = ParamSpec("Parameters")
 WRONG_CALL = 2  # exit status
 INTERRUPTED = 130  # exit status, 128 + SIGINT
@@ -25,16 +27,13 @@
 _NO_VALUE = "True"  # what Fire hands over for an option that has no value behind it
 
 
-class UsageError(Exception):
-    """The command line was called wrongly. The message is one line."""
-
-
 class Command:
     """Work that has been asked for. Without public members: Fire takes what is left over for their names."""
 
     __slots__ = ("_act",)
 
     def __init__(self, act: Callable[[], int]) -> None:
+        """`act` does the work and returns the exit status."""
         self._act = act
 
 
@@ -44,31 +43,31 @@
     return function
 
 
-def whole(name: str, value: object, least: int | None = None, most: int | None = None) -> int:
+def whole(name: str, value: object, minimum: int | None = None, maximum: int | None = None) -> int:
     """An option that is a whole number. Raises UsageError."""
     try:
         number = int(str(value))
     except ValueError:
         raise UsageError(f"--{name}: {value!r} is no whole number") from None
-    _bound(name, number, least, most)
+    _check_bounds(name, number, minimum, maximum)
     return number
 
 
-def decimal(name: str, value: object, least: float, most: float | None = None) -> float:
+def decimal(name: str, value: object, minimum: float, maximum: float | None = None) -> float:
     """An option that is a number. Raises UsageError."""
     try:
         number = float(str(value))
     except ValueError:
         raise UsageError(f"--{name}: {value!r} is no number") from None
-    _bound(name, number, least, most)
+    _check_bounds(name, number, minimum, maximum)
     return number
 
 
-def _bound(name: str, number: float, least: float | None, most: float | None) -> None:
-    if least is not None and not number >= least:
-        raise UsageError(f"--{name}: {number} is below {least}")
-    if most is not None and not number <= most:
-        raise UsageError(f"--{name}: {number} is above {most}")
+def _check_bounds(name: str, number: float, minimum: float | None, maximum: float | None) -> None:
+    if minimum is not None and not number >= minimum:
+        raise UsageError(f"--{name}: {number} is below {minimum}")
+    if maximum is not None and not number <= maximum:
+        raise UsageError(f"--{name}: {number} is above {maximum}")
 
 
 def flag(name: str, value: object) -> bool:
@@ -102,14 +101,14 @@
     words = [word for word in arguments if word not in _HELP]
     if len(words) < len(arguments):
         words += ["--", "--help"]
-    said = io.StringIO()
+    messages = io.StringIO()
     try:
-        with redirect_stderr(said):
+        with redirect_stderr(messages):
             found = fire.Fire(dict(commands), words, name="larchgw", serialize=lambda _: None)
     except FireExit as end:
         if end.code:
             raise UsageError(end.trace.elements[-1].ErrorAsStr()) from None
-        sys.stdout.write(_without_groups(said.getvalue()))
+        sys.stdout.write(_without_groups(messages.getvalue()))
         return None
     if isinstance(found, dict):
         raise UsageError(f"{' '.join(arguments)}: name one of {', '.join(found)}")
--- a/larchgw/cli/curl_transport.py
+++ b/larchgw/cli/curl_transport.py
@@ -5,22 +5,24 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPClient, HTTPClientError
 
-from .operator_client import Call, NoAnswer, Reply
+from .errors import NoAnswerError
+from .operator_client import Call, Reply
 
-SILENCE_S = 1.0  # a control process answers, or says that it cannot, within this
-LARGE_SILENCE_S = 3.0  # where the call or its answer is a whole configuration of some size
+TIMEOUT_S = 1.0  # a control process answers, or says that it cannot, within this
+LARGE_TIMEOUT_S = 3.0  # where the call or its answer is a whole configuration of some size
 LARGE_BYTES = 256 * 1024
 NO_STATUS = 599  # what Tornado gives where there was no answer
 
 
 class CurlTransport:
-    """Blocks while a call is under way. Raises NoAnswer."""
+    """`Transport` over curl; blocks while a call is under way."""
 
     def __init__(self) -> None:
+        """Makes a client with a loop of its own."""
         self._client = HTTPClient(CurlAsyncHTTPClient)
 
     def send(self, address: str, call: Call) -> Reply:
-        """See operator_client.Transport."""
+        """See Transport."""
         is_large = call.body is None or len(call.body) > LARGE_BYTES
         headers = {"Content-Type": "application/json", **call.headers}
         try:
@@ -31,11 +33,11 @@
                 body=call.body,
                 raise_error=False,
                 follow_redirects=False,
-                connect_timeout=SILENCE_S,
-                request_timeout=LARGE_SILENCE_S if is_large else SILENCE_S,
+                connect_timeout=TIMEOUT_S,
+                request_timeout=LARGE_TIMEOUT_S if is_large else TIMEOUT_S,
             )
         except (HTTPClientError, OSError) as error:
-            raise NoAnswer(f"{address}: {error}") from error
+            raise NoAnswerError(address, str(error)) from error
         if response.code == NO_STATUS:
-            raise NoAnswer(f"{address}: {getattr(response.error, 'message', response.error)}")
+            raise NoAnswerError(address, str(getattr(response.error, "message", response.error)))
         return Reply(response.code, response.body, response.headers.get("Location", ""))
--- a/larchgw/cli/explore.py
+++ b/larchgw/cli/explore.py
@@ -4,7 +4,8 @@
 
 from importlib import import_module
 
-from .command import Command, UsageError, decimal, textual, whole
+from .command import Command, decimal, textual, whole
+from .errors import UsageError
 
 PARTS = {  # name -> the module whose `main` explores it
     "replication": "larchgw.model_checking.replication.main",
--- a/larchgw/cli/lab.py
+++ b/larchgw/cli/lab.py
@@ -6,8 +6,9 @@
 from pathlib import Path
 
 from ..experiments.results import Options, Result, table
-from .command import Command, UsageError, decimal, textual, whole
+from .command import Command, decimal, textual, whole
 from .command import file as file_option
+from .errors import UsageError
 
 
 def _room(options: Options) -> Result:
--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -12,7 +12,8 @@
 from ..roles import run_role
 from ..runtime import logs
 from .check import check, settings
-from .command import INTERRUPTED, WRONG_CALL, Command, UsageError, act, file, read, textual
+from .command import INTERRUPTED, WRONG_CALL, Command, act, file, read, textual
+from .errors import UsageError
 from .explore import explore
 from .lab import lab
 from .system import SYSTEM
@@ -85,8 +86,12 @@
 
 
 def run() -> int:
-    """The console script's, and `python -m larchgw`'s with arguments. What a user got wrong is one line on
-    standard error, and status 2.
+    """Runs the console script, and `python -m larchgw` with arguments.
+
+    What a user got wrong is one line on standard error, and status 2.
+
+    Returns:
+        The exit status.
     """
     logs.configure_command()
     try:
--- a/larchgw/cli/operator_client.py
+++ b/larchgw/cli/operator_client.py
@@ -1,4 +1,7 @@
-"""A client of the operator's API: follows redirects, and sends a call again until it has a clear answer."""
+"""A client of the operator's API: follows redirects, and retries a call until it has a clear answer.
+
+A call may be sent any number of times: it names the version that it builds on, so that it takes effect once.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,16 @@
 from typing import Protocol
 from urllib.parse import urlsplit
 
-MOST_REDIRECTS = 2
-MOST_OTHER_REFUSALS = 3  # a 4xx that is neither final nor passing is taken for final at the third
-FINAL = frozenset({200, 400, 409, 412, 413, 422})
-PASSING = frozenset({408, 429})  # not of this process: another one is asked
+from .errors import NoAnswerError, UnclearOutcomeError
+
+TEMPORARY_REDIRECT = 307
+MAX_REDIRECTS = 2
+MAX_OTHER_REFUSALS = 3  # a 4xx that is neither final nor transient is taken for final at the third
+FINAL_STATUSES = frozenset({200, 400, 409, 412, 413, 422})
+TRANSIENT_STATUSES = frozenset({408, 429})  # of one process: another one is asked
 FIRST_PAUSE_S = 0.1
 PAUSE_GROWTH = 1.6
-LONGEST_PAUSE_S = 2.0
+MAX_PAUSE_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,76 +42,86 @@
     location: str = ""
 
 
-class NoAnswer(Exception):
-    """A process could not be reached, or stayed silent; whether it took the call is not known."""
-
-
-class Unclear(Exception):
-    """No process gave a clear answer in time: the call may or may not have been taken."""
-
-
 class Transport(Protocol):
-    """Sends one call to one address ("host:port"). Raises NoAnswer."""
+    """Sends one call to one address ("host:port")."""
 
     def send(self, address: str, call: Call) -> Reply:
-        """The answer, redirects not followed."""
+        """The answer, redirects not followed.
+
+        Raises:
+            NoAnswerError: The process could not be reached, or gave no answer in time.
+        """
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
-    """How long a call is tried, and how time passes."""
+class RetryPolicy:
+    """How long a call is tried, and the time and chance that the backoff uses.
+
+    Attributes:
+        clock: Seconds, monotonic.
+        sleep: Waits so many seconds.
+        random: Draws the jitter of the pauses.
+        give_up_after_s: No attempt begins later than this.
+    """
 
     clock: Callable[[], float]
     sleep: Callable[[float], None]
     random: Random
-    patience_s: float
+    give_up_after_s: float
 
 
 class OperatorClient:
-    """Tries the addresses in turn."""
+    """Sends a call to the control processes in turn, with growing pauses, until one answers clearly."""
 
-    def __init__(self, addresses: Sequence[str], transport: Transport, waiting: Waiting) -> None:
-        self._addresses, self._transport, self._waiting = list(addresses), transport, waiting
+    def __init__(self, addresses: Sequence[str], transport: Transport, retry_policy: RetryPolicy) -> None:
+        """Asks the processes at these addresses ("host:port")."""
+        self._addresses, self._transport = list(addresses), transport
+        self._retry_policy = retry_policy
 
     def call(self, call: Call) -> Reply:
-        """The clear answer. Raises Unclear once the patience is over."""
-        until = self._waiting.clock() + self._waiting.patience_s
-        pause, refusals, turn = FIRST_PAUSE_S, 0, 0
+        """The clear answer to a call, whether the system accepted or refused it.
+
+        Raises:
+            UnclearOutcomeError: There was none in the time of the retry policy.
+        """
+        policy = self._retry_policy
+        until = policy.clock() + policy.give_up_after_s
+        pause_s, refusals, attempt = FIRST_PAUSE_S, 0, 0
         while True:
-            address = self._addresses[turn % len(self._addresses)]
+            address = self._addresses[attempt % len(self._addresses)]
             try:
                 reply = self._follow(address, call)
-            except NoAnswer as error:
+            except NoAnswerError as error:
                 problem = str(error)
             else:
                 if _is_refusal(reply.status):
                     refusals += 1
-                if reply.status in FINAL or refusals >= MOST_OTHER_REFUSALS:
+                if reply.status in FINAL_STATUSES or refusals >= MAX_OTHER_REFUSALS:
                     return reply
                 problem = f"{address}: status {reply.status}"
-            wait = pause * self._waiting.random.uniform(0.5, 1.0)
-            if self._waiting.clock() + wait >= until:
-                raise Unclear(f"no clear answer in {self._waiting.patience_s:g} s; the last one: {problem}")
-            self._waiting.sleep(wait)
-            pause = min(pause * PAUSE_GROWTH, LONGEST_PAUSE_S)
-            turn += 1
+            jittered_s = pause_s * policy.random.uniform(0.5, 1.0)
+            if policy.clock() + jittered_s >= until:
+                raise UnclearOutcomeError(policy.give_up_after_s, problem)
+            policy.sleep(jittered_s)
+            pause_s = min(pause_s * PAUSE_GROWTH, MAX_PAUSE_S)
+            attempt += 1
 
     def _follow(self, address: str, call: Call) -> Reply:
-        """The answer at the end of the redirects. Raises NoAnswer where they lead too far or nowhere."""
-        for _ in range(MOST_REDIRECTS):
+        """The answer at the end of the redirects. Raises NoAnswerError where they lead too far or nowhere."""
+        for _ in range(MAX_REDIRECTS):
             reply = self._transport.send(address, call)
-            if reply.status != 307:
+            if reply.status != TEMPORARY_REDIRECT:
                 return reply
             target = urlsplit(reply.location)
             if target.scheme != "http" or not target.netloc:
-                raise NoAnswer(f"{address}: redirects to {reply.location!r}, which is no address")
+                raise NoAnswerError(address, f"redirects to {reply.location!r}, which is no address")
             address = target.netloc
             call = Call(call.method, target.path or call.path, call.headers, call.body)
         reply = self._transport.send(address, call)
-        if reply.status == 307:
-            raise NoAnswer(f"{address}: redirects more than {MOST_REDIRECTS} times")
+        if reply.status == TEMPORARY_REDIRECT:
+            raise NoAnswerError(address, f"redirects more than {MAX_REDIRECTS} times")
         return reply
 
 
 def _is_refusal(status: int) -> bool:
-    return 400 <= status < 500 and status not in PASSING
+    return 400 <= status < 500 and status not in TRANSIENT_STATUSES
--- a/larchgw/cli/system_common.py
+++ b/larchgw/cli/system_common.py
@@ -10,7 +10,7 @@
 from ..configuration import settings as process_settings
 from ..configuration.errors import SettingsError
 from ..configuration.settings import NodeSettings
-from .command import UsageError
+from .errors import UsageError
 
 
 class Ending(IntEnum):
--- a/larchgw/cli/system_config.py
+++ b/larchgw/cli/system_config.py
@@ -10,16 +10,17 @@
 from typing import Any
 
 from ..configuration.settings import NodeSettings
-from .command import Command, UsageError, decimal, file, textual, whole
-from .operator_client import Call, OperatorClient, Reply, Transport, Unclear, Waiting
+from .command import Command, decimal, file, textual, whole
+from .errors import UnclearOutcomeError, UsageError
+from .operator_client import Call, OperatorClient, Reply, RetryPolicy, Transport
 from .system_common import Ending, addresses, fail
 
-DEFAULT_PATIENCE_S = "30"  # a failover takes some seconds, a restart of all machines some more
+DEFAULT_RETRY_S = "30"  # a failover takes some seconds, a restart of all machines some more
 OK = 200
 
 
 @textual
-def read(*, at: str | None = None, seconds: str = DEFAULT_PATIENCE_S) -> Command:
+def read(*, at: str | None = None, seconds: str = DEFAULT_RETRY_S) -> Command:
     """Prints the newest configuration that was acknowledged, as JSON.
 
     Args:
@@ -33,7 +34,7 @@
 
 @textual
 def replace(
-    file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_PATIENCE_S
+    file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_RETRY_S
 ) -> Command:
     """Replaces the configuration by a whole one; status 1 if it was refused, 3 if no clear answer came.
 
@@ -43,12 +44,12 @@
         at: As for read.
         seconds: How long to try; the same call is sent again until there is a clear answer.
     """
-    return _order("/Config.Replace", file, built_on, at, seconds)
+    return _change_command("/Config.Replace", file, built_on, at, seconds)
 
 
 @textual
 def change(
-    file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_PATIENCE_S
+    file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_RETRY_S
 ) -> Command:
     """Adds, replaces and removes named items; ends as replace does.
 
@@ -58,10 +59,10 @@
         at: As for read.
         seconds: As for replace.
     """
-    return _order("/Config.Change", file, built_on, at, seconds)
+    return _change_command("/Config.Change", file, built_on, at, seconds)
 
 
-def _order(path: str, name: str, built_on: str | None, at: str | None, seconds: str) -> Command:
+def _change_command(path: str, name: str, built_on: str | None, at: str | None, seconds: str) -> Command:
     if built_on is None:
         raise UsageError(
             "--built-on: give the version that this builds on; `larchgw system config read` "
@@ -81,8 +82,8 @@
 def _client(at: str | None, seconds: str) -> Callable[[], OperatorClient]:
     """Makes the client only once it is used: curl is loaded by then."""
     asked = addresses(at, _control_addresses)
-    waiting = Waiting(time.monotonic, time.sleep, random.Random(), decimal("seconds", seconds, 0.1))
-    return lambda: OperatorClient(asked, _transport(), waiting)
+    policy = RetryPolicy(time.monotonic, time.sleep, random.Random(), decimal("seconds", seconds, 0.1))
+    return lambda: OperatorClient(asked, _transport(), policy)
 
 
 def _transport() -> Transport:
@@ -94,7 +95,7 @@
 def _read(client: OperatorClient) -> int:
     try:
         reply = client.call(Call("GET", "/Config.Read"))
-    except Unclear as error:
+    except UnclearOutcomeError as error:
         return fail(str(error), Ending.UNCLEAR)
     if reply.status != OK:
         return fail(refusal(reply), Ending.REFUSED)
@@ -105,7 +106,7 @@
 def _send(client: OperatorClient, path: str, source: Path, built_on: int) -> int:
     try:
         reply = client.call(Call("POST", path, {"X-Built-On": str(built_on)}, source.read_bytes()))
-    except Unclear as error:
+    except UnclearOutcomeError as error:
         return fail(
             f"{error}. It may have been taken: send the same file again, or read the configuration",
             Ending.UNCLEAR,
--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -13,7 +13,8 @@
 from ..rpc.errors import RpcError
 from ..runtime.addresses import rpc_address, seed_rpc_addresses
 from ..storage.errors import StorageError
-from .command import Command, UsageError, flag, textual
+from .command import Command, flag, textual
+from .errors import UsageError
 from .system_common import Ending, fail
 from .system_status import status_of
 
--- a/larchgw/cli/system_trial.py
+++ b/larchgw/cli/system_trial.py
@@ -10,7 +10,8 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from ..experiments.results import table
-from .command import Command, UsageError, decimal, whole
+from .command import Command, decimal, whole
+from .errors import UsageError
 
 if TYPE_CHECKING:
     from ..emulator.system.trial import SystemSpec
@@ -68,8 +69,8 @@
     return replace(spec, site=site, fault=sizes.fault, lengths=lengths)
 
 
-async def _until_told(work: Coroutine[Any, Any, Result]) -> Result:
-    """The work's result. After SIGTERM it is cancelled, so that it can end the processes that it started."""
+async def _cancelled_on_sigterm(work: Coroutine[Any, Any, Result]) -> Result:
+    """The work's result; SIGTERM cancels the work, so that it can end the processes that it started."""
     task = asyncio.ensure_future(work)
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     return await task
@@ -81,7 +82,7 @@
 
     assert isinstance(spec, SystemSpec)
     try:
-        outcome = asyncio.run(_until_told(run(spec)))
+        outcome = asyncio.run(_cancelled_on_sigterm(run(spec)))
     except asyncio.CancelledError:
         return TERMINATED
     except (TrialError, NoFreeNetwork) as error:
--- a/larchgw/cli/trial.py
+++ b/larchgw/cli/trial.py
@@ -5,13 +5,17 @@
 import asyncio
 import sys
 from contextlib import AbstractContextManager, nullcontext
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..emulator.trial import Outcome, Trial, TrialSpec
 from ..experiments.results import table
-from .command import Command, UsageError, decimal, file, flag, textual, whole
+from .command import Command, decimal, file, flag, textual, whole
+from .errors import UsageError
 from .system_trial import SystemSizes, system_trial
 
+if TYPE_CHECKING:
+    from rich.console import Group
+
 
 def _live() -> tuple[AbstractContextManager[Any], Any]:
     """A table that is drawn anew in place, where there is a terminal."""
@@ -21,7 +25,7 @@
     return live, live
 
 
-def _picture(trial: Trial) -> Any:
+def _picture(trial: Trial) -> Group:
     from rich.console import Group
     from rich.table import Table
 
--- a/tests/cli/test_curl_transport.py
+++ b/tests/cli/test_curl_transport.py
@@ -9,7 +9,8 @@
 import pytest
 
 from larchgw.cli.curl_transport import CurlTransport
-from larchgw.cli.operator_client import Call, NoAnswer
+from larchgw.cli.errors import NoAnswerError
+from larchgw.cli.operator_client import Call
 
 CALL = Call("POST", "/Config.Change", {"X-Built-On": "3"}, b'{"config_version": 4}')
 
@@ -70,7 +71,7 @@
             answer(connection, half)
 
     process = Process(script)
-    with pytest.raises(NoAnswer):
+    with pytest.raises(NoAnswerError):
         CurlTransport().send(process.address, CALL)
     process.close()
 
--- a/tests/cli/test_role_commands.py
+++ b/tests/cli/test_role_commands.py
@@ -12,7 +12,7 @@
 
 from larchgw.cli import main
 from larchgw.cli.check import faults_of
-from larchgw.cli.command import UsageError
+from larchgw.cli.errors import UsageError
 from larchgw.cli.explore import PARTS
 from larchgw.cli.lab import EXPERIMENTS
 from larchgw.cli.main import call
@@ -66,7 +66,8 @@
         [sys.executable, "-c", ROLE, role], cwd=ROOT, text=True, capture_output=True, timeout=3 * PATIENCE
     )
     told = json.loads(done.stdout)
-    assert done.returncode == 7 and told["ignored"]
+    assert done.returncode == 7
+    assert told["ignored"]
     heavy = {
         "click",
         "fire",
@@ -89,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, word",
+    ("arguments", "word"),
     [
         (["serve", "x.toml"], "x.toml"),
         (["serve", "--rom", "x"], "--rom"),
@@ -125,7 +126,8 @@
     monkeypatch.setattr("larchgw.cli.trial.Trial", work)
     with pytest.raises(UsageError) as caught:
         call(arguments)
-    assert word in str(caught.value) and "\n" not in str(caught.value)
+    assert word in str(caught.value)
+    assert "\n" not in str(caught.value)
 
 
 def test_options_without_a_sub_command_are_those_of_serve(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -153,7 +155,8 @@
 def test_help_is_printed_and_does_no_work(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     assert call(arguments) == 0
     said = capsys.readouterr().out
-    assert "SYNOPSIS" in said and "FIRE" not in said
+    assert "SYNOPSIS" in said
+    assert "FIRE" not in said
 
 
 def test_check_names_faulty_items_of_an_operators_configuration(
@@ -186,7 +189,8 @@
     assert [str(fault) for fault in faults_of(missing, True)] == [
         f"{missing}: cannot read it: No such file or directory"
     ]
-    assert faults_of(missing) and faults_of(tmp_path / "none.toml")
+    assert faults_of(missing)
+    assert faults_of(tmp_path / "none.toml")
 
 
 def test_the_settings_of_a_process_are_checked(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -202,7 +206,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.chdir(tmp_path)
-    assert call(["check", "1e3"]) == 2 and capsys.readouterr().out.startswith("1e3: ")
+    assert call(["check", "1e3"]) == 2
+    assert capsys.readouterr().out.startswith("1e3: ")
 
 
 def test_an_unknown_part_to_explore_is_named_with_those_there_are():
--- a/tests/cli/test_serve_commands.py
+++ b/tests/cli/test_serve_commands.py
@@ -31,7 +31,8 @@
     )
     done = larchgw("check", str(path))
     lines = done.stdout.splitlines()
-    assert done.returncode == 2 and all(line.startswith(f"{path}: ") for line in lines)
+    assert done.returncode == 2
+    assert all(line.startswith(f"{path}: ") for line in lines)
     for field, word in (
         ("gearman.listn", "listen?"),
         ("gearman.remember_s", "float"),
@@ -51,11 +52,12 @@
     assert (done.returncode, done.stdout) == (0, "")
     (tmp_path / "c.json").write_text(json.dumps(config | {"seed": "?"}))
     done = larchgw("check", str(tmp_path / "c.json"))
-    assert done.returncode == 2 and ": seed: " in done.stdout
+    assert done.returncode == 2
+    assert ": seed: " in done.stdout
 
 
 @pytest.mark.parametrize(
-    "text, field",
+    ("text", "field"),
     [
         ("boxes_share = 0", "boxes_share"),
         ("certainty = 1.5", "certainty"),
@@ -70,13 +72,14 @@
     path = tmp_path / "room.toml"
     path.write_text(f"[room]\n{text}\n")
     found, faults = read(path)
-    assert not found and [f.field for f in faults] == [f"room.{field}"]
+    assert not found
+    assert [f.field for f in faults] == [f"room.{field}"]
     path.write_text("")
     assert load_room(path).smallest == 2.0
 
 
 @pytest.mark.parametrize(
-    "arguments, word",
+    ("arguments", "word"),
     [
         (["nosuch"], "nosuch"),
         (["serve", "--room", "/nowhere.toml"], "/nowhere.toml"),
@@ -86,7 +89,9 @@
 )
 def test_a_wrong_call_is_one_line_and_status_2(arguments: list[str], word: str) -> None:
     done = larchgw(*arguments)
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and word in done.stderr
+    assert done.returncode == 2
+    assert done.stderr.count("\n") == 1
+    assert word in done.stderr
 
 
 def test_without_arguments_nothing_of_the_command_line_is_loaded() -> None:
@@ -101,5 +106,7 @@
         "lab", "room", "--seeds", "1", "--seconds", "2", "--jobs", "2", "--json", str(tmp_path / "r.json")
     )
     last = done.stdout.splitlines()[-1]
-    assert done.returncode == 0 and last.startswith("room: ratio=") and "starved=" in last
+    assert done.returncode == 0
+    assert last.startswith("room: ratio=")
+    assert "starved=" in last
     assert json.loads((tmp_path / "r.json").read_text())["figures"]["rules"] == 0
--- a/tests/cli/test_system_commands.py
+++ b/tests/cli/test_system_commands.py
@@ -9,9 +9,9 @@
 import pytest
 
 from larchgw.cli import system_config, system_disk
-from larchgw.cli.command import UsageError
+from larchgw.cli.errors import NoAnswerError, UsageError
 from larchgw.cli.main import call
-from larchgw.cli.operator_client import Call, NoAnswer, Reply
+from larchgw.cli.operator_client import Call, Reply
 from larchgw.cli.system_common import columns
 from larchgw.cli.system_status import placement_lines, runner_lines, view_lines
 from larchgw.rpc.generated.ttypes import (
@@ -46,7 +46,7 @@
     def send(self, address: str, call: Call) -> Reply:
         self.sent.append((address, call))
         if not self.answers:
-            raise NoAnswer(f"{address}: silence")
+            raise NoAnswerError(address, "silence")
         return self.answers.pop(0)
 
 
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, word",
+    ("arguments", "word"),
     [
         (["system"], "view"),
         (["system", "config"], "replace"),
@@ -136,7 +136,8 @@
 def test_a_wrong_call_asks_nobody(arguments: list[str], word: str, peer: Peer, source: str) -> None:
     with pytest.raises(UsageError) as caught:
         call([source if argument == "FILE" else argument for argument in arguments])
-    assert word in str(caught.value) and "\n" not in str(caught.value)
+    assert word in str(caught.value)
+    assert "\n" not in str(caught.value)
     assert peer.sent == []
 
 
@@ -183,7 +184,8 @@
 ) -> None:
     target = tmp_path / "data"
     assert call(["system", "restore", source, "--data-dir", str(target)]) == 1
-    assert not target.exists() and "--yes" in capsys.readouterr().err
+    assert not target.exists()
+    assert "--yes" in capsys.readouterr().err
 
 
 def test_a_restore_beside_a_running_process_is_refused(
@@ -192,7 +194,8 @@
     nobody_runs.append("127.0.0.2:7660")
     target = tmp_path / "data"
     assert call(["system", "restore", source, "--data-dir", str(target), "--yes"]) == 1
-    assert not target.exists() and "127.0.0.2:7660" in capsys.readouterr().err
+    assert not target.exists()
+    assert "127.0.0.2:7660" in capsys.readouterr().err
 
 
 def test_a_restore_into_a_folder_that_holds_something_is_refused(
--- a/tests/emulator/test_system_faults.py
+++ b/tests/emulator/test_system_faults.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from larchgw.cli.command import UsageError
+from larchgw.cli.errors import UsageError
 from larchgw.cli.main import call
 from larchgw.emulator.system.plays import FAULTS, Lengths
 from larchgw.emulator.system.site import Site
--- a/tests/emulator/test_system_trial.py
+++ b/tests/emulator/test_system_trial.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from larchgw.cli.command import UsageError
+from larchgw.cli.errors import UsageError
 from larchgw.cli.main import call
 from larchgw.cli.system_trial import TERMINATED
 from larchgw.configuration.settings import TimeLimits, parse_settings
--- a/tests/net/test_request_reader.py
+++ b/tests/net/test_request_reader.py
@@ -36,7 +36,8 @@
         self.requests.append(exchange)
 
     def on_refused(self, exchange: Exchange) -> None:
-        assert exchange.error is not None and not exchange.keep_alive
+        assert exchange.error is not None
+        assert not exchange.keep_alive
         self.refused.append(exchange.error)
 
     def on_continue_expected(self) -> None:
@@ -65,7 +66,9 @@
     first, second = told.requests
     assert (first.method, first.target, first.path, first.body) == (b"POST", b"/a?x=1", b"/a", b"hello")
     assert (first.headers[b"x-list"], first.headers[b"x-key"]) == (b"1,2", b"3\n4")
-    assert first.fields[0] == (b"X-List", b"1") and first.keep_alive and not first.predates_http_1_1
+    assert first.fields[0] == (b"X-List", b"1")
+    assert first.keep_alive
+    assert not first.predates_http_1_1
     assert (second.path, second.keep_alive, second.predates_http_1_1) == (b"/b", False, True)
     assert (told.begun, told.continues, told.refused, bodies.used_bytes) == (2, 1, [], 5)
 
@@ -102,7 +105,8 @@
 
 def test_a_body_beyond_the_memory_is_refused_and_counted() -> None:
     told, bodies = read(TWO, 10_000, memory=4)
-    assert [status for status, _ in told.refused] == [503] and not told.requests
+    assert [status for status, _ in told.refused] == [503]
+    assert not told.requests
     assert bodies.used_bytes == 0
     counted: dict[str, Any] = bodies._counters.figures()
     assert counted == {"larchgw_caps_total_test_bodies": 1.0}
@@ -115,4 +119,5 @@
     reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 20\r\n\r\n" + b"x" * 10)
     limits[0] = ServerLimits(body_bytes=15)
     reader.feed(b"x" * 10)
-    assert [status for status, _ in told.refused] == [413] and bodies.used_bytes == 0
+    assert [status for status, _ in told.refused] == [413]
+    assert bodies.used_bytes == 0
