--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -103,7 +103,7 @@
 
 
 @given(JSON, st.sampled_from(["1e15", "-9E15", "0.1e16", "1E0", "12e14"]))
-def test_no_order_grows_beyond_the_bound(value: Any, number: str) -> None:
+def test_no_order_grows_beyond_the_bound(value: object, number: str) -> None:
     """The bound is of the order's own bytes, so that nothing too large passes unmeasured."""
     body = f'{{"config_version":1,"routes":[],"services":[],"other":[{json.dumps(value)},{number}]}}'.encode()
     raw = json.loads(body)
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -146,7 +146,7 @@
     (tmp_path / "data" / "witness-a").write_bytes(b"torn")
     (tmp_path / "data" / "witness-b").write_bytes(b"torn")
 
-    def make(_: object) -> Any:
+    def make(_: object) -> ControlDisk:
         return ControlDisk.open(DiskFiles(), str(tmp_path / "data"))
 
     with capture_logs() as lines:
--- a/tests/control/test_graceful_stop.py
+++ b/tests/control/test_graceful_stop.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import tempfile
+from collections.abc import Callable
 from dataclasses import replace
 from typing import Any
 
@@ -23,7 +24,7 @@
     def __init__(self, name: str, events: list[str]) -> None:
         self._name, self._events = name, events
 
-    def __getattr__(self, call: str) -> Any:
+    def __getattr__(self, call: str) -> Callable[..., None]:
         return lambda *arguments: self._events.append(f"{self._name}.{call}")
 
 
--- a/tests/control/test_operator_calls.py
+++ b/tests/control/test_operator_calls.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 from testtools import TestCase
 
 from larchgw.control.operator_calls import CALL_TIMEOUT_S, OperatorCallRouter
+from larchgw.control.operator_order import OperatorOrder
 from larchgw.control.operator_service import OperatorResponse
 from larchgw.emulator.virtual_loop import run
 from larchgw.rpc.errors import RpcConnectionError
@@ -34,9 +34,9 @@
 
     def __init__(self, *answers: OperatorResponse) -> None:
         self.answers = list(answers)
-        self.orders: list[Any] = []
+        self.orders: list[OperatorOrder] = []
 
-    async def submit(self, order: Any) -> OperatorResponse:
+    async def submit(self, order: OperatorOrder) -> OperatorResponse:
         self.orders.append(order)
         return self.answers.pop(0)
 
@@ -51,7 +51,7 @@
         self.answers = {PRIMARY: answers.get("primary", []), OTHER: answers.get("other", [])}
         self.called: list[str] = []
 
-    def get(self, address: str) -> Any:
+    def get(self, address: str) -> object:
         peers = self
 
         class Client:
@@ -64,7 +64,7 @@
         return Client()
 
 
-def calls(member: Any, service: Any, peers: Any) -> OperatorCallRouter:
+def calls(member: ScriptedMember, service: object, peers: object) -> OperatorCallRouter:
     return OperatorCallRouter(member, service, peers)
 
 
@@ -85,7 +85,7 @@
         member, service = ScriptedMember(PRIMARY), ScriptedService(OperatorResponse(200, b"mine"))
 
         class Deposed(ScriptedPeers):
-            def get(self, address: str) -> Any:
+            def get(self, address: str) -> object:
                 member.is_primary = True
                 return super().get(address)
 
@@ -109,7 +109,7 @@
 
     def test_forwarded_call_ends_when_its_forwarder_has_timed_out(self) -> None:
         class SilentService:
-            async def submit(self, order: Any) -> OperatorResponse:
+            async def submit(self, order: OperatorOrder) -> OperatorResponse:
                 await asyncio.Event().wait()
                 raise AssertionError
 
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -15,6 +15,7 @@
 from types import SimpleNamespace
 from typing import Any
 
+import tornado.web
 from tornado.testing import AsyncHTTPTestCase
 
 from larchgw.configuration.packing import pack
@@ -77,7 +78,7 @@
 VIEW = View(7, "a#1", ("b#2",), ("a#1", "b#2", "c#3"), ("a#1",), {"a#1": ADDRESS, "b#2": "b:1", "c#3": "c:1"})
 
 
-def fixture(name: str) -> Any:
+def fixture(name: str) -> dict[str, Any] | list[Any]:
     return json.loads((FIXTURES / name).read_bytes())
 
 
@@ -355,7 +356,7 @@
 
 
 class HttpAnswersTest(AsyncHTTPTestCase):
-    def get_app(self) -> Any:
+    def get_app(self) -> tornado.web.Application:
         self.service = ScriptedControl()
         return http_api.application(self.service, self.service, ADDRESS)
 
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -14,6 +14,7 @@
 from testtools import TestCase
 from tornado.testing import AsyncHTTPTestCase
 
+from larchgw.configuration.model import Configuration
 from larchgw.configuration.settings import NodeSettings, TimeLimits
 from larchgw.configuration.validation import parse_configuration
 from larchgw.control.node import ControlNode
@@ -55,7 +56,7 @@
         return self.now
 
 
-def models_configuration() -> Any:
+def models_configuration() -> tuple[Configuration, str, str]:
     raw = example()
     service = next(service for service in raw["services"] if service.get("runtime"))
     return parse_configuration(raw), service["name"], service["runtime"]["models"][0]["name"]
