--- a/larchgw/replication/identity.py
+++ b/larchgw/replication/identity.py
@@ -5,6 +5,7 @@
 import json
 from dataclasses import dataclass
 
+from ..identifiers import MemberId
 from .lease_acceptor import LeaseAcceptor
 from .ports import Cell
 from .settings import MemberSettings
@@ -16,7 +17,7 @@
 class Identity:
     """`is_new`: the disk held none."""
 
-    id: str
+    id: MemberId
     is_new: bool
 
 
@@ -31,13 +32,13 @@
     """
     stored = cell.load()
     if stored is not None:
-        return Identity(str(json.loads(stored)["id"]), False)
+        return Identity(MemberId(str(json.loads(stored)["id"])), False)
     is_founder = settings.first_boot and settings.address in settings.seeds
     witness.reset(first_view(settings.seeds) if is_founder else None)
     leases.reset(from_first_boot=is_founder)
     identity = settings.address if is_founder else settings.fresh_identity
     store_identity(cell, identity)
-    return Identity(identity, True)
+    return Identity(MemberId(identity), True)
 
 
 def store_identity(cell: Cell, identity: str) -> None:
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -8,6 +8,7 @@
 
 import structlog
 
+from ..identifiers import FencingToken
 from .lease_acceptor import NOBODY, UNKNOWN
 from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .outbound_messages import OutboundMessages
@@ -40,7 +41,7 @@
     """Held until `expires_at`, in seconds on the caller's clock; every act carries `fencing_token`."""
 
     name: str
-    fencing_token: int
+    fencing_token: FencingToken
     expires_at: float
 
 
@@ -143,7 +144,7 @@
     def lease(self, now: float) -> Lease | None:
         """The lease, if it is held and may be acted on now."""
         if self._state is LeaseState.ACTING and now < self._expires_at:
-            return Lease(self.name, self._fencing_token, self._expires_at)
+            return Lease(self.name, FencingToken(self._fencing_token), self._expires_at)
         return None
 
     def release(self, now: float, view: View | None, pause_s: float) -> None:
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -8,6 +8,7 @@
 
 import structlog
 
+from ..identifiers import MemberId
 from .effects import Effects, PendingCall, Role
 from .errors import MessageDecodeError, NotPrimaryError
 from .leadership import Leadership
@@ -86,7 +87,7 @@
     # ---- what is known ----
 
     @property
-    def id(self) -> str:
+    def id(self) -> MemberId:
         """The durable identity of this member."""
         return self._member_id
 
--- a/tests/replication/test_lease.py
+++ b/tests/replication/test_lease.py
@@ -92,59 +92,60 @@
 
 
 def started() -> SimulatedCluster:
-    world = SimulatedCluster(3, 3, 3, 1)
-    for address in world.machines:
-        world.start(address, first_boot=True)
-    world.run(1.0)
-    return world
+    cluster = SimulatedCluster(3, 3, 3, 1)
+    for address in cluster.machines:
+        cluster.start(address, first_boot=True)
+    cluster.run(1.0)
+    return cluster
 
 
-def holders(world: SimulatedCluster) -> dict[str, Lease]:
+def holders(cluster: SimulatedCluster) -> dict[str, Lease]:
     found = {
-        machine.address: machine.member.lease(world.clock(machine), LEASE_NAME) for machine in world.running
+        machine.address: machine.member.lease(cluster.clock(machine), LEASE_NAME)
+        for machine in cluster.running
     }
     return {address: lease for address, lease in found.items() if lease is not None}
 
 
 def test_the_first_holder_is_the_primary_and_need_not_wait() -> None:
-    world = started()
-    assert list(holders(world)) == [machine.address for machine in world.primaries()]
+    cluster = started()
+    assert list(holders(cluster)) == [machine.address for machine in cluster.primaries()]
 
 
 def test_a_new_holder_acts_a_term_after_the_old_one_could_last() -> None:
-    world = started()
-    (old,) = holders(world)
-    world.kill(old)
-    lost_at = world.now
-    while not holders(world):
-        world.run(0.05)
-        assert world.now < lost_at + 3 * LEASE_TERM_S
-    assert world.now - lost_at > LEASE_TERM_S
+    cluster = started()
+    (old,) = holders(cluster)
+    cluster.kill(old)
+    lost_at = cluster.now
+    while not holders(cluster):
+        cluster.run(0.05)
+        assert cluster.now < lost_at + 3 * LEASE_TERM_S
+    assert cluster.now - lost_at > LEASE_TERM_S
 
 
 def test_a_thawed_holder_knows_at_once_that_its_lease_is_over() -> None:
-    world = started()
-    (old,) = holders(world)
-    world.freeze(old)
-    world.run(LEASE_TERM_S)
-    machine = world.machines[old]
-    world.thaw(old)
-    assert machine.member.lease(world.clock(machine), LEASE_NAME) is None
+    cluster = started()
+    (old,) = holders(cluster)
+    cluster.freeze(old)
+    cluster.run(LEASE_TERM_S)
+    machine = cluster.machines[old]
+    cluster.thaw(old)
+    assert machine.member.lease(cluster.clock(machine), LEASE_NAME) is None
 
 
 def test_a_restarted_holder_goes_on_without_the_wait_and_with_a_higher_fence() -> None:
-    world = started()
-    ((old, lease),) = holders(world).items()
-    world.kill(old)
-    world.start(old)
-    world.run(1.0)
-    assert holders(world)[old].fencing_token > lease.fencing_token
+    cluster = started()
+    ((old, lease),) = holders(cluster).items()
+    cluster.kill(old)
+    cluster.start(old)
+    cluster.run(1.0)
+    assert holders(cluster)[old].fencing_token > lease.fencing_token
 
 
 def test_a_holder_that_steps_down_gives_its_lease_up() -> None:
-    world = started()
-    (old,) = holders(world)
-    world.step_down(world.machines[old])
-    world.run(LEASE_TERM_S + 1.0)
-    assert holders(world)
-    assert old not in holders(world)
+    cluster = started()
+    (old,) = holders(cluster)
+    cluster.step_down(cluster.machines[old])
+    cluster.run(LEASE_TERM_S + 1.0)
+    assert holders(cluster)
+    assert old not in holders(cluster)
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -10,194 +10,194 @@
 
 
 def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> SimulatedCluster:
-    world = SimulatedCluster(1, machines, seeds, survive)
-    for address in world.machines:
-        world.start(address, first_boot=True)
-    serve(world, 2.0)
-    return world
+    cluster = SimulatedCluster(1, machines, seeds, survive)
+    for address in cluster.machines:
+        cluster.start(address, first_boot=True)
+    serve(cluster, 2.0)
+    return cluster
 
 
-def serve(world: SimulatedCluster, seconds: float) -> int:
+def serve(cluster: SimulatedCluster, seconds: float) -> int:
     """Sends a change and a read every 50 ms; returns how many changes were acknowledged."""
-    before = world.acknowledged
-    end = world.now + seconds
-    while world.now < end:
-        world.run(0.05)
-        for machine in world.primaries():
-            world.change(machine)
-            world.read(machine)
-    return world.acknowledged - before
-
-
-def primary(world: SimulatedCluster) -> Machine:
-    (only,) = world.primaries()
+    before = cluster.acknowledged
+    end = cluster.now + seconds
+    while cluster.now < end:
+        cluster.run(0.05)
+        for machine in cluster.primaries():
+            cluster.change(machine)
+            cluster.read(machine)
+    return cluster.acknowledged - before
+
+
+def primary(cluster: SimulatedCluster) -> Machine:
+    (only,) = cluster.primaries()
     return only
 
 
-def backups(world: SimulatedCluster) -> list[Machine]:
-    return [machine for machine in world.running if machine is not primary(world)]
+def backups(cluster: SimulatedCluster) -> list[Machine]:
+    return [machine for machine in cluster.running if machine is not primary(cluster)]
 
 
 def test_a_first_boot_has_a_primary_before_a_second_is_over() -> None:
-    world = SimulatedCluster(1, 3, 3, 1)
-    for address in world.machines:
-        world.start(address, first_boot=True)
-    assert serve(world, 1.0) > 0
+    cluster = SimulatedCluster(1, 3, 3, 1)
+    for address in cluster.machines:
+        cluster.start(address, first_boot=True)
+    assert serve(cluster, 1.0) > 0
 
 
 @pytest.mark.parametrize("how", ["kill", "lose_power", "wipe", "freeze"])
 def test_a_lost_primary_is_replaced_within_1500_ms(how: str) -> None:
-    world = started()
-    getattr(world, how)(primary(world).address)
-    world.run(1.5)
-    assert serve(world, 1.0) > 5
+    cluster = started()
+    getattr(cluster, how)(primary(cluster).address)
+    cluster.run(1.5)
+    assert serve(cluster, 1.0) > 5
 
 
 @pytest.mark.parametrize("how", ["kill", "lose_power", "wipe", "freeze"])
 def test_a_lost_backup_does_not_stop_changes_for_a_second(how: str) -> None:
-    world = started()
-    getattr(world, how)(backups(world)[0].address)
-    world.run(1.0)
-    assert serve(world, 1.0) > 10
+    cluster = started()
+    getattr(cluster, how)(backups(cluster)[0].address)
+    cluster.run(1.0)
+    assert serve(cluster, 1.0) > 10
 
 
 def test_after_the_loss_of_all_power_the_last_view_forms_again() -> None:
-    world = started()
-    for address in world.machines:
-        world.lose_power(address)
-    for address in world.machines:
-        world.start(address)
-    assert serve(world, 2.0) > 10
+    cluster = started()
+    for address in cluster.machines:
+        cluster.lose_power(address)
+    for address in cluster.machines:
+        cluster.start(address)
+    assert serve(cluster, 2.0) > 10
 
 
 def test_one_disk_is_lost_while_all_others_lose_power() -> None:
-    world = started()
-    world.wipe(primary(world).address)
-    for machine in list(world.running):
-        world.lose_power(machine.address)
-    for address in world.machines:
-        world.start(address)
-    assert serve(world, 3.0) > 10
-    assert len(primary(world).member.view.in_sync) == 3
+    cluster = started()
+    cluster.wipe(primary(cluster).address)
+    for machine in list(cluster.running):
+        cluster.lose_power(machine.address)
+    for address in cluster.machines:
+        cluster.start(address)
+    assert serve(cluster, 3.0) > 10
+    assert len(primary(cluster).member.view.in_sync) == 3
 
 
 def test_a_replaced_machine_is_a_backup_and_witness_in_time_for_the_next_loss() -> None:
-    world = started()
-    lost = backups(world)[0].address
-    world.kill(lost)
-    new = world.new_machine().address
-    world.start(new)
-    serve(world, 4.0)
-    view = primary(world).member.view
+    cluster = started()
+    lost = backups(cluster)[0].address
+    cluster.kill(lost)
+    new = cluster.new_machine().address
+    cluster.start(new)
+    serve(cluster, 4.0)
+    view = primary(cluster).member.view
     assert f"{new}#1" in view.in_sync
     assert f"{new}#1" in view.witnesses
     assert lost not in view.electors
-    world.wipe(primary(world).address)
-    world.run(1.5)
-    assert serve(world, 1.0) > 5
+    cluster.wipe(primary(cluster).address)
+    cluster.run(1.5)
+    assert serve(cluster, 1.0) > 5
 
 
 def test_all_three_machines_are_replaced_one_after_the_other() -> None:
-    world = started()
-    for old in list(world.machines):
-        world.kill(old)
-        world.start(world.new_machine().address)
-        serve(world, 4.0)
-    assert not set(world.seeds) & set(primary(world).member.view.members)
+    cluster = started()
+    for old in list(cluster.machines):
+        cluster.kill(old)
+        cluster.start(cluster.new_machine().address)
+        serve(cluster, 4.0)
+    assert not set(cluster.seeds) & set(primary(cluster).member.view.members)
 
 
 def test_a_seed_that_never_came_up_does_not_stop_the_others() -> None:
-    world = SimulatedCluster(1, 3, 3, 1)
-    for address in list(world.machines)[1:]:
-        world.start(address, first_boot=True)
-    serve(world, 2.0)
-    world.start(world.seeds[0])
-    serve(world, 2.0)
-    assert f"{world.seeds[0]}#1" in primary(world).member.view.in_sync
+    cluster = SimulatedCluster(1, 3, 3, 1)
+    for address in list(cluster.machines)[1:]:
+        cluster.start(address, first_boot=True)
+    serve(cluster, 2.0)
+    cluster.start(cluster.seeds[0])
+    serve(cluster, 2.0)
+    assert f"{cluster.seeds[0]}#1" in primary(cluster).member.view.in_sync
 
 
 def test_five_machines_from_three_seeds_bear_the_loss_of_two() -> None:
-    world = started(5, 3, 2)
-    serve(world, 2.0)
-    view = primary(world).member.view
+    cluster = started(5, 3, 2)
+    serve(cluster, 2.0)
+    view = primary(cluster).member.view
     assert len(view.in_sync) == len(view.witnesses) == 5
-    world.wipe(primary(world).address)
-    world.kill(world.running[0].address)
-    world.run(2.0)
-    assert serve(world, 1.0) > 5
+    cluster.wipe(primary(cluster).address)
+    cluster.kill(cluster.running[0].address)
+    cluster.run(2.0)
+    assert serve(cluster, 1.0) > 5
 
 
 def test_a_planned_end_of_the_primary_takes_less_than_200_ms() -> None:
-    world = started()
-    world.step_down(primary(world))
-    world.run(0.2)
-    assert serve(world, 0.5) > 3
+    cluster = started()
+    cluster.step_down(primary(cluster))
+    cluster.run(0.2)
+    assert serve(cluster, 0.5) > 3
 
 
 def test_a_restarted_primary_forms_a_new_view_before_it_acts() -> None:
-    world = started()
-    machine = primary(world)
+    cluster = started()
+    machine = primary(cluster)
     epoch = machine.member.acting_epoch
-    world.kill(machine.address)
-    world.start(machine.address)
+    cluster.kill(machine.address)
+    cluster.start(machine.address)
     assert not machine.member.is_primary
-    serve(world, 1.0)
-    assert primary(world).member.acting_epoch > epoch
+    serve(cluster, 1.0)
+    assert primary(cluster).member.acting_epoch > epoch
 
 
 def test_a_thawed_primary_confirms_no_read_of_its_old_view() -> None:
-    world = started()
-    machine = primary(world)
-    world.freeze(machine.address)
-    serve(world, 2.0)
-    world.thaw(machine.address)
-    assert world.read(machine)
-    world.run(0.3)
+    cluster = started()
+    machine = primary(cluster)
+    cluster.freeze(machine.address)
+    serve(cluster, 2.0)
+    cluster.thaw(machine.address)
+    assert cluster.read(machine)
+    cluster.run(0.3)
     assert not machine.member.is_primary
 
 
 def test_a_full_disk_makes_the_primary_hand_over() -> None:
-    world = started()
-    machine = primary(world)
+    cluster = started()
+    machine = primary(cluster)
     machine.disk.is_full = True
-    assert not world.change(machine)
-    world.run(1.5)
-    assert primary(world) is not machine
-    assert serve(world, 0.5) > 3
+    assert not cluster.change(machine)
+    cluster.run(1.5)
+    assert primary(cluster) is not machine
+    assert serve(cluster, 0.5) > 3
 
 
 def test_a_restarted_member_is_handed_a_large_state_s_records_a_few_at_a_time() -> None:
     """To take a record in takes time in proportion to the state, and heartbeats must go on between them."""
-    world = started()
-    world.kill(backups(world)[0].address)
-    serve(world, 1.0)
-    late = next(machine for machine in world.machines.values() if machine.member is None)
+    cluster = started()
+    cluster.kill(backups(cluster)[0].address)
+    serve(cluster, 1.0)
+    late = next(machine for machine in cluster.machines.values() if machine.member is None)
     handed_out: list[int] = []
-    carry_out = world._carry_out
+    carry_out = cluster._carry_out
 
     def watched(machine: Machine, effects: Effects, written: float = 0.0) -> None:
         if machine is late:
             handed_out.append(len(effects.committed))
         carry_out(machine, effects, written)
 
-    world._carry_out = watched  # type: ignore[method-assign]
-    world.start(late.address)
-    serve(world, 3.0)
-    assert late.version == primary(world).version
-    assert max(handed_out) <= DELIVER_BYTES // world.snapshot_padding_bytes
+    cluster._carry_out = watched  # type: ignore[method-assign]
+    cluster.start(late.address)
+    serve(cluster, 3.0)
+    assert late.version == primary(cluster).version
+    assert max(handed_out) <= DELIVER_BYTES // cluster.snapshot_padding_bytes
 
 
 def test_a_primary_counts_no_record_of_its_own_that_an_earlier_life_left_unsynced() -> None:
     """It was acknowledged with such a copy, then lost with the power, and another one put in its place."""
-    world = SimulatedCluster(1, 1, 1, 0)
-    (machine,) = world.machines.values()
-    world.start(machine.address, first_boot=True)
-    serve(world, 0.4)
-    world.kill(machine.address)
+    cluster = SimulatedCluster(1, 1, 1, 0)
+    (machine,) = cluster.machines.values()
+    cluster.start(machine.address, first_boot=True)
+    serve(cluster, 0.4)
+    cluster.kill(machine.address)
     assert machine.disk.synced_count == len(machine.disk.records) > 0
     machine.disk.synced_count -= 1  # killed between the append and the sync
-    world.start(machine.address)
-    while not world.primaries():
-        world.run(0.001)
+    cluster.start(machine.address)
+    while not cluster.primaries():
+        cluster.run(0.001)
     assert machine.member.committed_index == machine.member.last_index
     assert machine.disk.synced_count == len(machine.disk.records)
--- a/tests/replication/test_snapshot_catch_up.py
+++ b/tests/replication/test_snapshot_catch_up.py
@@ -19,72 +19,72 @@
 
 
 def started(filling_bytes: int) -> SimulatedCluster:
-    world = SimulatedCluster(1, 3, 3, 1)
-    world.snapshot_padding_bytes = filling_bytes
-    for address in world.machines:
-        world.start(address, first_boot=True)
-    serve(world, 6.0)
-    return world
+    cluster = SimulatedCluster(1, 3, 3, 1)
+    cluster.snapshot_padding_bytes = filling_bytes
+    for address in cluster.machines:
+        cluster.start(address, first_boot=True)
+    serve(cluster, 6.0)
+    return cluster
 
 
-def serve(world: SimulatedCluster, seconds: float) -> int:
+def serve(cluster: SimulatedCluster, seconds: float) -> int:
     """Four changes a second; returns how many were acknowledged."""
-    before, end = world.acknowledged, world.now + seconds
-    while world.now < end:
-        for machine in world.primaries():
-            world.change(machine)
-        world.run(CHANGE_PERIOD_S)
-    return world.acknowledged - before
+    before, end = cluster.acknowledged, cluster.now + seconds
+    while cluster.now < end:
+        for machine in cluster.primaries():
+            cluster.change(machine)
+        cluster.run(CHANGE_PERIOD_S)
+    return cluster.acknowledged - before
 
 
-def backup(world: SimulatedCluster) -> Machine:
-    (primary,) = world.primaries()
-    return next(machine for machine in world.running if machine is not primary)
+def backup(cluster: SimulatedCluster) -> Machine:
+    (primary,) = cluster.primaries()
+    return next(machine for machine in cluster.running if machine is not primary)
 
 
-def in_sync(world: SimulatedCluster, address: str) -> bool:
-    (primary,) = world.primaries()
-    return world.machines[address].id in primary.member.view.in_sync
+def in_sync(cluster: SimulatedCluster, address: str) -> bool:
+    (primary,) = cluster.primaries()
+    return cluster.machines[address].id in primary.member.view.in_sync
 
 
 def test_no_message_grows_with_the_snapshot() -> None:
     """Before snapshots went in pieces a member that needed a larger one was never taken in again."""
-    world = started(filling_bytes=4000)
-    world.links.max_body_bytes = 1000
-    lost = backup(world).address
-    world.wipe(lost)
-    serve(world, 1.0)
-    world.start(lost)
-    serve(world, 6.0)
-    assert in_sync(world, lost)
+    cluster = started(filling_bytes=4000)
+    cluster.links.max_body_bytes = 1000
+    lost = backup(cluster).address
+    cluster.wipe(lost)
+    serve(cluster, 1.0)
+    cluster.start(lost)
+    serve(cluster, 6.0)
+    assert in_sync(cluster, lost)
 
 
 @pytest.mark.parametrize(("loss", "double"), [(0.0, 0.0), (0.1, 0.1), (0.0, 0.5)])
 def test_a_wiped_member_catches_up_while_four_changes_a_second_go_on(loss: float, double: float) -> None:
-    world = started(filling_bytes=1000)
-    lost = backup(world).address
-    world.wipe(lost)
-    serve(world, 1.0)
-    world.links.loss_rate, world.links.duplication_rate = loss, double
-    world.start(lost)
-    assert serve(world, 20.0) >= 60
-    world.links.loss_rate = world.links.duplication_rate = 0.0
-    serve(world, 4.0)
-    assert in_sync(world, lost)
+    cluster = started(filling_bytes=1000)
+    lost = backup(cluster).address
+    cluster.wipe(lost)
+    serve(cluster, 1.0)
+    cluster.links.loss_rate, cluster.links.duplication_rate = loss, double
+    cluster.start(lost)
+    assert serve(cluster, 20.0) >= 60
+    cluster.links.loss_rate = cluster.links.duplication_rate = 0.0
+    serve(cluster, 4.0)
+    assert in_sync(cluster, lost)
 
 
 def test_a_member_that_is_killed_in_the_middle_of_a_transfer_begins_anew_and_is_taken_in() -> None:
-    world = started(filling_bytes=4000)
-    lost = backup(world).address
-    world.wipe(lost)
-    serve(world, 1.0)
-    world.start(lost)
+    cluster = started(filling_bytes=4000)
+    lost = backup(cluster).address
+    cluster.wipe(lost)
+    serve(cluster, 1.0)
+    cluster.start(lost)
     for _ in range(3):
-        world.run(0.5)
-        world.kill(lost)
-        world.start(lost)
-    serve(world, 6.0)
-    assert in_sync(world, lost)
+        cluster.run(0.5)
+        cluster.kill(lost)
+        cluster.start(lost)
+    serve(cluster, 6.0)
+    assert in_sync(cluster, lost)
 
 
 # ---- the transport ----
