--- a/larchgw/emulator/system/plays.py
+++ b/larchgw/emulator/system/plays.py
@@ -102,9 +102,9 @@
         await self._cut(self._random.choice(await self._backups()), "backup")
 
     async def _one_way(self) -> None:
-        await self._cut(await self._primary(), "primary, which is not heard,", deaf=False)
+        await self._cut(await self._primary(), "primary, which is not heard,", hold_incoming=False)
         await self._until_whole()
-        await self._cut(await self._primary(), "primary, which hears nothing,", mute=False)
+        await self._cut(await self._primary(), "primary, which hears nothing,", hold_outgoing=False)
         await self._until_whole()
         companion = self._random.choice(await self._backups())
         await self._cut(await self._primary(), f"primary, with {companion.place.name},", companion)
@@ -115,8 +115,8 @@
         role: str,
         *companions: Machine,
         starting: Machine | None = None,
-        mute: bool = True,
-        deaf: bool = True,
+        hold_outgoing: bool = True,
+        hold_incoming: bool = True,
     ) -> None:
         """Cuts it off while all call it: operators, runners that check in, and one that drains. An edge
         that is `starting` is on its side of the cut."""
@@ -124,7 +124,7 @@
         stranded.current = copy.deepcopy(self.operator.current)
         group = [machine, *companions, *([starting] if starting else [])]
         async with asyncio.TaskGroup() as tasks:
-            async with self._rig.cut_off(group, mute, deaf):
+            async with self._rig.cut_off(group, hold_outgoing, hold_incoming):
                 end = self._now() + self._lengths.hold_s
                 reading = tasks.create_task(self._reads_until(end, machine))
                 self._note(f"{role} {machine.place.name} is cut off for {self._lengths.hold_s:g} s")
--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -304,12 +304,15 @@
 
     @asynccontextmanager
     async def cut_off(
-        self, group: Collection[Machine], mute: bool = True, deaf: bool = True
+        self, group: Collection[Machine], hold_outgoing: bool = True, hold_incoming: bool = True
     ) -> AsyncIterator[None]:
-        """Cuts these machines from all others, silently, while runners, clients and operators still reach
-        them: the others don't hear them (mute), they hear nothing of the others (deaf), or both."""
+        """Cuts these machines from all others, silently, in one direction or both.
+
+        Runners, clients and operators still reach them. `hold_outgoing` holds what they send to the others,
+        `hold_incoming` what the others send to them.
+        """
         cut, hosts = [one.ip for one in group], [one.ip for one in self.machines]
-        await self.links.isolate(cut, hosts, mute, deaf)
+        await self.links.isolate(cut, hosts, hold_outgoing, hold_incoming)
         troubles = [self._begin(machine, ends_life=False, cut_off=True) for machine in group]
         try:
             yield
--- a/larchgw/emulator/system/runner.py
+++ b/larchgw/emulator/system/runner.py
@@ -13,7 +13,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpserver import TCPServer
 
-from ...fault_injection.streams import ABRUPT
+from ...fault_injection.streams import RESET_ON_CLOSE
 from ..sockets import RealTime
 from .httpstream import BadMessage, Request, head, read_body, read_head, send
 from .records import Arrival, Records
@@ -254,7 +254,7 @@
 
     def _reset(self, stream: IOStream) -> None:
         if not stream.closed():
-            stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABRUPT)
+            stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         stream.close()
 
     def surplus(self, stream: IOStream) -> None:
--- a/larchgw/fault_injection/datagrams.py
+++ b/larchgw/fault_injection/datagrams.py
@@ -6,13 +6,14 @@
 from typing import Any, cast
 
 from .links import Links
-from .streams import MILLISECOND
+from .streams import MILLISECOND_S
 
 
 class LinkedDatagrams(asyncio.DatagramProtocol):
     """Stands between the socket and the protocol that the program gave it."""
 
     def __init__(self, inner: asyncio.DatagramProtocol, links: Links) -> None:
+        """`inner` is the program's protocol."""
         self._inner, self._links = inner, links
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -37,17 +38,18 @@
     """What the program sends datagrams by."""
 
     def __init__(self, real: asyncio.DatagramTransport, links: Links) -> None:
+        """`real` is the socket's own transport."""
         super().__init__()
         self._real, self._links = real, links
 
-    def sendto(self, data: Any, addr: Any = None) -> None:
+    def sendto(self, data: bytes | bytearray | memoryview, addr: Any = None) -> None:
         """Sends a datagram, late or not at all where the link is so."""
         host = str(addr[0])
         if self._links.loses(host):
             return
         delay_ms = self._links.of(host).delay_ms
         if delay_ms:
-            asyncio.get_running_loop().call_later(delay_ms * MILLISECOND, self._real.sendto, data, addr)
+            asyncio.get_running_loop().call_later(delay_ms * MILLISECOND_S, self._real.sendto, data, addr)
         else:
             self._real.sendto(data, addr)
 
@@ -63,6 +65,6 @@
         """Whether it is closing."""
         return self._real.is_closing()
 
-    def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """What the socket's own transport tells."""
+    def get_extra_info(self, name: str, default: object = None) -> object:
+        """See asyncio's, of the socket's own transport."""
         return self._real.get_extra_info(name, default)
--- a/larchgw/fault_injection/linked.py
+++ b/larchgw/fault_injection/linked.py
@@ -18,7 +18,7 @@
 
 from .links import Links
 from .loop import LinkedPolicy
-from .orders import MOST_BYTES, Order
+from .orders import MAX_MESSAGE_BYTES, Order
 
 
 def main() -> None:
@@ -26,7 +26,7 @@
     _, descriptor, *arguments = sys.argv
     orders = socket.socket(fileno=int(descriptor))
     links = Links(random.Random(descriptor))
-    links.apply(Order.decode(orders.recv(MOST_BYTES)))
+    links.apply(Order.decode(orders.recv(MAX_MESSAGE_BYTES)))
     asyncio.set_event_loop_policy(LinkedPolicy(links, orders, _end))
     sys.argv = ["larchgw", *arguments]
     runpy.run_module("larchgw", run_name="__main__", alter_sys=True)
--- a/larchgw/fault_injection/links.py
+++ b/larchgw/fault_injection/links.py
@@ -1,4 +1,4 @@
-"""The links of this process, by host, and who must hear of a change."""
+"""The links of this process, by host, and the listeners to their changes."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class Links:
-    """Holds what was ordered last. `rng` decides which datagrams of a lossy link are lost."""
+    """The links as the last order has set them."""
 
-    def __init__(self, rng: random.Random) -> None:
-        self._random = rng
+    def __init__(self, random_source: random.Random) -> None:
+        """All links are healthy; `random_source` decides which datagrams of a lossy link are lost."""
+        self._random = random_source
         self._links: dict[str, Link] = {}
         self._listeners: set[Callable[[frozenset[str]], None]] = set()
 
@@ -28,7 +29,7 @@
             listener(reset)
 
     def listen(self, listener: Callable[[frozenset[str]], None]) -> None:
-        """Has this called after each order, with the hosts whose connections are reset."""
+        """Calls the listener after each order, with the hosts whose connections are reset."""
         self._listeners.add(listener)
 
     def forget(self, listener: Callable[[frozenset[str]], None]) -> None:
--- a/larchgw/fault_injection/loop.py
+++ b/larchgw/fault_injection/loop.py
@@ -9,10 +9,10 @@
 
 from .datagrams import LinkedDatagrams
 from .links import Links
-from .orders import MOST_BYTES, Order
+from .orders import MAX_MESSAGE_BYTES, Order
 from .streams import LinkedProtocol
 
-DONE = b"done"  # the answer to an order that has been carried out
+ACKNOWLEDGEMENT = b"done"  # the answer to an order that has been carried out
 
 
 class LinkedLoop(asyncio.SelectorEventLoop):
@@ -21,17 +21,17 @@
     Tornado's streams and curl open sockets of their own and are not seen here.
     """
 
-    def __init__(self, links: Links, orders: socket.socket, on_left: Callable[[], None]) -> None:
-        """`on_left` is called once nobody is there to give orders any more."""
+    def __init__(self, links: Links, orders: socket.socket, on_closed: Callable[[], None]) -> None:
+        """Obeys the orders on this socket; `on_closed` is called once its other end is closed."""
         super().__init__()
-        self._links, self._orders, self._on_left = links, orders, on_left
+        self._links, self._orders, self._on_closed = links, orders, on_closed
         orders.setblocking(False)
         self.add_reader(orders.fileno(), self._obey)
 
     async def create_connection(
         self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **options: Any
     ) -> tuple[Any, Any]:
-        """As asyncio's; it waits for as long as the link is held, and what comes of it obeys the link."""
+        """As asyncio's; it waits for as long as the link is held, and the connection obeys the link."""
         if host is None:
             return await super().create_connection(protocol_factory, host, port, **options)
         await self._until_connects(host)
@@ -51,38 +51,39 @@
     async def _until_connects(self, host: str) -> None:
         changed = asyncio.Event()
 
-        def notice(reset: frozenset[str]) -> None:
+        def on_change(reset: frozenset[str]) -> None:
             changed.set()
 
-        self._links.listen(notice)
+        self._links.listen(on_change)
         try:
             while not self._links.of(host).connects:
                 changed.clear()
                 await changed.wait()
         finally:
-            self._links.forget(notice)
+            self._links.forget(on_change)
 
     def _obey(self) -> None:
         """Carries out the order that has come."""
         try:
-            message = self._orders.recv(MOST_BYTES)
+            message = self._orders.recv(MAX_MESSAGE_BYTES)
         except BlockingIOError:
             return
         if not message:
             self.remove_reader(self._orders.fileno())
-            self._on_left()
+            self._on_closed()
             return
         self._links.apply(Order.decode(message))
-        self._orders.send(DONE)
+        self._orders.send(ACKNOWLEDGEMENT)
 
 
 class LinkedPolicy(asyncio.DefaultEventLoopPolicy):
     """Makes every loop of this process a `LinkedLoop`."""
 
-    def __init__(self, links: Links, orders: socket.socket, on_left: Callable[[], None]) -> None:
+    def __init__(self, links: Links, orders: socket.socket, on_closed: Callable[[], None]) -> None:
+        """See LinkedLoop."""
         super().__init__()
-        self._links, self._orders, self._on_left = links, orders, on_left
+        self._links, self._orders, self._on_closed = links, orders, on_closed
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
         """A loop under these links."""
-        return LinkedLoop(self._links, self._orders, self._on_left)
+        return LinkedLoop(self._links, self._orders, self._on_closed)
--- a/larchgw/fault_injection/orders.py
+++ b/larchgw/fault_injection/orders.py
@@ -1,4 +1,4 @@
-"""What a test orders the links of one process to do, and how that is written on the wire to the process."""
+"""What a test orders the links of one process to do, and the wire form of such an order (JSON)."""
 
 from __future__ import annotations
 
@@ -6,20 +6,26 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import asdict, dataclass, field
 
-MOST_BYTES = 65536  # of one message on the wire
+MAX_MESSAGE_BYTES = 65536  # of one message on the wire
 
 
 @dataclass(frozen=True, slots=True)
 class Link:
     """How one process reaches one host. The default is a link without faults.
 
-    What is held is kept and comes later, as with a network that loses packets and sends them again.
+    What is held is kept and delivered later, as with a network that loses packets and retransmits them.
+
+    Attributes:
+        hold_sent: Holds what this process writes; its datagrams are lost.
+        hold_received: Holds what the host answers on connections of this process.
+        delay_ms: Of what this process sends.
+        loss: Share of the datagrams that this process sends.
     """
 
-    hold_sent: bool = False  # what this process writes; its datagrams are lost
-    hold_received: bool = False  # what the host answers on connections of this process
-    delay_ms: float = 0.0  # of what this process sends
-    loss: float = 0.0  # share of the datagrams that this process sends
+    hold_sent: bool = False
+    hold_received: bool = False
+    delay_ms: float = 0.0
+    loss: float = 0.0
 
     @property
     def connects(self) -> bool:
@@ -32,8 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """The links by host that hold from now on, all others being healthy; and hosts whose connections are
-    reset now."""
+    """The state of all links of one process.
+
+    Attributes:
+        links: The links by host; all others are healthy.
+        reset: Hosts whose connections are reset now.
+    """
 
     links: Mapping[str, Link] = field(default_factory=dict)
     reset: Iterable[str] = ()
@@ -45,6 +55,12 @@
 
     @classmethod
     def decode(cls, message: bytes) -> Order:
-        """Reads what `encode` has made. Raises ValueError, KeyError or TypeError for anything else."""
+        """Reads what `encode` has made.
+
+        Raises:
+            ValueError: It is not JSON.
+            KeyError: A member is missing.
+            TypeError: A member is of another type, or a link has unknown members.
+        """
         raw = json.loads(message)
         return cls({host: Link(**link) for host, link in raw["links"].items()}, tuple(raw["reset"]))
--- a/larchgw/fault_injection/streams.py
+++ b/larchgw/fault_injection/streams.py
@@ -12,14 +12,15 @@
 
 from .links import Links
 
-ABRUPT = struct.pack("ii", 1, 0)  # SO_LINGER: a reset instead of an end
-MILLISECOND = 0.001
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a reset instead of an end
+MILLISECOND_S = 0.001
 
 
 class LinkedProtocol(asyncio.Protocol):
     """Stands between a connection and the protocol that the program gave it."""
 
     def __init__(self, inner: asyncio.Protocol, links: Links, host: str) -> None:
+        """`inner` is the program's protocol, `host` the other end of the link."""
         self.inner, self._links, self._host = inner, links, host
         self.transport: LinkedTransport | None = None
 
@@ -62,15 +63,16 @@
     """
 
     def __init__(self, real: asyncio.Transport, inner: asyncio.Protocol, links: Links, host: str) -> None:
+        """`real` is the socket's own transport, `inner` the program's protocol, `host` the other end."""
         super().__init__()
         self._real, self._inner, self._links, self._host = real, inner, links, host
         self._loop = asyncio.get_running_loop()
         self._waiting: list[bytes] = []
         self._flush: asyncio.TimerHandle | None = None
-        self._patience: asyncio.TimerHandle | None = None
+        self._user_timeout: asyncio.TimerHandle | None = None
         self._wants_reading = True
         self._ending = False  # the program has closed it, or it was given up
-        self.is_over = False  # the program has been told that it is lost
+        self.is_over = False  # its loss has been reported to the program
 
     def start(self) -> None:
         """Obeys the link from now on."""
@@ -78,14 +80,14 @@
         self._read_if_wanted()
 
     def lose(self, error: Exception | None) -> None:
-        """Tells the program once that the connection is lost."""
+        """Reports once to the program that the connection is lost."""
         self._links.forget(self._changed)
         self._stop_timers()
         self._report_loss(error)
 
     # asyncio.Transport
 
-    def write(self, data: Any) -> None:
+    def write(self, data: bytes | bytearray | memoryview) -> None:
         """Sends these bytes, or keeps them for later."""
         link = self._links.of(self._host)
         if self._ending:
@@ -95,9 +97,9 @@
             return
         self._waiting.append(bytes(data))
         if link.hold_sent:
-            self._run_out_of_patience_later()
+            self._start_user_timeout()
         elif self._flush is None:
-            self._flush = self._loop.call_later(link.delay_ms * MILLISECOND, self._send_waiting)
+            self._flush = self._loop.call_later(link.delay_ms * MILLISECOND_S, self._send_waiting)
 
     def writelines(self, list_of_data: Iterable[Any]) -> None:
         """Sends several pieces."""
@@ -115,8 +117,8 @@
         """Whether it is ending."""
         return self._ending or self._real.is_closing()
 
-    def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """What the socket's own transport tells."""
+    def get_extra_info(self, name: str, default: object = None) -> object:
+        """See asyncio's, of the socket's own transport."""
         return self._real.get_extra_info(name, default)
 
     def get_write_buffer_size(self) -> int:
@@ -141,7 +143,7 @@
         """Whether bytes are handed to the program."""
         return self._wants_reading and not self._ending
 
-    # Inside
+    # Between the program and the socket
 
     def _changed(self, reset: frozenset[str]) -> None:
         if self._host in reset:
@@ -149,13 +151,13 @@
             return
         link = self._links.of(self._host)
         if not link.hold_sent:
-            self._stop_patience()
+            self._stop_user_timeout()
             if self._flush is None:
                 self._send_waiting()
         self._read_if_wanted()
 
     def _reset(self) -> None:
-        self._real.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABRUPT)
+        self._real.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._waiting.clear()
         self._real.abort()
         self._report_loss(ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET)))
@@ -175,7 +177,7 @@
         self._flush = None
         if self._links.of(self._host).hold_sent:
             if self._waiting:
-                self._run_out_of_patience_later()
+                self._start_user_timeout()
             return
         waiting, self._waiting = self._waiting, []
         if waiting:
@@ -196,17 +198,17 @@
         elif not self._waiting:
             self._real.close()
 
-    def _run_out_of_patience_later(self) -> None:
-        """What the program wrote stays unacknowledged."""
+    def _start_user_timeout(self) -> None:
+        """Starts the wait after which a kernel gives a connection with unacknowledged bytes up."""
         sock: socket.socket | None = self._real.get_extra_info("socket")
-        if self._patience is not None or sock is None:
+        if self._user_timeout is not None or sock is None:
             return
         bound_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         if bound_ms:
-            self._patience = self._loop.call_later(bound_ms * MILLISECOND, self._give_up)
+            self._user_timeout = self._loop.call_later(bound_ms * MILLISECOND_S, self._give_up)
 
     def _give_up(self) -> None:
-        self._patience = None
+        self._user_timeout = None
         self._ending = True
         self._waiting.clear()
         self._report_loss(TimeoutError(errno.ETIMEDOUT, os.strerror(errno.ETIMEDOUT)))
@@ -217,12 +219,12 @@
             self._inner.connection_lost(error)
 
     def _stop_timers(self) -> None:
-        self._stop_patience()
+        self._stop_user_timeout()
         if self._flush is not None:
             self._flush.cancel()
             self._flush = None
 
-    def _stop_patience(self) -> None:
-        if self._patience is not None:
-            self._patience.cancel()
-            self._patience = None
+    def _stop_user_timeout(self) -> None:
+        if self._user_timeout is not None:
+            self._user_timeout.cancel()
+            self._user_timeout = None
--- a/tests/fault_injection/test_links.py
+++ b/tests/fault_injection/test_links.py
@@ -345,12 +345,12 @@
     on_linked_loop(scenario)
 
 
-def orders_of(mute: bool, deaf: bool) -> list[dict[str, Link]]:
+def orders_of(hold_outgoing: bool, hold_incoming: bool) -> list[dict[str, Link]]:
     """What two processes of a group and one outside are told when the group is cut off."""
 
     async def scenario() -> list[dict[str, Link]]:
         switchboard = Switchboard()
-        await switchboard.isolate(["a", "b"], ["a", "b", "c"], mute, deaf)
+        await switchboard.isolate(["a", "b"], ["a", "b", "c"], hold_outgoing, hold_incoming)
         told = []
         for host in "abc":
             with switchboard.attach(host) as orders:
@@ -366,11 +366,15 @@
 
 def test_a_group_that_is_cut_off_keeps_its_own_links() -> None:
     both = Link(hold_sent=True, hold_received=True)
-    assert orders_of(mute=True, deaf=True) == [{"c": both}, {"c": both}, {"a": both, "b": both}]
+    assert orders_of(hold_outgoing=True, hold_incoming=True) == [
+        {"c": both},
+        {"c": both},
+        {"a": both, "b": both},
+    ]
 
 
 def test_a_group_that_is_not_heard_still_hears() -> None:
-    assert orders_of(mute=True, deaf=False) == [
+    assert orders_of(hold_outgoing=True, hold_incoming=False) == [
         {"c": SENT_HELD},
         {"c": SENT_HELD},
         {"a": ANSWERS_HELD, "b": ANSWERS_HELD},
@@ -378,7 +382,7 @@
 
 
 def test_a_group_that_hears_nothing_is_still_heard() -> None:
-    assert orders_of(mute=False, deaf=True) == [
+    assert orders_of(hold_outgoing=False, hold_incoming=True) == [
         {"c": ANSWERS_HELD},
         {"c": ANSWERS_HELD},
         {"a": SENT_HELD, "b": SENT_HELD},
