--- /dev/null
+++ b/tests/fault_injection/stand_ins.py
@@ -0,0 +1,48 @@
+"""Stand-ins for both ends of a connection under fault injection, and its hosts."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from larchgw.fault_injection.links import Links
+from larchgw.fault_injection.orders import Link, Order
+from tests.support.asyncio_tests import PATIENCE
+
+HOST, OTHER = "127.0.0.1", "127.0.0.2"
+SENT_HELD, ANSWERS_HELD = Link(hold_sent=True), Link(hold_received=True)
+
+
+class Peer(asyncio.Protocol):
+    """Keeps what comes, and how the connection ended."""
+
+    def __init__(self) -> None:
+        self.received = b""
+        self.transport: asyncio.Transport | None = None
+        self.lost: list[Exception | None] = []
+        self.changed = asyncio.Event()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = transport  # type: ignore[assignment]
+        self.changed.set()
+
+    def data_received(self, data: bytes) -> None:
+        self.received += data
+        self.changed.set()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self.lost.append(exc)
+        self.changed.set()
+
+    async def until(self, condition: Callable[[], Any]) -> None:
+        """Returns once it holds."""
+        async with asyncio.timeout(PATIENCE):
+            while not condition():
+                self.changed.clear()
+                await self.changed.wait()
+
+
+def hold(links: Links, link: Link, reset: Iterable[str] = ()) -> None:
+    """Orders this of the link to HOST."""
+    links.apply(Order({HOST: link}, reset))
