--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -9,6 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from larchgw.identifiers import RpcAddress
 from larchgw.membership.codec import (
     BUCKETS,
     MAX_DATAGRAM_BYTES,
@@ -22,6 +23,7 @@
     Ack,
     Cursor,
     Gossip,
+    Message,
     Nack,
     Page,
     Ping,
@@ -56,7 +58,9 @@
     MEMBERS,
     st.lists(UPDATES, max_size=4),
 )
-def test_message_is_read_as_it_was_written(message_type, sequence, sender, updates):
+def test_message_is_read_as_it_was_written(
+    message_type: type[Message], sequence: int, sender: Member, updates: list[Update]
+) -> None:
     message = message_type(sequence, sender, digest=sequence, updates=tuple(updates))
     assert decode(DatagramBuilder(message).build()) == message
 
@@ -71,13 +75,15 @@
         Page(3, ME, next_cursor=None),
     ],
 )
-def test_fields_of_each_kind_are_read_as_written(message):
+def test_fields_of_each_kind_are_read_as_written(message: Message) -> None:
     assert decode(DatagramBuilder(message).build()) == message
 
 
-def test_datagram_never_exceeds_its_size_limit():
+def test_datagram_never_exceeds_its_size_limit() -> None:
     builder = DatagramBuilder(Page(1, ME, next_cursor=Cursor()))
-    record = encode_update(Update(replace(ME, name="n" * 64, zone="z" * 64, address_rpc="10.0.0.1:7660")))
+    record = encode_update(
+        Update(replace(ME, name="n" * 64, zone="z" * 64, address_rpc=RpcAddress("10.0.0.1:7660")))
+    )
     accepted = [builder.add(record) for _ in range(20)]
     assert any(accepted)
     assert not accepted[-1]
@@ -85,13 +91,13 @@
 
 
 @given(st.binary(max_size=1300))
-def test_arbitrary_bytes_are_no_datagram(data):
+def test_arbitrary_bytes_are_no_datagram(data: bytes) -> None:
     with pytest.raises(DatagramDecodeError):
         decode(data)
 
 
 @given(UPDATES, st.data())
-def test_datagram_with_a_changed_byte_is_rejected(update, data):
+def test_datagram_with_a_changed_byte_is_rejected(update: Update, data: st.DataObject) -> None:
     datagram = DatagramBuilder(Ping(7, ME, updates=(update,))).build()
     offset = data.draw(st.integers(0, len(datagram) - 1))
     changed = bytes((datagram[offset] ^ data.draw(st.integers(1, 255)),))
@@ -102,13 +108,13 @@
 
 
 @given(st.binary(min_size=0, max_size=200), st.integers(0, 255))
-def test_garbage_with_a_right_checksum_raises_no_other_error(body, kind):
+def test_garbage_with_a_right_checksum_raises_no_other_error(body: bytes, kind: int) -> None:
     data = b"lM" + bytes((1, kind)) + crc32(body).to_bytes(4, "big") + body
     with suppress(DatagramDecodeError):
         decode(data)
 
 
-def test_garbage_is_not_answered_and_changes_nothing():
+def test_garbage_is_not_answered_and_changes_nothing() -> None:
     swim = Swim(ME, SwimSettings(), Random(1))
     random = Random(2)
     for _ in range(500):
@@ -124,10 +130,10 @@
         replace(ME, address="host.example:80"),
         replace(ME, address="10.0.0.1"),
         replace(ME, address="10.0.0.1:99999"),
-        replace(ME, address_rpc="x"),
+        replace(ME, address_rpc=RpcAddress("x")),
         replace(ME, incarnation=-1),
     ],
 )
-def test_member_that_no_datagram_can_describe_is_rejected_at_the_start(member):
+def test_member_that_no_datagram_can_describe_is_rejected_at_the_start(member: Member) -> None:
     with pytest.raises(InvalidMemberError):
         check_member(member)
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -11,7 +11,7 @@
 ME = Member("edge-1", "10.0.0.1:7662", "edge", 1000, "zone-a")
 
 
-def test_update_is_sent_a_bounded_number_of_times():
+def test_update_is_sent_a_bounded_number_of_times() -> None:
     dissemination = Dissemination(SwimSettings(retransmit_multiplier=4))
     dissemination.add(Update(ME))
     sends = 0
@@ -20,7 +20,7 @@
     assert sends == 12  # 4 x ceil(log10(501))
 
 
-def test_full_queue_drops_the_update_sent_most_and_keeps_those_not_yet_sent():
+def test_full_queue_drops_the_update_sent_most_and_keeps_those_not_yet_sent() -> None:
     dissemination = Dissemination(SwimSettings(max_queued_updates=3))
     members = [replace(ME, address=f"10.0.0.{n}:1") for n in range(4)]
     for member in members[:3]:
@@ -30,7 +30,7 @@
     assert dissemination.next_records(1000, 10) == [encode_update(Update(member)) for member in members[1:]]
 
 
-def test_many_updates_at_once_are_sent_at_a_bounded_rate():
+def test_many_updates_at_once_are_sent_at_a_bounded_rate() -> None:
     dissemination = Dissemination(SwimSettings(update_bytes_per_s=100.0, update_burst_bytes=300.0))
     for n in range(60):
         dissemination.add(Update(replace(ME, address=f"10.0.0.{n}:1")))
@@ -41,7 +41,7 @@
     assert 1000 < sent <= 300 + 10 * 100
 
 
-def test_refutation_is_sent_before_a_suspicion():
+def test_refutation_is_sent_before_a_suspicion() -> None:
     dissemination = Dissemination(SwimSettings())
     suspect = Update(replace(ME, address="10.0.0.8:1", state=MemberState.SUSPECT), "10.0.0.7:1")
     refuted = Update(replace(ME, address="10.0.0.9:1", refutations=1))
--- a/tests/membership/test_recorded_bytes.py
+++ b/tests/membership/test_recorded_bytes.py
@@ -12,8 +12,9 @@
 import pytest
 
 from larchgw.emulator.datagrams import DatagramNetwork, Link
+from larchgw.identifiers import RpcAddress
 from larchgw.membership.codec import BUCKETS, DatagramBuilder, decode
-from larchgw.membership.member import Member, MemberState
+from larchgw.membership.member import NO_RPC_ADDRESS, Member, MemberState
 from larchgw.membership.messages import (
     Ack,
     Cursor,
@@ -33,14 +34,19 @@
 RECORDED: dict[str, str] = json.loads((FIXTURES / "datagrams.json").read_text())
 RECORDED_RUN = json.loads((FIXTURES / "virtual_run.json").read_text())
 
-EDGE = Member("edge-1", "10.0.0.1:7662", "edge", 1_764_600_000_123, "zone-a", "", 3)
-CONTROL = Member("core-2", "10.0.0.2:7661", "control", 1_764_600_001_000, "zone-b", "10.0.0.2:7660")
+EDGE = Member("edge-1", "10.0.0.1:7662", "edge", 1_764_600_000_123, "zone-a", NO_RPC_ADDRESS, 3)
+CONTROL = Member(
+    "core-2", "10.0.0.2:7661", "control", 1_764_600_001_000, "zone-b", RpcAddress("10.0.0.2:7660")
+)
 UPDATES = (
     Update(
-        Member("edge-9", "10.0.0.9:7662", "edge", 77, "zone-é", "", 2, MemberState.SUSPECT), "10.0.0.2:7661"
+        Member("edge-9", "10.0.0.9:7662", "edge", 77, "zone-é", NO_RPC_ADDRESS, 2, MemberState.SUSPECT),
+        "10.0.0.2:7661",
+    ),
+    Update(
+        Member("core-3", "10.0.0.3:7661", "control", 78, "", RpcAddress("10.0.0.3:7660"), 0, MemberState.DEAD)
     ),
-    Update(Member("core-3", "10.0.0.3:7661", "control", 78, "", "10.0.0.3:7660", 0, MemberState.DEAD)),
-    Update(Member("edge-8", "10.0.0.8:7662", "edge", 79, "zone-a", "", 1, MemberState.LEFT)),
+    Update(Member("edge-8", "10.0.0.8:7662", "edge", 79, "zone-a", NO_RPC_ADDRESS, 1, MemberState.LEFT)),
 )
 DIGESTS = tuple(number * 0x01010101 for number in range(BUCKETS))
 CURSOR = Cursor(17, "10.0.0.9:7662")
--- a/tests/membership/test_single_process.py
+++ b/tests/membership/test_single_process.py
@@ -1,5 +1,6 @@
 """One process of the membership protocol against a scripted peer."""
 
+from collections.abc import Iterable
 from dataclasses import replace
 from random import Random
 
@@ -7,35 +8,42 @@
 
 from larchgw.membership.codec import DatagramBuilder, decode
 from larchgw.membership.member import Member, MemberState
-from larchgw.membership.messages import Ack, Gossip, MessageKind, Ping, PingRequest, Update
+from larchgw.membership.messages import Ack, Gossip, Message, MessageKind, Ping, PingRequest, Update
 from larchgw.membership.settings import SwimSettings
-from larchgw.membership.swim import Swim
+from larchgw.membership.swim import Datagram, Swim
 
 SETTINGS = SwimSettings()
 ME = Member("edge-1", "10.0.0.1:7662", "edge", 1000, "zone-a")
 PEER = Member("control-1", "10.0.0.2:7661", "control", 2000)
 
 
-def started_swim():
+def started_swim() -> Swim:
     swim = Swim(ME, SETTINGS, Random(1))
     swim.tick(0.0)
     return swim
 
 
 @pytest.fixture
-def swim():
+def swim() -> Swim:
     """A process that knows of no other."""
     return started_swim()
 
 
-def deliver(swim, now, *members, accuser="", message_type=Gossip, sender=PEER):
+def deliver(
+    swim: Swim,
+    now: float,
+    *members: Member,
+    accuser: str = "",
+    message_type: type[Message] = Gossip,
+    sender: Member = PEER,
+) -> list[Datagram]:
     """Hands over a message of `sender` with an update on each member; returns the answers."""
     updates = tuple(Update(member, accuser) for member in members)
     message = message_type(5, sender, updates=updates)
     return swim.receive(now, sender.address, DatagramBuilder(message).build())
 
 
-def test_suspicion_of_oneself_is_refuted_in_the_next_datagram(swim):
+def test_suspicion_of_oneself_is_refuted_in_the_next_datagram(swim: Swim) -> None:
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT), accuser=PEER.address)
     answers = [decode(d.data) for d in swim.tick(0.2)]
     assert answers
@@ -43,14 +51,14 @@
     assert swim.health_score == 1
 
 
-def test_old_suspicion_of_oneself_is_ignored(swim):
+def test_old_suspicion_of_oneself_is_ignored(swim: Swim) -> None:
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=4))
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=2))
     deliver(swim, 0.1, replace(ME, state=MemberState.DEAD, incarnation=900))
     assert (swim.me.refutations, swim.me.incarnation) == (5, 1000)
 
 
-def test_death_that_no_suspicion_preceded_is_verified_and_then_becomes_a_suspicion(swim):
+def test_death_that_no_suspicion_preceded_is_verified_and_then_becomes_a_suspicion(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
     dead = replace(victim, state=MemberState.DEAD)
     deliver(swim, 0.1, victim)
@@ -63,14 +71,14 @@
     assert [m.state for m in swim.members() if m.address == victim.address] == [MemberState.SUSPECT]
 
 
-def test_death_that_its_member_refutes_changes_nothing(swim):
+def test_death_that_its_member_refutes_changes_nothing(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, victim)
     deliver(swim, 0.2, replace(victim, state=MemberState.DEAD))
     swim.tick(0.3)
     refuted = replace(victim, refutations=1)
     deliver(swim, 0.4, message_type=Ack, sender=refuted)
-    changes = []
+    changes: list[Member] = []
     swim.on_change = changes.append
     for step in range(5, 15):
         swim.tick(step / 10)
@@ -78,7 +86,7 @@
     assert [member for member in changes if member.address == victim.address] == []
 
 
-def test_death_of_a_mature_suspect_is_believed(swim):
+def test_death_of_a_mature_suspect_is_believed(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
     deliver(swim, 0.2, replace(victim, state=MemberState.DEAD))
@@ -89,13 +97,13 @@
     assert [m.address for m in swim.dead()] == [victim.address]
 
 
-def test_stale_death_does_not_bring_a_forgotten_member_back(swim):
+def test_stale_death_does_not_bring_a_forgotten_member_back(swim: Swim) -> None:
     deliver(swim, 0.1, replace(ME, address="10.0.0.9:7662", state=MemberState.DEAD))
     assert swim.members() == [ME, PEER]
     assert swim.dead() == []
 
 
-def time_to_death(accusers):
+def time_to_death(accusers: Iterable[str]) -> float:
     swim = started_swim()
     victim = replace(ME, address="10.0.0.99:7662")
     deliver(swim, 0.1, *(replace(ME, address=f"10.0.0.{n}:7662") for n in range(10, 16)))
@@ -108,7 +116,7 @@
     return step / 10
 
 
-def test_suspicion_ends_sooner_as_independent_members_confirm_it():
+def test_suspicion_ends_sooner_as_independent_members_confirm_it() -> None:
     lone = time_to_death(["10.0.0.10:7662"])
     repeated = time_to_death(["10.0.0.10:7662"] * 4)
     confirmed = time_to_death([f"10.0.0.{n}:7662" for n in range(10, 14)])
@@ -116,7 +124,7 @@
     assert confirmed < lone / 2.5
 
 
-def test_suspect_is_pinged_before_it_is_declared_dead(swim):
+def test_suspect_is_pinged_before_it_is_declared_dead(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
     for n in range(20):  # so many that the round of probes does not come to the victim by chance
         deliver(swim, 0.1, *(replace(ME, address=f"10.1.{n}.{m}:7662") for m in range(10)))
@@ -134,7 +142,7 @@
     assert step / 10 - pinged[-1] <= SETTINGS.final_ping_lead_s + 0.2
 
 
-def test_no_suspect_of_many_is_declared_dead_before_it_was_pinged(swim):
+def test_no_suspect_of_many_is_declared_dead_before_it_was_pinged(swim: Swim) -> None:
     victims = [replace(ME, address=f"10.0.1.{n}:7662", state=MemberState.SUSPECT) for n in range(40)]
     for n in range(0, 40, 10):
         deliver(swim, 0.1, *victims[n : n + 10], accuser=PEER.address)
@@ -146,7 +154,7 @@
         step += 1
 
 
-def test_probe_that_a_freeze_interrupted_accuses_nobody(swim):
+def test_probe_that_a_freeze_interrupted_accuses_nobody(swim: Swim) -> None:
     deliver(swim, 0.1, replace(PEER, refutations=1))
     swim.tick(0.2)  # begins a probe of the peer
     swim.tick(30.0)
@@ -155,7 +163,7 @@
     assert swim.health_score > 0
 
 
-def test_unhealthy_member_probes_more_slowly(swim):
+def test_unhealthy_member_probes_more_slowly(swim: Swim) -> None:
     deliver(swim, 0.1, PEER)
     for refutations in range(3):
         deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=refutations))
@@ -165,7 +173,7 @@
     assert len(pings) <= 2
 
 
-def test_relay_sends_a_nack_when_its_probe_has_no_answer(swim):
+def test_relay_sends_a_nack_when_its_probe_has_no_answer(swim: Swim) -> None:
     request = PingRequest(77, PEER, target="10.0.0.9:7662")
     first = swim.receive(0.1, PEER.address, DatagramBuilder(request).build())
     assert [(d.address, decode(d.data).kind) for d in first] == [("10.0.0.9:7662", MessageKind.PING)]
@@ -173,7 +181,7 @@
     assert [m.sequence for m in later if m.kind is MessageKind.NACK] == [77]
 
 
-def test_relay_forwards_the_ack(swim):
+def test_relay_forwards_the_ack(swim: Swim) -> None:
     request = PingRequest(77, PEER, target="10.0.0.9:7662")
     ping = decode(swim.receive(0.1, PEER.address, DatagramBuilder(request).build())[0].data)
     target = replace(ME, address="10.0.0.9:7662")
@@ -183,7 +191,7 @@
     ]
 
 
-def test_process_that_left_sends_nothing_more(swim):
+def test_process_that_left_sends_nothing_more(swim: Swim) -> None:
     deliver(swim, 0.1, PEER)
     assert [decode(d.data).sender.state for d in swim.leave(0.2)] == [MemberState.LEFT]
     assert swim.tick(0.3) == []
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -7,18 +7,21 @@
 from larchgw.emulator.datagrams import DatagramNetwork, Link
 from larchgw.membership.member import MemberState
 from larchgw.membership.settings import SwimSettings
+from larchgw.membership.swim import Swim
 
 SETTINGS = SwimSettings()
 
 
-def address(number):
+def address(number: int) -> str:
     return f"10.0.{number // 200}.{number % 200 + 1}:7661"
 
 
 SEEDS = [address(n) for n in range(3)]
 
 
-def fleet(count, seed=1, link=None, run_s=10.0):
+def fleet(
+    count: int, seed: int = 1, link: Link | None = None, run_s: float = 10.0
+) -> tuple[DatagramNetwork, list[Swim]]:
     """Three control processes, which are the seeds, and edges; all started within 0.3 s."""
     network = DatagramNetwork(seed, link)
     random = Random(seed)
@@ -36,23 +39,23 @@
     return network, swims
 
 
-def member_counts(network):
+def member_counts(network: DatagramNetwork) -> set[int]:
     """How many members each running process counts."""
     return {len(process.swim.members()) for process in network.processes.values() if process.running}
 
 
-def observed_states(network, of, since=0.0):
+def observed_states(network: DatagramNetwork, of: str, since: float = 0.0) -> set[MemberState]:
     """Which states of a process the others observed."""
     return {member.state for time, _, member in network.changes if member.address == of and time >= since}
 
 
-def processes_that_observed_death(network, of):
+def processes_that_observed_death(network: DatagramNetwork, of: str) -> set[str]:
     return {
         who for _, who, member in network.changes if member.address == of and member.state is MemberState.DEAD
     }
 
 
-def test_processes_started_together_find_each_other_from_seeds():
+def test_processes_started_together_find_each_other_from_seeds() -> None:
     network, swims = fleet(11)
     assert member_counts(network) == {11}
     assert all((swim.count("edge"), swim.count("control")) == (8, 3) for swim in swims)
@@ -61,13 +64,13 @@
     }
 
 
-def test_hundred_processes_that_join_at_once_do_not_overload_the_seeds():
+def test_hundred_processes_that_join_at_once_do_not_overload_the_seeds() -> None:
     network, _ = fleet(100)
     assert member_counts(network) == {100}
     assert max(process.bytes for process in network.processes.values()) < 200_000
 
 
-def test_idle_member_sends_little_and_the_same_at_any_size():
+def test_idle_member_sends_little_and_the_same_at_any_size() -> None:
     for count in (11, 80):
         network, _ = fleet(count, run_s=20.0)
         before = {a: (p.datagrams, p.bytes) for a, p in network.processes.items()}
@@ -77,7 +80,7 @@
             assert (process.bytes - before[a][1]) / 30.0 < 500.0
 
 
-def test_killed_process_is_found_dead_by_all_and_no_other_is():
+def test_killed_process_is_found_dead_by_all_and_no_other_is() -> None:
     network, _ = fleet(20)
     network.kill(address(7))
     network.run(15.0)
@@ -87,7 +90,7 @@
     assert [m.name for m in network.processes[address(0)].swim.dead("edge")] == [f"edge-{address(7)}"]
 
 
-def test_suspect_counts_as_member_until_it_is_dead():
+def test_suspect_counts_as_member_until_it_is_dead() -> None:
     network, swims = fleet(11)
     network.kill(address(10))
     while not any(m.state is MemberState.SUSPECT for m in swims[3].members()):
@@ -95,7 +98,7 @@
     assert swims[3].count("edge") == 8
 
 
-def test_suspicion_after_a_short_freeze_is_refuted_and_nobody_is_declared_dead():
+def test_suspicion_after_a_short_freeze_is_refuted_and_nobody_is_declared_dead() -> None:
     network, _ = fleet(11)
     network.freeze(address(6), 3.0)
     network.run(30.0)
@@ -104,7 +107,7 @@
     assert member_counts(network) == {11}
 
 
-def test_member_behind_one_bad_link_is_kept_alive_by_indirect_probes():
+def test_member_behind_one_bad_link_is_kept_alive_by_indirect_probes() -> None:
     network, swims = fleet(11)
     network.lost_paths.add((address(4), address(5)))
     network.lost_paths.add((address(5), address(4)))
@@ -113,14 +116,14 @@
     assert not observed_states(network, address(4), since=110.0)
 
 
-def test_nobody_is_declared_dead_while_one_link_loses_one_way():
+def test_nobody_is_declared_dead_while_one_link_loses_one_way() -> None:
     network, _ = fleet(11)
     network.lost_paths.add((address(4), address(5)))
     network.run(120.0)
     assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
 
 
-def test_a_thawed_process_declares_nobody_dead_and_comes_back():
+def test_a_thawed_process_declares_nobody_dead_and_comes_back() -> None:
     network, _ = fleet(20)
     network.freeze(address(3), 40.0)
     network.run(39.0)
@@ -134,7 +137,7 @@
     assert member_counts(network) == {20}
 
 
-def test_all_processes_frozen_at_once_stay_members():
+def test_all_processes_frozen_at_once_stay_members() -> None:
     network, _ = fleet(20)
     for n in range(20):
         network.freeze(address(n), 20.0)
@@ -142,7 +145,7 @@
     assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
 
 
-def test_restarted_process_is_a_new_incarnation_at_the_same_address():
+def test_restarted_process_is_a_new_incarnation_at_the_same_address() -> None:
     network, swims = fleet(11)
     old = network.processes[address(8)].swim.me.incarnation
     network.kill(address(8))
@@ -158,7 +161,7 @@
     assert swims[0].count("edge") == 8
 
 
-def test_a_restart_with_a_clock_that_went_back_is_believed():
+def test_a_restart_with_a_clock_that_went_back_is_believed() -> None:
     network, _ = fleet(5)
     network.kill(address(4))
     swim = network.start(address(4), "edge", SEEDS, clock_error=-50.0)
@@ -167,7 +170,7 @@
     assert swim.me in network.processes[address(1)].swim.members()
 
 
-def test_graceful_leave_is_notified_at_once_and_is_no_death():
+def test_graceful_leave_is_notified_at_once_and_is_no_death() -> None:
     network, _ = fleet(30)
     network.leave(address(12))
     network.run(3.0)
@@ -175,7 +178,7 @@
     assert observed_states(network, address(12), since=network.now - 3.0) == {MemberState.LEFT}
 
 
-def test_partitioned_halves_find_each_other_again():
+def test_partitioned_halves_find_each_other_again() -> None:
     network, swims = fleet(20)
     network.part([address(n) for n in range(10)], [address(n) for n in range(10, 20)])
     network.run(60.0)
@@ -185,7 +188,7 @@
     assert member_counts(network) == {20}
 
 
-def test_partitioned_halves_heal_after_the_dead_were_forgotten():
+def test_partitioned_halves_heal_after_the_dead_were_forgotten() -> None:
     network, swims = fleet(11)
     network.part([address(n) for n in range(5)], [address(n) for n in range(5, 11)])
     network.run(SETTINGS.dead_retention_s + 60.0)
@@ -195,7 +198,7 @@
     assert member_counts(network) == {11}
 
 
-def test_process_that_was_cut_off_declares_nobody_dead_when_it_is_back():
+def test_process_that_was_cut_off_declares_nobody_dead_when_it_is_back() -> None:
     network, _ = fleet(20)
     network.part([address(5)])
     network.run(90.0)
@@ -211,7 +214,7 @@
     assert blamed == set()
 
 
-def test_seeds_that_are_stale_or_not_yet_listening_are_tried_again():
+def test_seeds_that_are_stale_or_not_yet_listening_are_tried_again() -> None:
     network = DatagramNetwork(1)
     stale = [address(100), address(101), address(2)]
     swims = [network.start(address(n), "edge", stale) for n in range(3, 6)]
@@ -223,7 +226,7 @@
     assert {m.address for m in swims[0].members()} == {address(n) for n in range(2, 6)}  # no stale seed
 
 
-def test_replaced_seeds_are_asked_at_once():
+def test_replaced_seeds_are_asked_at_once() -> None:
     network = DatagramNetwork(1)
     network.start(address(2), "control", [])
     lost = network.start(address(3), "edge", [address(100)])
@@ -233,14 +236,14 @@
     assert member_counts(network) == {2}
 
 
-def test_seed_without_an_answer_is_asked_with_backoff():
+def test_seed_without_an_answer_is_asked_with_backoff() -> None:
     network = DatagramNetwork(1)
     network.start(address(3), "edge", [address(100)])
     network.run(100.0)
     assert 100.0 / SETTINGS.max_join_period_s * 0.7 < network.processes[address(3)].datagrams < 60
 
 
-def test_a_replaced_control_process_is_known_at_its_new_address():
+def test_a_replaced_control_process_is_known_at_its_new_address() -> None:
     network, swims = fleet(11)
     network.kill(address(1))
     network.start(address(50), "control", [address(1), address(0), address(2)], address_rpc="10.0.0.51:7660")
@@ -250,7 +253,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_loss_duplicates_and_reordering_lose_no_member(seed):
+def test_loss_duplicates_and_reordering_lose_no_member(seed: int) -> None:
     network, _ = fleet(30, seed, Link(delay=0.002, spread=0.2, loss=0.05, duplicates=0.1))
     network.run(180.0)
     assert not any(member.state is MemberState.DEAD for _, _, member in network.changes)
@@ -260,14 +263,14 @@
     assert member_counts(network) == {29}
 
 
-def test_same_random_seed_gives_the_same_run():
+def test_same_random_seed_gives_the_same_run() -> None:
     first, _ = fleet(15, seed=3, link=Link(loss=0.1))
     second, _ = fleet(15, seed=3, link=Link(loss=0.1))
     assert first.changes == second.changes
     assert first.kinds == second.kinds
 
 
-def test_invariants_of_member_states_hold_through_faults():
+def test_invariants_of_member_states_hold_through_faults() -> None:
     network, swims = fleet(12, seed=5, link=Link(loss=0.1, spread=0.05, duplicates=0.05))
     network.kill(address(7))
     network.freeze(address(4), 4.0)
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -3,10 +3,11 @@
 import asyncio
 import socket
 from random import Random
+from typing import Any
 
 from larchgw.membership.codec import DatagramBuilder, decode
 from larchgw.membership.member import Member, MemberState
-from larchgw.membership.messages import MessageKind, Ping
+from larchgw.membership.messages import Message, MessageKind, Ping
 from larchgw.membership.settings import SwimSettings
 from larchgw.membership.swim import Swim
 from larchgw.membership.transport import SwimTransport
@@ -18,19 +19,19 @@
 class DatagramTransportStub(asyncio.DatagramTransport):
     """Records the messages sent."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__()
-        self.sent = []
+        self.sent: list[tuple[Any, Message]] = []
         self.closed = False
 
-    def sendto(self, data, addr=None):
-        self.sent.append((addr, decode(data)))
+    def sendto(self, data: bytes | bytearray | memoryview, addr: Any = None) -> None:
+        self.sent.append((addr, decode(bytes(data))))
 
-    def close(self):
+    def close(self) -> None:
         self.closed = True
 
 
-def connected():
+def connected() -> tuple[SwimTransport, DatagramTransportStub]:
     transport, stub = (
         SwimTransport(Swim(ME, SwimSettings(), Random(1)), "127.0.0.1", 7662),
         DatagramTransportStub(),
@@ -39,7 +40,7 @@
     return transport, stub
 
 
-def free_ports(count):
+def free_ports(count: int) -> list[int]:
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for each in sockets:
         each.bind(("127.0.0.1", 0))
@@ -49,17 +50,17 @@
     return ports
 
 
-def ping(transport, sequence=5):
+def ping(transport: SwimTransport, sequence: int = 5) -> None:
     transport.datagram_received(DatagramBuilder(Ping(sequence, PEER)).build(), ("127.0.0.1", 7661))
 
 
-def test_ping_is_acknowledged_to_the_address_it_came_from():
+def test_ping_is_acknowledged_to_the_address_it_came_from() -> None:
     transport, stub = connected()
     ping(transport)
     assert [(to, m.kind, m.sequence) for to, m in stub.sent] == [(("127.0.0.1", 7661), MessageKind.ACK, 5)]
 
 
-def test_garbage_and_errors_on_the_socket_are_survived():
+def test_garbage_and_errors_on_the_socket_are_survived() -> None:
     transport, stub = connected()
     transport.datagram_received(b"GET / HTTP/1.1\r\n\r\n", ("127.0.0.1", 9))
     transport.error_received(ConnectionRefusedError())
@@ -68,7 +69,7 @@
     assert len(stub.sent) == 1
 
 
-def test_graceful_leave_is_notified_before_the_socket_closes():
+def test_graceful_leave_is_notified_before_the_socket_closes() -> None:
     transport, stub = connected()
     ping(transport)
     stub.sent.clear()
@@ -79,13 +80,18 @@
     assert len(stub.sent) == 1
 
 
-def test_two_processes_find_each_other_over_real_sockets():
-    async def scenario():
-        found = asyncio.get_running_loop().create_future()
+def test_two_processes_find_each_other_over_real_sockets() -> None:
+    async def scenario() -> str:
+        found: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+
+        def on_change(member: Member) -> None:
+            if not found.done():
+                found.set_result(member.name)
+
         ports = free_ports(2)
         first = Swim(Member("control-1", f"127.0.0.1:{ports[0]}", "control", 1), SwimSettings(), Random(1))
         second = Swim(Member("edge-1", f"127.0.0.1:{ports[1]}", "edge", 1), SwimSettings(), Random(2))
-        first.on_change = lambda member: found.done() or found.set_result(member.name)
+        first.on_change = on_change
         second.join([first.me.address])
         transports = [
             SwimTransport(swim, "127.0.0.1", port) for swim, port in zip((first, second), ports, strict=True)
