--- a/tests/placement/conftest.py
+++ b/tests/placement/conftest.py
@@ -6,19 +6,19 @@
 
 
 class FakeClock:
-    def __init__(self):
+    def __init__(self) -> None:
         self.now_s = 100.0
 
-    def __call__(self):
+    def __call__(self) -> float:
         return self.now_s
 
 
 @pytest.fixture
-def clock():
+def clock() -> FakeClock:
     return FakeClock()
 
 
 @pytest.fixture
-def demand(clock):
+def demand(clock: FakeClock) -> DemandTracker:
     """A tracker without demand, on the fake clock."""
     return DemandTracker(clock)
--- a/tests/placement/deployments.py
+++ b/tests/placement/deployments.py
@@ -1,42 +1,49 @@
 """Deployments in virtual time that the placement service is played against, and what a play is judged by."""
 
 import random
+from collections.abc import Callable, Iterable
 
 from larchgw.configuration.model import Model
 from larchgw.emulator.modelrunner import Capacity
-from larchgw.emulator.placing import Deployment, Stream, World
+from larchgw.emulator.placing import Asked, Deployment, Stream, World
 from larchgw.experiments.place import Calls
 from larchgw.experiments.place import Service as Driver
-from larchgw.placement.model import OrderOutcome
+from larchgw.placement.model import Order, OrderOutcome, RunnerReport
 
 from .builders import MB_PER_GB, RATE_FACTOR, WINDOW_S
 
 RARE_WORTH, BUSY_WORTH = 3.0, 1.0
 
 
-def model_names(first, last):
+def model_names(first: int, last: int) -> tuple[str, ...]:
     return tuple(f"m{n}" for n in range(first, last))
 
 
-def busy_stream(models, rate=10.0, starts=0.0, ends=1e9, adapter_share=0.0):
+def busy_stream(
+    models: tuple[str, ...],
+    rate: float = 10.0,
+    starts: float = 0.0,
+    ends: float = 1e9,
+    adapter_share: float = 0.0,
+) -> Stream:
     weights = (1.0,) * len(models)
     return Stream(models, weights, rate, BUSY_WORTH, 0.8, 5.0, adapter_share, starts, ends)
 
 
-def rare_stream(models, rate=0.04, aim_s=3.0):
+def rare_stream(models: tuple[str, ...], rate: float = 0.04, aim_s: float = 3.0) -> Stream:
     return Stream(models, (1.0,) * len(models), rate * len(models), RARE_WORTH, aim_s, 8.0)
 
 
 def make_deployment(
-    streams,
-    models=12,
-    runners=4,
-    load_s=1.0,
-    seconds=30.0,
-    adapters=0,
-    loads_per_s=3.0,
-    losses=(),
-):
+    streams: Iterable[Stream],
+    models: int = 12,
+    runners: int = 4,
+    load_s: float = 1.0,
+    seconds: float = 30.0,
+    adapters: int = 0,
+    loads_per_s: float = 3.0,
+    losses: tuple[tuple[float, int, float], ...] = (),
+) -> Deployment:
     known = tuple(Model(f"m{n}", 72.7 * MB_PER_GB, load_s, adapters, 66.0) for n in range(models))
     return Deployment(
         known,
@@ -51,7 +58,7 @@
     )
 
 
-def play(deployment, seed=1, calls=None):
+def play(deployment: Deployment, seed: int = 1, calls: Callable[[World], Calls] | None = None) -> World:
     """Plays a deployment to its end; validates the reconciler after each step under the lease.
 
     Calls end at once in virtual time, so a lease may be lost between the orders of one round; those noted
@@ -62,7 +69,7 @@
     if calls is not None:
         driver.service._exchange._runtime.calls = calls(world)
 
-    def step():
+    def step() -> None:
         driver.step()
         if driver.service._lease_watch.fencing_token is not None:
             driver.service._reconciler.validate_state()
@@ -71,12 +78,12 @@
     return world
 
 
-def share_in_time(requests):
+def share_in_time(requests: Iterable[Asked]) -> float:
     requests = list(requests)
     return sum(request.in_time for request in requests) / len(requests)
 
 
-def assert_no_rule_broken(world):
+def assert_no_rule_broken(world: World) -> None:
     deployment = world.deployment
     assert not any(runner.fallen for runner in world.runners)
     assert world.store.most_in(WINDOW_S) <= deployment.loads_per_s * WINDOW_S * RATE_FACTOR + 3
@@ -85,16 +92,16 @@
 class LossyCalls(Calls):
     """Loses answers: of an order that was taken, and of one that never arrived."""
 
-    def __init__(self, world):
+    def __init__(self, world: World) -> None:
         super().__init__(world)
         self._random_source = random.Random(5)
 
-    async def order(self, order, fencing_token):
+    async def order(self, order: Order, fencing_token: int) -> OrderOutcome:
         fate = self._random_source.random()
         if fate < 0.15:
             return OrderOutcome.UNKNOWN
         outcome = await super().order(order, fencing_token)
         return OrderOutcome.UNKNOWN if fate < 0.3 else outcome
 
-    async def report(self, runner_id, address):
+    async def report(self, runner_id: str, address: str) -> RunnerReport | None:
         return None if self._random_source.random() < 0.2 else await super().report(runner_id, address)
--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -10,14 +10,18 @@
 import itertools
 import json
 import random
+from collections.abc import Coroutine, Generator, Iterable
 from dataclasses import dataclass
+from typing import Any
 
 from larchgw.configuration.model import Configuration, Model, Runtime, Service
 from larchgw.emulator.modelrunner import Capacity, ModelRunner, WeightStore
-from larchgw.placement.model import OrderOutcome, PlacementSettings, RunnerReport
+from larchgw.identifiers import RunnerId
+from larchgw.placement.model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from larchgw.placement.orders import encode_order, outcome_of
 from larchgw.placement.service import PlacementService
 from larchgw.placement.service_runtime import PlacementRuntime
+from larchgw.placement.summary import PlacementSummary
 from larchgw.rpc.generated.ttypes import DemandReport, ModelDemand
 from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
@@ -28,14 +32,17 @@
 LEASES = ((1, 0.5, 9.0), (2, 10.0, 15.0), (4, 15.5, 99.0))  # fencing token, from, until
 LOSSES = ((6.0, 1, 8.0), (12.0, 6, 13.5))  # at, runner, back at
 
+Event = list[Any]  # what happened, when, and its values, as in the recorded JSON
+ScriptedCall = Coroutine[float, None, None]  # it yields the seconds after which it is resumed
+
 
 class Delay:
     """Awaited by a call: the player resumes it so many seconds later."""
 
-    def __init__(self, seconds):
+    def __init__(self, seconds: float) -> None:
         self.seconds = seconds
 
-    def __await__(self):
+    def __await__(self) -> Generator[float, None, None]:
         yield self.seconds
 
 
@@ -52,17 +59,17 @@
     requests: with a high rate and a low share the planner chooses by value, else by deadline.
     """
 
-    def __init__(self, seed, ticks, loads_per_s=1.5, waiting_share=0.3):
+    def __init__(self, seed: int, ticks: int, loads_per_s: float = 1.5, waiting_share: float = 0.3) -> None:
         self.waiting_share = waiting_share
         self.now, self.ticks = 0.0, ticks
         self.random_source = random.Random(seed)
         self.planner_random_source = random.Random(seed + 1)
-        self.events = []
-        self.waiting_calls = []
+        self.events: list[Event] = []
+        self.waiting_calls: list[tuple[float, int, ScriptedCall]] = []
         self.call_number = 0
         self.configuration = make_configuration(loads_per_s)
         self.runners = make_runners(self.configuration)
-        self.down = set()
+        self.down: set[int] = set()
         self.incarnation = 0
         self.service = PlacementService(
             PlacementRuntime(
@@ -78,18 +85,18 @@
 
     # ---- What the service calls ----
 
-    def lease(self):
+    def lease(self) -> ScriptedLease | None:
         return next(
             (ScriptedLease(token, end) for token, begin, end in LEASES if begin <= self.now < end), None
         )
 
-    def publish(self, runner, names):
+    def publish(self, runner: RunnerId, names: dict[str, float]) -> None:
         self.events.append(["published", self.now, runner, json.dumps(names)])
 
-    def spawn(self, call):
+    def spawn(self, call: ScriptedCall) -> None:
         self.resume(call)
 
-    def resume(self, call):
+    def resume(self, call: ScriptedCall) -> None:
         try:
             delay_s = call.send(None)
         except StopIteration:
@@ -97,7 +104,7 @@
         self.call_number += 1
         heapq.heappush(self.waiting_calls, (self.now + delay_s, self.call_number, call))
 
-    async def order(self, order, fence):
+    async def order(self, order: Order, fence: int) -> OrderOutcome:
         body = encode_order(order, "control-1", fence).decode()
         self.events.append(["order", self.now, order.runner_id, order.address, order.purpose, body])
         fate = self.random_source.random()
@@ -118,7 +125,7 @@
         await Delay(0.8 if fate < 0.15 else round(self.random_source.uniform(0.0, 0.1), 3))
         return OrderOutcome.UNKNOWN if fate < 0.15 else outcome_of(status)
 
-    async def report(self, runner, address):
+    async def report(self, runner: RunnerId, address: str) -> RunnerReport | None:
         self.events.append(["report", self.now, runner])
         known = self.find(runner)
         if known is None or self.random_source.random() < 0.1:
@@ -129,7 +136,7 @@
 
     # ---- What happens around it ----
 
-    def play(self):
+    def play(self) -> list[Event]:
         self.service.configure(self.configuration)
         next_round_at = 0.0
         for tick in range(self.ticks):
@@ -150,11 +157,11 @@
         self.events.append(["drawn", self.planner_random_source.random()])
         return sort_withdrawals(self.events)
 
-    def resume_due_calls(self):
+    def resume_due_calls(self) -> None:
         while self.waiting_calls and self.waiting_calls[0][0] <= self.now:
             self.resume(heapq.heappop(self.waiting_calls)[2])
 
-    def lose_and_restart_runners(self):
+    def lose_and_restart_runners(self) -> None:
         for lost_at, index, back_at in LOSSES:
             if lost_at == self.now:
                 self.down.add(index)
@@ -164,21 +171,21 @@
                 self.incarnation += 1
                 self.runners[index][1].restart(self.now, f"r{index}-{self.incarnation}")
 
-    def find(self, runner_id):
+    def find(self, runner_id: str) -> ModelRunner | None:
         for index, (_, runner) in enumerate(self.runners):
             if runner.id == runner_id and index not in self.down and not runner.fallen:
                 return runner
         return None
 
-    def record(self, index):
+    def record(self, index: int) -> RunnerRecord:
         service, runner = self.runners[index]
         stage = Stage.GONE if index in self.down or runner.fallen else Stage.READY
         held = tuple(
             HeldModel(name, 1, tuple(sorted(adapters))) for name, adapters in sorted(runner.held.items())
         )
-        return RunnerRecord(runner.id, service, runner.address, runner.zone, stage, 64, models=held)
+        return RunnerRecord(RunnerId(runner.id), service, runner.address, runner.zone, stage, 64, models=held)
 
-    def report_demand(self, tick):
+    def report_demand(self, tick: int) -> None:
         for dispatcher, every, silent_from, silent_until in (
             ("edge-1", 2, 7.0, 11.0),
             ("edge-2", 6, 99.0, 99.0),
@@ -191,7 +198,7 @@
                 DemandReport(dispatcher, round(every * TICK_S * 1000.0), lines)
             )
 
-    def demand_lines(self, service):
+    def demand_lines(self, service: str) -> list[ModelDemand]:
         draw = self.random_source
         busy = (0, 1) if self.now < 8.0 else (4, 5)
         lines = []
@@ -213,20 +220,20 @@
         return lines
 
 
-def is_withdrawal_event(event):
-    return event[0] == "published" and event[3] == "{}"
+def is_withdrawal_event(event: Event) -> bool:
+    return bool(event[0] == "published" and event[3] == "{}")
 
 
-def sort_withdrawals(events):
+def sort_withdrawals(events: Iterable[Event]) -> list[Event]:
     """Sorts what is withdrawn in one round by runner: its order comes from a set and differs by hash seed."""
-    ordered = []
+    ordered: list[Event] = []
     for is_withdrawal, group in itertools.groupby(events, key=is_withdrawal_event):
         members = list(group)
         ordered.extend(sorted(members) if is_withdrawal else members)
     return ordered
 
 
-def make_configuration(loads_per_s):
+def make_configuration(loads_per_s: float) -> Configuration:
     services = []
     for service, load_s, adapters in (("chat", 0.6, 12), ("code", 1.5, 0)):
         models = tuple(
@@ -238,10 +245,12 @@
     return Configuration(1, services=(*services, Service("plain")))
 
 
-def make_runners(configuration):
-    runners, store = [], WeightStore(3)
+def make_runners(configuration: Configuration) -> list[tuple[str, ModelRunner]]:
+    runners: list[tuple[str, ModelRunner]] = []
+    store = WeightStore(3)
     for service, count in RUNNERS_BY_SERVICE.items():
         runtime = next(known.runtime for known in configuration.services if known.name == service)
+        assert runtime is not None
         models = {model.name: model for model in runtime.models}
         for _ in range(count):
             index = len(runners)
@@ -255,7 +264,7 @@
     return runners
 
 
-def describe(summary):
+def describe(summary: PlacementSummary | None) -> list[Any] | None:
     """The summary as plain values, in the order of the status on the wire."""
     if summary is None:
         return None
--- a/tests/placement/test_completion_publisher.py
+++ b/tests/placement/test_completion_publisher.py
@@ -4,41 +4,54 @@
 
 import pytest
 
+from larchgw.identifiers import RunnerId
 from larchgw.placement.completion_publisher import UNLOADING_MS, CompletionPublisher
 
+from .builders import R0
+
+Published = list[tuple[RunnerId, dict[str, float]]]
+
 
 @pytest.fixture
-def published():
+def published() -> Published:
     return []
 
 
 @pytest.fixture
-def publisher(published):
+def publisher(published: Published) -> CompletionPublisher:
     return CompletionPublisher(
         lambda runner_id, completions_ms: published.append((runner_id, completions_ms))
     )
 
 
-def test_times_are_published_in_milliseconds_from_now_and_unloads_as_such(publisher, published):
-    publisher.update(10.0, {"r0": {"m0": 10.25, "m1": 9.0, "m2/a1": math.inf}})
+def test_times_are_published_in_milliseconds_from_now_and_unloads_as_such(
+    publisher: CompletionPublisher, published: Published
+) -> None:
+    publisher.update(10.0, {R0: {"m0": 10.25, "m1": 9.0, "m2/a1": math.inf}})
     assert published == [("r0", {"m0": 250, "m1": 0, "m2/a1": UNLOADING_MS})]
 
 
-def test_what_has_not_changed_is_not_published_again(publisher, published):
-    publisher.update(10.0, {"r0": {"m0": 11.0}})
-    publisher.update(10.5, {"r0": {"m0": 11.0}})
+def test_what_has_not_changed_is_not_published_again(
+    publisher: CompletionPublisher, published: Published
+) -> None:
+    publisher.update(10.0, {R0: {"m0": 11.0}})
+    publisher.update(10.5, {R0: {"m0": 11.0}})
     assert published == [("r0", {"m0": 1000})]
 
 
-def test_what_is_not_expected_any_more_is_withdrawn_once(publisher, published):
-    publisher.update(10.0, {"r0": {"m0": 11.0}})
+def test_what_is_not_expected_any_more_is_withdrawn_once(
+    publisher: CompletionPublisher, published: Published
+) -> None:
+    publisher.update(10.0, {R0: {"m0": 11.0}})
     publisher.update(10.5, {})
     publisher.update(11.0, {})
     assert published == [("r0", {"m0": 1000}), ("r0", {})]
 
 
-def test_after_a_reset_everything_is_published_anew(publisher, published):
-    publisher.update(10.0, {"r0": {"m0": 11.0}})
+def test_after_a_reset_everything_is_published_anew(
+    publisher: CompletionPublisher, published: Published
+) -> None:
+    publisher.update(10.0, {R0: {"m0": 11.0}})
     publisher.reset()
-    publisher.update(10.5, {"r0": {"m0": 11.0}})
+    publisher.update(10.5, {R0: {"m0": 11.0}})
     assert published == [("r0", {"m0": 1000}), ("r0", {"m0": 500})]
--- a/tests/placement/test_lease_watch.py
+++ b/tests/placement/test_lease_watch.py
@@ -2,25 +2,39 @@
 
 import pytest
 
-from larchgw.experiments.place import Calls, HeldLease
+from larchgw.experiments.place import HeldLease
+from larchgw.identifiers import RunnerId
 from larchgw.placement.lease_watch import LeaseWatch
+from larchgw.placement.model import Order, OrderOutcome, RunnerReport
 from larchgw.placement.service_runtime import PlacementRuntime
 
+from .conftest import FakeClock
+
+
+class UnusedCalls:
+    """Calls to runners where none is to be made."""
+
+    async def order(self, order: Order, fencing_token: int) -> OrderOutcome:
+        raise AssertionError("an order was sent")
+
+    async def report(self, runner_id: RunnerId, address: str) -> RunnerReport | None:
+        raise AssertionError("a report was asked for")
+
 
 @pytest.fixture
-def held():
+def held() -> list[HeldLease | None]:
     """The lease that the process holds, in a list of one."""
     return [None]
 
 
 @pytest.fixture
-def changes():
+def changes() -> list[tuple[object, ...]]:
     return []
 
 
 @pytest.fixture
-def watch(clock, held, changes):
-    runtime = PlacementRuntime(clock, lambda: held[0], Calls(None))
+def watch(clock: FakeClock, held: list[HeldLease | None], changes: list[tuple[object, ...]]) -> LeaseWatch:
+    runtime = PlacementRuntime(clock, lambda: held[0], UnusedCalls())
     return LeaseWatch(
         runtime,
         on_acquired=lambda now_s, fencing_token: changes.append(("acquired", now_s, fencing_token)),
@@ -28,7 +42,9 @@
     )
 
 
-def test_a_lease_that_ends_before_an_order_may_arrive_is_not_used(clock, held, watch, changes):
+def test_a_lease_that_ends_before_an_order_may_arrive_is_not_used(
+    clock: FakeClock, held: list[HeldLease | None], watch: LeaseWatch, changes: list[tuple[object, ...]]
+) -> None:
     held[0] = HeldLease(3, clock.now_s + 0.8)
     assert watch.current() is None
     held[0] = HeldLease(3, clock.now_s + 0.9)
@@ -38,7 +54,9 @@
     assert changes == [("acquired", 100.0, 3), ("lost", 100.2)]
 
 
-def test_a_lease_that_follows_another_is_lost_first_and_then_acquired(clock, held, watch, changes):
+def test_a_lease_that_follows_another_is_lost_first_and_then_acquired(
+    clock: FakeClock, held: list[HeldLease | None], watch: LeaseWatch, changes: list[tuple[object, ...]]
+) -> None:
     held[0] = HeldLease(3)
     watch.current()
     clock.now_s += 1.0
@@ -49,7 +67,9 @@
     assert (watch.fencing_token, watch.acquired_at_s) == (5, 101.0)
 
 
-def test_a_superseded_lease_is_not_used_and_a_later_one_is(held, watch):
+def test_a_superseded_lease_is_not_used_and_a_later_one_is(
+    held: list[HeldLease | None], watch: LeaseWatch
+) -> None:
     held[0] = HeldLease(3)
     watch.current()
     watch.supersede(3)
--- a/tests/placement/test_order_encoding.py
+++ b/tests/placement/test_order_encoding.py
@@ -5,9 +5,11 @@
 from larchgw.placement.model import Order, OrderAction, OrderOutcome, RunnerReport
 from larchgw.placement.orders import decode_report, encode_order, outcome_of
 
+from .builders import R0
 
-def test_an_order_body_names_its_owner_fencing_token_and_the_orders_before_it():
-    order = Order("r0", "a:1", OrderAction.LOADING, "m", "a3", 2)
+
+def test_an_order_body_names_its_owner_fencing_token_and_the_orders_before_it() -> None:
+    order = Order(R0, "a:1", OrderAction.LOADING, "m", "a3", 2)
     assert encode_order(order, "node-7", 41) == (
         b'{"order":"loading","model":"m","owner":"node-7","fence":41,"adapter":"a3","if_revision":2}'
     )
@@ -26,7 +28,7 @@
         (599, OrderOutcome.UNKNOWN),
     ],
 )
-def test_only_a_status_that_says_so_is_read_as_not_taken(status, outcome):
+def test_only_a_status_that_says_so_is_read_as_not_taken(status: int, outcome: OrderOutcome) -> None:
     assert outcome_of(status) is outcome
 
 
@@ -40,11 +42,11 @@
         b'{"models":[],"occupied":false,"call_count":"x"}',
     ],
 )
-def test_an_unreadable_report_is_none(body):
+def test_an_unreadable_report_is_none(body: bytes) -> None:
     assert decode_report(body) is None
 
 
-def test_a_report_is_decoded_from_its_json():
+def test_a_report_is_decoded_from_its_json() -> None:
     body = (
         b'{"phase":"both","models":[{"name":"d","config_version":1,"adapters":["a1"]}],"occupied":true,'
         b'"call_count":2,"queued":1,"in_progress":12,"cache_used":1,"cache_total":9,"takes":0}'
--- a/tests/placement/test_orders.py
+++ b/tests/placement/test_orders.py
@@ -4,26 +4,34 @@
 import json
 import socket
 import struct
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from typing import TypeVar
 
 import pytest
 
 from larchgw.configuration.settings import NodeSettings
 from larchgw.control import placer_role
 from larchgw.control.node import ControlNode
-from larchgw.placement.model import Order, OrderAction, OrderOutcome
+from larchgw.identifiers import RunnerId
+from larchgw.placement.model import Order, OrderAction, OrderOutcome, RunnerReport
 from larchgw.placement.orders import OrderClient
 
+T = TypeVar("T")
+RUNNER_ID = RunnerId("i-7")
+
 
 class RunnerStub:
     """Answers with a status, or closes the connection without one."""
 
-    def __init__(self, status, body=b""):
-        self.status, self.body, self.seen = status, body, []
+    def __init__(self, status: int | None, body: bytes = b"") -> None:
+        self.status, self.body = status, body
+        self.seen: list[tuple[str, str, str | None, bytes]] = []
 
-    async def serve(self, call):
+    async def serve(self, call: Callable[[OrderClient, str], Awaitable[T]]) -> T:
         owner = self
 
-        async def answer(reader, writer):
+        async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
             fields = head.decode().split("\r\n")
             headers = dict(field.lower().split(": ", 1) for field in fields[1:] if field)
@@ -47,8 +55,8 @@
             server.close()
 
 
-def order_at(address):
-    return Order("i-7", address, OrderAction.LOADING, "m", if_revision=2)
+def order_at(address: str) -> Order:
+    return Order(RUNNER_ID, address, OrderAction.LOADING, "m", if_revision=2)
 
 
 @pytest.mark.parametrize(
@@ -61,7 +69,9 @@
         (None, OrderOutcome.UNKNOWN),
     ],
 )
-def test_an_order_reaches_the_runner_that_it_names_and_silence_is_no_refusal(status, outcome):
+def test_an_order_reaches_the_runner_that_it_names_and_silence_is_no_refusal(
+    status: int | None, outcome: OrderOutcome
+) -> None:
     runner = RunnerStub(status)
     got = asyncio.run(runner.serve(lambda client, address: client.order(order_at(address), 41)))
     assert got is outcome
@@ -76,41 +86,42 @@
     }
 
 
-def test_an_order_that_no_connection_came_up_for_was_not_taken():
-    async def call():
+def test_an_order_that_no_connection_came_up_for_was_not_taken() -> None:
+    async def call() -> tuple[OrderOutcome, RunnerReport | None]:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = f"127.0.0.1:{taken.getsockname()[1]}"
         client = OrderClient("control-1")
         try:
-            return await client.order(order_at(address), 41), await client.report("i-7", address)
+            return await client.order(order_at(address), 41), await client.report(RUNNER_ID, address)
         finally:
             client.close()
 
     assert asyncio.run(call()) == (OrderOutcome.UNSENT, None)
 
 
-def test_a_report_comes_from_the_runner_that_was_asked_for():
+def test_a_report_comes_from_the_runner_that_was_asked_for() -> None:
     runner = RunnerStub(200, b'{"models":[],"occupied":false,"call_count":2}')
-    report = asyncio.run(runner.serve(lambda client, address: client.report("i-7", address)))
+    report = asyncio.run(runner.serve(lambda client, address: client.report(RUNNER_ID, address)))
     assert report is not None
     assert report.order_count == 2
     assert runner.seen[0][:3] == ("GET", "/report", "i-7")
 
 
-def test_another_runner_at_the_address_gives_no_report():
+def test_another_runner_at_the_address_gives_no_report() -> None:
     runner = RunnerStub(421, b'{"models":[],"occupied":false,"call_count":2}')
-    assert asyncio.run(runner.serve(lambda client, address: client.report("i-7", address))) is None
+    assert asyncio.run(runner.serve(lambda client, address: client.report(RUNNER_ID, address))) is None
 
 
 class PersistentRunnerStub:
     """Keeps its connections, and answers each call as `script` says of it: with bytes, or by a reset."""
 
-    def __init__(self, *script, closes=False):
-        self.script, self.seen, self.closes = list(script), [], closes
+    def __init__(self, *script: bytes | str, closes: bool = False) -> None:
+        self.script, self.closes = list(script), closes
+        self.seen: list[tuple[str, bytes]] = []
         self.connections = 0
 
-    async def serve(self, call):
-        async def answer(reader, writer):
+    async def serve(self, call: Callable[[OrderClient, str], Awaitable[T]]) -> T:
+        async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.connections += 1
             try:
                 while True:
@@ -126,6 +137,7 @@
                         return
                     if step == "close":
                         return
+                    assert isinstance(step, bytes)
                     writer.write(step)
                     if self.closes:
                         return
@@ -146,16 +158,16 @@
 REPORT = b'{"models":[],"occupied":false,"call_count":2}'
 
 
-def answered(status, body=b""):
+def answered(status: int, body: bytes = b"") -> bytes:
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
 
 
 @pytest.mark.parametrize("end", ["reset", "close"])
-def test_an_order_whose_connection_ends_without_an_answer_is_never_sent_again_by_curl(end):
+def test_an_order_whose_connection_ends_without_an_answer_is_never_sent_again_by_curl(end: str) -> None:
     """A report has left a connection that curl may take; what ends there without a byte, curl sends anew."""
 
-    async def call(client, address):
-        assert await client.report("i-7", address) is not None
+    async def call(client: OrderClient, address: str) -> OrderOutcome:
+        assert await client.report(RUNNER_ID, address) is not None
         return await client.order(order_at(address), 41)
 
     runner = PersistentRunnerStub(answered(200, REPORT), end, answered(409))
@@ -163,11 +175,11 @@
     assert [path for path, _ in runner.seen] == ["/report", "/order"]
 
 
-def test_an_order_given_to_a_kept_connection_of_a_runner_that_then_refuses_may_have_been_taken():
+def test_an_order_given_to_a_kept_connection_of_a_runner_that_then_refuses_may_have_been_taken() -> None:
     """curl would open another connection for it; that this one is refused proves nothing of the first."""
 
-    async def call(client, address):
-        assert await client.report("i-7", address) is not None
+    async def call(client: OrderClient, address: str) -> OrderOutcome:
+        assert await client.report(RUNNER_ID, address) is not None
         runner.server.close()  # no new connection; the kept one goes on
         return await client.order(order_at(address), 41)
 
@@ -176,11 +188,11 @@
     assert [path for path, _ in runner.seen] == ["/report", "/order"]
 
 
-def test_orders_and_reports_share_a_kept_connection():
+def test_orders_and_reports_share_a_kept_connection() -> None:
     """A new connection takes up a place of the runner for a moment: an order each would slow its requests."""
 
-    async def call(client, address):
-        await client.report("i-7", address)
+    async def call(client: OrderClient, address: str) -> tuple[OrderOutcome, OrderOutcome]:
+        await client.report(RUNNER_ID, address)
         return await client.order(order_at(address), 41), await client.order(order_at(address), 41)
 
     runner = PersistentRunnerStub(answered(200, REPORT), answered(202), answered(409))
@@ -188,19 +200,19 @@
     assert runner.connections == 1
 
 
-def test_a_report_is_read_again_on_a_new_connection_where_a_kept_one_ends():
-    async def call(client, address):
-        await client.report("i-7", address)
-        return await client.report("i-7", address)
+def test_a_report_is_read_again_on_a_new_connection_where_a_kept_one_ends() -> None:
+    async def call(client: OrderClient, address: str) -> RunnerReport | None:
+        await client.report(RUNNER_ID, address)
+        return await client.report(RUNNER_ID, address)
 
     runner = PersistentRunnerStub(answered(200, REPORT), "reset", answered(200, REPORT))
     assert asyncio.run(runner.serve(call)) is not None
     assert len(runner.seen) == 3
 
 
-def test_a_surplus_answer_behind_a_report_is_not_taken_for_that_of_an_order():
-    async def call(client, address):
-        await client.report("i-7", address)
+def test_a_surplus_answer_behind_a_report_is_not_taken_for_that_of_an_order() -> None:
+    async def call(client: OrderClient, address: str) -> OrderOutcome:
+        await client.report(RUNNER_ID, address)
         return await client.order(order_at(address), 41)
 
     runner = PersistentRunnerStub(answered(200, REPORT) + answered(202), answered(409))
@@ -215,16 +227,18 @@
         b"HTTP/1.1 202 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nha",
     ],
 )
-def test_an_order_whose_answer_is_not_whole_may_have_been_taken(answer):
-    async def call(client, address):
+def test_an_order_whose_answer_is_not_whole_may_have_been_taken(answer: bytes) -> None:
+    async def call(client: OrderClient, address: str) -> OrderOutcome:
         return await client.order(order_at(address), 41)
 
     assert asyncio.run(PersistentRunnerStub(answer, closes=True).serve(call)) is OrderOutcome.UNKNOWN
 
 
-def test_a_machine_is_one_holder_of_orders_whatever_its_name_and_across_restarts(tmp_path, monkeypatch):
+def test_a_machine_is_one_holder_of_orders_whatever_its_name_and_across_restarts(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The owner that its orders name is the address of its control process."""
-    owners = []
+    owners: list[str] = []
     monkeypatch.setattr(placer_role, "OrderClient", owners.append)
     for name, incarnation in (("core-1", "a"), ("core-1", "b"), ("renamed", "c")):
         folder = tmp_path / incarnation
--- a/tests/placement/test_popularity_change.py
+++ b/tests/placement/test_popularity_change.py
@@ -6,11 +6,11 @@
 from larchgw.placement.popularity_change import PopularityChange
 
 
-def summary(requests_per_s):
+def summary(requests_per_s: float) -> ModelSummary:
     return ModelSummary(requests_per_s, 1.0, 0, 0, math.inf)
 
 
-def test_a_previously_busy_model_is_likelier_to_become_busy_than_a_rare_one():
+def test_a_previously_busy_model_is_likelier_to_become_busy_than_a_rare_one() -> None:
     change = PopularityChange(0.5)
     names = ("m0", "m1", "m2", "m3")
     change.observe(0.0, names, {"m0": summary(10.0), "m1": summary(0.05)})
--- a/tests/placement/test_recorded_bytes.py
+++ b/tests/placement/test_recorded_bytes.py
@@ -7,9 +7,11 @@
 import asyncio
 import json
 from pathlib import Path
+from typing import Any
 
 import pytest
 
+from larchgw.identifiers import RunnerId
 from larchgw.placement.demand_tracker import DemandTracker
 from larchgw.placement.model import Order, OrderAction, OrderOutcome, RunnerReport
 from larchgw.placement.orders import OrderClient, decode_report, encode_order, outcome_of
@@ -20,12 +22,13 @@
 
 FIXTURES = Path(__file__).parent.parent / "fixtures" / "placement"
 TICKS = 440
+RUNNER_ID = RunnerId("i-7")
 
 ORDERS = [
-    Order("i-7", "10.0.0.1:80", OrderAction.LOADING, "m"),
-    Order("i-7", "10.0.0.1:80", OrderAction.LOADING, "m", "a3", 2),
-    Order("i-7", "10.0.0.1:80", OrderAction.UNLOADING, "m", "", 0, "n/a1"),
-    Order("i-7", "10.0.0.1:80", OrderAction.UNLOADING, "modèle", "a\u201d", 12),
+    Order(RUNNER_ID, "10.0.0.1:80", OrderAction.LOADING, "m"),
+    Order(RUNNER_ID, "10.0.0.1:80", OrderAction.LOADING, "m", "a3", 2),
+    Order(RUNNER_ID, "10.0.0.1:80", OrderAction.UNLOADING, "m", "", 0, "n/a1"),
+    Order(RUNNER_ID, "10.0.0.1:80", OrderAction.UNLOADING, "modèle", "a\u201d", 12),
 ]
 REPORTS = [
     '{"phase":"both","models":[{"name":"d","config_version":1,"adapters":["a1","a2"]},{"name":"e"}],'
@@ -52,38 +55,38 @@
 
 
 @pytest.fixture
-def recorded():
+def recorded() -> Any:
     return json.loads((FIXTURES / "wire.json").read_text())
 
 
-def order_bodies():
+def order_bodies() -> list[str]:
     return [encode_order(order, "node-7", 41).decode("latin-1") for order in ORDERS]
 
 
-def statuses():
+def statuses() -> dict[str, str]:
     return {str(status): outcome_of(status).name for status in range(100, 600)}
 
 
-def report_values():
+def report_values() -> list[list[Any] | None]:
     return [report_fields(decode_report(body.encode())) for body in REPORTS]
 
 
-def report_fields(report):
+def report_fields(report: RunnerReport | None) -> list[Any] | None:
     if report is None:
         return None
     models = {name: sorted(adapters) for name, adapters in report.models.items()}
     return [models, report.is_occupied, report.order_count, report.queued, report.in_progress]
 
 
-def demand_report_bytes():
+def demand_report_bytes() -> list[str]:
     return [encode_struct(report).hex() for report in DEMAND_REPORTS]
 
 
-def demand_values(reports):
+def demand_values(reports: list[str]) -> list[Any]:
     """What is known of demand a second after each report."""
     now = [100.0]
     demand = DemandTracker(lambda: now[0])
-    values = []
+    values: list[Any] = []
     for encoded in reports:
         demand.receive_report(decode_struct(DemandReport, bytes.fromhex(encoded)))
         now[0] += 1.0
@@ -105,11 +108,11 @@
     return values
 
 
-async def requests_on_the_wire():
+async def requests_on_the_wire() -> list[str]:
     """The bytes that a runner gets for an order and for a report, with its own address taken out."""
-    seen = []
+    seen: list[bytes] = []
 
-    async def answer(reader, writer):
+    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         length = next(
             (int(line[16:]) for line in head.split(b"\r\n") if line.startswith(b"Content-Length")), 0
@@ -123,34 +126,34 @@
     client = OrderClient("control-1")
     try:
         assert (
-            await client.order(Order("i-7", address, OrderAction.LOADING, "m", "a1", 2), 41)
+            await client.order(Order(RUNNER_ID, address, OrderAction.LOADING, "m", "a1", 2), 41)
             is OrderOutcome.ACCEPTED
         )
-        assert await client.report("i-7", address) is None
+        assert await client.report(RUNNER_ID, address) is None
     finally:
         client.close()
         server.close()
     return [request.replace(address.encode(), b"ADDRESS").decode() for request in seen]
 
 
-def test_order_bodies_are_the_recorded_ones(recorded):
+def test_order_bodies_are_the_recorded_ones(recorded: Any) -> None:
     assert order_bodies() == recorded["order_bodies"]
 
 
-def test_requests_to_runners_are_the_recorded_ones(recorded):
+def test_requests_to_runners_are_the_recorded_ones(recorded: Any) -> None:
     assert asyncio.run(requests_on_the_wire()) == recorded["requests"]
 
 
-def test_each_status_is_read_as_the_recorded_outcome(recorded):
+def test_each_status_is_read_as_the_recorded_outcome(recorded: Any) -> None:
     assert statuses() == recorded["statuses"]
 
 
-def test_reports_are_read_as_the_recorded_values(recorded):
+def test_reports_are_read_as_the_recorded_values(recorded: Any) -> None:
     assert report_values() == recorded["reports"]
     assert isinstance(decode_report(REPORTS[0].encode()), RunnerReport)
 
 
-def test_demand_reports_are_the_recorded_bytes_and_are_read_as_the_recorded_demand(recorded):
+def test_demand_reports_are_the_recorded_bytes_and_are_read_as_the_recorded_demand(recorded: Any) -> None:
     assert demand_report_bytes() == recorded["demand_reports"]
     assert demand_values(recorded["demand_reports"]) == recorded["demand"]
 
@@ -159,7 +162,9 @@
     ("fixture", "arguments"),
     [("decisions.json", (7, TICKS)), ("decisions_by_value.json", (11, TICKS, 8.0, 0.03))],
 )
-def test_scripted_play_makes_the_recorded_orders_polls_and_publications_to_the_digit(fixture, arguments):
+def test_scripted_play_makes_the_recorded_orders_polls_and_publications_to_the_digit(
+    fixture: str, arguments: tuple[Any, ...]
+) -> None:
     recorded = json.loads((FIXTURES / fixture).read_text())
     played = json.loads(json.dumps(ScriptedPlay(*arguments).play()))
     assert len(played) == len(recorded)
--- a/tests/placement/test_served_requests.py
+++ b/tests/placement/test_served_requests.py
@@ -17,14 +17,14 @@
 )
 
 
-def test_rare_models_that_are_nowhere_are_served_within_their_load_time():
+def test_rare_models_that_are_nowhere_are_served_within_their_load_time() -> None:
     streams = [busy_stream(("m0", "m1")), rare_stream(model_names(2, 24))]
     world = play(make_deployment(streams, models=24))
     assert share_in_time(request for request in world.asked if request.worth == RARE_WORTH) > 0.9
     assert_no_rule_broken(world)
 
 
-def test_no_model_that_is_asked_for_repeatedly_starves():
+def test_no_model_that_is_asked_for_repeatedly_starves() -> None:
     streams = [busy_stream(("m0", "m1")), rare_stream(model_names(2, 40), 0.1)]
     world = play(make_deployment(streams, models=40, seconds=40.0))
     served = {request.model for request in world.asked if request.begun_at >= 0}
@@ -36,14 +36,14 @@
     assert_no_rule_broken(world)
 
 
-def test_steady_demand_that_fits_causes_at_most_one_order_after_the_start():
+def test_steady_demand_that_fits_causes_at_most_one_order_after_the_start() -> None:
     streams = [busy_stream(("m0",), 5.0), rare_stream(model_names(1, 6))]
     world = play(make_deployment(streams, models=6, seconds=40.0))
     late = [order for runner in world.runners for order in runner.orders if order[0] > 15.0]
     assert len(late) <= 1
 
 
-def test_demand_that_moves_to_other_models_is_followed():
+def test_demand_that_moves_to_other_models_is_followed() -> None:
     streams = [
         busy_stream(("m0", "m1"), 20.0, 0.0, 15.0),
         busy_stream(("m6", "m7"), 20.0, 15.0),
@@ -56,7 +56,7 @@
     assert_no_rule_broken(world)
 
 
-def test_models_of_a_lost_runner_are_placed_again_and_the_empty_one_is_filled():
+def test_models_of_a_lost_runner_are_placed_again_and_the_empty_one_is_filled() -> None:
     streams = [busy_stream(("m0", "m1"), 15.0), rare_stream(model_names(2, 10))]
     world = play(make_deployment(streams, models=10, losses=((10.0, 0, 5.0),)))
     assert share_in_time(request for request in world.asked if request.at > 11.0) > 0.9
@@ -64,7 +64,7 @@
     assert_no_rule_broken(world)
 
 
-def test_adapters_are_loaded_on_request_and_never_beyond_a_runners_slots():
+def test_adapters_are_loaded_on_request_and_never_beyond_a_runners_slots() -> None:
     streams = [busy_stream(("m0",), 10.0, adapter_share=0.7)]
     world = play(make_deployment(streams, models=2, adapters=30))
     after = [request for request in world.asked if request.adapter and request.at > 10.0]
@@ -73,7 +73,7 @@
     assert_no_rule_broken(world)
 
 
-def test_a_model_that_becomes_busy_again_is_still_held_somewhere():
+def test_a_model_that_becomes_busy_again_is_still_held_somewhere() -> None:
     streams = [
         busy_stream(("m0",), 15.0, 0.0, 10.0),
         busy_stream(("m1",), 15.0, 10.0, 20.0),
@@ -87,7 +87,9 @@
 
 @settings(max_examples=15, deadline=None)
 @given(st.integers(0, 10**6), st.integers(3, 6), st.sampled_from([0.6, 3.0]), st.floats(0.5, 3.0))
-def test_no_runner_is_ever_overloaded_and_no_window_overdrawn(seed, runners, load_s, loads_per_s):
+def test_no_runner_is_ever_overloaded_and_no_window_overdrawn(
+    seed: int, runners: int, load_s: float, loads_per_s: float
+) -> None:
     streams = [
         busy_stream(("m0", "m1"), 8.0, 0.0, 8.0, 0.4),
         busy_stream(("m2", "m3"), 8.0, 8.0, 99.0, 0.4),
@@ -106,7 +108,7 @@
     assert_no_rule_broken(play(deployment, seed, LossyCalls))
 
 
-def test_lost_answers_do_not_stop_placement():
+def test_lost_answers_do_not_stop_placement() -> None:
     streams = [busy_stream(("m0", "m1")), rare_stream(model_names(2, 20))]
     world = play(make_deployment(streams, models=20), calls=LossyCalls)
     assert share_in_time(request for request in world.asked if request.worth == RARE_WORTH) > 0.6
