--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -66,7 +66,8 @@
         self._connections.put_nowait(PeerConnection(reader, writer))
 
     async def connection(self) -> PeerConnection:
-        return await soon(self._connections.get())
+        connection: PeerConnection = await soon(self._connections.get())
+        return connection
 
 
 @asynccontextmanager
--- a/tests/runtime/test_background_tasks.py
+++ b/tests/runtime/test_background_tasks.py
@@ -27,7 +27,8 @@
 
 @on_loop
 async def test_action_is_called_at_once_and_again_until_stop() -> None:
-    tasks, calls, called_twice = BackgroundTasks(), [], asyncio.Event()
+    tasks, called_twice = BackgroundTasks(), asyncio.Event()
+    calls: list[None] = []
 
     def action() -> None:
         calls.append(None)
