--- a/larchgw/roles.py
+++ b/larchgw/roles.py
@@ -1,4 +1,4 @@
-"""The roles of the system, `larchgw edge` and `larchgw control`, without any command line library."""
+"""Runs the roles of the system, `larchgw edge` and `larchgw control`, without any command line library."""
 
 from __future__ import annotations
 
@@ -8,5 +8,9 @@
 
 
 def run_role(role: str) -> int:
-    """Runs one of ROLES until it is told to end; its exit status. Only its own modules are loaded."""
+    """Runs one of ROLES until it is told to end. Only its own modules are loaded.
+
+    Returns:
+        The exit status.
+    """
     return int(import_module(f"larchgw.{role}.main").run())
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -24,35 +24,50 @@
 from .dispatcher.fronts.jobheaders import ONCE, http_answer, key_number, read_job
 from .net.http_server import MAX_BODY_BYTES
 
-GRACE = 0.5  # seconds beyond a job's time for its answer to cross threads
+GRACE_S = 0.5  # beyond a job's time, for its answer to cross threads
+DRAIN_POLL_S = 0.05  # between two looks whether all jobs are answered
+REFUSED_RETRY_AFTER_S = 1.0
 StartResponse = Callable[..., Any]
 WsgiApp = Callable[[dict[str, Any], StartResponse], Iterable[bytes]]
 
 
 class EmbeddedDispatcher:
-    """The same core as the daemon's. `config` has the form of PROXY_CONFIG's file, without `listen`."""
+    """The daemon's dispatcher, run on a thread of its own.
+
+    `start`, `stop` and `submit` may be called from any thread; `answer` and `news` are called by the
+    dispatcher on its thread, where this object stands as the front of its jobs.
+    """
 
     name = "wsgi"
 
     def __init__(self, config: Mapping[str, Any]) -> None:
+        """Reads the configuration and starts nothing yet.
+
+        Args:
+            config: Of the form of PROXY_CONFIG's file, without `listen`.
+        """
         self._node = Node(read(dict(config), need_listen=False))
         self._classes = {c.name: index for index, c in enumerate(self._node.config.settings.classes)}
         self._thread = threading.Thread(target=self._run, name="larchgw", daemon=True)
         self._running = False
-        self._lock = threading.Lock()  # a job handed in before the stop comes to the loop before it, too
+        self._lock = threading.Lock()  # a job submitted before the stop reaches the loop before it, too
 
     def start(self) -> None:
-        """Begins to follow discovery and to take jobs."""
+        """Begins to follow discovery and to accept jobs."""
         self._running = True
         self._thread.start()
 
     def stop(self, timeout: float = 30.0) -> None:
-        """Takes no more jobs, answers what is open, and ends the thread."""
+        """Accepts no more jobs, answers what is open, and ends the thread.
+
+        Args:
+            timeout: Seconds to wait for the thread.
+        """
         with self._lock:
-            was, self._running = self._running, False
-            if was:
+            was_running, self._running = self._running, False
+            if was_running:
                 self._node.loop.call(self._stop_when_done)
-        if was:
+        if was_running:
             self._thread.join(timeout)
 
     def figures(self) -> dict[str, float]:
@@ -60,11 +75,19 @@
         return self._node.core.counters.figures()
 
     def deadline(self, job_class: str) -> float:
-        """How long a client of this class waits, in seconds; KeyError for an unknown class."""
+        """How long a client of this class waits, in seconds.
+
+        Raises:
+            KeyError: There is no such class.
+        """
         return self._node.config.settings.classes[self._classes[job_class]].deadline
 
     def keyed(self, job_class: str) -> bool:
-        """Whether workers drop repeats of this class by key; KeyError for an unknown class."""
+        """Whether workers drop repeats of this class by key.
+
+        Raises:
+            KeyError: There is no such class.
+        """
         return self._node.config.settings.classes[self._classes[job_class]].effect == "deduplicated"
 
     def submit(
@@ -83,12 +106,31 @@
         tenant: str = "",
         once: str = "",
     ) -> Future[Answer]:
-        """Hands a job in; the future gets its one final answer. Cancelling it gives the job up.
+        """Submits a job.
+
+        Args:
+            job_class: The name of its class.
+            body: What workers get.
+            target: The request target at workers; "/" and the class where left out.
+            name: The job's name; drawn where left out.
+            wait: Seconds that its client waits; its class's deadline where left out.
+            key: The affinity key, as X-Key has it; none where empty.
+            slots: Slots that it takes at a worker.
+            memory: Memory that it takes at a worker, in the unit of the workers' capacity.
+            hint: Seconds of work by its client's estimate; 0 if unknown.
+            repeat: Whether its client has sent it before.
+            tenant: Whose quota it counts against.
+            once: The key by which workers know a repeat of a deduplicated job; its name where left out.
+
+        Returns:
+            A future of its one final answer. Cancelling it gives the job up.
 
-        `once`: the key by which workers know a repeat of a deduplicated job; its name where left out.
-        ValueError for one that no header can carry.
+        Raises:
+            KeyError: There is no such class.
+            RuntimeError: The dispatcher does not run.
+            ValueError: The body is too large, or `once` cannot be carried by a header.
         """
-        number = self._classes[job_class]
+        class_index = self._classes[job_class]
         if len(body) > MAX_BODY_BYTES:
             raise ValueError("a body holds 64 KiB at most")
         if once and not ONCE.fullmatch(once.encode()):
@@ -98,7 +140,7 @@
         request = Request(
             self,
             name.encode("latin-1"),
-            number,
+            class_index,
             target.encode("latin-1"),
             body,
             wait or self.deadline(job_class),
@@ -111,7 +153,7 @@
             once.encode(),
             extra=future,
         )
-        future.add_done_callback(lambda f: self._left(request) if f.cancelled() else None)
+        future.add_done_callback(lambda done: self._cancel(request) if done.cancelled() else None)
         with self._lock:
             if not self._running:
                 raise RuntimeError("the dispatcher is not running")
@@ -122,15 +164,16 @@
     # As a front of the core, on the dispatcher's thread
 
     def answer(self, request: Request, answer: Answer) -> None:
+        """Gives the job's final answer to its future."""
         future: Future[Answer] = request.extra
         if future.set_running_or_notify_cancel():
             future.set_result(answer)
 
     def news(self, request: Request, kind: News, data: bytes) -> None:
-        """A future hears of the end only."""
+        """Ignores progress: a future has the final answer only."""
 
-    def _left(self, request: Request) -> None:
-        self._node.loop.call(lambda: self._node.core.gone(request) if request.id else None)  # 0: never taken
+    def _cancel(self, request: Request) -> None:
+        self._node.loop.call(lambda: self._node.core.gone(request) if request.id else None)  # 0: not begun
 
     def _run(self) -> None:
         self._node.start()
@@ -140,20 +183,29 @@
     def _stop_when_done(self) -> None:
         loop = self._node.loop
         if self._node.core.open_requests():
-            loop.deadlines.add(loop.clock.now() + 0.05, self._stop_when_done)
+            loop.deadlines.add(loop.clock.now() + DRAIN_POLL_S, self._stop_when_done)
         else:
             loop.stop()
 
 
 class DispatchMiddleware:
-    """Takes the jobs on some paths out of an application's requests. `paths`: path to job class."""
+    """WSGI middleware: requests to some paths become jobs; all others go to the application.
+
+    Source: PEP 3333.
+    """
 
     def __init__(self, app: WsgiApp, dispatcher: EmbeddedDispatcher, paths: Mapping[str, str]) -> None:
+        """Wraps `app`; `paths` maps a path to the job class of its requests.
+
+        Raises:
+            KeyError: There is no such class.
+        """
         for job_class in paths.values():
             dispatcher.deadline(job_class)
         self._app, self._dispatcher, self._paths = app, dispatcher, dict(paths)
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
+        """Handles a request (PEP 3333)."""
         job_class = self._paths.get(environ.get("PATH_INFO", ""))
         if job_class is None:
             return self._app(environ, start_response)
@@ -169,9 +221,9 @@
         if environ["REQUEST_METHOD"] != "POST":
             return 405, b"POST only\n", [("Allow", "POST")]
         headers = {
-            k[5:].replace("_", "-").lower().encode(): str(v).encode("latin-1")
-            for k, v in environ.items()
-            if k.startswith("HTTP_")
+            variable[5:].replace("_", "-").lower().encode(): str(value).encode("latin-1")
+            for variable, value in environ.items()
+            if variable.startswith("HTTP_")
         }
         headers.setdefault(b"x-request-id", secrets.token_hex(8).encode())
         headers.setdefault(b"x-deadline-ms", b"%d" % (1000 * self._dispatcher.deadline(job_class)))
@@ -199,10 +251,10 @@
                 tenant=job.tenant.decode("latin-1"),
                 once=job.once.decode("latin-1"),
             )
-            answer = future.result(job.wait + GRACE)
+            answer = future.result(job.wait + GRACE_S)
         except TimeoutError:
             future.cancel()
             answer = Answer(AnswerKind.FAILED, reason="its time is over")
         except RuntimeError as error:  # it has been stopped: nothing has run
-            answer = Answer(AnswerKind.REFUSED, retry_after=1.0, reason=str(error))
+            answer = Answer(AnswerKind.REFUSED, retry_after=REFUSED_RETRY_AFTER_S, reason=str(error))
         return http_answer(answer)
