--- a/larchgw/cli/command.py
+++ b/larchgw/cli/command.py
@@ -43,7 +43,7 @@
     return function
 
 
-def whole(name: str, value: object, minimum: int | None = None, maximum: int | None = None) -> int:
+def integer(name: str, value: object, minimum: int | None = None, maximum: int | None = None) -> int:
     """An option that is a whole number. Raises UsageError."""
     try:
         number = int(str(value))
--- a/larchgw/cli/explore.py
+++ b/larchgw/cli/explore.py
@@ -4,10 +4,10 @@
 
 from importlib import import_module
 
-from .command import Command, decimal, textual, whole
+from .command import Command, decimal, integer, textual
 from .errors import UsageError
 
-PARTS = {  # name -> the module whose `main` explores it
+EXPLORATIONS = {  # name -> the module whose `main` explores it
     "replication": "larchgw.model_checking.replication.main",
     "redundancy": "larchgw.model_checking.replication.redundancy",
     "check-ins": "larchgw.model_checking.check_ins.main",
@@ -25,10 +25,10 @@
         seconds: How long to explore, in real time.
         seed: Of the random runs.
     """
-    if name not in PARTS:
-        raise UsageError(f"explore: no part {name!r}; there are {', '.join(PARTS)}")
-    limit, first = decimal("seconds", seconds, 1.0), whole("seed", seed)
-    return Command(lambda: _run(PARTS[name], limit, first))
+    if name not in EXPLORATIONS:
+        raise UsageError(f"explore: no part {name!r}; there are {', '.join(EXPLORATIONS)}")
+    limit, first = decimal("seconds", seconds, 1.0), integer("seed", seed)
+    return Command(lambda: _run(EXPLORATIONS[name], limit, first))
 
 
 def _run(module: str, seconds: float, seed: int) -> int:
--- a/larchgw/cli/lab.py
+++ b/larchgw/cli/lab.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from ..experiments.results import Options, Result, table
-from .command import Command, decimal, textual, whole
+from .command import Command, decimal, integer, textual
 from .command import file as file_option
 from .errors import UsageError
 
@@ -100,11 +100,11 @@
     """
     if name not in EXPERIMENTS:
         raise UsageError(f"lab: no experiment {name!r}; there are {', '.join(sorted(EXPERIMENTS))}")
-    options = Options(whole("seed", seed), whole("seeds", seeds, 1), decimal("seconds", seconds, 1.0))
+    options = Options(integer("seed", seed), integer("seeds", seeds, 1), decimal("seconds", seconds, 1.0))
     if jobs is not None:
-        options.jobs = whole("jobs", jobs, 1)
-    kept = file_option("json", json)
-    return Command(lambda: _run(name, options, kept))
+        options.jobs = integer("jobs", jobs, 1)
+    result_file = file_option("json", json)
+    return Command(lambda: _run(name, options, result_file))
 
 
 def _run(name: str, options: Options, file: Path | None) -> int:
--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -66,11 +66,11 @@
 
 def _for_serve(arguments: Sequence[str]) -> list[str]:
     """Options without a sub-command belong to `serve`. Raises UsageError if a sub-command follows them."""
-    place = 0
-    while place < len(arguments) and arguments[place].startswith("--"):
-        place += 1 if "=" in arguments[place] else 2
-    if place < len(arguments):
-        raise UsageError(f"--fronts and --room belong behind serve, not before {arguments[place]}")
+    position = 0
+    while position < len(arguments) and arguments[position].startswith("--"):
+        position += 1 if "=" in arguments[position] else 2
+    if position < len(arguments):
+        raise UsageError(f"--fronts and --room belong behind serve, not before {arguments[position]}")
     return ["serve", *arguments]
 
 
--- a/larchgw/cli/system_common.py
+++ b/larchgw/cli/system_common.py
@@ -1,4 +1,4 @@
-"""What the commands of `larchgw system` share: whom to ask, how to end, how to print a table."""
+"""What the commands of `larchgw system` share: addresses of processes, exit statuses and tables."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .errors import UsageError
 
 
-class Ending(IntEnum):
+class ExitStatus(IntEnum):
     """Exit statuses besides 2 for a wrong call."""
 
     DONE = 0
-    REFUSED = 1  # the system said no, or what was looked at is damaged
-    UNCLEAR = 3  # nobody answered clearly: a change may have been taken
+    REFUSED = 1  # the system refused it, or what was inspected is damaged
+    UNCLEAR = 3  # no process answered clearly: a change may have been accepted
 
 
 def addresses(at: str | None, of_settings: Callable[[NodeSettings], Sequence[str]]) -> list[str]:
@@ -43,18 +43,19 @@
     return bool(host) and port.isdigit() and 0 < int(port) < 1 << 16
 
 
-def fail(message: str, ending: Ending) -> int:
-    """Says why in one line on standard error; the exit status."""
+def fail(message: str, status: ExitStatus) -> int:
+    """Prints the reason as one line on standard error; returns the exit status."""
     print(f"larchgw: {message}", file=sys.stderr)
-    return int(ending)
+    return int(status)
 
 
 def columns(head: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Lines of a table, columns two spaces apart; numbers stand to the right."""
+    """Lines of a table, columns two spaces apart; numbers are aligned to the right."""
     cells = [[str(cell) for cell in row] for row in rows]
-    widths = [max(len(line[place]) for line in [list(head), *cells]) for place in range(len(head))]
+    widths = [max(len(line[column]) for line in [list(head), *cells]) for column in range(len(head))]
     numeric = [
-        bool(rows) and all(isinstance(row[place], int | float) for row in rows) for place in range(len(head))
+        bool(rows) and all(isinstance(row[column], int | float) for row in rows)
+        for column in range(len(head))
     ]
     return [
         "  ".join(
--- a/larchgw/cli/system_config.py
+++ b/larchgw/cli/system_config.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from ..configuration.settings import NodeSettings
-from .command import Command, decimal, file, textual, whole
+from .command import Command, decimal, file, integer, textual
 from .errors import UnclearOutcomeError, UsageError
 from .operator_client import Call, OperatorClient, Reply, RetryPolicy, Transport
-from .system_common import Ending, addresses, fail
+from .system_common import ExitStatus, addresses, fail
 
 DEFAULT_RETRY_S = "30"  # a failover takes some seconds, a restart of all machines some more
 OK = 200
@@ -68,7 +68,7 @@
             "--built-on: give the version that this builds on; `larchgw system config read` "
             "prints the current one as config_version, 0 is for the first"
         )
-    version = whole("built-on", built_on, 0)
+    version = integer("built-on", built_on, 0)
     source = file("file", name, exists=True)
     assert source is not None
     client = _client(at, seconds)
@@ -81,9 +81,9 @@
 
 def _client(at: str | None, seconds: str) -> Callable[[], OperatorClient]:
     """Makes the client only once it is used: curl is loaded by then."""
-    asked = addresses(at, _control_addresses)
+    control_addresses = addresses(at, _control_addresses)
     policy = RetryPolicy(time.monotonic, time.sleep, random.Random(), decimal("seconds", seconds, 0.1))
-    return lambda: OperatorClient(asked, _transport(), policy)
+    return lambda: OperatorClient(control_addresses, _transport(), policy)
 
 
 def _transport() -> Transport:
@@ -96,11 +96,11 @@
     try:
         reply = client.call(Call("GET", "/Config.Read"))
     except UnclearOutcomeError as error:
-        return fail(str(error), Ending.UNCLEAR)
+        return fail(str(error), ExitStatus.UNCLEAR)
     if reply.status != OK:
-        return fail(refusal(reply), Ending.REFUSED)
+        return fail(refusal(reply), ExitStatus.REFUSED)
     print(json.dumps(json.loads(reply.body), indent=1))
-    return Ending.DONE
+    return ExitStatus.DONE
 
 
 def _send(client: OperatorClient, path: str, source: Path, built_on: int) -> int:
@@ -109,12 +109,12 @@
     except UnclearOutcomeError as error:
         return fail(
             f"{error}. It may have been taken: send the same file again, or read the configuration",
-            Ending.UNCLEAR,
+            ExitStatus.UNCLEAR,
         )
     if reply.status != OK:
-        return fail(refusal(reply), Ending.REFUSED)
+        return fail(refusal(reply), ExitStatus.REFUSED)
     print(f"acknowledged; the current version is {_answer(reply).get('config_version')}")
-    return Ending.DONE
+    return ExitStatus.DONE
 
 
 def refusal(reply: Reply) -> str:
--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -15,7 +15,7 @@
 from ..storage.errors import StorageError
 from .command import Command, flag, textual
 from .errors import UsageError
-from .system_common import Ending, fail
+from .system_common import ExitStatus, fail
 from .system_status import status_of
 
 
@@ -84,7 +84,7 @@
 
     found = verify_log(str(folder))
     print(found)
-    return Ending.DONE if found.is_ok else Ending.REFUSED
+    return ExitStatus.DONE if found.is_ok else ExitStatus.REFUSED
 
 
 def _dump(folder: Path) -> int:
@@ -94,8 +94,8 @@
         for line in dump_log(str(folder)):
             print(line)
     except StorageError as error:
-        return fail(str(error), Ending.REFUSED)
-    return Ending.DONE
+        return fail(str(error), ExitStatus.REFUSED)
+    return ExitStatus.DONE
 
 
 def _restore(source: Path, folder: Path, terms: NodeSettings, sure: bool) -> int:
@@ -108,14 +108,15 @@
         restoring.check_empty(folder)
         found = restoring.read_source(source)
     except RestoreError as error:
-        return fail(str(error), Ending.REFUSED)
+        return fail(str(error), ExitStatus.REFUSED)
     running = asyncio.run(_answering([address, *seed_rpc_addresses(terms)]))
     if running:
-        return fail(f"a control process answers at {running[0]}: stop all of them first", Ending.REFUSED)
+        return fail(f"a control process answers at {running[0]}: stop all of them first", ExitStatus.REFUSED)
     print(f"found {restoring.describe(found)}")
     if not sure:
         return fail(
-            "nothing was written; add --yes once every control process is stopped for good", Ending.REFUSED
+            "nothing was written; add --yes once every control process is stopped for good",
+            ExitStatus.REFUSED,
         )
     begin = plan_forced_view(
         restoring.fresh_identity(address), address, time.time(), found.last_epoch, found.last_index
@@ -123,16 +124,16 @@
     try:
         restoring.write_folder(folder, found, begin)
     except StorageError as error:
-        return fail(f"{error}. Remove {folder} before the next try", Ending.REFUSED)
+        return fail(f"{error}. Remove {folder} before the next try", ExitStatus.REFUSED)
     print(f"wrote {folder}: {begin.identity} begins epoch {begin.epoch} with record {begin.index}")
     print("start this control process, then the others with empty data folders")
-    return Ending.DONE
+    return ExitStatus.DONE
 
 
-async def _answering(asked: Sequence[str]) -> list[str]:
+async def _answering(candidates: Sequence[str]) -> list[str]:
     """The addresses at which a control process runs."""
     found = []
-    for address in dict.fromkeys(asked):
+    for address in dict.fromkeys(candidates):
         try:
             await status_of(address)
         except RpcError as error:
--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -14,7 +14,7 @@
 from ..runner_directory.runner_record import RunnerRecord
 from ..runtime.addresses import seed_rpc_addresses
 from .command import Command, textual
-from .system_common import Ending, addresses, columns, fail
+from .system_common import ExitStatus, addresses, columns, fail
 
 ANSWER_TIMEOUT_S = 3.0
 CALLER = "larchgw-system"  # the node_name that these calls carry
@@ -28,8 +28,8 @@
         at: Control processes to ask, HOST:PORT of their rpc (the first spare port), separated by commas; the
             seeds in LARCHGW_NODE_FILE if left out.
     """
-    asked = addresses(at, seed_rpc_addresses)
-    return Command(lambda: asyncio.run(_view(asked)))
+    rpc_addresses = addresses(at, seed_rpc_addresses)
+    return Command(lambda: asyncio.run(_view(rpc_addresses)))
 
 
 @textual
@@ -39,8 +39,8 @@
     Args:
         at: As for view; the first that answers is taken.
     """
-    asked = addresses(at, seed_rpc_addresses)
-    return Command(lambda: asyncio.run(_first(asked, _runners)))
+    rpc_addresses = addresses(at, seed_rpc_addresses)
+    return Command(lambda: asyncio.run(_first(rpc_addresses, _runners)))
 
 
 @textual
@@ -50,8 +50,8 @@
     Args:
         at: As for view; the first that answers names the placer.
     """
-    asked = addresses(at, seed_rpc_addresses)
-    return Command(lambda: asyncio.run(_first(asked, _placement)))
+    rpc_addresses = addresses(at, seed_rpc_addresses)
+    return Command(lambda: asyncio.run(_first(rpc_addresses, _placement)))
 
 
 async def status_of(address: str, placement: bool = False) -> ControlStatus:
@@ -80,10 +80,10 @@
         client.close()
 
 
-async def _view(asked: Sequence[str]) -> int:
-    replies = await asyncio.gather(*(status_of(address) for address in asked), return_exceptions=True)
+async def _view(rpc_addresses: Sequence[str]) -> int:
+    replies = await asyncio.gather(*(status_of(address) for address in rpc_addresses), return_exceptions=True)
     answered = 0
-    for address, reply in zip(asked, replies, strict=True):
+    for address, reply in zip(rpc_addresses, replies, strict=True):
         if isinstance(reply, ControlStatus):
             answered += 1
             print("\n".join(view_lines(address, reply)))
@@ -91,23 +91,25 @@
             print(f"{address}: no answer: {reply}")
         else:
             raise reply
-    return Ending.DONE if answered else fail("no process answered; check the addresses", Ending.UNCLEAR)
+    return (
+        ExitStatus.DONE if answered else fail("no process answered; check the addresses", ExitStatus.UNCLEAR)
+    )
 
 
-async def _first(asked: Sequence[str], show: Callable[[str], Awaitable[int]]) -> int:
+async def _first(rpc_addresses: Sequence[str], show: Callable[[str], Awaitable[int]]) -> int:
     """Shows what the first process that answers tells."""
     problem = ""
-    for address in asked:
+    for address in rpc_addresses:
         try:
             return await show(address)
         except RpcError as error:
             problem = str(error)
-    return fail(f"no process answered: {problem}; check the addresses", Ending.UNCLEAR)
+    return fail(f"no process answered: {problem}; check the addresses", ExitStatus.UNCLEAR)
 
 
 async def _runners(address: str) -> int:
     print("\n".join(runner_lines(await entries_of(address, [RUNNER_PREFIX, EXPECTED_LOADS_PREFIX]))))
-    return Ending.DONE
+    return ExitStatus.DONE
 
 
 async def _placement(address: str) -> int:
@@ -115,9 +117,9 @@
     if status.placement is None and status.placer:
         status = await status_of(status.placer, placement=True)
     if status.placement is None:
-        return fail("no process places models now; ask again after a lease term", Ending.UNCLEAR)
+        return fail("no process places models now; ask again after a lease term", ExitStatus.UNCLEAR)
     print("\n".join(placement_lines(status.node_name, status.placement)))
-    return Ending.DONE
+    return ExitStatus.DONE
 
 
 def view_lines(address: str, status: ControlStatus) -> list[str]:
@@ -188,12 +190,12 @@
 
 
 def _models(record: RunnerRecord) -> str:
-    return " ".join("+".join((held.name, *held.adapters)) for held in record.models) or "-"
+    return " ".join("+".join((model.name, *model.adapters)) for model in record.models) or "-"
 
 
 def _expected(names: dict[str, float]) -> str:
-    told = [f"{name}:unloading" if ms < 0 else f"{name}:{ms:.0f}ms" for name, ms in sorted(names.items())]
-    return " ".join(told) or "-"
+    loads = [f"{name}:unloading" if ms < 0 else f"{name}:{ms:.0f}ms" for name, ms in sorted(names.items())]
+    return " ".join(loads) or "-"
 
 
 def placement_lines(node_name: str, status: PlacementStatus) -> list[str]:
--- a/larchgw/cli/system_trial.py
+++ b/larchgw/cli/system_trial.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from ..experiments.results import table
-from .command import Command, decimal, whole
+from .command import Command, decimal, integer
 from .errors import UsageError
 
 if TYPE_CHECKING:
@@ -42,9 +42,9 @@
     from ..emulator.system.trial import SystemSpec
 
     site = Site(
-        edges=whole("edges", sizes.edges, 1, 30),
-        runners=whole("runners", sizes.runners, 3, 100),
-        models=whole("models", sizes.models, 1, 200),
+        edges=integer("edges", sizes.edges, 1, 30),
+        runners=integer("runners", sizes.runners, 3, 100),
+        models=integer("models", sizes.models, 1, 200),
         rate=decimal("rate", sizes.rate, 0.1, 1000.0),
     )
     if sizes.folder == NO_VALUE:
--- a/larchgw/cli/trial.py
+++ b/larchgw/cli/trial.py
@@ -9,7 +9,7 @@
 
 from ..emulator.trial import Outcome, Trial, TrialSpec
 from ..experiments.results import table
-from .command import Command, decimal, file, flag, textual, whole
+from .command import Command, decimal, file, flag, integer, textual
 from .errors import UsageError
 from .system_trial import SystemSizes, system_trial
 
@@ -118,14 +118,16 @@
     quiet = flag("no-faults", no_faults)
     if flag("system", system):
         sizes = SystemSizes(edges, runners, models, rate, folder, fault, hold)
-        return system_trial(length, whole("seed", seed), sizes, flag("faults", faults or False) and not quiet)
+        return system_trial(
+            length, integer("seed", seed), sizes, flag("faults", faults or False) and not quiet
+        )
     with_faults = flag("faults", True if faults is None else faults) and not quiet
     spec = TrialSpec(
-        whole("boxes", boxes, 1, 200),
+        integer("boxes", boxes, 1, 200),
         decimal("load", load, 0.05, 2.0),
         length,
         min(10.0, length),
-        whole("seed", seed),
+        integer("seed", seed),
         with_faults,
         file("room", room, exists=True),
     )
--- a/larchgw/net/client_connection.py
+++ b/larchgw/net/client_connection.py
@@ -128,7 +128,7 @@
         self.advance()
 
     def on_end(self, ending: ConnectionOutcome) -> None:
-        """The connection is over: the handler is told where it still had a request."""
+        """The connection is over: the handler learns of it where it still had a request."""
         self.server.loop.deadlines.drop(self._timeout)
         self.server.loop.deadlines.drop(self._next_look)
         self.server.on_closed(self)
@@ -240,7 +240,7 @@
             self._next_look = deadlines.add(now + LOOK_S, self._look_for_end)
 
     def _look_for_end(self) -> None:
-        """While nothing is read its client's end is not heard of, and what waits would be sent for nobody."""
+        """Closes the connection if the client has left: while paused, no end is read."""
         self._next_look = None
         if self.connection.closed or self._reader.stopped:
             return
--- a/tests/cli/test_role_commands.py
+++ b/tests/cli/test_role_commands.py
@@ -13,7 +13,7 @@
 from larchgw.cli import main
 from larchgw.cli.check import faults_of
 from larchgw.cli.errors import UsageError
-from larchgw.cli.explore import PARTS
+from larchgw.cli.explore import EXPLORATIONS
 from larchgw.cli.lab import EXPERIMENTS
 from larchgw.cli.main import call
 from larchgw.dispatcher import daemon
@@ -65,9 +65,9 @@
     done = subprocess.run(
         [sys.executable, "-c", ROLE, role], cwd=ROOT, text=True, capture_output=True, timeout=3 * PATIENCE
     )
-    told = json.loads(done.stdout)
+    report = json.loads(done.stdout)
     assert done.returncode == 7
-    assert told["ignored"]
+    assert report["ignored"]
     heavy = {
         "click",
         "fire",
@@ -79,8 +79,8 @@
         "larchgw.dispatcher.scheduling.scheduler",
         "larchgw.dispatcher.daemon",
     }
-    assert not heavy & set(told["loaded"])
-    assert set(told["before"]) - {"runpy", "pkgutil"} == {"larchgw", "larchgw.__main__"}
+    assert not heavy & set(report["loaded"])
+    assert set(report["before"]) - {"runpy", "pkgutil"} == {"larchgw", "larchgw.__main__"}
 
 
 def test_a_role_that_is_called_through_the_command_line_runs_too(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -154,9 +154,9 @@
 @pytest.mark.parametrize("arguments", [["--help"], ["lab", "--help"], ["check", "-h"], ["try", "--help"]])
 def test_help_is_printed_and_does_no_work(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     assert call(arguments) == 0
-    said = capsys.readouterr().out
-    assert "SYNOPSIS" in said
-    assert "FIRE" not in said
+    printed = capsys.readouterr().out
+    assert "SYNOPSIS" in printed
+    assert "FIRE" not in printed
 
 
 def test_check_names_faulty_items_of_an_operators_configuration(
@@ -215,9 +215,9 @@
         call(["explore", "nothing"])
 
 
-@pytest.mark.parametrize("part", PARTS)
+@pytest.mark.parametrize("part", EXPLORATIONS)
 def test_an_exploration_that_finds_a_fault_ends_with_a_status_that_says_so(monkeypatch, part):
     asked = []
-    monkeypatch.setattr(f"{PARTS[part]}.main", lambda *called: asked.append(called) or 1)
+    monkeypatch.setattr(f"{EXPLORATIONS[part]}.main", lambda *called: asked.append(called) or 1)
     assert call(["explore", part, "--seconds", "5", "--seed", "7"]) == 1
     assert asked == [(5.0, 7)]
--- a/tests/net/test_asyncio_loop.py
+++ b/tests/net/test_asyncio_loop.py
@@ -13,13 +13,13 @@
 from larchgw.net.counters import Counters
 from larchgw.net.loop import READ, WRITE
 
-PATIENCE = 20.0
+TIMEOUT_S = 20.0
 
 
 def run(test: Callable[[AsyncLoop], Coroutine[Any, Any, None]]) -> None:
     async def on_loop() -> None:
         loop = AsyncLoop(asyncio.get_running_loop())
-        await asyncio.wait_for(test(loop), PATIENCE)
+        await asyncio.wait_for(test(loop), TIMEOUT_S)
         loop.close()
 
     asyncio.run(on_loop())
@@ -28,11 +28,11 @@
 def test_a_paused_socket_is_not_heard_until_it_is_watched_again() -> None:
     async def test(loop: AsyncLoop) -> None:
         ours, theirs = socket.socketpair()
-        heard: list[int] = []
+        masks: list[int] = []
         first, second = asyncio.Event(), asyncio.Event()
 
         def ready(mask: int) -> None:
-            heard.append(mask)
+            masks.append(mask)
             ours.recv(1)
             (second if first.is_set() else first).set()
 
@@ -43,7 +43,7 @@
         theirs.send(b"b")
         for _ in range(5):
             await asyncio.sleep(0)
-        assert heard == [READ]
+        assert masks == [READ]
         loop.watch(ours, READ, ready)
         await second.wait()
         loop.forget(ours)
@@ -56,12 +56,12 @@
 def test_asyncio_is_told_only_of_events_that_change(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(loop: AsyncLoop) -> None:
         ours, theirs = socket.socketpair()
-        told: list[str] = []
+        calls: list[str] = []
         for name in ("add_reader", "remove_reader", "add_writer", "remove_writer"):
-            monkeypatch.setattr(loop.loop, name, lambda *a, name=name: told.append(name))
+            monkeypatch.setattr(loop.loop, name, lambda *a, name=name: calls.append(name))
         for events in (READ, READ, READ | WRITE, READ, READ, 0, 0):
             loop.watch(ours, events, lambda mask: None)
-        assert told == ["add_reader", "add_writer", "remove_writer", "remove_reader"]
+        assert calls == ["add_reader", "add_writer", "remove_writer", "remove_reader"]
         monkeypatch.undo()
         ours.close()
         theirs.close()
@@ -71,14 +71,14 @@
 
 def test_deadlines_come_in_order_also_those_set_later_and_dropped_ones_do_not() -> None:
     async def test(loop: AsyncLoop) -> None:
-        now, heard, done = loop.clock.now(), list[str](), asyncio.Event()
+        now, ran, done = loop.clock.now(), list[str](), asyncio.Event()
         loop.deadlines.add(now + 0.03, done.set)
-        dropped = loop.deadlines.add(now + 0.001, lambda: heard.append("dropped"))
-        loop.deadlines.add(now + 0.02, lambda: heard.append("second"))
-        loop.deadlines.add(now + 0.01, lambda: heard.append("first"))
+        dropped = loop.deadlines.add(now + 0.001, lambda: ran.append("dropped"))
+        loop.deadlines.add(now + 0.02, lambda: ran.append("second"))
+        loop.deadlines.add(now + 0.01, lambda: ran.append("first"))
         loop.deadlines.drop(dropped)
         await done.wait()
-        assert heard == ["first", "second"]
+        assert ran == ["first", "second"]
 
     run(test)
 
--- a/tests/net/test_request_reader.py
+++ b/tests/net/test_request_reader.py
@@ -18,8 +18,8 @@
 
 
 @dataclass
-class Told:
-    """Notes what the reader tells."""
+class RecordingOwner:
+    """Records what the reader reports."""
 
     requests: list[Exchange] = field(default_factory=list)
     refused: list[tuple[int, str]] = field(default_factory=list)
@@ -44,13 +44,13 @@
         self.continues += 1
 
 
-def read(data: bytes, piece: int, memory: int = 1000) -> tuple[Told, BodyMemory]:
-    told, bodies = Told(), BodyMemory(Counters(), "test", memory)
-    reader = RequestReader(told, bodies, lambda: LIMITS)
+def read(data: bytes, piece: int, memory: int = 1000) -> tuple[RecordingOwner, BodyMemory]:
+    owner, bodies = RecordingOwner(), BodyMemory(Counters(), "test", memory)
+    reader = RequestReader(owner, bodies, lambda: LIMITS)
     for start in range(0, len(data), piece):
         if not reader.stopped:
             reader.feed(data[start : start + piece])
-    return told, bodies
+    return owner, bodies
 
 
 TWO = (
@@ -62,15 +62,15 @@
 
 @pytest.mark.parametrize("piece", [1, 2, 7, 50, 10_000])
 def test_requests_are_the_same_in_pieces_of_any_size(piece: int) -> None:
-    told, bodies = read(TWO, piece)
-    first, second = told.requests
+    owner, bodies = read(TWO, piece)
+    first, second = owner.requests
     assert (first.method, first.target, first.path, first.body) == (b"POST", b"/a?x=1", b"/a", b"hello")
     assert (first.headers[b"x-list"], first.headers[b"x-key"]) == (b"1,2", b"3\n4")
     assert first.fields[0] == (b"X-List", b"1")
     assert first.keep_alive
     assert not first.predates_http_1_1
     assert (second.path, second.keep_alive, second.predates_http_1_1) == (b"/b", False, True)
-    assert (told.begun, told.continues, told.refused, bodies.used_bytes) == (2, 1, [], 5)
+    assert (owner.begun, owner.continues, owner.refused, bodies.used_bytes) == (2, 1, [], 5)
 
 
 @pytest.mark.parametrize(
@@ -97,27 +97,27 @@
 def test_what_is_too_large_or_ambiguous_is_refused_once_and_holds_no_memory(
     data: bytes, status: int, piece: int
 ) -> None:
-    told, bodies = read(data + b"GET /next HTTP/1.1\r\n\r\n", piece)
-    assert [refused for refused, _ in told.refused] == [status]
-    assert bodies.used_bytes == sum(len(request.body) for request in told.requests)
-    assert all(request.path != b"/next" for request in told.requests)
+    owner, bodies = read(data + b"GET /next HTTP/1.1\r\n\r\n", piece)
+    assert [refused for refused, _ in owner.refused] == [status]
+    assert bodies.used_bytes == sum(len(request.body) for request in owner.requests)
+    assert all(request.path != b"/next" for request in owner.requests)
 
 
 def test_a_body_beyond_the_memory_is_refused_and_counted() -> None:
-    told, bodies = read(TWO, 10_000, memory=4)
-    assert [status for status, _ in told.refused] == [503]
-    assert not told.requests
+    owner, bodies = read(TWO, 10_000, memory=4)
+    assert [status for status, _ in owner.refused] == [503]
+    assert not owner.requests
     assert bodies.used_bytes == 0
     counted: dict[str, Any] = bodies._counters.figures()
     assert counted == {"larchgw_caps_total_test_bodies": 1.0}
 
 
 def test_a_limit_replaced_in_the_midst_of_a_request_counts_at_once() -> None:
-    told, bodies = Told(), BodyMemory(Counters(), "test", 1000)
+    owner, bodies = RecordingOwner(), BodyMemory(Counters(), "test", 1000)
     limits = [ServerLimits(body_bytes=100)]
-    reader = RequestReader(told, bodies, lambda: limits[0])
+    reader = RequestReader(owner, bodies, lambda: limits[0])
     reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 20\r\n\r\n" + b"x" * 10)
     limits[0] = ServerLimits(body_bytes=15)
     reader.feed(b"x" * 10)
-    assert [status for status, _ in told.refused] == [413]
+    assert [status for status, _ in owner.refused] == [413]
     assert bodies.used_bytes == 0
