--- a/larchgw/replication/candidate.py
+++ b/larchgw/replication/candidate.py
@@ -37,18 +37,18 @@
     """
 
     def __init__(
-        self, member_id: str, outbox: OutboundMessages, timing: Timing, random_source: Random
+        self, member_id: str, outbound: OutboundMessages, timing: Timing, random_source: Random
     ) -> None:
         """Begins without an attempt.
 
         Args:
             member_id: The identity of this member.
-            outbox: Takes the requests to the others.
+            outbound: Takes the requests to the others.
             timing: Time-outs.
             random_source: Staggers candidates, so that two do not outbid each other again and again.
         """
         self._member_id = member_id
-        self._outbox = outbox
+        self._outbound = outbound
         self._timing = timing
         self._random_source = random_source
         self._pre_vote_round: _PreVoteRound | None = None
@@ -75,7 +75,7 @@
         ends_at = now + self._timing.pre_vote_s * (1 + self._random_source.random())
         self._pre_vote_round = _PreVoteRound(self._pre_vote_rounds, view, ends_at)
         for member in view.electors:
-            self._outbox.send(member, PreVoteRequest(self._pre_vote_rounds))
+            self._outbound.send(member, PreVoteRequest(self._pre_vote_rounds))
 
     def receive_pre_vote(self, now: float, sender: str, number: int) -> None:
         """A member would let this one try; with a quorum of them a view change begins."""
@@ -121,10 +121,10 @@
     def _prepare(self, members: tuple[str, ...]) -> None:
         assert self.view_change is not None
         for member in members:
-            self._outbox.send(member, Prepare(self.view_change.epoch))
+            self._outbound.send(member, Prepare(self.view_change.epoch))
 
     def _send_proposal(self, members: tuple[str, ...]) -> None:
         assert self.view_change is not None
         assert self.view_change.proposal is not None
         for member in members:
-            self._outbox.send(member, Accept(self.view_change.proposal))
+            self._outbound.send(member, Accept(self.view_change.proposal))
--- a/larchgw/replication/effects_collector.py
+++ b/larchgw/replication/effects_collector.py
@@ -86,8 +86,8 @@
         if role is not self._role:
             self._role = self._effects.role = role
 
-    def take(self, outbox: OutboundMessages) -> Effects:
-        """The effects so far, with the messages of the outbox; the next ones begin empty."""
+    def take(self, outbound: OutboundMessages) -> Effects:
+        """The effects so far, with the messages of the outbound; the next ones begin empty."""
         effects, self._effects = self._effects, Effects()
-        effects.messages = outbox.drain()
+        effects.messages = outbound.drain()
         return effects
--- a/larchgw/replication/follower.py
+++ b/larchgw/replication/follower.py
@@ -36,7 +36,7 @@
         address: str,
         witness: Witness,
         replica: Replica,
-        outbox: OutboundMessages,
+        outbound: OutboundMessages,
         timing: Timing,
     ) -> None:
         """Begins without a primary.
@@ -46,14 +46,14 @@
             address: Its rpc address, under which the others reach it.
             witness: The epoch promised and the view accepted here.
             replica: The log.
-            outbox: Takes the replies.
+            outbound: Takes the replies.
             timing: Time-outs.
         """
         self._member_id = member_id
         self._address = address
         self._witness = witness
         self._replica = replica
-        self._outbox = outbox
+        self._outbound = outbound
         self._timing = timing
         self._started_at = 0.0
         self._next_join_at = 0.0
@@ -97,7 +97,7 @@
         if accepted == heartbeat.epoch and granted:
             self._update_committed(heartbeat.epoch, heartbeat.committed_index)
         newer = view if accepted > heartbeat.epoch else None
-        self._outbox.send(
+        self._outbound.send(
             sender, HeartbeatReply(heartbeat.epoch, heartbeat.round, granted, promised, accepted, newer)
         )
 
@@ -113,7 +113,7 @@
             self.incoming.discard_up_to(index)
             self._update_matched(append.epoch, index)
             self._update_committed(append.epoch, append.committed_index)
-        self._outbox.send(sender, AppendReply(append.epoch, matched, index))
+        self._outbound.send(sender, AppendReply(append.epoch, matched, index))
 
     def install(self, now: float, sender: str, install: InstallSnapshot) -> InstalledSnapshot | None:
         """Takes a chunk of the primary's snapshot; returns the snapshot once it has replaced the log."""
@@ -128,7 +128,7 @@
             return None
         snapshot = self.incoming.receive(install)
         if snapshot is None:
-            self._outbox.send(
+            self._outbound.send(
                 sender, InstallSnapshotReply(install.epoch, install.index, self.incoming.offset)
             )
             return None
@@ -139,7 +139,7 @@
     def _confirm_installed(self, sender: str, install: InstallSnapshot) -> None:
         self.incoming.discard()
         self._update_matched(install.epoch, install.index)
-        self._outbox.send(sender, AppendReply(install.epoch, True, install.index))
+        self._outbound.send(sender, AppendReply(install.epoch, True, install.index))
 
     def request_join(self, now: float, contacts: Iterable[str]) -> None:
         """While this member is not in sync it asks to be brought up to date, time and again."""
@@ -149,11 +149,11 @@
         join = JoinRequest(self._member_id, self._address)
         view = self._witness.view
         if view is not None and self.has_recent_primary(now):
-            self._outbox.send(view.primary, join)
+            self._outbound.send(view.primary, join)
             return
         known = () if view is None else view.addresses.values()
         for address in dict.fromkeys((*known, *contacts)):
-            self._outbox.send_to_address(address, join)
+            self._outbound.send_to_address(address, join)
 
     def _follows(self, sender: str, epoch: int) -> bool:
         view = self._witness.view
--- a/larchgw/replication/graceful_leave.py
+++ b/larchgw/replication/graceful_leave.py
@@ -71,16 +71,16 @@
         has_begun: Whether the end is wanted.
     """
 
-    def __init__(self, member_id: str, outbox: OutboundMessages, timing: Timing) -> None:
+    def __init__(self, member_id: str, outbound: OutboundMessages, timing: Timing) -> None:
         """Begins without the wish to leave.
 
         Args:
             member_id: The identity of this member.
-            outbox: Takes the requests.
+            outbound: Takes the requests.
             timing: Time-outs.
         """
         self._member_id = member_id
-        self._outbox = outbox
+        self._outbound = outbound
         self._timing = timing
         self._next_request_at = 0.0
         self._granted_epoch = 0  # the primary of this epoch goes on without this member
@@ -97,7 +97,7 @@
         self._next_request_at = now + self._timing.leave_interval_s
         for member in view.members:
             if member != self._member_id:
-                self._outbox.send(member, LeaveRequest(self._member_id))
+                self._outbound.send(member, LeaveRequest(self._member_id))
 
     def receive_granted(self, message: LeaveGranted) -> None:
         """A primary goes on without this member."""
--- a/larchgw/replication/interface.py
+++ b/larchgw/replication/interface.py
@@ -21,11 +21,13 @@
 
 Anything that must be durable is written through the ports before the Effects that rely on it are returned.
 
-Rules (docs/design-system.md has the argument): - A record is acknowledged once it is durable at the primary
-and at every backup of the view, and at `tolerated_failures` + 1 members at least. - A view is formed by a
-majority of the witnesses of the view before it and of its own, and its primary is from the in-sync set
-(primary and backups) of the last accepted view. - An empty disk that is not a first boot is a new identity:
-no vote, no data, until a view has added it. - A lease's fencing token is a number that a majority of
-witnesses has stored. A holder other than the last one waits out a whole lease term before it acts. Time spent
-frozen counts.
+Rules (docs/design-system.md has the argument):
+
+- A record is acknowledged once it is durable at the primary and at every backup of the view, and at
+  `tolerated_failures` + 1 members at least.
+- A view is formed by a majority of the witnesses of the view before it and of its own, and its primary is
+  from the in-sync set (primary and backups) of the last accepted view.
+- An empty disk that is not a first boot is a new identity: no vote, no data, until a view has added it.
+- A lease's fencing token is a number that a majority of witnesses has stored. A holder other than the last
+  one waits out a whole lease term before it acts. Time spent frozen counts.
 """
--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -35,7 +35,7 @@
         member_id: str,
         view: View,
         replica: Replica,
-        outbox: OutboundMessages,
+        outbound: OutboundMessages,
         settings: MemberSettings,
         now: float,
         predecessor: Leadership | None,
@@ -44,7 +44,7 @@
         """Begins to act as primary.
 
         Args: member_id: The identity of this member. view: The view that was accepted. replica: The log.
-            outbox: Takes the messages. settings: Copies needed, and time-outs. now: Seconds of the member's
+            outbound: Takes the messages. settings: Copies needed, and time-outs. now: Seconds of the member's
             clock. predecessor: The view that this member led before, if it stays primary. leaving: Who asked
             to be left out before a planned end: such a member did nothing wrong, and may come back as soon as
             it likes.
@@ -52,11 +52,11 @@
         self.view = view
         self._member_id = member_id
         self._replica = replica
-        self._outbox = outbox
+        self._outbound = outbound
         self._settings = settings
         self._timing = settings.timing
         self._peers: dict[str, Peer] = {}
-        self._sender = LogSender(view.epoch, replica, outbox, settings, self._peers)
+        self._sender = LogSender(view.epoch, replica, outbound, settings, self._peers)
         self._proposed_backups: set[str] = set()
         self._entering: frozenset[str] = frozenset()  # a view change is in progress to take them in
         self._heartbeat_at = now
@@ -174,7 +174,7 @@
         addresses = {
             member: address
             for member in self._peers
-            if (address := self._outbox.address_of(member)) is not None
+            if (address := self._outbound.address_of(member)) is not None
         }
         return ObservedMembers(frozenset(healthy), tuple(sorted(ready)), frozenset(lost), leaving, addresses)
 
@@ -232,7 +232,7 @@
         self._heartbeat_at = now + self._timing.heartbeat_interval_s
         heartbeat = Heartbeat(self.view.epoch, self.round, self._replica.committed)
         for member in self._peers:
-            self._outbox.send(member, heartbeat)
+            self._outbound.send(member, heartbeat)
 
     def tick(self, now: float) -> None:
         """Heartbeats, records that are due, and forgetting of members that stopped asking."""
@@ -264,7 +264,7 @@
     def _send_view(self, now: float, member: str, peer: Peer) -> None:
         if now - peer.view_sent_at >= self._timing.heartbeat_interval_s / 2:
             peer.view_sent_at = now
-            self._outbox.send(member, Accept(self.view))
+            self._outbound.send(member, Accept(self.view))
 
     # ---- answers ----
 
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -109,7 +109,7 @@
         name: str,
         member_id: str,
         settings: MemberSettings,
-        outbox: OutboundMessages,
+        outbound: OutboundMessages,
         random_source: Random,
     ) -> None:
         """Begins without the lease.
@@ -118,14 +118,14 @@
             name: The name of the lease.
             member_id: The identity of this member.
             settings: The term and time-outs.
-            outbox: Takes the requests to the witnesses.
+            outbound: Takes the requests to the witnesses.
             random_source: Staggers candidates.
         """
         self.name = name
         self._member_id = member_id
         self._term_s = settings.lease_term_s
         self._timing = settings.timing
-        self._outbox = outbox
+        self._outbound = outbound
         self._random_source = random_source
         self._attempt: _Attempt | None = None
         self._attempts = 0
@@ -199,7 +199,7 @@
             self.name, self._attempt.fencing_token, is_renewal, view.epoch, self._attempts, is_acting
         )
         for member in view.electors:
-            self._outbox.send(member, request)
+            self._outbound.send(member, request)
 
     def _next_token(self, view: View) -> int:
         """The present one; a new one when not elected, or when a witness would not renew the present one.
@@ -261,4 +261,4 @@
 
     def _send_release(self, view: View) -> None:
         for member in view.electors:
-            self._outbox.send(member, LeaseRelease(self.name, self._highest_token))
+            self._outbound.send(member, LeaseRelease(self.name, self._highest_token))
--- a/larchgw/replication/lease_table.py
+++ b/larchgw/replication/lease_table.py
@@ -23,7 +23,7 @@
         member_id: str,
         acceptor: LeaseAcceptor,
         settings: MemberSettings,
-        outbox: OutboundMessages,
+        outbound: OutboundMessages,
         random_source: Random,
     ) -> None:
         """Begins without any lease.
@@ -32,13 +32,13 @@
             member_id: The identity of this member.
             acceptor: Its part as a witness.
             settings: The term and time-outs.
-            outbox: Takes requests and replies.
+            outbound: Takes requests and replies.
             random_source: Staggers candidates.
         """
         self._member_id = member_id
         self._acceptor = acceptor
         self._settings = settings
-        self._outbox = outbox
+        self._outbound = outbound
         self._random_source = random_source
         self._holders: dict[str, LeaseHolder] = {}
 
@@ -46,13 +46,13 @@
         """The lease, if it is held and may be acted on now; otherwise it is asked for from now on."""
         holder = self._holders.get(name)
         if holder is None:
-            holder = LeaseHolder(name, self._member_id, self._settings, self._outbox, self._random_source)
+            holder = LeaseHolder(name, self._member_id, self._settings, self._outbound, self._random_source)
             self._holders[name] = holder
         return holder.lease(now)
 
     def handle_request(self, now: float, sender: str, message: LeaseRequest, view: View | None) -> None:
         """A holder or candidate asks this witness. OSError if the answer cannot be made durable."""
-        self._outbox.send(sender, self._acceptor.handle_request(now, sender, message, view))
+        self._outbound.send(sender, self._acceptor.handle_request(now, sender, message, view))
 
     def receive_reply(self, now: float, sender: str, reply: LeaseReply, rank: int) -> None:
         """A witness has answered."""
--- a/larchgw/replication/log_sender.py
+++ b/larchgw/replication/log_sender.py
@@ -25,7 +25,7 @@
         self,
         epoch: int,
         replica: Replica,
-        outbox: OutboundMessages,
+        outbound: OutboundMessages,
         settings: MemberSettings,
         peers: Mapping[str, Peer],
     ) -> None:
@@ -34,13 +34,13 @@
         Args:
             epoch: The epoch of the primary's view.
             replica: The log.
-            outbox: Takes the messages.
+            outbound: Takes the messages.
             settings: Sizes of messages, and time-outs.
             peers: The other members, by identity.
         """
         self._epoch = epoch
         self._replica = replica
-        self._outbox = outbox
+        self._outbound = outbound
         self._settings = settings
         self._timing = settings.timing
         self._peers = peers
@@ -111,7 +111,7 @@
         append = Append(
             self._epoch, first - 1, replica.epoch_at(first - 1), replica.committed, epochs, records
         )
-        self._outbox.send(member, append)
+        self._outbound.send(member, append)
         return sum(map(len, records))
 
     def _start_snapshot(self) -> OutgoingSnapshot:
@@ -125,5 +125,5 @@
 
     def _send_chunk(self, member: str, outgoing: OutgoingSnapshot) -> int:
         install = outgoing.chunk()
-        self._outbox.send(member, install)
+        self._outbound.send(member, install)
         return len(install.chunk)
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -110,7 +110,7 @@
             return None
         if not self._parts.follower.has_recent_primary(self._last_call_at):
             return None
-        return self._parts.outbox.address_of(view.primary)
+        return self._parts.outbound.address_of(view.primary)
 
     @property
     def view(self) -> View | None:
@@ -309,12 +309,12 @@
         if leading is not None:
             parts.effects.complete_calls(leading, parts.witness.promised <= leading.view.epoch)
         parts.effects.update_role(self._current_role())
-        return parts.effects.take(parts.outbox)
+        return parts.effects.take(parts.outbound)
 
     def _process_own_messages(self, now: float) -> None:
         """Counts this member's own votes, and takes its view change as far as it comes."""
         while True:
-            own_messages = self._parts.outbox.drain_to_self()
+            own_messages = self._parts.outbound.drain_to_self()
             for message in own_messages:
                 self._router.handle(now, self._member_id, message)
             if not self._parts.views.advance(now) and not own_messages:
@@ -342,7 +342,7 @@
             return self._finish(now)
         except OSError as error:
             self._handle_disk_error(now, error)
-        return self._parts.effects.take(self._parts.outbox)
+        return self._parts.effects.take(self._parts.outbound)
 
     def _handle_disk_error(self, now: float, error: OSError) -> None:
         if now >= self._parts.role.no_candidacy_until:
@@ -350,6 +350,6 @@
                 "disk.write_failed", error=str(error), remedy="free space in data_dir or replace the disk"
             )
         self.disk_error = error
-        self._parts.outbox.drain_to_self()
+        self._parts.outbound.drain_to_self()
         self._give_up_roles(now, self._timing.step_down_pause_s)
-        self._parts.outbox.drain_to_self()
+        self._parts.outbound.drain_to_self()
--- a/larchgw/replication/member_addresses.py
+++ b/larchgw/replication/member_addresses.py
@@ -7,15 +7,15 @@
 
 
 class MemberAddresses:
-    """Fills the outbox's addresses from views and from the messages of members."""
+    """Fills the outbound's addresses from views and from the messages of members."""
 
-    def __init__(self, outbox: OutboundMessages) -> None:
+    def __init__(self, outbound: OutboundMessages) -> None:
         """Begins without any address.
 
         Args:
-            outbox: Is given the addresses.
+            outbound: Is given the addresses.
         """
-        self._outbox = outbox
+        self._outbound = outbound
         self._replaced: set[str] = set()
 
     @property
@@ -29,17 +29,17 @@
         One not known before, at an address that was another's in `view`, has taken its place: the other's
         disk is gone.
         """
-        if self._outbox.address_of(member) is None:
+        if self._outbound.address_of(member) is None:
             self._replaced.update(other for other in _members_at(address, view) if other != member)
-            self._outbox.set_address(member, address)
+            self._outbound.set_address(member, address)
         elif member not in self._replaced:
-            self._outbox.set_address(member, address)
+            self._outbound.set_address(member, address)
 
     def update_from_view(self, view: View) -> None:
         """Addresses of members that were not heard themselves yet."""
         for member, address in view.addresses.items():
-            if self._outbox.address_of(member) is None:
-                self._outbox.set_address(member, address)
+            if self._outbound.address_of(member) is None:
+                self._outbound.set_address(member, address)
 
 
 def _members_at(address: str, view: View | None) -> list[str]:
--- a/larchgw/replication/member_parts.py
+++ b/larchgw/replication/member_parts.py
@@ -33,7 +33,7 @@
         identity: Who this member is.
         witness: Durable: the epoch promised and the view accepted.
         replica: Durable: the log.
-        outbox: Messages to send.
+        outbound: Messages to send.
         addresses: Where the other members are.
         follower: What this member does for a primary.
         role: Whether it is primary itself.
@@ -49,7 +49,7 @@
     identity: Identity
     witness: Witness
     replica: Replica
-    outbox: OutboundMessages
+    outbound: OutboundMessages
     addresses: MemberAddresses
     follower: Follower
     role: PrimaryRole
@@ -81,28 +81,28 @@
     lease_acceptor = LeaseAcceptor(ports.leases, settings.lease_term_s)
     identity = load_or_create_identity(ports.identity, settings, witness, lease_acceptor)
     replica = Replica(ports.journal)
-    outbox = OutboundMessages(identity.id, settings.address)
-    addresses = MemberAddresses(outbox)
+    outbound = OutboundMessages(identity.id, settings.address)
+    addresses = MemberAddresses(outbound)
     effects = EffectsCollector(replica, settings.deliver_bytes)
-    follower = Follower(identity.id, settings.address, witness, replica, outbox, timing)
-    candidate = Candidate(identity.id, outbox, timing, random_source)
+    follower = Follower(identity.id, settings.address, witness, replica, outbound, timing)
+    candidate = Candidate(identity.id, outbound, timing, random_source)
     role = PrimaryRole(
-        identity.id, settings, replica, outbox, addresses, follower, candidate, effects.fail_calls
+        identity.id, settings, replica, outbound, addresses, follower, candidate, effects.fail_calls
     )
-    voter = ViewVoter(identity.id, witness, lease_acceptor, addresses, outbox, follower, candidate, role)
+    voter = ViewVoter(identity.id, witness, lease_acceptor, addresses, outbound, follower, candidate, role)
     return MemberParts(
         identity=identity,
         witness=witness,
         replica=replica,
-        outbox=outbox,
+        outbound=outbound,
         addresses=addresses,
         follower=follower,
         role=role,
         voter=voter,
         views=ViewChanges(identity.id, settings, witness, follower, candidate, role, voter),
         lease_acceptor=lease_acceptor,
-        leases=LeaseTable(identity.id, lease_acceptor, settings, outbox, random_source),
-        graceful_leave=GracefulLeave(identity.id, outbox, timing),
+        leases=LeaseTable(identity.id, lease_acceptor, settings, outbound, random_source),
+        graceful_leave=GracefulLeave(identity.id, outbound, timing),
         compaction=Compaction(replica, settings, snapshot),
         effects=effects,
     )
--- a/larchgw/replication/message_router.py
+++ b/larchgw/replication/message_router.py
@@ -108,7 +108,7 @@
             return
         view = parts.witness.view
         if sender == join.member and parts.follower.has_recent_primary(now) and view is not None:
-            parts.outbox.send(view.primary, join)
+            parts.outbound.send(view.primary, join)
 
     def _leave_granted(self, now: float, sender: str, message: LeaveGranted) -> None:
         self._parts.graceful_leave.receive_granted(message)
--- a/larchgw/replication/outbound_messages.py
+++ b/larchgw/replication/outbound_messages.py
@@ -52,7 +52,7 @@
         return to_self
 
     def drain(self) -> list[Outgoing]:
-        """What is to be sent; the outbox is empty afterwards."""
+        """What is to be sent; the outbound is empty afterwards."""
         messages, self._messages = self._messages, []
         return messages
 
--- a/larchgw/replication/primary_role.py
+++ b/larchgw/replication/primary_role.py
@@ -36,7 +36,7 @@
         member_id: str,
         settings: MemberSettings,
         replica: Replica,
-        outbox: OutboundMessages,
+        outbound: OutboundMessages,
         addresses: MemberAddresses,
         follower: Follower,
         candidate: Candidate,
@@ -48,7 +48,7 @@
             member_id: The identity of this member.
             settings: Copies and witnesses that views must have, and time-outs.
             replica: The log, whose records a primary sends.
-            outbox: Takes the messages to send.
+            outbound: Takes the messages to send.
             addresses: Which members have lost their disk to a successor at their address.
             follower: Noted as just having seen a primary once the role is lost.
             candidate: Given up, and postponed, once the role is lost.
@@ -57,7 +57,7 @@
         self._member_id = member_id
         self._settings = settings
         self._replica = replica
-        self._outbox = outbox
+        self._outbound = outbound
         self._addresses = addresses
         self._follower = follower
         self._candidate = candidate
@@ -78,7 +78,7 @@
             self._member_id,
             view,
             self._replica,
-            self._outbox,
+            self._outbound,
             self._settings,
             now,
             self.leading,
@@ -105,7 +105,7 @@
             return
         successor = self.leading.successor(now, self.leaving_members.leaving(now))
         if successor is not None:
-            self._outbox.send(successor, TakeOver(self.leading.view.epoch))
+            self._outbound.send(successor, TakeOver(self.leading.view.epoch))
         self.resign(now, "stepped down")
 
     def may_stand(self, now: float, view: View) -> bool:
@@ -148,4 +148,4 @@
         released = self.leaving_members.released(now) - {leave.member}
         if self.leading.can_release(now, leave.member, released):
             self.leaving_members.release(leave.member)
-            self._outbox.send(sender, LeaveGranted(self.leading.view.epoch))
+            self._outbound.send(sender, LeaveGranted(self.leading.view.epoch))
--- a/larchgw/replication/view_voter.py
+++ b/larchgw/replication/view_voter.py
@@ -27,7 +27,7 @@
         witness: Witness,
         lease_acceptor: LeaseAcceptor,
         addresses: MemberAddresses,
-        outbox: OutboundMessages,
+        outbound: OutboundMessages,
         follower: Follower,
         candidate: Candidate,
         role: PrimaryRole,
@@ -39,7 +39,7 @@
             witness: The epoch promised and the view accepted.
             lease_acceptor: Told when this member becomes a witness.
             addresses: Updated from accepted views.
-            outbox: Takes the replies.
+            outbound: Takes the replies.
             follower: Knows whether a primary was seen lately.
             candidate: Learns of epochs that others have used.
             role: Given up where a view with another primary is accepted.
@@ -48,7 +48,7 @@
         self._witness = witness
         self._lease_acceptor = lease_acceptor
         self._addresses = addresses
-        self._outbox = outbox
+        self._outbound = outbound
         self._follower = follower
         self._candidate = candidate
         self._role = role
@@ -60,7 +60,7 @@
         leading = self._role.leading
         if leading is not None and sender != self._member_id and leading.has_contact(now):
             granted = False
-        self._outbox.send(sender, PreVoteReply(request.round, granted, self._witness.promised, view))
+        self._outbound.send(sender, PreVoteReply(request.round, granted, self._witness.promised, view))
 
     def prepare(self, now: float, sender: str, prepare: Prepare) -> None:
         """A candidate asks for a promise of its epoch.
@@ -70,12 +70,14 @@
         """
         granted = self._witness.promise(prepare.epoch, sender)
         self._candidate.observe_epoch(self._witness.promised)
-        self._outbox.send(sender, Promise(prepare.epoch, granted, self._witness.promised, self._witness.view))
+        self._outbound.send(
+            sender, Promise(prepare.epoch, granted, self._witness.promised, self._witness.view)
+        )
 
     def accept(self, now: float, sender: str, message: Accept) -> None:
         """A candidate, or the primary, asks for the acceptance of a view."""
         granted = self._accept(now, message.view)
-        self._outbox.send(sender, Accepted(message.view.epoch, granted, self._witness.promised))
+        self._outbound.send(sender, Accepted(message.view.epoch, granted, self._witness.promised))
 
     def adopt(self, now: float, view: View) -> None:
         """Accepts a view that another member has accepted, if it is newer and may be accepted."""
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -139,16 +139,16 @@
         self.witness = Witness(self.disk.ports().witness)
         self.witness.reset(VIEW)
         self.replica = Replica(self.disk.ports().journal)
-        self.outbox = OutboundMessages("b", "b")
+        self.outbound = OutboundMessages("b", "b")
         for member in "abc":
-            self.outbox.set_address(member, member)
-        self.follower = Follower("b", "b", self.witness, self.replica, self.outbox, Timing())
+            self.outbound.set_address(member, member)
+        self.follower = Follower("b", "b", self.witness, self.replica, self.outbound, Timing())
 
     def install(self, install: InstallSnapshot, sender: str = "a") -> InstalledSnapshot | None:
         return self.follower.install(0.0, sender, install)
 
     def answers(self) -> list[object]:
-        return [decode(sent.message.kind, sent.message.body)[0] for sent in self.outbox.drain()]
+        return [decode(sent.message.kind, sent.message.body)[0] for sent in self.outbound.drain()]
 
 
 def test_each_piece_is_answered_with_the_place_to_go_on_from_and_the_whole_as_matched() -> None:
@@ -211,13 +211,13 @@
         for number in range(12):
             self.replica.append(1, b"%d" % number)
         self.replica.compact(9, CONTENT)
-        self.outbox = OutboundMessages("a", "a")
-        self.outbox.set_address("b", "b")
+        self.outbound = OutboundMessages("a", "a")
+        self.outbound.set_address("b", "b")
         settings = MemberSettings("a", ("a", "b", "c"), True, "", 1, 3.0, chunk_bytes=4)
-        self.leadership = Leadership("a", view, self.replica, self.outbox, settings, 0.0, None)
+        self.leadership = Leadership("a", view, self.replica, self.outbound, settings, 0.0, None)
 
     def sent(self) -> list[object]:
-        return [decode(sent.message.kind, sent.message.body)[0] for sent in self.outbox.drain()]
+        return [decode(sent.message.kind, sent.message.body)[0] for sent in self.outbound.drain()]
 
     def answer(self, now: float, reply: AppendReply | InstallSnapshotReply) -> list[object]:
         if isinstance(reply, AppendReply):
@@ -296,7 +296,7 @@
 
 def test_one_snapshot_is_read_for_all_members_that_need_it() -> None:
     leading = Leading()
-    leading.outbox.set_address("c", "c")
+    leading.outbound.set_address("c", "c")
     leading.begin()
     leading.leadership.append_reply(0.0, "c", AppendReply(1, False, 0))
     held = [peer.snapshot.snapshot for peer in leading.leadership._peers.values() if peer.snapshot]
