--- a/larchgw/emulator/system/judge_contact.py
+++ b/larchgw/emulator/system/judge_contact.py
@@ -57,8 +57,10 @@
 
 
 def unproven(case: Case) -> Iterator[Breach]:
-    """An edge that has started while it reached only a process that was cut off answers by a route, or says
-    that there is none."""
+    """An edge that started while it reached only a partitioned process answers by a route, or denies one.
+
+    It may do neither before a control process in contact has answered it.
+    """
     for one in case.records.tries.values():
         answered = one.status == NOT_FOUND or 200 <= one.status < 300
         if answered and _started_cut_off(case, one):
--- a/larchgw/emulator/system/operator.py
+++ b/larchgw/emulator/system/operator.py
@@ -52,8 +52,11 @@
 
 
 class Operator:
-    """Calls any of the control processes that `controls` names. `lost_share` of the answers get lost, and
-    `copies` of each call are sent at once, as by a network that delivers one twice."""
+    """Calls any of the control processes that `controls` names.
+
+    `lost_share` of the answers get lost, and `copies` of each call are sent at once, as by a network that
+    delivers one twice.
+    """
 
     def __init__(
         self,
--- a/larchgw/emulator/system/plays.py
+++ b/larchgw/emulator/system/plays.py
@@ -118,8 +118,10 @@
         hold_outgoing: bool = True,
         hold_incoming: bool = True,
     ) -> None:
-        """Cuts it off while all call it: operators, runners that check in, and one that drains. An edge
-        that is `starting` is on its side of the cut."""
+        """Cuts it off while all call it: operators, runners that check in, and one that drains.
+
+        An edge that is `starting` is on its side of the cut.
+        """
         stranded = self._operator("stranded", lambda: [machine.control])
         stranded.current = copy.deepcopy(self.operator.current)
         group = [machine, *companions, *([starting] if starting else [])]
--- a/larchgw/experiments/distribution_model.py
+++ b/larchgw/experiments/distribution_model.py
@@ -1,5 +1,6 @@
-"""A hollow deployment for `larchgw lab distribution`: its processes have registries, directories, pullers and
-pull services, and nothing else.
+"""A hollow deployment for `larchgw lab distribution`.
+
+Its processes have registries, directories, pullers and pull services, and nothing else.
 
 They run in virtual time; messages are encoded and decoded as on sockets, and delivered after a delay.
 """
