--- a/tests/configuration/test_change.py
+++ b/tests/configuration/test_change.py
@@ -167,7 +167,9 @@
 def test_items_with_names_that_are_no_text_are_ignored_by_a_change() -> None:
     current = parse_configuration({**EXAMPLE, "notes": [{"name": ["x"]}, {"name": {}}, 7]})
     for order in (change(add={"notes": [{"name": "a"}]}), change(remove={"notes": ["a"]})):
-        assert evaluate_order(current, CHANGE, 7, order).raw["notes"][:3] == current.raw["notes"]
+        notes = evaluate_order(current, CHANGE, 7, order).raw["notes"]
+        assert isinstance(notes, list)
+        assert notes[:3] == current.raw["notes"]
 
 
 def test_allowed_nesting_does_not_depend_on_the_depth_of_the_caller() -> None:
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -115,8 +115,9 @@
         client = await made.ask("/writing/x", "id1", bytes(1 << 20))
         call = await runner.call()
         link = next(iter(made.proxy._pool._owner))
-        assert isinstance(link.connection, Connection)
-        await until(lambda: not link.connection.unsent or link.connection.closed)
+        connection = link.connection
+        assert isinstance(connection, Connection)
+        await until(lambda: not connection.unsent or connection.closed)
         call.answer()
         assert (await client.answer()).status == 200
         client.ask("/writing/x", "id2")
--- a/tests/edge/test_connections.py
+++ b/tests/edge/test_connections.py
@@ -9,6 +9,7 @@
 
 from larchgw.configuration.model import Service, Share
 from larchgw.edge.runner_pool import MAX_OVERSUBSCRIPTION, MIN_CONNECTIONS
+from larchgw.identifiers import RunnerId
 from larchgw.routing.interface import AttemptOutcome, Wait
 from larchgw.runner_directory.runner_record import RunnerRecord, Stage
 from tests.support.asyncio_tests import on_loop
@@ -118,7 +119,7 @@
     runner = ScriptedRunner("i-2")
     async with edge(runner, clock=FakeClock()) as made:
         host, port = deaf.getsockname()
-        made.records = {"i-1": RunnerRecord("i-1", "lm", f"{host}:{port}", "z")} | made.records
+        made.records = {"i-1": RunnerRecord(RunnerId("i-1"), "lm", f"{host}:{port}", "z")} | made.records
         client = await made.ask("/writing/x")
         await until(lambda: made.selection.sends)
         made.move(0.29)
--- a/tests/edge/test_parsers.py
+++ b/tests/edge/test_parsers.py
@@ -11,7 +11,8 @@
 
 from larchgw.edge import events as events_module
 from larchgw.edge.answer_parser import AnswerHead
-from larchgw.edge.events import EventSplitter, EventTooLongError, parse
+from larchgw.edge.errors import EventTooLongError
+from larchgw.edge.events import EventSplitter, parse
 from larchgw.edge.keep_alive_limit import KeepAliveLimit
 from larchgw.edge.request_head import model_of, parts_of, time_left, tokens_of
 from larchgw.edge.runner_connection import RunnerConnection
--- a/tests/edge/test_partitioned_control.py
+++ b/tests/edge/test_partitioned_control.py
@@ -15,6 +15,7 @@
 from larchgw.distribution.pull_service import PullService
 from larchgw.distribution.registry import Registry
 from larchgw.edge.node import EdgeNode
+from larchgw.identifiers import RunnerId
 from larchgw.rpc.server import RpcServer
 from larchgw.runner_directory.runner_record import RunnerRecord
 from tests.support.asyncio_tests import PATIENCE, on_loop
@@ -59,7 +60,7 @@
     def publish(self, version: int) -> None:
         raw = example(config_version=version)
         self.registry.put(CONFIGURATION_KEY, pack(raw), version)
-        record = RunnerRecord("i-1", "models", f"{HOST}:9", "a", call_count=version)
+        record = RunnerRecord(RunnerId("i-1"), "models", f"{HOST}:9", "a", call_count=version)
         self.registry.put(RUNNER_PREFIX + "i-1", record.encode(), version)
 
     async def until(self, status: int) -> None:
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -12,6 +12,7 @@
 from larchgw.distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
 from larchgw.edge import node as node_module
 from larchgw.edge.node import NOTICE_S, EdgeNode
+from larchgw.identifiers import RunnerId
 from larchgw.runner_directory.runner_record import RunnerRecord
 from tests.support.asyncio_tests import on_loop
 from tests.support.configurations import example
@@ -50,7 +51,9 @@
     assert await status(node) == 503
     node.registry.put(CONFIGURATION_KEY, pack(example()), 1)
     assert await status(node) == 503  # it knows no runner
-    node.registry.put(RUNNER_PREFIX + "i-1", RunnerRecord("i-1", "s", "10.0.0.1:1", "z").encode(), 1)
+    node.registry.put(
+        RUNNER_PREFIX + "i-1", RunnerRecord(RunnerId("i-1"), "s", "10.0.0.1:1", "z").encode(), 1
+    )
     assert await status(node) == 200
     stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0)  # the handler of the signal has run; nothing else has
--- a/tests/edge/test_request_limits.py
+++ b/tests/edge/test_request_limits.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from larchgw.identifiers import RunnerId
 from larchgw.routing.interface import AttemptOutcome, Send, Wait
 from larchgw.runner_directory.runner_record import RunnerRecord
 from tests.support.asyncio_tests import on_loop
@@ -225,7 +226,7 @@
     first, second, third = (ScriptedRunner(f"i-{number}") for number in range(3))
     config = configuration(dataclasses.replace(STREAM, tries=3))
     async with edge(first, second, third, config=config) as made:
-        client = await made.ask("/streaming/x", **PROMPT)
+        client = await made.ask("/streaming/x", "id1", b"ask", "POST", **PROMPT)
         calls = [await first.call()]
         calls[0].turn_away()
         calls.append(await second.call())
@@ -252,7 +253,7 @@
     other, right = ScriptedRunner("i-9"), ScriptedRunner("i-2")
     async with edge(other, right) as made:
         there = made.records.pop("i-9")
-        made.records = {"i-1": dataclasses.replace(there, id="i-1")} | made.records
+        made.records = {"i-1": dataclasses.replace(there, id=RunnerId("i-1"))} | made.records
         client = await made.ask("/writing/x")
         call = await other.call()
         assert call.headers["x-target-runner"] == "i-1"
@@ -270,7 +271,7 @@
         (await runner.call()).answer()
         assert (await client.answer()).status == 200
         record: RunnerRecord = made.records.pop("i-1")
-        made.records["i-2"] = dataclasses.replace(record, id="i-2")
+        made.records["i-2"] = dataclasses.replace(record, id=RunnerId("i-2"))
         client.ask(name="id2")
         call = await runner.call()
         assert call.headers["x-target-runner"] == "i-2" and runner.opened == 2
--- a/tests/edge/test_requests.py
+++ b/tests/edge/test_requests.py
@@ -99,7 +99,7 @@
 ) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
-        client = await made.ask(**fields)
+        client = await made.ask("/read_only/x", "id1", b"ask", "POST", **fields)
         assert (await client.answer()).status in (400, 404)
         assert made.selection.sends == []
 
--- a/tests/support/bench.py
+++ b/tests/support/bench.py
@@ -6,6 +6,7 @@
 
 from larchgw import Dispatcher, Settings
 from larchgw.dispatcher.scheduling.interface import (
+    Effect,
     JobClass,
     ListKind,
     Member,
@@ -50,7 +51,9 @@
 class Rig:
     """One dispatcher with simple settings, a clock and a fleet."""
 
-    def __init__(self, workers: int = 4, seed: int = 1, effect: str = "idempotent", **changes: Any) -> None:
+    def __init__(
+        self, workers: int = 4, seed: int = 1, effect: Effect = "idempotent", **changes: Any
+    ) -> None:
         group = changes.pop("group", "all")
         window = changes.pop("window", 5.0)
         job = JobClass("job", 0.4, 5.0, effect=effect, group=group, window=window, stretch=2.0)
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -127,23 +127,22 @@
             }
         ),
     )
-    rest = st.fixed_dictionaries(
-        {
-            "hostname": st.sampled_from(["a.example", "b.example"]),
-            "path_start": paths,
-            "kind": st.sampled_from(["read_only", "writing", "streaming"]),
-            "deadline_ms": st.one_of(st.integers(1, 10**6), st.floats(0.5, 1e6)),
-        },
-        optional={
-            "target_ms": milliseconds,
-            "rank": st.integers(0, 9),
-            "tries": st.integers(1, 9),
-            "pinned": st.booleans(),
-            "can_resume": st.booleans(),
-            "gap_aim_ms": milliseconds,
-            "later": st.none() | st.integers(),
-        },
-    )
+    required: dict[str, st.SearchStrategy[Any]] = {
+        "hostname": st.sampled_from(["a.example", "b.example"]),
+        "path_start": paths,
+        "kind": st.sampled_from(["read_only", "writing", "streaming"]),
+        "deadline_ms": st.one_of(st.integers(1, 10**6), st.floats(0.5, 1e6)),
+    }
+    optional: dict[str, st.SearchStrategy[Any]] = {
+        "target_ms": milliseconds,
+        "rank": st.integers(0, 9),
+        "tries": st.integers(1, 9),
+        "pinned": st.booleans(),
+        "can_resume": st.booleans(),
+        "gap_aim_ms": milliseconds,
+        "later": st.none() | st.integers(),
+    }
+    rest = st.fixed_dictionaries(required, optional=optional)
     return st.builds(lambda target_fields, other_fields: target_fields | other_fields, target, rest)
 
 
--- a/tests/support/edge_stand_ins.py
+++ b/tests/support/edge_stand_ins.py
@@ -13,6 +13,7 @@
 from larchgw.configuration.model import Configuration, Limits, Model, Route, Runtime, Service
 from larchgw.configuration.settings import NodeSettings
 from larchgw.edge.proxy import Proxy
+from larchgw.identifiers import RunnerId
 from larchgw.net.asyncio_loop import AsyncLoop
 from larchgw.net.timers import Clock
 from larchgw.routing.interface import (
@@ -227,11 +228,12 @@
         self._server = await asyncio.start_server(self._serve, sock=listening)
         host, port = self._server.sockets[0].getsockname()
         return RunnerRecord(
-            self.name, "lm", f"{host}:{port}", "z", slots=8, models=(HeldModel("m1", 1, ("a1",)),)
+            RunnerId(self.name), "lm", f"{host}:{port}", "z", slots=8, models=(HeldModel("m1", 1, ("a1",)),)
         )
 
     async def call(self) -> Call:
-        return await soon(self._calls.get())
+        call: Call = await soon(self._calls.get())
+        return call
 
     @property
     def unread(self) -> int:
--- a/tests/support/faulty_files.py
+++ b/tests/support/faulty_files.py
@@ -91,6 +91,9 @@
     def make_folder(self, folder: str) -> None:
         self._check_power()
 
+    def paths(self) -> list[str]:
+        return sorted(self._names)
+
     def list(self, folder: str) -> list[str]:
         self._check_power()
         prefix = folder + "/"
@@ -200,9 +203,6 @@
         self._names[path] = Inode(content, content)
         self._synced_names[path] = self._names[path]
 
-    def paths(self) -> list[str]:
-        return sorted(self._names)
-
     def used(self) -> int:
         return sum(len(inode.content) for inode in self._names.values())
 
--- a/tests/support/routing_factories.py
+++ b/tests/support/routing_factories.py
@@ -7,6 +7,7 @@
 from random import Random
 
 from larchgw.configuration.model import Configuration, Model, Route, Runtime, Service
+from larchgw.identifiers import RunnerId
 from larchgw.routing.interface import Attempt, AttemptOutcome, Choice, PromptPart, RequestTraits, Send
 from larchgw.routing.selection import Selector
 from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
@@ -39,7 +40,15 @@
     """A runner that holds these models, one letter each, with adapter a1."""
     held = tuple(HeldModel(name, 1, ("a1",)) for name in models)
     return RunnerRecord(
-        id, service, f"{id}:1", zone, stage, slots, warm_up_left_ms=cold_ms, call_count=calls, models=held
+        RunnerId(id),
+        service,
+        f"{id}:1",
+        zone,
+        stage,
+        slots,
+        warm_up_left_ms=cold_ms,
+        call_count=calls,
+        models=held,
     )
 
 
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -295,7 +295,8 @@
         before = len(self.logged("event=reload."))
         self.path.write_text(text or json.dumps(self.config | changes))
         self.process.send_signal(signal.SIGHUP)
-        return until(lambda: self.logged("event=reload.")[before:], "the reload")[0]
+        lines: list[str] = until(lambda: self.logged("event=reload.")[before:], "the reload")
+        return lines[0]
 
     def _read(self) -> None:
         assert self.process.stderr is not None
@@ -363,7 +364,7 @@
 
 
 @contextmanager
-def running(folder: Path, *runners: Runner, **changes: Any) -> Iterator[tuple[Program, Discovery]]:
+def running(folder: Path, *runners: Runner | Desk, **changes: Any) -> Iterator[tuple[Program, Discovery]]:
     """The program behind all its fronts, these boxes on the list; at the end it must stop in good order."""
     discovery = Discovery()
     for runner in runners:
