--- a/tests/dispatcher/test_core.py
+++ b/tests/dispatcher/test_core.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 import pytest
 
 from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, Core, End, Request
 from larchgw.dispatcher.core.requests import News, Reach
 from larchgw.dispatcher.scheduling.interface import JobClass, ListKind, Member, Settings, Status
+from larchgw.dispatcher.scheduling.scheduler import Dispatcher
 from larchgw.dispatcher.workers.attempt_status import status_of
 from larchgw.dispatcher.workers.discovery import ListReader
 from larchgw.net.connection_outcome import ConnectionOutcome
@@ -26,10 +29,10 @@
 
     name = "desk"
 
-    def __init__(self, classes: list[JobClass], **changes: int) -> None:
+    def __init__(self, classes: list[JobClass], max_open: int = 1000) -> None:
         self.clock, self.deadlines = HandClock(), Deadlines()
         settings = Settings(classes, tells_start=True, can_cancel=True, max_attempts=3)
-        self.core = Core(settings, 1, self.clock, self.deadlines, **changes)
+        self.core = Core(settings, 1, self.clock, self.deadlines, max_open)
         self.core.add_transport(self)
         self.core.listed(ListKind.FULL, [Member(b"w%d" % n) for n in range(4)])
         self.sent: list[Attempt] = []
@@ -75,7 +78,7 @@
 RELEASE = JobClass("r", 1.0, 5.0, effect="at_most_once", stretch=2.0)
 
 
-def test_the_first_end_counts_and_the_second_is_dropped_and_counted():
+def test_the_first_end_counts_and_the_second_is_dropped_and_counted() -> None:
     desk = Desk([SAFE])
     desk.take()
     attempt = desk.sent[0]
@@ -88,7 +91,7 @@
     assert all(w.pending == 0 for w in desk.core.dispatcher.workers.values())
 
 
-def test_an_end_within_the_send_does_not_enter_the_module_twice():
+def test_an_end_within_the_send_does_not_enter_the_module_twice() -> None:
     desk = Desk([RELEASE])
     desk.at_once = Status.CONNECT_FAILED
     desk.take()
@@ -98,7 +101,7 @@
 
 
 @pytest.mark.parametrize("cls, kind", [(SAFE, AnswerKind.REFUSED), (RELEASE, AnswerKind.FAILED)])
-def test_what_is_silent_is_answered_before_its_client_gives_up(cls, kind):
+def test_what_is_silent_is_answered_before_its_client_gives_up(cls: JobClass, kind: AnswerKind) -> None:
     desk = Desk([cls])
     desk.core.settings.can_cancel = False
     request = desk.take()
@@ -108,7 +111,7 @@
     assert desk.core.open_requests() == 0 and len(desk.deadlines) <= 1
 
 
-def test_a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up():
+def test_a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up() -> None:
     desk = Desk([RELEASE])
     request = desk.take()
     desk.core.gone(request)
@@ -117,7 +120,7 @@
     assert desk.answers == [] and desk.core.open_requests() == 0
 
 
-def test_a_request_that_the_module_forgets_fails_in_time(monkeypatch):
+def test_a_request_that_the_module_forgets_fails_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk([RELEASE])
     monkeypatch.setattr(desk.core.dispatcher, "on_request", lambda *a: 1 / 0)
     desk.take()
@@ -127,15 +130,16 @@
     assert figures["larchgw_faults_total_decision"] == figures["larchgw_faults_total_overdue"] == 1
 
 
-def test_over_the_cap_a_request_is_refused_before_the_module_sees_it():
+def test_over_the_cap_a_request_is_refused_before_the_module_sees_it() -> None:
     desk = Desk([SAFE], max_open=2)
     for n in range(4):
         desk.take(b"%d" % n)
     assert [name for name, _ in desk.answers] == [b"2", b"3"] and len(desk.core.dispatcher.jobs) == 2
 
 
-def test_a_sweep_ends_although_what_is_due_adds_what_is_due():
-    deadlines, seen = Deadlines(), []
+def test_a_sweep_ends_although_what_is_due_adds_what_is_due() -> None:
+    deadlines = Deadlines()
+    seen: list[int] = []
 
     def again() -> None:
         seen.append(1)
@@ -148,12 +152,12 @@
 
 
 @pytest.mark.parametrize("ending", list(ConnectionOutcome))
-def test_every_ending_has_its_outcome_and_unwritten_requests_never_ran(ending):
+def test_every_ending_has_its_outcome_and_unwritten_requests_never_ran(ending: ConnectionOutcome) -> None:
     assert isinstance(status_of(ending), Status)
     assert status_of(ending, written=False) not in (Status.RESET, Status.TIMEOUT)
 
 
-def test_a_box_known_only_by_its_connection_is_ready_until_discovery_says_otherwise():
+def test_a_box_known_only_by_its_connection_is_ready_until_discovery_says_otherwise() -> None:
     desk = Desk([SAFE])
     desk.core.joined(b"g", restarted=True)
     assert desk.core.boxes.open_to_work(b"g") and b"g" in desk.core.dispatcher.workers
@@ -166,7 +170,9 @@
 
 
 @pytest.mark.parametrize("kind, members", [(ListKind.FULL, []), (ListKind.DELTA, [Member(b"g", 0)])])
-def test_a_drained_box_that_leaves_the_list_is_not_ready_again_for_being_connected(kind, members):
+def test_a_drained_box_that_leaves_the_list_is_not_ready_again_for_being_connected(
+    kind: ListKind, members: list[Member]
+) -> None:
     desk = Desk([SAFE])
     desk.core.joined(b"g", restarted=True)
     desk.core.listed(ListKind.FULL, [Member(b"g", 2)])
@@ -175,14 +181,14 @@
 
 
 @pytest.mark.parametrize("restarted, cold", [(True, True), (False, False)])
-def test_a_box_that_comes_back_is_cold_unless_we_had_hung_up_on_it(restarted, cold):
+def test_a_box_that_comes_back_is_cold_unless_we_had_hung_up_on_it(restarted: bool, cold: bool) -> None:
     desk = Desk([SAFE])
     desk.clock.time += desk.core.settings.warm_up + 100
     desk.core.joined(b"g", restarted)
     assert (desk.core.dispatcher.workers[b"g"].up_since > 0) is cold
 
 
-def test_a_bad_list_counts_for_nothing_and_start_times_are_on_our_clock():
+def test_a_bad_list_counts_for_nothing_and_start_times_are_on_our_clock() -> None:
     reader = ListReader({"areas": ["a", "b"], "shapes": ["m1"]})
     entry = {
         "id": "s",
@@ -198,17 +204,18 @@
     member = listing.members[0]
     assert (member.zone, member.kind, member.cell, member.up_since) == (1, 0, 3, 1_700_000_000.5)
     assert abs(Clock().now() - __import__("time").time()) < 1.0
-    for bad in (
+    bad_lists: tuple[Any, ...] = (
         [],
         {"version": 1},
         {"version": 1, "full": True, "servers": [entry | {"state": "?"}]},
         {"version": 1, "full": True, "servers": [entry | {"addr": "nowhere"}]},
-    ):
+    )
+    for bad in bad_lists:
         with pytest.raises(ValueError):
             reader.read(bad)
 
 
-def _learned(module, taken: float, *runs: float) -> None:
+def _learned(module: Dispatcher, taken: float, *runs: float) -> None:
     """As if the module had seen warm boxes do so much, and these running times."""
     module.fleet.taken.value = taken
     for index, run in enumerate(runs):
--- a/tests/dispatcher/test_estimates.py
+++ b/tests/dispatcher/test_estimates.py
@@ -1,6 +1,8 @@
 """Estimates from few sights: what they may never say, and what dispatchers that see little do with them."""
 
 import random
+from collections.abc import Callable, Sequence
+from typing import Any
 
 import pytest
 from hypothesis import given
@@ -28,30 +30,30 @@
 RELEASE = JobClass("release", 4.0, 25.0, worth=8.0, stretch=2.0, effect="at_most_once")
 
 
-def boxes(count, kind=0):
+def boxes(count: int, kind: int = 0) -> list[Worker]:
     workers = [Worker(Member(b"box%d" % n, kind=kind), 1.0) for n in range(count)]
     for w in workers:
         w.ready, w.kind = True, kind
     return workers
 
 
-def weight(held, size=9.0, cores=5):
+def weight(held: float, size: float = 9.0, cores: float = 5) -> float:
     return size / (1.0 + held / cores)
 
 
-def listed(loads, now, workers, held):
+def listed(loads: Loads, now: float, workers: list[Worker], held: Sequence[int]) -> None:
     loads.told(now, [(w, weight(h)) for w, h in zip(workers, held, strict=True)])
     loads.sum_up(now, workers, 1.0)
 
 
-def test_a_weight_tells_what_all_have_at_a_box():
+def test_a_weight_tells_what_all_have_at_a_box() -> None:
     loads, workers = Loads(), boxes(4)
     listed(loads, 10.0, workers, [0, 1, 7, 20])
     assert loads.cores == 5.0
     assert [round(loads.others(10.0, w), 6) for w in workers] == [0.0, 1.0, 7.0, 20.0]
 
 
-def test_a_dispatcher_that_starts_when_no_box_is_idle_learns_better_as_soon_as_one_is():
+def test_a_dispatcher_that_starts_when_no_box_is_idle_learns_better_as_soon_as_one_is() -> None:
     loads, workers = Loads(), boxes(6)
     listed(loads, 10.0, workers, [3, 4, 5, 7, 8, 9])
     assert loads.cores != 5.0  # the emptiest box passes for an idle one
@@ -63,7 +65,7 @@
     assert loads.others(12.4, workers[3]) == pytest.approx(7.0)
 
 
-def test_our_own_slots_there_are_not_taken_for_others():
+def test_our_own_slots_there_are_not_taken_for_others() -> None:
     loads, workers = Loads(), boxes(3)
     workers[0].pending = 2.0
     listed(loads, 10.0, workers, [3, 1, 0])
@@ -75,7 +77,7 @@
     assert loads.others(11.0, workers[0]) == pytest.approx(1.0)
 
 
-def test_what_a_list_said_of_one_box_fades_into_what_is_usual():
+def test_what_a_list_said_of_one_box_fades_into_what_is_usual() -> None:
     loads, workers = Loads(), boxes(8)
     listed(loads, 10.0, workers, [0, 1, 1, 1, 9, 9, 9, 10])
     seen = [loads.others(10.0 + age, workers[7]) for age in (0, 1, 3, 9, 60)]
@@ -84,7 +86,9 @@
 
 
 @given(st.lists(st.integers(0, 40), min_size=1, max_size=30), st.floats(0, 30), st.integers(0, 8))
-def test_parts_lie_between_none_and_all_and_what_is_poured_is_what_comes(held, age, own):
+def test_parts_lie_between_none_and_all_and_what_is_poured_is_what_comes(
+    held: Sequence[int], age: float, own: int
+) -> None:
     loads, workers = Loads(), boxes(len(held))
     listed(loads, 5.0, workers, held)
     sights = [loads.sights[w.id] for w in workers]
@@ -99,7 +103,7 @@
 
 
 @given(st.lists(st.floats(0.01, 50.0), min_size=2, max_size=60))
-def test_sights_outweigh_a_prior_and_the_same_sights_give_the_same(samples):
+def test_sights_outweigh_a_prior_and_the_same_sights_give_the_same(samples: list[float]) -> None:
     first, second = Shrunk(1.0), Shrunk(1.0)
     for sample in samples:
         before = first.weight
@@ -110,7 +114,7 @@
     assert min(samples + [1.0]) - 1e-9 <= first.value <= max(samples + [1.0]) + 1e-9
 
 
-def test_a_key_that_was_seen_once_is_taken_for_a_rare_one():
+def test_a_key_that_was_seen_once_is_taken_for_a_rare_one() -> None:
     keys = Keys()
     keys.came(7)
     assert keys.share(7) == 0.0
@@ -122,7 +126,7 @@
     assert len(keys._counts) <= 1025
 
 
-def settings(instances, **more):
+def settings(instances: int, **more: Any) -> Settings:
     return Settings(
         [SAFE, RELEASE],
         instances=instances,
@@ -140,7 +144,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_two_hundred_dispatchers_use_cold_boxes_and_together_push_none_over(seed):
+def test_two_hundred_dispatchers_use_cold_boxes_and_together_push_none_over(seed: int) -> None:
     """Each of them has one job a second; what each saves up for a box alone would never come to a turn."""
     dice, s, cores, mean_job, jobs = random.Random(seed), settings(200), 5.0, 1.6, 200.0
     cold = boxes(30)
@@ -150,7 +154,7 @@
     for t in turns:
         for w in cold:
             t.joined(100.0, w)
-    sent = {w.id: [] for w in cold}
+    sent: dict[bytes, list[float]] = {w.id: [] for w in cold}
     now, number = 100.0, 0
     while now < 121.0:
         now += dice.expovariate(jobs)
@@ -175,24 +179,28 @@
 class Thin(Rig):
     """One of 200 dispatchers, whose list bears live weights."""
 
-    def __init__(self, seed=0, held=(0, *[2] * 29)):
+    def __init__(self, seed: int = 0, held: Sequence[int] = (0, *[2] * 29)) -> None:
         self.actions, self.now, self.next = Recorder(), 1000.0, 0
         self.d = Dispatcher(settings(200), seed, self.actions)
         self.list(held)
 
-    def list(self, held):
+    def list(self, held: Sequence[int]) -> None:
         members = [Member(bytes([n]) * 6, size=weight(h)) for n, h in enumerate(held)]
         self.ids = [m.worker for m in members]
         self.members(*members, kind=ListKind.FULL)
 
-    def ask(self, deadline=10.0, **more):
+    def ask(self, deadline: float = 10.0, **more: Any) -> int:
         self.next += 1
         self.d.on_request(self.now, Request(self.next, self.now + deadline, **more))
         return self.next
 
 
+def always(value: float) -> Callable[[], float]:
+    return lambda: value
+
+
 @pytest.mark.parametrize("number", [40, 200])
-def test_by_rota_cold_boxes_are_used_from_the_start_and_none_is_pushed_over(number):
+def test_by_rota_cold_boxes_are_used_from_the_start_and_none_is_pushed_over(number: int) -> None:
     """Lots left a box that had just started a sixth of what it can do; the rota gives it a third or more."""
     dice, cores, mean_job, jobs = random.Random(number), 5.0, 1.6, 150.0
     cold = boxes(30)
@@ -201,13 +209,13 @@
     # No two estimate alike.
     guesses = [(dice.uniform(1.4, 1.8), dice.uniform(120.0, 180.0)) for _ in range(number)]
     turns = [
-        ColdTurns(settings(number, rank=n), n, lambda w: cores, lambda m=m: m, lambda f=f: f)
+        ColdTurns(settings(number, rank=n), n, lambda w: cores, always(m), always(f))
         for n, (m, f) in enumerate(guesses)
     ]
     for t in turns:
         for w in cold:
             t.joined(100.0, w)
-    sent = {w.id: [] for w in cold}
+    sent: dict[bytes, list[tuple[float, float]]] = {w.id: [] for w in cold}
     now = 100.0
     while now < 121.0:
         now += dice.expovariate(jobs)
@@ -227,7 +235,7 @@
             assert within <= 2.5 * cores * turns[0].share(at, w) * 3.0 / mean_job
 
 
-def test_two_processes_of_one_rank_do_not_both_take_its_turn_and_no_turn_outlives_its_box():
+def test_two_processes_of_one_rank_do_not_both_take_its_turn_and_no_turn_outlives_its_box() -> None:
     worker = boxes(1)[0]
     worker.up_since, worker.warm_at = 100.0, 122.0
     turns = ColdTurns(settings(40, rank=3), 1, lambda w: 5.0, lambda: 1.6, lambda: 120.0)
@@ -246,13 +254,11 @@
     assert not turns._used
 
 
-def test_cold_boxes_get_less_where_jobs_are_of_unlike_sizes():
+def test_cold_boxes_get_less_where_jobs_are_of_unlike_sizes() -> None:
     worker = boxes(1)[0]
     worker.up_since, worker.warm_at = 100.0, 122.0
     rates = [
-        ColdTurns(settings(200), 1, lambda w: 5.0, lambda: 1.6, lambda: 200.0, lambda u=u: u).rate(
-            105.0, worker
-        )
+        ColdTurns(settings(200), 1, lambda w: 5.0, lambda: 1.6, lambda: 200.0, always(u)).rate(105.0, worker)
         for u in (1.0, 1.5, 2.0, 4.0)
     ]
     assert rates == sorted(rates, reverse=True) and rates[-1] < 0.7 * rates[0]
@@ -265,7 +271,7 @@
     assert 1.3 < runs.uneven() < 1.6
 
 
-def test_dispatchers_that_never_saw_a_key_send_it_to_the_same_box():
+def test_dispatchers_that_never_saw_a_key_send_it_to_the_same_box() -> None:
     """Each sees a key once or twice; were they to pick for themselves, every one would have it fetched."""
     places = set()
     for seed in range(12):
@@ -274,7 +280,7 @@
     assert len(places) == 1
 
 
-def test_a_crowded_home_is_passed_by_and_not_by_all_for_the_same_box():
+def test_a_crowded_home_is_passed_by_and_not_by_all_for_the_same_box() -> None:
     rig = Thin()
     home = rig.ids.index(rig.where(rig.ask(key=77)))
     places = set()
@@ -285,7 +291,7 @@
     assert len(places) > 1
 
 
-def test_a_job_that_stands_behind_others_is_not_taken_for_silence():
+def test_a_job_that_stands_behind_others_is_not_taken_for_silence() -> None:
     rig = Thin(held=[8] * 30)
     job = rig.ask()
     assert rig.where(job) in rig.ids
@@ -293,7 +299,7 @@
     assert ("cancel", job, 0) not in rig.actions.log
 
 
-def test_the_last_attempt_of_a_job_is_let_run_however_silent_its_box():
+def test_the_last_attempt_of_a_job_is_let_run_however_silent_its_box() -> None:
     rig = Thin()
     job = rig.ask()
     for _ in range(80):
@@ -308,7 +314,7 @@
     assert rig.answers(job) == []
 
 
-def test_no_release_goes_to_a_box_that_is_empty_among_busy_ones_list_after_list():
+def test_no_release_goes_to_a_box_that_is_empty_among_busy_ones_list_after_list() -> None:
     for seed in range(20):
         rig = Thin(seed, [0, 5, 5])
         for _ in range(6):
@@ -318,7 +324,7 @@
         assert rig.actions.sends.get(release, [rig.ids[1]])[0] != rig.ids[0]
 
 
-def test_without_live_weights_nothing_is_read_out_of_them():
+def test_without_live_weights_nothing_is_read_out_of_them() -> None:
     rig = Rig(3, instances=200)
     job = rig.request(key=5)
     worker = rig.d.workers[rig.where(job)]
@@ -328,7 +334,7 @@
 
 
 @pytest.mark.parametrize("factor", [0.01, 1.0, 250.0])
-def test_a_hint_that_is_off_by_any_factor_is_learned_and_makes_no_job_hopeless(factor):
+def test_a_hint_that_is_off_by_any_factor_is_learned_and_makes_no_job_hopeless(factor: float) -> None:
     draw, line = random.Random(3), Line()
     for _ in range(200):
         work = draw.uniform(0.1, 0.5)
@@ -339,7 +345,9 @@
     assert line.run(0.0) > 0.0
 
 
-def test_a_hint_that_says_nothing_leaves_the_mean_and_what_adds_to_every_run_is_no_part_of_the_least():
+def test_a_hint_that_says_nothing_leaves_the_mean_and_what_adds_to_every_run_is_no_part_of_the_least() -> (
+    None
+):
     draw, noise, late = random.Random(4), Line(), Line()
     for _ in range(300):
         noise.add(draw.expovariate(1.0), draw.uniform(0.2, 0.4))
@@ -352,7 +360,7 @@
 ALL = (-1, -1)  # zones and kinds
 
 
-def told_by_probes(**changes):
+def told_by_probes(**changes: Any) -> Settings:
     return Settings(
         [JobClass("p", 1.0, 5.0, effect="idempotent")],
         instances=4,
@@ -364,7 +372,7 @@
     )
 
 
-def test_probes_keep_to_their_price_and_to_what_a_box_takes_from_all_dispatchers():
+def test_probes_keep_to_their_price_and_to_what_a_box_takes_from_all_dispatchers() -> None:
     for jobs in (0, 40, 4000):
         reports, workers, sent = Reports(told_by_probes(), 5), boxes(10), 0
         for step in range(2000):
@@ -379,7 +387,7 @@
         assert jobs < 40 or rate * 0.002 / jobs <= 1.3 * SPENT
 
 
-def test_a_box_that_does_not_answer_is_asked_again_at_once_and_then_no_oftener_than_others():
+def test_a_box_that_does_not_answer_is_asked_again_at_once_and_then_no_oftener_than_others() -> None:
     reports, box = Reports(told_by_probes(), 5), boxes(1)[0]
     assert reports.due(0.0, [box]) == [box.id] and reports.due(0.1, [box]) == []  # one probe at a time
     assert reports.failed(0.2, box.id) == 1
@@ -391,7 +399,7 @@
     assert reports.failed(9.0, box.id) == 1
 
 
-def test_what_others_have_is_what_reports_show_less_ours_and_fades_when_none_comes():
+def test_what_others_have_is_what_reports_show_less_ours_and_fades_when_none_comes() -> None:
     reports, box = Reports(told_by_probes(), 5), boxes(1)[0]
     reports.due(0.0, [box])
     reports.heard(0.0, box, (8.0,))
@@ -411,7 +419,7 @@
     assert reports.others(61.0, box) <= 8.0
 
 
-def test_all_dispatchers_look_for_a_key_at_the_same_boxes_and_a_frequent_one_has_more_of_them():
+def test_all_dispatchers_look_for_a_key_at_the_same_boxes_and_a_frequent_one_has_more_of_them() -> None:
     workers = boxes(16)
     fleets = [Fleet(told_by_probes(rank=seed), seed) for seed in range(4)]
     for fleet in fleets:
@@ -441,7 +449,7 @@
     assert all(after[key] == home for key, home in before.items() if home != gone.id)  # the rest stay
 
 
-def test_the_homes_of_a_key_among_boxes_of_one_kind_are_none_for_a_class_that_runs_on_another():
+def test_the_homes_of_a_key_among_boxes_of_one_kind_are_none_for_a_class_that_runs_on_another() -> None:
     classes = [JobClass(f"on{kind}", 1.0, 5.0, effect="idempotent", kind=kind) for kind in (0, 1)]
     actions = Recorder()
     dispatcher = Dispatcher(Settings(classes, kinds=2, can_probe=True, pull=True, slot_reports=0), 1, actions)
@@ -452,7 +460,7 @@
     assert all(worker.startswith(b"k%d" % (request % 2)) for request, (worker,) in actions.sends.items())
 
 
-def test_what_a_box_says_that_waits_there_counts_with_what_runs():
+def test_what_a_box_says_that_waits_there_counts_with_what_runs() -> None:
     """A full queue and a short one look alike by free slots: both have none."""
     told = told_by_probes()
     told.queue_reports = 1
@@ -464,7 +472,7 @@
     assert reports.others(14.5, box) == pytest.approx(20.0, abs=0.5)
 
 
-def test_a_box_that_turned_a_job_away_is_taken_for_crowded_and_that_fades():
+def test_a_box_that_turned_a_job_away_is_taken_for_crowded_and_that_fades() -> None:
     reports, box = Reports(told_by_probes(), 5), boxes(1)[0]
     reports.full(0.0, box)  # never probed: nothing is known, nothing is held against it
     assert reports.others(0.0, box) == 0.0
@@ -475,9 +483,10 @@
     assert reports.others(60.0, box) < 0.01
 
 
-def test_without_keys_the_box_with_less_of_others_work_is_taken():
+def test_without_keys_the_box_with_less_of_others_work_is_taken() -> None:
     told = Settings([SAFE], slot_reports=0, pull=True, can_probe=True, instances=4, tells_start=True)
-    d, now = Dispatcher(told, 3, Recorder()), 100.0
+    actions, now = Recorder(), 100.0
+    d = Dispatcher(told, 3, actions)
     d.on_members(now, ListKind.FULL, [Member(b"box%d" % n) for n in range(2)])
     d.fleet.reports.due(now, d.workers.values())
     for n, free in enumerate((8.0, 7.0)):
@@ -485,7 +494,7 @@
     took = []
     for n in range(20):
         d.on_request(now, Request(n + 1, now + 10.0, key=0))
-        took += d.act.sends[n + 1]
+        took += actions.sends[n + 1]
         d.on_gone(now, n + 1)
         for worker in d.workers.values():
             worker.pending = 0.0
@@ -493,8 +502,10 @@
 
 
 @pytest.mark.parametrize("sized, share", [(True, 0.75), (False, 0.5)])
-def test_jobs_go_by_the_sizes_that_the_list_tells_where_the_settings_say_that_it_does(sized, share):
-    took = 0
+def test_jobs_go_by_the_sizes_that_the_list_tells_where_the_settings_say_that_it_does(
+    sized: bool, share: float
+) -> None:
+    took = 0.0
     for seed in range(12):
         d, now = Dispatcher(Settings([SAFE], sized=sized, instances=40), seed, Recorder()), 100.0
         members = [Member(b"%06d" % (97 * n + seed), size=6.0 if n % 2 else 2.0) for n in range(40)]
@@ -504,7 +515,7 @@
     assert took / 12 == pytest.approx(share, abs=0.04)
 
 
-def test_sizes_that_cannot_be_believed_shut_nobody_out():
+def test_sizes_that_cannot_be_believed_shut_nobody_out() -> None:
     d, now = Dispatcher(Settings([SAFE], sized=True), 1, Recorder()), 100.0
     d.on_members(
         now, ListKind.FULL, [Member(b"%06d" % n, size=size) for n, size in enumerate((0.0, -1.0, 1.0, 1e9))]
--- a/tests/dispatcher/test_failures.py
+++ b/tests/dispatcher/test_failures.py
@@ -1,5 +1,7 @@
 """A small test for each failure found: the module alone, no bench."""
 
+from typing import Any
+
 from larchgw.dispatcher.scheduling.interface import Member, Note, Outcome, Request, Status
 from tests.support.bench import Rig
 
@@ -12,7 +14,7 @@
     rig.end(request)
 
 
-def test_a_slow_machine_that_still_starts_jobs_is_passed_over_for_a_while():
+def test_a_slow_machine_that_still_starts_jobs_is_passed_over_for_a_while() -> None:
     rig = Rig(2)
     for n in range(20):
         job = rig.request(key=n + 1)
@@ -27,7 +29,7 @@
     assert worker in {rig.where(rig.request(key=300 + n)) for n in range(8) if rig.d.active < 8}
 
 
-def test_a_silent_worker_is_left_and_a_safe_job_goes_elsewhere():
+def test_a_silent_worker_is_left_and_a_safe_job_goes_elsewhere() -> None:
     rig = Rig(6)
     job = rig.request(key=3)
     rig.wait(1.0)
@@ -38,7 +40,7 @@
     assert rig.where(later) != sends[0]
 
 
-def test_when_most_are_silent_it_is_not_the_workers():
+def test_when_most_are_silent_it_is_not_the_workers() -> None:
     rig = Rig(4)
     for n in range(8):
         rig.request(key=n + 1)
@@ -46,7 +48,7 @@
     assert len(rig.d.silent) <= 2
 
 
-def test_late_ends_close_the_window_and_jobs_wait():
+def test_late_ends_close_the_window_and_jobs_wait() -> None:
     rig = Rig(4)
     for _ in range(20):
         jobs = [rig.request(key=n + 1) for n in range(12)]
@@ -61,7 +63,7 @@
     assert sum(map(len, rig.actions.sends.values())) - before < 40 and rig.d.held
 
 
-def test_full_steps_off_and_attempts_are_not_burnt():
+def test_full_steps_off_and_attempts_are_not_burnt() -> None:
     rig = Rig(3)
     job = rig.request(key=1)
     for _ in range(4):
@@ -70,7 +72,7 @@
     assert len(rig.actions.sends[job]) < rig.settings.max_attempts  # some are kept for later
 
 
-def test_an_old_outcome_does_not_unhold_a_key_learned_anew():
+def test_an_old_outcome_does_not_unhold_a_key_learned_anew() -> None:
     rig = Rig(1)
     job = rig.request(key=4)
     rig.members(Member(rig.ids[0], up_since=rig.now))  # restarted: its keys are forgotten
@@ -81,7 +83,7 @@
     assert rig.d.workers[rig.ids[0]].pending == 0.0
 
 
-def test_a_subscription_is_asked_for_at_once_and_again_later_after_a_failure():
+def test_a_subscription_is_asked_for_at_once_and_again_later_after_a_failure() -> None:
     rig = Rig(2, must_subscribe=True)
     assert rig.actions.log.count(("subscribe",)) == 1
     rig.members(kind=3)
@@ -90,14 +92,14 @@
     assert rig.actions.log.count(("subscribe",)) == 2
 
 
-def test_a_repeat_that_can_only_come_late_is_refused_at_once():
+def test_a_repeat_that_can_only_come_late_is_refused_at_once() -> None:
     rig = Rig(2)
     late = Request(999, rig.now + 1.0, repeat=True)  # four of its five seconds are gone
     rig.d.on_request(rig.now, late)
     assert rig.answers(999) == ["refuse"] and 999 not in rig.actions.sends
 
 
-def test_a_worker_that_failed_a_job_gets_none_that_may_not_be_repeated_until_it_has_mended():
+def test_a_worker_that_failed_a_job_gets_none_that_may_not_be_repeated_until_it_has_mended() -> None:
     rig = Rig(4, effect="at_most_once")
     first = rig.request()
     bad = rig.where(first)
@@ -111,7 +113,7 @@
     assert bad in {rig.where(rig.request()) for _ in range(16)}
 
 
-def test_a_worker_that_fails_fast_does_not_draw_the_jobs():
+def test_a_worker_that_fails_fast_does_not_draw_the_jobs() -> None:
     rig = Rig(4)
     bad, tried = rig.ids[0], 0
     for _ in range(200):
@@ -124,7 +126,7 @@
     assert 1 <= tried <= 6
 
 
-def test_if_half_fail_it_is_not_they():
+def test_if_half_fail_it_is_not_they() -> None:
     rig = Rig(4)
     for _ in range(12):
         job = rig.request()
@@ -134,7 +136,7 @@
     assert sum(rig.d.fleet.health.sick(rig.now, w) for w in rig.d.workers.values()) <= 2
 
 
-def test_a_report_of_errors_counts_as_a_failure_seen_and_the_same_report_once():
+def test_a_report_of_errors_counts_as_a_failure_seen_and_the_same_report_once() -> None:
     rig = Rig(4, effect="at_most_once", fail_reports=0)
     job = rig.request()
     bad = rig.where(job)
@@ -148,7 +150,7 @@
     assert worker.bad == 0.0
 
 
-def test_nobody_waits_for_a_holder_that_is_sick():
+def test_nobody_waits_for_a_holder_that_is_sick() -> None:
     rig = Rig(4)
     held, failed = rig.request(key=7), rig.request(key=7)
     bad = rig.where(held)
@@ -157,7 +159,7 @@
     assert again in rig.actions.sends and rig.where(again) != bad
 
 
-def test_one_reset_where_others_live_is_not_held_against_a_worker_but_two_are():
+def test_one_reset_where_others_live_is_not_held_against_a_worker_but_two_are() -> None:
     rig = Rig(4)
     first, second, third = (rig.request(key=7) for _ in range(3))
     worker = rig.d.workers[rig.where(first)]
@@ -169,7 +171,7 @@
     assert not worker.doubts and worker.breaks == 0
 
 
-def test_a_safe_job_that_later_ones_have_overtaken_in_a_queue_in_order_goes_elsewhere():
+def test_a_safe_job_that_later_ones_have_overtaken_in_a_queue_in_order_goes_elsewhere() -> None:
     rig = Rig(4, fifo=True)
     lost = rig.request(key=7)
     worker = rig.where(lost)
@@ -181,7 +183,7 @@
     assert len(rig.actions.sends[lost]) == 2 and rig.where(lost) != worker
 
 
-def test_a_job_that_cannot_be_done_in_the_time_it_has_is_refused_at_once():
+def test_a_job_that_cannot_be_done_in_the_time_it_has_is_refused_at_once() -> None:
     rig = Rig(4, effect="at_most_once")
     for _ in range(8):
         end_after(rig, rig.request(), 2.0)
@@ -191,12 +193,12 @@
     assert rig.request() in rig.actions.sends
 
 
-def probing(**changes):
+def probing(**changes: Any) -> Rig:
     """Boxes that tell of their slots only when asked, and of no start."""
     return Rig(can_probe=True, pull=True, slot_reports=0, tells_start=False, **changes)
 
 
-def test_a_box_that_does_not_answer_probes_loses_its_safe_jobs_to_others_before_they_are_late():
+def test_a_box_that_does_not_answer_probes_loses_its_safe_jobs_to_others_before_they_are_late() -> None:
     rig = probing(workers=4)
     job = rig.request(key=3)
     rig.wait(0.1)
@@ -218,14 +220,14 @@
     assert not rig.d.workers[silent].doubts  # one answer brings it back
 
 
-def test_a_class_that_nobody_has_seen_end_is_tried_however_long_its_wanted_time_says_it_runs():
+def test_a_class_that_nobody_has_seen_end_is_tried_however_long_its_wanted_time_says_it_runs() -> None:
     """Without a stretch the first guess at a run is the wanted time: every job would be hopeless for ever."""
     rig = Rig(2)
     rig.settings.classes[0].stretch = 0.0
     assert rig.request() in rig.actions.sends
 
 
-def test_the_first_progress_of_a_job_is_no_late_start_where_starts_are_not_told():
+def test_the_first_progress_of_a_job_is_no_late_start_where_starts_are_not_told() -> None:
     rig = probing(workers=2, progress=2.0)
     job = rig.request()
     worker = rig.d.workers[rig.where(job)]
--- a/tests/dispatcher/test_gearman.py
+++ b/tests/dispatcher/test_gearman.py
@@ -8,6 +8,7 @@
 from collections import Counter
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
+from functools import partial
 from pathlib import Path
 
 import pytest
@@ -197,7 +198,7 @@
             for peer in left:
                 peer.send(SUBMIT, b"proof", b"", b"left")
                 peer.sock.shutdown(socket.SHUT_WR)
-                until(lambda peer=peer: delivered(peer.sock))
+                until(partial(delivered, peer.sock))
             stays = Peer(program)
             stays.send(SUBMIT_BG, b"proof", b"", b"background")
             stays.sock.shutdown(socket.SHUT_WR)  # nobody need wait for this one
--- a/tests/dispatcher/test_races.py
+++ b/tests/dispatcher/test_races.py
@@ -15,6 +15,7 @@
 from collections.abc import Iterator
 from concurrent.futures import Future, ThreadPoolExecutor
 from contextlib import contextmanager
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -424,7 +425,7 @@
             time.sleep(1.0)  # by now its connections are due to end
             for n, sock in enumerate(rests):
                 sock.sendall(post(f"b{n}"))
-                until(lambda sock=sock: delivered(sock))
+                until(partial(delivered, sock))
         for sock in rests:
             got = answer(sock)
             assert got.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")), got
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -13,18 +13,20 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 
 from larchgw.dispatcher.cordon_file import BanFile
 from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, End, Request
 from larchgw.dispatcher.fronts.gearman_jobs import Jobs
+from larchgw.dispatcher.fronts.platform import PlatformFront
 from larchgw.dispatcher.hot_restart import learned, moving
 from larchgw.dispatcher.hot_restart.handover import Handover
 from larchgw.dispatcher.scheduling.interface import Status
 from larchgw.dispatcher.workers.connection import RunnerLink
-from larchgw.net.exchange import Exchange
+from larchgw.dispatcher.workers.pool import Runners
+from larchgw.net.exchange import Exchange, ResponseChannel
 from larchgw.net.loop import Loop
 from tests.dispatcher.test_core import RELEASE, SAFE, Desk
 
@@ -107,7 +109,7 @@
             return None
         self.client = arguments
         _, method, target, keep = arguments
-        self.exchange = Exchange(IdleChannel(), 0.0, method, target)
+        self.exchange = Exchange(cast(ResponseChannel, IdleChannel()), 0.0, method, target)
         self.exchange.keep_alive = keep
         return self.exchange
 
@@ -119,7 +121,7 @@
         repeat=True, tenant=1, once=b"once-1",
     )  # fmt: skip
     request.taken_at, request.give_up_at = 1012.0, 1016.5
-    request.extra = Exchange(IdleChannel(), 1012.0, b"POST", request.target)
+    request.extra = Exchange(cast(ResponseChannel, IdleChannel()), 1012.0, b"POST", request.target)
     first = Attempt(request, 0, b"w1", desk, 1012.25, written=True, ended=True, status=Status.FULL)
     request.attempts = [first]
     if has_attempt:
@@ -292,7 +294,13 @@
     adopted = Adopted()
     client, at_worker = socket.socketpair()
     with client, at_worker:
-        moving.unpack(recorded(name).encode(), [client, at_worker], desk.core, adopted, adopted)
+        moving.unpack(
+            recorded(name).encode(),
+            [client, at_worker],
+            desk.core,
+            cast(PlatformFront, adopted),
+            cast(Runners, adopted),
+        )
     (request,) = desk.core.receive.open.values()
     assert adopted.client == (client, b"POST", b"/release?x=1", True)
     assert adopted.exchange is not None
--- a/tests/dispatcher/test_refused_system_calls.py
+++ b/tests/dispatcher/test_refused_system_calls.py
@@ -2,6 +2,7 @@
 
 import signal
 import socket
+from pathlib import Path
 
 from tests.support.stand_ins import Discovery, Program, Runner, until
 
@@ -18,7 +19,7 @@
 """
 
 
-def serves(program, discovery):
+def serves(program: Program, discovery: Discovery) -> None:
     program.ready()
     assert program.job("a1", b"x")[0] == 200
     assert "reload.done" in program.reload(discovery=discovery.address)
@@ -28,7 +29,7 @@
     program.stop()
 
 
-def test_no_refused_call_is_made_from_start_to_end(tmp_path):
+def test_no_refused_call_is_made_from_start_to_end(tmp_path: Path) -> None:
     runner, discovery = Runner("box"), Discovery()
     discovery.tell(runner.name, addr=runner.address)
     program = Program(tmp_path, discovery.address, before=REFUSE)
@@ -41,7 +42,9 @@
         discovery.close()
 
 
-def test_where_unix_sockets_are_refused_it_serves_and_says_that_no_upgrade_will_find_it(tmp_path):
+def test_where_unix_sockets_are_refused_it_serves_and_says_that_no_upgrade_will_find_it(
+    tmp_path: Path,
+) -> None:
     runner, discovery = Runner("box"), Discovery()
     discovery.tell(runner.name, addr=runner.address)
     with socket.create_server(("127.0.0.1", 0)) as accept:
--- a/tests/dispatcher/test_rules.py
+++ b/tests/dispatcher/test_rules.py
@@ -141,27 +141,27 @@
             if gone not in judge.closed:
                 judge.closed[gone] = now
                 d.on_gone(now, gone)
-        for request, tries in judge.tries.items():
-            for index in range(seen.get(request, 0), len(tries)):
+        for number_sent, tries in judge.tries.items():
+            for index in range(seen.get(number_sent, 0), len(tries)):
                 silent = dice.random() < 0.15
-                open_tries.append((now + (99.0 if silent else dice.expovariate(3.0)), request, index, 0))
-            seen[request] = len(tries)
+                open_tries.append((now + (99.0 if silent else dice.expovariate(3.0)), number_sent, index, 0))
+            seen[number_sent] = len(tries)
         for entry in [e for e in open_tries if e[0] <= now or judge.requests[e[1]].give_up_at <= now]:
             open_tries.remove(entry)
-            _, request, index, _ = entry
-            attempt = judge.tries[request][index]
-            if dice.random() < 0.3 and judge.requests[request].give_up_at > now:
-                d.on_note(now, Note(request, index, attempt[0]))
-                open_tries.append((now + dice.expovariate(5.0), request, index, 1))
+            _, ended, index, _ = entry
+            attempt = judge.tries[ended][index]
+            if dice.random() < 0.3 and judge.requests[ended].give_up_at > now:
+                d.on_note(now, Note(ended, index, attempt[0]))
+                open_tries.append((now + dice.expovariate(5.0), ended, index, 1))
                 continue
             status = dice.choice([Status.OK, Status.OK, *Status])
-            if judge.requests[request].give_up_at <= now:
+            if judge.requests[ended].give_up_at <= now:
                 status = Status.TIMEOUT
             attempt[2] = status
-            if status == Status.OK and request not in judge.closed:
-                judge.closed[request] = now
+            if status == Status.OK and ended not in judge.closed:
+                judge.closed[ended] = now
             d.on_outcome(
-                now, Outcome(request, index, attempt[0], status, request in judge.closed, now - attempt[1])
+                now, Outcome(ended, index, attempt[0], status, ended in judge.closed, now - attempt[1])
             )
 
 
@@ -174,7 +174,7 @@
 
 
 @given(st.integers(0, 10_000), st.booleans(), st.booleans())
-def test_rules_one_to_three_hold(seed, second, start):
+def test_rules_one_to_three_hold(seed: int, second: bool, start: bool) -> None:
     judge = Judge(settings(second, start))
     play(seed, judge, Dispatcher(judge.s, seed, judge))
     assert judge.broken == [] and judge.late() == []
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("rule", PLANTS)
-def test_the_check_catches_a_planted_violation(rule, monkeypatch):
+def test_the_check_catches_a_planted_violation(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(*PLANTS[rule])
     caught = []
     for seed in range(12):
@@ -255,10 +255,10 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_cold_worker_is_not_pushed_over_by_all_together(seed):
+def test_a_cold_worker_is_not_pushed_over_by_all_together(seed: int) -> None:
     assert cold_sends(seed) <= 1.0
 
 
-def test_the_cold_check_catches_a_planted_violation(monkeypatch):
+def test_the_cold_check_catches_a_planted_violation(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Fleet, "may_warm", lambda self, now, job, w: True)
     assert cold_sends(1) > 1.0
--- a/tests/dispatcher/test_simulator_protocol.py
+++ b/tests/dispatcher/test_simulator_protocol.py
@@ -51,19 +51,19 @@
     return found
 
 
-def test_an_empty_batch_has_the_empty_reply():
+def test_an_empty_batch_has_the_empty_reply() -> None:
     now, events = wire.decode(bytes.fromhex("508d976e12d3204000000000"))
     assert list(events) == [] and 8.4 < now < 8.5
     assert wire.encode_reply([]) == bytes.fromhex("0400000000000000")
 
 
-def test_a_request_is_routed_to_the_listed_worker():
+def test_a_request_is_routed_to_the_listed_worker() -> None:
     reply = Host().answer(frame(spawn(), LEDGER, SYNC, ORDER))
     sends = [fields for code, fields in records(reply) if code == 0]
     assert sends == [struct.pack("<HI6sd", 3, 77, WORKER, 0.0)]
 
 
-def test_every_event_is_read():
+def test_every_event_is_read() -> None:
     load = struct.pack("<2f", 1.0, 2.0)
     f = frame(
         (wire.RESOLVED, struct.pack("<HIB6sBHHdB", 3, 77, 0, WORKER, 1, 302, 2, 0.25, 2) + load),
@@ -86,7 +86,7 @@
     assert got[5:] == [9, None]
 
 
-def test_actions_are_written_as_the_page_shows():
+def test_actions_are_written_as_the_page_shows() -> None:
     out: list[bytes] = []
     act = wire.WireActions(out, 3)
     act.refuse(0x0E6F2B19, 0.25)
@@ -100,7 +100,7 @@
     assert out[0] == bytes.fromhex("010e0000000300192b6f0e000000000000d03f")
 
 
-def test_settings_skip_what_is_unknown():
+def test_settings_skip_what_is_unknown() -> None:
     s = wire.decode_settings(json.dumps(SETTINGS).encode())
     assert (s.instances, s.slot_reports, s.queue_reports, s.tells_start) == (3, 0, 1, True)
     assert (s.classes[0].effect, s.classes[0].group, s.classes[0].stretch) == ("deduplicated", "zone", 2.0)
@@ -119,13 +119,15 @@
         frame() + b"x",
     ],
 )
-def test_malformed_input_ends_with_a_message_and_no_half_reply(bad, capsys):
+def test_malformed_input_ends_with_a_message_and_no_half_reply(
+    bad: bytes, capsys: pytest.CaptureFixture[str]
+) -> None:
     sink = io.BytesIO()
     assert serve(io.BytesIO(struct.pack("<I", len(bad)) + bad), sink) == 1
     assert sink.getvalue() == b"" and "larchgw:" in capsys.readouterr().err
 
 
-def test_end_of_input_is_a_clean_exit():
+def test_end_of_input_is_a_clean_exit() -> None:
     root = Path(__file__).parents[2]
     host = [sys.executable, "-m", "larchgw.dispatcher.simulator_protocol.wirehost"]
     done = subprocess.run(host, input=b"", cwd=root, capture_output=True)
@@ -134,7 +136,7 @@
     assert cut.returncode == 1 and cut.stdout == b"" and cut.stderr
 
 
-def test_our_own_fault_is_said_on_the_wire(monkeypatch):
+def test_our_own_fault_is_said_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("larchgw.dispatcher.scheduling.scheduler.Dispatcher.on_request", lambda *a: 1 / 0)
     reply = Host().answer(frame(spawn(), LEDGER, SYNC, ORDER))
     assert any(code == 9 and b"ZeroDivisionError" in fields for code, fields in records(reply))
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -26,15 +26,33 @@
 from tests.support.stand_ins import delivered, settings, until
 
 
+def turn_until(loop: Loop, condition: Callable[[], Any]) -> None:
+    """Turns the loop until the condition holds."""
+
+    def turned() -> Any:
+        loop.turn()
+        return condition()
+
+    until(turned)
+
+
 def test_a_turn_hears_lists_and_clients_before_workers_and_newcomers() -> None:
     """A worker's answer frees a slot: whoever gets it must be there, and the worker in service."""
     loop = Loop(Clock(), Deadlines())
     heard: list[int] = []
     pairs = []
+
+    def hear(rank: int, ours: socket.socket) -> Callable[[int], None]:
+        def ready(mask: int) -> None:
+            heard.append(rank)
+            ours.recv(1)
+
+        return ready
+
     for rank in (NEWCOMERS, WORKERS, CLIENTS, FIRST):
         ours, theirs = socket.socketpair()
         pairs += [ours, theirs]
-        loop.watch(ours, READ, lambda mask, rank=rank, ours=ours: (heard.append(rank), ours.recv(1)), rank)
+        loop.watch(ours, READ, hear(rank, ours), rank)
         theirs.send(b"x")
     loop.turn()
     for sock in pairs:
@@ -53,9 +71,9 @@
         for loop in (shared, alone)
     ]
     asked = [x.sock.getsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT) for x in listeners]
-    for listener in listeners:
+    for listener, loop in zip(listeners, (shared, alone), strict=True):
         listener.close()
-        listener.loop.close()
+        loop.close()
     assert asked == [1, 0]
 
 
@@ -177,7 +195,7 @@
     server = HttpServer(loop, core.counters, ("127.0.0.1", 0), handler, 8, 1 << 20)
     sock = socket.create_connection(server.listener.address, timeout=20)
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\n")
-    until(lambda: (loop.turn(), handler.heard)[1])
+    turn_until(loop, lambda: handler.heard)
     assert sock.recv(4096).endswith(b"made /1")
     yield loop, server, handler, sock
     sock.close()
@@ -212,7 +230,7 @@
     loop, server, handler, sock = served
     with socket.create_connection(server.listener.address, timeout=20) as second:
         send(second, b"GET /a HTTP/1.1\r\n\r\n")
-        until(lambda: (loop.turn(), b"/a" in handler.heard)[1])
+        turn_until(loop, lambda: b"/a" in handler.heard)
         assert second.recv(4096).endswith(b"made /a")
         handler.hold = True
         send(sock, b"GET /2 HTTP/1.1\r\n\r\n")
@@ -230,7 +248,7 @@
     loop, server, handler, sock = served
     handler.hold = True
     send(sock, b"GET /2 HTTP/1.1\r\n\r\n")
-    until(lambda: (loop.turn(), handler.held)[1])
+    turn_until(loop, lambda: handler.held)
     link = next(iter(server.connections))
     handler.held[0].keep_alive = False
     handler.held[0].reply(200, b"x" * 50_000)
--- a/tests/dispatcher/test_worker_selection.py
+++ b/tests/dispatcher/test_worker_selection.py
@@ -7,7 +7,7 @@
 from tests.support.bench import Rig
 
 
-def test_a_key_stays_with_its_holder():
+def test_a_key_stays_with_its_holder() -> None:
     rig = Rig(20)
     first = rig.request(key=7)
     rig.end(first)
@@ -17,7 +17,7 @@
         rig.end(again)
 
 
-def test_the_holder_with_most_pending_under_the_threshold_is_taken():
+def test_the_holder_with_most_pending_under_the_threshold_is_taken() -> None:
     rig = Rig(20)
     jobs = [rig.request(key=7) for _ in range(4)]
     a = rig.where(jobs[0])
@@ -32,7 +32,7 @@
     assert rig.where(rig.request(key=7)) == b  # a has none pending, b has one
 
 
-def test_spill_takes_fewest_keys_then_least_pending():
+def test_spill_takes_fewest_keys_then_least_pending() -> None:
     rig = Rig(2)
     first = rig.request(key=1)
     rig.end(first)
@@ -43,7 +43,7 @@
     assert rig.where(third) == rig.where(first)
 
 
-def test_ties_break_at_random():
+def test_ties_break_at_random() -> None:
     assert len({Rig(4, seed=s).d.random.random() for s in range(3)}) == 3
     places = set()
     for seed in range(30):
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("status", list(Status))
-def test_pending_is_freed_after_every_outcome(status):
+def test_pending_is_freed_after_every_outcome(status: Status) -> None:
     rig = Rig(3)
     job = rig.request(key=5, slots=2.0)
     worker = rig.d.workers[rig.where(job)]
@@ -66,14 +66,14 @@
     assert held == (again or status in (Status.OK, Status.CANCELLED))
 
 
-def test_impossible_settings_name_the_field():
+def test_impossible_settings_name_the_field() -> None:
     with pytest.raises(ValueError, match="classes"):
         Dispatcher(Settings([]), 1, Rig().actions)
     with pytest.raises(ValueError, match="warm_up"):
         Dispatcher(Settings([JobClass("a", 1, 2)], warm_up=-1.0), 1, Rig().actions)
 
 
-def test_same_events_same_actions():
+def test_same_events_same_actions() -> None:
     logs = []
     for _ in range(2):
         rig = Rig(9, seed=5)
@@ -84,14 +84,14 @@
     assert logs[0] == logs[1]
 
 
-def test_a_draining_worker_gets_nothing_new():
+def test_a_draining_worker_gets_nothing_new() -> None:
     rig = Rig(2)
     job = rig.request(key=1)
     rig.drain(rig.where(job))
     assert rig.where(rig.request(key=1)) != rig.where(job)
 
 
-def test_an_empty_list_holds_and_then_answers_in_time():
+def test_an_empty_list_holds_and_then_answers_in_time() -> None:
     rig = Rig(0)
     job = rig.request()
     rig.wait(4.99)
@@ -102,7 +102,9 @@
 
 @pytest.mark.parametrize("window", [0.6, 1.5])
 @pytest.mark.parametrize("early", [True, False])
-def test_a_repeat_is_decided_on_while_its_connection_can_come_up_within_the_window(window, early):
+def test_a_repeat_is_decided_on_while_its_connection_can_come_up_within_the_window(
+    window: float, early: bool
+) -> None:
     """Whole seconds were kept free at the window's end: one of 0.6 s never allowed a repeat at all."""
     rig = Rig(4, effect="deduplicated", window=window, dial_timeout=0.25, second_copies=False)
     job = rig.request()
@@ -111,7 +113,7 @@
     assert len(rig.actions.sends[job]) == (2 if early else 1)
 
 
-def test_a_repeat_whose_connection_is_late_may_begin_up_to_the_windows_end_and_not_after():
+def test_a_repeat_whose_connection_is_late_may_begin_up_to_the_windows_end_and_not_after() -> None:
     rig = Rig(4, effect="deduplicated", window=1.5, dial_timeout=0.25)
     job = rig.request()
     sent = rig.now
@@ -125,7 +127,7 @@
     assert not rig.d.may_begin(sent + 1.0, job, 2) and not rig.d.may_begin(sent + 1.0, job + 1, 0)
 
 
-def test_what_never_ran_opens_no_window():
+def test_what_never_ran_opens_no_window() -> None:
     rig = Rig(4, effect="deduplicated", window=0.6, dial_timeout=0.25)
     job = rig.request()
     rig.end(job, Status.CONNECT_FAILED)
@@ -136,7 +138,9 @@
 
 
 @pytest.mark.parametrize("workers, cancelled", [(1, 0), (2, 1)])
-def test_an_attempt_at_a_silent_worker_is_cancelled_only_where_another_can_follow(workers, cancelled):
+def test_an_attempt_at_a_silent_worker_is_cancelled_only_where_another_can_follow(
+    workers: int, cancelled: int
+) -> None:
     """With one worker, a job that took a moment longer than usual was cancelled, and refused later."""
     rig = Rig(workers, second_copies=False)
     for _ in range(5):
@@ -146,7 +150,7 @@
     assert sum(a[:2] == ("cancel", job) for a in rig.actions.log) == cancelled
 
 
-def test_a_list_that_fails_for_hours_is_asked_for_every_few_seconds():
+def test_a_list_that_fails_for_hours_is_asked_for_every_few_seconds() -> None:
     """After 1,024 failures in a row the wait was out of a float's range, and nothing more was asked for."""
     rig = Rig(1, must_subscribe=True)
     for _ in range(2000):
@@ -155,7 +159,7 @@
     assert rig.d.ask_at - rig.now >= 4.0
 
 
-def test_a_worker_that_is_full_all_day_is_left_for_a_short_time_each_time():
+def test_a_worker_that_is_full_all_day_is_left_for_a_short_time_each_time() -> None:
     rig = Rig(1)
     worker = rig.d.workers[rig.ids[0]]
     for _ in range(2000):
--- a/tests/dispatcher/test_wsgi.py
+++ b/tests/dispatcher/test_wsgi.py
@@ -21,7 +21,8 @@
     dispatcher = EmbeddedDispatcher({"discovery": discovery.address, "settings": settings()})
     app = Flask("t")
     app.add_url_rule("/hello", view_func=lambda: "hello")
-    app.wsgi_app = DispatchMiddleware(app.wsgi_app, dispatcher, {"/jobs/release": "release"})
+    middleware = DispatchMiddleware(app.wsgi_app, dispatcher, {"/jobs/release": "release"})
+    app.wsgi_app = middleware  # type: ignore[method-assign]  # as Flask documents it
     dispatcher.start()
     until(lambda: "larchgw_lists_total_full" in dispatcher.figures())
     yield app, dispatcher, runner
@@ -31,7 +32,9 @@
     discovery.close()
 
 
-def test_chosen_paths_go_to_the_boxes_and_the_rest_to_the_application(parts) -> None:
+def test_chosen_paths_go_to_the_boxes_and_the_rest_to_the_application(
+    parts: tuple[Flask, EmbeddedDispatcher, Runner],
+) -> None:
     app, _, runner = parts
     client = app.test_client()
     assert client.get("/hello").data == b"hello"
@@ -45,14 +48,16 @@
     assert client.post("/jobs/release", data=b"cut").status_code == 500 and runner.runs[b"cut"] == 1
 
 
-def test_a_refusal_carries_retry_after(parts) -> None:
+def test_a_refusal_carries_retry_after(parts: tuple[Flask, EmbeddedDispatcher, Runner]) -> None:
     app, _, runner = parts
     runner.how = "full"
     answer = app.test_client().post("/jobs/release", data=b"art", headers={"X-Deadline-Ms": "25000"})
     assert answer.status_code == 503 and float(answer.headers["Retry-After"]) > 0
 
 
-def test_futures_can_be_cancelled_and_stop_answers_what_is_open(parts) -> None:
+def test_futures_can_be_cancelled_and_stop_answers_what_is_open(
+    parts: tuple[Flask, EmbeddedDispatcher, Runner],
+) -> None:
     _, dispatcher, runner = parts
     runner.how = lambda name: "hang" if name == "left" else "hold"
     left = dispatcher.submit("release", b"1", name="left")
@@ -67,7 +72,9 @@
         dispatcher.submit("release", b"3")
 
 
-def test_a_future_that_is_cancelled_before_its_job_is_taken_is_never_sent(parts) -> None:
+def test_a_future_that_is_cancelled_before_its_job_is_taken_is_never_sent(
+    parts: tuple[Flask, EmbeddedDispatcher, Runner],
+) -> None:
     _, dispatcher, runner = parts
     assert dispatcher.submit("proof", b"warm").result(20).kind is AnswerKind.SERVED
     time.sleep(0.1)  # a kept connection to the worker, on which a job goes out at once
@@ -87,7 +94,7 @@
     assert [body for _, _, body in runner.seen] == [b"warm", b"kept"]
 
 
-def test_an_unknown_class_is_said_at_once(parts) -> None:
+def test_an_unknown_class_is_said_at_once(parts: tuple[Flask, EmbeddedDispatcher, Runner]) -> None:
     app, dispatcher, _ = parts
     with pytest.raises(KeyError):
         DispatchMiddleware(app.wsgi_app, dispatcher, {"/x": "nosuch"})
