--- a/tests/dispatcher/test_admin_address.py
+++ b/tests/dispatcher/test_admin_address.py
@@ -30,7 +30,8 @@
         with socket.create_connection(program.address("admin"), timeout=PATIENCE) as s:
             s.sendall(b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n" * 2)
             answer = b"".join(iter(lambda: s.recv(4096), b""))
-            assert answer.count(b"HTTP/1.1 200 ") == 1 and b"Connection: close" in answer  # one call each
+            assert answer.count(b"HTTP/1.1 200 ") == 1
+            assert b"Connection: close" in answer
         program.process.terminate()
         until(lambda: program.logged("event=stop.begin"))
         assert program.call("readiness") == 503
@@ -84,7 +85,8 @@
         assert program.call("runners/down/s-1", "PUT") == program.call("runners/down/s-1", "PUT") == 200
         discovery.tell("s-1", addr=one.address)
         until(lambda: program.counters().get('larchgw_lists_total{kind="full"}', 0) >= 2)
-        assert {program.job(f"a{n}", b"x")[1] for n in range(6)} == {b"s-2:x"} and not one.seen
+        assert {program.job(f"a{n}", b"x")[1] for n in range(6)} == {b"s-2:x"}
+        assert not one.seen
         assert program.call("runners/down/s-2", "PUT") == program.call("runners/up/s-1", "PUT") == 200
         told = program.stats()
         assert (told["cluster_size"], told["cluster_unhealthy"]) == (2, 1)
@@ -114,17 +116,22 @@
     worker = desk.core.dispatcher.workers[box]
     for kind in (ListKind.FULL, ListKind.DELTA, ListKind.CACHED):
         desk.core.listed(kind, [Member(b"w%d" % n) for n in range(4)])
-        assert not worker.ready and not desk.core.boxes.open_to_work(box) and desk.core.avoided() == 1
+        assert not worker.ready
+        assert not desk.core.boxes.open_to_work(box)
+        assert desk.core.avoided() == 1
     desk.core.listed(ListKind.DELTA, [Member(box, 0)])
     desk.core.listed(ListKind.DELTA, [Member(box)])
     assert not desk.core.dispatcher.workers[box].ready
     desk.clock.time += 5.0
     desk.core.put_back(box)
     worker = desk.core.dispatcher.workers[box]
-    assert worker.ready and worker.bad == 0 and worker.up_since == desk.clock.now()
+    assert worker.ready
+    assert worker.bad == 0
+    assert worker.up_since == desk.clock.now()
     # A list with its old start time changes nothing.
     desk.core.listed(ListKind.FULL, [Member(b"w%d" % n) for n in range(4)])
-    assert worker.up_since == desk.clock.now() and desk.core.avoided() == 0
+    assert worker.up_since == desk.clock.now()
+    assert desk.core.avoided() == 0
 
 
 def test_a_box_that_discovery_saw_restart_while_it_was_out_is_as_old_as_that() -> None:
--- a/tests/dispatcher/test_capacity.py
+++ b/tests/dispatcher/test_capacity.py
@@ -129,7 +129,8 @@
     desk.pass_time(1.0)
     desk.end(running[0])
     small = desk.ask()
-    assert desk.sent(small) == desk.ids[0] and large in desk.planner.by_job
+    assert desk.sent(small) == desk.ids[0]
+    assert large in desk.planner.by_job
     assert desk.planner.figures.filled >= 1
 
 
@@ -137,7 +138,8 @@
     desk, _, _, small = pressed(pass_over=0.05)
     assert desk.sent(small) is None
     desk.pass_time(0.2)  # a twentieth of the 2 s that it had to start in time, and more
-    assert desk.sent(small) == desk.ids[0] and desk.planner.figures.overdue >= 1
+    assert desk.sent(small) == desk.ids[0]
+    assert desk.planner.figures.overdue >= 1
 
 
 @pytest.mark.parametrize("trouble", ["drains", "leaves", "restarts", "hangs", "is full"])
@@ -169,7 +171,9 @@
     desk, _, large, small = pressed()
     assert desk.sent(small) is None
     desk.module.on_gone(desk.now, large)
-    assert not desk.planner.by_job and not desk.planner.by_box and not desk.planner.waiting
+    assert not desk.planner.by_job
+    assert not desk.planner.by_box
+    assert not desk.planner.waiting
     desk.pass_time(0.1)
     assert desk.sent(small) == desk.ids[0]
 
@@ -179,7 +183,8 @@
     desk.full(8, RELEASE)
     first, second, third = (desk.ask(RELEASE, 2.0) for _ in range(3))
     boxes = [desk.planner.by_job[j].worker.id for j in (first, second)]
-    assert sorted(boxes) == sorted(desk.ids) and third not in desk.planner.by_job
+    assert sorted(boxes) == sorted(desk.ids)
+    assert third not in desk.planner.by_job
 
 
 def test_a_job_of_eight_slots_gets_its_room_among_many_of_two() -> None:
@@ -209,7 +214,8 @@
     for job in desk.full(2):
         desk.end(job)
     job = desk.ask(RELEASE, 8.0)
-    assert ("refuse", job) in desk.actions.log and not desk.planner.by_job
+    assert ("refuse", job) in desk.actions.log
+    assert not desk.planner.by_job
     fits = desk.ask(RELEASE, 4.0)
     assert desk.sent(fits) is not None
 
@@ -301,8 +307,11 @@
             assert len(planner.by_box) == len(planner.by_job) <= 2
             for held in planner.by_box.values():
                 assert planner.by_job[held.job.request.id] is held
-                assert not held.job.done and jobs[held.job.request.id] is held.job and held.job.held
-                assert held.worker.ready and not held.job.out()
+                assert not held.job.done
+                assert jobs[held.job.request.id] is held.job
+                assert held.job.held
+                assert held.worker.ready
+                assert not held.job.out()
             assert set(planner.waiting) <= set(jobs)
             assert set(planner._kept_since) <= {j for j, job in jobs.items() if not job.done}
             plan.append(sorted((job, held.worker.id) for job, held in planner.by_job.items()))
@@ -337,7 +346,8 @@
     world = World(Scenario(fleet, load, 2, seconds=12.0, faults=faults), 3, Planner)
     world.run()
     assert world.records.broken() == []
-    assert summary(world)["jobs"] > 100 and all(job.ended for job in world.jobs)
+    assert summary(world)["jobs"] > 100
+    assert all(job.ended for job in world.jobs)
     for dispatcher in world.dispatchers:
         assert isinstance(dispatcher.room, Planner)
         assert not dispatcher.room.by_box, "room is held for nobody"
--- a/tests/dispatcher/test_core.py
+++ b/tests/dispatcher/test_core.py
@@ -87,7 +87,8 @@
     desk.core.started(attempt)
     assert [a.result for _, a in desk.answers] == [b"made"]
     assert desk.core.counters.figures()["larchgw_late_events_total_end"] == 1
-    assert desk.core.open_requests() == 0 and not desk.core.dispatcher.jobs
+    assert desk.core.open_requests() == 0
+    assert not desk.core.dispatcher.jobs
     assert all(w.pending == 0 for w in desk.core.dispatcher.workers.values())
 
 
@@ -96,28 +97,33 @@
     desk.at_once = Status.CONNECT_FAILED
     desk.take()
     desk.pass_time(6.0)
-    assert 1 <= len(desk.sent) <= 3 and len({a.worker for a in desk.sent}) == len(desk.sent)
+    assert 1 <= len(desk.sent) <= 3
+    assert len({a.worker for a in desk.sent}) == len(desk.sent)
     assert [a.kind for _, a in desk.answers] == [AnswerKind.REFUSED]
 
 
-@pytest.mark.parametrize("cls, kind", [(SAFE, AnswerKind.REFUSED), (RELEASE, AnswerKind.FAILED)])
+@pytest.mark.parametrize(("cls", "kind"), [(SAFE, AnswerKind.REFUSED), (RELEASE, AnswerKind.FAILED)])
 def test_what_is_silent_is_answered_before_its_client_gives_up(cls: JobClass, kind: AnswerKind) -> None:
     desk = Desk([cls])
     desk.core.settings.can_cancel = False
     request = desk.take()
     desk.pass_time(4.95)
     assert [a.kind for _, a in desk.answers] == [kind]
-    assert desk.given_up == desk.sent and request.attempts[0].status == Status.TIMEOUT
-    assert desk.core.open_requests() == 0 and len(desk.deadlines) <= 1
+    assert desk.given_up == desk.sent
+    assert request.attempts[0].status == Status.TIMEOUT
+    assert desk.core.open_requests() == 0
+    assert len(desk.deadlines) <= 1
 
 
 def test_a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up() -> None:
     desk = Desk([RELEASE])
     request = desk.take()
     desk.core.gone(request)
-    assert desk.given_up == desk.sent and desk.answers == []
+    assert desk.given_up == desk.sent
+    assert desk.answers == []
     desk.core.ended(desk.sent[0], End(Status.OK, b"late"))
-    assert desk.answers == [] and desk.core.open_requests() == 0
+    assert desk.answers == []
+    assert desk.core.open_requests() == 0
 
 
 def test_a_request_that_the_module_forgets_fails_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -134,7 +140,8 @@
     desk = Desk([SAFE], max_open=2)
     for n in range(4):
         desk.take(b"%d" % n)
-    assert [name for name, _ in desk.answers] == [b"2", b"3"] and len(desk.core.dispatcher.jobs) == 2
+    assert [name for name, _ in desk.answers] == [b"2", b"3"]
+    assert len(desk.core.dispatcher.jobs) == 2
 
 
 def test_a_sweep_ends_although_what_is_due_adds_what_is_due() -> None:
@@ -148,7 +155,9 @@
     deadlines.add(0.0, again)
     dropped = deadlines.add(0.0, lambda: seen.append(2))
     deadlines.drop(dropped)
-    assert deadlines.sweep(1.0) == 1 and seen == [1] and len(deadlines) == 1
+    assert deadlines.sweep(1.0) == 1
+    assert seen == [1]
+    assert len(deadlines) == 1
 
 
 @pytest.mark.parametrize("ending", list(ConnectionOutcome))
@@ -160,7 +169,8 @@
 def test_a_box_known_only_by_its_connection_is_ready_until_discovery_says_otherwise() -> None:
     desk = Desk([SAFE])
     desk.core.joined(b"g", restarted=True)
-    assert desk.core.boxes.open_to_work(b"g") and b"g" in desk.core.dispatcher.workers
+    assert desk.core.boxes.open_to_work(b"g")
+    assert b"g" in desk.core.dispatcher.workers
     desk.core.listed(ListKind.DELTA, [Member(b"g", 2)])
     assert not desk.core.boxes.open_to_work(b"g")
     desk.core.left(b"g")
@@ -169,7 +179,7 @@
     assert b"g" not in desk.core.dispatcher.workers
 
 
-@pytest.mark.parametrize("kind, members", [(ListKind.FULL, []), (ListKind.DELTA, [Member(b"g", 0)])])
+@pytest.mark.parametrize(("kind", "members"), [(ListKind.FULL, []), (ListKind.DELTA, [Member(b"g", 0)])])
 def test_a_drained_box_that_leaves_the_list_is_not_ready_again_for_being_connected(
     kind: ListKind, members: list[Member]
 ) -> None:
@@ -177,10 +187,11 @@
     desk.core.joined(b"g", restarted=True)
     desk.core.listed(ListKind.FULL, [Member(b"g", 2)])
     desk.core.listed(kind, members)
-    assert not desk.core.boxes.open_to_work(b"g") and b"g" not in desk.core.dispatcher.workers
+    assert not desk.core.boxes.open_to_work(b"g")
+    assert b"g" not in desk.core.dispatcher.workers
 
 
-@pytest.mark.parametrize("restarted, cold", [(True, True), (False, False)])
+@pytest.mark.parametrize(("restarted", "cold"), [(True, True), (False, False)])
 def test_a_box_that_comes_back_is_cold_unless_we_had_hung_up_on_it(restarted: bool, cold: bool) -> None:
     desk = Desk([SAFE])
     desk.clock.time += desk.core.settings.warm_up + 100
--- a/tests/dispatcher/test_estimates.py
+++ b/tests/dispatcher/test_estimates.py
@@ -241,12 +241,15 @@
     turns = ColdTurns(settings(40, rank=3), 1, lambda w: 5.0, lambda: 1.6, lambda: 120.0)
     turns.joined(100.0, worker)
     at = next(t / 10 for t in range(1000, 1220) if turns.mine(t / 10, worker))
-    assert turns.turn(at, 0, lambda w: True) is worker and turns.may(at, worker, 0, 0.5)
+    assert turns.turn(at, 0, lambda w: True) is worker
+    assert turns.may(at, worker, 0, 0.5)
     turns.parts = 2  # an upgrade
-    assert not turns.rota() and not turns.may(at, worker, 0, 0.5)
+    assert not turns.rota()
+    assert not turns.may(at, worker, 0, 0.5)
     turns.parts = 1
     turns.spent(at, worker, 0.5)
-    assert not turns.mine(at, worker) and len(turns._used) == 1
+    assert not turns.mine(at, worker)
+    assert len(turns._used) == 1
     turns.joined(at, worker)  # it has started anew
     assert turns.mine(at, worker)
     turns.spent(at, worker, 0.5)
@@ -261,7 +264,8 @@
         ColdTurns(settings(200), 1, lambda w: 5.0, lambda: 1.6, lambda: 200.0, always(u)).rate(105.0, worker)
         for u in (1.0, 1.5, 2.0, 4.0)
     ]
-    assert rates == sorted(rates, reverse=True) and rates[-1] < 0.7 * rates[0]
+    assert rates == sorted(rates, reverse=True)
+    assert rates[-1] < 0.7 * rates[0]
     runs = Runs([SAFE, RELEASE])
     for _ in range(50):
         runs.came(0)
@@ -354,7 +358,8 @@
         work = draw.uniform(0.02, 0.4)
         late.add(work, work + 0.5)
     assert noise.run(0.05) == pytest.approx(noise.run(3.0), rel=0.35)
-    assert late.run(0.1) == pytest.approx(0.6, rel=0.1) and late.least(0.1) < 0.13
+    assert late.run(0.1) == pytest.approx(0.6, rel=0.1)
+    assert late.least(0.1) < 0.13
 
 
 ALL = (-1, -1)  # zones and kinds
@@ -389,10 +394,12 @@
 
 def test_a_box_that_does_not_answer_is_asked_again_at_once_and_then_no_oftener_than_others() -> None:
     reports, box = Reports(told_by_probes(), 5), boxes(1)[0]
-    assert reports.due(0.0, [box]) == [box.id] and reports.due(0.1, [box]) == []  # one probe at a time
+    assert reports.due(0.0, [box]) == [box.id]
+    assert reports.due(0.1, [box]) == []
     assert reports.failed(0.2, box.id) == 1
     assert reports.due(0.2 + AGAIN, [box]) == [box.id]
-    assert reports.failed(0.5, box.id) == 2 and reports.due(0.5 + AGAIN, [box]) == []
+    assert reports.failed(0.5, box.id) == 2
+    assert reports.due(0.5 + AGAIN, [box]) == []
     assert reports.due(0.5 + 2 * SELDOM, [box]) == [box.id]
     reports.heard(3.0, box, (3.0,))
     assert reports.due(3.0 + 2 * SELDOM, [box]) == [box.id]
@@ -407,7 +414,8 @@
     reports.changed(0.1, box.id, 2.0)
     for n in range(1, 30):
         reports.heard(1.0 + n * 0.5, box, (3.0 + 0.01 * n,))
-    assert reports.slots(box) == 8.0 and reports.others(15.5, box) == pytest.approx(3.0, abs=0.5)
+    assert reports.slots(box) == 8.0
+    assert reports.others(15.5, box) == pytest.approx(3.0, abs=0.5)
     assert reports.wait(15.5, box, 1.0, 0.5) == 0.0
     assert reports.wait(15.5, box, 1.0, 0.5, share=0.2) > 0.0  # it is cold
     box.pending = 9.0
@@ -425,7 +433,8 @@
     for fleet in fleets:
         fleet.listed(0.0, [], workers)
     rare = {tuple(w.id for w in fleet.order(77, ALL, workers)) for fleet in fleets}
-    assert len(rare) == 1 and len(next(iter(rare))) == 2
+    assert len(rare) == 1
+    assert len(next(iter(rare))) == 2
     for fleet in fleets:
         for n in range(400):
             fleet.came(0.0, 0, 5 if n % 4 == 0 else 1000 + n)
@@ -456,7 +465,8 @@
     dispatcher.on_members(1.0, ListKind.FULL, [Member(b"k%d%d" % (n % 2, n), kind=n % 2) for n in range(8)])
     for n in range(16):  # the same keys, first by one class and then by the other
         dispatcher.on_request(1.0, Request(n, 9.0, job_class=n % 2, key=1 + n // 2))
-    assert {request % 2 for request in actions.sends} == {0, 1} and len(actions.sends) > 12
+    assert {request % 2 for request in actions.sends} == {0, 1}
+    assert len(actions.sends) > 12
     assert all(worker.startswith(b"k%d" % (request % 2)) for request, (worker,) in actions.sends.items())
 
 
@@ -479,7 +489,8 @@
     reports.due(0.0, [box])
     reports.heard(0.0, box, (8.0,))
     reports.full(1.0, box)
-    assert reports.others(1.0, box) == 16.0 and reports.wait(1.0, box, 1.0, 0.5) > 0.0
+    assert reports.others(1.0, box) == 16.0
+    assert reports.wait(1.0, box, 1.0, 0.5) > 0.0
     assert reports.others(60.0, box) < 0.01
 
 
@@ -501,7 +512,7 @@
     assert took.count(b"box0") >= 15  # two are compared, and a sample may hold one box twice
 
 
-@pytest.mark.parametrize("sized, share", [(True, 0.75), (False, 0.5)])
+@pytest.mark.parametrize(("sized", "share"), [(True, 0.75), (False, 0.5)])
 def test_jobs_go_by_the_sizes_that_the_list_tells_where_the_settings_say_that_it_does(
     sized: bool, share: float
 ) -> None:
--- a/tests/dispatcher/test_failures.py
+++ b/tests/dispatcher/test_failures.py
@@ -34,7 +34,8 @@
     job = rig.request(key=3)
     rig.wait(1.0)
     sends = rig.actions.sends[job]
-    assert len(sends) == 2 and sends[0] != sends[1]
+    assert len(sends) == 2
+    assert sends[0] != sends[1]
     later = rig.request(key=3)
     rig.wait(0.3)
     assert rig.where(later) != sends[0]
@@ -60,7 +61,8 @@
     before = sum(map(len, rig.actions.sends.values()))
     for n in range(40):
         rig.request(key=n + 1)
-    assert sum(map(len, rig.actions.sends.values())) - before < 40 and rig.d.held
+    assert sum(map(len, rig.actions.sends.values())) - before < 40
+    assert rig.d.held
 
 
 def test_full_steps_off_and_attempts_are_not_burnt() -> None:
@@ -96,7 +98,8 @@
     rig = Rig(2)
     late = Request(999, rig.now + 1.0, repeat=True)  # four of its five seconds are gone
     rig.d.on_request(rig.now, late)
-    assert rig.answers(999) == ["refuse"] and 999 not in rig.actions.sends
+    assert rig.answers(999) == ["refuse"]
+    assert 999 not in rig.actions.sends
 
 
 def test_a_worker_that_failed_a_job_gets_none_that_may_not_be_repeated_until_it_has_mended() -> None:
@@ -156,7 +159,8 @@
     bad = rig.where(held)
     rig.end(failed, Status.ERROR)
     again = rig.request(key=7)
-    assert again in rig.actions.sends and rig.where(again) != bad
+    assert again in rig.actions.sends
+    assert rig.where(again) != bad
 
 
 def test_one_reset_where_others_live_is_not_held_against_a_worker_but_two_are() -> None:
@@ -164,11 +168,14 @@
     first, second, third = (rig.request(key=7) for _ in range(3))
     worker = rig.d.workers[rig.where(first)]
     rig.end(first, Status.RESET)
-    assert not worker.doubts and 7 in worker.keys
+    assert not worker.doubts
+    assert 7 in worker.keys
     rig.end(second, Status.RESET)
-    assert worker.doubts and 7 not in worker.keys
+    assert worker.doubts
+    assert 7 not in worker.keys
     rig.end(third)
-    assert not worker.doubts and worker.breaks == 0
+    assert not worker.doubts
+    assert worker.breaks == 0
 
 
 def test_a_safe_job_that_later_ones_have_overtaken_in_a_queue_in_order_goes_elsewhere() -> None:
@@ -180,7 +187,8 @@
         end_after(rig, rig.request(key=7), 0.01)  # the worker lives, so silence alone says nothing
         assert rig.where(rig.next) == worker
     rig.wait(1.0)
-    assert len(rig.actions.sends[lost]) == 2 and rig.where(lost) != worker
+    assert len(rig.actions.sends[lost]) == 2
+    assert rig.where(lost) != worker
 
 
 def test_a_job_that_cannot_be_done_in_the_time_it_has_is_refused_at_once() -> None:
@@ -189,7 +197,8 @@
         end_after(rig, rig.request(), 2.0)
     rig.next += 1
     rig.d.on_request(rig.now, Request(rig.next, rig.now + 1.0))  # the dispatcher ends then, say
-    assert rig.next not in rig.actions.sends and rig.answers(rig.next) == ["refuse"]
+    assert rig.next not in rig.actions.sends
+    assert rig.answers(rig.next) == ["refuse"]
     assert rig.request() in rig.actions.sends
 
 
@@ -213,7 +222,8 @@
             rig.actions.log.remove(a)
             status = Status.TIMEOUT if a[1] == silent else Status.OK
             rig.d.on_probed(rig.now, a[1], status, 0.01, () if a[1] == silent else (6.0,))
-    assert rig.d.workers[silent].doubts and rig.where(job) != silent
+    assert rig.d.workers[silent].doubts
+    assert rig.where(job) != silent
     later = rig.request(key=3)
     assert rig.where(later) != silent
     rig.d.on_probed(rig.now, silent, Status.OK, 0.01, (6.0,))
@@ -234,4 +244,5 @@
     limit = worker.limit
     rig.now += 2.0
     rig.d.on_note(rig.now, Note(job, 0, worker.id, started=False, share=0.3))
-    assert worker.limit == limit and not worker.off_until
+    assert worker.limit == limit
+    assert not worker.off_until
--- a/tests/dispatcher/test_gearman.py
+++ b/tests/dispatcher/test_gearman.py
@@ -118,7 +118,8 @@
         sum(v for k, v in counted.items() if k.startswith(f"larchgw_{name}_total"))
         for name in ("taken", "answered", "gone")
     )
-    assert taken == answered + gone and taken > 0, "unanswered jobs"
+    assert taken == answered + gone, "unanswered jobs"
+    assert taken > 0, "unanswered jobs"
     return counted
 
 
@@ -242,7 +243,9 @@
     settings = Settings([JobClass("r", 1, 2), JobClass("p", 1, 2, effect="idempotent")])
     jobs = gearman_jobs.Jobs(settings, Clock(), Counters(), 60.0)
     jobs.end(jobs.create(0, b"a", False), Answer(AnswerKind.SERVED, b"nine bytes"))
-    assert jobs.full(0, b"b") and not jobs.full(0, b"") and not jobs.full(1, b"b")
+    assert jobs.full(0, b"b")
+    assert not jobs.full(0, b"")
+    assert not jobs.full(1, b"b")
     assert jobs.ended(0, b"a") == (b"H:larchgw:1", gearman_jobs.LOST)  # the result went, not that it ran
 
 
@@ -268,7 +271,7 @@
         assert counted['larchgw_ended_total{outcome="timeout",transport="gearman"}'] == 1
 
 
-@pytest.mark.parametrize("function, again", [(b"release", False), (b"proof", True)])
+@pytest.mark.parametrize(("function", "again"), [(b"release", False), (b"proof", True)])
 def test_a_worker_that_dies_after_its_job_was_assigned(tmp_path: Path, function: bytes, again: bool) -> None:
     with running(tmp_path) as (program, _):
         workers, client = [Worker(program, b"s-%d" % n) for n in range(2)], Peer(program)
@@ -305,7 +308,8 @@
         served(worker, runs)
         assert client.expect(COMPLETE)[1] == b"made:art"
         counted = settled(program)
-        assert runs == {b"art": 1} and counted['larchgw_sent_total{transport="gearman"}'] == 2
+        assert runs == {b"art": 1}
+        assert counted['larchgw_sent_total{transport="gearman"}'] == 2
 
 
 def test_a_slot_that_sleeps_on_does_not_keep_a_job_from_the_others(tmp_path: Path) -> None:
@@ -328,7 +332,8 @@
         polite.expect(OPTION_RES)
         handles = [peer.submit(b"release", b"", b"art") for peer in (polite, plain)]  # there is no box
         handle, reason = polite.expect(EXCEPTION)
-        assert handle == handles[0] and b"come back in" in reason
+        assert handle == handles[0]
+        assert b"come back in" in reason
         assert [polite.expect(FAIL), plain.expect(FAIL)] == [[handles[0]], [handles[1]]]
         refused = 'larchgw_answered_total{front="gearman",job_class="release",outcome="refused"}'
         assert settled(program)[refused] == 2
@@ -458,7 +463,8 @@
         assert peer.ask(b"status") == [b"proof\t1\t0\t1", b"release\t0\t0\t0"]
         assert any(line.endswith(b"127.0.0.1 s-1 : proof") for line in peer.ask(b"workers"))
         peer.sock.sendall(b"version\nshutdown\n")
-        assert peer.file.readline().startswith(b"OK ") and peer.file.readline().startswith(b"ERR ")
+        assert peer.file.readline().startswith(b"OK ")
+        assert peer.file.readline().startswith(b"ERR ")
         worker.send(CANT_DO, b"proof")  # it takes its job back with it
         peer.expect(FAIL)
 
@@ -500,7 +506,9 @@
         answers = [other.read()[0]]
         while answers[-1] == NOOP:  # it was told of work, by the large job's coming
             answers.append(other.read()[0])
-        assert answers[-1] == NO_JOB and work == b"large" and not small.done()
+        assert answers[-1] == NO_JOB
+        assert work == b"large"
+        assert not small.done()
         other.send(PRE_SLEEP)
         one.send(COMPLETE, handle, b"made")
         assert large.result() == (200, b"made")
--- a/tests/dispatcher/test_hot_restart.py
+++ b/tests/dispatcher/test_hot_restart.py
@@ -73,7 +73,8 @@
         kept.request("POST", "/proof", b"2", {"X-Request-Id": "kept1", "X-Deadline-Ms": "9000"})
         assert kept.getresponse().read() == b"s-1:2"
         new = held.upgrade(old)
-        assert old.call("readiness") == 503 and new.call("readiness") == 200
+        assert old.call("readiness") == 503
+        assert new.call("readiness") == 200
         kept.request("POST", "/proof", b"3", {"X-Request-Id": "kept2", "X-Deadline-Ms": "9000"})
         answer = kept.getresponse()  # served by the old process, which wants to be rid of the connection
         assert (answer.read(), answer.headers["Connection"]) == (b"s-1:3", "close")
@@ -82,7 +83,8 @@
         old.process.terminate()
         until(lambda: old.logged("event=stop.begin"))
         runner.release.set()
-        assert slow.result(PATIENCE) == (200, b"s-1:1") and old.process.wait(PATIENCE) == 0
+        assert slow.result(PATIENCE) == (200, b"s-1:1")
+        assert old.process.wait(PATIENCE) == 0
         until(lambda: new.logged("event=upgrade.over"))
         assert new.job("after", b"x") == (200, b"s-1:x")
 
@@ -104,14 +106,17 @@
             until(lambda: old.stats()["current"] == 4)
             new = held.upgrade(old)
             old.process.terminate()
-            assert old.process.wait(PATIENCE) == 0 and old.logged("event=upgrade.moved")
-            assert new.stats()["current"] == 4 and not any(job.done() for job in slow)
+            assert old.process.wait(PATIENCE) == 0
+            assert old.logged("event=upgrade.moved")
+            assert new.stats()["current"] == 4
+            assert not any(job.done() for job in slow)
         until(lambda: new.stats()["current"] == 3, "the client that left to be missed at the new process")
         runner.release.set()
         assert [job.result(PATIENCE) for job in slow] == [(200, b"s-1:%d" % n) for n in range(3)]
         assert all(runner.runs[b"%d" % n] == 1 for n in range(3))
         told = new.stats()
-        assert told['answered{group="release"}'] == 2 and told['answered{group="proof"}'] == 1
+        assert told['answered{group="release"}'] == 2
+        assert told['answered{group="proof"}'] == 1
         assert told["current"] == 0
 
 
@@ -141,7 +146,9 @@
                 env=os.environ | variables,
                 timeout=PATIENCE,
             )
-            assert done.returncode == 2 and done.stderr.count("\n") == 1 and "PROXY_ACCEPT_FD" in done.stderr
+            assert done.returncode == 2
+            assert done.stderr.count("\n") == 1
+            assert "PROXY_ACCEPT_FD" in done.stderr
 
 
 def test_what_a_process_that_was_killed_left_behind_is_no_peer(tmp_path: Path) -> None:
@@ -149,7 +156,8 @@
         first = held.start()
         first.kill()
         second = held.start()
-        assert not second.logged("event=upgrade") and second.job("a", b"x") == (200, b"s-1:x")
+        assert not second.logged("event=upgrade")
+        assert second.job("a", b"x") == (200, b"s-1:x")
 
 
 def test_a_box_taken_out_at_either_process_is_out_at_both_and_back_at_both(tmp_path: Path) -> None:
@@ -165,7 +173,8 @@
         until(lambda: old.stats()["cluster_unhealthy"] == 1, "the box to be out at the old process")
         old.stop()
         seen = len(two.seen)
-        assert new.stats()["cluster_unhealthy"] == 1 and new.job("b", b"x")[1] != b"s-2:x"
+        assert new.stats()["cluster_unhealthy"] == 1
+        assert new.job("b", b"x")[1] != b"s-2:x"
         assert len(two.seen) == seen
 
 
@@ -176,7 +185,8 @@
         slow = pool.submit(old.job, "slow", b"1", "/release")
         until(lambda: runner.seen)
         new = held.upgrade(old)
-        assert new.job("slow", b"2", "/release")[0] == 500 and len(runner.seen) == 1
+        assert new.job("slow", b"2", "/release")[0] == 500
+        assert len(runner.seen) == 1
         runner.release.set()
         assert slow.result(PATIENCE) == (200, b"s-1:1")
         until(lambda: new.job("slow", b"3") == (200, b"s-1:3"), "the id to be free")
@@ -208,7 +218,8 @@
         old.kill()
         second.expect(FAIL)  # it may have run, and nobody knows its end
         second.send(SUBMIT, b"release", b"lost", b"3")
-        assert second.expect(CREATED) and second.expect(FAIL)
+        assert second.expect(CREATED)
+        assert second.expect(FAIL)
         assert new.counters().get('larchgw_sent_total{transport="gearman"}', 0) == 0
         for peer in (worker, first, other, second):
             peer.close()
@@ -270,9 +281,14 @@
     limit = worker.limit
     desk.core.adopt(request, now - 8.0, now + 10.0)
     desk.core.started(request.attempts[0])  # as it is read again from the bytes that came along
-    assert worker.pending == 1 and worker.limit == limit and not worker.off_until and not desk.sent
+    assert worker.pending == 1
+    assert worker.limit == limit
+    assert not worker.off_until
+    assert not desk.sent
     desk.core.ended(request.attempts[0], End(Status.RESET))
-    assert worker.pending == 0 and [a.kind for _, a in desk.answers] == [AnswerKind.FAILED] and not desk.sent
+    assert worker.pending == 0
+    assert [a.kind for _, a in desk.answers] == [AnswerKind.FAILED]
+    assert not desk.sent
 
 
 def test_a_moved_job_that_was_turned_away_is_tried_for_what_is_left_of_its_attempts_and_time() -> None:
@@ -285,5 +301,6 @@
     ]
     desk.core.adopt(request, now - 1.0, now + 4.0)
     desk.pass_time(4.1)
-    assert len(desk.sent) <= 1 and [a.kind for _, a in desk.answers] == [AnswerKind.REFUSED]
+    assert len(desk.sent) <= 1
+    assert [a.kind for _, a in desk.answers] == [AnswerKind.REFUSED]
     assert desk.core.open_requests() == 0
--- a/tests/dispatcher/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -121,8 +121,11 @@
     more = {"novel": {"x": 1}, "report": {"via": "silent", "fields": [], "odd": 1}}
     with running(tmp_path, Runner("s-1"), settings=more) as (program, _):
         lines = until(lambda: program.logged("event=settings.unread"), "the line")
-    assert len(lines) == 1 and "novel" in lines[0] and "report.odd" in lines[0]
-    assert "requestClasses" not in lines[0] and "report.via" not in lines[0]
+    assert len(lines) == 1
+    assert "novel" in lines[0]
+    assert "report.odd" in lines[0]
+    assert "requestClasses" not in lines[0]
+    assert "report.via" not in lines[0]
 
 
 def test_a_cost_hint_counts_in_microseconds(tmp_path: Path) -> None:
@@ -167,7 +170,8 @@
     runners = Runner("s-1", how), Runner("s-2", how)
     with running(tmp_path, *runners) as (program, _):
         status, body = program.job("r1", b"press", "/release")
-        assert status == 500 and b"s-" not in body
+        assert status == 500
+        assert b"s-" not in body
         assert sum(r.runs[b"press"] for r in runners) == 1
 
 
@@ -201,14 +205,16 @@
     runner = Runner("s-1", "hang")
     with running(tmp_path, runner) as (program, _):
         assert program.job("r1", b"press", "/release", wait=700)[0] == 500
-        assert until(lambda: runner.gave_up) == [True] and runner.runs[b"press"] == 1
+        assert until(lambda: runner.gave_up) == [True]
+        assert runner.runs[b"press"] == 1
 
 
 def test_a_refusal_says_when_to_come_back(tmp_path: Path) -> None:
     runners = Runner("s-1", "full"), Runner("s-2", "full")
     with running(tmp_path, *runners) as (program, _):
         response, _body = program.exchange("POST", "/release", b"x", X_Request_Id="r", X_Deadline_Ms="25000")
-        assert response.status == 503 and float(response.headers["Retry-After"]) > 0
+        assert response.status == 503
+        assert float(response.headers["Retry-After"]) > 0
         assert sum(r.runs[b"x"] for r in runners) <= 3
 
 
@@ -366,7 +372,7 @@
 
 
 @pytest.mark.parametrize(
-    "field, text, changes",
+    ("field", "text", "changes"),
     [
         ("PROXY_CONFIG", "{", {}),
         ("discovery", "", {"discovery": "nowhere"}),
@@ -380,7 +386,8 @@
     with running(tmp_path, Runner("s-1")) as (program, discovery):
         line = program.reload(text, **changes)
         assert f'event=reload.refused error="{field}: ' in line
-        assert program.job("a", b"x") == (200, b"s-1:x") and not program.logged("discovery.down")
+        assert program.job("a", b"x") == (200, b"s-1:x")
+        assert not program.logged("discovery.down")
 
 
 def test_pipelined_and_dribbled_requests_are_answered_in_order(tmp_path: Path) -> None:
@@ -397,7 +404,8 @@
     with running(tmp_path, runner, Runner("s-2")) as (program, _):
         text = post("a", b"1", "Connection: close\r\n").replace(b": a\r\n", b":\t a \t\r\n")
         got = raw(program, *(bytes([byte]) for byte in text.replace(b" 9000", b"  9000 \t ")))
-        assert got.startswith(b"HTTP/1.1 200 ") and ("a", "/proof", b"1") in runner.seen
+        assert got.startswith(b"HTTP/1.1 200 ")
+        assert ("a", "/proof", b"1") in runner.seen
         assert program.job("full", b"2", "/release") == (200, b"s-2:2")  # a box may write so, too
 
 
@@ -453,7 +461,8 @@
         until(lambda: runner.seen)
         assert program.job("same", b"2")[0] == 500
         runner.release.set()
-        assert first.result(PATIENCE) == (200, b"s-1:1") and len(runner.seen) == 1
+        assert first.result(PATIENCE) == (200, b"s-1:1")
+        assert len(runner.seen) == 1
         assert program.job("same", b"3") == (200, b"s-1:3")
 
 
@@ -496,7 +505,8 @@
     with running(tmp_path, runner) as (program, _):
         for text, status in BAD:
             assert raw(program, text).startswith(b"HTTP/1.1 %d " % status), text[:80]
-        assert not runner.seen and program.job("good", b"x" * 65536)[0] == 200
+        assert not runner.seen
+        assert program.job("good", b"x" * 65536)[0] == 200
         assert program.counters()['larchgw_taken_total{front="platform",job_class="proof"}'] == 1
 
 
@@ -505,7 +515,8 @@
     with running(tmp_path, runner, settings={"allowed": allowed}) as (program, _):
         assert program.job("a")[0] == 200
         until(lambda: runner.closed == 1)
-        assert program.job("b")[0] == 200 and runner.opened == 2
+        assert program.job("b")[0] == 200
+        assert runner.opened == 2
 
 
 def test_a_release_never_rides_on_a_kept_connection_that_may_be_dead(tmp_path: Path) -> None:
@@ -531,7 +542,8 @@
         paths = ("/proof", "/release")
         got = list(pool.map(lambda n: program.job(f"m{n}", b"%d" % n, paths[n % 2]), range(120)))
         served = [n for n, (status, body) in enumerate(got) if status == 200]
-        assert {status for status, _ in got} <= {200, 503} and len(served) > 60
+        assert {status for status, _ in got} <= {200, 503}
+        assert len(served) > 60
         assert all(got[n][1].endswith(b":%d" % n) for n in served)
         assert all(sum(r.runs[b"%d" % n] for r in runners) <= 1 for n in range(1, 120, 2))
 
@@ -568,7 +580,9 @@
             s.sendall(post("late", b"2"))
             runner.release.set()
             got = b"".join(iter(lambda: s.recv(65536), b""))
-        assert b"s-1:1" in got and b"HTTP/1.1 503 " in got and b"Retry-After: " in got
+        assert b"s-1:1" in got
+        assert b"HTTP/1.1 503 " in got
+        assert b"Retry-After: " in got
         assert [body for _, _, body in runner.seen] == [b"1"]
         assert program.process.wait(PATIENCE) == 0
 
@@ -604,7 +618,7 @@
 
 
 @pytest.mark.parametrize(
-    "field, change",
+    ("field", "change"),
     [
         ("discovery", {"discovery": "nowhere"}),
         ("admin", {"admin": "nowhere"}),
@@ -637,12 +651,13 @@
         env=os.environ | {"PROXY_CONFIG": str(tmp_path / "c.json")},
         timeout=PATIENCE,
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1
+    assert done.returncode == 2
+    assert done.stderr.count("\n") == 1
     assert done.stderr.startswith(f"larchgw: {field}")
 
 
 @pytest.mark.parametrize(
-    "field, text",
+    ("field", "text"),
     [
         ("gearman.listen", "[gearman]"),
         ("ops.listen", '[ops]\nlisten = "x"'),
--- a/tests/dispatcher/test_races.py
+++ b/tests/dispatcher/test_races.py
@@ -187,7 +187,8 @@
                 for n in range(4)
             ]
         for n, got in enumerate(pool.map(answer, good)):
-            assert got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"s-1:%d" % n)
+            assert got.startswith(b"HTTP/1.1 200 ")
+            assert got.endswith(b"s-1:%d" % n)
         assert sorted(name for name, _, _ in runner.seen) == [*(f"good{n}" for n in range(4)), "warm"]
         for sock in (*flood, *silent, *good):
             sock.close()
@@ -364,7 +365,8 @@
         assert fresh.read() == "b"
         fresh.serve("b", "second")
         got = answer(asks)
-        assert got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"second")
+        assert got.startswith(b"HTTP/1.1 200 ")
+        assert got.endswith(b"second")
         if what not in ("a reset", "its end"):
             assert kept.closed()
 
@@ -384,7 +386,8 @@
         assert fresh.read() == "b"
         fresh.serve("b", "second")
         got = answer(asks)
-        assert got.count(b"HTTP/1.1 200 ") == 2 and got.index(b"first") < got.index(b"second")
+        assert got.count(b"HTTP/1.1 200 ") == 2
+        assert got.index(b"first") < got.index(b"second")
 
 
 def test_an_answer_that_never_ends_is_cut_off(tmp_path: Path) -> None:
@@ -547,8 +550,10 @@
         )
         before = len(program.lines)
         line = program.reload(settings=changed)
-        assert "event=reload.refused" in line and "settings.requestClasses" in line
-        assert len(program.logged("reload.")) == 1 and len(program.lines) == before + 1
+        assert "event=reload.refused" in line
+        assert "settings.requestClasses" in line
+        assert len(program.logged("reload.")) == 1
+        assert len(program.lines) == before + 1
         call.reset()  # had `release` become idempotent, this would be sent again
         assert answer(asks).startswith(b"HTTP/1.1 500 ")
         assert not _asked(desk)
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -287,7 +287,7 @@
     assert new.sent[-1].worker.decode() in holders
 
 
-@pytest.mark.parametrize("name, worker", [("job_at_worker.json", b"w2"), ("job_waiting.json", None)])
+@pytest.mark.parametrize(("name", "worker"), [("job_at_worker.json", b"w2"), ("job_waiting.json", None)])
 def test_a_recorded_job_goes_on_where_it_stood(name: str, worker: bytes | None) -> None:
     desk = new_dispatcher(experienced_dispatcher())
     desk.clock.offset = 260.0  # another one than the process had that wrote it
--- a/tests/dispatcher/test_rules.py
+++ b/tests/dispatcher/test_rules.py
@@ -177,8 +177,10 @@
 def test_rules_one_to_three_hold(seed: int, second: bool, start: bool) -> None:
     judge = Judge(settings(second, start))
     play(seed, judge, Dispatcher(judge.s, seed, judge))
-    assert judge.broken == [] and judge.late() == []
-    assert len(judge.requests) > 100 and len(judge.sends) > 20
+    assert judge.broken == []
+    assert judge.late() == []
+    assert len(judge.requests) > 100
+    assert len(judge.sends) > 20
 
 
 PLANTS = {
--- a/tests/dispatcher/test_simulator_protocol.py
+++ b/tests/dispatcher/test_simulator_protocol.py
@@ -53,7 +53,8 @@
 
 def test_an_empty_batch_has_the_empty_reply() -> None:
     now, events = wire.decode(bytes.fromhex("508d976e12d3204000000000"))
-    assert list(events) == [] and 8.4 < now < 8.5
+    assert list(events) == []
+    assert 8.4 < now < 8.5
     assert wire.encode_reply([]) == bytes.fromhex("0400000000000000")
 
 
@@ -82,7 +83,9 @@
         [1, 2],
     )
     assert (got[1].started, got[1].share, got[1].worker) == (False, 0.5, WORKER)
-    assert got[2] == (77, 1) and got[3][:2] == (WORKER, Status.OK) and got[4] == (1, b"hi")
+    assert got[2] == (77, 1)
+    assert got[3][:2] == (WORKER, Status.OK)
+    assert got[4] == (1, b"hi")
     assert got[5:] == [9, None]
 
 
@@ -124,7 +127,8 @@
 ) -> None:
     sink = io.BytesIO()
     assert serve(io.BytesIO(struct.pack("<I", len(bad)) + bad), sink) == 1
-    assert sink.getvalue() == b"" and "larchgw:" in capsys.readouterr().err
+    assert sink.getvalue() == b""
+    assert "larchgw:" in capsys.readouterr().err
 
 
 def test_end_of_input_is_a_clean_exit() -> None:
@@ -133,7 +137,9 @@
     done = subprocess.run(host, input=b"", cwd=root, capture_output=True)
     assert (done.returncode, done.stdout) == (0, b"")
     cut = subprocess.run(host, input=b"\x10", cwd=root, capture_output=True)
-    assert cut.returncode == 1 and cut.stdout == b"" and cut.stderr
+    assert cut.returncode == 1
+    assert cut.stdout == b""
+    assert cut.stderr
 
 
 def test_our_own_fault_is_said_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -99,7 +99,7 @@
     owner.on_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-@pytest.mark.parametrize("pushed, silent", [(True, 1), (True, 2), (True, 3), (False, 1)])
+@pytest.mark.parametrize(("pushed", "silent"), [(True, 1), (True, 2), (True, 3), (False, 1)])
 @pytest.mark.parametrize("seed", range(5))
 def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told(
     monkeypatch: pytest.MonkeyPatch, pushed: bool, silent: int, seed: int
@@ -235,7 +235,8 @@
         handler.hold = True
         send(sock, b"GET /2 HTTP/1.1\r\n\r\n")
         server.resize(1, 1 << 20)
-        assert second.recv(4096) == b"" and len(server.connections) == 1
+        assert second.recv(4096) == b""
+        assert len(server.connections) == 1
         handler.held[0].reply(200, b"made /2")
         assert sock.recv(4096).endswith(b"made /2")
 
--- a/tests/dispatcher/test_worker_answer.py
+++ b/tests/dispatcher/test_worker_answer.py
@@ -54,7 +54,7 @@
 
 
 def feed(answer: AnswerReader, data: bytes, piece: int) -> bool:
-    return all([answer.feed(data[start : start + piece]) for start in range(0, len(data), piece)])
+    return all(answer.feed(data[start : start + piece]) for start in range(0, len(data), piece))
 
 
 @pytest.mark.parametrize("piece", [1, 3, 64, 10_000])
@@ -74,7 +74,8 @@
     answer.expect(b"j")
     assert (answer.busy, answer.ending, answer.result, answer.report, answer.came) == (True, None, b"", (), 0)
     assert feed(answer, whole(503, more=b"X-Not-Run: 1\r\n"), piece)
-    assert answer.ending is ConnectionOutcome.TURNED_AWAY and not answer.busy
+    assert answer.ending is ConnectionOutcome.TURNED_AWAY
+    assert not answer.busy
 
 
 @pytest.mark.parametrize(
@@ -102,14 +103,16 @@
 def test_each_end_of_an_answer_has_its_outcome(data: bytes, ending: ConnectionOutcome, piece: int) -> None:
     answer, _ = reader()
     answer.expect(b"j")
-    assert feed(answer, data, piece) and answer.ending is ending
+    assert feed(answer, data, piece)
+    assert answer.ending is ending
 
 
 def test_what_follows_the_line_that_ended_a_job_changes_nothing() -> None:
     answer, told = reader()
     answer.expect(b"j")
     assert answer.feed(chunked(line("done", result="first"), line("failed"), last=b""))
-    assert answer.busy and answer.ending is ConnectionOutcome.DONE
+    assert answer.busy
+    assert answer.ending is ConnectionOutcome.DONE
     answer.disregard()
     assert answer.feed(b"%x\r\n%b\r\n0\r\n\r\n" % (len(line("started")), line("started")))
     assert (answer.busy, answer.ending, answer.result, told.signs) == (
@@ -151,15 +154,18 @@
 ) -> None:
     answer, told = reader()
     answer.expect(None)
-    assert answer.feed(data) and (answer.ending, answer.report, told.signs) == (ending, report, [])
+    assert answer.feed(data)
+    assert (answer.ending, answer.report, told.signs) == (ending, report, [])
 
 
 def test_an_answer_is_kept_as_it_came_only_while_it_is_short() -> None:
     answer, _ = reader()
     answer.expect(b"j")
     data = chunked(line("started", pad="x" * MAX_RAW), last=b"")
-    assert answer.feed(data[:100]) and answer.raw == data[:100]
-    assert answer.feed(data[100:]) and answer.came == len(data) > MAX_RAW > len(answer.raw)
+    assert answer.feed(data[:100])
+    assert answer.raw == data[:100]
+    assert answer.feed(data[100:])
+    assert answer.came == len(data) > MAX_RAW > len(answer.raw)
 
 
 def test_a_connection_is_trusted_for_less_after_one_that_stood_as_long_was_dead_and_regains_it() -> None:
--- a/tests/dispatcher/test_worker_selection.py
+++ b/tests/dispatcher/test_worker_selection.py
@@ -124,7 +124,8 @@
     assert rig.d.may_begin(sent + 1.46, job, 0)  # the first is no repeat
     rig.drain(rig.where(job))
     assert not rig.d.may_begin(sent + 1.0, job, 1)
-    assert not rig.d.may_begin(sent + 1.0, job, 2) and not rig.d.may_begin(sent + 1.0, job + 1, 0)
+    assert not rig.d.may_begin(sent + 1.0, job, 2)
+    assert not rig.d.may_begin(sent + 1.0, job + 1, 0)
 
 
 def test_what_never_ran_opens_no_window() -> None:
@@ -134,10 +135,11 @@
     rig.wait(1.0)
     rig.end(job, Status.FULL)
     rig.wait(1.0)
-    assert len(rig.actions.sends[job]) == 3 and rig.d.may_begin(rig.now, job, 2)
+    assert len(rig.actions.sends[job]) == 3
+    assert rig.d.may_begin(rig.now, job, 2)
 
 
-@pytest.mark.parametrize("workers, cancelled", [(1, 0), (2, 1)])
+@pytest.mark.parametrize(("workers", "cancelled"), [(1, 0), (2, 1)])
 def test_an_attempt_at_a_silent_worker_is_cancelled_only_where_another_can_follow(
     workers: int, cancelled: int
 ) -> None:
--- a/tests/dispatcher/test_wsgi.py
+++ b/tests/dispatcher/test_wsgi.py
@@ -45,14 +45,16 @@
     assert client.post("/jobs/release", headers={"X-Deadline-Ms": "soon"}).status_code == 400
     assert client.post("/jobs/release", data=b"x" * 65537).status_code == 413
     runner.how = "cut"
-    assert client.post("/jobs/release", data=b"cut").status_code == 500 and runner.runs[b"cut"] == 1
+    assert client.post("/jobs/release", data=b"cut").status_code == 500
+    assert runner.runs[b"cut"] == 1
 
 
 def test_a_refusal_carries_retry_after(parts: tuple[Flask, EmbeddedDispatcher, Runner]) -> None:
     app, _, runner = parts
     runner.how = "full"
     answer = app.test_client().post("/jobs/release", data=b"art", headers={"X-Deadline-Ms": "25000"})
-    assert answer.status_code == 503 and float(answer.headers["Retry-After"]) > 0
+    assert answer.status_code == 503
+    assert float(answer.headers["Retry-After"]) > 0
 
 
 def test_futures_can_be_cancelled_and_stop_answers_what_is_open(
@@ -62,7 +64,8 @@
     runner.how = lambda name: "hang" if name == "left" else "hold"
     left = dispatcher.submit("release", b"1", name="left")
     until(lambda: runner.seen)
-    assert left.cancel() and until(lambda: runner.gave_up) == [True]
+    assert left.cancel()
+    assert until(lambda: runner.gave_up) == [True]
     kept = dispatcher.submit("release", b"2")
     until(lambda: runner.runs[b"2"])
     runner.release.set()
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -42,12 +42,14 @@
         assert (await client.answer()).body == b"early"
         client.ask("/writing/x", "id2")
         call = await runner.call()
-        assert call.id == "id2" and runner.opened == 2
+        assert call.id == "id2"
+        assert runner.opened == 2
         call.answer(b"second")
         assert (await client.answer()).body == b"second"
         runner.reads_on.set()
         await soon(runner.closed.get())
-        assert b"id2" not in runner.late and not runner.late.strip(b"\0")
+        assert b"id2" not in runner.late
+        assert not runner.late.strip(b"\0")
 
 
 @pytest.mark.parametrize("answer", ["none", "head"])
@@ -62,7 +64,8 @@
             await until(lambda: made.selection.heads)
         call.reset()
         reply = await client.answer()
-        assert reply.status == 502 and "retry-after" not in reply.fields
+        assert reply.status == 502
+        assert "retry-after" not in reply.fields
         assert second.unread == 0
         assert made.selection.outcomes == [AttemptOutcome.CUT if answer == "head" else AttemptOutcome.RESET]
 
@@ -104,7 +107,8 @@
         client.ask("/writing/x", "id2")
         (await first.call()).answer(b"second")
         assert (await client.answer()).body == b"second"
-        assert made.selection.outcomes == [AttemptOutcome.DONE, AttemptOutcome.DONE] and first.opened == 2
+        assert made.selection.outcomes == [AttemptOutcome.DONE, AttemptOutcome.DONE]
+        assert first.opened == 2
 
 
 @on_loop
@@ -122,7 +126,8 @@
         assert (await client.answer()).status == 200
         client.ask("/writing/x", "id2")
         (await runner.call()).answer()
-        assert (await client.answer()).status == 200 and runner.opened == 2
+        assert (await client.answer()).status == 200
+        assert runner.opened == 2
 
 
 @on_loop
@@ -224,7 +229,8 @@
             assert not (await client.ended()).endswith(b"0\r\n\r\n")
         else:
             assert (await client.answer()).status == 502
-        assert second.unread == 0 and made.selection.outcomes == [AttemptOutcome.CUT]
+        assert second.unread == 0
+        assert made.selection.outcomes == [AttemptOutcome.CUT]
 
 
 @on_loop
@@ -256,8 +262,11 @@
         assert (await client.head())[0] == 200
         call.close()
         body = await client.ended()
-        assert event(1) in body and event(2)[:6] not in body and not body.endswith(b"0\r\n\r\n")
-        assert second.unread == 0 and made.selection.outcomes == [AttemptOutcome.GARBLED]
+        assert event(1) in body
+        assert event(2)[:6] not in body
+        assert not body.endswith(b"0\r\n\r\n")
+        assert second.unread == 0
+        assert made.selection.outcomes == [AttemptOutcome.GARBLED]
 
 
 # Bytes that stand where the rest of an answer is due
@@ -277,16 +286,19 @@
         if not whole:
             call.chunk(event(2)[:6])
         call.answer(b"surplus")
-        assert (await client.head())[0] == 200 and await client.chunk() == event(1)
+        assert (await client.head())[0] == 200
+        assert await client.chunk() == event(1)
         if path == "/once/x":
-            assert b"0\r\n\r\n" not in await client.ended() and second.unread == 0
+            assert b"0\r\n\r\n" not in await client.ended()
+            assert second.unread == 0
         else:
             call = await second.call()
             assert call.headers["last-event-id"] == "1"
             call.stream()
             call.events(2)
             call.end()
-            assert await client.chunk() == event(2) and await client.chunk() == b""
+            assert await client.chunk() == event(2)
+            assert await client.chunk() == b""
         assert made.selection.outcomes[0] is AttemptOutcome.GARBLED
 
 
@@ -301,11 +313,13 @@
         call.end()
         call.events(2)
         assert (await client.head())[0] == 200
-        assert await client.chunk() == event(1) and await client.chunk() == b""
+        assert await client.chunk() == event(1)
+        assert await client.chunk() == b""
         client.ask("/streaming/x", "id2")
         call = await runner.call()
         assert runner.opened == 2
         call.stream()
         call.events(7)
         call.end()
-        assert (await client.head())[0] == 200 and await client.chunk() == event(7)
+        assert (await client.head())[0] == 200
+        assert await client.chunk() == event(7)
--- a/tests/edge/test_connections.py
+++ b/tests/edge/test_connections.py
@@ -85,7 +85,8 @@
         calls = [await runner.call() for _ in range(most)]
         late = await made.ask("/writing/x", name="late")
         answer = await late.answer()
-        assert answer.status == 503 and runner.opened == most
+        assert answer.status == 503
+        assert runner.opened == most
         assert made.selection.outcomes == [AttemptOutcome.UNSENT]
         for call in calls:
             call.answer()
@@ -165,7 +166,8 @@
         assert (await client.head())[0] == 200
         call.close()
         body = await client.ended()
-        assert not body.endswith(b"0\r\n\r\n") and len(body) < 300_000
+        assert not body.endswith(b"0\r\n\r\n")
+        assert len(body) < 300_000
         assert second.unread == 0
 
 
@@ -211,7 +213,8 @@
         assert (call.id, call.body) == ("outer", inner)
         call.answer()
         assert (await client.answer()).status == 200
-        assert len(made.selection.sends) == 1 and runner.unread == 0
+        assert len(made.selection.sends) == 1
+        assert runner.unread == 0
 
 
 @on_loop
@@ -272,14 +275,16 @@
         client = await made.ask(X_Model="m1")
         (await runner.call()).answer()
         assert (await client.answer()).status == 200
-        assert made.selection.asked[0][0].model == "" and made.proxy.demand() == []
+        assert made.selection.asked[0][0].model == ""
+        assert made.proxy.demand() == []
 
 
 @on_loop
 async def test_without_a_configuration_clients_are_told_when_to_come_back() -> None:
     async with edge(configured=False) as made:
         answer = await (await made.ask()).answer()
-        assert answer.status == 503 and float(answer.fields["retry-after"]) > 0
+        assert answer.status == 503
+        assert float(answer.fields["retry-after"]) > 0
 
 
 @on_loop
--- a/tests/edge/test_fuzz.py
+++ b/tests/edge/test_fuzz.py
@@ -84,7 +84,8 @@
                 answer = await client.answer()
                 assert (answer.status, answer.body) == (200, id.encode()), (chunked, cut)
             bodies = {call.body for call in seen.calls}
-            assert bodies == {b"ask"} and len(seen.calls) == length - 1
+            assert bodies == {b"ask"}
+            assert len(seen.calls) == length - 1
             seen.calls.clear()
 
 
@@ -176,7 +177,8 @@
                 assert call.line.split(" ")[1].encode() in data + request("victim"), data
                 assert [name for name, _ in call.fields].count("x-attempt-id") == 1, data
         client = await made.ask("/writing/x", "after")
-        assert (await client.answer()).status == 200 and made.proxy.open_count == 0
+        assert (await client.answer()).status == 200
+        assert made.proxy.open_count == 0
 
 
 SMUGGLED = request("inner", b"", "/writing/smuggled")
--- a/tests/edge/test_parsers.py
+++ b/tests/edge/test_parsers.py
@@ -100,7 +100,8 @@
         self.head = head
 
     def on_body(self, data: bytes) -> None:
-        assert self.head is not None and not self.ends
+        assert self.head is not None
+        assert not self.ends
         self.body += data
 
     def on_answer_end(self) -> None:
@@ -177,7 +178,8 @@
         carried, pool = carry([answer[:size]], ending)
         assert carried.ends in ([AttemptOutcome.RESET], [AttemptOutcome.CUT]), size
         assert (carried.ends == [AttemptOutcome.CUT]) == (carried.head is not None)
-        assert b"hello".startswith(carried.body) and pool.free == 0
+        assert b"hello".startswith(carried.body)
+        assert pool.free == 0
 
 
 @pytest.mark.parametrize("answer", ANSWERS)
@@ -185,7 +187,8 @@
     for size in range(len(answer) + 1):
         carried, pool = carry([answer[:size], answer[size:]], None)
         assert (carried.ends, carried.body) == (["whole"], b"hello"), size
-        assert carried.head is not None and carried.head.status == 200
+        assert carried.head is not None
+        assert carried.head.status == 200
         assert pool.free == (not answer.startswith(STRANGER))
 
 
@@ -203,7 +206,8 @@
     connection.connecting = False
     link.begin(Slow(), head_only=False)
     link.on_data(ANSWERS[0])
-    assert pool.free == 1 and heard[-2:] == [0, READ]
+    assert pool.free == 1
+    assert heard[-2:] == [0, READ]
     link.close()
 
 
@@ -211,7 +215,8 @@
 def test_bytes_at_random_are_never_an_answer(data: bytes) -> None:
     carried, pool = carry([data], ConnectionOutcome.CLOSED)
     assert carried.ends in ([AttemptOutcome.RESET], [AttemptOutcome.GARBLED])
-    assert pool.free == 0 and pool.over
+    assert pool.free == 0
+    assert pool.over
 
 
 @given(st.integers(0, 200), st.binary(min_size=1, max_size=60))
@@ -250,7 +255,8 @@
     assert model_of(headers) == ("daka510000", "a3")
     assert tokens_of(headers) == (1460, 80)
     assert [(part.id, part.tokens) for part in parts_of(headers)] == [("5c1e07a2", 800), ("91bd3f06", 410)]
-    assert time_left(headers, 5.0) == 2.5 and time_left(headers, 1.0) == 1.0
+    assert time_left(headers, 5.0) == 2.5
+    assert time_left(headers, 1.0) == 1.0
     for wrong in (b"", b"x", b"nan", b"-5"):
         assert 0.0 <= time_left({b"x-time-left-ms": wrong}, 5.0) <= 5.0
     assert (model_of({}), tokens_of({b"x-token-count": b"x"}), parts_of({})) == (("", ""), (0, 0), ())
@@ -260,12 +266,15 @@
     keep = KeepAliveLimit()
     assert keep.limit_s(0.0, idempotent=False) < keep.limit_s(0.0) < 10.0
     keep.observe_advertised(5.0)
-    assert keep.limit_s(0.0) == 4.0 and keep.limit_s(0.0, idempotent=False) == 2.0
+    assert keep.limit_s(0.0) == 4.0
+    assert keep.limit_s(0.0, idempotent=False) == 2.0
     keep.observe_idle_close(50.0, idle_s=2.0)  # it has told its time: this one ended for another reason
     assert keep.limit_s(50.0) == 4.0
     keep.observe_stale(100.0, idle_s=3.0)
-    assert keep.limit_s(100.0) == 0.8 * 1.5 and keep.limit_s(100.0, idempotent=False) == 0.4 * 1.5
-    assert keep.limit_s(105.0) == 0.8 * 3.0 and keep.limit_s(200.0) == 4.0
+    assert keep.limit_s(100.0) == 0.8 * 1.5
+    assert keep.limit_s(100.0, idempotent=False) == 0.4 * 1.5
+    assert keep.limit_s(105.0) == 0.8 * 3.0
+    assert keep.limit_s(200.0) == 4.0
 
 
 def test_runners_that_tell_no_time_are_known_by_the_connections_that_they_close() -> None:
--- a/tests/edge/test_partitioned_control.py
+++ b/tests/edge/test_partitioned_control.py
@@ -120,4 +120,5 @@
         assert await system.get(system.ready, "/ready") == 200
         assert await system.get(system.front, "/nowhere") == NO_ROUTE
         held = system.edge.registry.get(CONFIGURATION_KEY)
-        assert held is not None and held.major == 3
+        assert held is not None
+        assert held.major == 3
--- a/tests/edge/test_request_limits.py
+++ b/tests/edge/test_request_limits.py
@@ -68,7 +68,8 @@
         call.stream()
         call.events(2)
         call.end()
-        assert await client.chunk() and await client.chunk()
+        assert await client.chunk()
+        assert await client.chunk()
 
 
 @on_loop
@@ -100,7 +101,8 @@
         made.move(2.0)
         client.writer.write(b"later")
         call = await runner.call()
-        assert call.body == b"firstlater" and 1500 < left(call.headers) <= 2000
+        assert call.body == b"firstlater"
+        assert 1500 < left(call.headers) <= 2000
         made.move(1.99)
         assert (await client.answer()).status == 504
 
@@ -117,7 +119,8 @@
         made.move(3.0)
         first.answer()
         call = await runner.call()
-        assert call.id == "id2" and 500 < left(call.headers) <= 1000
+        assert call.id == "id2"
+        assert 500 < left(call.headers) <= 1000
         call.answer()
         assert [(await client.answer()).status for _ in range(3)] == [200, 200, 503]
         assert runner.unread == 0
@@ -137,7 +140,8 @@
         await until(lambda: made.proxy.open_count == 0)
         made.proxy.runners_changed()
         made.move(1.0)
-        assert made.selection.sends == [] and runner.unread == 0
+        assert made.selection.sends == []
+        assert runner.unread == 0
 
 
 @on_loop
@@ -151,7 +155,8 @@
         client.close()
         await soon(runner.closed.get())
         await until(lambda: made.proxy.open_count == 0)
-        assert len(made.selection.sends) == 1 and runner.unread == 0
+        assert len(made.selection.sends) == 1
+        assert runner.unread == 0
 
 
 @pytest.mark.parametrize("path", ["/read_only/x", "/writing/x", "/streaming/x", "/once/x"])
@@ -274,7 +279,8 @@
         made.records["i-2"] = dataclasses.replace(record, id=RunnerId("i-2"))
         client.ask(name="id2")
         call = await runner.call()
-        assert call.headers["x-target-runner"] == "i-2" and runner.opened == 2
+        assert call.headers["x-target-runner"] == "i-2"
+        assert runner.opened == 2
         call.answer()
         assert (await client.answer()).status == 200
 
@@ -312,7 +318,8 @@
         assert (await resting.answer()).status == 503
         calls["b"].answer(b"served on")
         assert (await running.answer()).body == b"served on"
-        assert runner.unread == 0 and runner.opened == 2
+        assert runner.unread == 0
+        assert runner.opened == 2
 
 
 @on_loop
@@ -327,4 +334,5 @@
         client = await made.ask("/writing/x")
         (await second.call()).answer(b"second")
         assert (await client.answer()).body == b"second"
-        assert first.unread == 0 and made.selection.outcomes[0] is AttemptOutcome.UNSENT
+        assert first.unread == 0
+        assert made.selection.outcomes[0] is AttemptOutcome.UNSENT
--- a/tests/edge/test_requests.py
+++ b/tests/edge/test_requests.py
@@ -39,16 +39,22 @@
             X_Target_Runner="forged",
         )
         call = await runner.call()
-        assert call.line == "POST /read_only/a?b=1 HTTP/1.1" and call.body == b"body"
-        assert call.id == "id7" and call.headers["x-target-runner"] == "i-1"
-        assert call.headers["x-extra"] == "kept" and "x-hop" not in call.headers
+        assert call.line == "POST /read_only/a?b=1 HTTP/1.1"
+        assert call.body == b"body"
+        assert call.id == "id7"
+        assert call.headers["x-target-runner"] == "i-1"
+        assert call.headers["x-extra"] == "kept"
+        assert "x-hop" not in call.headers
         assert [name for name, _ in call.fields].count("x-target-runner") == 1
-        assert 0 < int(call.headers["x-time-left-ms"]) <= 4000 and call.headers["priority"] == "3"
+        assert 0 < int(call.headers["x-time-left-ms"]) <= 4000
+        assert call.headers["priority"] == "3"
         call.answer(b"served", "200 Fine", Versions="4", Keep_Alive="timeout=5", X_Runner_Load="3, 1,8")
         answer = await client.answer()
         assert (answer.status, answer.body, answer.whole) == (200, b"served", True)
-        assert answer.fields["x-server-seal"] == SEAL and answer.fields["versions"] == "4"
-        assert answer.fields["x-attempt-id"] == "id7" and "keep-alive" not in answer.fields
+        assert answer.fields["x-server-seal"] == SEAL
+        assert answer.fields["versions"] == "4"
+        assert answer.fields["x-attempt-id"] == "id7"
+        assert "keep-alive" not in answer.fields
         assert made.selection.outcomes == [AttemptOutcome.DONE]
         assert made.selection.loads == [("i-1", 3, 1, 8)]
 
@@ -72,7 +78,8 @@
         client = await made.ask(body=b"", Transfer_Encoding="chunked")
         client.writer.write(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
         call = await runner.call()
-        assert call.body == b"abcde" and "transfer-encoding" not in call.headers
+        assert call.body == b"abcde"
+        assert "transfer-encoding" not in call.headers
         call.answer()
         assert (await client.answer()).status == 200
 
@@ -148,7 +155,7 @@
 
 
 @pytest.mark.parametrize(
-    "status,outcome",
+    ("status", "outcome"),
     [
         ("503 Full", AttemptOutcome.FULL),
         ("429 Full", AttemptOutcome.FULL),
@@ -162,7 +169,8 @@
         client = await made.ask("/writing/x")
         (await first.call()).turn_away(status)
         call = await second.call()
-        assert call.headers["x-target-runner"] == "i-2" and call.id == "id1"
+        assert call.headers["x-target-runner"] == "i-2"
+        assert call.id == "id1"
         call.answer(b"second")
         assert (await client.answer()).body == b"second"
         assert made.selection.outcomes == [outcome, AttemptOutcome.DONE]
@@ -177,9 +185,11 @@
         client = await made.ask("/writing/x", X_Time_Left_Ms="1500")
         (await first.call()).turn_away(Retry_After="9")
         answer = await client.answer()
-        assert answer.status == 503 and "x-server-seal" not in answer.fields
+        assert answer.status == 503
+        assert "x-server-seal" not in answer.fields
         assert 0 < float(answer.fields["retry-after"]) <= 0.5
-        assert len(made.selection.sends) == 1 and second.unread == 0
+        assert len(made.selection.sends) == 1
+        assert second.unread == 0
 
 
 @on_loop
@@ -220,7 +230,8 @@
         client = await made.ask("/writing/x")
         (await first.call()).answer(b"busy", "503 Busy")
         answer = await client.answer()
-        assert answer.status == 502 and "x-server-seal" not in answer.fields
+        assert answer.status == 502
+        assert "x-server-seal" not in answer.fields
         assert second.unread == 0
 
 
@@ -234,8 +245,10 @@
         client = await made.ask("/writing/x")
         (await first.call()).reset()
         answer = await client.answer()
-        assert answer.status == 502 and "retry-after" not in answer.fields
-        assert second.unread == 0 and made.selection.outcomes == [AttemptOutcome.RESET]
+        assert answer.status == 502
+        assert "retry-after" not in answer.fields
+        assert second.unread == 0
+        assert made.selection.outcomes == [AttemptOutcome.RESET]
         client = await made.ask("/read_only/x")
         (await first.call()).reset()
         (await second.call()).answer(b"second")
@@ -322,7 +335,7 @@
 
 
 @pytest.mark.parametrize(
-    "path,told", [("/writing/x", "1000"), ("/read_only/x", "1000"), ("/writing/x", "900000")]
+    ("path", "told"), [("/writing/x", "1000"), ("/read_only/x", "1000"), ("/writing/x", "900000")]
 )
 @on_loop
 async def test_at_the_deadline_what_was_sent_gets_504_and_its_runner_may_stop(path: str, told: str) -> None:
@@ -348,7 +361,8 @@
         await until(lambda: made.proxy.open_count)
         made.move(0.99)
         answer = await client.answer()
-        assert answer.status == 503 and float(answer.fields["retry-after"]) <= 0.01
+        assert answer.status == 503
+        assert float(answer.fields["retry-after"]) <= 0.01
         assert made.selection.sends == []
 
 
@@ -357,7 +371,8 @@
     async with edge(clock=FakeClock()) as made:
         made.selection.script = [Reject(0.4, "holders_full")]
         answer = await (await made.ask(X_Time_Left_Ms="3000")).answer()
-        assert answer.status == 503 and 0.4 <= float(answer.fields["retry-after"]) <= 0.5
+        assert answer.status == 503
+        assert 0.4 <= float(answer.fields["retry-after"]) <= 0.5
 
 
 @on_loop
@@ -440,7 +455,8 @@
         assert not done
         (calls[0] if calls[0].id == "a" else calls[1]).answer(b"last")
         answer = await client.answer()
-        assert answer.body == b"last" and answer.fields["connection"] == "close"
+        assert answer.body == b"last"
+        assert answer.fields["connection"] == "close"
         client.close()
         resting.close()
         await until(lambda: done)
@@ -458,7 +474,8 @@
         made.proxy.abandon()
         assert (await sent.answer()).status == 502
         answer = await waits.answer()
-        assert answer.status == 503 and float(answer.fields["retry-after"]) > 0
+        assert answer.status == 503
+        assert float(answer.fields["retry-after"]) > 0
         assert made.proxy.open_count == 0
         assert made.selection.outcomes == [AttemptOutcome.CANCELLED]
 
--- a/tests/edge/test_streams.py
+++ b/tests/edge/test_streams.py
@@ -83,7 +83,8 @@
         await call.writer.drain()
         call.reset() if reset else call.close()
         assert await rest(client) == (b"", False)
-        assert second.unread == 0 and made.selection.outcomes == [AttemptOutcome.CUT]
+        assert second.unread == 0
+        assert made.selection.outcomes == [AttemptOutcome.CUT]
 
 
 @on_loop
@@ -97,7 +98,9 @@
         call.chunk(event(3)[:6])
         call.reset()
         call = await second.call()
-        assert call.id == "id9" and call.body == b"ask" and call.headers["x-target-runner"] == "i-2"
+        assert call.id == "id9"
+        assert call.body == b"ask"
+        assert call.headers["x-target-runner"] == "i-2"
         assert [value for name, value in call.fields if name == "last-event-id"] == ["2"]
         assert [value for name, value in call.fields if name == "expect-version"] == ["7"]
         call.stream(Versions="7", X_Server_Seal="another")
@@ -231,7 +234,7 @@
         assert await rest(client) == (b"", False)
 
 
-@pytest.mark.parametrize("left,tries", [(0, 2), (9, 1)])
+@pytest.mark.parametrize(("left", "tries"), [(0, 2), (9, 1)])
 @on_loop
 async def test_without_budget_or_tries_a_cut_stream_is_cut_for_the_client_too(left: int, tries: int) -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
@@ -243,7 +246,8 @@
         await begun(client, call, 1)
         call.reset()
         assert await rest(client) == (b"", False)
-        assert second.unread == 0 and made.budget.repeats == 0
+        assert second.unread == 0
+        assert made.budget.repeats == 0
 
 
 @on_loop
@@ -325,7 +329,8 @@
         made.selection.script = made.selection.script if elsewhere is None else [elsewhere] * 2
         for _ in range(15):
             made.move(0.2)
-        assert made.selection.outcomes == [] and not made.selection.script
+        assert made.selection.outcomes == []
+        assert not made.selection.script
         call.events(2)
         call.end()
         assert await rest(client) == (event(2), True)
@@ -386,7 +391,8 @@
             call.chunk(piece)
         call.end()
         answer = await client.answer()
-        assert answer.whole and answer.body == b"".join(large)
+        assert answer.whole
+        assert answer.body == b"".join(large)
         assert made.proxy.net_counters.registry.get_sample_value("larchgw_edge_cut_total") == 0
 
 
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -92,7 +92,8 @@
 def test_every_dispatcher_has_its_turn_of_a_share_below_one() -> None:
     budget = RetryBudget(TimeLimits(retry_ratio=0.0, retry_window_s=10.0, retry_extra=20.0), Random(5))
     allowed = [budget.may_retry(10.0 * turn, SERVICE, 100) for turn in range(60)]
-    assert any(allowed) and not all(allowed)
+    assert any(allowed)
+    assert not all(allowed)
 
 
 def test_steady_traffic_gets_most_of_the_ratio() -> None:
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -56,7 +56,7 @@
     w = world(runner("a"))
     attempt = w.send_to("a")
     w.end(attempt)
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="ended without being sent"):
         w.end(attempt)
 
 
@@ -107,23 +107,27 @@
     w = world(runner("a"))
     w.end(w.send_to("a"), AttemptOutcome.FULL)
     waiting = w.choose(w.request())
-    assert isinstance(waiting, Wait) and w.now < waiting.until <= w.now + 0.2
+    assert isinstance(waiting, Wait)
+    assert w.now < waiting.until <= w.now + 0.2
     refused = w.choose(w.request(deadline_s=0.06))
-    assert isinstance(refused, Reject) and refused.retry_after > 0
+    assert isinstance(refused, Reject)
+    assert refused.retry_after > 0
 
 
 def test_a_model_under_way_is_waited_for_and_asked_again() -> None:
     w = world(runner("a", "n"))
     w.expected = {"a": w.now + 2.0}
     choice = w.choose(w.request())
-    assert isinstance(choice, Wait) and choice.until <= w.now + 0.2
+    assert isinstance(choice, Wait)
+    assert choice.until <= w.now + 0.2
 
 
 def test_a_load_that_ends_too_late_is_refused_at_once() -> None:
     w = world(runner("a", "n"))
     w.expected = {"a": w.now + 6.0}
     refused = w.choose(w.request(deadline_s=5.0))
-    assert isinstance(refused, Reject) and refused.retry_after <= 5.0 / 3 + 1e-9
+    assert isinstance(refused, Reject)
+    assert refused.retry_after <= 5.0 / 3 + 1e-9
 
 
 def test_a_model_nobody_loads_is_not_held_for_half_of_the_time() -> None:
@@ -292,7 +296,9 @@
     assert w.chosen(w.request()) == "a"  # less than half of 16 slots
     w.send_to("a", w.request(prompt=parts(10_000, 10_000)))
     refused = w.choose(w.request())
-    assert isinstance(refused, Reject) and refused.reason == "overload" and 0 < refused.retry_after <= 5.0 / 3
+    assert isinstance(refused, Reject)
+    assert refused.reason == "overload"
+    assert 0 < refused.retry_after <= 5.0 / 3
 
 
 def test_many_short_requests_are_no_overload() -> None:
--- a/tests/support/system_runners.py
+++ b/tests/support/system_runners.py
@@ -7,7 +7,7 @@
 import random
 import socket
 from collections.abc import AsyncIterator, Callable, Mapping
-from contextlib import asynccontextmanager
+from contextlib import asynccontextmanager, suppress
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -64,10 +64,8 @@
         """The next answer, as far as it comes."""
         async with asyncio.timeout(PATIENCE):
             reply = Reply()
-            try:
+            with suppress(asyncio.IncompleteReadError, ConnectionError, ValueError):
                 await self._read(reply)
-            except (asyncio.IncompleteReadError, ConnectionError, ValueError):
-                pass
             return reply
 
     async def _read(self, reply: Reply) -> None:
--- a/tests/support/test_known_red.py
+++ b/tests/support/test_known_red.py
@@ -40,14 +40,18 @@
 
 def test_what_is_listed_is_passed_over_and_printed_and_the_rest_counts(tmp_path: Path) -> None:
     status, told = run(tmp_path, RED, HALF)
-    assert status == 0 and "2 passed" in told and "2 xfailed" in told, told
+    assert status == 0, told
+    assert "2 passed" in told, told
+    assert "2 xfailed" in told, told
     assert "known red: test_x.py::test_red: the reason (issue 7)" in told
     status, told = run(tmp_path, RED)
-    assert status == 1 and "1 failed" in told and "test_half[2]" in told
+    assert status == 1
+    assert "1 failed" in told
+    assert "test_half[2]" in told
 
 
 @pytest.mark.parametrize(
-    "line, says",
+    ("line", "says"),
     [
         ("test_x.py::test_green | it does not fail | issue 7", "XPASS(strict)"),
         ("test_x.py::test_half[1] | it does not fail | issue 7", "XPASS(strict)"),
@@ -61,20 +65,24 @@
 )
 def test_a_line_that_should_not_be_there_fails_the_run(tmp_path: Path, line: str, says: str) -> None:
     status, told = run(tmp_path, RED, HALF, line)
-    assert status != 0 and says in told, told
+    assert status != 0, told
+    assert says in told, told
 
 
 def test_a_fourth_line_fails_the_run(tmp_path: Path) -> None:
     more = [f"test_x.py::test_more{n} | of many | issue 7" for n in range(2)]
     status, told = run(tmp_path, RED, HALF, *more)
-    assert status != 0 and f"{FILE}:4: 3 lines at most" in told, told
+    assert status != 0, told
+    assert f"{FILE}:4: 3 lines at most" in told, told
 
 
 def test_a_run_of_some_tests_does_not_miss_the_others(tmp_path: Path) -> None:
     status, told = run(tmp_path, RED, HALF, args=("-k", "green"))
-    assert status == 0 and "1 passed" in told, told
+    assert status == 0, told
+    assert "1 passed" in told, told
 
 
 def test_without_the_file_nothing_is_passed_over(tmp_path: Path) -> None:
     status, told = run(tmp_path)
-    assert status == 1 and "2 failed" in told, told
+    assert status == 1, told
+    assert "2 failed" in told, told
