--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -43,11 +43,16 @@
     ) -> None:
         """Begins to act as primary.
 
-        Args: member_id: The identity of this member. view: The view that was accepted. replica: The log.
-            outbound: Takes the messages. settings: Copies needed, and time-outs. now: Seconds of the member's
-            clock. predecessor: The view that this member led before, if it stays primary. leaving: Who asked
-            to be left out before a planned end: such a member did nothing wrong, and may come back as soon as
-            it likes.
+        Args:
+            member_id: The identity of this member.
+            view: The view that was accepted.
+            replica: The log.
+            outbound: Takes the messages.
+            settings: Copies needed, and time-outs.
+            now: Seconds of the member's clock.
+            predecessor: The view that this member led before, if it stays primary.
+            leaving: Who asked to be left out before a planned end: such a member did nothing wrong, and may
+                come back as soon as it likes.
         """
         self.view = view
         self._member_id = member_id
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -68,9 +68,12 @@
     ) -> None:
         """Reads the disk; a member without an identity is given one.
 
-        Args: settings: Settings of the member. ports: Its durable storage. snapshot: Gives the caller's state
-            as of the last record that an Effects has handed to it; asked at the beginning of a tick, when all
-            Effects returned before must have been carried out. random_source: Staggers candidates.
+        Args:
+            settings: Settings of the member.
+            ports: Its durable storage.
+            snapshot: Gives the caller's state as of the last record that an Effects has handed to it; asked
+                at the beginning of a tick, when all Effects returned before must have been carried out.
+            random_source: Staggers candidates.
 
         Raises:
             OSError: The disk refuses the first identity.
--- a/larchgw/replication/replica.py
+++ b/larchgw/replication/replica.py
@@ -128,7 +128,8 @@
         They fit if the record at `previous_index` is there with `previous_epoch`: then, by induction,
         everything up to it is the primary's too.
 
-        Returns: Whether they fit, and the index up to which the log is the primary's; if they do not fit, the
+        Returns:
+            Whether they fit, and the index up to which the log is the primary's; if they do not fit, the
             index from which to try again.
         """
         if previous_index > self.last_index:
