--- a/larchgw/edge/answer_parser.py
+++ b/larchgw/edge/answer_parser.py
@@ -79,6 +79,8 @@
 
     def take_body(self) -> bytes:
         """Returns the bytes of the body that came since the last call."""
+        if not self._body:
+            return b""
         body, self._body = b"".join(self._body), []
         return body
 
--- a/larchgw/experiments/mass.py
+++ b/larchgw/experiments/mass.py
@@ -7,17 +7,15 @@
 
 from __future__ import annotations
 
-import logging
 import random
 from dataclasses import dataclass
 from statistics import median
 from typing import Any
 
-import structlog
-
 from ..emulator.fleet import Fault, FleetSpec, capacity, draw
 from ..emulator.load import CLASSES, LoadSpec, work_of
 from ..emulator.virtual import Scenario, World, summary
+from ..runtime.logs import muted
 from .results import Options, Result, spread, spread_out
 
 DISPATCHERS, BOXES, ZONES = 200, 114, 6
@@ -106,9 +104,9 @@
     )
 
 
+@muted()
 def play(day: Day) -> dict[str, Any]:
     """Figures of one run, and the rules that it broke."""
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     world = World(scenario_of(day), day.seed)
     world.run()
     figures = summary(world)
--- a/larchgw/experiments/room.py
+++ b/larchgw/experiments/room.py
@@ -2,19 +2,17 @@
 
 from __future__ import annotations
 
-import logging
 from dataclasses import dataclass, replace
 from statistics import median
 from typing import Any
 
-import structlog
-
 from ..dispatcher.capacity import Planner, Room, RoomSettings
 from ..dispatcher.scheduling.interface import Settings
 from ..emulator.box import Order
 from ..emulator.fleet import FleetSpec, capacity, draw
 from ..emulator.load import CLASSES, RELEASE, ClassSpec, LoadSpec, work_of
 from ..emulator.virtual import Scenario, World, no_room, summary
+from ..runtime.logs import muted
 from .results import Options, Result, spread, spread_out
 
 LOADS = (0.7, 0.9, 1.0, 1.2)
@@ -50,9 +48,9 @@
     )
 
 
+@muted()
 def play(run: Run) -> dict[str, Any]:
     """Figures of one run, the rules that it broke, and what the planners did."""
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     config = run.room
 
     def make(settings: Settings) -> Room:
