--- a/tests/test_replication_lease.py
+++ b/tests/test_replication_lease.py
@@ -88,6 +88,7 @@
 
 # ---- with whole members ----
 
+
 def started() -> World:
     world = World(3, 3, 3, 1)
     for address in world.machines:
--- a/tests/test_runner_checkins.py
+++ b/tests/test_runner_checkins.py
@@ -78,6 +78,7 @@
 
     def test_a_drain_and_a_leave_that_no_other_witness_has_are_not_acknowledged(self) -> None:
         """The first moments of a cut, in which this process still counts as in contact."""
+
         async def main() -> None:
             self.assertTrue(await self.checkin())
             for peer in self.peers:
