--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -307,7 +307,7 @@
         now = self._context.now()
         if self._trace is not None:
             self._trace.began(now)
-        self._context.selection.head(now, attempt)
+        self._context.selection.first_byte_received(now, attempt)
 
     def _restart_stream_timeout(self, now: float) -> None:
         if self._stream_timeout is not None:
--- a/larchgw/experiments/route_baselines.py
+++ b/larchgw/experiments/route_baselines.py
@@ -45,7 +45,7 @@
         """See `interface.Selection`."""
         self.table.sent(attempt, 0)
 
-    def head(self, now: float, attempt: Attempt) -> None:
+    def first_byte_received(self, now: float, attempt: Attempt) -> None:
         """See `interface.Selection`."""
         self.table.began(attempt)
 
--- a/larchgw/experiments/route_play.py
+++ b/larchgw/experiments/route_play.py
@@ -197,7 +197,7 @@
         if run.first_at < 0:
             run.first_at = now
             run.dispatcher.selection.observe_load(now, attempt.runner, *engine.load())
-            run.dispatcher.selection.head(now, attempt)
+            run.dispatcher.selection.first_byte_received(now, attempt)
         else:
             run.longest_gap = max(run.longest_gap, now - run.last_at)
         run.last_at = now
--- a/larchgw/routing/interface.py
+++ b/larchgw/routing/interface.py
@@ -131,7 +131,7 @@
     request: RequestTraits
     runner: str
     number: int  # 0 for the first send of this request
-    at: float
+    sent_at: float
 
 
 class Selection(Protocol):
@@ -158,7 +158,7 @@
     def sent(self, attempt: Attempt) -> None:
         """The attempt is on its way; it counts as pending."""
 
-    def head(self, now: float, attempt: Attempt) -> None:
+    def first_byte_received(self, now: float, attempt: Attempt) -> None:
         """The first byte of the answer (a stream: its first event) has come."""
 
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
--- a/larchgw/routing/pending_requests.py
+++ b/larchgw/routing/pending_requests.py
@@ -68,7 +68,7 @@
         counts.total += 1
         counts.tokens += request.prompt_tokens + request.output_tokens
         counts.by_key[request.key] = counts.by_key.get(request.key, 0) + 1
-        counts.unread[request.number, attempt.number] = (unread_tokens, attempt.at)
+        counts.unread[request.number, attempt.number] = (unread_tokens, attempt.sent_at)
         counts.unread_tokens += unread_tokens
         self._services[request.service] = self._services.get(request.service, 0) + 1
         self._unread[request.service] = self._unread.get(request.service, 0) + unread_tokens
--- a/larchgw/routing/selection.py
+++ b/larchgw/routing/selection.py
@@ -122,9 +122,9 @@
         request = attempt.request
         cached = self._prefix_caches.cached_tokens(attempt.runner, self._prefix_ids(request), request.parts)
         self._pending.sent(attempt, max(0, request.prompt_tokens - cached))
-        self._ejection.sent(attempt.at, attempt.runner)
+        self._ejection.sent(attempt.sent_at, attempt.runner)
 
-    def head(self, now: float, attempt: Attempt) -> None:
+    def first_byte_received(self, now: float, attempt: Attempt) -> None:
         """The answer has begun: the prompt is read, and its parts are cached there."""
         request = attempt.request
         self._last_bytes.observe(now, attempt.runner)
@@ -133,7 +133,7 @@
         if unread_tokens is None:
             return
         if unread_tokens == before:
-            self._prefill_rates.observe(request.service, unread_tokens, now - attempt.at)
+            self._prefill_rates.observe(request.service, unread_tokens, now - attempt.sent_at)
         if request.parts:
             self._prefix_caches.add(
                 attempt.runner,
@@ -212,9 +212,9 @@
         counts = self._pending.at(attempt.runner)
         if (attempt.request.number, attempt.number) not in counts.unread:
             return False
-        return self._last_bytes.silent_since(attempt.runner, attempt.at) == attempt.at and self._unresponsive(
-            now, attempt.request, attempt.runner
-        )
+        return self._last_bytes.silent_since(
+            attempt.runner, attempt.sent_at
+        ) == attempt.sent_at and self._unresponsive(now, attempt.request, attempt.runner)
 
     def _choose_holder(
         self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -152,7 +152,7 @@
     w = world(runner("a"), runner("b"), runner("c"))
     prompt = parts(2000, 4000, 500)
     attempt = w.send_to("b", w.request(prompt=prompt))
-    w.selector.head(w.now + 0.2, attempt)
+    w.selector.first_byte_received(w.now + 0.2, attempt)
     w.end(attempt)
     again = (*prompt[:2], *parts(300, name="other"))
     assert {w.chosen(w.request(prompt=again)) for _ in range(10)} == {"b"}
@@ -162,7 +162,7 @@
     w = world(runner("a"), runner("b"))
     prompt = parts(2000, 4000, 500)
     attempt = w.send_to("b", w.request(prompt=prompt))
-    w.selector.head(w.now + 0.2, attempt)
+    w.selector.first_byte_received(w.now + 0.2, attempt)
     w.end(attempt)
     elsewhere = [(*parts(10, name=f"x{n}"), prompt[1], prompt[2]) for n in range(40)]
     assert {w.chosen(w.request(prompt=other)) for other in elsewhere} == {"a", "b"}
@@ -306,7 +306,7 @@
 def test_many_short_requests_are_no_overload() -> None:
     w = world(runner("a"))
     for _ in range(40):
-        w.selector.head(w.now, w.send_to("a"))
+        w.selector.first_byte_received(w.now, w.send_to("a"))
     assert w.chosen(w.request()) == "a"
 
 
--- a/tests/support/edge_stand_ins.py
+++ b/tests/support/edge_stand_ins.py
@@ -121,7 +121,7 @@
     def sent(self, attempt: Attempt) -> None:
         self.sends.append(attempt)
 
-    def head(self, now: float, attempt: Attempt) -> None:
+    def first_byte_received(self, now: float, attempt: Attempt) -> None:
         self.heads.append(attempt)
 
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
