--- a/larchgw/control/order_permits.py
+++ b/larchgw/control/order_permits.py
@@ -8,7 +8,7 @@
 from ..identifiers import RunnerId
 from ..placement.load_rate_limit import LoadHistory
 from ..replication.lease import Lease
-from ..replication.lease_acts import ACT_DELIVERY_S, ACT_WINDOW_S
+from ..replication.lease_actions import ACT_DELIVERY_S, ACT_WINDOW_S
 from ..replication.member import Member
 from .errors import ReplicationUnavailableError
 
@@ -40,7 +40,7 @@
 
     Times are seconds on the clock of the log.
 
-    Source: `replication.lease_acts`; the rule ONE of the rules page.
+    Source: `replication.lease_actions`; the rule ONE of the rules page.
     """
 
     def __init__(self, log: ActAnnouncer) -> None:
--- a/larchgw/model_checking/placement_lease/cluster.py
+++ b/larchgw/model_checking/placement_lease/cluster.py
@@ -20,7 +20,7 @@
 from ...placement.service_runtime import PlacementRuntime
 from ...replication.effects import Effects, PendingCall
 from ...replication.lease import Lease
-from ...replication.lease_acts import ACT_DELIVERY_S
+from ...replication.lease_actions import ACT_DELIVERY_S
 from ...replication.member import Member
 from ..errors import SimulatedCrashError
 from ..replication.cluster import LEASE_TERM_S, SimulatedCluster
--- a/larchgw/model_checking/replication/invariants.py
+++ b/larchgw/model_checking/replication/invariants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...replication.lease_acts import ACT_DELIVERY_S
+from ...replication.lease_actions import ACT_DELIVERY_S
 from ..errors import InvariantError
 
 
--- a/larchgw/model_checking/replication/lease_mistakes.py
+++ b/larchgw/model_checking/replication/lease_mistakes.py
@@ -10,7 +10,7 @@
 from ...replication.effects import PendingCall
 from ...replication.lease import LeaseHolder
 from ...replication.lease_acceptor import LeaseAcceptor
-from ...replication.lease_acts import ACT_WINDOW_S, ActMemory, KnownActs, PredecessorActs
+from ...replication.lease_actions import ACT_WINDOW_S, ActMemory, KnownActs, PredecessorActs
 from ..mutants import Patch, always
 
 KnownTo = Callable[[ActMemory, float, str, float, float], KnownActs]
--- a/larchgw/replication/interface.py
+++ b/larchgw/replication/interface.py
@@ -16,7 +16,7 @@
     follower.Follower         what a member does for a primary
     replica.Replica           durable through a `ports.Journal`: the log of records
     lease_acceptor            durable: the highest fencing token of each lease
-    lease_acts                acts announced under a lease
+    lease_actions             acts announced under a lease
     lease.LeaseHolder         acquires and renews the lease of a singleton role over the witnesses
     effects.Effects           what the caller has to do after each call
 
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -14,7 +14,7 @@
 from ..identifiers import FencingToken
 from .effects import PendingCall
 from .lease_acceptor import GRANT_SHARE
-from .lease_acts import ACT_WINDOW_S, ActAnnouncement, ActHistory, PredecessorActs, separation_s
+from .lease_actions import ACT_WINDOW_S, ActAnnouncement, ActHistory, PredecessorActs, separation_s
 from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .outbound_messages import OutboundMessages
 from .settings import MemberSettings
@@ -113,7 +113,7 @@
     - to NOT_ELECTED: the grant has run out, or the lease is released.
 
     Before each act its target is announced (`announce`), and the act is begun before `act_permitted_until`.
-    A target on which another has acted lately is left alone until `target_free_at`. `lease_acts` says why
+    A target on which another has acted lately is left alone until `target_free_at`. `lease_actions` says why
     acts of two holders on one target are then a term apart. Every act carries the fencing token, so that
     those who receive acts refuse those of an earlier holder, should one arrive late.
 
--- a/larchgw/replication/lease_acceptor.py
+++ b/larchgw/replication/lease_acceptor.py
@@ -1,7 +1,7 @@
 """A witness's side of leases.
 
 Durable: the highest fencing token of each lease and who acted last. In memory: whom it granted to, and until
-when, and which acts were announced to it lately (`lease_acts`).
+when, and which acts were announced to it lately (`lease_actions`).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from math import inf
 from typing import Any
 
-from .lease_acts import ActMemory, separation_s
+from .lease_actions import ActMemory, separation_s
 from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .ports import Cell
 from .view import View
@@ -91,7 +91,7 @@
     """Grants each lease to one holder at a time, and remembers announced acts.
 
     Times are seconds of the member's clock. A grant lasts `GRANT_SHARE` of a term: a holder that is lost is
-    soon succeeded, and the announced acts (`lease_acts`) keep two holders a term apart at each target. A
+    soon succeeded, and the announced acts (`lease_actions`) keep two holders a term apart at each target. A
     holder of an earlier version announces nothing: it may act on anything for a term, and has its grant for
     a whole one.
 
--- a/larchgw/replication/lease_table.py
+++ b/larchgw/replication/lease_table.py
@@ -8,7 +8,7 @@
 from .effects import PendingCall
 from .lease import AnnouncementCalls, Lease, LeaseHolder
 from .lease_acceptor import LeaseAcceptor
-from .lease_acts import ActHistory
+from .lease_actions import ActHistory
 from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .outbound_messages import OutboundMessages
 from .settings import MemberSettings
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -13,7 +13,7 @@
 from .errors import MessageDecodeError, NotPrimaryError
 from .leadership import Leadership
 from .lease import Lease
-from .lease_acts import ActHistory
+from .lease_actions import ActHistory
 from .member_parts import assemble
 from .message_codec import decode
 from .message_router import MessageRouter
--- a/larchgw/replication/message_codec.py
+++ b/larchgw/replication/message_codec.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from .errors import MessageDecodeError
-from .lease_acts import ActAnnouncement, KnownActs
+from .lease_actions import ActAnnouncement, KnownActs
 from .messages import (
     Accept,
     Accepted,
--- a/larchgw/replication/messages.py
+++ b/larchgw/replication/messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .lease_acts import ActAnnouncement, KnownActs
+from .lease_actions import ActAnnouncement, KnownActs
 from .view import View
 
 
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -13,7 +13,7 @@
 from larchgw.model_checking.replication.invariants import InvariantChecker
 from larchgw.model_checking.replication.mutants import MUTANTS
 from larchgw.model_checking.replication.runs import play_faults, play_random_walk
-from larchgw.replication.lease_acts import ACT_DELIVERY_S
+from larchgw.replication.lease_actions import ACT_DELIVERY_S
 
 
 def test_no_interleaving_of_a_few_steps_violates_an_invariant() -> None:
--- a/tests/replication/test_lease.py
+++ b/tests/replication/test_lease.py
@@ -11,7 +11,7 @@
 from larchgw.model_checking.simulated_disk import SimulatedDisk
 from larchgw.replication.lease import Lease
 from larchgw.replication.lease_acceptor import NOBODY, UNKNOWN, LeaseAcceptor
-from larchgw.replication.lease_acts import (
+from larchgw.replication.lease_actions import (
     ACT_DELIVERY_S,
     ACT_WINDOW_S,
     ActAnnouncement,
--- a/tests/replication/test_recorded_bytes.py
+++ b/tests/replication/test_recorded_bytes.py
@@ -16,7 +16,7 @@
 from larchgw.replication import identity
 from larchgw.replication.forced_new_view import plan_forced_view, write_forced_view
 from larchgw.replication.lease_acceptor import LeaseAcceptor
-from larchgw.replication.lease_acts import ActAnnouncement, KnownActs
+from larchgw.replication.lease_actions import ActAnnouncement, KnownActs
 from larchgw.replication.message_codec import decode, encode
 from larchgw.replication.messages import (
     Accept,
