--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -187,7 +187,7 @@
         fresh_identity=f"{address}#{random_source.getrandbits(64):016x}",
         tolerated_failures=settings.survive.computers,
         lease_term_s=settings.time_limits.lease_term_ms / 1000.0,
-        act_memory_s=settings.time_limits.ceiling_window_s + LOAD_MEMORY_MARGIN_S,
+        action_retention_s=settings.time_limits.ceiling_window_s + LOAD_MEMORY_MARGIN_S,
         all_in_sync_vote=settings.survive.zones > 0 or settings.survive.regions > 0,
     )
 
--- a/larchgw/control/latest_view.py
+++ b/larchgw/control/latest_view.py
@@ -48,7 +48,7 @@
         view = self.get()
         if view is None:
             return []
-        addresses = dict.fromkeys(view.addresses[name] for name in view.electors)
+        addresses = dict.fromkeys(view.addresses[name] for name in view.all_witnesses)
         return [address for address in addresses if address != own_address]
 
     def _receive(self, entry: Entry) -> None:
--- a/larchgw/control/majority_contact.py
+++ b/larchgw/control/majority_contact.py
@@ -84,7 +84,7 @@
         was lost is no witness any more, though its address is that of one.
         """
         return view.has_quorum(
-            [name for name in view.electors if name == self._member_id or counts(view.addresses[name])]
+            [name for name in view.all_witnesses if name == self._member_id or counts(view.addresses[name])]
         )
 
     def _is_proven(self, address: str) -> bool:
--- a/larchgw/control/order_permits.py
+++ b/larchgw/control/order_permits.py
@@ -8,7 +8,7 @@
 from ..identifiers import RunnerId
 from ..placement.load_rate_limit import LoadHistory
 from ..replication.lease import Lease
-from ..replication.lease_actions import ACT_DELIVERY_S, ACT_WINDOW_S
+from ..replication.lease_actions import ACTION_DELIVERY_S, ACTION_START_WINDOW_S
 from ..replication.member import Member
 from .errors import ReplicationUnavailableError
 
@@ -74,8 +74,8 @@
 
     def load_history(self) -> LoadHistory:
         """Loads from the weight store that were ordered before this holding of the lease."""
-        history = self._log.member.act_history(PLACER_LEASE)
-        longest_s = ACT_WINDOW_S + ACT_DELIVERY_S
+        history = self._log.member.action_history(PLACER_LEASE)
+        longest_s = ACTION_START_WINDOW_S + ACTION_DELIVERY_S
         begun_by_s = tuple(
             announced_at + longest_s
             for target, announced_at in history.announced_at.items()
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from ..replication.effects import Effects, Outgoing, PendingCall, Role
+from ..replication.effects import Effects, OutgoingMessage, PendingCall, Role
 from ..replication.errors import NotPrimaryError
 from ..replication.lease import Lease
 from ..replication.member import Member
@@ -93,8 +93,8 @@
         await self._call(lambda now: self.member.announce(now, lease_name, targets))
 
     def act_permitted_until(self, lease_name: str, target: str) -> float:
-        """See Member.act_permitted_until; on the clock of this log."""
-        return self.member.act_permitted_until(self._clock(), lease_name, target)
+        """See Member.action_permitted_until; on the clock of this log."""
+        return self.member.action_permitted_until(self._clock(), lease_name, target)
 
     async def wait_until_decided(self) -> None:
         """Returns once no record that was proposed here is undecided.
@@ -177,7 +177,7 @@
         epoch = None if view is None else view.epoch
         log.info("replication.role_changed", role=role.name, view_epoch=epoch)
 
-    def _send(self, outgoing: Outgoing) -> None:
+    def _send(self, outgoing: OutgoingMessage) -> None:
         message = outgoing.message
         sent = PeerMessage(message.sender, message.receiver, message.kind, message.body)
         self._clients.get(outgoing.address).post("deliver", sent)
--- a/larchgw/model_checking/placement_lease/cluster.py
+++ b/larchgw/model_checking/placement_lease/cluster.py
@@ -20,7 +20,7 @@
 from ...placement.service_runtime import PlacementRuntime
 from ...replication.effects import Effects, PendingCall
 from ...replication.lease import Lease
-from ...replication.lease_actions import ACT_DELIVERY_S
+from ...replication.lease_actions import ACTION_DELIVERY_S
 from ...replication.member import Member
 from ..errors import SimulatedCrashError
 from ..replication.cluster import LEASE_TERM_S, SimulatedCluster
@@ -84,7 +84,7 @@
 
     def act_permitted_until(self, lease_name: str, target: str) -> float:
         """See ReplicatedLog."""
-        return self.member.act_permitted_until(self._cluster.clock(self._machine), lease_name, target)
+        return self.member.action_permitted_until(self._cluster.clock(self._machine), lease_name, target)
 
 
 class SimulatedCalls:
@@ -143,7 +143,7 @@
         """Makes a cluster of which nothing runs yet; see SimulatedCluster."""
         super().__init__(seed, machines, seeds, survive)
         self.has_leases = False  # acts are checked at the runners
-        self.act_memory_s = LOAD_WINDOW_S + 1.0
+        self.action_retention_s = LOAD_WINDOW_S + 1.0
         self.configuration = make_configuration()
         self.runners = make_runners(self.configuration)
         self.order_checks = OrderChecker(LEASE_TERM_S, MAX_LOADS, LOAD_WINDOW_S)
@@ -271,9 +271,9 @@
     # ---- orders ----
 
     def send_order(self, machine: Machine, order: Order, fencing_token: int) -> OrderAnswer:
-        """Puts an order on its way; it arrives within `ACT_DELIVERY_S`, whatever becomes of its sender."""
+        """Puts an order on its way; it arrives within `ACTION_DELIVERY_S`, whatever becomes of its sender."""
         is_late = self.random.random() < LATE_ORDER_RATE
-        delay_s = ACT_DELIVERY_S if is_late else self.random.uniform(0.0005, 0.01)
+        delay_s = ACTION_DELIVERY_S if is_late else self.random.uniform(0.0005, 0.01)
         answer = OrderAnswer(delay_s + 0.001, self.random.random() < LOST_ANSWER_RATE)
         arrival = _Arrival(self, machine.address, order, fencing_token, answer)
         self._arrivals_later(delay_s, arrival)
--- a/larchgw/model_checking/placement_lease/mutants.py
+++ b/larchgw/model_checking/placement_lease/mutants.py
@@ -57,7 +57,7 @@
         0,
         (
             Patch(LeaseAcceptor, "_remaining", always(0.0)),
-            Patch(LeaseHolder, "act_permitted_until", always(inf)),
+            Patch(LeaseHolder, "action_permitted_until", always(inf)),
         ),
     ),
 )
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -13,7 +13,7 @@
 from math import inf
 from random import Random
 
-from ...replication.effects import Effects, Outgoing
+from ...replication.effects import Effects, OutgoingMessage
 from ...replication.errors import NotPrimaryError
 from ...replication.member import Member
 from ...replication.message_codec import decode
@@ -77,7 +77,7 @@
         has_leases: Whether leases are checked; they depend on a common time.
         snapshot_padding_bytes: Of a snapshot, besides its state.
         chunk_bytes: A snapshot is sent in messages of so many bytes.
-        act_memory_s: For how long witnesses remember announced acts at least.
+        action_retention_s: For how long witnesses remember announced acts at least.
         compact_records: A log is compacted once it has so many records.
     """
 
@@ -108,7 +108,7 @@
         self.snapshot_padding_bytes = 120
         self.chunk_bytes = CHUNK_BYTES
         self.compact_records = 12
-        self.act_memory_s = 0.0
+        self.action_retention_s = 0.0
         self._queue: list[tuple[float, int, str, Envelope | Wakeup | None]] = []
         self._order = 0
 
@@ -133,7 +133,7 @@
             f"{address}#{machine.incarnation}",
             self.survive,
             LEASE_TERM_S,
-            act_memory_s=self.act_memory_s,
+            action_retention_s=self.action_retention_s,
             compact_records=self.compact_records,
             batch_bytes=200,
             chunk_bytes=self.chunk_bytes,
@@ -200,7 +200,7 @@
         lost = [
             member
             for member in view.members
-            if member not in disks or member in view.electors and member not in view.in_sync
+            if member not in disks or member in view.all_witnesses and member not in view.in_sync
         ]
         itself = self.machines[at].id if at else ""
         return len(set(lost) - {itself}) < self.survive
@@ -356,7 +356,7 @@
             return
         self.checks.holds_lease(member.id, lease.fencing_token)
         for target in ACT_TARGETS:
-            if member.act_permitted_until(clock, LEASE_NAME, target) > clock:
+            if member.action_permitted_until(clock, LEASE_NAME, target) > clock:
                 self.checks.acts_under_lease(self.now, member.id, target)
 
     def _announce_act(self, machine: Machine) -> None:
@@ -379,7 +379,7 @@
         machine.announcements.add(call.number)
         self._carry_out(machine, effects)
 
-    def _transmit(self, machine: Machine, outgoing: Outgoing, written: float) -> None:
+    def _transmit(self, machine: Machine, outgoing: OutgoingMessage, written: float) -> None:
         links = self.links
         self._check_vote(outgoing.message)
         if links.is_cut(machine.address, outgoing.address) or self.random.random() < links.loss_rate:
--- a/larchgw/model_checking/replication/invariants.py
+++ b/larchgw/model_checking/replication/invariants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...replication.lease_actions import ACT_DELIVERY_S
+from ...replication.lease_actions import ACTION_DELIVERY_S
 from ..errors import InvariantError
 
 
@@ -113,14 +113,14 @@
     def acts_under_lease(self, now: float, holder: str, target: str) -> None:
         """A member begins an act on `target` under a lease.
 
-        It may arrive as late as `ACT_DELIVERY_S` from now.
+        It may arrive as late as `ACTION_DELIVERY_S` from now.
         """
         acted_by = self._acted.setdefault(target, {})
         for other, at in acted_by.items():
-            if other != holder and now - at < self._lease_term_s + ACT_DELIVERY_S:
+            if other != holder and now - at < self._lease_term_s + ACTION_DELIVERY_S:
                 raise InvariantError(
                     f"{holder} acts on {target} {now - at:.3f} s after {other} began to; the term is "
-                    f"{self._lease_term_s} s, an act may arrive {ACT_DELIVERY_S} s later"
+                    f"{self._lease_term_s} s, an act may arrive {ACTION_DELIVERY_S} s later"
                 )
         acted_by[holder] = now
         self.lease_acts += 1
--- a/larchgw/model_checking/replication/lease_mistakes.py
+++ b/larchgw/model_checking/replication/lease_mistakes.py
@@ -10,17 +10,17 @@
 from ...replication.effects import PendingCall
 from ...replication.lease import LeaseHolder
 from ...replication.lease_acceptor import LeaseAcceptor
-from ...replication.lease_actions import ACT_WINDOW_S, ActMemory, KnownActs, PredecessorActs
+from ...replication.lease_actions import ACTION_START_WINDOW_S, ActionMemory, KnownActions, PredecessorActions
 from ..mutants import Patch, always
 
-KnownTo = Callable[[ActMemory, float, str, float, float], KnownActs]
+KnownTo = Callable[[ActionMemory, float, str, float, float], KnownActions]
 Announce = Callable[[LeaseHolder, float, Sequence[str], view.View | None], PendingCall]
 
 
 def _tells_no_targets(original: KnownTo) -> KnownTo:
     def known_to(
-        self: ActMemory, now: float, sender: str, complete_since: float, remembered_since: float
-    ) -> KnownActs:
+        self: ActionMemory, now: float, sender: str, complete_since: float, remembered_since: float
+    ) -> KnownActions:
         return replace(original(self, now, sender, complete_since, remembered_since), ages_s={})
 
     return known_to
@@ -33,10 +33,10 @@
 def _permits_whatever_was_announced(
     original: Callable[[LeaseHolder, float, str], float],
 ) -> Callable[[LeaseHolder, float, str], float]:
-    def act_permitted_until(self: LeaseHolder, now: float, target: str) -> float:
+    def action_permitted_until(self: LeaseHolder, now: float, target: str) -> float:
         return inf if target in self._permitted_until else -inf
 
-    return act_permitted_until
+    return action_permitted_until
 
 
 def _permits_at_once(original: Announce) -> Announce:
@@ -44,14 +44,14 @@
         self: LeaseHolder, now: float, targets: Sequence[str], accepted_view: view.View | None
     ) -> PendingCall:
         call = original(self, now, targets, accepted_view)
-        self._permitted_until.update(dict.fromkeys(targets, now + ACT_WINDOW_S))
+        self._permitted_until.update(dict.fromkeys(targets, now + ACTION_START_WINDOW_S))
         return call
 
     return announce
 
 
-TELLS_NO_TARGETS = Patch(ActMemory, "known_to", _tells_no_targets)
+TELLS_NO_TARGETS = Patch(ActionMemory, "known_to", _tells_no_targets)
 HIDES_A_RESTART = Patch(LeaseAcceptor, "_complete_since", always(-inf))
-CLAIMS_TO_ACT_ALONE = Patch(PredecessorActs, "all_free_at_latest", _all_free_from_the_start)
-PERMITS_FOR_EVER = Patch(LeaseHolder, "act_permitted_until", _permits_whatever_was_announced)
+CLAIMS_TO_ACT_ALONE = Patch(PredecessorActions, "all_targets_free_at", _all_free_from_the_start)
+PERMITS_FOR_EVER = Patch(LeaseHolder, "action_permitted_until", _permits_whatever_was_announced)
 PERMITS_AT_ONCE = Patch(LeaseHolder, "announce", _permits_at_once)
--- a/larchgw/model_checking/replication/mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -38,7 +38,7 @@
 
 def _commits_on_one_backup(original: Callable[[Leadership], int]) -> Callable[[Leadership], int]:
     def commit_index(self: Leadership) -> int:
-        return max([self._replica.committed, *(peer.match for peer in self._peers.values())])
+        return max([self._replica.committed, *(peer.match_index for peer in self._peers.values())])
 
     return commit_index
 
@@ -193,7 +193,7 @@
         "takes a replica in that lacks records",
         play_random_walk,
         24,
-        (Patch(Leadership, "_may_enter", _lets_anyone_in),),
+        (Patch(Leadership, "_may_join_in_sync_set", _lets_anyone_in),),
     ),
     Mutant(
         "is ready before what it took over is acknowledged",
@@ -320,7 +320,7 @@
         "ends before the others have agreed",
         play_random_walk,
         0,
-        (Patch(GracefulLeave, "is_over", _ends_without_agreement),),
+        (Patch(GracefulLeave, "is_complete", _ends_without_agreement),),
     ),
     Mutant(
         "agrees to the end of a member in sync",
--- a/larchgw/replication/candidate.py
+++ b/larchgw/replication/candidate.py
@@ -74,7 +74,7 @@
         self._pre_vote_rounds += 1
         ends_at = now + self._timing.pre_vote_s * (1 + self._random_source.random())
         self._pre_vote_round = _PreVoteRound(self._pre_vote_rounds, view, ends_at)
-        for member in view.electors:
+        for member in view.all_witnesses:
             self._outbound.send(member, PreVoteRequest(self._pre_vote_rounds))
 
     def receive_pre_vote(self, now: float, sender: str, number: int) -> None:
--- a/larchgw/replication/effects.py
+++ b/larchgw/replication/effects.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class OutgoingMessage:
     """One message to send; it may be lost, doubled or late.
 
     Attributes:
@@ -105,7 +105,7 @@
         role: The new role; None where it has not changed.
     """
 
-    messages: list[Outgoing] = field(default_factory=list)
+    messages: list[OutgoingMessage] = field(default_factory=list)
     installed: InstalledSnapshot | None = None
     committed: list[CommittedRecord] = field(default_factory=list)
     done: list[CallDone] = field(default_factory=list)
--- a/larchgw/replication/graceful_leave.py
+++ b/larchgw/replication/graceful_leave.py
@@ -107,7 +107,7 @@
         """What calls and messages have changed, times left out."""
         return (self.has_begun, self._granted_epoch)
 
-    def is_over(self, view: View | None) -> bool:
+    def is_complete(self, view: View | None) -> bool:
         """Whether nobody counts on this member any more, as far as it knows by the last view it accepted."""
         if not self.has_begun:
             return False
--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -111,7 +111,7 @@
             return self._replica.committed
         required = set(self.view.backups) | self._proposed_backups | self._entering
         required.discard(self._member_id)
-        copies = [self._peers[member].match for member in required if member in self._peers]
+        copies = [self._peers[member].match_index for member in required if member in self._peers]
         if len(copies) < len(required):
             return self._replica.committed
         return max(self._replica.committed, min([self._replica.last_index, *copies]))
@@ -169,7 +169,7 @@
         ready = [
             member
             for member in self._peers
-            if member in healthy - leaving and self._may_enter(now, member, leaving)
+            if member in healthy - leaving and self._may_join_in_sync_set(now, member, leaving)
         ]
         lost = {
             member
@@ -196,11 +196,11 @@
     def _is_healthy(self, now: float, peer: Peer) -> bool:
         return peer.is_healthy(now, self._timing.backup_silence_s)
 
-    def _may_enter(self, now: float, member: str, leaving: frozenset[str]) -> bool:
+    def _may_join_in_sync_set(self, now: float, member: str, leaving: frozenset[str]) -> bool:
         peer = self._peers[member]
         if member in self.view.in_sync or not peer.replicating:
             return False
-        if peer.match < max(self._replica.committed, self.takeover_index):
+        if peer.match_index < max(self._replica.committed, self.takeover_index):
             # What was taken over may all be acknowledged, though this primary does not know yet.
             return False
         staying = [backup for backup in self.view.backups if backup not in leaving]
@@ -318,4 +318,4 @@
             for member in self.view.backups
             if member not in leaving and self._is_healthy(now, self._peers[member])
         ]
-        return max(healthy, key=lambda member: self._peers[member].match, default=None)
+        return max(healthy, key=lambda member: self._peers[member].match_index, default=None)
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -14,7 +14,13 @@
 from ..identifiers import FencingToken
 from .effects import PendingCall
 from .lease_acceptor import GRANT_SHARE
-from .lease_actions import ACT_WINDOW_S, ActAnnouncement, ActHistory, PredecessorActs, separation_s
+from .lease_actions import (
+    ACTION_START_WINDOW_S,
+    ActionAnnouncement,
+    ActionHistory,
+    PredecessorActions,
+    separation_s,
+)
 from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .outbound_messages import OutboundMessages
 from .settings import MemberSettings
@@ -83,7 +89,7 @@
     def only_outdated(self) -> bool:
         """Whether all answered, and refusals were only for an outdated fencing token or view."""
         refused = [reply for reply in self.replies.values() if not reply.granted]
-        return len(self.replies) == len(self.view.electors) and all(
+        return len(self.replies) == len(self.view.all_witnesses) and all(
             reply.remaining_s <= 0.0 and (reply.fencing_token >= self.fencing_token or reply.view is not None)
             for reply in refused
         )
@@ -91,7 +97,7 @@
     def refused_by_all(self) -> bool:
         """Whether it is certain that nobody granted."""
         refused = [reply for reply in self.replies.values() if not reply.granted]
-        return len(refused) == len(self.view.electors)
+        return len(refused) == len(self.view.all_witnesses)
 
     def remaining_refusal_s(self) -> float:
         """The longest time for which another may hold the lease."""
@@ -112,10 +118,11 @@
     - ACTING to ELECTED: a quorum has granted another, higher token to it; somebody may have acted in between.
     - to NOT_ELECTED: the grant has run out, or the lease is released.
 
-    Before each act its target is announced (`announce`), and the act is begun before `act_permitted_until`.
-    A target on which another has acted lately is left alone until `target_free_at`. `lease_actions` says why
-    acts of two holders on one target are then a term apart. Every act carries the fencing token, so that
-    those who receive acts refuse those of an earlier holder, should one arrive late.
+    The holder announces the target of each action (`announce`) and starts the action before
+    `action_permitted_until`. It does not act before `target_free_at` on a target on which another holder
+    acted recently. `lease_actions` explains why actions of two holders on one target are then at least a term
+    apart. Every action carries the fencing token, so that its receiver rejects a late action of an earlier
+    holder.
 
     Times are seconds of the member's clock. `rank` staggers candidates: 0 for a view's primary.
 
@@ -157,7 +164,7 @@
         self._elected_by_attempt = 0  # the first attempt that asked for that token
         self._elected_view: View | None = None  # whose quorum granted it last
         self._expires_at = 0.0
-        self._predecessors = PredecessorActs(self._separation_s)
+        self._predecessors = PredecessorActions(self._separation_s)
         self._permitted_until: dict[str, float] = {}  # by target that was announced
         self._to_announce: list[tuple[tuple[str, ...], PendingCall]] = []
         self._next_attempt_at: float | None = None
@@ -177,7 +184,7 @@
     def announce(self, now: float, targets: Sequence[str], view: View | None) -> PendingCall:
         """Announces an act on `targets`.
 
-        Once the call is done, `act_permitted_until` tells until when the act may be begun.
+        Once the call is done, `action_permitted_until` tells until when the act may be begun.
         """
         call = self._calls.add_announcement()
         if self.lease(now) is None or view is None:
@@ -188,7 +195,7 @@
             self._begin_attempt(now, view)
         return call
 
-    def act_permitted_until(self, now: float, target: str) -> float:
+    def action_permitted_until(self, now: float, target: str) -> float:
         """Until when an act on `target` may be begun; minus infinity if it may not."""
         if self.lease(now) is None or now < self.target_free_at(target):
             return -inf
@@ -198,9 +205,9 @@
         """When acts of others on `target` are a term old; infinite while this member is not elected."""
         return self._predecessors.free_at(target) if self._is_elected else inf
 
-    def act_history(self) -> ActHistory:
+    def action_history(self) -> ActionHistory:
         """The acts before this holding of the lease, as far as witnesses remember them."""
-        return self._predecessors.history() if self._is_elected else ActHistory(inf, {})
+        return self._predecessors.history() if self._is_elected else ActionHistory(inf, {})
 
     def release(self, now: float, view: View | None, pause_s: float) -> None:
         """Gives the lease up and does not stand for it for a while."""
@@ -241,7 +248,7 @@
         attempt.replies[sender] = reply
         if attempt.granted():
             self._granted(now, attempt)
-        elif len(attempt.replies) >= len(attempt.view.electors):
+        elif len(attempt.replies) >= len(attempt.view.all_witnesses):
             self._fail(now, rank)
 
     def _receive_late_reply(self, now: float, sender: str, reply: LeaseReply) -> None:
@@ -274,9 +281,9 @@
             replies={},
         )
         self._highest_token = max(self._highest_token, token)
-        acts = ActAnnouncement(targets, is_acting and now >= self._predecessors.all_free_at_latest)
+        acts = ActionAnnouncement(targets, is_acting and now >= self._predecessors.all_targets_free_at)
         request = LeaseRequest(self.name, token, is_renewal, view.epoch, self._attempts, is_acting, acts)
-        for member in view.electors:
+        for member in view.all_witnesses:
             self._outbound.send(member, request)
 
     def _next_token(self, view: View) -> int:
@@ -312,12 +319,12 @@
         self._state = LeaseState.ELECTED
         self._fencing_token = attempt.fencing_token
         self._elected_by_attempt = attempt.number
-        self._predecessors = PredecessorActs(self._separation_s)
+        self._predecessors = PredecessorActions(self._separation_s)
         self._permitted_until = {}
 
     def _permit(self, attempt: _Attempt) -> None:
         """A quorum remembers the acts that the attempt announced."""
-        until = attempt.asked_at + ACT_WINDOW_S
+        until = attempt.asked_at + ACTION_START_WINDOW_S
         self._permitted_until = {
             target: end for target, end in self._permitted_until.items() if end > attempt.asked_at
         }
@@ -365,5 +372,5 @@
         self._permitted_until = {}
 
     def _send_release(self, view: View) -> None:
-        for member in view.electors:
+        for member in view.all_witnesses:
             self._outbound.send(member, LeaseRelease(self.name, self._highest_token))
--- a/larchgw/replication/lease_acceptor.py
+++ b/larchgw/replication/lease_acceptor.py
@@ -12,7 +12,7 @@
 from math import inf
 from typing import Any
 
-from .lease_actions import ActMemory, separation_s
+from .lease_actions import ActionMemory, separation_s
 from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .ports import Cell
 from .view import View
@@ -99,19 +99,19 @@
     stored holder: the holder, which it has forgotten or never knew, is to keep its lease.
     """
 
-    def __init__(self, cell: Cell, term_s: float, act_memory_s: float = 0.0) -> None:
+    def __init__(self, cell: Cell, term_s: float, action_retention_s: float = 0.0) -> None:
         """Reads what is stored.
 
         Args:
             cell: Where the leases are stored.
             term_s: The term that is kept between acts of two holders.
-            act_memory_s: Announced acts are remembered for so long at least.
+            action_retention_s: Announced acts are remembered for so long at least.
         """
-        self._retention_s = max(separation_s(term_s), act_memory_s)
+        self._retention_s = max(separation_s(term_s), action_retention_s)
         self._cell = cell
         self._term_s = term_s
         self._grants: dict[str, _Grant] = {}
-        self._acts: dict[str, ActMemory] = {}
+        self._acts: dict[str, ActionMemory] = {}
         self._closed_until = 0.0
         self._restarted_at = -inf
         self._joined_at = -inf
@@ -160,7 +160,7 @@
         granted = not stale and remaining <= 0.0 and (known or request.fencing_token > stored.fencing_token)
         known_acts = None
         if granted:
-            memory = self._acts.setdefault(request.name, ActMemory(self._retention_s))
+            memory = self._acts.setdefault(request.name, ActionMemory(self._retention_s))
             if request.acts is not None and not known:
                 known_acts = memory.known_to(
                     now, sender, self._complete_since(sender, stored), self._remembered_since(stored)
@@ -221,7 +221,7 @@
         unannounced_s = 0.0 if stored.is_announcing else self._term_s
         return max(self._joined_at, self._restarted_at + unannounced_s)
 
-    def _record_acts(self, now: float, request: LeaseRequest, sender: str, memory: ActMemory) -> None:
+    def _record_acts(self, now: float, request: LeaseRequest, sender: str, memory: ActionMemory) -> None:
         duration_s = self._term_s
         if request.acts is not None:
             duration_s *= GRANT_SHARE
--- a/larchgw/replication/lease_actions.py
+++ b/larchgw/replication/lease_actions.py
@@ -1,21 +1,22 @@
-"""Acts under a lease: announced before they are begun, remembered by witnesses, waited out by a new holder.
+"""Actions under a lease: announced to the witnesses before they start, and waited out by the next holder.
 
-A holder acts on one target at a time, such as a runner that it sends an order to. Before an act it announces
-the target to a quorum of witnesses, with a renewal of its lease, and may begin the act within `ACT_WINDOW_S`
-of having asked. A new holder learns from the witnesses that elect it what was announced lately, and leaves
-each of these targets alone until a whole term has passed since the last act on it can have arrived. All other
-targets are free at once.
+Each action has one target, such as a runner that receives an order. Before an action the holder announces its
+target to a quorum of witnesses, together with a renewal of its lease. It may start the action within
+`ACTION_START_WINDOW_S` of sending the request. The witnesses that elect a new holder report the recent
+announcements to it. The new holder does not act on a reported target until a whole term has passed since the
+last action on it can have arrived. All other targets are free at once.
 
-Why no act is missed:
+Why no action is missed:
 
-- A witness that has granted a fencing token, which is durable, refuses announcements under any lower one. So
-  at a witness that both quorums have in common, an announcement of the former holder came before the grant
-  to the new one, and is reported with it.
-- A witness that restarted, or became a witness later, has forgotten earlier announcements. It says for how
-  long it knows them all; what it may have missed ended `ACT_WINDOW_S` after that began, and the new holder
-  waits for it at every target, unless a quorum of other witnesses knows more.
+- A witness that has granted a fencing token, which is durable, refuses announcements under any lower token.
+  The quorum of an announcement and the quorum of the next election share a witness. There the announcement
+  came before the grant to the new holder, and is reported with that grant.
+- A witness that restarted, or became a witness later, does not know earlier announcements. It reports since
+  when it knows all of them. An action that was announced before that time has started at most
+  `ACTION_START_WINDOW_S` after it. The new holder waits for such actions at every target, unless a quorum of
+  other witnesses knows all announcements from an earlier time on.
 
-Neither depends on how long a grant lasts, which only decides how soon a lost holder is succeeded.
+Neither argument depends on the duration of a grant, which only decides how soon a lost holder is replaced.
 
 Times are seconds on a monotonic clock that counts time spent frozen.
 
@@ -32,18 +33,18 @@
 
 from .view import View
 
-ACT_WINDOW_S = 0.25  # after an announcement was asked for: until then the act must have been begun
-ACT_DELIVERY_S = 0.3  # an act that has begun has arrived by then
+ACTION_START_WINDOW_S = 0.25  # after an announcement was asked for: until then the act must have been begun
+ACTION_DELIVERY_S = 0.3  # an act that has begun has arrived by then
 HANDOVER_TERMS = 1.05  # between acts of two holders on one target, in terms: clocks may run differently
 
 
 def separation_s(term_s: float) -> float:
     """Seconds from an announcement to the first act of another holder on the same target."""
-    return HANDOVER_TERMS * term_s + ACT_WINDOW_S + ACT_DELIVERY_S
+    return HANDOVER_TERMS * term_s + ACTION_START_WINDOW_S + ACTION_DELIVERY_S
 
 
 @dataclass(frozen=True, slots=True)
-class ActAnnouncement:
+class ActionAnnouncement:
     """What a request for a lease says of the sender's acts.
 
     Attributes:
@@ -59,13 +60,13 @@
         return {"targets": list(self.targets), "sole": self.is_sole_actor}
 
     @classmethod
-    def from_json(cls, value: Mapping[str, Any]) -> ActAnnouncement:
+    def from_json(cls, value: Mapping[str, Any]) -> ActionAnnouncement:
         """Reads what `to_json` gave; raises KeyError, TypeError or ValueError for anything else."""
         return cls(tuple(map(str, value["targets"])), bool(value["sole"]))
 
 
 @dataclass(frozen=True, slots=True)
-class KnownActs:
+class KnownActions:
     """What a witness knows of the acts of holders other than the one that it answers.
 
     Attributes:
@@ -91,7 +92,7 @@
         }
 
     @classmethod
-    def from_json(cls, value: Mapping[str, Any]) -> KnownActs:
+    def from_json(cls, value: Mapping[str, Any]) -> KnownActions:
         """Reads what `to_json` gave; raises KeyError, TypeError or ValueError for anything else."""
         return cls(
             float(value["known"]),
@@ -106,7 +107,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ActHistory:
+class ActionHistory:
     """What a holder knows of the acts before its own, of an earlier life of it too.
 
     Attributes:
@@ -124,7 +125,7 @@
     at: float
 
 
-class ActMemory:
+class ActionMemory:
     """What one witness remembers of announced acts under one lease; in memory only."""
 
     def __init__(self, retention_s: float) -> None:
@@ -146,7 +147,9 @@
         """Notes that a holder which announces nothing may act on anything until then."""
         self._unannounced_until = max(self._unannounced_until, until)
 
-    def known_to(self, now: float, sender: str, complete_since: float, remembered_since: float) -> KnownActs:
+    def known_to(
+        self, now: float, sender: str, complete_since: float, remembered_since: float
+    ) -> KnownActions:
         """What is to be told to `sender`.
 
         Args:
@@ -167,12 +170,12 @@
         for target, announced in self._last_by_target.items():
             ages = own_ages_s if announced.holder == sender else ages_s
             ages[target] = now - announced.at
-        return KnownActs(
+        return KnownActions(
             min(known_s, self._retention_s), ages_s, min(remembered_s, self._retention_s), own_ages_s
         )
 
 
-class PredecessorActs:
+class PredecessorActions:
     """What a new holder has learned of acts of others, from the witnesses that granted its fencing token."""
 
     def __init__(self, separation: float) -> None:
@@ -189,7 +192,7 @@
         self._all_free_at = inf  # of targets on which no witness told an act
         self._history_since = inf
 
-    def observe(self, now: float, witness: str, acts: KnownActs) -> None:
+    def observe(self, now: float, witness: str, acts: KnownActions) -> None:
         """Takes in what a witness told with its first grant of the token; it refuses any other acts since."""
         if witness in self._complete_since:
             return  # the reply has come twice
@@ -204,12 +207,12 @@
         self._all_free_at = min(self._all_free_at, complete_since + self._separation_s)
         self._history_since = min(self._history_since, _known_to_a_quorum(self._remembered_since, view))
 
-    def history(self) -> ActHistory:
+    def history(self) -> ActionHistory:
         """All acts that witnesses told of, own ones of an earlier life too."""
         announced_at = dict(self._own_announced_at)
         for target, at in self._announced_at.items():
             announced_at[target] = max(at, announced_at.get(target, -inf))
-        return ActHistory(self._history_since, announced_at)
+        return ActionHistory(self._history_since, announced_at)
 
     @property
     def all_free_at(self) -> float:
@@ -217,7 +220,7 @@
         return self._all_free_at
 
     @property
-    def all_free_at_latest(self) -> float:
+    def all_targets_free_at(self) -> float:
         """When all targets are free."""
         return max([self._all_free_at, *map(self.free_at, self._announced_at)])
 
--- a/larchgw/replication/lease_table.py
+++ b/larchgw/replication/lease_table.py
@@ -8,7 +8,7 @@
 from .effects import PendingCall
 from .lease import AnnouncementCalls, Lease, LeaseHolder
 from .lease_acceptor import LeaseAcceptor
-from .lease_actions import ActHistory
+from .lease_actions import ActionHistory
 from .messages import LeaseRelease, LeaseReply, LeaseRequest
 from .outbound_messages import OutboundMessages
 from .settings import MemberSettings
@@ -56,17 +56,17 @@
         """Announces an act; see `LeaseHolder.announce`."""
         return self._holder(name).announce(now, targets, view)
 
-    def act_permitted_until(self, now: float, name: str, target: str) -> float:
-        """Until when an announced act may be begun; see `LeaseHolder.act_permitted_until`."""
-        return self._holder(name).act_permitted_until(now, target)
+    def action_permitted_until(self, now: float, name: str, target: str) -> float:
+        """Until when an announced act may be begun; see `LeaseHolder.action_permitted_until`."""
+        return self._holder(name).action_permitted_until(now, target)
 
     def target_free_at(self, name: str, target: str) -> float:
         """When acts of others on `target` are old enough; see `LeaseHolder.target_free_at`."""
         return self._holder(name).target_free_at(target)
 
-    def act_history(self, name: str) -> ActHistory:
-        """The acts before this holding of the lease; see `LeaseHolder.act_history`."""
-        return self._holder(name).act_history()
+    def action_history(self, name: str) -> ActionHistory:
+        """The acts before this holding of the lease; see `LeaseHolder.action_history`."""
+        return self._holder(name).action_history()
 
     def _holder(self, name: str) -> LeaseHolder:
         holder = self._holders.get(name)
--- a/larchgw/replication/log_sender.py
+++ b/larchgw/replication/log_sender.py
@@ -63,10 +63,10 @@
                 return  # a late answer to records that were sent before the snapshot
             peer.snapshot = None
         if reply.matched:
-            if reply.index > peer.match:
-                peer.match = reply.index
+            if reply.index > peer.match_index:
+                peer.match_index = reply.index
                 peer.overdue_at = None
-            peer.next_index = peer.match + 1
+            peer.next_index = peer.match_index + 1
         else:
             peer.next_index = min(reply.index, self._replica.last_index) + 1
         peer.in_flight = False
@@ -81,7 +81,7 @@
     def _replicate_to(self, now: float, member: str, peer: Peer) -> None:
         """Sends what the peer lacks, unless a message to it is in flight."""
         last = self._replica.last_index
-        if peer.match >= last:
+        if peer.match_index >= last:
             peer.overdue_at = None
             peer.in_flight = False
             return
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -13,7 +13,7 @@
 from .errors import MessageDecodeError, NotPrimaryError
 from .leadership import Leadership
 from .lease import Lease
-from .lease_actions import ActHistory
+from .lease_actions import ActionHistory
 from .member_parts import assemble
 from .message_codec import decode
 from .message_router import MessageRouter
@@ -137,7 +137,7 @@
 
         No acknowledgement needs its copy, it has no role, and the others are enough to decide without it.
         """
-        return self._parts.role.leading is None and self._parts.graceful_leave.is_over(
+        return self._parts.role.leading is None and self._parts.graceful_leave.is_complete(
             self._parts.witness.view
         )
 
@@ -274,10 +274,10 @@
         return self._parts.leases.lease(now, name)
 
     def announce(self, now: float, name: str, targets: Sequence[str]) -> tuple[PendingCall, Effects]:
-        """Announces an act on `targets` under the lease `name`.
+        """Announces an action on `targets` under the lease `name`.
 
-        Once the call is done, `act_permitted_until` tells until when the act may be begun. It fails where the
-        lease is not held, or no quorum of witnesses answers.
+        Once the call is done, `action_permitted_until` returns until when the action may be started. The call
+        fails if the lease is not held or no quorum of witnesses answers.
 
         Raises:
             OSError: The disk of this member, as one of the witnesses, refuses to store the lease.
@@ -286,17 +286,17 @@
         call = self._parts.leases.announce(now, name, targets, self._parts.witness.view)
         return call, self._finish_call(now)
 
-    def act_permitted_until(self, now: float, name: str, target: str) -> float:
+    def action_permitted_until(self, now: float, name: str, target: str) -> float:
         """Until when an act on `target` may be begun; minus infinity if it may not. Read before each act."""
-        return self._parts.leases.act_permitted_until(now, name, target)
+        return self._parts.leases.action_permitted_until(now, name, target)
 
     def target_free_at(self, name: str, target: str) -> float:
         """From when on this member, as holder of the lease, may act on `target`, where others did lately."""
         return self._parts.leases.target_free_at(name, target)
 
-    def act_history(self, name: str) -> ActHistory:
+    def action_history(self, name: str) -> ActionHistory:
         """The acts under the lease before this member held it, as far as witnesses remember them."""
-        return self._parts.leases.act_history(name)
+        return self._parts.leases.action_history(name)
 
     def set_contacts(self, addresses: Iterable[str]) -> None:
         """Sets rpc addresses of members known from elsewhere, to be asked for admission besides the seeds."""
--- a/larchgw/replication/member_parts.py
+++ b/larchgw/replication/member_parts.py
@@ -78,7 +78,7 @@
     """
     timing = settings.timing
     witness = Witness(ports.witness)
-    lease_acceptor = LeaseAcceptor(ports.leases, settings.lease_term_s, settings.act_memory_s)
+    lease_acceptor = LeaseAcceptor(ports.leases, settings.lease_term_s, settings.action_retention_s)
     identity = load_or_create_identity(ports.identity, settings, witness, lease_acceptor)
     replica = Replica(ports.journal)
     outbound = OutboundMessages(identity.id, settings.address)
--- a/larchgw/replication/message_codec.py
+++ b/larchgw/replication/message_codec.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from .errors import MessageDecodeError
-from .lease_actions import ActAnnouncement, KnownActs
+from .lease_actions import ActionAnnouncement, KnownActions
 from .messages import (
     Accept,
     Accepted,
@@ -162,10 +162,10 @@
 )
 _FORMAT_BY_TYPE = {wire_format.message_type: wire_format for wire_format in _FORMATS}
 _FORMAT_BY_KIND = {wire_format.kind: wire_format for wire_format in _FORMATS}
-_NESTED_TYPES = (View, ActAnnouncement, KnownActs)
-_ACTS_TYPE_BY_KIND: Mapping[str, type[ActAnnouncement] | type[KnownActs]] = {
-    "lease_ask": ActAnnouncement,
-    "lease_answer": KnownActs,
+_NESTED_TYPES = (View, ActionAnnouncement, KnownActions)
+_ACTS_TYPE_BY_KIND: Mapping[str, type[ActionAnnouncement] | type[KnownActions]] = {
+    "lease_ask": ActionAnnouncement,
+    "lease_answer": KnownActions,
 }
 _ATTRIBUTES_BY_KIND = {wire_format.kind: wire_format.attributes for wire_format in _FORMATS}
 
--- a/larchgw/replication/messages.py
+++ b/larchgw/replication/messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .lease_actions import ActAnnouncement, KnownActs
+from .lease_actions import ActionAnnouncement, KnownActions
 from .view import View
 
 
@@ -286,7 +286,7 @@
     view_epoch: int
     attempt: int
     is_acting: bool
-    acts: ActAnnouncement | None = None
+    acts: ActionAnnouncement | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -314,7 +314,7 @@
     acting_token: int
     remaining_s: float
     view: View | None
-    acts: KnownActs | None = None
+    acts: KnownActions | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchgw/replication/outbound_messages.py
+++ b/larchgw/replication/outbound_messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..rpc.generated.ttypes import PeerMessage
-from .effects import Outgoing
+from .effects import OutgoingMessage
 from .message_codec import encode
 from .messages import Message
 
@@ -21,7 +21,7 @@
         self._member_id = member_id
         self._address = address
         self._addresses: dict[str, str] = {}
-        self._messages: list[Outgoing] = []
+        self._messages: list[OutgoingMessage] = []
         self._to_self: list[Message] = []
 
     def set_address(self, member: str, address: str) -> None:
@@ -51,11 +51,11 @@
         to_self, self._to_self = self._to_self, []
         return to_self
 
-    def drain(self) -> list[Outgoing]:
+    def drain(self) -> list[OutgoingMessage]:
         """What is to be sent; the outbound is empty afterwards."""
         messages, self._messages = self._messages, []
         return messages
 
     def _enqueue(self, address: str, receiver: str, message: Message) -> None:
         kind, body = encode(message, self._address)
-        self._messages.append(Outgoing(address, PeerMessage(self._member_id, receiver, kind, body)))
+        self._messages.append(OutgoingMessage(address, PeerMessage(self._member_id, receiver, kind, body)))
--- a/larchgw/replication/peer.py
+++ b/larchgw/replication/peer.py
@@ -16,7 +16,7 @@
     Attributes:
         last_seen_at: When its last message came.
         next_index: Index of the record to send next.
-        match: Everything up to this index is durable there; -1 until that is known in this epoch.
+        match_index: Everything up to this index is durable there; -1 until that is known in this epoch.
         round: Round of the newest heartbeat that it granted.
         resend_at: When the message in flight is sent again.
         in_flight: Whether records or a chunk were sent that are not answered yet.
@@ -28,7 +28,7 @@
 
     last_seen_at: float
     next_index: int
-    match: int = -1
+    match_index: int = -1
     round: int = 0
     resend_at: float = NEVER
     in_flight: bool = False
@@ -46,4 +46,4 @@
     def volatile_state(self) -> tuple[object, ...]:
         """Everything that its replies have changed, times left out."""
         offset = None if self.snapshot is None else self.snapshot.offset
-        return (self.match, self.next_index, self.round, self.in_flight, self.replicating, offset)
+        return (self.match_index, self.next_index, self.round, self.in_flight, self.replicating, offset)
--- a/larchgw/replication/settings.py
+++ b/larchgw/replication/settings.py
@@ -64,19 +64,28 @@
 class MemberSettings:
     """Settings of one member.
 
-    Attributes: address: Its rpc address. seeds: Rpc addresses of the first witnesses, the same and in the
-    same order at all of them. first_boot: Whether the system is started for the first time. fresh_identity:
-    Its identity if the disk is empty and this is not the first boot of a seed; must be unique.
-    tolerated_failures: Members that may be lost at once. A record is acknowledged with one copy more at
-    least, and twice as many and one witnesses decide. lease_term_s: Between acts of two holders of a
-    lease on one target, in seconds. act_memory_s: For how long witnesses remember announced acts, if that is
-    longer than a new holder waits. all_in_sync_vote: Whether every in-sync member is to be a witness: more
-    than `tolerated_failures` may be lost if they share a failure domain. compact_records: A snapshot replaces
-    the log once it holds so many records, compact_bytes: or so many bytes, compact_replay_bytes: or once
-    records times the size of the state are so many: to apply a record after a restart costs time in
-    proportion to the state (docs/storage.md). deliver_bytes: Records times the size of the state that are
-    handed out at a time. batch_bytes: Records in one message, unless one alone is larger. chunk_bytes: Bytes
-    of a snapshot in one message. timing: Intervals and time-outs.
+    Attributes:
+        address: Its RPC address.
+        seeds: RPC addresses of the first witnesses, in the same order at all of them.
+        first_boot: Whether the system is started for the first time.
+        fresh_identity: The identity of this member if its disk is empty and it is not a seed at the first
+            boot; must be unique.
+        tolerated_failures: Number of members that may be lost at once. A record needs one copy more than
+            that to be acknowledged, and 2 * tolerated_failures + 1 witnesses form the quorums.
+        lease_term_s: Seconds between actions of two holders of a lease on the same target.
+        action_retention_s: For how long witnesses remember announced actions, if that is longer than a new
+            holder waits.
+        all_in_sync_vote: Whether every in-sync member becomes a witness. More members than
+            `tolerated_failures` may then be lost if they share a failure domain.
+        compact_records: The log is compacted once it holds this many records.
+        compact_bytes: The log is compacted once it holds this many bytes.
+        compact_replay_bytes: The log is compacted once the number of records times the size of the state
+            reaches this. Applying a record after a restart takes time in proportion to the size of the
+            state (docs/storage.md).
+        deliver_bytes: Limit of the number of records times the size of the state that one call delivers.
+        batch_bytes: Limit of the records in one message; a single larger record is sent alone.
+        chunk_bytes: Bytes of a snapshot in one message.
+        timing: Intervals and time-outs.
     """
 
     address: str
@@ -85,7 +94,7 @@
     fresh_identity: str
     tolerated_failures: int
     lease_term_s: float
-    act_memory_s: float = 0.0
+    action_retention_s: float = 0.0
     all_in_sync_vote: bool = False
     compact_records: int = 100
     compact_bytes: int = 16 << 20
--- a/larchgw/replication/view.py
+++ b/larchgw/replication/view.py
@@ -44,14 +44,14 @@
         return set(self.witnesses) != set(self.former_witnesses)
 
     @property
-    def electors(self) -> tuple[str, ...]:
+    def all_witnesses(self) -> tuple[str, ...]:
         """All whose agreement may count for this view."""
         return tuple(dict.fromkeys((*self.witnesses, *self.former_witnesses)))
 
     @property
     def members(self) -> tuple[str, ...]:
         """All that take part in this view."""
-        return tuple(dict.fromkeys((*self.in_sync, *self.electors)))
+        return tuple(dict.fromkeys((*self.in_sync, *self.all_witnesses)))
 
     def has_quorum(self, voters: Collection[str]) -> bool:
         """Whether `voters` are a majority of the witnesses, and of the former ones while they change."""
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -13,7 +13,7 @@
 from larchgw.model_checking.replication.invariants import InvariantChecker
 from larchgw.model_checking.replication.mutants import MUTANTS
 from larchgw.model_checking.replication.runs import play_faults, play_random_walk
-from larchgw.replication.lease_actions import ACT_DELIVERY_S
+from larchgw.replication.lease_actions import ACTION_DELIVERY_S
 
 
 def test_no_interleaving_of_a_few_steps_violates_an_invariant() -> None:
@@ -68,7 +68,7 @@
         lambda: checks.holds_lease("b", 1),
         lambda: checks.holds_lease("b", 2),
         lambda: checks.acts_under_lease(2.9, "b", "runner-1"),
-        lambda: checks.acts_under_lease(3.0 + ACT_DELIVERY_S - 0.01, "b", "runner-1"),
+        lambda: checks.acts_under_lease(3.0 + ACTION_DELIVERY_S - 0.01, "b", "runner-1"),
         lambda: checks.acts_under_lease(0.6, "a", "runner-2"),
     ):
         with pytest.raises(InvariantError):
--- a/tests/replication/test_lease.py
+++ b/tests/replication/test_lease.py
@@ -12,12 +12,12 @@
 from larchgw.replication.lease import Lease
 from larchgw.replication.lease_acceptor import NOBODY, UNKNOWN, LeaseAcceptor
 from larchgw.replication.lease_actions import (
-    ACT_DELIVERY_S,
-    ACT_WINDOW_S,
-    ActAnnouncement,
-    ActHistory,
-    KnownActs,
-    PredecessorActs,
+    ACTION_DELIVERY_S,
+    ACTION_START_WINDOW_S,
+    ActionAnnouncement,
+    ActionHistory,
+    KnownActions,
+    PredecessorActions,
     separation_s,
 )
 from larchgw.replication.messages import LeaseRelease, LeaseRequest
@@ -135,7 +135,7 @@
     machine.announcements.add(call.number)
     cluster._carry_out(machine, effects)
     cluster.run(0.05)
-    return member.act_permitted_until(cluster.clock(machine), LEASE_NAME, target) > cluster.clock(machine)
+    return member.action_permitted_until(cluster.clock(machine), LEASE_NAME, target) > cluster.clock(machine)
 
 
 @pytest.fixture
@@ -173,16 +173,16 @@
     new = successor_of(quiet, old)
     while not announce(quiet, new, "runner-1"):
         assert quiet.now < acted_at + 2 * LEASE_TERM_S
-    assert quiet.now - acted_at >= LEASE_TERM_S + ACT_DELIVERY_S
+    assert quiet.now - acted_at >= LEASE_TERM_S + ACTION_DELIVERY_S
 
 
 def test_an_act_is_begun_within_its_window_or_not_at_all(quiet: SimulatedCluster) -> None:
     (holder,) = holders(quiet)
     assert announce(quiet, holder, "runner-1")
-    quiet.run(ACT_WINDOW_S)
+    quiet.run(ACTION_START_WINDOW_S)
     machine = quiet.machines[holder]
     assert holders(quiet)
-    assert machine.member.act_permitted_until(quiet.clock(machine), LEASE_NAME, "runner-1") <= quiet.clock(
+    assert machine.member.action_permitted_until(quiet.clock(machine), LEASE_NAME, "runner-1") <= quiet.clock(
         machine
     )
 
@@ -212,7 +212,7 @@
     new = successor_of(quiet, old)
     while not announce(quiet, new, "runner-2"):
         assert quiet.now < restarted_at + 3 * LEASE_TERM_S
-    assert quiet.now - restarted_at >= LEASE_TERM_S + ACT_DELIVERY_S
+    assert quiet.now - restarted_at >= LEASE_TERM_S + ACTION_DELIVERY_S
 
 
 def test_the_same_holder_acts_at_once_after_a_restart_of_all(quiet: SimulatedCluster) -> None:
@@ -231,13 +231,13 @@
 # ---- what a new holder learns ----
 
 
-def knows(since_s: float, **ages_s: float) -> KnownActs:
+def knows(since_s: float, **ages_s: float) -> KnownActions:
     ages = {target.replace("_", "-"): age_s for target, age_s in ages_s.items()}
-    return KnownActs(since_s, ages, since_s, {})
+    return KnownActions(since_s, ages, since_s, {})
 
 
 def test_targets_are_free_only_once_a_quorum_of_witnesses_has_told_what_it_knows() -> None:
-    learned = PredecessorActs(separation_s(LEASE_TERM_S))
+    learned = PredecessorActions(separation_s(LEASE_TERM_S))
     learned.observe(10.0, "a", knows(9.0))
     learned.evaluate(VIEW)
     assert learned.free_at("runner-1") == inf
@@ -248,7 +248,7 @@
 
 
 def test_a_late_witness_that_knows_more_ends_the_wait_for_one_that_has_forgotten() -> None:
-    learned = PredecessorActs(separation_s(LEASE_TERM_S))
+    learned = PredecessorActions(separation_s(LEASE_TERM_S))
     learned.observe(10.0, "a", knows(9.0))
     learned.observe(10.0, "b", knows(1.0))
     learned.evaluate(VIEW)
@@ -256,14 +256,14 @@
     learned.evaluate(VIEW)
     assert learned.all_free_at <= 10.2
     assert (
-        learned.all_free_at_latest
+        learned.all_targets_free_at
         == learned.free_at("runner-1")
         == pytest.approx(8.2 + separation_s(LEASE_TERM_S))
     )
 
 
 def test_acts_that_may_go_on_without_an_announcement_are_waited_for() -> None:
-    learned = PredecessorActs(separation_s(LEASE_TERM_S))
+    learned = PredecessorActions(separation_s(LEASE_TERM_S))
     for each in ("a", "b"):
         learned.observe(10.0, each, knows(-2.0))
     learned.evaluate(VIEW)
@@ -271,12 +271,12 @@
 
 
 def test_the_history_of_acts_holds_own_ones_of_an_earlier_life_as_far_as_a_quorum_remembers() -> None:
-    learned = PredecessorActs(separation_s(LEASE_TERM_S))
-    learned.observe(10.0, "a", KnownActs(9.0, {"runner-1": 2.0}, 6.0, {"store-load/1": 3.0}))
-    learned.observe(10.0, "b", KnownActs(9.0, {}, 1.0, {}))
+    learned = PredecessorActions(separation_s(LEASE_TERM_S))
+    learned.observe(10.0, "a", KnownActions(9.0, {"runner-1": 2.0}, 6.0, {"store-load/1": 3.0}))
+    learned.observe(10.0, "b", KnownActions(9.0, {}, 1.0, {}))
     learned.evaluate(VIEW)
-    assert learned.history() == ActHistory(9.0, {"runner-1": 8.0, "store-load/1": 7.0})
-    learned.observe(10.0, "c", KnownActs(9.0, {}, 6.5, {"store-load/2": 1.0}))
+    assert learned.history() == ActionHistory(9.0, {"runner-1": 8.0, "store-load/1": 7.0})
+    learned.observe(10.0, "c", KnownActions(9.0, {}, 6.5, {"store-load/2": 1.0}))
     learned.evaluate(VIEW)
     assert learned.history().complete_since == 4.0
     assert "store-load/2" in learned.history().announced_at
@@ -290,7 +290,7 @@
     token: int, *targets: str, is_renewal: bool = True, is_sole_actor: bool = False
 ) -> LeaseRequest:
     return LeaseRequest(
-        "placer", token, is_renewal, 1, 1, is_renewal, ActAnnouncement(targets, is_sole_actor)
+        "placer", token, is_renewal, 1, 1, is_renewal, ActionAnnouncement(targets, is_sole_actor)
     )
 
 
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -106,7 +106,7 @@
     view = primary(cluster).member.view
     assert f"{new}#1" in view.in_sync
     assert f"{new}#1" in view.witnesses
-    assert lost not in view.electors
+    assert lost not in view.all_witnesses
     cluster.wipe(primary(cluster).address)
     cluster.run(1.5)
     assert serve(cluster, 1.0) > 5
--- a/tests/replication/test_recorded_bytes.py
+++ b/tests/replication/test_recorded_bytes.py
@@ -16,7 +16,7 @@
 from larchgw.replication import identity
 from larchgw.replication.forced_new_view import plan_forced_view, write_forced_view
 from larchgw.replication.lease_acceptor import LeaseAcceptor
-from larchgw.replication.lease_actions import ActAnnouncement, KnownActs
+from larchgw.replication.lease_actions import ActionAnnouncement, KnownActions
 from larchgw.replication.message_codec import decode, encode
 from larchgw.replication.messages import (
     Accept,
@@ -101,7 +101,7 @@
     "lease_answer with a view": LeaseReply("planner", 2, False, 458752, "c:1", 458752, 1.25, JOINT_VIEW),
     "lease_answer of a later witness": LeaseReply("planner", 2, True, 458752, "?", 0, 0.0, None),
     "lease_ask with announced acts": LeaseRequest(
-        "planner", 458753, True, 7, 3, True, ActAnnouncement(("i-7", "store-load/458753/1"), True)
+        "planner", 458753, True, 7, 3, True, ActionAnnouncement(("i-7", "store-load/458753/1"), True)
     ),
     "lease_answer with known acts": LeaseReply(
         "planner",
@@ -112,7 +112,7 @@
         458752,
         0.0,
         None,
-        KnownActs(6.0, {"i-7": 1.5}, -2.5, {"i-8": 0.25}),
+        KnownActions(6.0, {"i-7": 1.5}, -2.5, {"i-8": 0.25}),
     ),
     "lease_release": LeaseRelease("planner", 458753),
 }
@@ -210,14 +210,14 @@
     cell = MemoryCell()
     acceptor = LeaseAcceptor(cell, LEASE_TERM_S)
     acceptor.reset(from_first_boot=True)
-    for acts in (ActAnnouncement(("i-7",)), ActAnnouncement((), is_sole_actor=True)):
+    for acts in (ActionAnnouncement(("i-7",)), ActionAnnouncement((), is_sole_actor=True)):
         acceptor.handle_request(
             1.0, "a:1", LeaseRequest("planner", 65537, True, 1, 1, True, acts), FIRST_VIEW
         )
     assert cell.matches("leases with a holder that announces its acts")
     again = LeaseAcceptor(MemoryCell(recorded("cells")["leases with a holder that announces its acts"]), 3.0)
     again.observe_restart(9.0)
-    request = LeaseRequest("planner", 65538, False, 1, 1, False, ActAnnouncement())
+    request = LeaseRequest("planner", 65538, False, 1, 1, False, ActionAnnouncement())
     known = again.handle_request(9.5, "a:1", request, FIRST_VIEW).acts
     assert known is not None
     assert known.known_s > known.remembered_s == 0.5
