--- a/larchgw/dispatcher/assembly.py
+++ b/larchgw/dispatcher/assembly.py
@@ -130,6 +130,6 @@
     def nothing(number: int, frame: object) -> None:
         """The number comes through the pipe."""
 
-    signal.set_wakeup_fd(loop.wake_out.fileno(), warn_on_full_buffer=False)
+    signal.set_wakeup_fd(loop.wakeup_socket.fileno(), warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
         signal.signal(number, nothing)
--- a/larchgw/dispatcher/core/stages/record.py
+++ b/larchgw/dispatcher/core/stages/record.py
@@ -24,7 +24,7 @@
             self._counters.late.labels("end").inc()
             return False
         attempt.ended, attempt.status, attempt.why = True, end.status, end.why
-        self._deadlines.drop(attempt.deadline)
+        self._deadlines.cancel(attempt.deadline)
         self._counters.ended.labels(attempt.transport.name, end.status.name.lower()).inc()
         return True
 
@@ -46,5 +46,5 @@
     def settle(self, request: Request) -> None:
         """Forgets a request that is over and has no attempt out."""
         if request.over() and all(a.ended for a in request.attempts):
-            self._deadlines.drop(request.deadline)
+            self._deadlines.cancel(request.deadline)
             self._receive.release(request)
--- a/larchgw/dispatcher/core/stages/relay.py
+++ b/larchgw/dispatcher/core/stages/relay.py
@@ -29,7 +29,7 @@
             self._counters.late.labels("answer").inc()
             return False
         request.answer = answer
-        self._deadlines.drop(request.deadline)
+        self._deadlines.cancel(request.deadline)
         self._counters.answered.labels(
             request.front.name, answer.kind.value, self._classes[request.job_class]
         ).inc()
--- a/larchgw/dispatcher/daemon.py
+++ b/larchgw/dispatcher/daemon.py
@@ -159,12 +159,12 @@
             log.info("settings.unread", fields=",".join(unread))
         self.node.loop.run()
         self.handover.close()
-        log.info("exit", **self.node.core.counters.figures())
+        log.info("exit", **self.node.core.counters.nonzero_values())
         self.node.close()
 
     def on_signal(self, number: int) -> None:
         if number == signal.SIGUSR1:
-            log.info("counters", **self.node.core.counters.figures())
+            log.info("counters", **self.node.core.counters.nonzero_values())
         elif number == signal.SIGHUP:
             self._reload()
         elif not self.node.stopping:
@@ -201,7 +201,7 @@
             if gearman:
                 gearman.close_idle()
             waiting = (
-                len(server.connections) + self.node.loop.finishing + (gearman.clients() if gearman else 0)
+                len(server.connections) + self.node.loop.closing_count + (gearman.clients() if gearman else 0)
             )
             if not waiting and not self.node.core.open_requests():
                 log.info("stop.end", seconds=round(now - self._stop_at, 3))
--- a/larchgw/dispatcher/fronts/admin.py
+++ b/larchgw/dispatcher/fronts/admin.py
@@ -30,7 +30,7 @@
         up: Callable[[WorkerId], None],
     ) -> None:
         self._core, self._ready, self._down, self._up = core, ready, down, up
-        self.server = HttpServer(loop, core.counters, address, self, CAP, MAX_BODY, one_call=True)
+        self.server = HttpServer(loop, core.counters, address, self, CAP, MAX_BODY, single_request=True)
 
     def on_exchange(self, exchange: Exchange) -> None:
         path = exchange.path
--- a/larchgw/dispatcher/fronts/agentcheck.py
+++ b/larchgw/dispatcher/fronts/agentcheck.py
@@ -54,7 +54,7 @@
     def _take(self, sock: socket.socket) -> None:
         connection = Connection(self._loop, sock, self)
         connection.write(self.text().encode())
-        connection.finish()
+        connection.close_after_write()
         self._open.append(connection)
 
     # From its connections: what the other side may send is of no account.
--- a/larchgw/dispatcher/fronts/gearman.py
+++ b/larchgw/dispatcher/fronts/gearman.py
@@ -90,7 +90,7 @@
             self._refuse(bad)
             return
         if not self._reader.partial():
-            deadlines.drop(self._timer)
+            deadlines.cancel(self._timer)
             self._timer = None
         elif self._timer is None:
             self._timer = deadlines.add(self.front.loop.clock.now() + MESSAGE_TIME, self._too_slow)
@@ -100,7 +100,7 @@
             return
         self._ended = True
         written = self.written()
-        self.front.loop.deadlines.drop(self._timer)
+        self.front.loop.deadlines.cancel(self._timer)
         self.front.links.discard(self)
         self.front.workers.on_end(self.slot, ending, written)
         jobs, self.jobs = self.jobs, []
@@ -114,7 +114,7 @@
         """The framing is in doubt: says why, then closes."""
         self.front.core.counters.bad.labels(self.front.name, bad.code.lower()).inc()
         self.write(encode(Type.ERROR, bad.code.encode(), bad.text.encode()))
-        self.connection.finish()
+        self.connection.close_after_write()
         self.on_end(ConnectionOutcome.GARBLED)
 
     # As a waiter
@@ -165,7 +165,7 @@
     def close_idle(self) -> None:
         """Closes what neither waits for an end nor is a box; boxes go last."""
         for link in [x for x in self.links if x.idle() and x.slot.box is None]:
-            link.connection.finish()
+            link.connection.close_after_write()
             link.on_end(ConnectionOutcome.STOPPED)
 
     # From connections
--- a/larchgw/dispatcher/fronts/gearman_workers.py
+++ b/larchgw/dispatcher/fronts/gearman_workers.py
@@ -135,7 +135,7 @@
 
     def give_up(self, attempt: Attempt, late: bool) -> Status:
         task: Task = attempt.carrier
-        self.loop.deadlines.drop(task.timer)
+        self.loop.deadlines.cancel(task.timer)
         slot = task.slot
         if slot is None:
             task.box.waiting.discard(task)
@@ -262,7 +262,7 @@
         others = (s for s in found.box.able(found.function) if s.free())
         for lent in islice(others, found.slots - 1):
             lent.lent = found
-        self.loop.deadlines.drop(found.timer)
+        self.loop.deadlines.cancel(found.timer)
         limit = slot.abilities[found.function]
         found.timer = None
         if limit > 0:
@@ -327,6 +327,6 @@
 
     def _over(self, task: Task, ending: ConnectionOutcome, written: bool = True, result: bytes = b"") -> None:
         task.box.waiting.discard(task)
-        self.loop.deadlines.drop(task.timer)
+        self.loop.deadlines.cancel(task.timer)
         self._give_back(task)
         self.core.ended(task.attempt, End(status_of(ending, written), result, why=ending.value))
--- a/larchgw/dispatcher/fronts/platform.py
+++ b/larchgw/dispatcher/fronts/platform.py
@@ -48,8 +48,8 @@
             self._take(exchange, job_class)
 
     def on_client_gone(self, exchange: Exchange) -> None:
-        if isinstance(exchange.extra, Request):
-            self._core.gone(exchange.extra)
+        if isinstance(exchange.handler_data, Request):
+            self._core.gone(exchange.handler_data)
 
     def _take(self, exchange: Exchange, job_class: int) -> None:
         try:
@@ -57,8 +57,8 @@
         except ValueError as error:
             self._bad(exchange, 400, str(error))
             return
-        waited = self._core.clock.now() - exchange.arrived  # behind others on its connection
-        request = exchange.extra = Request(
+        waited = self._core.clock.now() - exchange.received_at  # behind others on its connection
+        request = exchange.handler_data = Request(
             self,
             job.name,
             job_class,
--- a/larchgw/dispatcher/hot_restart/handover.py
+++ b/larchgw/dispatcher/hot_restart/handover.py
@@ -368,7 +368,7 @@
 
     def _deafen(self) -> None:
         if self._listening is not None:
-            self.loop.forget(self._listening)
+            self.loop.unwatch(self._listening)
             self._listening.close()
             self._listening = None
 
--- a/larchgw/dispatcher/hot_restart/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -107,7 +107,7 @@
         for index, (worker, sent, begun, status) in enumerate(tries)
     ]
     request.extra = platform.server.adopt(socks[0], method, request.target, keep)
-    request.extra.extra = request
+    request.extra.handler_data = request
     core.adopt(request, taken, until)
     if out is not None:
         runners.adopt(request.attempts[-1], (host, port), out, answer)
--- a/larchgw/dispatcher/workers/connection.py
+++ b/larchgw/dispatcher/workers/connection.py
@@ -133,14 +133,14 @@
 
     def time(self, seconds: float, ending: ConnectionOutcome) -> None:
         """After so many seconds it is over, for this reason."""
-        self.pool.loop.deadlines.drop(self.timer)
+        self.pool.loop.deadlines.cancel(self.timer)
         self.timer = self.pool.loop.deadlines.add(
             self.pool.loop.clock.now() + seconds, lambda: self._over(ending)
         )
 
     def close(self) -> None:
         """It is of no more use. What it carries is not told of it."""
-        self.pool.loop.deadlines.drop(self.timer)
+        self.pool.loop.deadlines.cancel(self.timer)
         self.pool.forget(self)
         if isinstance(self.connection, Connection):
             self.connection.close()
@@ -197,7 +197,7 @@
     # From the connection
 
     def on_open(self) -> None:
-        self.pool.loop.deadlines.drop(self.timer)
+        self.pool.loop.deadlines.cancel(self.timer)
         self.timer = None
         # It has taken its time: since the decision its worker may drain, its client or its window be gone.
         if self.attempt is not None and not self.pool.core.may_begin(self.attempt):
--- a/larchgw/dispatcher/workers/discovery.py
+++ b/larchgw/dispatcher/workers/discovery.py
@@ -171,7 +171,7 @@
             path += f"?after={self.version}&wait_ms={round(1000 * wait)}"
         self._parser, self._complete = httptools.HttpResponseParser(self), False
         self._body.clear()
-        self.loop.deadlines.drop(self._timer)
+        self.loop.deadlines.cancel(self._timer)
         self._timer = self.loop.deadlines.add(self.loop.clock.now() + limit, lambda: self._failed("silent"))
         host = f"{self.address[0]}:{self.address[1]}"
         self._connection.write(f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
@@ -189,7 +189,7 @@
         return AGAIN_TIME if self._failures else ANSWER_TIME
 
     def _drop(self) -> None:
-        self.loop.deadlines.drop(self._timer)
+        self.loop.deadlines.cancel(self._timer)
         self._timer = None
         if self._connection is not None:
             self._connection.close()
--- a/larchgw/dispatcher/workers/pool.py
+++ b/larchgw/dispatcher/workers/pool.py
@@ -160,7 +160,7 @@
                 self.core.counters.stale.inc()
                 continue
             idle.remove(link)
-            self.loop.deadlines.drop(link.timer)
+            self.loop.deadlines.cancel(link.timer)
             link.timer, link.stood = None, now - link.idle_since
             return link
         return None
--- a/larchgw/edge/context.py
+++ b/larchgw/edge/context.py
@@ -41,7 +41,7 @@
     runners: Callable[[str], Mapping[str, RunnerRecord]]
     expected: Callable[[str, str, str], Mapping[str, float]]
     dispatchers: Callable[[], int]
-    on_wanted: Callable[[str, str, str], None]
+    on_missing_model: Callable[[str, str, str], None]
     closed: Callable[[object], None]  # told of each request that has ended
     returns: ExpectedReturns = field(default_factory=ExpectedReturns)
     waiting: WaitingRequests = field(init=False)
--- a/larchgw/edge/interface.py
+++ b/larchgw/edge/interface.py
@@ -1,7 +1,7 @@
 """The calls that the wiring of the role makes of the data plane.
 
     proxy.Proxy(loop: EventLoop, settings: NodeSettings, selection: Selection, budget: Budget, rng: Random)
-        .runners, .expected, .dispatchers, .on_wanted       callbacks, set before `listen`; see the class
+        .runners, .expected, .dispatchers, .on_missing_model   callbacks, set before `listen`; see the class
         .configure(Configuration)        in force for requests that come from then on
         .runners_changed()               runners, what they hold, or what is expected there changed
         .listen("host:port") -> address  takes clients
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -92,7 +92,7 @@
             self._dispatchers,
             self._random_source,
         )
-        self.proxy.on_wanted = lambda service, model, adapter: self.demand.report_now()
+        self.proxy.on_missing_model = lambda service, model, adapter: self.demand.report_now()
         self.registry.watch(CONFIGURATION_KEY, self._configure)
         self.view.watch(lambda record: self.proxy.runners_changed())
         self.proxy.listen(settings.listen.front)
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -45,7 +45,7 @@
     """Serves clients. All times, also those that the callbacks give, are seconds of `loop.clock`.
 
     The callbacks are set by whoever wires it: `runners(service)`; `expected(service, model, adapter)`, when
-    an ordered load is done, by runner; `dispatchers()`, how many share the limits; `on_wanted(service,
+    an ordered load is done, by runner; `dispatchers()`, how many share the limits; `on_missing_model(service,
     model, adapter)`, called when a request waits for what no runner holds.
     """
 
@@ -74,7 +74,7 @@
         self.runners: Callable[[str], Mapping[str, RunnerRecord]] = lambda service: {}
         self.expected: Callable[[str, str, str], Mapping[str, float]] = lambda service, model, adapter: {}
         self.dispatchers: Callable[[], int] = lambda: 1
-        self.on_wanted: Callable[[str, str, str], None] = lambda service, model, adapter: None
+        self.on_missing_model: Callable[[str, str, str], None] = lambda service, model, adapter: None
         self._pool = RunnerPool(loop, self.counters, self._max_open)
         self._context = ProxyContext(
             loop,
@@ -86,7 +86,7 @@
             lambda service: self.runners(service),
             lambda service, model, adapter: self.expected(service, model, adapter),
             lambda: max(self.dispatchers(), 1),
-            lambda service, model, adapter: self.on_wanted(service, model, adapter),
+            lambda service, model, adapter: self.on_missing_model(service, model, adapter),
             self._closed,
         )
         self._configuration: Configuration | None = None
@@ -163,7 +163,7 @@
 
     def close(self) -> None:
         """Closes every connection, whatever it carries."""
-        self.loop.deadlines.drop(self._drain_timer)
+        self.loop.deadlines.cancel(self._drain_timer)
         for request in list(self._open):
             request.client_gone()
         self._pool.close()
@@ -211,8 +211,8 @@
 
     def on_client_gone(self, exchange: Exchange) -> None:
         """Its client left before the answer."""
-        if isinstance(exchange.extra, ProxiedRequest):
-            exchange.extra.client_gone()
+        if isinstance(exchange.handler_data, ProxiedRequest):
+            exchange.handler_data.client_gone()
 
     # Inside
 
@@ -222,7 +222,7 @@
         self._context.budget.record_request(traits.arrived_at, traits.service)
         if traits.model:
             self._demand.arrived(traits)
-        request = exchange.extra = ProxiedRequest(self._context, exchange, traits, name)
+        request = exchange.handler_data = ProxiedRequest(self._context, exchange, traits, name)
         self._open.add(request)
         self.counters.open.set(len(self._open))
         request.decide()
@@ -230,7 +230,7 @@
     def _traits(self, exchange: Exchange, route: Route, name: bytes) -> RequestTraits:
         self._numbers += 1
         # The client's time runs from its first byte: a long body may take a good part of it.
-        headers, began = exchange.headers, exchange.began
+        headers, began = exchange.headers, exchange.began_at
         service = split_service(route, name)
         described = self._configuration.service(service) if self._configuration is not None else None
         pinned = route.pinned and described is not None and described.runtime is not None
@@ -242,7 +242,7 @@
             number=self._numbers,
             route=route,
             service=service,
-            arrived_at=exchange.arrived,
+            arrived_at=exchange.received_at,
             deadline_at=began + request_head.time_left(headers, longest),
             target_at=began + target,
             model=model,
@@ -302,9 +302,9 @@
     return ServerLimits(
         head_bytes=limits.header_bytes,
         body_bytes=limits.body_bytes,
-        first_s=idle_s,
-        message_s=head_s,
-        silence_s=max(SLOW_CHUNK_S, head_s),
-        message_most_s=max(SLOW_BODY_S, head_s),
-        idle_s=idle_s,
+        first_byte_timeout_s=idle_s,
+        request_timeout_s=head_s,
+        chunk_timeout_s=max(SLOW_CHUNK_S, head_s),
+        max_request_s=max(SLOW_BODY_S, head_s),
+        idle_timeout_s=idle_s,
     )
--- a/larchgw/edge/relay.py
+++ b/larchgw/edge/relay.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ..net.heads import Fields, end_to_end, phrase
+from ..net.heads import Fields, end_to_end, reason_phrase
 from ..net.http_server import Exchange
 from .answer_parser import AnswerHead
 
@@ -63,4 +63,4 @@
 def start(exchange: Exchange, head: AnswerHead, length: int | None) -> None:
     """Begins the client's answer with a runner's head."""
     fields: Fields = end_to_end(head.fields)
-    exchange.start(head.status, head.reason or phrase(head.status), fields, length)
+    exchange.start(head.status, head.reason or reason_phrase(head.status), fields, length)
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -138,7 +138,7 @@
         if self._trace is not None:
             self._trace.waits(now, choice.reason)
         context.waiting.add(self)
-        context.loop.deadlines.drop(self._wait_timer)
+        context.loop.deadlines.cancel(self._wait_timer)
         self._wait_timer = context.loop.deadlines.add(
             max(choice.until, now + MIN_WAIT_S), self._on_wait_timeout
         )
@@ -158,7 +158,7 @@
         ready = [x for x in context.runners(traits.service).values() if x.stage < Stage.DRAINING]
         if not any(runner.holds(traits.model, traits.adapter) for runner in ready):
             self._demand_reported = True
-            context.on_wanted(traits.service, traits.model, traits.adapter)
+            context.on_missing_model(traits.service, traits.model, traits.adapter)
 
     def _on_wait_timeout(self) -> None:
         self._wait_timer = None
@@ -166,7 +166,7 @@
 
     def _stop_waiting(self) -> None:
         self._context.waiting.remove(self)
-        self._context.loop.deadlines.drop(self._wait_timer)
+        self._context.loop.deadlines.cancel(self._wait_timer)
         self._wait_timer = None
 
     def _send_to(self, now: float, choice: Send) -> None:
@@ -454,10 +454,10 @@
         """No more happens to it; `end` says how it ended, for its trace."""
         self._is_finished = True
         self._stop_waiting()
-        self._context.loop.deadlines.drop(self._deadline_timer)
+        self._context.loop.deadlines.cancel(self._deadline_timer)
         if self._stream_timeout is not None:
             self._stream_timeout.stop()
         if self._trace is not None:
             self._trace.finished(self._context.now(), end)
-        self._exchange.extra = self._exchange.on_drained = None  # lets its body go at once
+        self._exchange.handler_data = self._exchange.on_drained = None  # lets its body go at once
         self._context.closed(self)
--- a/larchgw/edge/runner_connection.py
+++ b/larchgw/edge/runner_connection.py
@@ -79,7 +79,7 @@
         self.connection: Connection | ConnectionOutcome = connect(owner.loop, address, self, WORKERS)
         if isinstance(self.connection, Connection):
             stale_connection.watch_by_kernel(self.connection.sock)
-            self.connection.reads_to_end = False  # each event would cost a second call
+            self.connection.reads_until_empty = False  # each event would cost a second call
             self._connect_timer = owner.loop.deadlines.add(
                 owner.loop.clock.now() + CONNECT_TIMEOUT_S, self._on_connect_timeout
             )
@@ -121,8 +121,8 @@
 
     def close(self) -> None:
         """Closes it; only the owner is told."""
-        self.owner.loop.deadlines.drop(self._connect_timer)
-        self.owner.loop.deadlines.drop(self._delivery_timer)
+        self.owner.loop.deadlines.cancel(self._connect_timer)
+        self.owner.loop.deadlines.cancel(self._delivery_timer)
         if isinstance(self.connection, Connection):
             self.connection.close()
         self.owner.on_closed(self)
@@ -138,7 +138,7 @@
 
     def on_open(self) -> None:
         """It is up: its request is sent, if it still may be."""
-        self.owner.loop.deadlines.drop(self._connect_timer)
+        self.owner.loop.deadlines.cancel(self._connect_timer)
         self._connect_timer = None
         if self._carried is not None:
             self._write(self._carried)
@@ -225,7 +225,7 @@
     def _end_delivery_checks(self) -> None:
         """Leaves the watch to the kernel again, if the request was a long one."""
         if self._is_long() and isinstance(self.connection, Connection):
-            self.owner.loop.deadlines.drop(self._delivery_timer)
+            self.owner.loop.deadlines.cancel(self._delivery_timer)
             self._delivery_timer = None
             stale_connection.watch_by_kernel(self.connection.sock)
 
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -82,7 +82,7 @@
 
     def close(self) -> None:
         """Closes all connections, whatever they carry."""
-        self.loop.deadlines.drop(self._sweep)
+        self.loop.deadlines.cancel(self._sweep)
         for connection in list(self._owner):
             connection.close()
 
--- a/larchgw/edge/status.py
+++ b/larchgw/edge/status.py
@@ -47,7 +47,7 @@
             "runners": self._runners(configuration),
             "open_requests": self.proxy.open_count,
             "retries_left": self.budget.remaining_by_service(now, dispatchers),
-            "counters": self.proxy.net_counters.figures(),
+            "counters": self.proxy.net_counters.nonzero_values(),
         }
 
     def _runners(self, configuration: Configuration | None) -> dict[str, dict[str, int]]:
--- a/larchgw/edge/stream_timeout.py
+++ b/larchgw/edge/stream_timeout.py
@@ -35,7 +35,7 @@
 
     def stop(self) -> None:
         """Ends the watch."""
-        self._loop.deadlines.drop(self._timer)
+        self._loop.deadlines.cancel(self._timer)
         self._timer = None
 
     def _set_timer(self, at: float) -> None:
--- a/larchgw/emulator/timeline.py
+++ b/larchgw/emulator/timeline.py
@@ -38,11 +38,11 @@
         return self.deadlines.add(max(when, self.time), action)
 
     def drop(self, entry: Any) -> None:
-        self.deadlines.drop(entry)
+        self.deadlines.cancel(entry)
 
     def run(self, until: float) -> None:
         """Lets everything happen that is due by then."""
-        while (due := self.deadlines.next()) is not None and due <= until:
+        while (due := self.deadlines.earliest()) is not None and due <= until:
             self.time = max(self.time, due)
-            self.events += self.deadlines.sweep(self.time)
+            self.events += self.deadlines.run_due(self.time)
         self.time = max(self.time, until)
--- a/larchgw/net/asyncio_loop.py
+++ b/larchgw/net/asyncio_loop.py
@@ -25,7 +25,7 @@
     def add(self, at: float, action: Callable[[], None]) -> Deadline:
         """See Deadlines."""
         entry = super().add(at, action)
-        if self.next() == at:
+        if self.earliest() == at:
             self._on_earlier(at)
         return entry
 
@@ -70,7 +70,7 @@
         self.loop, self.clock = loop, clock or Clock()
         self.deadlines: Deadlines = _ScheduledDeadlines(self._schedule_sweep)
         self.counters: Counters | None = None
-        self.finishing = 0
+        self.closing_count = 0
         self.reuse_port = False
         self._watches: dict[int, _Watch] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -93,11 +93,11 @@
         if not events:
             del self._watches[descriptor]
 
-    def forget(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: socket.socket) -> None:
         """Watches the socket no more."""
         self.watch(sock, 0, lambda mask: None)
 
-    def call(self, action: Callable[[], None]) -> None:
+    def call_soon(self, action: Callable[[], None]) -> None:
         """Runs the action in one of the loop's next turns. Safe from any thread."""
         self.loop.call_soon_threadsafe(self.guard, action)
 
@@ -130,7 +130,7 @@
 
     def _sweep(self) -> None:
         self._timer, self._due = None, float("inf")
-        self.guard(lambda: self.deadlines.sweep(self.clock.now()))
-        due = self.deadlines.next()
+        self.guard(lambda: self.deadlines.run_due(self.clock.now()))
+        due = self.deadlines.earliest()
         if due is not None:
             self._schedule_sweep(due)
--- a/larchgw/net/client_connection.py
+++ b/larchgw/net/client_connection.py
@@ -33,8 +33,8 @@
         loop: The loop on which all of it runs.
         counters: Where bad input is counted.
         handler: Takes the requests.
-        bodies: The memory of bodies that the handler does not have yet.
-        one_call: Whether each connection is for one request.
+        body_memory: The memory of bodies that the handler does not have yet.
+        single_request: Whether each connection is for one request.
         stopping: Whether connections close behind their last answer.
         lingering: Connections that are answered and not yet closed, with the times (loop's clock).
     """
@@ -42,8 +42,8 @@
     loop: EventLoop
     counters: Counters
     handler: Handler
-    bodies: BodyMemory
-    one_call: bool
+    body_memory: BodyMemory
+    single_request: bool
     stopping: bool
     lingering: dict[Connection, float]
 
@@ -94,11 +94,11 @@
         self._timeout: Deadline | None = None
         self._next_look: Deadline | None = None
         self._writer: ResponseWriter | None = None  # of the answer that was begun
-        self._reader = RequestReader(self, server.bodies, lambda: server.limits)
+        self._reader = RequestReader(self, server.body_memory, lambda: server.limits)
         self.opened_at = self.received_at = self._request_began_at = server.loop.clock.now()
         self.has_sent_request = False
         self.connection = Connection(server.loop, sock, self)
-        self._start_timeout(server.limits.first_s, ConnectionOutcome.SLOW)
+        self._start_timeout(server.limits.first_byte_timeout_s, ConnectionOutcome.SLOW)
 
     def is_idle(self) -> bool:
         """Whether no request is open, waits or comes in, and the next one would be read."""
@@ -129,8 +129,8 @@
 
     def on_end(self, ending: ConnectionOutcome) -> None:
         """The connection is over: the handler learns of it where it still had a request."""
-        self.server.loop.deadlines.drop(self._timeout)
-        self.server.loop.deadlines.drop(self._next_look)
+        self.server.loop.deadlines.cancel(self._timeout)
+        self.server.loop.deadlines.cancel(self._next_look)
         self.server.on_closed(self)
         exchange, self.current = self.current, None
         self._drop_waiting()
@@ -149,11 +149,11 @@
         self.server.on_request_begun(self)
         if self.has_sent_request:
             self._request_began_at = self.received_at
-            self._start_timeout(self.server.limits.message_s, ConnectionOutcome.SLOW)
+            self._start_timeout(self.server.limits.request_timeout_s, ConnectionOutcome.SLOW)
 
     def on_request(self, exchange: Exchange) -> None:
         """A request has come in whole: it waits for its turn."""
-        exchange.arrived = self.server.loop.clock.now()
+        exchange.received_at = self.server.loop.clock.now()
         self.waiting.append(exchange)
         if not self.has_sent_request:
             self.has_sent_request = True
@@ -189,17 +189,17 @@
 
     def detach(self) -> None:
         """Lets go of the connection, which goes on in another process."""
-        self.server.loop.deadlines.drop(self._timeout)
-        self.server.loop.deadlines.drop(self._next_look)
+        self.server.loop.deadlines.cancel(self._timeout)
+        self.server.loop.deadlines.cancel(self._next_look)
         self.server.on_closed(self)
         self.current, self._reader.stopped = None, True
         self.connection.close()
 
-    def resume(self, method: bytes, target: bytes, keep: bool) -> Exchange:
+    def resume(self, method: bytes, target: bytes, keep_alive: bool) -> Exchange:
         """Goes on with a request that another process has read on this connection."""
         self.has_sent_request = True
         exchange = self.current = Exchange(self, self.server.loop.clock.now(), method, target)
-        exchange.keep_alive = keep
+        exchange.keep_alive = keep_alive
         self._stop_timeout()
         return exchange
 
@@ -218,7 +218,7 @@
             and not (self.connection.busy() or self.connection.peer_ended)
         ):
             exchange = self.current = self.waiting.popleft()
-            self.server.bodies.release(len(exchange.body))  # from here on it is the handler's to count
+            self.server.body_memory.release(len(exchange.body))  # from here on it is the handler's to count
             if exchange.error is not None:
                 self.server.counters.bad.labels(self.server.handler.name, str(exchange.error[0])).inc()
                 status, reason = exchange.error
@@ -253,7 +253,7 @@
     def _drop_waiting(self) -> None:
         """Lets go of what is still to be handled."""
         self._reader.drop_body()
-        self.server.bodies.release(sum(len(x.body) for x in self.waiting))
+        self.server.body_memory.release(sum(len(x.body) for x in self.waiting))
         self.waiting.clear()
 
     @property
@@ -267,25 +267,25 @@
         """Writes the whole answer."""
         if exchange is not self.current:
             return
-        keep = self._stays_open_after(exchange)
+        keep_alive = self._stays_open_after(exchange)
         lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}", f"Content-Length: {len(body)}"]
         lines += [f"{name}: {value}" for name, value in headers]
-        lines += [] if keep else ["Connection: close"]
+        lines += [] if keep_alive else ["Connection: close"]
         head = "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
         self.connection.write(head if exchange.method == b"HEAD" else head + body)
-        self._finish_answer(keep)
+        self._finish_answer(keep_alive)
 
     def _stays_open_after(self, exchange: Exchange) -> bool:
         """Whether the connection stays open after the answer to this request."""
         stops = self.server.stopping and not self.waiting
-        return exchange.keep_alive and not stops and not self.server.one_call
+        return exchange.keep_alive and not stops and not self.server.single_request
 
-    def _finish_answer(self, keep: bool) -> None:
+    def _finish_answer(self, keep_alive: bool) -> None:
         """Goes on with the next request, or closes."""
         self.current = None
         if self.connection.closed:
             return
-        if keep:
+        if keep_alive:
             self._restart_timeout()
             self.advance()
         else:
@@ -333,34 +333,34 @@
 
     def close(self) -> None:
         """Closes in good order, after what is written."""
-        self.server.loop.deadlines.drop(self._timeout)
-        self.server.loop.deadlines.drop(self._next_look)
+        self.server.loop.deadlines.cancel(self._timeout)
+        self.server.loop.deadlines.cancel(self._next_look)
         self.server.on_closed(self)
         self._drop_waiting()
         self._reader.stopped = True
-        self.connection.finish(self.server.lingering)
+        self.connection.close_after_write(self.server.lingering)
 
     def _restart_timeout(self) -> None:
         """Waits for what the client has to do next."""
         if self.connection.unsent:
             self._start_timeout(WRITE_TIMEOUT_S, ConnectionOutcome.CLOGGED)
         elif self._reader.coming is not None:
-            self._start_timeout(self.server.limits.message_s, ConnectionOutcome.SLOW)
+            self._start_timeout(self.server.limits.request_timeout_s, ConnectionOutcome.SLOW)
         elif self.is_idle():
             if self.has_sent_request:
                 self.server.on_idle(self)
-            self._start_timeout(self.server.limits.idle_s, ConnectionOutcome.IDLE)
+            self._start_timeout(self.server.limits.idle_timeout_s, ConnectionOutcome.IDLE)
         else:
             self._stop_timeout()
 
     def _stop_timeout(self) -> None:
-        self.server.loop.deadlines.drop(self._timeout)
+        self.server.loop.deadlines.cancel(self._timeout)
         self._timeout = None
 
     def _start_timeout(self, seconds: float, ending: ConnectionOutcome) -> None:
         """Waits so long for the client, instead of the present wait."""
         loop = self.server.loop
-        loop.deadlines.drop(self._timeout)
+        loop.deadlines.cancel(self._timeout)
         self._timeout = loop.deadlines.add(loop.clock.now() + seconds, lambda: self._expire(ending))
 
     def _expire(self, ending: ConnectionOutcome) -> None:
@@ -377,10 +377,10 @@
         """Refuses the request that comes in, unless it is within its time or still sends."""
         now, limits = self.server.loop.clock.now(), self.server.limits
         due, latest = (
-            self._request_began_at + limits.message_s,
-            self._request_began_at + limits.message_most_s,
+            self._request_began_at + limits.request_timeout_s,
+            self._request_began_at + limits.max_request_s,
         )
-        next_piece_due = self.received_at + limits.silence_s
+        next_piece_due = self.received_at + limits.chunk_timeout_s
         if now < min(next_piece_due, latest) or now < due:
             until = max(due, next_piece_due)
             self._start_timeout(max(min(until, latest) - now, 0.0), ConnectionOutcome.SLOW)
--- a/larchgw/net/connection.py
+++ b/larchgw/net/connection.py
@@ -39,7 +39,7 @@
     Attributes:
         peer_ended: Whether the peer's end of stream has been read already.
         max_unsent: Bytes; whoever writes more at once has to raise it.
-        reads_to_end: Whether a turn also looks for the end behind a chunk that was short.
+        reads_until_empty: Whether a turn also looks for the end behind a chunk that was short.
     """
 
     def __init__(
@@ -62,94 +62,94 @@
         self.loop, self.sock, self.owner, self.rank = loop, sock, owner, rank
         self.peer_ended = False
         self.max_unsent = MAX_UNSENT_BYTES
-        self.reads_to_end = True
+        self.reads_until_empty = True
         self.connecting, self.closed, self._paused = connecting, False, False
-        self._finishing = False
+        self._closing = False
         self._lingering: dict[Connection, float] = {}  # where it is listed while it finishes
-        self._linger: Deadline | None = None
-        self._out = bytearray()
+        self._linger_timer: Deadline | None = None
+        self._output = bytearray()
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._watch()
+        self._update_watch()
 
     @property
     def unsent(self) -> int:
         """Bytes that the kernel has not taken yet."""
-        return len(self._out)
+        return len(self._output)
 
     def busy(self) -> bool:
         """Whether it takes nothing new now: it still writes, or is closed."""
-        return self.closed or bool(self._out)
+        return self.closed or bool(self._output)
 
     def write(self, data: bytes) -> None:
         """Sends these bytes, as far as the kernel takes them now; the rest follows.
 
         An owner that leaves more than `max_unsent` bytes unsent gets `on_end` with CLOGGED.
         """
-        if self.closed or self._finishing:
+        if self.closed or self._closing:
             return
-        self._out += data
+        self._output += data
         if not self.connecting:
             self._flush()
-            if not self.closed and len(self._out) > self.max_unsent:
-                self._end(ConnectionOutcome.CLOGGED)
+            if not self.closed and len(self._output) > self.max_unsent:
+                self._on_connection_end(ConnectionOutcome.CLOGGED)
 
     def pause(self, paused: bool) -> None:
         """Stops or resumes reading, so that the other side's writing stops."""
         if paused != self._paused and not self.closed:
             self._paused = paused
-            self._watch()
+            self._update_watch()
 
-    def finish(self, lingering: dict[Connection, float] | None = None) -> None:
+    def close_after_write(self, lingering: dict[Connection, float] | None = None) -> None:
         """Writes what is left, then closes; until then it is in `lingering` with the time of this call.
 
         Closing at once while bytes from the other side lie unread would reset the connection, and the reset
         can overtake our last answer.
         """
-        if self.closed or self._finishing:
+        if self.closed or self._closing:
             return
-        self._finishing = True
-        self.loop.finishing += 1
+        self._closing = True
+        self.loop.closing_count += 1
         now = self.loop.clock.now()
-        self._linger = self.loop.deadlines.add(now + LINGER_S, self.close)
+        self._linger_timer = self.loop.deadlines.add(now + LINGER_S, self.close)
         if lingering is not None:
             self._lingering = lingering
             lingering[self] = now
-        if not self._out:
-            self._shut()
+        if not self._output:
+            self._shut_down_writing()
         self._paused = False
         if not self.closed:
-            self._watch()
+            self._update_watch()
 
     def close(self) -> None:
         """Closes it at once; the owner is not called."""
         if self.closed:
             return
         self.closed = True
-        if self._finishing:
+        if self._closing:
             self._receive()  # unread bytes would turn this close into a reset
-        self.loop.finishing -= self._finishing
+        self.loop.closing_count -= self._closing
         self._lingering.pop(self, None)
-        self.loop.deadlines.drop(self._linger)
-        self.loop.forget(self.sock)
+        self.loop.deadlines.cancel(self._linger_timer)
+        self.loop.unwatch(self.sock)
         self.sock.close()
 
-    def _end(self, ending: ConnectionOutcome) -> None:
-        finishing = self._finishing
+    def _on_connection_end(self, ending: ConnectionOutcome) -> None:
+        finishing = self._closing
         self.close()
         if not finishing:
             self.owner.on_end(ending)
 
-    def _shut(self) -> None:
+    def _shut_down_writing(self) -> None:
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close()
 
-    def _watch(self) -> None:
+    def _update_watch(self) -> None:
         events = 0 if self._paused or self.connecting else READ
-        if self._out or self.connecting:
+        if self._output or self.connecting:
             events |= WRITE
         self.loop.watch(self.sock, events, self._ready, self.rank)
 
@@ -157,18 +157,18 @@
         if self.closed:  # closed earlier in this turn
             return
         if self.connecting:
-            self._connected()
+            self._on_connected()
             return
         if mask & WRITE:
             self._flush()
         if mask & READ and not self.closed:
             self._read()
 
-    def _connected(self) -> None:
+    def _on_connected(self) -> None:
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             refused = error == errno.ECONNREFUSED
-            self._end(ConnectionOutcome.REFUSED if refused else ConnectionOutcome.NEVER_UP)
+            self._on_connection_end(ConnectionOutcome.REFUSED if refused else ConnectionOutcome.NEVER_UP)
             return
         self.connecting = False
         self.owner.on_open()
@@ -176,22 +176,22 @@
             self._flush()
 
     def _flush(self) -> None:
-        if self._out:
+        if self._output:
             try:
-                sent = self.sock.send(self._out)
+                sent = self.sock.send(self._output)
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._end(ConnectionOutcome.BROKE)
+                self._on_connection_end(ConnectionOutcome.BROKE)
                 return
-            del self._out[:sent]
-            if not self._out:
-                if self._finishing:
-                    self._shut()
+            del self._output[:sent]
+            if not self._output:
+                if self._closing:
+                    self._shut_down_writing()
                 else:
                     self.owner.on_written()
         if not self.closed:
-            self._watch()
+            self._update_watch()
 
     def _receive(self) -> tuple[list[bytes], ConnectionOutcome | None]:
         """What lies in the socket, so much of it as one turn takes, and the end behind it if it is there."""
@@ -206,7 +206,7 @@
             if not data:
                 return chunks, ConnectionOutcome.CLOSED
             chunks.append(data)
-            if len(data) < READ_BYTES and not self.reads_to_end:
+            if len(data) < READ_BYTES and not self.reads_until_empty:
                 break
         return chunks, None
 
@@ -215,10 +215,10 @@
         chunks, ending = self._receive()
         self.peer_ended = ending is not None
         for data in chunks:
-            if not self._finishing and not self.closed:
+            if not self._closing and not self.closed:
                 self.owner.on_data(data)
         if ending is not None and not self.closed:
-            self._end(ending)
+            self._on_connection_end(ending)
 
     def read_now(self) -> None:
         """Reads what has come since the loop last looked: before a close, or it would be lost unread."""
--- a/larchgw/net/counters.py
+++ b/larchgw/net/counters.py
@@ -48,7 +48,7 @@
         """The counters in Prometheus' text format."""
         return generate_latest(self.registry)
 
-    def figures(self) -> dict[str, float]:
+    def nonzero_values(self) -> dict[str, float]:
         """Every counter that is not 0, for one log line."""
         return {
             sample.name + "".join(f"_{value}" for value in sample.labels.values()): sample.value
--- a/larchgw/net/exchange.py
+++ b/larchgw/net/exchange.py
@@ -54,11 +54,11 @@
         headers: Each name once, in lower case; values of one name are joined.
         fields: The header fields as they came, in order.
         body: The whole body.
-        began: When its first byte came.
-        arrived: When its last byte came.
+        began_at: When its first byte came.
+        received_at: When its last byte came.
         keep_alive: Whether the connection may stay open after the answer.
         error: Status and reason of the answer to a request that cannot be handled.
-        extra: What the handler keeps with the request.
+        handler_data: What the handler keeps with the request.
         done: Whether the answer is whole, or nobody waits for it any more.
         predates_http_1_1: Whether its client speaks a version before HTTP/1.1.
         on_drained: Called once all that was sent has been written, where it is set.
@@ -72,29 +72,29 @@
         "headers",
         "fields",
         "body",
-        "began",
-        "arrived",
+        "began_at",
+        "received_at",
         "keep_alive",
         "error",
-        "extra",
+        "handler_data",
         "done",
         "predates_http_1_1",
         "on_drained",
     )
 
     def __init__(
-        self, channel: ResponseChannel, arrived: float, method: bytes = b"", target: bytes = b""
+        self, channel: ResponseChannel, received_at: float, method: bytes = b"", target: bytes = b""
     ) -> None:
-        """A request of which no more is known than these; `arrived` also stands for `began`."""
+        """A request of which no more is known than these; `received_at` also stands for `began_at`."""
         self.channel, self.method, self.target = channel, method, target
-        self.began = self.arrived = arrived
+        self.began_at = self.received_at = received_at
         self.path = target.partition(b"?")[0]
         self.headers: dict[bytes, bytes] = {}
         self.fields: Fields = []
         self.body = b""
         self.keep_alive = True
         self.error: tuple[int, str] | None = None
-        self.extra: Any = None
+        self.handler_data: Any = None
         self.done = False
         self.predates_http_1_1 = False
         self.on_drained: Callable[[], None] | None = None
--- a/larchgw/net/heads.py
+++ b/larchgw/net/heads.py
@@ -49,7 +49,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def phrase(status: int) -> bytes:
+def reason_phrase(status: int) -> bytes:
     """The standard reason phrase of a status; empty where it has none."""
     try:
         return HTTPStatus(status).phrase.encode()
--- a/larchgw/net/limits.py
+++ b/larchgw/net/limits.py
@@ -17,11 +17,13 @@
 
     head_bytes: int = MAX_HEAD_BYTES
     body_bytes: int = MAX_BODY_BYTES
-    first_s: float = 2.0  # for a connection's first byte
-    message_s: float = 2.6  # for a request to come in whole, from its first byte, or the connection's start
-    silence_s: float = 1.0  # after that, for the next piece of one that still comes ...
-    message_most_s: float = 10.0  # ... up to this
-    idle_s: float = 300.0  # between two requests
+    first_byte_timeout_s: float = 2.0  # for a connection's first byte
+    request_timeout_s: float = (
+        2.6  # for a request to come in whole, from its first byte, or the connection's start
+    )
+    chunk_timeout_s: float = 1.0  # after that, for the next piece of one that still comes ...
+    max_request_s: float = 10.0  # ... up to this
+    idle_timeout_s: float = 300.0  # between two requests
 
     @property
     def raw_bytes(self) -> int:
--- a/larchgw/net/listener.py
+++ b/larchgw/net/listener.py
@@ -8,7 +8,7 @@
 import structlog
 
 from .counters import Counters
-from .loop import NEWCOMERS, READ, EventLoop
+from .loop import LISTENERS, READ, EventLoop
 
 BACKLOG = 1024
 MAX_ACCEPTS = 64  # connections accepted in one turn
@@ -35,7 +35,7 @@
         max_connections: int,
         accept: Callable[[socket.socket], None],
         count: Callable[[], int],
-        make_room: Callable[[], bool],
+        close_idle_connection: Callable[[], bool],
         inherited: int | None = None,
     ) -> None:
         """Listens from now on.
@@ -48,7 +48,7 @@
             max_connections: How many connections there may be.
             accept: Takes each accepted socket.
             count: How many connections there are.
-            make_room: Closes an idle connection where there is one; returns whether there was.
+            close_idle_connection: Closes an idle connection where there is one; returns whether there was.
             inherited: A listening descriptor, shared with other processes, to use instead of `address`.
 
         Raises:
@@ -56,14 +56,14 @@
         """
         self.loop, self.counters, self.name = loop, counters, name
         self.max_connections = max_connections
-        self.accept, self.count, self.make_room = accept, count, make_room
+        self.accept, self.count, self.close_idle_connection = accept, count, close_idle_connection
         self.last_accept = 0.0
         self._capped = self._paused = False
         self._inherited = inherited
         self.sock = self._listen(address)
         self.address: tuple[str, int] = self.sock.getsockname()[:2]
         self.open = True
-        loop.watch(self.sock, READ, self._ready, NEWCOMERS)
+        loop.watch(self.sock, READ, self._ready, LISTENERS)
 
     def _listen(self, address: tuple[str, int]) -> socket.socket:
         try:
@@ -94,19 +94,19 @@
             self._ready()  # no other process can empty the queue of this socket
         self._paused = paused
         if paused:
-            self.loop.forget(self.sock)
+            self.loop.unwatch(self.sock)
         if self._inherited is None and paused:
             self.sock.close()
         elif self._inherited is None:
             self.sock = self._listen(self.address)
         if not paused:
-            self.loop.watch(self.sock, READ, self._ready, NEWCOMERS)
+            self.loop.watch(self.sock, READ, self._ready, LISTENERS)
 
     def _ready(self, mask: int = READ) -> None:
         for _ in range(MAX_ACCEPTS):
             if not self.open or self._paused:
                 return
-            if self.count() >= self.max_connections and not self.make_room():
+            if self.count() >= self.max_connections and not self.close_idle_connection():
                 self._wait()
                 return
             try:
@@ -131,13 +131,13 @@
 
     def _again(self) -> None:
         if self.open and not self._paused:
-            self.loop.watch(self.sock, READ, self._ready, NEWCOMERS)
+            self.loop.watch(self.sock, READ, self._ready, LISTENERS)
 
     def close(self) -> None:
         """Accepts what waits in the queue, and listens no longer."""
         if self.open and not self._paused:
             for _ in range(BACKLOG // MAX_ACCEPTS):
                 self._ready()  # for the clients in the queue the connection is established
-            self.loop.forget(self.sock)
+            self.loop.unwatch(self.sock)
         self.open = False
         self.sock.close()
--- a/larchgw/net/loop.py
+++ b/larchgw/net/loop.py
@@ -17,7 +17,7 @@
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 # Ranks: the order in which a turn serves the sockets that are ready. An endpoint list, or a client that has
 # left, must be known before a worker's answer frees a slot and a job that waits is sent there.
-FIRST, CLIENTS, WORKERS, NEWCOMERS = range(4)
+FIRST, CLIENTS, WORKERS, LISTENERS = range(4)
 MAX_WAIT_S = 1.0  # of one turn for sockets
 log = structlog.get_logger()
 
@@ -28,7 +28,7 @@
     clock: Clock
     deadlines: Deadlines
     counters: Counters | None
-    finishing: int  # connections that write their last bytes
+    closing_count: int  # connections that write their last bytes
     reuse_port: bool  # whether another process of ours may listen where we do
 
     def watch(
@@ -36,10 +36,10 @@
     ) -> None:
         """Calls `ready` with the events at hand; 0 events pause it."""
 
-    def forget(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: socket.socket) -> None:
         """Watches the socket no more."""
 
-    def call(self, action: Callable[[], None]) -> None:
+    def call_soon(self, action: Callable[[], None]) -> None:
         """Runs the action in one of the loop's next turns. Safe from any thread."""
 
 
@@ -47,8 +47,8 @@
     """`EventLoop` on a selector. Each turn serves the sockets that are ready, then calls, then deadlines.
 
     Attributes:
-        on_signal: Called in a turn with each signal's number, where `wake_out` is the wake-up descriptor.
-        wake_out: Bytes written here wake the loop.
+        on_signal: Called in a turn with each signal's number, if `wakeup_socket` is the wake-up descriptor.
+        wakeup_socket: Bytes written here wake the loop.
     """
 
     def __init__(self, clock: Clock, deadlines: Deadlines) -> None:
@@ -58,13 +58,13 @@
         self._selector = selectors.DefaultSelector()
         self._calls: deque[Callable[[], None]] = deque()
         self._running = True
-        self.finishing = 0  # connections that write their last bytes
+        self.closing_count = 0  # connections that write their last bytes
         self.reuse_port = False  # whether another process of ours may listen where we do, during an upgrade
         self.on_signal: Callable[[int], None] = lambda number: None
-        self._wake_in, self.wake_out = socket.socketpair()
-        self._wake_in.setblocking(False)
-        self.wake_out.setblocking(False)
-        self.watch(self._wake_in, READ, self._woken)
+        self._wakeup_receiver, self.wakeup_socket = socket.socketpair()
+        self._wakeup_receiver.setblocking(False)
+        self.wakeup_socket.setblocking(False)
+        self.watch(self._wakeup_receiver, READ, self._on_wakeup)
 
     def watch(
         self, sock: socket.socket, events: int, ready: Callable[[int], None], rank: int = FIRST
@@ -79,15 +79,15 @@
         else:
             self._selector.register(sock, events, (rank, ready))
 
-    def forget(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: socket.socket) -> None:
         """Watches the socket no more."""
         self.watch(sock, 0, lambda mask: None)
 
-    def call(self, action: Callable[[], None]) -> None:
+    def call_soon(self, action: Callable[[], None]) -> None:
         """Runs the action in the loop's next turn. Safe from any thread."""
         self._calls.append(action)
         with suppress(OSError):  # the pipe is full, so the loop wakes anyway, or has ended
-            self.wake_out.send(b"\0")
+            self.wakeup_socket.send(b"\0")
 
     def stop(self) -> None:
         """Ends `run` after the present turn."""
@@ -96,23 +96,23 @@
     def run(self) -> None:
         """Takes turns until it is stopped."""
         while self._running:
-            self.turn()
+            self.run_once()
 
     def close(self) -> None:
         """Frees its descriptors, once everything that it watched has been closed."""
         self._selector.close()
-        self._wake_in.close()
-        self.wake_out.close()
+        self._wakeup_receiver.close()
+        self.wakeup_socket.close()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Waits for sockets until the next deadline, and serves what is ready and due."""
-        due = self.deadlines.next()
+        due = self.deadlines.earliest()
         wait = MAX_WAIT_S if due is None else min(max(due - self.clock.now(), 0.0), MAX_WAIT_S)
         for key, mask in sorted(self._selector.select(wait), key=lambda event: event[0].data[0]):
             self._guard(lambda ready=key.data[1], mask=mask: ready(mask))  # type: ignore[misc]
         while self._calls:
             self._guard(self._calls.popleft())
-        self._guard(lambda: self.deadlines.sweep(self.clock.now()))
+        self._guard(lambda: self.deadlines.run_due(self.clock.now()))
 
     def _guard(self, action: Callable[[], object]) -> None:
         try:
@@ -122,9 +122,9 @@
                 self.counters.faults.labels("loop").inc()
             log.exception("fault.loop")
 
-    def _woken(self, mask: int) -> None:
+    def _on_wakeup(self, mask: int) -> None:
         try:
-            numbers = self._wake_in.recv(4096)
+            numbers = self._wakeup_receiver.recv(4096)
         except BlockingIOError:
             return
         for number in numbers:
--- a/larchgw/net/timers.py
+++ b/larchgw/net/timers.py
@@ -45,16 +45,16 @@
         self._entries.add(entry)
         return entry
 
-    def drop(self, entry: Deadline | None) -> None:
+    def cancel(self, entry: Deadline | None) -> None:
         """Takes a deadline back; one that has run, or None, is ignored."""
         if entry is not None:
             self._entries.discard(entry)
 
-    def next(self) -> float | None:
+    def earliest(self) -> float | None:
         """The earliest time; None where there is none."""
         return self._entries[0][0] if self._entries else None
 
-    def sweep(self, now: float) -> int:
+    def run_due(self, now: float) -> int:
         """Runs what is due. What that adds waits for the next turn, so a turn always ends.
 
         Returns:
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -66,13 +66,13 @@
         with self._lock:
             was_running, self._running = self._running, False
             if was_running:
-                self._node.loop.call(self._stop_when_done)
+                self._node.loop.call_soon(self._stop_when_done)
         if was_running:
             self._thread.join(timeout)
 
     def figures(self) -> dict[str, float]:
         """The counters that are not 0."""
-        return self._node.core.counters.figures()
+        return self._node.core.counters.nonzero_values()
 
     def deadline(self, job_class: str) -> float:
         """How long a client of this class waits, in seconds.
@@ -158,7 +158,7 @@
             if not self._running:
                 raise RuntimeError("the dispatcher is not running")
             # One that is cancelled before the loop comes to it is never sent.
-            self._node.loop.call(lambda: None if future.cancelled() else self._node.core.take(request))
+            self._node.loop.call_soon(lambda: None if future.cancelled() else self._node.core.take(request))
         return future
 
     # As a front of the core, on the dispatcher's thread
@@ -173,7 +173,8 @@
         """Ignores progress: a future has the final answer only."""
 
     def _cancel(self, request: Request) -> None:
-        self._node.loop.call(lambda: self._node.core.gone(request) if request.id else None)  # 0: not begun
+        # An id of 0: not begun.
+        self._node.loop.call_soon(lambda: self._node.core.gone(request) if request.id else None)
 
     def _run(self) -> None:
         self._node.start()
--- a/tests/dispatcher/test_core.py
+++ b/tests/dispatcher/test_core.py
@@ -47,9 +47,9 @@
 
     def pass_time(self, seconds: float) -> None:
         end = self.clock.time + seconds
-        while (due := self.deadlines.next()) is not None and due <= end:
+        while (due := self.deadlines.earliest()) is not None and due <= end:
             self.clock.time = max(self.clock.time, due)
-            self.deadlines.sweep(self.clock.time)
+            self.deadlines.run_due(self.clock.time)
         self.clock.time = end
 
     def answer(self, request: Request, answer: Answer) -> None:
@@ -86,7 +86,7 @@
     desk.core.ended(attempt, End(Status.RESET))
     desk.core.started(attempt)
     assert [a.result for _, a in desk.answers] == [b"made"]
-    assert desk.core.counters.figures()["larchgw_late_events_total_end"] == 1
+    assert desk.core.counters.nonzero_values()["larchgw_late_events_total_end"] == 1
     assert desk.core.open_requests() == 0
     assert not desk.core.dispatcher.jobs
     assert all(w.pending == 0 for w in desk.core.dispatcher.workers.values())
@@ -132,7 +132,7 @@
     desk.take()
     desk.pass_time(4.99)
     assert [a.kind for _, a in desk.answers] == [AnswerKind.FAILED]
-    figures = desk.core.counters.figures()
+    figures = desk.core.counters.nonzero_values()
     assert figures["larchgw_faults_total_decision"] == figures["larchgw_faults_total_overdue"] == 1
 
 
@@ -154,8 +154,8 @@
 
     deadlines.add(0.0, again)
     dropped = deadlines.add(0.0, lambda: seen.append(2))
-    deadlines.drop(dropped)
-    assert deadlines.sweep(1.0) == 1
+    deadlines.cancel(dropped)
+    assert deadlines.run_due(1.0) == 1
     assert seen == [1]
     assert len(deadlines) == 1
 
--- a/tests/dispatcher/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -156,8 +156,8 @@
             target=b"/proof",
             method=b"POST",
             body=b"",
-            arrived=clock.now(),
-            extra=None,
+            received_at=clock.now(),
+            handler_data=None,
             headers={b"x-request-id": name, b"x-deadline-ms": b"9000"} | more,
         )
         front.on_exchange(exchange)  # type: ignore[arg-type]
@@ -287,7 +287,7 @@
     def add(self, at: float, action: object) -> None:
         self.at.append(at)
 
-    def drop(self, entry: object) -> None:
+    def cancel(self, entry: object) -> None:
         pass
 
 
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -160,7 +160,7 @@
     sock.setblocking(False)
     received = b""
     while last not in received.rpartition(b"\n")[0]:
-        loop.turn()
+        loop.run_once()
         try:
             received += sock.recv(65536)
         except BlockingIOError:
@@ -223,7 +223,7 @@
         accepted, _ = elder.accept()
         with accepted:
             accepted.sendall(b'{"told": true}\n')
-            loop.turn()
+            loop.run_once()
             desk.pass_time(0.05)
             text = receive_until(loop, accepted, b'"serving"')
             return with_sorted_list("\n".join([*names_in(folder), text]))
@@ -304,7 +304,7 @@
     (request,) = desk.core.receive.open.values()
     assert adopted.client == (client, b"POST", b"/release?x=1", True)
     assert adopted.exchange is not None
-    assert adopted.exchange.extra is request is not None
+    assert adopted.exchange.handler_data is request is not None
     assert (request.name, request.job_class, request.target) == (b"job-\xe9", 1, b"/release?x=1")
     assert (request.body, request.once, request.tenant) == (b"\x00body", b"once-1", 1)
     assert (request.wait, request.key, request.slots) == (4.5, 9, 2.0)
@@ -333,7 +333,7 @@
         accepted, _ = elder.accept()
         with accepted:
             accepted.sendall(lines_only(recorded("elder_lines.txt")))
-            loop.turn()
+            loop.run_once()
             assert handover.peers[0].greeted
             assert not handover.peers[0].younger
             assert handover.peers[0].pending
@@ -358,7 +358,7 @@
         accepted, _ = elder.accept()
         with accepted:
             accepted.sendall(lines_only(recorded("elder_lines.txt")).splitlines(keepends=True)[0])
-            loop.turn()
+            loop.run_once()
             assert new.core.boxes.banned == {b"w3": 1001.5}
 
 
@@ -370,7 +370,7 @@
         newcomer.connect(str(tmp_path / names_in(tmp_path)[0]))
         newcomer.sendall(lines_only(recorded("newcomer_lines.txt")))
         while not handover.succeeded():
-            loop.turn()
+            loop.run_once()
         assert not handover.accepting()
         assert handover.peers[0].younger
         assert handover.peers[0].moves == f"larchgw-74.sock.{PID}.moves"
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -21,7 +21,7 @@
 from larchgw.net.connection_outcome import ConnectionOutcome
 from larchgw.net.http_server import Exchange, HttpServer
 from larchgw.net.listener import Listener
-from larchgw.net.loop import CLIENTS, FIRST, NEWCOMERS, READ, WORKERS, Loop
+from larchgw.net.loop import CLIENTS, FIRST, LISTENERS, READ, WORKERS, Loop
 from larchgw.net.timers import Clock, Deadlines
 from tests.support.stand_ins import delivered, settings, until
 
@@ -30,7 +30,7 @@
     """Turns the loop until the condition holds."""
 
     def turned() -> Any:
-        loop.turn()
+        loop.run_once()
         return condition()
 
     until(turned)
@@ -49,17 +49,17 @@
 
         return ready
 
-    for rank in (NEWCOMERS, WORKERS, CLIENTS, FIRST):
+    for rank in (LISTENERS, WORKERS, CLIENTS, FIRST):
         ours, theirs = socket.socketpair()
         pairs += [ours, theirs]
         loop.watch(ours, READ, hear(rank, ours), rank)
         theirs.send(b"x")
-    loop.turn()
+    loop.run_once()
     for sock in pairs:
-        loop.forget(sock)
+        loop.unwatch(sock)
         sock.close()
     loop.close()
-    assert heard == [FIRST, CLIENTS, WORKERS, NEWCOMERS]
+    assert heard == [FIRST, CLIENTS, WORKERS, LISTENERS]
 
 
 def test_what_one_loop_was_told_of_its_listeners_is_not_every_loops() -> None:
@@ -130,10 +130,10 @@
     wait = float(path.split("wait_ms=")[1]) / 1000.0
     before = len(wire.calls)
     while len(wire.calls) < before + silent:
-        due = deadlines.next()
+        due = deadlines.earliest()
         assert due is not None
         now = max(now, due)
-        deadlines.sweep(now)
+        deadlines.run_due(now)
     answered(wire.calls[-1][2], 2)
     assert watched.version == 2
     assert now - fell <= max(6.0, wait + 2.0) - 0.5  # half a second is left for the answer and its way
@@ -255,7 +255,7 @@
     handler.held[0].reply(200, b"x" * 50_000)
     send(sock, b"GET /3 HTTP/1.1\r\n\r\n" * 3)
     if later == "linger":
-        loop.turn()
+        loop.run_once()
     else:
         link.connection.close()
     got = b"".join(iter(lambda: sock.recv(65536), b""))  # an end in order, no reset
--- a/tests/dispatcher/test_wsgi.py
+++ b/tests/dispatcher/test_wsgi.py
@@ -87,7 +87,7 @@
         asleep.set()
         awake.wait(20)
 
-    dispatcher._node.loop.call(sleep)
+    dispatcher._node.loop.call_soon(sleep)
     assert asleep.wait(20)  # the dispatcher's thread stands still
     left = [dispatcher.submit("proof", b"left") for _ in range(3)]
     assert all(future.cancel() for future in left)
--- a/tests/edge/test_parsers.py
+++ b/tests/edge/test_parsers.py
@@ -115,14 +115,14 @@
     """Owns one connection whose bytes the test gives by hand."""
 
     def __init__(self) -> None:
-        self.clock, self.deadlines, self.finishing = Clock(), Deadlines(), 0
+        self.clock, self.deadlines, self.closing_count = Clock(), Deadlines(), 0
         self.loop = self
         self.free, self.over = 0, 0
 
     def watch(self, *args: object) -> None:
         pass
 
-    def forget(self, *args: object) -> None:
+    def unwatch(self, *args: object) -> None:
         pass
 
     def on_released(self, connection: RunnerConnection, keep_alive_s: float | None) -> None:
--- a/tests/edge/test_request_limits.py
+++ b/tests/edge/test_request_limits.py
@@ -97,7 +97,7 @@
         )
         server = made.proxy._server
         assert server is not None
-        await until(lambda: server.bodies.used_bytes)  # bytes of the body have been read
+        await until(lambda: server.body_memory.used_bytes)  # bytes of the body have been read
         made.move(2.0)
         client.writer.write(b"later")
         call = await runner.call()
--- a/tests/net/test_asyncio_loop.py
+++ b/tests/net/test_asyncio_loop.py
@@ -46,7 +46,7 @@
         assert masks == [READ]
         loop.watch(ours, READ, ready)
         await second.wait()
-        loop.forget(ours)
+        loop.unwatch(ours)
         ours.close()
         theirs.close()
 
@@ -76,7 +76,7 @@
         dropped = loop.deadlines.add(now + 0.001, lambda: ran.append("dropped"))
         loop.deadlines.add(now + 0.02, lambda: ran.append("second"))
         loop.deadlines.add(now + 0.01, lambda: ran.append("first"))
-        loop.deadlines.drop(dropped)
+        loop.deadlines.cancel(dropped)
         await done.wait()
         assert ran == ["first", "second"]
 
@@ -91,7 +91,7 @@
         loop.deadlines.add(now, lambda: 1 / 0)  # type: ignore[arg-type,return-value]
         loop.deadlines.add(now, done.set)
         await done.wait()
-        assert loop.counters.figures()["larchgw_faults_total_loop"] == 1
+        assert loop.counters.nonzero_values()["larchgw_faults_total_loop"] == 1
 
     run(test)
 
@@ -99,7 +99,7 @@
 def test_another_thread_can_hand_work_in() -> None:
     async def test(loop: AsyncLoop) -> None:
         done = asyncio.Event()
-        await asyncio.get_running_loop().run_in_executor(None, loop.call, done.set)
+        await asyncio.get_running_loop().run_in_executor(None, loop.call_soon, done.set)
         await done.wait()
 
     run(test)
--- a/tests/net/test_request_reader.py
+++ b/tests/net/test_request_reader.py
@@ -108,7 +108,7 @@
     assert [status for status, _ in owner.refused] == [503]
     assert not owner.requests
     assert bodies.used_bytes == 0
-    counted: dict[str, Any] = bodies._counters.figures()
+    counted: dict[str, Any] = bodies._counters.nonzero_values()
     assert counted == {"larchgw_caps_total_test_bodies": 1.0}
 
 
--- a/tests/support/edge_stand_ins.py
+++ b/tests/support/edge_stand_ins.py
@@ -346,7 +346,7 @@
         self.proxy.runners = lambda service: {
             name: record for name, record in self.records.items() if record.service == service
         }
-        self.proxy.on_wanted = lambda *key: self.wanted.append(key)
+        self.proxy.on_missing_model = lambda *key: self.wanted.append(key)
         self.clients: list[Client] = []
 
     async def client(self) -> Client:
@@ -371,7 +371,7 @@
         clock = self.loop.clock
         assert isinstance(clock, FakeClock)
         clock.time += seconds
-        self.loop.deadlines.sweep(clock.now())
+        self.loop.deadlines.run_due(clock.now())
 
     address: tuple[str, int] = ("", 0)
 
