--- a/larchgw/edge/__init__.py
+++ b/larchgw/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge role: takes clients' requests, picks a runner for each, passes the answer on."""
+"""The edge role: accepts client requests, selects a runner for each, and forwards the response."""
--- a/larchgw/edge/answer_parser.py
+++ b/larchgw/edge/answer_parser.py
@@ -1,4 +1,4 @@
-"""Reads the answer to one request from the bytes of a runner's connection."""
+"""Parses the response to one request from the bytes of a runner's connection."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class AnswerHead:
-    """The head of a runner's answer.
+    """The head of a runner's response.
 
     Attributes:
         status: The status code.
         reason: The reason phrase, as sent.
         fields: Header fields as sent, in order.
-        headers: The same by name in lower case; of fields with one name the last.
-        length: Bytes of the body; None where the head does not name them.
+        headers: The same fields by lower-case name; the last one of each name.
+        length: The body length in bytes; None if the head does not declare it.
     """
 
     status: int = 0
@@ -31,31 +31,31 @@
 
     @property
     def is_framed(self) -> bool:
-        """Whether the answer marks its own end; else it ends with its connection."""
+        """Whether the response marks its own end; otherwise it ends when the connection is closed."""
         return self.length is not None or b"transfer-encoding" in self.headers
 
 
 class AnswerParser:
-    """Finds the answer with one request's `X-Attempt-Id` among what comes on its connection.
+    """Finds the response with the request's `X-Attempt-Id` in the bytes received on its connection.
 
-    Interim answers (1xx) and answers to other requests are skipped. The methods `on_*` are httptools'
-    callbacks: they only record what comes, since they must not raise.
+    Interim responses (1xx) and responses to other requests are skipped. The `on_*` methods are httptools
+    callbacks. They only record what was received, since they must not raise.
 
     Attributes:
-        head: The head of the answer, or of the one that is being read.
-        has_head: The head of this request's answer is complete.
-        is_complete: This request's answer is complete.
-        keep_alive: The runner keeps the connection open behind the answer.
-        has_surplus: Bytes came behind the answer.
-        has_foreign_answer: An answer to another request came.
+        head: The head of the response, or of the one being read.
+        has_head: Whether the head of this request's response is complete.
+        is_complete: Whether this request's response is complete.
+        keep_alive: Whether the runner keeps the connection open after the response.
+        has_surplus: Whether bytes were received after the response.
+        has_foreign_answer: Whether a response to another request was received.
     """
 
     def __init__(self, attempt_id: bytes, head_only: bool) -> None:
-        """Begins before the first byte.
+        """Creates a parser that has received nothing yet.
 
         Args:
-            attempt_id: The request's `X-Attempt-Id`, which its answer repeats.
-            head_only: The answer has no body (to a HEAD request).
+            attempt_id: The request's `X-Attempt-Id`, which the response repeats.
+            head_only: Whether the response has no body (to a HEAD request).
         """
         self._attempt_id, self._head_only = attempt_id, head_only
         self._parser = httptools.HttpResponseParser(self)
@@ -65,43 +65,43 @@
         self.has_surplus = self.has_foreign_answer = False
 
     def feed(self, data: bytes) -> bool:
-        """Takes bytes of the connection. Returns False where they are no part of an answer."""
+        """Parses received bytes. Returns False if they are not part of a valid response."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.has_surplus = True
-            return self.is_complete  # behind a complete answer they are surplus only
+            return self.is_complete  # after a complete response they are only surplus
         return True
 
     def complete_by_close(self) -> None:
-        """The connection was closed in order behind an answer that ends so."""
+        """Completes a response that is delimited by the close of its connection."""
         self.is_complete, self.keep_alive = True, False
 
     def take_body(self) -> bytes:
-        """Returns the bytes of the body that came since the last call."""
+        """Returns the body bytes received since the last call."""
         if not self._body:
             return b""
         body, self._body = b"".join(self._body), []
         return body
 
     def keep_alive_s(self) -> float | None:
-        """Returns after how many seconds the runner closes idle connections; None where it does not say."""
+        """Returns the idle time-out that the runner advertised, in seconds; None without one."""
         return keep_alive_timeout_s(self.head.headers)
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
+        """Starts a new response."""
         if self.is_complete:
             self.has_surplus = True
         else:
             self.head = AnswerHead()
 
     def on_status(self, reason: bytes) -> None:
-        """A part of its reason phrase came."""
+        """Appends a part of the reason phrase."""
         if not self.is_complete:
             self.head.reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field of its head came."""
+        """Records a header field."""
         if self.is_complete:
             return
         value = value.strip(b" \t")
@@ -109,7 +109,7 @@
         self.head.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """Its head is complete."""
+        """Evaluates the complete head."""
         if self.is_complete:
             return
         head = self.head
@@ -127,20 +127,20 @@
                 )  # the parser waits for a body that never comes
 
     def on_body(self, data: bytes) -> None:
-        """Bytes of its body came."""
+        """Stores body bytes of this request's response."""
         if self.has_head and not self.is_complete:
             self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """It is complete."""
+        """Marks the response complete, or as one to another request."""
         if self.has_head:
             self.is_complete = True
         elif self.head.status >= 200:
-            self.has_foreign_answer = True  # ours may come behind it
+            self.has_foreign_answer = True  # the right one may follow
 
 
 def keep_alive_timeout_s(headers: Mapping[bytes, bytes]) -> float | None:
-    """Returns the `timeout` of a `Keep-Alive` field, in seconds; None without one."""
+    """Returns the `timeout` parameter of the `Keep-Alive` field, in seconds; None without one."""
     for item in headers.get(b"keep-alive", b"").split(b","):
         name, _, value = item.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
--- a/larchgw/edge/answers.py
+++ b/larchgw/edge/answers.py
@@ -1,4 +1,4 @@
-"""What the head of a runner's answer means for the request."""
+"""Classifies a runner's response by its head."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 SEAL = b"x-server-seal"
 NOT_RUN = b"x-not-run"
 LOAD = b"x-runner-load"
-NEVER_RAN_STATUSES = (408, 429, 503)  # they tell a client that its request never ran and never will
+NEVER_RAN_STATUSES = (408, 429, 503)  # tell a client that its request never ran and never will
 
 
 class Verdict(Enum):
-    """What is done with a runner's answer."""
+    """How a runner's response is handled."""
 
-    ANSWER = auto()  # passed on
-    EVENTS = auto()  # a stream of events: passed on event by event
-    FULL = auto()  # rejected: the runner did not run it and never will
-    NOT_HELD = auto()  # it did not run it: it lacks the model, or is another runner, or other weights
-    UNPROVEN = auto()  # rejected without X-Not-Run: it may have run
-    NO_ANSWER = auto()  # a success without the runner's seal
+    ANSWER = auto()  # forwarded to the client
+    EVENTS = auto()  # an event stream, forwarded event by event
+    FULL = auto()  # rejected: the request did not run at this runner and never will
+    NOT_HELD = auto()  # not run: wrong runner, or one without the model or with other weights
+    MAY_HAVE_RUN = auto()  # rejected without X-Not-Run: the request may have run
+    UNSEALED = auto()  # a success status without X-Server-Seal
 
 
 def classify(head: AnswerHead) -> Verdict:
-    """Returns the verdict on an answer that carries this request's id."""
+    """Classifies a response that carries the request's attempt id."""
     if head.status == 421:
         return Verdict.NOT_HELD
     if head.status in NEVER_RAN_STATUSES:
-        return Verdict.FULL if NOT_RUN in head.headers else Verdict.UNPROVEN
+        return Verdict.FULL if NOT_RUN in head.headers else Verdict.MAY_HAVE_RUN
     if 200 <= head.status < 300:
         if not head.headers.get(SEAL):
-            return Verdict.NO_ANSWER
+            return Verdict.UNSEALED
         if head.headers.get(b"content-type", b"").lower().startswith(b"text/event-stream"):
             return Verdict.EVENTS
     return Verdict.ANSWER
 
 
 def reported_load(head: AnswerHead) -> tuple[int, int, int] | None:
-    """Returns requests running, requests waiting and slots from `X-Runner-Load`; None without a valid one."""
+    """Returns running requests, waiting requests and slots from `X-Runner-Load`; None if invalid."""
     items = [item.strip() for item in head.headers.get(LOAD, b"").split(b",")]
     if len(items) != 3 or not all(item.isdigit() for item in items):
         return None
--- a/larchgw/edge/counters.py
+++ b/larchgw/edge/counters.py
@@ -1,4 +1,4 @@
-"""What the edge counts, as Prometheus metrics."""
+"""Prometheus metrics of the edge."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EdgeCounters:
-    """One set of counters in the given registry."""
+    """The metrics of one edge, registered in the given registry."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         """Registers the metrics."""
--- a/larchgw/edge/demand.py
+++ b/larchgw/edge/demand.py
@@ -1,4 +1,4 @@
-"""Counts what clients ask for, by model and adapter, for the placement of models."""
+"""Counts requested models and adapters, as input for model placement."""
 
 from __future__ import annotations
 
@@ -9,31 +9,33 @@
 from ..rpc.generated.ttypes import ModelDemand
 from .expected_returns import AwaitedLoad
 
-MAX_LINES = 100  # of a report, where that can be kept: beyond it adapters nobody asked for are summed up
+# Lines of a report. Beyond it, adapters that were not requested are summed up by model; the report may still
+# be longer.
+MAX_LINES = 100
 
 
 class DemandCounter:
     """Counts arrivals since the last demand report."""
 
     def __init__(self) -> None:
-        """Begins with nothing counted."""
+        """Starts with no arrivals."""
         self._arrivals: Counter[ModelKey] = Counter()
         self._values: dict[ModelKey, float] = {}
 
     def arrived(self, traits: RequestTraits) -> None:
-        """A request for a model has come, of value 1 for rank 0, a half for rank 1, a third for rank 2."""
+        """Counts a request for a model, valued 1 for rank 0, 1/2 for rank 1, 1/3 for rank 2."""
         self._arrivals[traits.key] += 1
         self._values[traits.key] = self._values.get(traits.key, 0.0) + 1.0 / (1 + max(traits.route.rank, 0))
 
     def collect(
         self, now: float, waiting: Iterable[AwaitedLoad], at_runners: Mapping[ModelKey, int]
     ) -> list[ModelDemand]:
-        """Returns the lines of a report, and counts anew from here on.
+        """Returns the lines of a report and resets the arrival counts.
 
         Args:
             now: Seconds of the monotonic clock.
-            waiting: Requests that wait for a load.
-            at_runners: Requests at runners, by key.
+            waiting: Requests that wait for a model load.
+            at_runners: The number of requests at runners, by key.
         """
         waits: Counter[ModelKey] = Counter()
         urgency: dict[ModelKey, float] = {}
@@ -63,7 +65,7 @@
 
 
 def _merge_adapters(running: Mapping[ModelKey, int], requested: set[ModelKey]) -> dict[ModelKey, int]:
-    """Sums up what runs by model alone, for the adapters that nobody asked for since the last report."""
+    """Sums up running requests by model for all adapters not requested since the last report."""
     merged: Counter[ModelKey] = Counter()
     for key, count in running.items():
         merged[key if key in requested else (key[0], key[1], "")] += count
--- a/larchgw/edge/demand_reports.py
+++ b/larchgw/edge/demand_reports.py
@@ -1,4 +1,4 @@
-"""Reports demand to the placer, and at once when a request waits for a model that no runner holds."""
+"""Reports demand to the placer regularly, and immediately when a request needs a model no runner holds."""
 
 from __future__ import annotations
 
@@ -16,30 +16,31 @@
 
 log = structlog.get_logger()
 INTERVAL_S = 0.5  # between reports; demand changes within seconds
-# Of all dispatchers to the one placer: each report takes it some milliseconds, and many dispatchers show a
-# change of demand together as soon as few do that report more often.
+# From all dispatchers to the single placer, which needs some milliseconds for each report. Many dispatchers
+# that report rarely show a change of demand as early as a few that report often.
 MAX_REPORTS_PER_S = 100.0
-MAX_LINES_PER_S = 150.0  # of one dispatcher, about 80 bytes each: 12 of the 15 KB/s that control may take
-JITTER = 0.1  # of the interval: dispatchers that started together do not report together
-URGENT_INTERVAL_S = 0.02  # at least so long between two reports that something waits
+# Per dispatcher. A line has about 80 bytes, so this uses 12 of the 15 KB/s allowed for control traffic.
+MAX_LINES_PER_S = 150.0
+JITTER = 0.1  # of the interval; spreads the reports of dispatchers that started at the same time
+URGENT_INTERVAL_S = 0.02  # minimum time between urgent reports
 TIMEOUT_S = 0.5
 
 
-def report_interval_s(dispatchers: int, waits: bool, lines: int = 0) -> float:
-    """Seconds from a report to the next.
+def report_interval_s(dispatchers: int, has_waiting: bool, lines: int = 0) -> float:
+    """Returns the seconds between two reports.
 
     Args:
-        dispatchers: How many report to the placer.
-        waits: Whether the report had a request that waits; that it no longer does is reported soon.
-        lines: Lines of the report.
+        dispatchers: Returns how many dispatchers report to the placer.
+        has_waiting: Whether the last report had a waiting request; its end should be reported soon.
+        lines: The number of lines of the last report.
     """
-    if waits:
+    if has_waiting:
         return INTERVAL_S
     return max(INTERVAL_S, dispatchers / MAX_REPORTS_PER_S, lines / MAX_LINES_PER_S)
 
 
 class DemandReporter:
-    """Sends demand reports to the process that the registry names as placer."""
+    """Sends demand reports to the current placer, as named by the registry."""
 
     def __init__(
         self,
@@ -50,27 +51,28 @@
         dispatchers: Callable[[], int],
         random_source: Random,
     ) -> None:
-        """Begins without a report sent; `run` sends them.
+        """Creates a reporter; `run` sends the reports.
 
         Args:
-            node_name: This process's name, for the report.
-            registry: Names the placer.
-            clients: Clients of control processes.
-            demand: Gives the lines of the next report.
-            dispatchers: How many report to the placer.
-            random_source: Spreads reports of dispatchers that started together.
+            node_name: The name of this process, included in reports.
+            registry: Holds the address of the placer.
+            clients: RPC clients of the control processes.
+            demand: Returns the lines of the next report.
+            dispatchers: Returns how many dispatchers report to the placer.
+            random_source: Randomizes the report interval.
         """
         self._node_name, self._registry, self._clients, self._demand = node_name, registry, clients, demand
         self._dispatchers, self._random_source = dispatchers, random_source
         self._urgent = asyncio.Event()
-        self._waits, self._lines = False, 0  # of the last report: whether something waits, and its lines
+        # Of the last report: whether any request waited, and the number of lines.
+        self._has_waiting, self._lines = False, 0
 
     def report_now(self) -> None:
-        """A request waits for a model that no runner holds."""
+        """Sends a report immediately, for a request that needs a model no runner holds."""
         self._urgent.set()
 
     async def run(self) -> None:
-        """Reports until cancelled."""
+        """Sends reports until cancelled."""
         loop = asyncio.get_running_loop()
         last = loop.time()
         while True:
@@ -86,7 +88,7 @@
             await asyncio.sleep(URGENT_INTERVAL_S)
 
     def _interval_s(self) -> float:
-        interval = report_interval_s(self._dispatchers(), self._waits, self._lines)
+        interval = report_interval_s(self._dispatchers(), self._has_waiting, self._lines)
         return interval * self._random_source.uniform(1.0 - JITTER, 1.0)
 
     async def _report(self, interval_ms: int) -> None:
@@ -94,7 +96,7 @@
         if not address:
             return
         models = self._demand()
-        self._waits, self._lines = any(line.waiting > 0 for line in models), len(models)
+        self._has_waiting, self._lines = any(line.waiting > 0 for line in models), len(models)
         if not models:
             return
         report = DemandReport(node_name=self._node_name, interval_ms=interval_ms, models=models)
--- a/larchgw/edge/events.py
+++ b/larchgw/edge/events.py
@@ -11,19 +11,19 @@
 from .errors import EventTooLongError
 
 MAX_EVENT_BYTES = 1 << 20
-# Lines that end with a lone CR, which the format allows, aren't told apart: such a stream is one long event.
+# Lone CR line ends, which the format allows, are not recognized: such a stream counts as one long event.
 _END = re.compile(rb"\n\r?\n")
 _NAMED = re.compile(rb"^(id|versions):[ ]?([^\r\n]*)", re.MULTILINE)
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event as it came, with the empty line behind it.
+    """One event as received, including the empty line that ends it.
 
     Attributes:
-        raw: Its bytes.
-        id: None where it names none or no whole number.
-        version: Of the weights from this event on; empty where the event does not name it.
+        raw: The bytes as received.
+        id: The event id; None if missing or not a whole number.
+        version: The version of the weights from this event on; empty if the event does not state one.
     """
 
     raw: bytes
@@ -32,22 +32,22 @@
 
     @property
     def is_comment(self) -> bool:
-        """Whether it holds only comments, which readers of the format skip."""
+        """Whether it consists of comments only, which readers of the format ignore."""
         return all(not line or line.startswith(b":") for line in self.raw.splitlines())
 
 
 class EventSplitter:
-    """Fed with bytes in any chunks, gives the events that are complete."""
+    """Splits bytes, received in chunks of any size, into complete events."""
 
     def __init__(self) -> None:
-        """Begins between two events."""
+        """Starts at the beginning of an event."""
         self._rest = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Returns the events that these bytes complete.
+        """Returns the events completed by these bytes.
 
         Raises:
-            EventTooLongError: The event under way is over MAX_EVENT_BYTES.
+            EventTooLongError: The incomplete event is longer than MAX_EVENT_BYTES.
         """
         data = self._rest + data if self._rest else data
         events, start = [], 0
@@ -57,16 +57,16 @@
             start = found.end()
         self._rest = data[start:]
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise EventTooLongError(f"an event of over {MAX_EVENT_BYTES} bytes")
+            raise EventTooLongError(f"event longer than {MAX_EVENT_BYTES} bytes")
         return events
 
     def rest(self) -> bytes:
-        """Returns what came behind the last complete event."""
+        """Returns the bytes received after the last complete event."""
         return self._rest
 
 
 def parse(raw: bytes) -> Event:
-    """Reads one complete event."""
+    """Parses one complete event."""
     number: int | None = None
     version = b""
     for name, value in _NAMED.findall(raw):
--- a/larchgw/edge/expected_loads.py
+++ b/larchgw/edge/expected_loads.py
@@ -1,4 +1,4 @@
-"""When ordered loads of models are expected to be done, as the placer publishes it."""
+"""The expected completion times of ordered model loads, as published by the placer."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from ..distribution.registry import Registry
 from ..rpc.generated.ttypes import Entry
 
-STALE_AFTER_S = 10.0  # a load that was to be done so long ago is no longer expected
+STALE_AFTER_S = 10.0  # a load overdue by this much is no longer expected
 
 
 class ExpectedLoads:
-    """By runner: model or "model/adapter" -> when its load is done, on this process's monotonic clock."""
+    """By runner, maps "model" or "model/adapter" to the expected end of its load, in `clock` time."""
 
     def __init__(self, registry: Registry, clock: Callable[[], float] = time.monotonic) -> None:
-        """Reads the registry's entries and follows their updates."""
+        """Reads the entries of the registry and watches for updates."""
         self._clock = clock
         self._by_runner: dict[str, dict[str, float]] = {}
         for entry in registry.items(EXPECTED_LOADS_PREFIX):
@@ -25,7 +25,7 @@
         registry.watch(EXPECTED_LOADS_PREFIX, self._update)
 
     def expected(self, model: str, adapter: str) -> dict[str, float]:
-        """Runner -> when it is expected to hold the model and the adapter, if one is named."""
+        """Returns, by runner, when it is expected to hold the model, and the adapter if one is given."""
         name = f"{model}/{adapter}" if adapter else model
         oldest = self._clock() - STALE_AFTER_S
         found = {runner: names[name] for runner, names in self._by_runner.items() if name in names}
@@ -34,7 +34,7 @@
     def _update(self, entry: Entry) -> None:
         runner = entry.key.removeprefix(EXPECTED_LOADS_PREFIX)
         now = self._clock()
-        # Below 0 it is being unloaded: nothing to wait for.
+        # A negative time means that it is being unloaded.
         times = {name: now + ms / 1000.0 for name, ms in json.loads(entry.value).items() if ms >= 0}
         if times:
             self._by_runner[runner] = times
--- a/larchgw/edge/expected_returns.py
+++ b/larchgw/edge/expected_returns.py
@@ -1,4 +1,4 @@
-"""Clients that were told to come back once a load has ended: until then they count as waiting for it."""
+"""Clients told to retry after a model load: they count as waiting for it until then."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitedLoad:
-    """A request, here or about to come back, that waits for a model or adapter to be loaded.
+    """A request, queued here or to be retried, that waits for a model or adapter to be loaded.
 
     Attributes:
-        key: What it asks for.
-        deadline_at: When it is of no use any more, in seconds of the monotonic clock.
+        key: The requested model.
+        deadline_at: The deadline of the request, in seconds of the monotonic clock.
     """
 
     key: ModelKey
@@ -22,25 +22,25 @@
 
 
 class ExpectedReturns:
-    """Requests that were rejected and have not come back yet.
+    """Rejected requests that are expected to be retried.
 
-    A second try reaches another dispatcher as often as not, so that none is taken off when one comes: each
-    counts until the time at which its client was told to come back.
+    A retry often reaches another dispatcher, so an arriving retry does not remove an entry. Each entry counts
+    until its client was told to retry.
     """
 
     def __init__(self) -> None:
-        """Begins with none."""
+        """Starts with no entries."""
         self._returns: deque[tuple[float, AwaitedLoad]] = deque()
 
     def add(self, now: float, traits: RequestTraits, retry_after_s: float) -> None:
-        """A client was told to come back after so many seconds."""
-        # Here as well as in `pending`: nobody asks for them while there is no placer.
+        """Records that a client was told to retry after `retry_after_s`."""
+        # Also removed here, because `pending` is not called while there is no placer.
         while self._returns and self._returns[0][0] <= now:
             self._returns.popleft()
-        # Its own deadline and not an earlier one: placement gives up loads that end after it.
+        # Keeps the original deadline, since placement abandons loads that end after it.
         self._returns.append((now + retry_after_s, AwaitedLoad(traits.key, traits.deadline_at)))
 
     def pending(self, now: float) -> list[AwaitedLoad]:
-        """Returns those that are still to come back."""
+        """Returns the requests still to be retried."""
         self._returns = deque(entry for entry in self._returns if entry[0] > now)
         return [awaited for _, awaited in self._returns]
--- a/larchgw/edge/forwarding.py
+++ b/larchgw/edge/forwarding.py
@@ -1,21 +1,22 @@
-"""The bytes of a client's request as a runner gets them."""
+"""Serializes a client's request for a runner."""
 
 from __future__ import annotations
 
 from ..net.heads import Fields
 from ..net.http_server import Exchange
-from .request_head import EXPECT_VERSION, LAST_EVENT_ID, passed_on
+from .request_head import EXPECT_VERSION, LAST_EVENT_ID, forwarded_fields
 from .stream_relay import StreamRelay
 
-FRAMED = (b"content-length", b"transfer-encoding")  # with one of these a request has a body, if an empty one
+# A request with one of these fields has a body, possibly an empty one.
+BODY_HEADERS = (b"content-length", b"transfer-encoding")
 
 
 def request_bytes(
     exchange: Exchange, name: bytes, runner: str, left_s: float, priority: int, stream: StreamRelay | None
 ) -> bytes:
-    """The request for one send; `stream` is the answer that it goes on with, if the client has got any of it.
+    """Returns the request bytes for one attempt; a `stream` that has started is resumed.
 
-    Method, target and body are the client's. The body gets a length, in whatever way it came.
+    Method, target and body are those of the client. The body is always sent with a Content-Length.
     """
     lines = [b"%b %b HTTP/1.1" % (exchange.method, exchange.target)]
     lines += [b"%b: %b" % field for field in _fields(exchange, stream)]
@@ -23,16 +24,16 @@
         b"X-Attempt-Id: %b\r\nX-Target-Runner: %b\r\nX-Time-Left-Ms: %d\r\nPriority: %d"
         % (name, runner.encode("latin-1"), max(int(1000.0 * left_s), 1), priority)
     )
-    if exchange.body or any(field in exchange.headers for field in FRAMED):
+    if exchange.body or any(field in exchange.headers for field in BODY_HEADERS):
         lines.append(b"Content-Length: %d" % len(exchange.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + exchange.body
 
 
 def _fields(exchange: Exchange, stream: StreamRelay | None) -> Fields:
-    """The client's fields; for a stream that goes on, with the event and the weights it goes on from."""
+    """Returns the client's fields; to resume a stream, with its last event id and weights version."""
     if stream is None or not stream.started:
-        return passed_on(exchange.fields)
-    fields = passed_on(exchange.fields, frozenset((LAST_EVENT_ID, EXPECT_VERSION)))
+        return forwarded_fields(exchange.fields)
+    fields = forwarded_fields(exchange.fields, frozenset((LAST_EVENT_ID, EXPECT_VERSION)))
     fields.append((b"Last-Event-Id", b"%d" % (stream.last_id or 0)))
     if stream.version:
         fields.append((b"Expect-Version", stream.version))
--- a/larchgw/edge/interface.py
+++ b/larchgw/edge/interface.py
@@ -1,18 +1,18 @@
-"""The calls that the wiring of the role makes of the data plane.
+"""The interface of the data plane to the rest of the edge role.
 
     proxy.Proxy(loop: EventLoop, settings: NodeSettings, selection: Selection, budget: Budget, rng: Random)
         .runners, .expected, .dispatchers, .on_missing_model   callbacks, set before `listen`; see the class
-        .configure(Configuration)        in force for requests that come from then on
-        .runners_changed()               runners, what they hold, or what is expected there changed
-        .listen("host:port") -> address  takes clients
-        .demand() -> list[ModelDemand]   since the last call
-        .open_count                      requests without a final answer
-        .stop_accepting()                no more connections; resting ones are closed
-        .drain(done)                     `done()` once all is answered and written
-        .abandon()                       open requests get their final answers now; before a forced end
-        .close()                         whatever is open is closed
+        .configure(Configuration)        applies to all later requests
+        .runners_changed()               runners, their models or expected loads changed
+        .listen("host:port") -> address  listens for clients
+        .demand() -> list[ModelDemand]   demand since the last call
+        .open_count                      requests without a final response
+        .stop_accepting()                accepts no more connections, closes idle ones
+        .drain(done)                     calls `done()` once all responses have been written
+        .abandon()                       sends final responses now, before a forced exit
+        .close()                         closes all connections
         .counters, .net_counters         Prometheus metrics, in `net_counters.registry`
 
-All times are seconds of `loop.clock`, also those that `expected` gives and that the selection is asked with.
-Nothing here may be called from another thread.
+All times are seconds of `loop.clock`, including those returned by `expected` and those passed to the
+selection. Nothing here is thread-safe.
 """
--- a/larchgw/edge/main.py
+++ b/larchgw/edge/main.py
@@ -1,4 +1,4 @@
-"""`larchgw edge`."""
+"""Entry point of `larchgw edge`."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def run() -> int:
-    """Serves until SIGTERM; the exit status."""
+    """Serves until SIGTERM. Returns the exit status."""
     return process.run(EdgeNode)
--- a/larchgw/edge/node.py
+++ b/larchgw/edge/node.py
@@ -1,4 +1,4 @@
-"""The edge role put together: what it knows, what it serves, how it ends."""
+"""The edge role: start-up, configuration updates, readiness and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -41,17 +41,18 @@
 from .status import EdgeStatus
 
 log = structlog.get_logger()
-FORGET_EVERY_S = 30.0
-NOTICE_S = 2.2  # for the platform to see that the edge is not ready: it asks each second and counts to two
-LAST_WRITES_S = 0.1  # for the last answers to be written
-GRACE_MARGIN_S = 0.7  # of the time until SIGKILL that is kept for the end itself
+EXPIRY_INTERVAL_S = 30.0
+# Time for the platform to see that the edge is not ready: it probes each second and needs two failures.
+READINESS_NOTICE_S = 2.2
+FINAL_WRITES_S = 0.1  # for the last responses to be written
+GRACE_MARGIN_S = 0.7  # of the time until SIGKILL, reserved for the shutdown itself
 
 
 class EdgeNode:
-    """One dispatcher."""
+    """One edge process (dispatcher)."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Makes the parts that need no loop; `start` makes the others."""
+        """Creates the parts that need no event loop; `start` creates the others."""
         self.settings = settings
         random_source = new_random_source(settings.node_name)
         self.registry = Registry(new_origin(settings.node_name, random_source))
@@ -70,19 +71,19 @@
             PullSettings.from_time_limits(settings.time_limits),
             random_source,
             node_name=settings.node_name,
-            is_near=self._near,
+            is_near=self._is_in_zone,
             hands_back_runners=True,
         )
 
     async def start(self) -> None:
-        """Listens and begins its work. Raises OSError."""
+        """Starts listening and all background tasks. Raises OSError."""
         settings = self.settings
         self.net = AsyncLoop(asyncio.get_running_loop())
         self.expected_loads = ExpectedLoads(self.registry, self.net.clock.now)
         self.budget = RetryBudget(settings.time_limits, self._random_source)
         self.proxy = Proxy(self.net, settings, self.selector, self.budget, self._random_source)
         self.proxy.runners = self.view.by_service
-        self.proxy.expected = self._expected
+        self.proxy.expected = self._expected_by_runner
         self.proxy.dispatchers = self._dispatchers
         self.demand = DemandReporter(
             settings.node_name,
@@ -105,25 +106,25 @@
         await self._gossip.start()
         self.tasks.start("pull", self.puller.run)
         self.tasks.start("demand", self.demand.run)
-        self.tasks.every("forget", FORGET_EVERY_S, self.view.remove_expired)
+        self.tasks.every("forget", EXPIRY_INTERVAL_S, self.view.remove_expired)
         log.info("edge.started")
 
     def is_ready(self) -> bool:
-        """Whether new connections are welcome: it knows a configuration and runners, and does not stop."""
+        """Whether it accepts new connections: it has a configuration and runners, and is not stopping."""
         return self._configuration is not None and len(self.view) > 0 and not self._stopping
 
     def reload(self, settings: NodeSettings) -> None:
-        """Takes other seeds and bounds; addresses stay."""
+        """Applies changed seeds and limits; listen addresses stay as they are."""
         self.settings = settings
         self.swim.join(seed_gossip_addresses(settings))
 
     async def stop(self) -> None:
-        """Lets the platform notice, answers what is open, and ends before SIGKILL."""
+        """Waits until the platform sees it is not ready, drains open requests, and stops before SIGKILL."""
         self._stopping = True
         began = time.monotonic()
         grace = self.settings.time_limits.grace_period_s - GRACE_MARGIN_S
         self._gossip.leave()
-        await asyncio.sleep(min(NOTICE_S, grace / 3))
+        await asyncio.sleep(min(READINESS_NOTICE_S, grace / 3))
         self.proxy.stop_accepting()
         drained = asyncio.Event()
         self.proxy.drain(drained.set)
@@ -133,15 +134,15 @@
         except TimeoutError:
             log.warning("edge.requests_abandoned", count=self.proxy.open_count)
             self.proxy.abandon()
-            await asyncio.sleep(LAST_WRITES_S)
+            await asyncio.sleep(FINAL_WRITES_S)
         self.tasks.stop()
         self.clients.close()
 
     def _dispatchers(self) -> int:
         return self.swim.count("edge")
 
-    def _near(self, address: str) -> bool:
-        """Whether a control process is in this zone; bytes between zones are dear."""
+    def _is_in_zone(self, address: str) -> bool:
+        """Whether a control process is in this zone; traffic between zones is expensive."""
         return any(
             process.address_rpc == address and process.zone == self.settings.zone
             for process in self.swim.members("control")
@@ -163,7 +164,7 @@
         except (ConfigurationError, zlib.error) as error:
             return error
 
-    def _expected(self, service: str, model: str, adapter: str) -> Mapping[str, float]:
+    def _expected_by_runner(self, service: str, model: str, adapter: str) -> Mapping[str, float]:
         known: Mapping[str, RunnerRecord] = self.view.by_service(service)
         found = self.expected_loads.expected(model, adapter)
         return {runner: at for runner, at in found.items() if runner in known}
--- a/larchgw/edge/proxy.py
+++ b/larchgw/edge/proxy.py
@@ -1,4 +1,4 @@
-"""The edge's data plane: clients' requests in, runners' answers out."""
+"""The edge's data plane: routes client requests to runners and relays their responses."""
 
 from __future__ import annotations
 
@@ -28,28 +28,30 @@
 from .request import ProxiedRequest
 from .runner_pool import RunnerPool
 
-RESERVED_FILES = 200  # descriptors for files outside the sockets
-CLIENT_SHARE = 0.6  # of the descriptors, for clients; runners, rpc and readiness have the rest
-BODY_SHARE = 0.25  # of the memory, for bodies of requests that are still being read
+RESERVED_FILES = 200  # file descriptors kept for files other than sockets
+CLIENT_SHARE = 0.6  # of the file descriptors; the rest is for runners, RPC and readiness
+BODY_SHARE = 0.25  # of the memory limit, for request bodies still being received
 UNCONFIGURED_RETRY_S = 0.5
-# Before a configuration is known a request is read to its end and then told to come back, whatever the limits
-# will be: a 4xx would refuse for good what the configuration allows. Bodies share bounded memory then too.
-UNCONFIGURED = Limits(header_bytes=1 << 18, body_bytes=1 << 28, header_ms=10_000.0)
-DRAIN_POLL_S = 0.05  # between two checks whether all has been answered and written
-SLOW_CHUNK_S = 2.0  # for the next chunk of a body, once the time for a head is over
-SLOW_BODY_S = 30.0  # for a whole body: the largest ones on slow links
+# Limits until the first configuration arrives. Each request is read completely and answered 503 with
+# Retry-After: a 4xx would permanently reject a request that the configuration may allow. The memory for
+# request bodies is bounded in this state, too.
+UNCONFIGURED_LIMITS = Limits(header_bytes=1 << 18, body_bytes=1 << 28, header_ms=10_000.0)
+DRAIN_POLL_S = 0.05  # between checks that every response has been written
+SLOW_CHUNK_S = 2.0  # for the next chunk of a body, once the time limit for a head has passed
+SLOW_BODY_S = 30.0  # for a complete body; allows for the largest bodies on slow links
 log = structlog.get_logger()
 
 
 class Proxy:
-    """Serves clients. All times, also those that the callbacks give, are seconds of `loop.clock`.
+    """Serves clients. All times, including those returned by the callbacks, are seconds of `loop.clock`.
 
-    The callbacks are set by whoever wires it: `runners(service)`; `expected(service, model, adapter)`, when
-    an ordered load is done, by runner; `dispatchers()`, how many share the limits; `on_missing_model(service,
-    model, adapter)`, called when a request waits for what no runner holds.
+    The owner sets these callbacks: `runners(service)` returns the known runners by id; `expected(service,
+    model, adapter)` returns by runner when an ordered model load is expected to complete; `dispatchers()`
+    returns how many dispatchers share the limits; `on_missing_model(service, model, adapter)` is called when
+    a request waits for a model or adapter that no runner holds.
     """
 
-    name = "edge"  # of its listener, in counters
+    name = "edge"  # the listener's name in counters
 
     def __init__(
         self,
@@ -59,14 +61,14 @@
         budget: Budget,
         rng: random.Random,
     ) -> None:
-        """Wires the parts; `configure` and `listen` follow.
+        """Creates the proxy; call `configure` and `listen` next.
 
         Args:
             loop: The loop of all connections.
-            settings: Of this process: its limits.
+            settings: The settings of this process; its limits are used.
             selection: Chooses runners.
             budget: Bounds retries.
-            rng: Spreads Retry-After.
+            rng: Randomizes Retry-After.
         """
         self.loop, self._settings = loop, settings
         self.net_counters = Counters()
@@ -87,13 +89,13 @@
             lambda service, model, adapter: self.expected(service, model, adapter),
             lambda: max(self.dispatchers(), 1),
             lambda service, model, adapter: self.on_missing_model(service, model, adapter),
-            self._closed,
+            self._on_request_ended,
         )
         self._configuration: Configuration | None = None
         self._routes: RouteTable | None = None
         self._open: set[ProxiedRequest] = set()
         self._demand = DemandCounter()
-        self._numbers = 0
+        self._last_request_number = 0
         self._server: HttpServer | None = None
         self._drained: Callable[[], None] | None = None
         self._drain_timer: Deadline | None = None
@@ -102,17 +104,17 @@
     # Control
 
     def configure(self, configuration: Configuration) -> None:
-        """The routes, services and limits in force for requests from now on."""
+        """Applies the routes, services and limits of a configuration to all later requests."""
         self._routes = RouteTable(configuration)
         self._configuration = configuration
         if self._server is not None:
             self._server.limits = _server_limits(configuration.limits)
-        self._context.waiting.all_changed()
+        self._context.waiting.invalidate_all()
 
     def runners_changed(self) -> None:
-        """The runners, what they hold or what is expected there changed: waiting requests are decided anew.
+        """Schedules new decisions for waiting requests after runners, models or expected loads changed.
 
-        All changes of one turn of the loop are applied together.
+        All changes within one iteration of the event loop are applied together.
         """
         if self._change_timer is None:
             self._change_timer = self.loop.deadlines.add(self.loop.clock.now(), self._apply_runners)
@@ -124,12 +126,12 @@
             for service in self._configuration.services:
                 runners.update(self.runners(service.name))
             self._pool.runners_changed(runners)
-        self._context.waiting.all_changed()
+        self._context.waiting.invalidate_all()
 
     def listen(self, address: str) -> tuple[str, int]:
-        """Takes clients at this "host:port". Returns where. Raises OSError and ValueError."""
+        """Listens for clients on a "host:port". Returns the bound address. Raises OSError or ValueError."""
         files = self._settings.limits.open_files - RESERVED_FILES
-        limits = _server_limits(self._configuration.limits if self._configuration else UNCONFIGURED)
+        limits = _server_limits(self._configuration.limits if self._configuration else UNCONFIGURED_LIMITS)
         self._server = HttpServer(
             self.loop,
             self.net_counters,
@@ -142,27 +144,28 @@
         return self._server.listener.address
 
     def stop_accepting(self) -> None:
-        """Takes no more connections and closes resting ones; the others close behind their answers."""
+        """Closes the listener and idle connections; other connections close after their response."""
         if self._server is not None:
             self._server.stopping = True
             self._server.listener.close()
             self._server.close_idle()
 
     def drain(self, done: Callable[[], None]) -> None:
-        """Calls `done` once every request has its answer and that is written. Call `stop_accepting` first."""
+        """Calls `done` once every response has been written. Call `stop_accepting` first."""
         self._drained = done
         self._check_drained()
 
     def abandon(self) -> None:
-        """Gives every open request its final answer at once, shortly before the process ends.
+        """Sends every open request its final response now, shortly before the process ends.
 
-        What never ran is told to come back; of what is at a runner nothing is promised.
+        A request that never ran gets 503 with Retry-After. One that may have run gets 502 or, once its
+        response has begun, a truncated response.
         """
         for request in list(self._open):
             request.abandon()
 
     def close(self) -> None:
-        """Closes every connection, whatever it carries."""
+        """Closes every connection immediately, including those with a request in progress."""
         self.loop.deadlines.cancel(self._drain_timer)
         for request in list(self._open):
             request.client_gone()
@@ -178,43 +181,43 @@
 
     @property
     def open_count(self) -> int:
-        """Requests without a final answer."""
+        """The number of requests without a final response."""
         return len(self._open)
 
     def demand(self) -> list[ModelDemand]:
-        """What was asked for by model and adapter since the last call, and what waits and runs now."""
+        """Returns arrivals by model and adapter since the last call, and what waits and runs now."""
         at_runners = Counter(request.traits.key for request in self._open if request.at_runner)
         return self._demand.collect(self.loop.clock.now(), self._context.awaited_loads(), at_runners)
 
-    # From clients
+    # Called by the HTTP server
 
     def on_exchange(self, exchange: Exchange) -> None:
-        """A complete request has come."""
+        """Handles a complete request."""
         if exchange.predates_http_1_1:
-            self._own_answer(exchange, 505, "use HTTP/1.1")
+            self._reply_locally(exchange, 505, "use HTTP/1.1")
             return
         if self._routes is None:
-            self._own_answer(exchange, 503, "not configured yet", UNCONFIGURED_RETRY_S)
+            self._reply_locally(exchange, 503, "not configured yet", UNCONFIGURED_RETRY_S)
             return
         try:
             name = request_head.attempt_id(exchange.headers)
             request_head.check_single(exchange.fields)
         except BadRequestError as error:
-            self._own_answer(exchange, 400, str(error))
+            self._reply_locally(exchange, 400, str(error))
             return
         host = exchange.headers.get(b"host", b"").decode("latin-1")
         route = self._routes.find(host, exchange.path.decode("latin-1"))
         if route is None:
-            self._own_answer(exchange, 404, "no route")
+            self._reply_locally(exchange, 404, "no route")
             return
         self._begin(exchange, route, name)
 
     def on_client_gone(self, exchange: Exchange) -> None:
-        """Its client left before the answer."""
+        """Handles a client that disconnected before the final response."""
         if isinstance(exchange.handler_data, ProxiedRequest):
             exchange.handler_data.client_gone()
 
-    # Inside
+    # Internal
 
     def _begin(self, exchange: Exchange, route: Route, name: bytes) -> None:
         traits = self._traits(exchange, route, name)
@@ -228,23 +231,23 @@
         request.decide()
 
     def _traits(self, exchange: Exchange, route: Route, name: bytes) -> RequestTraits:
-        self._numbers += 1
-        # The client's time runs from its first byte: a long body may take a good part of it.
-        headers, began = exchange.headers, exchange.began_at
-        service = split_service(route, name)
-        described = self._configuration.service(service) if self._configuration is not None else None
-        pinned = route.pinned and described is not None and described.runtime is not None
+        self._last_request_number += 1
+        # The deadline counts from the request's first byte: receiving a long body may use much of that time.
+        headers, began_at = exchange.headers, exchange.began_at
+        service = choose_service(route, name)
+        service_config = self._configuration.service(service) if self._configuration is not None else None
+        pinned = route.pinned and service_config is not None and service_config.runtime is not None
         model, adapter = request_head.model_of(headers) if pinned else ("", "")
         tokens_in, tokens_out = request_head.tokens_of(headers)
-        longest = route.deadline_ms / 1000.0
-        target = (route.target_ms or route.deadline_ms) / 1000.0
+        max_time_left_s = route.deadline_ms / 1000.0
+        target_s = (route.target_ms or route.deadline_ms) / 1000.0
         return RequestTraits(
-            number=self._numbers,
+            number=self._last_request_number,
             route=route,
             service=service,
             arrived_at=exchange.received_at,
-            deadline_at=began + request_head.time_left(headers, longest),
-            target_at=began + target,
+            deadline_at=began_at + request_head.time_left(headers, max_time_left_s),
+            target_at=began_at + target_s,
             model=model,
             adapter=adapter,
             prompt_tokens=tokens_in,
@@ -252,21 +255,21 @@
             parts=request_head.parts_of(headers),
         )
 
-    def _own_answer(self, exchange: Exchange, status: int, reason: str, retry_after: float = 0.0) -> None:
+    def _reply_locally(self, exchange: Exchange, status: int, reason: str, retry_after: float = 0.0) -> None:
         headers = (("Retry-After", f"{retry_after:.3f}"),) if retry_after else ()
         self.counters.answers.labels(str(status), "edge").inc()
         exchange.reply(status, reason.encode() + b"\n", headers)
 
-    def _closed(self, request: object) -> None:
+    def _on_request_ended(self, request: object) -> None:
         assert isinstance(request, ProxiedRequest)
         self._open.discard(request)
         self.counters.open.set(len(self._open))
 
     def _max_open(self, service: str) -> int:
-        described = self._configuration.service(service) if self._configuration is not None else None
-        if described is None or described.max_conns <= 0:
+        service_config = self._configuration.service(service) if self._configuration is not None else None
+        if service_config is None or service_config.max_conns <= 0:
             return 0
-        return max(described.max_conns // max(self.dispatchers(), 1), 1)
+        return max(service_config.max_conns // max(self.dispatchers(), 1), 1)
 
     def _check_drained(self) -> None:
         self._drain_timer = None
@@ -284,8 +287,8 @@
         done()
 
 
-def split_service(route: Route, attempt_id: bytes) -> str:
-    """Returns the service for this id: always the same, and over many ids in proportion to the weights."""
+def choose_service(route: Route, attempt_id: bytes) -> str:
+    """Returns the service for this attempt id: deterministic, and distributed by the route's weights."""
     shares = [share for share in route.split() if share.weight > 0]
     if len(shares) == 1:
         return shares[0].service
--- a/larchgw/edge/readiness.py
+++ b/larchgw/edge/readiness.py
@@ -1,4 +1,4 @@
-"""The port that the platform asks for readiness each second, on Tornado; people ask it for the status."""
+"""The Tornado HTTP server for the platform's readiness probes (each second) and for status requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def serve(
     is_ready: Callable[[], bool], host: str, port: int, further: Sequence[Any] = ()
 ) -> tornado.httpserver.HTTPServer:
-    """Answers GET /ready with 200 or 503, and `further` rules of Tornado's. Raises OSError."""
+    """Serves GET /ready with 200 or 503, and the Tornado rules in `further`. Raises OSError."""
     application = tornado.web.Application(
         [(r"/ready", _ReadyHandler, {"is_ready": is_ready}), *further], log_function=lambda handler: None
     )
--- a/larchgw/edge/relay.py
+++ b/larchgw/edge/relay.py
@@ -1,4 +1,4 @@
-"""Passes one runner's answer on to the client: buffered where it is short, else as it comes."""
+"""Forwards a runner's response to the client: buffered if short, otherwise as it is received."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 from ..net.http_server import Exchange
 from .answer_parser import AnswerHead
 
-BUFFERED_BYTES = 65536  # a shorter answer is passed on once it is complete: until then it can be retried
+BUFFERED_BYTES = 65536  # a shorter response is forwarded once complete, so it can be retried until then
 
 
 class Relay(Protocol):
-    """Takes one answer after the other until one is complete."""
+    """Forwards a response to the client."""
 
-    started: bool  # whether the client has got any byte
+    started: bool  # whether any byte was sent to the client
 
     def feed(self, data: bytes) -> int:
-        """Bytes of the body. Returns how many have been passed on."""
+        """Takes body bytes. Returns how many were forwarded."""
 
     def complete(self) -> None:
-        """The answer is complete."""
+        """Completes the response."""
 
 
 class BufferedRelay:
-    """An answer that is no stream of events.
+    """Relay of a response that is not an event stream.
 
     Attributes:
-        started: Whether the client has got any byte.
+        started: Whether any byte was sent to the client.
     """
 
     def __init__(self, exchange: Exchange, head: AnswerHead) -> None:
-        """Begins an answer with this head for the client of `exchange`."""
+        """Creates a relay of a response with this head to the client of `exchange`."""
         self._exchange, self._head = exchange, head
         self._body = bytearray()
         self.started = False
 
     def feed(self, data: bytes) -> int:
-        """Bytes of the body. Returns how many have been passed on."""
+        """Takes body bytes. Returns how many were forwarded."""
         if self.started:
             self._exchange.send(data)
             return len(data)
@@ -48,7 +48,7 @@
         return len(self._body)
 
     def complete(self) -> None:
-        """The answer is complete."""
+        """Completes the response."""
         if not self.started:
             bodyless = self._exchange.method == b"HEAD"
             self._start(self._head.length if bodyless else len(self._body))
@@ -61,6 +61,6 @@
 
 
 def start(exchange: Exchange, head: AnswerHead, length: int | None) -> None:
-    """Begins the client's answer with a runner's head."""
+    """Starts the response to the client with a runner's head."""
     fields: Fields = end_to_end(head.fields)
     exchange.start(head.status, head.reason or reason_phrase(head.status), fields, length)
--- a/larchgw/edge/request.py
+++ b/larchgw/edge/request.py
@@ -1,7 +1,7 @@
-"""One client's request from its arrival to its final answer: where it is sent, how often, what is answered.
+"""One client request from arrival to final response: runner selection, retries and the response.
 
-It is *waiting* for a runner, *at a runner*, or *finished*. `decide` takes it from waiting to a runner or to a
-rejection; the end of an attempt takes it back to a decision, or to the final answer.
+A request is *waiting* for a runner, *at a runner*, or *finished*. `decide` sends a waiting request to a
+runner or rejects it. When an attempt ends, the request is decided again or gets its final response.
 """
 
 from __future__ import annotations
@@ -27,44 +27,44 @@
 from .stream_timeout import StreamTimeout, stream_timeout_s
 from .trace import RequestTrace
 
-DEADLINE_MARGIN_S = 0.02  # before the client gives up: the answer has to reach it
-EXTRA_ATTEMPTS = 3  # beyond the route's `tries`, for attempts that certainly never ran
+DEADLINE_MARGIN_S = 0.02  # before the deadline, so that the response reaches the client in time
+EXTRA_ATTEMPTS = 3  # in addition to the route's `tries`, for attempts that certainly never ran
 MIN_RETRY_AFTER_S = 0.05
-MIN_WAIT_S = 0.005  # between two decisions on a request without a change
-DEFAULT_RETRY_AFTER_S = 0.25  # where the decision names no time
-RETRY_AFTER_SHARE = 1 / 3  # of the time left: clients honour no more
-RETRY_AFTER_JITTER = 0.2  # of the time, by which it is lengthened at random: not all come back at once
-HIGH_WATER_BYTES = 256 * 1024  # unsent bytes to a client at which its runner's answer is read no further
+MIN_WAIT_S = 0.005  # between decisions on a waiting request when nothing has changed
+DEFAULT_RETRY_AFTER_S = 0.25  # where neither the decision nor the runner gives a time
+RETRY_AFTER_SHARE = 1 / 3  # of the time left until the deadline; clients ignore a larger value
+RETRY_AFTER_JITTER = 0.2  # relative; added at random so that clients do not all retry at the same time
+HIGH_WATER_BYTES = 256 * 1024  # unsent bytes to a client above which reading from its runner pauses
 log = structlog.get_logger()
 
 
 class ProxiedRequest:
-    """Carries one request to its end.
+    """Handles one request until it ends.
 
-    Every request ends in exactly one of `_reply`, `_truncate`, a complete answer of a runner, and
+    Every request ends in exactly one of four ways: `_reply`, `_truncate`, a complete response of a runner, or
     `client_gone`.
 
     Attributes:
         name: The request's `X-Attempt-Id`.
-        traits: What the selection knows of it.
+        traits: The properties of the request that runner selection uses.
     """
 
     def __init__(self, context: ProxyContext, exchange: Exchange, traits: RequestTraits, name: bytes) -> None:
-        """Sets the timer of its deadline; `decide` begins."""
+        """Starts the deadline timer; call `decide` to start processing."""
         self.name, self.traits = name, traits
         self._context, self._exchange = context, exchange
         self._tried: list[str] = []
-        # Attempts made; those of which bytes reached a runner; those that may have run.
-        self._attempts = self._arrivals = self._runs = 0
+        # Attempts made, attempts that sent bytes to a runner, and attempts that may have run.
+        self._attempts = self._deliveries = self._possible_runs = 0
         self._is_finished = self._is_deciding = self._demand_reported = False
         self._attempt: Attempt | None = None
-        self._send: Send | None = None
+        self._choice: Send | None = None
         self._connection: RunnerConnection | None = None
-        self._verdict: AttemptOutcome | None = None  # of an answer that is not passed on
+        self._rejected_as: AttemptOutcome | None = None  # set once the response will not be forwarded
         self._head: AnswerHead | None = None
         self._relay: BufferedRelay | None = None
         self._stream: StreamRelay | None = None
-        self._streaming = False  # whether the present answer goes to `_stream`
+        self._streaming = False  # whether the current response goes to `_stream`
         self._wait_timer: Deadline | None = None
         self._trace = RequestTrace.of(traits, name)
         self._stream_timeout: StreamTimeout | None = None
@@ -74,12 +74,12 @@
 
     @property
     def at_runner(self) -> bool:
-        """Whether it is at a runner, or on its way there."""
+        """Whether an attempt at a runner is in progress."""
         return self._attempt is not None
 
     @property
     def started(self) -> bool:
-        """Whether the client has got the beginning of an answer."""
+        """Whether any part of a response has been sent to the client."""
         return (self._stream is not None and self._stream.started) or (
             self._relay is not None and self._relay.started
         )
@@ -87,7 +87,7 @@
     # Decisions
 
     def decide(self) -> bool:
-        """Asks the selection where it goes, and sends or rejects it. Returns whether it waits no more."""
+        """Selects a runner, then sends, rejects or queues the request. Returns False if it still waits."""
         if self._is_finished or self._attempt is not None or self._is_deciding:
             return True
         self._is_deciding = True
@@ -97,17 +97,17 @@
             self._is_deciding = False
 
     def _decide(self) -> bool:
-        """Attempts that fail at once lead to the next decision."""
+        """Decides repeatedly, since an attempt may fail immediately."""
         context, traits = self._context, self.traits
         while not self._is_finished and self._attempt is None:
             now = context.now()
             if now >= traits.deadline_at - DEADLINE_MARGIN_S:
                 self._give_up(DEFAULT_RETRY_AFTER_S, "deadline", late=True)
                 return True
-            if self._arrivals and not context.budget.may_retry(now, traits.service, context.dispatchers()):
+            if self._deliveries and not context.budget.may_retry(now, traits.service, context.dispatchers()):
                 self._give_up(DEFAULT_RETRY_AFTER_S, "budget")
                 return True
-            expected = context.expected(traits.service, traits.model, traits.adapter)
+            expected = context.expected_loads(traits.service, traits.model, traits.adapter)
             choice = context.selection.choose(now, traits, self._candidates(), tuple(self._tried), expected)
             if isinstance(choice, Wait):
                 self._wait(now, choice)
@@ -120,7 +120,7 @@
         return True
 
     def _candidates(self) -> Mapping[str, RunnerRecord]:
-        """The service's runners; for a stream that goes on, those known to have the same weights."""
+        """Returns the service's runners; to resume a stream, those known to hold the same weights, if any."""
         runners = self._context.runners(self.traits.service)
         stream, model = self._stream, self.traits.model
         if stream is None or not stream.started or not stream.version or not model:
@@ -146,12 +146,12 @@
 
     def _reject(self, now: float, choice: Reject) -> None:
         if choice.awaits_load:
-            self._context.returns.add(now, self.traits, choice.retry_after)
+            self._context.expected_returns.add(now, self.traits, choice.retry_after)
             self._report_missing_model()
         self._give_up(choice.retry_after, choice.reason)
 
     def _report_missing_model(self) -> None:
-        """Reports demand at once if no runner holds what it asks for."""
+        """Reports demand immediately if no runner holds the requested model and adapter."""
         context, traits = self._context, self.traits
         if not traits.model or self._demand_reported:
             return
@@ -175,12 +175,12 @@
         self._attempts += 1
         if runner.id not in self._tried:
             self._tried.append(runner.id)
-        self._attempt, self._send, self._verdict, self._head = attempt, choice, None, None
+        self._attempt, self._choice, self._rejected_as, self._head = attempt, choice, None, None
         self._restart_stream_timeout(now)
         context.selection.sent(attempt)
         if self._trace is not None:
             self._trace.sent(now)
-        if self._arrivals:
+        if self._deliveries:
             context.budget.record_retry(now, self.traits.service)
         connection = context.pool.acquire(runner, idempotent=self.traits.route.is_idempotent)
         if connection is None:
@@ -189,11 +189,11 @@
         self._connection = connection
         connection.begin(self, self._exchange.method == b"HEAD")
 
-    # Events of the connection
+    # Called by the runner connection
 
     def request(self) -> bytes | None:
-        """The request's bytes for the present runner; None if it takes none any more."""
-        attempt, choice = self._attempt, self._send
+        """Returns the request bytes for the current runner; None if it no longer accepts requests."""
+        attempt, choice = self._attempt, self._choice
         if attempt is None or choice is None:
             return None
         runner = self._context.runners(self.traits.service).get(attempt.runner)
@@ -203,7 +203,7 @@
         return request_bytes(self._exchange, self.name, attempt.runner, left_s, choice.priority, self._stream)
 
     def on_answer(self, head: AnswerHead) -> None:
-        """The head of the runner's answer has come."""
+        """Handles the head of the runner's response."""
         attempt = self._attempt
         assert attempt is not None
         self._head = head
@@ -213,44 +213,44 @@
         verdict = classify(head)
         self._streaming = verdict is Verdict.EVENTS
         if verdict is Verdict.EVENTS:
-            self._stream_begins(head)
+            self._begin_stream(head)
         elif self._stream is not None and self._stream.started and verdict is Verdict.ANSWER:
-            self._verdict = AttemptOutcome.RUNNER_ERROR  # the client has the head of a stream already
+            self._rejected_as = AttemptOutcome.RUNNER_ERROR  # the client already has the head of a stream
         elif verdict is Verdict.ANSWER:
             self._relay = BufferedRelay(self._exchange, head)
-            self._began(attempt)
-        elif verdict is Verdict.NO_ANSWER:
-            self._break_off(AttemptOutcome.GARBLED)
+            self._on_answer_began(attempt)
+        elif verdict is Verdict.UNSEALED:
+            self._abort_attempt(AttemptOutcome.GARBLED)
         else:
-            self._verdict = {
+            self._rejected_as = {
                 Verdict.FULL: AttemptOutcome.FULL,
                 Verdict.NOT_HELD: AttemptOutcome.NOT_HELD,
-                Verdict.UNPROVEN: AttemptOutcome.RUNNER_ERROR,
+                Verdict.MAY_HAVE_RUN: AttemptOutcome.RUNNER_ERROR,
             }[verdict]
 
     def on_body(self, data: bytes) -> None:
-        """Bytes of the runner's answer have come."""
-        if self._verdict is not None:
+        """Handles body bytes of the runner's response."""
+        if self._rejected_as is not None:
             return
         if self._streaming:
-            self._stream_bytes(data)
+            self._feed_stream(data)
         elif self._relay is not None:
             self._relay.feed(data)
         if self._exchange.unsent > HIGH_WATER_BYTES and self._connection is not None:
             self._connection.pause(True)
-            self._exchange.on_drained = self._drained
+            self._exchange.on_drained = self._on_client_drained
 
-    def _drained(self) -> None:
+    def _on_client_drained(self) -> None:
         self._exchange.on_drained = None
         self._restart_stream_timeout(self._context.now())
         if self._connection is not None:
             self._connection.pause(False)
 
     def on_answer_end(self) -> None:
-        """The runner's answer is complete."""
+        """Handles the end of a complete runner response."""
         self._connection = None
-        if self._verdict is not None:
-            self._on_attempt_failed(self._verdict)
+        if self._rejected_as is not None:
+            self._on_attempt_failed(self._rejected_as)
             return
         relay = self._stream if self._streaming else self._relay
         assert relay is not None
@@ -259,26 +259,26 @@
         try:
             relay.complete()
         except StreamMismatchError as error:
-            self._reject_stream(error)
+            self._abort_invalid_stream(error)
             return
         self._end_attempt(AttemptOutcome.DONE if status < 500 else AttemptOutcome.RUNNER_ERROR)
         self._context.counters.answers.labels(str(status), "runner").inc()
         self._finish("answered")
 
     def on_lost(self, outcome: AttemptOutcome) -> None:
-        """There is no (more) answer from the runner."""
+        """Handles an attempt that ended without a complete response."""
         self._connection = None
-        self._on_attempt_failed(self._verdict if self._verdict is not None else outcome)
+        self._on_attempt_failed(self._rejected_as if self._rejected_as is not None else outcome)
 
     # Streams
 
-    def _stream_begins(self, head: AnswerHead) -> None:
+    def _begin_stream(self, head: AnswerHead) -> None:
         if self._stream is None:
             self._stream = StreamRelay(self._exchange)
         try:
             self._stream.begin(head)
         except StreamMismatchError as error:
-            self._reject_stream(error)
+            self._abort_invalid_stream(error)
             return
         route = self.traits.route
         if route.can_resume and self._stream_timeout is None:
@@ -286,7 +286,7 @@
                 self._context.loop, stream_timeout_s(route.gap_aim_ms), self._on_stream_timeout
             )
 
-    def _stream_bytes(self, data: bytes) -> None:
+    def _feed_stream(self, data: bytes) -> None:
         stream, attempt = self._stream, self._attempt
         assert stream is not None
         assert attempt is not None
@@ -295,15 +295,15 @@
         try:
             stream.feed(data)
         except (StreamMismatchError, EventTooLongError) as error:
-            self._reject_stream(error)
+            self._abort_invalid_stream(error)
             return
         if stream.started and not started:
-            self._began(attempt)
+            self._on_answer_began(attempt)
         elif self._trace is not None:
             self._trace.received(now)
 
-    def _began(self, attempt: Attempt) -> None:
-        """The runner's answer has begun: its head, or a stream's first event, has come."""
+    def _on_answer_began(self, attempt: Attempt) -> None:
+        """Records that the response has begun: its head, or the first event of a stream, was received."""
         now = self._context.now()
         if self._trace is not None:
             self._trace.began(now)
@@ -313,36 +313,36 @@
         if self._stream_timeout is not None:
             self._stream_timeout.observe(now)
 
-    def _reject_stream(self, error: Exception) -> None:
+    def _abort_invalid_stream(self, error: Exception) -> None:
         log.warning("stream.invalid", error=str(error))
-        self._break_off(AttemptOutcome.GARBLED)
+        self._abort_attempt(AttemptOutcome.GARBLED)
 
     def _on_stream_timeout(self) -> None:
-        """The runner sends nothing: the stream is resumed elsewhere, where it may be."""
+        """Resumes a stream at another runner, if allowed, because its runner has sent nothing."""
         if self._attempt is None or not self.started or self._exchange.on_drained is not None:
-            return  # nothing is awaited of a runner's stream now
+            return  # no stream data is expected from a runner now
         now, service = self._context.now(), self.traits.service
         allowed = self._context.budget.may_retry(now, service, self._context.dispatchers())
-        if allowed and self._may_run_again(self._runs + 1) and self._has_another_runner(now):
-            self._break_off(AttemptOutcome.SILENT)
+        if allowed and self._may_run_again(self._possible_runs + 1) and self._has_another_runner(now):
+            self._abort_attempt(AttemptOutcome.SILENT)
 
     def _has_another_runner(self, now: float) -> bool:
-        """Whether another runner would accept it now; without one, a time-out does not end the answer."""
+        """Whether another runner would accept the request now; otherwise the silent one is kept."""
         traits, attempt = self.traits, self._attempt
-        expected = self._context.expected(traits.service, traits.model, traits.adapter)
+        expected = self._context.expected_loads(traits.service, traits.model, traits.adapter)
         choice = self._context.selection.choose(now, traits, self._candidates(), tuple(self._tried), expected)
         return isinstance(choice, Send) and attempt is not None and choice.runner.id != attempt.runner
 
-    # Ends of attempts
+    # End of an attempt
 
-    def _break_off(self, outcome: AttemptOutcome) -> None:
-        """We give the attempt up; `outcome` where it may have run."""
+    def _abort_attempt(self, outcome: AttemptOutcome) -> None:
+        """Cancels the attempt and handles its failure: `outcome` if anything was sent, else UNSENT."""
         connection, self._connection = self._connection, None
         never_sent = connection is not None and connection.cancel() is AttemptOutcome.UNSENT
         self._on_attempt_failed(AttemptOutcome.UNSENT if never_sent else outcome)
 
     def _end_attempt(self, outcome: AttemptOutcome) -> None:
-        """Records the end of the attempt under way."""
+        """Records the end of the current attempt."""
         attempt, self._attempt = self._attempt, None
         assert attempt is not None
         now = self._context.now()
@@ -351,20 +351,20 @@
         self._context.selection.ended(now, attempt, outcome)
         self._context.counters.attempts.labels(outcome.name.lower()).inc()
         if outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.UNSENT):
-            self._arrivals += 1
+            self._deliveries += 1
         if not outcome.never_ran:
-            self._runs += 1
+            self._possible_runs += 1
         self._context.waiting.runner_freed(attempt.runner)
 
     def _on_attempt_failed(self, outcome: AttemptOutcome) -> None:
-        """An attempt ended without an answer: the request is retried, or given up."""
+        """Retries or gives up the request after an attempt without a usable response."""
         self._end_attempt(outcome)
         if outcome.never_ran:
             may_retry = self._attempts < self.traits.route.tries + EXTRA_ATTEMPTS
         else:
-            may_retry = self._may_run_again(self._runs)
+            may_retry = self._may_run_again(self._possible_runs)
         if may_retry and self.started and not outcome.never_ran:
-            # Its first event has come: being late for that is no reason to shed the rest.
+            # The first event was already delivered, so a missed target must not get the rest shed.
             self.traits = replace(self.traits, target_at=self.traits.deadline_at)
             self._context.counters.resumed.inc()
         if may_retry:
@@ -374,7 +374,7 @@
             self._give_up(self._retry_after(), outcome.name.lower(), outcome is AttemptOutcome.SILENT)
 
     def _may_run_again(self, runs: int) -> bool:
-        """Whether it may go to a further runner after it may have run so many times."""
+        """Whether the request may be sent again after `runs` attempts that may have run."""
         route = self.traits.route
         if not route.is_idempotent or runs >= route.tries:
             return False
@@ -384,30 +384,30 @@
         return route.can_resume and stream is not None and stream.started and stream.can_resume_elsewhere
 
     def _retry_after(self) -> float:
-        """Returns the `Retry-After` of the runner that rejected it, in seconds."""
+        """Returns the last runner's `Retry-After` in seconds, or the default."""
         value = self._head.headers.get(b"retry-after", b"") if self._head is not None else b""
         try:
             return max(float(value), MIN_RETRY_AFTER_S)
         except ValueError:
             return DEFAULT_RETRY_AFTER_S
 
-    # The final answer
+    # Final response
 
     def _on_deadline(self) -> None:
-        """The deadline has come."""
+        """Gives the request up at its deadline."""
         if self._is_finished:
             return
         if self._attempt is not None:
             connection, self._connection = self._connection, None
             sent = connection is not None and connection.cancel() is not AttemptOutcome.UNSENT
-            self._end_attempt((self._verdict or AttemptOutcome.SILENT) if sent else AttemptOutcome.UNSENT)
+            self._end_attempt((self._rejected_as or AttemptOutcome.SILENT) if sent else AttemptOutcome.UNSENT)
         self._give_up(DEFAULT_RETRY_AFTER_S, "deadline", late=True)
 
     def _give_up(self, retry_after: float, reason: str, late: bool = False) -> None:
-        """Answers at once. 503 promises that it never ran and never will."""
+        """Sends the final response. 503 guarantees that the request never ran and never will."""
         if self.started:
             self._truncate(reason)
-        elif self._runs:
+        elif self._possible_runs:
             self._reply(504 if late else 502, reason)
         else:
             left = max(self.traits.deadline_at - self._context.now(), 0.0)
@@ -424,14 +424,14 @@
         self._finish("refused" if status == HTTPStatus.SERVICE_UNAVAILABLE else "failed")
 
     def _truncate(self, reason: str) -> None:
-        """The answer has begun and can't be completed: the client must see that it is incomplete."""
+        """Ends a response that cannot be completed, so that the client detects the truncation."""
         self._context.counters.cut.inc()
         log.info("answer.truncated", reason=reason)
         self._exchange.end(complete=False)
         self._finish("truncated")
 
     def client_gone(self) -> None:
-        """The client has left: no answer is due any more, and the runner may stop."""
+        """Cancels the request after its client disconnected."""
         if self._is_finished:
             return
         self._context.counters.gone.inc()
@@ -439,19 +439,19 @@
         self._finish("left")
 
     def abandon(self) -> None:
-        """The process ends: answers with what is known of the request now."""
+        """Sends the final response now, because the process is about to end."""
         if not self._is_finished:
             self._cancel()
             self._give_up(DEFAULT_RETRY_AFTER_S, "stopping")
 
     def _cancel(self) -> None:
-        """Gives up the attempt that is under way."""
+        """Cancels the current attempt, if any."""
         if self._attempt is not None:
             connection, self._connection = self._connection, None
             self._end_attempt(connection.cancel() if connection is not None else AttemptOutcome.UNSENT)
 
     def _finish(self, end: str) -> None:
-        """No more happens to it; `end` says how it ended, for its trace."""
+        """Releases all resources of the request; `end` is how it ended, for the trace."""
         self._is_finished = True
         self._stop_waiting()
         self._context.loop.deadlines.cancel(self._deadline_timer)
@@ -459,5 +459,5 @@
             self._stream_timeout.stop()
         if self._trace is not None:
             self._trace.finished(self._context.now(), end)
-        self._exchange.handler_data = self._exchange.on_drained = None  # lets its body go at once
-        self._context.closed(self)
+        self._exchange.handler_data = self._exchange.on_drained = None  # frees the request body immediately
+        self._context.on_request_ended(self)
--- a/larchgw/edge/request_head.py
+++ b/larchgw/edge/request_head.py
@@ -1,4 +1,4 @@
-"""What a client's request says of itself, read from its headers."""
+"""Parses the headers that describe a client's request."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 PRIORITY = b"priority"
 LAST_EVENT_ID = b"last-event-id"
 EXPECT_VERSION = b"expect-version"
-# Given twice, one of these is two requests in one: whoever reads the other value sees another request.
-SINGLE = frozenset((b"host", ATTEMPT_ID, TIME_LEFT, b"x-model", b"content-length"))
-# Written anew for every send.
-OURS = frozenset((ATTEMPT_ID, TIME_LEFT, TARGET, PRIORITY))
+# A duplicate of one of these is ambiguous: another reader may pick the other value and see another request.
+SINGLE_VALUED = frozenset((b"host", ATTEMPT_ID, TIME_LEFT, b"x-model", b"content-length"))
+# Replaced for every attempt.
+REWRITTEN_FIELDS = frozenset((ATTEMPT_ID, TIME_LEFT, TARGET, PRIORITY))
 
 
 def attempt_id(headers: Mapping[bytes, bytes]) -> bytes:
-    """The id that the client gave this try. Raises BadRequestError without one."""
+    """Returns the client's id of this attempt. Raises BadRequestError without one."""
     name = headers.get(ATTEMPT_ID, b"")
     if not name:
         raise BadRequestError("X-Attempt-Id is missing", "give every try an id of its own")
@@ -30,49 +30,49 @@
 
 
 def check_single(fields: Fields) -> None:
-    """Raises BadRequestError where a field that names the request comes twice."""
+    """Raises BadRequestError if a field that must be unique occurs more than once."""
     counts = Counter(name.lower() for name, _ in fields)
-    for name in SINGLE:
+    for name in SINGLE_VALUED:
         if counts[name] > 1:
             raise BadRequestError(f"{name.decode()} comes {counts[name]} times", "send it once")
 
 
-def time_left(headers: Mapping[bytes, bytes], longest: float) -> float:
-    """Seconds that the client waits yet; `longest` where it doesn't tell."""
+def time_left(headers: Mapping[bytes, bytes], maximum: float) -> float:
+    """Returns how many seconds the client still waits, at most `maximum`, the default."""
     try:
-        told = float(headers[TIME_LEFT]) / 1000.0
+        seconds = float(headers[TIME_LEFT]) / 1000.0
     except (KeyError, ValueError):
-        return longest
-    return min(max(told, 0.0), longest) if told == told else longest
+        return maximum
+    return min(max(seconds, 0.0), maximum) if seconds == seconds else maximum
 
 
 def model_of(headers: Mapping[bytes, bytes]) -> tuple[str, str]:
-    """Model and adapter; each is empty where it isn't told."""
+    """Returns model and adapter; each is empty if not given."""
     model, _, adapter = headers.get(b"x-model", b"").decode("latin-1").partition("/")
     return model.strip(), adapter.strip()
 
 
 def tokens_of(headers: Mapping[bytes, bytes]) -> tuple[int, int]:
-    """Tokens of the prompt, and the most that may come out; 0 where it isn't told."""
+    """Returns the prompt tokens and the maximum of output tokens; 0 if not given."""
     tokens_in, _, tokens_out = headers.get(b"x-token-count", b"").partition(b",")
-    return _whole(tokens_in), _whole(tokens_out)
+    return _count(tokens_in), _count(tokens_out)
 
 
 def parts_of(headers: Mapping[bytes, bytes]) -> tuple[PromptPart, ...]:
-    """The parts of its prompt, in order."""
+    """Returns the parts of the prompt, in order."""
     parts = []
     for item in headers.get(b"x-prompt-start", b"").split(b","):
         name, colon, tokens = item.strip().partition(b":")
         if colon:
-            parts.append(PromptPart(name.decode("latin-1"), _whole(tokens)))
+            parts.append(PromptPart(name.decode("latin-1"), _count(tokens)))
     return tuple(parts)
 
 
-def passed_on(fields: Fields, more: frozenset[bytes] = frozenset()) -> Fields:
-    """The fields that go to a runner as they came."""
-    return end_to_end(fields, OURS | more)
+def forwarded_fields(fields: Fields, dropped: frozenset[bytes] = frozenset()) -> Fields:
+    """Returns the fields that are forwarded to a runner unchanged, without those in `dropped`."""
+    return end_to_end(fields, REWRITTEN_FIELDS | dropped)
 
 
-def _whole(text: bytes) -> int:
+def _count(text: bytes) -> int:
     text = text.strip()
     return int(text) if text.isdigit() else 0
--- a/larchgw/edge/runner_connection.py
+++ b/larchgw/edge/runner_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a runner, which carries one request at a time."""
+"""A connection to a runner that carries one request at a time."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class CarriedRequest(Protocol):
-    """The request that a connection carries. Exactly one of `on_answer_end` and `on_lost` ends it."""
+    """The request that a connection carries. It ends with exactly one of `on_answer_end` and `on_lost`."""
 
     name: bytes  # its X-Attempt-Id
 
     def request(self) -> bytes | None:
-        """Its bytes, asked for once the connection is up; None if it is not to be sent any more."""
+        """Returns the request bytes once connected; None if the request must no longer be sent."""
 
     def on_answer(self, head: AnswerHead) -> None:
-        """The head of its answer has come."""
+        """Called with the head of the response."""
 
     def on_body(self, data: bytes) -> None:
-        """Bytes of the body have come."""
+        """Called with bytes of the response body."""
 
     def on_answer_end(self) -> None:
-        """The answer is complete."""
+        """Called when the response is complete."""
 
     def on_lost(self, outcome: AttemptOutcome) -> None:
-        """There will be no (more) answer."""
+        """Called when no complete response will follow."""
 
 
 class ConnectionOwner(Protocol):
@@ -42,29 +42,32 @@
     loop: EventLoop
 
     def on_released(self, connection: RunnerConnection, keep_alive_s: float | None) -> None:
-        """It is free for the next request; `keep_alive_s` is what the runner advertised in Keep-Alive."""
+        """Called when the connection can carry another request.
+
+        `keep_alive_s` is the time-out that the runner advertised in `Keep-Alive`, if any.
+        """
 
     def on_closed(self, connection: RunnerConnection) -> None:
-        """It is closed."""
+        """Called when the connection is closed."""
 
     def on_stale(self, connection: RunnerConnection) -> None:
-        """It was kept, and proved closed when it was used again, or was closed while it was idle."""
+        """Called when a kept connection was closed while idle, or was found closed when reused."""
 
 
 class RunnerConnection:
-    """A connection that connects, carries a request, is idle, carries another, and is closed.
+    """A connection that carries one request after another and is idle in between.
 
     Attributes:
-        owner: The pool that is told of its changes.
+        owner: The pool, notified of state changes.
         address: The runner's host and port.
-        idle_since: When it became idle last, in seconds of the loop's clock.
-        idle_s: How long it had been idle before its present request.
-        is_reused: Whether it has carried a request before its present one.
-        connection: The transport, or why there is none.
+        idle_since: When it last became idle, in seconds of the loop's clock.
+        idle_s: How long it had been idle before its current request.
+        is_reused: Whether it carried a request before its current one.
+        connection: The transport, or the reason why it could not be opened.
     """
 
     def __init__(self, owner: ConnectionOwner, address: tuple[str, int]) -> None:
-        """Begins to connect."""
+        """Starts connecting."""
         self.owner, self.address = owner, address
         self.idle_since = 0.0
         self.idle_s = 0.0
@@ -72,30 +75,30 @@
         self._carried: CarriedRequest | None = None
         self._answer = AnswerParser(b"", head_only=False)
         self._head_reported = False
-        self._request_bytes = 0  # that were handed to the transport
-        self._has_received = False  # whether a byte has come since the request was sent
+        self._request_bytes = 0  # handed to the transport
+        self._has_received = False  # whether a byte was received since the request was sent
         self._connect_timer: Deadline | None = None
-        self._delivery_timer: Deadline | None = None  # while a long request is carried
+        self._delivery_timer: Deadline | None = None  # set until a long request is delivered
         self.connection: Connection | ConnectionOutcome = connect(owner.loop, address, self, WORKERS)
         if isinstance(self.connection, Connection):
             stale_connection.watch_by_kernel(self.connection.sock)
-            self.connection.reads_until_empty = False  # each event would cost a second call
+            self.connection.reads_until_empty = False  # saves a second recv call per event
             self._connect_timer = owner.loop.deadlines.add(
                 owner.loop.clock.now() + CONNECT_TIMEOUT_S, self._on_connect_timeout
             )
 
     @property
     def is_idle(self) -> bool:
-        """Whether it carries nothing."""
+        """Whether it carries no request."""
         return self._carried is None
 
     @property
     def is_connecting(self) -> bool:
-        """Whether it is not up yet."""
+        """Whether it is still being established."""
         return isinstance(self.connection, Connection) and self.connection.connecting
 
     def begin(self, carried: CarriedRequest, head_only: bool) -> None:
-        """Sends the request, once the connection is up. `head_only`: the answer has no body (HEAD)."""
+        """Sends the request once connected. `head_only`: the response has no body (HEAD)."""
         self._carried = carried
         self._has_received = self._head_reported = False
         self._request_bytes = 0
@@ -104,10 +107,10 @@
             self._write(carried)
 
     def cancel(self) -> AttemptOutcome:
-        """Gives the request up by closing the connection.
+        """Cancels the request by closing the connection.
 
         Returns:
-            CANCELLED where it may have run, else UNSENT.
+            CANCELLED if the request may have run, else UNSENT.
         """
         carried, self._carried = self._carried, None
         may_have_run = self._is_sent() and carried is not None
@@ -115,12 +118,12 @@
         return AttemptOutcome.CANCELLED if may_have_run else AttemptOutcome.UNSENT
 
     def pause(self, paused: bool) -> None:
-        """Stops reading the answer, or goes on."""
+        """Pauses or resumes reading the response."""
         if isinstance(self.connection, Connection):
             self.connection.pause(paused)
 
     def close(self) -> None:
-        """Closes it; only the owner is told."""
+        """Closes the connection and notifies the owner, but not the request."""
         self.owner.loop.deadlines.cancel(self._connect_timer)
         self.owner.loop.deadlines.cancel(self._delivery_timer)
         if isinstance(self.connection, Connection):
@@ -128,23 +131,23 @@
         self.owner.on_closed(self)
 
     def withdraw_unsent(self) -> bool:
-        """Gives the request up as never run, if nothing of it has been sent yet. Returns whether it did."""
+        """Fails the request as UNSENT if still connecting. Returns whether it did."""
         if self._carried is None or not self.is_connecting:
             return False
-        self._lose(AttemptOutcome.UNSENT)
+        self._fail(AttemptOutcome.UNSENT)
         return True
 
-    # Events of the transport
+    # Called by the transport
 
     def on_open(self) -> None:
-        """It is up: its request is sent, if it still may be."""
+        """Sends the request, if it still may be sent."""
         self.owner.loop.deadlines.cancel(self._connect_timer)
         self._connect_timer = None
         if self._carried is not None:
             self._write(self._carried)
 
     def on_data(self, data: bytes) -> None:
-        """Bytes of an answer came; on an idle connection there should be none."""
+        """Handles received bytes; on an idle connection they make it unusable."""
         if self._carried is None:
             self.owner.on_stale(self)
             self.close()
@@ -154,34 +157,34 @@
         self._report(garbled=not is_answer)
 
     def on_written(self) -> None:
-        """All of the request is with the kernel."""
+        """Does nothing: the kernel has taken all of the request."""
 
     def on_end(self, ending: ConnectionOutcome) -> None:
-        """It broke, was closed or never came up."""
+        """Handles a connection that broke, was closed or could not be established."""
         answer = self._answer
         if self._carried is None:
             self.owner.on_stale(self)
             self.close()
         elif not self._is_sent():
-            self._lose(AttemptOutcome.CONNECT_FAILED)
+            self._fail(AttemptOutcome.CONNECT_FAILED)
         elif ending is ConnectionOutcome.CLOSED and answer.has_head and not answer.head.is_framed:
             answer.complete_by_close()
             self._report(garbled=False)
         else:
             if self.is_reused and not self._has_received:
                 self.owner.on_stale(self)
-            self._lose(self._broken())
+            self._fail(self._loss_outcome())
 
     def _on_connect_timeout(self) -> None:
         self._connect_timer = None
-        self._lose(AttemptOutcome.CONNECT_FAILED)
+        self._fail(AttemptOutcome.CONNECT_FAILED)
 
-    # The request
+    # Sending the request
 
     def _write(self, carried: CarriedRequest) -> None:
         request = carried.request()
         if request is None:
-            self._lose(AttemptOutcome.UNSENT)
+            self._fail(AttemptOutcome.UNSENT)
             return
         assert isinstance(self.connection, Connection)
         self._request_bytes = len(request)
@@ -192,14 +195,14 @@
         self.connection.write(request)
 
     def _is_sent(self) -> bool:
-        """Whether any of the request is with the kernel: a runner may run it before a long body's end."""
+        """Whether the kernel has any of the request: a runner may run it before it has all of a long body."""
         return isinstance(self.connection, Connection) and self.connection.unsent < self._request_bytes
 
     def _is_long(self) -> bool:
         return self._request_bytes > stale_connection.LONG_REQUEST_BYTES
 
     def _is_delivered(self) -> bool:
-        """Whether the runner's machine has all of the request. Its program may read it much later."""
+        """Whether the runner's kernel has acknowledged the request; its process may read it much later."""
         connection = self.connection
         if not isinstance(connection, Connection) or connection.unsent:
             return False
@@ -212,27 +215,27 @@
         )
 
     def _check_delivery(self) -> None:
-        """Until a long request is delivered: its runner may read slowly, but its machine must answer."""
+        """Checks a long request until delivered: the runner may read slowly, but its kernel must respond."""
         self._delivery_timer = None
         assert isinstance(self.connection, Connection)
         if stale_connection.is_dead(self.connection.sock):
-            self._lose(self._broken())
+            self._fail(self._loss_outcome())
         elif self._is_delivered():
             self._end_delivery_checks()
         else:
             self._check_delivery_later()
 
     def _end_delivery_checks(self) -> None:
-        """Leaves the watch to the kernel again, if the request was a long one."""
+        """Restores the kernel's time-out after a long request."""
         if self._is_long() and isinstance(self.connection, Connection):
             self.owner.loop.deadlines.cancel(self._delivery_timer)
             self._delivery_timer = None
             stale_connection.watch_by_kernel(self.connection.sock)
 
-    # The answer
+    # Receiving the response
 
     def _report(self, garbled: bool) -> None:
-        """Hands on what the parser has recorded. Each call may make the request give the connection up."""
+        """Passes on what the parser has recorded. The request may cancel itself during any of these calls."""
         carried, answer = self._carried, self._answer
         if carried is None:
             return
@@ -246,14 +249,14 @@
         if answer.is_complete:
             self._finish(carried)
         elif garbled:
-            self._lose(AttemptOutcome.GARBLED)
+            self._fail(AttemptOutcome.GARBLED)
 
     def _finish(self, carried: CarriedRequest) -> None:
-        """The answer is complete: the connection is kept for the next request where that is safe."""
+        """Ends the request after a complete response, and keeps the connection where that is safe."""
         self._carried = None
         if self._is_reusable():
             self._end_delivery_checks()
-            self.pause(False)  # the client reads slowly, but the next request may be another client's
+            self.pause(False)  # it was paused for a slow client; the next request may be another client's
             self.idle_since = self.owner.loop.clock.now()
             self.owner.on_released(self, self._answer.keep_alive_s())
         else:
@@ -268,10 +271,10 @@
             return False
         return answer.keep_alive and self._is_delivered()
 
-    def _broken(self) -> AttemptOutcome:
+    def _loss_outcome(self) -> AttemptOutcome:
         return AttemptOutcome.CUT if self._head_reported else AttemptOutcome.RESET
 
-    def _lose(self, outcome: AttemptOutcome) -> None:
+    def _fail(self, outcome: AttemptOutcome) -> None:
         carried, self._carried = self._carried, None
         self.close()
         if carried is not None:
--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to each runner, and how long they may have been idle to be used again."""
+"""A pool of connections to each runner, with limits on their number and idle time."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from .keep_alive_limit import KeepAliveLimit
 from .runner_connection import RunnerConnection
 
-MIN_CONNECTIONS = 4  # to one runner, however many dispatchers share its limit
-MAX_OVERSUBSCRIPTION = 2  # times its share that a dispatcher may use for a while: load is not spread evenly
-SWEEP_S = 1.0  # between two checks for connections that have been idle too long
+MIN_CONNECTIONS = 4  # per runner, however many dispatchers share its limit
+MAX_OVERSUBSCRIPTION = 2  # times its share; a dispatcher may exceed it for a while, as load is uneven
+SWEEP_S = 1.0  # between checks for connections that have been idle too long
 log = structlog.get_logger()
 
 
 class _RunnerConnections:
-    """The connections to one incarnation of a runner, idle ones in the order in which they were freed."""
+    """The connections to one address of a runner; the idle ones are ordered by when they became idle."""
 
     __slots__ = ("service", "address", "idle", "open")
 
@@ -34,29 +34,29 @@
 
 
 class RunnerPool:
-    """Connections by runner."""
+    """The connections of this process to all runners."""
 
     def __init__(self, loop: EventLoop, counters: EdgeCounters, max_open: Callable[[str], int]) -> None:
-        """Begins without connections.
+        """Creates an empty pool.
 
         Args:
-            loop: The loop that they belong to.
-            counters: Counts what becomes of them.
-            max_open: By service, this process's share of the connections that one runner accepts; 0: no
-                limit.
+            loop: The event loop of the connections.
+            counters: Counts events of the connections.
+            max_open: Returns, for a service, this process's share of the connections that one of its runners
+                accepts; 0 for no limit.
         """
         self.loop, self._counters, self._max_open = loop, counters, max_open
         self._by_runner: dict[str, _RunnerConnections] = {}
-        self._owner: dict[RunnerConnection, str] = {}
+        self._runner_ids: dict[RunnerConnection, str] = {}
         self._keep_alive_limits: dict[str, KeepAliveLimit] = {}  # by service
         self._sweep: Deadline | None = None
 
     def acquire(self, runner: RunnerRecord, idempotent: bool) -> RunnerConnection | None:
-        """Returns a connection to the runner, free to carry a request; None where none can be had.
+        """Returns a connection that can carry a request to the runner; None if there is none.
 
         Args:
             runner: The runner.
-            idempotent: Whether the request may run twice; else only a connection that was just used will do.
+            idempotent: Whether the request may run twice; if not, only a recently used connection is reused.
         """
         try:
             address = parse_address(runner.address)
@@ -69,7 +69,7 @@
         return self._reuse(connections, idempotent) or self._open(runner, connections)
 
     def runners_changed(self, runners: Mapping[str, RunnerRecord]) -> None:
-        """Closes idle connections to runners that accept no requests, and withdraws requests not yet sent."""
+        """Closes idle connections to runners that accept no more requests, and withdraws unsent requests."""
         for runner_id, connections in list(self._by_runner.items()):
             runner = runners.get(runner_id)
             if runner is not None and runner.stage < Stage.DRAINING:
@@ -81,20 +81,20 @@
                     connection.withdraw_unsent()
 
     def close(self) -> None:
-        """Closes all connections, whatever they carry."""
+        """Closes all connections, including those with a request in progress."""
         self.loop.deadlines.cancel(self._sweep)
-        for connection in list(self._owner):
+        for connection in list(self._runner_ids):
             connection.close()
 
     def count(self) -> int:
-        """Returns how many connections are open."""
-        return len(self._owner)
+        """Returns the number of open connections."""
+        return len(self._runner_ids)
 
-    # From connections
+    # Called by the connections
 
     def on_released(self, connection: RunnerConnection, keep_alive_s: float | None) -> None:
-        """It has carried its request and may carry another; see `ConnectionOwner`."""
-        runner_id = self._owner.get(connection)
+        """Keeps the connection for reuse, unless there are too many; see `ConnectionOwner`."""
+        runner_id = self._runner_ids.get(connection)
         connections = self._by_runner.get(runner_id) if runner_id is not None else None
         if connections is None:
             connection.close()
@@ -110,8 +110,8 @@
             self._sweep = self.loop.deadlines.add(self.loop.clock.now() + SWEEP_S, self._close_expired)
 
     def on_closed(self, connection: RunnerConnection) -> None:
-        """It is closed; see `ConnectionOwner`."""
-        runner_id = self._owner.pop(connection, None)
+        """Removes the connection from the pool; see `ConnectionOwner`."""
+        runner_id = self._runner_ids.pop(connection, None)
         connections = self._by_runner.get(runner_id) if runner_id is not None else None
         if runner_id is None or connections is None:
             return
@@ -122,9 +122,9 @@
             del self._by_runner[runner_id]
 
     def on_stale(self, connection: RunnerConnection) -> None:
-        """It was kept and proved closed; see `ConnectionOwner`."""
+        """Adjusts the keep-alive limit of the service; see `ConnectionOwner`."""
         self._counters.connections.labels("died").inc()
-        runner_id = self._owner.get(connection)
+        runner_id = self._runner_ids.get(connection)
         connections = self._by_runner.get(runner_id) if runner_id is not None else None
         if connections is None:
             return
@@ -172,7 +172,7 @@
             return None
         self._by_runner[runner.id] = connections
         connections.open.add(connection)
-        self._owner[connection] = runner.id
+        self._runner_ids[connection] = runner.id
         self._counters.connections.labels("opened").inc()
         return connection
 
--- a/larchgw/edge/status.py
+++ b/larchgw/edge/status.py
@@ -1,4 +1,4 @@
-"""What an edge tells of itself to people and their programs, as an object for JSON."""
+"""The status report of an edge, as a JSON object for operators and their tools."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeStatus:
-    """The parts of an edge that a status is read from."""
+    """The parts of an edge that the status report is read from."""
 
     node_name: str
     is_ready: Callable[[], bool]
@@ -30,7 +30,10 @@
     budget: RetryBudget
 
     def read(self) -> dict[str, Any]:
-        """The status now. `silent_s`: seconds since a control process that is not cut off last answered."""
+        """Returns the current status.
+
+        `silent_s` is the time in seconds since a control process that is not isolated last answered.
+        """
         configuration, heard = self.configuration(), self.puller.last_heard_at
         dispatchers = max(self.swim.count("edge"), 1)
         now = self.proxy.loop.clock.now()
@@ -51,7 +54,7 @@
         }
 
     def _runners(self, configuration: Configuration | None) -> dict[str, dict[str, int]]:
-        """How many there are by service and stage."""
+        """Returns the number of runners by service and stage."""
         services = configuration.services if configuration is not None else ()
         return {
             service.name: dict(
--- a/larchgw/edge/stream_relay.py
+++ b/larchgw/edge/stream_relay.py
@@ -1,7 +1,7 @@
-"""Passes a stream of events on, event by event, and resumes it with another runner's where it may.
+"""Forwards an event stream event by event, and resumes it with another runner's where possible.
 
-A *run* is one runner's answer; the client's answer is made of one run, or of several that go on from each
-other.
+A *run* is one runner's response. The client's response consists of one run, or of several runs where each
+continues the previous one.
 """
 
 from __future__ import annotations
@@ -16,40 +16,40 @@
 
 
 class StreamRelay:
-    """The client's answer, made of one run or of several that go on from each other.
+    """The client's response, made of one run or of several consecutive runs.
 
-    The head of the first run whose event was passed on stays. An event that has not ended is never passed on,
-    except as the last of a complete answer.
+    The client gets the head of the first run that had an event forwarded. An incomplete event is never
+    forwarded, except at the end of a complete response.
 
     Attributes:
-        started: Whether the client has got any byte.
-        last_id: Id of the last event passed on.
-        version: Of the weights that made it; empty where no run told.
+        started: Whether any byte was sent to the client.
+        last_id: The id of the last event forwarded.
+        version: The version of the model weights; empty if no run stated it.
     """
 
     def __init__(self, exchange: Exchange) -> None:
-        """Begins with nothing passed on to the client of `exchange`."""
+        """Creates a relay to the client of `exchange`."""
         self._exchange = exchange
         self._head = AnswerHead()
         self._splitter = EventSplitter()
-        self._step: int | None = None  # between any two ids so far; 0: it varies
-        self._is_framed = False  # the run tells its end, and does not just close
+        self._step: int | None = None  # difference between consecutive ids so far; 0 if it varies
+        self._is_framed = False  # whether the run marks its own end, rather than closing
         self._is_resumed = False
-        self._ids_rise = True  # every event had an id above the one before it
+        self._ids_increase = True  # whether every event had a higher id than the previous one
         self.started = False
         self.last_id: int | None = None
         self.version = b""
 
     @property
     def can_resume_elsewhere(self) -> bool:
-        """Whether another run can go on where this one ends."""
-        return not self.started or (self._ids_rise and self.last_id is not None)
+        """Whether another run can continue where this one ended."""
+        return not self.started or (self._ids_increase and self.last_id is not None)
 
     def begin(self, head: AnswerHead) -> None:
-        """A run's answer begins.
+        """Starts a run.
 
         Raises:
-            StreamMismatchError: Other weights make it than made the run before.
+            StreamMismatchError: It uses other weights than the previous run.
         """
         version = head.headers.get(VERSIONS, b"")
         self._splitter = EventSplitter()
@@ -58,16 +58,18 @@
         if not self._is_resumed:
             self._head, self.version = head, version
         elif version and self.version and version != self.version:
-            raise StreamMismatchError(f"weights of version {version!r} follow those of {self.version!r}")
+            raise StreamMismatchError(
+                f"resumed run has weights version {version!r} instead of {self.version!r}"
+            )
 
     def feed(self, data: bytes) -> int:
-        """Takes bytes of the body.
+        """Takes body bytes of the run.
 
         Returns:
-            How many events were passed on.
+            How many events were forwarded.
 
         Raises:
-            StreamMismatchError: An event does not follow the last one passed on.
+            StreamMismatchError: An event does not continue from the last one forwarded.
             EventTooLongError: An event is too long.
         """
         events = self._splitter.feed(data)
@@ -76,10 +78,10 @@
         return len(events)
 
     def complete(self) -> None:
-        """The run's answer is complete.
+        """Completes the response after the end of the run.
 
         Raises:
-            StreamMismatchError: It ended in the middle of an event.
+            StreamMismatchError: The run ended in the middle of an event.
         """
         rest = self._splitter.rest()
         if rest and not self._is_framed:
@@ -95,36 +97,36 @@
         start(self._exchange, self._head, None)
 
     def _forward(self, events: list[Event]) -> None:
-        fitting = []
+        accepted = []
         try:
             for event in events:
                 self._accept(event)
-                fitting.append(event.raw)
+                accepted.append(event.raw)
         finally:
-            if fitting:
+            if accepted:
                 if not self.started:
                     self._start()
-                self._exchange.send(b"".join(fitting))
+                self._exchange.send(b"".join(accepted))
 
     def _accept(self, event: Event) -> None:
-        """Records the event; in a resumed run it must follow the last one without gap or repetition."""
+        """Records an event; in a resumed run it must continue from the last one without gap or repetition."""
         last, number = self.last_id, event.id
         if number is None and event.is_comment:
             return
-        rises = number is not None and (last is None or number > last)
+        increases = number is not None and (last is None or number > last)
         if self._is_resumed and last is not None and not self._follows(last, number):
-            raise StreamMismatchError(f"event {number} follows event {last}")
+            raise StreamMismatchError(f"event {number} cannot follow event {last} in a resumed stream")
         if event.version:
             self.version = event.version
-        if number is None or not rises:
-            self._ids_rise = False
+        if number is None or not increases:
+            self._ids_increase = False
             return
         if last is not None:
             self._step = number - last if self._step in (None, number - last) else 0
         self.last_id = number
 
     def _follows(self, last: int, number: int | None) -> bool:
-        """Whether the event may come after `last`; the final one may hold fewer tokens, and be nearer."""
+        """Whether an event may follow `last`; the final event may hold fewer tokens, hence a smaller step."""
         if number is None or number <= last:
             return False
         return not self._step or number <= last + self._step
--- a/larchgw/edge/trace.py
+++ b/larchgw/edge/trace.py
@@ -1,7 +1,7 @@
-"""Debug lines about one request: why it waited, what each attempt at a runner came to, how it ended.
+"""Debug log of one request: why it waited, the outcome of each attempt, and how it ended.
 
-They are written at level DEBUG only; at other levels a request has no trace and pays one test for it.
-Times are milliseconds since the request came. `larchgw losses` reads the last line of each request,
+It is written at level DEBUG only; at other levels requests have no trace, at the cost of one check each.
+Times are milliseconds since the request's arrival. `larchgw losses` reads the last line of each request,
 `request.ended`.
 """
 
@@ -17,10 +17,10 @@
 
 
 class RequestTrace:
-    """What one request met, by time."""
+    """Records the events of one request."""
 
     def __init__(self, traits: RequestTraits, name: bytes) -> None:
-        """Begins a trace of the request with these traits; `name` is its `X-Attempt-Id`."""
+        """Creates a trace; `name` is the request's `X-Attempt-Id`."""
         self._name, self._traits = name.decode("latin-1"), traits
         self._waiting_since: float | None = None
         self._reason = ""
@@ -29,16 +29,16 @@
         self._answer_began_at: float | None = None
         self._last_byte_at: float | None = None
         self._longest_pause_s = 0.0
-        self._attempts_s = 0.0  # spent on attempts that failed before the answer began
+        self._attempts_s = 0.0  # spent on attempts that failed before the response began
         self._outcomes: list[str] = []
 
     @classmethod
     def of(cls, traits: RequestTraits, name: bytes) -> RequestTrace | None:
-        """The trace of a request; None unless debug lines are written."""
+        """Returns a trace for a request; None unless debug logging is enabled."""
         return cls(traits, name) if log.is_enabled_for(logging.DEBUG) else None
 
     def waits(self, now: float, reason: str) -> None:
-        """It waits; only a new reason is written."""
+        """Logs that the request waits, if the reason is new."""
         if reason == self._reason:
             return
         self._stop_waiting(now)
@@ -46,24 +46,24 @@
         log.debug("request.waiting", reason=reason, **self._request(now))
 
     def sent(self, now: float) -> None:
-        """It goes to a runner."""
+        """Records that the request was sent to a runner."""
         self._stop_waiting(now)
         self._sent_at, self._began_at = now, 0.0
 
     def began(self, now: float) -> None:
-        """The runner's answer has begun."""
+        """Records the beginning of the runner's response."""
         self._began_at = self._last_byte_at = now
         if self._answer_began_at is None:
             self._answer_began_at = now
 
     def received(self, now: float) -> None:
-        """Further bytes of the runner's answer have come."""
+        """Records that more of the runner's response was received."""
         if self._last_byte_at is not None:
             self._longest_pause_s = max(self._longest_pause_s, now - self._last_byte_at)
             self._last_byte_at = now
 
     def ended(self, now: float, runner: str, outcome: AttemptOutcome) -> None:
-        """The attempt at the runner is over."""
+        """Logs the end of an attempt."""
         traits = self._traits
         self._outcomes.append(outcome.name)
         if self._answer_began_at is None:
@@ -80,11 +80,11 @@
         )
 
     def answered(self, now: float, status: int, reason: str) -> None:
-        """The dispatcher itself gave the final answer."""
+        """Logs a final response that the dispatcher itself gave."""
         log.debug("request.answered", status=status, reason=reason, **self._request(now))
 
     def finished(self, now: float, end: str) -> None:
-        """The request is over: writes all that it met on one line.
+        """Logs a summary of the request after it ended.
 
         Args:
             now: Seconds of the monotonic clock.
--- a/larchgw/net/address.py
+++ b/larchgw/net/address.py
@@ -1,13 +1,13 @@
-"""Addresses as text."""
+"""Parsing of network addresses."""
 
 from __future__ import annotations
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Splits a "host:port" text, an IPv6 host in brackets.
+    """Splits a "host:port" text; an IPv6 host is in brackets.
 
     Raises:
-        ValueError: It is not of that form, or the port is too large.
+        ValueError: The text has another form, or the port is out of range.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
--- a/larchgw/net/asyncio_loop.py
+++ b/larchgw/net/asyncio_loop.py
@@ -1,4 +1,4 @@
-"""`EventLoop` on the running asyncio loop, so that connections share a process with Tornado and the rpc."""
+"""`EventLoop` on top of asyncio, so that connections share a process with Tornado and RPC."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _ScheduledDeadlines(Deadlines):
-    """Calls back whenever an earlier deadline than before comes first."""
+    """Deadlines that call back whenever the earliest one changes to an earlier time."""
 
     def __init__(self, on_earlier: Callable[[float], None]) -> None:
         super().__init__()
@@ -31,7 +31,7 @@
 
 
 class _Watch:
-    """One watched socket; asyncio is called only where the wanted events change."""
+    """One watched socket; asyncio is called only when the wanted events change."""
 
     __slots__ = ("owner", "descriptor", "events", "ready")
 
@@ -40,7 +40,7 @@
         self.ready: Callable[[int], None] = lambda mask: None
 
     def change(self, events: int) -> None:
-        """Asks asyncio for these events instead of the present ones."""
+        """Replaces the events that asyncio reports."""
         loop, added, removed = self.owner.loop, events & ~self.events, self.events & ~events
         self.events = events
         if added & READ:
@@ -56,19 +56,19 @@
         try:
             self.ready(mask)
         except Exception:
-            self.owner.failed()
+            self.owner.on_callback_error()
 
 
 class AsyncLoop:
-    """`EventLoop` for one asyncio loop. Times are those of `clock`, seconds.
+    """`EventLoop` on one asyncio loop. Times are seconds of `clock`.
 
-    Where `Loop` serves sockets of a lower rank first, this one serves them in the selector's order.
+    Unlike `Loop`, it ignores ranks and serves ready sockets in the order of the selector.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock | None = None) -> None:
-        """Wraps `loop`; deadlines are times of `clock`."""
+        """Wraps `loop`."""
         self.loop, self.clock = loop, clock or Clock()
-        self.deadlines: Deadlines = _ScheduledDeadlines(self._schedule_sweep)
+        self.deadlines: Deadlines = _ScheduledDeadlines(self._schedule_timer)
         self.counters: Counters | None = None
         self.closing_count = 0
         self.reuse_port = False
@@ -80,7 +80,7 @@
     def watch(
         self, sock: socket.socket, events: int, ready: Callable[[int], None], rank: int = FIRST
     ) -> None:
-        """Calls `ready` with the events at hand; 0 events pause it."""
+        """Calls `ready` with the events that occur; 0 events stop watching."""
         descriptor = sock.fileno()
         watch = self._watches.get(descriptor)
         if watch is None:
@@ -94,43 +94,43 @@
             del self._watches[descriptor]
 
     def unwatch(self, sock: socket.socket) -> None:
-        """Watches the socket no more."""
+        """Stops watching the socket."""
         self.watch(sock, 0, lambda mask: None)
 
     def call_soon(self, action: Callable[[], None]) -> None:
-        """Runs the action in one of the loop's next turns. Safe from any thread."""
+        """Runs the action in one of the next iterations. Thread-safe."""
         self.loop.call_soon_threadsafe(self.guard, action)
 
     def close(self) -> None:
-        """Runs no more deadlines. What is watched is closed by its owners."""
+        """Stops running deadlines. Watched sockets are closed by their owners."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
 
     def guard(self, action: Callable[[], object]) -> None:
-        """Runs the action; an error of one connection is logged and must not reach the others."""
+        """Runs the action and logs its errors, so that one connection's error does not affect others."""
         try:
             action()
         except Exception:
-            self.failed()
+            self.on_callback_error()
 
-    def failed(self) -> None:
-        """Counts and logs the error of a callback that is being handled."""
+    def on_callback_error(self) -> None:
+        """Counts and logs the exception being handled."""
         if self.counters:
             self.counters.faults.labels("loop").inc()
         log.exception("fault.loop")
 
-    def _schedule_sweep(self, at: float) -> None:
+    def _schedule_timer(self, at: float) -> None:
         if self._closed or at >= self._due:
             return
         if self._timer is not None:
             self._timer.cancel()
         self._due = at
-        self._timer = self.loop.call_later(max(at - self.clock.now(), 0.0), self._sweep)
+        self._timer = self.loop.call_later(max(at - self.clock.now(), 0.0), self._run_due)
 
-    def _sweep(self) -> None:
+    def _run_due(self) -> None:
         self._timer, self._due = None, float("inf")
         self.guard(lambda: self.deadlines.run_due(self.clock.now()))
         due = self.deadlines.earliest()
         if due is not None:
-            self._schedule_sweep(due)
+            self._schedule_timer(due)
--- a/larchgw/net/body_memory.py
+++ b/larchgw/net/body_memory.py
@@ -1,4 +1,4 @@
-"""How much memory the bodies of one listener's waiting requests may take."""
+"""Limits the memory for bodies of requests that wait for their handler."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class BodyMemory:
-    """Counts the bytes of bodies that the listener's handler does not have yet.
+    """The memory used by request bodies that were not yet passed to the listener's handler.
 
     Attributes:
-        limit_bytes: The most that may be in use; may be changed at any time.
-        used_bytes: What is in use now.
+        limit_bytes: The maximum in use; may be changed at any time.
+        used_bytes: The bytes in use now.
     """
 
     def __init__(self, counters: Counters, listener: str, limit_bytes: int) -> None:
-        """Nothing is in use; refusals are counted under the listener's name."""
+        """Starts empty; refusals are counted under the listener's name."""
         self._counters, self._listener = counters, listener
         self.limit_bytes = limit_bytes
         self.used_bytes = 0
         self._logged = False
 
     def reserve(self, size: int) -> bool:
-        """Whether there is memory for so many more bytes; if so, they count as used."""
+        """Reserves `size` bytes. Returns False if they exceed the limit."""
         if self.used_bytes + size > self.limit_bytes:
             self._count_refusal()
             return False
@@ -33,7 +33,7 @@
         return True
 
     def release(self, size: int) -> None:
-        """Returns so many bytes: they are the handler's to count now, or gone."""
+        """Releases `size` bytes that were dropped or passed to the handler."""
         self.used_bytes -= size
 
     def _count_refusal(self) -> None:
--- a/larchgw/net/client_connection.py
+++ b/larchgw/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests one at a time in their order, their limits and times, the answers."""
+"""A client connection: handles its requests in order, with their limits, time-outs and responses."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from .response_writer import ResponseWriter
 from .timers import Deadline
 
-# Read ahead on one connection; reading also waits behind bodies that are together over the limit of one.
+# Requests read ahead on one connection. Reading also pauses when their bodies exceed the limit of one body.
 MAX_WAITING_REQUESTS = 8
-LOOK_S = 0.1  # between two looks for the end of a connection of which nothing is read for now
-RETRY_AFTER_S = "0.5"  # where there is no memory for a request now
-WRITE_TIMEOUT_S = 30.0  # for a client to read an answer
+PEER_CHECK_INTERVAL_S = 0.1  # between checks whether the peer closed a paused connection
+RETRY_AFTER_S = "0.5"  # sent when there is no memory for a request
+WRITE_TIMEOUT_S = 30.0  # for a client to read a response
 
 
 class ClientConnectionOwner(Protocol):
-    """What a client's connection needs of the server that let it in, and what it reports to it.
+    """The server of a client connection: what the connection uses, and what it reports.
 
     Attributes:
-        loop: The loop on which all of it runs.
-        counters: Where bad input is counted.
-        handler: Takes the requests.
-        body_memory: The memory of bodies that the handler does not have yet.
-        single_request: Whether each connection is for one request.
-        stopping: Whether connections close behind their last answer.
-        lingering: Connections that are answered and not yet closed, with the times (loop's clock).
+        loop: The event loop.
+        counters: Counts invalid input.
+        handler: Handles the requests.
+        body_memory: The memory for bodies not yet passed to the handler.
+        single_request: Whether each connection carries one request only.
+        stopping: Whether connections close after their last response.
+        lingering: Connections being closed after their last response, with the start time (loop's clock).
     """
 
     loop: EventLoop
@@ -49,51 +49,51 @@
 
     @property
     def limits(self) -> ServerLimits:
-        """Those in force now."""
+        """The limits in force now."""
 
     def is_open(self, connection: ClientConnection) -> bool:
-        """Whether the connection is still open to requests."""
+        """Whether the connection still accepts requests."""
 
     def on_received(self, connection: ClientConnection) -> None:
-        """Bytes have come."""
+        """Called when bytes were received."""
 
     def on_request_begun(self, connection: ClientConnection) -> None:
-        """A request has begun to come in."""
+        """Called when the first byte of a request was received."""
 
     def on_request_received(self, connection: ClientConnection) -> None:
-        """A first request has come in whole, or an error is owed."""
+        """Called when the first request is complete, or an error must be sent."""
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """All has been answered, and the next request may come."""
+        """Called when all requests are answered and the connection waits for the next one."""
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """The connection is over, or about to be."""
+        """Called when the connection is closed or begins to close."""
 
 
 class ClientConnection:
-    """A client's connection: owner of its `Connection` and `RequestReader`, and the channel of its answers.
+    """A client connection. Owns its `Connection` and `RequestReader`, and is the channel of its responses.
 
-    Requests wait in the order of their coming; the handler has one at a time, `current`. One time-out runs at
-    most, for what the client has to do next: send a first byte, the rest of a request or the next request, or
-    read an answer. How long the handler takes is its own concern.
+    Requests wait in the order of arrival; the handler has one at a time, `current`. At most one time-out
+    runs, for what the client has to do next: send a first byte, the rest of a request or the next request, or
+    read a response. The handler's time is not limited here.
 
     Attributes:
-        current: The request that the handler has, without a whole answer.
-        waiting: Requests behind it, read whole, and errors to be answered.
-        opened_at: When it was accepted (loop's clock).
-        received_at: When bytes came last, or when it was accepted.
-        has_sent_request: Whether a request has come in whole.
+        current: The request passed to the handler whose response is not complete.
+        waiting: Complete requests after it, and errors to be sent.
+        opened_at: When the connection was accepted (loop's clock).
+        received_at: When bytes were last received, or when it was accepted.
+        has_sent_request: Whether a complete request was received.
     """
 
     def __init__(self, server: ClientConnectionOwner, sock: socket.socket) -> None:
-        """Reads from this accepted socket from now on."""
+        """Starts reading from an accepted socket."""
         self.server = server
         self.current: Exchange | None = None
         self.waiting: deque[Exchange] = deque()
         self._advancing = False
         self._timeout: Deadline | None = None
-        self._next_look: Deadline | None = None
-        self._writer: ResponseWriter | None = None  # of the answer that was begun
+        self._peer_check_timer: Deadline | None = None
+        self._writer: ResponseWriter | None = None  # of a response sent in pieces
         self._reader = RequestReader(self, server.body_memory, lambda: server.limits)
         self.opened_at = self.received_at = self._request_began_at = server.loop.clock.now()
         self.has_sent_request = False
@@ -101,17 +101,17 @@
         self._start_timeout(server.limits.first_byte_timeout_s, ConnectionOutcome.SLOW)
 
     def is_idle(self) -> bool:
-        """Whether no request is open, waits or comes in, and the next one would be read."""
+        """Whether no request is in progress, waiting or being received, and the next one would be read."""
         reader = self._reader
-        return self.current is None and not self.waiting and reader.coming is None and not reader.stopped
+        return self.current is None and not self.waiting and reader.incoming is None and not reader.stopped
 
-    # From the connection
+    # Called by the connection
 
     def on_open(self) -> None:
-        """An accepted connection is up from the start."""
+        """Does nothing: an accepted connection is already established."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes have come: reads the requests in them, and has the next one handled."""
+        """Parses received bytes and passes on the next request."""
         if self._reader.stopped:
             return
         self.received_at = self.server.loop.clock.now()
@@ -121,16 +121,16 @@
         self.advance()
 
     def on_written(self) -> None:
-        """The answer is written: the next request may be handled."""
+        """Passes on the next request, now that all output is written."""
         self._restart_timeout()
         if self.current is not None and self.current.on_drained is not None:
             self.current.on_drained()
         self.advance()
 
     def on_end(self, ending: ConnectionOutcome) -> None:
-        """The connection is over: the handler learns of it where it still had a request."""
+        """Cleans up after the connection ended, and notifies the handler of an unanswered request."""
         self.server.loop.deadlines.cancel(self._timeout)
-        self.server.loop.deadlines.cancel(self._next_look)
+        self.server.loop.deadlines.cancel(self._peer_check_timer)
         self.server.on_closed(self)
         exchange, self.current = self.current, None
         self._drop_waiting()
@@ -138,21 +138,21 @@
             exchange.done = True
             self.server.handler.on_client_gone(exchange)
 
-    # From the reader
+    # Called by the request reader
 
     def new_exchange(self) -> Exchange:
-        """A request on this connection, of which nothing is known yet."""
+        """Creates an empty request on this connection."""
         return Exchange(self, self.server.loop.clock.now())
 
     def on_begun(self) -> None:
-        """The first byte of a request has come."""
+        """Handles the first byte of a request."""
         self.server.on_request_begun(self)
         if self.has_sent_request:
             self._request_began_at = self.received_at
             self._start_timeout(self.server.limits.request_timeout_s, ConnectionOutcome.SLOW)
 
     def on_request(self, exchange: Exchange) -> None:
-        """A request has come in whole: it waits for its turn."""
+        """Queues a complete request."""
         exchange.received_at = self.server.loop.clock.now()
         self.waiting.append(exchange)
         if not self.has_sent_request:
@@ -161,42 +161,42 @@
         self._stop_timeout()
 
     def on_refused(self, exchange: Exchange) -> None:
-        """The framing is in doubt: the error waits for its turn."""
-        self.server.on_request_received(self)  # it is owed an answer
+        """Queues the error response to an invalid request."""
+        self.server.on_request_received(self)  # the client must get a response
         self.server.on_request_begun(self)
         self.waiting.append(exchange)
 
     def on_continue_expected(self) -> None:
-        """Sends the interim answer, unless it would stand before an answer that is owed."""
+        """Sends 100 Continue, unless responses to earlier requests are pending."""
         if self.current is None and not self.waiting:
             self.connection.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    # Moved to another process
+    # Transfer to another process
 
     def is_movable(self, exchange: Exchange) -> bool:
-        """Whether nothing but this request, read whole and not answered, is on the connection."""
+        """Whether the connection holds only this request, complete and without a response."""
         return (
             exchange is self.current
             and not self.waiting
-            and self._reader.coming is None
+            and self._reader.incoming is None
             and not self._reader.stopped
             and not self.connection.busy()
         )
 
     def descriptor(self) -> int:
-        """The socket's number."""
+        """Returns the file descriptor of the socket."""
         return self.connection.sock.fileno()
 
     def detach(self) -> None:
-        """Lets go of the connection, which goes on in another process."""
+        """Closes this process's copy of the connection, which continues in another process."""
         self.server.loop.deadlines.cancel(self._timeout)
-        self.server.loop.deadlines.cancel(self._next_look)
+        self.server.loop.deadlines.cancel(self._peer_check_timer)
         self.server.on_closed(self)
         self.current, self._reader.stopped = None, True
         self.connection.close()
 
     def resume(self, method: bytes, target: bytes, keep_alive: bool) -> Exchange:
-        """Goes on with a request that another process has read on this connection."""
+        """Continues with a request that another process read from this connection."""
         self.has_sent_request = True
         exchange = self.current = Exchange(self, self.server.loop.clock.now(), method, target)
         exchange.keep_alive = keep_alive
@@ -206,42 +206,42 @@
     # One request at a time
 
     def advance(self) -> None:
-        """Has the next request handled, once the last answer is written."""
-        if self._advancing:  # an answer that came at once: the loop below goes on
+        """Passes the next request to the handler, once the last response is written."""
+        if self._advancing:  # called from the loop below, by an immediate response
             return
         self._advancing = True
-        # The next one waits until the last answer is written: a client that never reads costs one answer.
-        # Nor does one go on whose client has left: its end lies behind the request.
+        # Waits until the last response is written, so that a client that never reads costs one response only.
+        # Requests of a client that has already closed its side are not handled.
         while (
             self.waiting
             and self.current is None
             and not (self.connection.busy() or self.connection.peer_ended)
         ):
             exchange = self.current = self.waiting.popleft()
-            self.server.body_memory.release(len(exchange.body))  # from here on it is the handler's to count
+            self.server.body_memory.release(len(exchange.body))  # from here on accounted for by the handler
             if exchange.error is not None:
                 self.server.counters.bad.labels(self.server.handler.name, str(exchange.error[0])).inc()
                 status, reason = exchange.error
-                later = (("Retry-After", RETRY_AFTER_S),) if status == 503 else ()
-                exchange.reply(status, reason.encode() + b"\n", later)
+                retry_headers = (("Retry-After", RETRY_AFTER_S),) if status == 503 else ()
+                exchange.reply(status, reason.encode() + b"\n", retry_headers)
             else:
                 self.server.handler.on_exchange(exchange)
         self._advancing = False
         self._limit_read_ahead()
 
     def _limit_read_ahead(self) -> None:
-        """Reads ahead only so far: what is read is held in memory until its turn comes."""
-        ahead = len(self.waiting) >= MAX_WAITING_REQUESTS or (
+        """Pauses reading while too much is read ahead, since it is held in memory until handled."""
+        is_full = len(self.waiting) >= MAX_WAITING_REQUESTS or (
             sum(len(x.body) for x in self.waiting) > self.server.limits.body_bytes
         )
-        self.connection.pause(ahead)
-        if ahead and self._next_look is None and not self.connection.closed:
+        self.connection.pause(is_full)
+        if is_full and self._peer_check_timer is None and not self.connection.closed:
             deadlines, now = self.server.loop.deadlines, self.server.loop.clock.now()
-            self._next_look = deadlines.add(now + LOOK_S, self._look_for_end)
+            self._peer_check_timer = deadlines.add(now + PEER_CHECK_INTERVAL_S, self._check_peer_closed)
 
-    def _look_for_end(self) -> None:
-        """Closes the connection if the client has left: while paused, no end is read."""
-        self._next_look = None
+    def _check_peer_closed(self) -> None:
+        """Closes the connection if the client did: while reading is paused, its end would go unnoticed."""
+        self._peer_check_timer = None
         if self.connection.closed or self._reader.stopped:
             return
         if self.connection.peer_closed():
@@ -251,20 +251,20 @@
             self._limit_read_ahead()
 
     def _drop_waiting(self) -> None:
-        """Lets go of what is still to be handled."""
-        self._reader.drop_body()
+        """Discards all requests that were not handled."""
+        self._reader.discard_body()
         self.server.body_memory.release(sum(len(x.body) for x in self.waiting))
         self.waiting.clear()
 
     @property
     def unsent(self) -> int:
-        """Bytes of answers that the kernel has not taken yet."""
+        """The number of output bytes that the kernel has not accepted yet."""
         return self.connection.unsent
 
     def reply(
         self, exchange: Exchange, status: int, body: bytes, headers: tuple[tuple[str, str], ...]
     ) -> None:
-        """Writes the whole answer."""
+        """Writes a complete response."""
         if exchange is not self.current:
             return
         keep_alive = self._stays_open_after(exchange)
@@ -276,12 +276,12 @@
         self._finish_answer(keep_alive)
 
     def _stays_open_after(self, exchange: Exchange) -> bool:
-        """Whether the connection stays open after the answer to this request."""
+        """Whether the connection stays open after the response to this request."""
         stops = self.server.stopping and not self.waiting
         return exchange.keep_alive and not stops and not self.server.single_request
 
     def _finish_answer(self, keep_alive: bool) -> None:
-        """Goes on with the next request, or closes."""
+        """Proceeds to the next request, or closes the connection."""
         self.current = None
         if self.connection.closed:
             return
@@ -291,12 +291,12 @@
         else:
             self.close()
 
-    # An answer in pieces
+    # A response sent in pieces
 
     def start(
         self, exchange: Exchange, status: int, reason: bytes, fields: Fields, length: int | None
     ) -> None:
-        """Begins an answer of `length` bytes, or in chunks where that is None."""
+        """Starts a response of `length` bytes, or a chunked one if that is None."""
         if exchange is not self.current:
             return
         exchange.keep_alive = self._stays_open_after(exchange)
@@ -306,7 +306,7 @@
         )
 
     def send(self, exchange: Exchange, data: bytes) -> None:
-        """Writes the next bytes of the answer that was begun."""
+        """Writes the next bytes of the response body."""
         if exchange is not self.current or self._writer is None:
             return
         self._writer.send(data)
@@ -314,9 +314,9 @@
             self._start_timeout(WRITE_TIMEOUT_S, ConnectionOutcome.CLOGGED)
 
     def end(self, exchange: Exchange, complete: bool) -> None:
-        """Ends the answer that was begun.
+        """Ends the response.
 
-        The connection closes where the answer is not whole, and where the server has begun to stop meanwhile.
+        The connection closes if the response is incomplete or the server is stopping.
         """
         writer, self._writer = self._writer, None
         if exchange is not self.current or writer is None:
@@ -326,25 +326,25 @@
             self.retire()
 
     def retire(self) -> None:
-        """Closes it if it rests. A request that lies in our socket came first: it is read and answered."""
+        """Closes the connection if idle. A request already in the socket is still read and answered."""
         self.connection.read_now()
         if self.server.is_open(self) and self.is_idle():
             self.close()
 
     def close(self) -> None:
-        """Closes in good order, after what is written."""
+        """Closes the connection gracefully, after pending output is written."""
         self.server.loop.deadlines.cancel(self._timeout)
-        self.server.loop.deadlines.cancel(self._next_look)
+        self.server.loop.deadlines.cancel(self._peer_check_timer)
         self.server.on_closed(self)
         self._drop_waiting()
         self._reader.stopped = True
         self.connection.close_after_write(self.server.lingering)
 
     def _restart_timeout(self) -> None:
-        """Waits for what the client has to do next."""
+        """Starts the time-out for the client's next action, if any."""
         if self.connection.unsent:
             self._start_timeout(WRITE_TIMEOUT_S, ConnectionOutcome.CLOGGED)
-        elif self._reader.coming is not None:
+        elif self._reader.incoming is not None:
             self._start_timeout(self.server.limits.request_timeout_s, ConnectionOutcome.SLOW)
         elif self.is_idle():
             if self.has_sent_request:
@@ -358,14 +358,14 @@
         self._timeout = None
 
     def _start_timeout(self, seconds: float, ending: ConnectionOutcome) -> None:
-        """Waits so long for the client, instead of the present wait."""
+        """Replaces the current time-out."""
         loop = self.server.loop
         loop.deadlines.cancel(self._timeout)
         self._timeout = loop.deadlines.add(loop.clock.now() + seconds, lambda: self._expire(ending))
 
     def _expire(self, ending: ConnectionOutcome) -> None:
-        """The time-out has passed."""
-        if ending is ConnectionOutcome.SLOW and self._reader.coming is not None:
+        """Handles an expired time-out."""
+        if ending is ConnectionOutcome.SLOW and self._reader.incoming is not None:
             self._expire_request()
         elif ending in (ConnectionOutcome.SLOW, ConnectionOutcome.IDLE) and self.is_idle():
             self.retire()
@@ -374,7 +374,7 @@
             self.on_end(ending)
 
     def _expire_request(self) -> None:
-        """Refuses the request that comes in, unless it is within its time or still sends."""
+        """Refuses the incoming request, unless it is within its time or data still arrives."""
         now, limits = self.server.loop.clock.now(), self.server.limits
         due, latest = (
             self._request_began_at + limits.request_timeout_s,
--- a/larchgw/net/connection.py
+++ b/larchgw/net/connection.py
@@ -1,4 +1,4 @@
-"""One non-blocking TCP connection with a bounded buffer of what is still to be written."""
+"""A non-blocking TCP connection with a bounded output buffer."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from .timers import Deadline
 
 READ_BYTES = 65536
-MAX_READS = 4  # chunks read in one turn: what came last may be the end
+MAX_READS = 4  # chunks read in one iteration, so that an end of stream after the data is seen
 MAX_UNSENT_BYTES = 1 << 20
-LINGER_S = 1.0  # seconds for the other side to read our last answer before the connection is closed
+LINGER_S = 1.0  # for the peer to read the last response before the connection is closed
 
 
 class ConnectionOwner(Protocol):
-    """Is called, on the loop, for what happens on a connection."""
+    """Receives the events of a connection, on its loop."""
 
     def on_open(self) -> None:
-        """The connection is established."""
+        """Called when the connection is established."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Called with received bytes."""
 
     def on_written(self) -> None:
-        """Nothing is left to write."""
+        """Called when all output is written."""
 
     def on_end(self, ending: ConnectionOutcome) -> None:
-        """The connection is over and closed; not called for an end that this side asked for."""
+        """Called after the connection ended and was closed, but not when this side closed it."""
 
 
 class Connection:
     """A connection on an event loop.
 
     Attributes:
-        peer_ended: Whether the peer's end of stream has been read already.
-        max_unsent: Bytes; whoever writes more at once has to raise it.
-        reads_until_empty: Whether a turn also looks for the end behind a chunk that was short.
+        peer_ended: Whether the peer's end of stream was read.
+        max_unsent: Limit of the output buffer, in bytes; must be raised before writing more at once.
+        reads_until_empty: Whether to read on after a short chunk, to see an end of stream.
     """
 
     def __init__(
@@ -50,14 +50,14 @@
         connecting: bool = False,
         rank: int = CLIENTS,
     ) -> None:
-        """Watches the socket from now on.
+        """Starts watching the socket.
 
         Args:
-            loop: The loop that it runs on.
-            sock: The socket; set to non-blocking here.
-            owner: Is called for what happens.
+            loop: The event loop.
+            sock: The socket; set to non-blocking mode here.
+            owner: Receives the events.
             connecting: Whether the connection is still being established.
-            rank: Its place among the sockets that are ready in one turn, see `loop`.
+            rank: Its order among the sockets that are ready in one iteration, see `loop`.
         """
         self.loop, self.sock, self.owner, self.rank = loop, sock, owner, rank
         self.peer_ended = False
@@ -65,7 +65,7 @@
         self.reads_until_empty = True
         self.connecting, self.closed, self._paused = connecting, False, False
         self._closing = False
-        self._lingering: dict[Connection, float] = {}  # where it is listed while it finishes
+        self._lingering: dict[Connection, float] = {}  # the collection that lists it while it closes
         self._linger_timer: Deadline | None = None
         self._output = bytearray()
         sock.setblocking(False)
@@ -75,17 +75,17 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """The number of bytes that the kernel has not accepted yet."""
         return len(self._output)
 
     def busy(self) -> bool:
-        """Whether it takes nothing new now: it still writes, or is closed."""
+        """Whether output is pending or the connection is closed."""
         return self.closed or bool(self._output)
 
     def write(self, data: bytes) -> None:
-        """Sends these bytes, as far as the kernel takes them now; the rest follows.
+        """Sends bytes, buffering what the kernel does not accept now.
 
-        An owner that leaves more than `max_unsent` bytes unsent gets `on_end` with CLOGGED.
+        If more than `max_unsent` bytes stay unsent, the connection ends with CLOGGED.
         """
         if self.closed or self._closing:
             return
@@ -96,16 +96,16 @@
                 self._on_connection_end(ConnectionOutcome.CLOGGED)
 
     def pause(self, paused: bool) -> None:
-        """Stops or resumes reading, so that the other side's writing stops."""
+        """Pauses or resumes reading, so that flow control stops the peer."""
         if paused != self._paused and not self.closed:
             self._paused = paused
             self._update_watch()
 
     def close_after_write(self, lingering: dict[Connection, float] | None = None) -> None:
-        """Writes what is left, then closes; until then it is in `lingering` with the time of this call.
+        """Writes pending output, then closes; until then `lingering` holds it with the time of this call.
 
-        Closing at once while bytes from the other side lie unread would reset the connection, and the reset
-        can overtake our last answer.
+        Closing immediately with unread bytes in the socket would reset the connection, and the reset can
+        reach the peer before it has read the last response.
         """
         if self.closed or self._closing:
             return
@@ -123,12 +123,12 @@
             self._update_watch()
 
     def close(self) -> None:
-        """Closes it at once; the owner is not called."""
+        """Closes the connection immediately, without calling the owner."""
         if self.closed:
             return
         self.closed = True
         if self._closing:
-            self._receive()  # unread bytes would turn this close into a reset
+            self._receive()  # unread bytes would make this close a reset
         self.loop.closing_count -= self._closing
         self._lingering.pop(self, None)
         self.loop.deadlines.cancel(self._linger_timer)
@@ -154,7 +154,7 @@
         self.loop.watch(self.sock, events, self._ready, self.rank)
 
     def _ready(self, mask: int) -> None:
-        if self.closed:  # closed earlier in this turn
+        if self.closed:  # closed earlier in this iteration
             return
         if self.connecting:
             self._on_connected()
@@ -194,7 +194,7 @@
             self._update_watch()
 
     def _receive(self) -> tuple[list[bytes], ConnectionOutcome | None]:
-        """What lies in the socket, so much of it as one turn takes, and the end behind it if it is there."""
+        """Reads up to MAX_READS chunks, and the end of the stream if it follows."""
         chunks: list[bytes] = []
         for _ in range(MAX_READS):
             try:
@@ -211,7 +211,7 @@
         return chunks, None
 
     def _read(self) -> None:
-        """Hands over what came; the owner sees in `peer_ended` that nobody waits behind the bytes."""
+        """Passes received bytes on; `peer_ended` already tells the owner whether the peer has left."""
         chunks, ending = self._receive()
         self.peer_ended = ending is not None
         for data in chunks:
@@ -221,12 +221,12 @@
             self._on_connection_end(ending)
 
     def read_now(self) -> None:
-        """Reads what has come since the loop last looked: before a close, or it would be lost unread."""
+        """Reads what was received since the last iteration, so that a close does not lose it."""
         if not self.closed and not self.connecting:
             self._read()
 
     def is_reusable(self) -> bool:
-        """Whether nothing has come on an idle connection, no byte and no end."""
+        """Whether an idle connection has received neither bytes nor an end of stream."""
         try:
             self.sock.recv(1)
         except BlockingIOError:
@@ -236,7 +236,7 @@
         return False
 
     def peer_closed(self) -> bool:
-        """Whether the other side has closed it or is gone; also while paused, behind unread bytes."""
+        """Whether the peer closed or lost the connection; also works while paused with unread bytes."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
         return bool(poll.poll(0))
@@ -245,10 +245,10 @@
 def connect(
     loop: EventLoop, address: tuple[str, int], owner: ConnectionOwner, rank: int
 ) -> Connection | ConnectionOutcome:
-    """Opens a connection to an IP address and port, without blocking.
+    """Starts connecting to an IP address and port, without blocking.
 
     Returns:
-        The connection, which may still be on its way up, or why there is none.
+        The connection, possibly still being established, or the reason for the failure.
     """
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
--- a/larchgw/net/connection_outcome.py
+++ b/larchgw/net/connection_outcome.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, or what it carries, can end."""
+"""The outcomes of connections and of the attempts they carry."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConnectionOutcome(Enum):
-    """How a connection ended, or the attempt that it carried."""
+    """How a connection, or the attempt it carried, ended. Names and values appear in logs and error responses."""
 
     DONE = "the box served it"
     FAILED = "the box failed it"
@@ -25,7 +25,7 @@
     SILENT = "nothing came in time"
     GIVEN_UP = "we cancelled it"
     WITHDRAWN = "its connection came up when it was no longer to be sent"
-    # Ends of connections that carry no attempt
+    # Outcomes of connections without an attempt
     CLOSED = "the other side closed it between requests"
     IDLE = "it stood idle for too long"
     SLOW = "the other side was too slow with a message"
--- a/larchgw/net/counters.py
+++ b/larchgw/net/counters.py
@@ -1,4 +1,4 @@
-"""Prometheus counters of the job dispatcher and of the HTTP server that the edge uses, too."""
+"""Prometheus metrics of the job dispatcher and of the HTTP server, which the edge also uses."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Counters:
-    """One set of counters in a registry of its own; given as Prometheus text, or as values by name."""
+    """A set of metrics with its own registry, readable as Prometheus text or as values by name."""
 
     def __init__(self) -> None:
-        """Makes the counters, each at 0."""
+        """Creates the metrics, each at 0."""
         registry = self.registry = CollectorRegistry(auto_describe=False)
         self.taken = Counter("larchgw_taken", "Requests taken in", ["front", "job_class"], registry=registry)
         self.sent = Counter("larchgw_sent", "Attempts begun", ["transport"], registry=registry)
@@ -45,11 +45,11 @@
         self.open = Gauge("larchgw_open_requests", "Requests without a final answer", registry=registry)
 
     def text(self) -> bytes:
-        """The counters in Prometheus' text format."""
+        """Returns the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def nonzero_values(self) -> dict[str, float]:
-        """Every counter that is not 0, for one log line."""
+        """Returns all values other than 0 by name, for a log line."""
         return {
             sample.name + "".join(f"_{value}" for value in sample.labels.values()): sample.value
             for metric in self.registry.collect()
--- a/larchgw/net/exchange.py
+++ b/larchgw/net/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and its answer, and what takes requests."""
+"""An HTTP request with its response, and the interfaces of request handlers and response channels."""
 
 from __future__ import annotations
 
@@ -9,59 +9,59 @@
 
 
 class ResponseChannel(Protocol):
-    """The connection that a request came on, as its answer and its move to another process need it."""
+    """The connection of a request, for writing the response and for moving it to another process."""
 
     @property
     def unsent(self) -> int:
-        """Bytes of answers that the kernel has not taken yet."""
+        """The number of output bytes that the kernel has not accepted yet."""
 
     def reply(
         self, exchange: Exchange, status: int, body: bytes, headers: tuple[tuple[str, str], ...]
     ) -> None:
-        """Writes the whole answer."""
+        """Writes a complete response."""
 
     def start(
         self, exchange: Exchange, status: int, reason: bytes, fields: Fields, length: int | None
     ) -> None:
-        """Begins an answer of `length` bytes, or in chunks where that is None."""
+        """Starts a response of `length` bytes, or a chunked one if that is None."""
 
     def send(self, exchange: Exchange, data: bytes) -> None:
-        """Writes the next bytes of the answer that was begun."""
+        """Writes the next bytes of the response body."""
 
     def end(self, exchange: Exchange, complete: bool) -> None:
-        """Ends the answer that was begun."""
+        """Ends the response."""
 
     def is_movable(self, exchange: Exchange) -> bool:
-        """Whether nothing but this request, read whole and not answered, is on the connection."""
+        """Whether the connection holds only this request, complete and without a response."""
 
     def descriptor(self) -> int:
-        """The socket's number."""
+        """Returns the file descriptor of the socket."""
 
     def detach(self) -> None:
-        """Lets go of the connection, which goes on elsewhere."""
+        """Closes this process's copy of the connection, which continues in another process."""
 
 
 class Exchange:
-    """One request and its answer: either `reply`, or `start`, any number of `send`, and `end`.
+    """A request and its response: either `reply`, or `start`, any number of `send`, and `end`.
 
-    After a whole answer, `reply`, `start`, `send` and `end` do nothing. Times are those of the loop's clock.
+    Once the response is complete, these methods do nothing. Times are those of the loop's clock.
 
     Attributes:
-        channel: The connection that it came on.
-        method: The method.
+        channel: The connection of the request.
+        method: The HTTP method.
         target: The request target.
-        path: The target without its query.
-        headers: Each name once, in lower case; values of one name are joined.
-        fields: The header fields as they came, in order.
-        body: The whole body.
-        began_at: When its first byte came.
-        received_at: When its last byte came.
-        keep_alive: Whether the connection may stay open after the answer.
-        error: Status and reason of the answer to a request that cannot be handled.
+        path: The target without the query.
+        headers: The header values by lower-case name; values of the same name are joined.
+        fields: The header fields as received, in order.
+        body: The complete body.
+        began_at: When the first byte was received.
+        received_at: When the last byte was received.
+        keep_alive: Whether the connection may stay open after the response.
+        error: Status and reason of the response to an invalid request.
         handler_data: What the handler keeps with the request.
-        done: Whether the answer is whole, or nobody waits for it any more.
-        predates_http_1_1: Whether its client speaks a version before HTTP/1.1.
-        on_drained: Called once all that was sent has been written, where it is set.
+        done: Whether the response is complete, or the client has gone.
+        predates_http_1_1: Whether the request has another version than HTTP/1.1.
+        on_drained: If set, called once all output has been written.
     """
 
     __slots__ = (
@@ -85,7 +85,7 @@
     def __init__(
         self, channel: ResponseChannel, received_at: float, method: bytes = b"", target: bytes = b""
     ) -> None:
-        """A request of which no more is known than these; `received_at` also stands for `began_at`."""
+        """Creates a request; `received_at` is also the initial `began_at`."""
         self.channel, self.method, self.target = channel, method, target
         self.began_at = self.received_at = received_at
         self.path = target.partition(b"?")[0]
@@ -100,40 +100,40 @@
         self.on_drained: Callable[[], None] | None = None
 
     def reply(self, status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()) -> None:
-        """Writes the whole answer at once."""
+        """Writes a complete response."""
         if not self.done:
             self.done = True
             self.channel.reply(self, status, body, headers)
 
     def start(self, status: int, reason: bytes, fields: Fields, length: int | None) -> None:
-        """Begins an answer of `length` bytes, or in chunks where that is None."""
+        """Starts a response of `length` bytes, or a chunked one if that is None."""
         if not self.done:
             self.channel.start(self, status, reason, fields, length)
 
     def send(self, data: bytes) -> None:
-        """The next bytes of the answer that was begun."""
+        """Writes the next bytes of the response body."""
         if not self.done:
             self.channel.send(self, data)
 
     def end(self, complete: bool) -> None:
-        """Ends the answer that was begun; the client can tell one that is not complete."""
+        """Ends the response; the client can detect one that is not complete."""
         if not self.done:
             self.done = True
             self.channel.end(self, complete)
 
     @property
     def unsent(self) -> int:
-        """Bytes of answers on its connection that the kernel has not taken yet."""
+        """The number of output bytes on the connection that the kernel has not accepted yet."""
         return self.channel.unsent
 
 
 class Handler(Protocol):
-    """Takes the requests of one listener; `name` is its name in counters and logs."""
+    """Handles the requests of one listener; `name` is its name in counters and logs."""
 
     name: str
 
     def on_exchange(self, exchange: Exchange) -> None:
-        """A request has come in whole."""
+        """Called with each complete request."""
 
     def on_client_gone(self, exchange: Exchange) -> None:
-        """Its client left before the answer."""
+        """Called when the client disconnected before the response was complete."""
--- a/larchgw/net/heads.py
+++ b/larchgw/net/heads.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP/1.1 messages: the fields that concern one connection only, and heads written by us."""
+"""Heads of HTTP/1.1 messages: hop-by-hop fields and response heads."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 
 Fields = list[tuple[bytes, bytes]]
-# Fields of one connection (RFC 9110, 7.6.1), and those of framing, which each sender writes anew.
+# Fields for a single connection (RFC 9110, 7.6.1), and framing fields, which each sender sets itself.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -27,7 +27,7 @@
 
 
 def end_to_end(fields: Iterable[tuple[bytes, bytes]], dropped: frozenset[bytes] = frozenset()) -> Fields:
-    """The fields to pass on: without those of one connection, those that `Connection` names, and `dropped`.
+    """Returns the fields to forward: without hop-by-hop fields, those named by `Connection`, and `dropped`.
 
     `dropped` holds names in lower case.
     """
@@ -43,14 +43,14 @@
 
 
 def response_head(status: int, reason: bytes, fields: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """The head of an answer, with the empty line after it."""
+    """Returns a response head, including the empty line that ends it."""
     lines = [b"HTTP/1.1 %d %b" % (status, reason)]
     lines += [b"%b: %b" % field for field in fields]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def reason_phrase(status: int) -> bytes:
-    """The standard reason phrase of a status; empty where it has none."""
+    """Returns the standard reason phrase of a status; empty if there is none."""
     try:
         return HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/larchgw/net/http_server.py
+++ b/larchgw/net/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards clients: the listener and its connections. What a request means is the handler's."""
+"""An HTTP/1.1 server: a listener and its client connections; requests are passed to a handler."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 __all__ = ["MAX_BODY_BYTES", "Exchange", "Handler", "HttpServer", "ClientConnection", "ServerLimits"]
 
-FIRST_REQUEST_GRACE_S = 0.25  # seconds in which the first request of a good client comes in
+FIRST_REQUEST_GRACE_S = 0.25  # within which a well-behaved client's first request arrives
 
 
 class HttpServer:
-    """Listens, and keeps its clients' connections in the order of their coming.
+    """Listens for clients and keeps their connections in the order of their arrival.
 
     Attributes:
-        limits: What a client may send; may be replaced, and is in force from the next bytes and waits on.
-        single_request: Whether each connection is for one request.
-        stopping: Whether connections close behind their last answer.
-        connections: Those open to requests.
-        without_request: Those of them of which no whole request has come, the one silent for longest first.
-        idle: Those of them between two requests, the one idle for longest first.
-        lingering: Connections answered and not yet closed, with the times; they hold descriptors.
+        limits: The limits of requests; a replacement applies to the next received bytes and time-outs.
+        single_request: Whether each connection carries one request only.
+        stopping: Whether connections close after their last response.
+        connections: The connections that accept requests.
+        without_request: Those without a complete request so far, longest silent first.
+        idle: Those between two requests, longest idle first.
+        lingering: Connections being closed after their last response, with the start time. They still use
+            file descriptors.
     """
 
     def __init__(
@@ -43,28 +44,28 @@
         inherited: int | None = None,
         limits: ServerLimits | None = None,
     ) -> None:
-        """Listens from now on.
+        """Starts listening.
 
         Args:
-            loop: The loop that it runs on.
-            counters: Where refusals are counted.
-            address: Host and port to listen at.
-            handler: Takes the requests; its name is the listener's.
-            max_connections: Connections at a time; at that number idle ones are closed for new ones.
-            max_body_memory_bytes: Of bodies that the handler does not have yet.
-            single_request: Whether each connection is for one request.
-            inherited: A listening descriptor to use instead of `address`.
-            limits: What a client may send.
+            loop: The event loop.
+            counters: Counts refusals.
+            address: Host and port to listen on.
+            handler: Handles the requests; its name is that of the listener.
+            max_connections: The connection limit; at the limit, idle connections are closed for new ones.
+            max_body_memory_bytes: The memory for bodies not yet passed to the handler.
+            single_request: Whether each connection carries one request only.
+            inherited: A listening file descriptor to use instead of `address`.
+            limits: The limits of requests.
 
         Raises:
-            OSError: It cannot listen there.
+            OSError: Listening failed.
         """
         self.loop, self.counters, self.handler = loop, counters, handler
         self.limits = limits or ServerLimits()
         self.single_request = single_request
         self.body_memory = BodyMemory(counters, handler.name, max_body_memory_bytes)
         self.connections: dict[ClientConnection, None] = {}
-        # Both in order of age, so that at the limit each newcomer costs no search.
+        # Both are in order of age, so that finding a connection to close takes constant time.
         self.without_request: dict[ClientConnection, None] = {}
         self.idle: dict[ClientConnection, None] = {}
         self.lingering: dict[Connection, float] = {}
@@ -86,47 +87,47 @@
         self.connections[connection] = self.without_request[connection] = None
 
     def adopt(self, sock: socket.socket, method: bytes, target: bytes, keep_alive: bool) -> Exchange:
-        """A connection that another process had, and the request on it that it has read."""
+        """Takes over a connection from another process, with the request that process read from it."""
         connection = ClientConnection(self, sock)
         self.connections[connection] = None
         return connection.resume(method, target, keep_alive)
 
-    # From the connections
+    # Called by the connections
 
     def is_open(self, connection: ClientConnection) -> bool:
-        """Whether the connection is still open to requests."""
+        """Whether the connection still accepts requests."""
         return connection in self.connections
 
     def on_received(self, connection: ClientConnection) -> None:
-        """Bytes have come: it is the last one to be closed as silent."""
+        """Moves the connection to the end of the order in which silent ones are closed."""
         if connection in self.without_request:
             self.without_request[connection] = self.without_request.pop(connection)
 
     def on_request_begun(self, connection: ClientConnection) -> None:
-        """A request has begun to come in."""
+        """Marks the connection as no longer idle."""
         self.idle.pop(connection, None)
 
     def on_request_received(self, connection: ClientConnection) -> None:
-        """A first request has come in whole, or an error is owed."""
+        """Marks that the first request is complete, or that an error must be sent."""
         self.without_request.pop(connection, None)
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """All has been answered, and the next request may come."""
+        """Marks the connection as idle."""
         self.idle[connection] = None
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """The connection is over, or about to be."""
+        """Removes a connection that is closed or closing."""
         for group in (self.connections, self.without_request, self.idle):
             group.pop(connection, None)
 
-    # How many there are
+    # Connection limit
 
     def _close_idle_connection(self) -> bool:
-        """Closes one connection that is owed nothing.
+        """Closes one connection that has no request in progress. Returns whether there was one.
 
-        First one that has had its answer for a while. Then the one of those that never sent a whole request
-        that has sent nothing for longest, unless it has only just come: a good client's first request is on
-        its way, and would be lost. Then the one that was idle longest.
+        Prefers a connection that has been lingering for a while. Next is the longest silent connection
+        without a complete request, unless it is recent: its first request may be in transit and would be
+        lost. Last is the connection that has been idle longest.
         """
         silent, idle = next(iter(self.without_request), None), next(iter(self.idle), None)
         answered, since = next(iter(self.lingering.items()), (None, 0.0))
@@ -146,19 +147,19 @@
                 # It has just sent a request and is no longer a candidate.
                 return self._close_idle_connection()
             chosen.close()
-            chosen.connection.close()  # lingering, it would hold the descriptor that the new one needs
+            chosen.connection.close()  # frees its file descriptor for the new connection
         self.counters.caps.labels(self.handler.name + "_idle").inc()
         return True
 
     def resize(self, max_connections: int, max_body_memory_bytes: int) -> None:
-        """Other limits; what is idle above them is closed."""
+        """Changes the limits and closes idle connections in excess."""
         self.listener.max_connections = max_connections
         self.body_memory.limit_bytes = max_body_memory_bytes
         while self.listener.count() > max_connections and self._close_idle_connection():
             pass
 
     def close_idle(self) -> None:
-        """Closes what is idle, except newcomers: the first request of such a one is on its way."""
+        """Closes idle connections, except recent ones whose first request may be in transit."""
         newest = self.loop.clock.now() - FIRST_REQUEST_GRACE_S
         idle = [
             connection
--- a/larchgw/net/listener.py
+++ b/larchgw/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that keeps to a maximum number of connections."""
+"""A listening socket with a connection limit."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from .loop import LISTENERS, READ, EventLoop
 
 BACKLOG = 1024
-MAX_ACCEPTS = 64  # connections accepted in one turn
-RETRY_PAUSE_S = 0.05  # without accepting, where there is no room or no descriptor
+MAX_ACCEPTS = 64  # connections accepted in one iteration
+RETRY_PAUSE_S = 0.05  # pause at the connection limit or without a free file descriptor
 log = structlog.get_logger()
 
 
 class Listener:
-    """Accepts connections for a server. Where there is no room for one more, accepting waits.
+    """Accepts connections for a server; pauses accepting at the connection limit.
 
     Attributes:
-        max_connections: How many there may be; may be changed at any time.
-        last_accept: When the last one was accepted (loop's clock); 0 before.
-        address: Host and port where it listens.
-        open: Whether it has not been closed.
+        max_connections: The connection limit; may be changed at any time.
+        last_accept: When the last connection was accepted (loop's clock); 0 before the first.
+        address: The bound host and port.
+        open: Whether it is not closed.
     """
 
     def __init__(
@@ -38,27 +38,27 @@
         close_idle_connection: Callable[[], bool],
         inherited: int | None = None,
     ) -> None:
-        """Listens from now on.
+        """Starts listening.
 
         Args:
-            loop: The loop that it runs on.
-            counters: Where it is counted that there was no room.
+            loop: The event loop.
+            counters: Counts when the limit was reached.
             name: The listener's name in counters and logs.
-            address: Host and port to listen at.
-            max_connections: How many connections there may be.
-            accept: Takes each accepted socket.
-            count: How many connections there are.
-            close_idle_connection: Closes an idle connection where there is one; returns whether there was.
-            inherited: A listening descriptor, shared with other processes, to use instead of `address`.
+            address: Host and port to listen on.
+            max_connections: The connection limit.
+            accept: Called with each accepted socket.
+            count: Returns the number of connections.
+            close_idle_connection: Closes an idle connection; returns whether there was one.
+            inherited: A listening file descriptor, shared with other processes, to use instead of `address`.
 
         Raises:
-            OSError: It cannot listen there.
+            OSError: Listening failed.
         """
         self.loop, self.counters, self.name = loop, counters, name
         self.max_connections = max_connections
         self.accept, self.count, self.close_idle_connection = accept, count, close_idle_connection
         self.last_accept = 0.0
-        self._capped = self._paused = False
+        self._limit_logged = self._paused = False
         self._inherited = inherited
         self.sock = self._listen(address)
         self.address: tuple[str, int] = self.sock.getsockname()[:2]
@@ -70,7 +70,7 @@
             if self._inherited is not None:
                 sock = socket.socket(fileno=self._inherited)
                 if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                    raise OSError(0, "the inherited descriptor does not listen")
+                    raise OSError(0, "the inherited descriptor is not a listening socket")
             else:
                 family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
                 sock = socket.create_server(
@@ -87,11 +87,11 @@
         return sock
 
     def pause(self, paused: bool) -> None:
-        """Leaves new connections to the other process, or accepts them again."""
+        """Stops or resumes accepting; meanwhile another process accepts the connections."""
         if paused == self._paused or not self.open:
             return
         if paused and self._inherited is None:
-            self._ready()  # no other process can empty the queue of this socket
+            self._ready()  # no other process can accept from the queue of this socket
         self._paused = paused
         if paused:
             self.loop.unwatch(self.sock)
@@ -107,37 +107,37 @@
             if not self.open or self._paused:
                 return
             if self.count() >= self.max_connections and not self.close_idle_connection():
-                self._wait()
+                self._suspend()
                 return
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 return
-            except OSError as error:  # out of descriptors, or the client has gone
+            except OSError as error:  # no free file descriptor, or the client disconnected
                 log.warning("accept.error", listener=self.name, error=str(error))
-                self._wait()
+                self._suspend()
                 return
-            self._capped = False
+            self._limit_logged = False
             self.last_accept = self.loop.clock.now()
             self.accept(sock)
 
-    def _wait(self) -> None:
-        if not self._capped:
-            self._capped = True
+    def _suspend(self) -> None:
+        if not self._limit_logged:
+            self._limit_logged = True
             log.warning("cap.connections", listener=self.name, cap=self.max_connections)
         self.counters.caps.labels(self.name).inc()
         self.loop.watch(self.sock, 0, self._ready)
-        self.loop.deadlines.add(self.loop.clock.now() + RETRY_PAUSE_S, self._again)
+        self.loop.deadlines.add(self.loop.clock.now() + RETRY_PAUSE_S, self._resume)
 
-    def _again(self) -> None:
+    def _resume(self) -> None:
         if self.open and not self._paused:
             self.loop.watch(self.sock, READ, self._ready, LISTENERS)
 
     def close(self) -> None:
-        """Accepts what waits in the queue, and listens no longer."""
+        """Accepts the queued connections, then stops listening."""
         if self.open and not self._paused:
             for _ in range(BACKLOG // MAX_ACCEPTS):
-                self._ready()  # for the clients in the queue the connection is established
+                self._ready()  # clients in the queue already have an established connection
             self.loop.unwatch(self.sock)
         self.open = False
         self.sock.close()
--- a/larchgw/net/response_writer.py
+++ b/larchgw/net/response_writer.py
@@ -1,4 +1,4 @@
-"""Frames one HTTP/1.1 response that is written in pieces."""
+"""Framing of an HTTP/1.1 response that is written in pieces."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from .heads import CHUNKED, Fields, response_head
 
 LAST_CHUNK = b"0\r\n\r\n"
-BODYLESS_STATUSES = (204, 304)  # their responses end with the head
+BODYLESS_STATUSES = (204, 304)  # responses without a body
 
 
 class ResponseWriter:
-    """Writes a response with a length, or in chunks where the length is None.
+    """Writes a response with a length, or a chunked one if the length is None.
 
-    The head goes out with the first piece, so that a short response costs one write.
+    The head is sent with the first piece, so that a short response needs one write.
 
     Source: RFC 9112, section 6 (message body).
     """
@@ -26,14 +26,14 @@
         length: int | None,
         head_only: bool = False,
     ) -> None:
-        """Builds the head and writes nothing yet.
+        """Builds the head without writing it.
 
         Args:
-            connection: Where it is written.
-            status: The status.
+            connection: The connection to write to.
+            status: The status code.
             reason: The reason phrase.
-            fields: All fields but those of framing.
-            length: Bytes of the body; None if unknown.
+            fields: All fields except for framing.
+            length: The body length in bytes; None if unknown.
             head_only: Whether the request was a HEAD.
         """
         self._connection = connection
@@ -49,7 +49,7 @@
         self._head = response_head(status, reason, [*fields, *framing])
 
     def send(self, data: bytes) -> None:
-        """Writes the next bytes of the body; those beyond the length are left out."""
+        """Writes the next bytes of the body; bytes beyond the length are dropped."""
         if self._bodyless or not data:
             return
         if not self._chunked:
@@ -63,7 +63,7 @@
         """Ends the response.
 
         Returns:
-            Whether it is whole for the other side; else the connection must be closed.
+            Whether the client can see that the response is complete; if not, close the connection.
         """
         is_whole = complete and (self._bodyless or self._left_bytes == 0)
         if is_whole and self._chunked:
--- a/larchgw/net/timers.py
+++ b/larchgw/net/timers.py
@@ -14,51 +14,51 @@
 class Clock:
     """A monotonic clock that started at the Unix time.
 
-    Start times of workers come as Unix times. On this scale they need no conversion, and a worker that
-    started before this machine has no negative time, which would read as "long ago".
+    Workers report their start as Unix times, which need no conversion on this scale. A worker that started
+    before this machine also gets no negative time, which would be taken for "long ago".
     """
 
     def __init__(self) -> None:
-        """Starts at the present Unix time."""
+        """Starts at the current Unix time."""
         self.offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Seconds."""
+        """Returns the current time in seconds."""
         return time.monotonic() + self.offset
 
 
 class Deadlines:
-    """A sorted list of times, in seconds of one clock, and what to do then."""
+    """A queue of actions sorted by time, in seconds of one clock."""
 
     def __init__(self) -> None:
-        """Nothing is due."""
+        """Creates an empty queue."""
         self._entries: SortedList[Deadline] = SortedList()
         self._serial = count()
 
     def __len__(self) -> int:
-        """How many there are."""
+        """Returns the number of pending deadlines."""
         return len(self._entries)
 
     def add(self, at: float, action: Callable[[], None]) -> Deadline:
-        """Has the action run in the first sweep at or after this time; those of equal times in this order."""
+        """Schedules an action for the first `run_due` at or after `at`; ties run in insertion order."""
         entry = (at, next(self._serial), action)
         self._entries.add(entry)
         return entry
 
     def cancel(self, entry: Deadline | None) -> None:
-        """Takes a deadline back; one that has run, or None, is ignored."""
+        """Cancels a deadline; one that has run, or None, is ignored."""
         if entry is not None:
             self._entries.discard(entry)
 
     def earliest(self) -> float | None:
-        """The earliest time; None where there is none."""
+        """Returns the earliest time; None if there is no deadline."""
         return self._entries[0][0] if self._entries else None
 
     def run_due(self, now: float) -> int:
-        """Runs what is due. What that adds waits for the next turn, so a turn always ends.
+        """Runs all actions due. Deadlines added meanwhile wait for the next call, so this one always ends.
 
         Returns:
-            How many actions were run.
+            The number of actions run.
         """
         done, last = 0, next(self._serial)
         while self._entries and self._entries[0][0] <= now and self._entries[0][1] < last:
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -265,7 +265,7 @@
 
 def test_a_client_that_is_not_read_is_looked_at_for_its_end_every_tenth_of_a_second() -> None:
     # what waits on its connection may be sent on up to 0.3 s after its end
-    assert client_connection.LOOK_S <= 0.15
+    assert client_connection.PEER_CHECK_INTERVAL_S <= 0.15
 
 
 # A probe that hears what was meant for a job
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -118,7 +118,7 @@
     async with edge(runner) as made:
         client = await made.ask("/writing/x", "id1", bytes(1 << 20))
         call = await runner.call()
-        link = next(iter(made.proxy._pool._owner))
+        link = next(iter(made.proxy._pool._runner_ids))
         connection = link.connection
         assert isinstance(connection, Connection)
         await until(lambda: not connection.unsent or connection.closed)
@@ -140,7 +140,7 @@
     async with edge(runner, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/writing/x", body=LONG_BODY)
         call = await runner.call()
-        link = next(iter(made.proxy._pool._owner))
+        link = next(iter(made.proxy._pool._runner_ids))
         assert isinstance(link.connection, Connection)
         sock = link.connection.sock
         await until(lambda: made.selection.outcomes or probes(sock) >= 2)
@@ -173,7 +173,7 @@
     async with edge(runner, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/read_only/x", body=LONG_BODY)
         call = await runner.call()
-        link = next(iter(made.proxy._pool._owner))
+        link = next(iter(made.proxy._pool._runner_ids))
         assert isinstance(link.connection, Connection)
         sock = link.connection.sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 0
--- a/tests/edge/test_demand_reports.py
+++ b/tests/edge/test_demand_reports.py
@@ -15,20 +15,20 @@
 
 @pytest.mark.parametrize("dispatchers", [1, 8, 100, 490, 2000])
 def test_many_dispatchers_do_not_overrun_the_placer(dispatchers: int) -> None:
-    assert dispatchers / report_interval_s(dispatchers, waits=False) <= MAX_REPORTS_PER_S
+    assert dispatchers / report_interval_s(dispatchers, has_waiting=False) <= MAX_REPORTS_PER_S
 
 
 def test_few_dispatchers_report_as_often_as_demand_changes() -> None:
-    assert report_interval_s(8, waits=False) == INTERVAL_S
+    assert report_interval_s(8, has_waiting=False) == INTERVAL_S
 
 
 def test_long_reports_come_seldom_enough_for_the_link_also_among_few_dispatchers() -> None:
-    assert 300 / report_interval_s(8, waits=False, lines=300) <= MAX_LINES_PER_S
-    assert report_interval_s(8, waits=False, lines=70) == INTERVAL_S
+    assert 300 / report_interval_s(8, has_waiting=False, lines=300) <= MAX_LINES_PER_S
+    assert report_interval_s(8, has_waiting=False, lines=70) == INTERVAL_S
 
 
 def test_the_end_of_a_wait_is_told_soon_also_among_many_dispatchers() -> None:
-    assert report_interval_s(2000, waits=True) == INTERVAL_S
+    assert report_interval_s(2000, has_waiting=True) == INTERVAL_S
 
 
 def test_a_report_does_not_grow_with_each_adapter_that_runs_and_loses_no_run() -> None:
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -11,7 +11,7 @@
 from larchgw.configuration.settings import Listen, NodeSettings
 from larchgw.distribution.keys import CONFIGURATION_KEY, RUNNER_PREFIX
 from larchgw.edge import node as node_module
-from larchgw.edge.node import NOTICE_S, EdgeNode
+from larchgw.edge.node import READINESS_NOTICE_S, EdgeNode
 from larchgw.identifiers import RunnerId
 from larchgw.runner_directory.runner_record import RunnerRecord
 from tests.support.asyncio_tests import on_loop
@@ -37,7 +37,7 @@
 async def test_an_edge_is_ready_once_it_knows_enough_and_not_from_its_sigterm_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(node_module, "NOTICE_S", 0.0)
+    monkeypatch.setattr(node_module, "READINESS_NOTICE_S", 0.0)
     settings = NodeSettings(
         "edge-1",
         IP,
@@ -64,4 +64,4 @@
 
 
 def test_two_questions_of_the_platform_lie_in_the_time_before_an_edge_stops_listening() -> None:
-    assert 2 * ASKED_EVERY_S <= NOTICE_S < COUNTED_AFTER_S
+    assert 2 * ASKED_EVERY_S <= READINESS_NOTICE_S < COUNTED_AFTER_S
--- a/tests/edge/test_requests.py
+++ b/tests/edge/test_requests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from larchgw.configuration.model import Share
-from larchgw.edge.proxy import split_service
+from larchgw.edge.proxy import choose_service
 from larchgw.routing.interface import AttemptOutcome, Reject, Send, Wait
 from larchgw.runner_directory.runner_record import Stage
 from tests.support.asyncio_tests import on_loop
@@ -483,7 +483,7 @@
 def test_a_split_route_keeps_to_its_weights_and_a_try_to_its_service() -> None:
     split = route("writing", shares=(Share("a", 90.0), Share("none", 0.0), Share("b", 10.0)))
     names = [b"%016x" % (number * 2654435761) for number in range(4000)]
-    to_b = sum(split_service(split, name) == "b" for name in names)
+    to_b = sum(choose_service(split, name) == "b" for name in names)
     assert 300 < to_b < 500
-    assert all(split_service(split, name) == split_service(split, name) != "none" for name in names)
-    assert split_service(WRITING, b"x") == "lm"
+    assert all(choose_service(split, name) == choose_service(split, name) != "none" for name in names)
+    assert choose_service(WRITING, b"x") == "lm"
