--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -1,6 +1,6 @@
-"""Which answer belongs to which call at runners, and what its end, too early or too late, means for a repeat.
+"""Matching runner responses to requests, and what an early, late or truncated response means for a retry.
 
-Real sockets; each moment is forced by the scripted runner. The rows are those of docs/calls.md.
+Uses real sockets; a scripted runner forces the order of events. The cases are those of docs/calls.md.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 
 
 @on_loop
-async def test_an_answer_before_a_long_body_was_read_is_passed_on_and_its_connection_closed() -> None:
-    """What came next on it would stand where the rest of the body is due."""
+async def test_a_response_before_the_end_of_a_long_body_is_forwarded_and_its_connection_closed() -> None:
+    """The next request on the connection would be read as the rest of the body."""
     runner = ScriptedRunner("i-1", reads_bodies=False)
     async with edge(runner, config=LONG) as made:
         client = await made.ask("/writing/x", "id1", LONG_BODY)
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("answer", ["none", "head"])
 @on_loop
-async def test_a_reset_before_a_long_body_was_sent_is_no_proof_that_nothing_ran(answer: str) -> None:
+async def test_a_reset_during_a_long_body_does_not_prove_that_the_request_never_ran(answer: str) -> None:
     first, second = ScriptedRunner("i-1", reads_bodies=False), ScriptedRunner("i-2")
     async with edge(first, second, config=LONG) as made:
         client = await made.ask("/writing/x", body=LONG_BODY)
@@ -71,7 +71,7 @@
 
 
 @on_loop
-async def test_a_long_body_that_may_be_sent_again_goes_elsewhere_whole() -> None:
+async def test_an_idempotent_request_with_a_long_body_is_retried_completely() -> None:
     first, second = ScriptedRunner("i-1", reads_bodies=False), ScriptedRunner("i-2")
     async with edge(first, second, config=LONG) as made:
         client = await made.ask("/read_only/x", body=LONG_BODY)
@@ -84,7 +84,7 @@
 
 
 @on_loop
-async def test_at_the_deadline_nothing_is_promised_of_a_long_body_that_was_sent_in_part() -> None:
+async def test_a_partly_sent_long_body_gets_504_at_the_deadline() -> None:
     runner = ScriptedRunner("i-1", reads_bodies=False)
     async with edge(runner, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/writing/x", body=LONG_BODY, X_Time_Left_Ms="1000")
@@ -95,7 +95,7 @@
 
 
 @on_loop
-async def test_a_surplus_answer_on_an_idle_connection_ends_it_whatever_request_it_names() -> None:
+async def test_a_surplus_response_on_an_idle_connection_closes_it() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second, clock=FakeClock()) as made:
         client = await made.ask("/writing/x", "id1")
@@ -103,7 +103,7 @@
         call.answer()
         assert (await client.answer()).status == 200
         call.say(b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id2\r\nContent-Length: 7\r\n\r\nsurplus")
-        await soon(first.closed.get())  # at once: the clock stands still
+        await soon(first.closed.get())  # immediately: the clock is stopped
         client.ask("/writing/x", "id2")
         (await first.call()).answer(b"second")
         assert (await client.answer()).body == b"second"
@@ -112,8 +112,8 @@
 
 
 @on_loop
-async def test_a_connection_whose_kernels_still_hold_a_long_body_is_not_used_again() -> None:
-    """Its runner has answered, and reads on when it likes: the next request would wait behind the body."""
+async def test_a_connection_with_an_undelivered_long_body_is_not_reused() -> None:
+    """The runner has answered and may read on late: the next request would wait behind the body."""
     runner = ScriptedRunner("i-1", reads_bodies=False)
     async with edge(runner) as made:
         client = await made.ask("/writing/x", "id1", bytes(1 << 20))
@@ -131,10 +131,10 @@
 
 
 @on_loop
-async def test_a_runner_that_is_alive_and_reads_nothing_of_a_long_body_is_waited_for(
+async def test_a_live_runner_that_does_not_read_a_long_body_is_not_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The kernel's own time-out would end the connection at the second probe of the closed window."""
+    """The kernel's TCP_USER_TIMEOUT would close the connection at the second zero-window probe."""
     monkeypatch.setattr(stale_connection, "USER_TIMEOUT_MS", 1)
     runner = ScriptedRunner("i-1", reads_bodies=False)
     async with edge(runner, config=LONG, clock=FakeClock()) as made:
@@ -151,7 +151,7 @@
 
 
 @on_loop
-async def test_a_machine_that_leaves_a_long_body_unanswered_is_given_up(
+async def test_a_dead_machine_is_detected_while_it_receives_a_long_body(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     first, second = ScriptedRunner("i-1", reads_bodies=False), ScriptedRunner("i-2")
@@ -168,7 +168,7 @@
 
 
 @on_loop
-async def test_a_long_body_that_is_delivered_leaves_the_watch_to_the_kernel_again() -> None:
+async def test_the_kernel_time_out_is_restored_after_a_long_body_is_delivered() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, config=LONG, clock=FakeClock()) as made:
         client = await made.ask("/read_only/x", body=LONG_BODY)
@@ -187,27 +187,27 @@
 
 
 def probes(sock: socket.socket) -> int:
-    """How often the kernel has probed a closed window: it waits twice as long before each."""
+    """Returns how often the kernel probed the closed window; it doubles the interval each time."""
     backoff: int = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 8)[4]
     return backoff
 
 
-# Answers without a length
+# Responses without a length
 
 
-def say_unframed(call: Call, body: bytes, **fields: str) -> None:
+def send_unframed(call: Call, body: bytes, **fields: str) -> None:
     call.head(Transfer_Encoding="", **fields)
     call.say(body)
 
 
 @pytest.mark.parametrize("path", ["/read_only/x", "/writing/x"])
 @on_loop
-async def test_an_answer_without_a_length_is_whole_where_its_connection_is_closed(path: str) -> None:
+async def test_a_response_without_a_length_ends_with_an_orderly_close(path: str) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask(path)
         call = await runner.call()
-        say_unframed(call, b"all of it")
+        send_unframed(call, b"all of it")
         call.close()
         answer = await client.answer()
         assert (answer.status, answer.body, answer.whole) == (200, b"all of it", True)
@@ -215,12 +215,12 @@
 
 @pytest.mark.parametrize("size", [9, 200_000])
 @on_loop
-async def test_an_answer_without_a_length_that_is_reset_is_never_taken_for_whole(size: int) -> None:
+async def test_a_response_without_a_length_is_incomplete_after_a_reset(size: int) -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/writing/x")
         call = await first.call()
-        say_unframed(call, b"x" * size)
+        send_unframed(call, b"x" * size)
         await until(lambda: made.selection.heads)
         if size > BUFFERED_BYTES:
             assert (await client.head())[0] == 200
@@ -234,17 +234,17 @@
 
 
 @on_loop
-async def test_a_stream_without_a_length_that_is_closed_in_the_middle_of_an_event_goes_on_elsewhere() -> None:
+async def test_a_stream_without_a_length_closed_within_an_event_is_resumed() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/streaming/x")
         call = await first.call()
-        say_unframed(call, event(1) + event(2) + event(3)[:6], Content_Type="text/event-stream")
+        send_unframed(call, event(1) + event(2) + event(3)[:6], Content_Type="text/event-stream")
         assert (await client.head())[0] == 200
         call.close()
         call = await second.call()
         assert call.headers["last-event-id"] == "2"
-        say_unframed(call, event(3), Content_Type="text/event-stream")
+        send_unframed(call, event(3), Content_Type="text/event-stream")
         call.close()
         body = b""
         while data := await client.chunk():
@@ -253,12 +253,12 @@
 
 
 @on_loop
-async def test_a_stream_without_a_length_closed_in_an_event_is_cut_where_it_may_not_go_on() -> None:
+async def test_a_non_resumable_stream_without_a_length_closed_within_an_event_is_truncated() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/once/x")
         call = await first.call()
-        say_unframed(call, event(1) + event(2)[:6], Content_Type="text/event-stream")
+        send_unframed(call, event(1) + event(2)[:6], Content_Type="text/event-stream")
         assert (await client.head())[0] == 200
         call.close()
         body = await client.ended()
@@ -269,14 +269,14 @@
         assert made.selection.outcomes == [AttemptOutcome.GARBLED]
 
 
-# Bytes that stand where the rest of an answer is due
+# Bytes in place of the rest of a response
 
 
 @pytest.mark.parametrize("path", ["/streaming/x", "/once/x"])
 @pytest.mark.parametrize("whole", [True, False])
 @on_loop
-async def test_another_answer_in_the_middle_of_a_stream_is_no_part_of_it(path: str, whole: bool) -> None:
-    """Behind a whole event, or within one."""
+async def test_another_response_within_a_stream_is_not_part_of_it(path: str, whole: bool) -> None:
+    """Either after a complete event or within one."""
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask(path)
@@ -303,7 +303,7 @@
 
 
 @on_loop
-async def test_what_comes_behind_the_last_chunk_is_no_part_of_a_stream() -> None:
+async def test_bytes_after_the_last_chunk_are_not_part_of_a_stream() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask("/streaming/x")
--- a/tests/edge/test_connections.py
+++ b/tests/edge/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections at both sides of the edge: kept, limited, closed in time; and what is told of demand."""
+"""Client and runner connections: reuse, limits and closing; and the reported demand."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @on_loop
-async def test_the_time_that_a_runner_keeps_connections_is_heeded() -> None:
+async def test_the_advertised_keep_alive_time_of_a_runner_is_respected() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         client = await made.client()
@@ -50,7 +50,7 @@
 
 
 @on_loop
-async def test_a_request_that_may_run_once_gets_a_connection_that_was_just_used_or_a_new_one() -> None:
+async def test_a_non_idempotent_request_gets_a_recently_used_or_new_connection() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         client = await made.client()
@@ -63,7 +63,7 @@
 
 
 @on_loop
-async def test_a_runner_that_says_close_is_not_asked_on_that_connection_again() -> None:
+async def test_a_connection_is_not_reused_after_connection_close() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.client()
@@ -75,7 +75,7 @@
 
 
 @on_loop
-async def test_no_more_connections_than_its_part_are_opened_to_a_runner() -> None:
+async def test_connections_to_a_runner_stay_within_the_share_of_this_process() -> None:
     runner = ScriptedRunner("i-1")
     config = configuration(services=(Service("lm", max_conns=8),))
     async with edge(runner, config=config) as made:
@@ -97,7 +97,7 @@
 
 
 @on_loop
-async def test_idle_connections_to_a_runner_that_drains_are_closed_and_nothing_more_is_sent_there() -> None:
+async def test_idle_connections_to_a_draining_runner_are_closed_and_it_gets_no_more_requests() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask()
@@ -111,7 +111,7 @@
 
 
 @on_loop
-async def test_a_connection_that_does_not_come_up_is_given_up_early_and_never_ran() -> None:
+async def test_a_connect_time_out_is_short_and_counts_as_never_run() -> None:
     deaf = socket.create_server(("127.0.0.1", 0), backlog=0)
     fillers = [socket.socket() for _ in range(4)]
     for filler in fillers:
@@ -134,7 +134,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_in_the_middle_of_a_stream_frees_its_runner() -> None:
+async def test_a_client_disconnect_during_a_stream_cancels_it_at_the_runner() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask("/once/x")
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
 @on_loop
-async def test_a_large_answer_that_is_cut_does_not_look_whole(framing: str) -> None:
+async def test_a_truncated_large_response_does_not_look_complete(framing: str) -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/read_only/x")
@@ -172,7 +172,7 @@
 
 
 @on_loop
-async def test_a_short_answer_that_is_cut_is_fetched_anew_unseen_where_it_may_be() -> None:
+async def test_a_truncated_short_response_is_retried_if_idempotent() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/read_only/x")
@@ -187,7 +187,7 @@
 
 
 @on_loop
-async def test_an_old_client_is_told_to_speak_the_present_protocol() -> None:
+async def test_a_request_with_an_old_http_version_gets_505() -> None:
     async with edge() as made:
         client = await made.client()
         client.writer.write(f"GET /read_only/x HTTP/1.0\r\nHost: {HOST}\r\n\r\n".encode())
@@ -195,7 +195,7 @@
 
 
 @on_loop
-async def test_a_request_that_can_not_be_answered_in_time_any_more_is_not_sent() -> None:
+async def test_a_request_past_its_deadline_is_not_sent() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask("/writing/x", X_Time_Left_Ms="15")
@@ -218,7 +218,7 @@
 
 
 @on_loop
-async def test_requests_sent_ahead_are_answered_in_their_order() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.client()
@@ -231,11 +231,11 @@
             assert (await client.answer()).body == b"id%d" % number
 
 
-# What the control side asks
+# Interface to the control side
 
 
 @on_loop
-async def test_demand_counts_arrivals_once_and_what_waits_and_runs_now() -> None:
+async def test_demand_counts_arrivals_once_and_current_waiting_and_running_requests() -> None:
     runner = ScriptedRunner("i-1")
     config = configuration(
         dataclasses.replace(READING, pinned=True, rank=1),
@@ -268,7 +268,7 @@
 
 
 @on_loop
-async def test_a_service_without_models_is_asked_without_one() -> None:
+async def test_a_service_without_models_gets_no_model() -> None:
     runner = ScriptedRunner("i-1")
     split = route("read_only", service="", pinned=True, shares=(Share("lm", 1.0),))
     async with edge(runner, config=configuration(split)) as made:
@@ -280,7 +280,7 @@
 
 
 @on_loop
-async def test_without_a_configuration_clients_are_told_when_to_come_back() -> None:
+async def test_without_a_configuration_clients_get_retry_after() -> None:
     async with edge(configured=False) as made:
         answer = await (await made.ask()).answer()
         assert answer.status == 503
@@ -288,7 +288,7 @@
 
 
 @on_loop
-async def test_what_is_expected_at_runners_reaches_the_decision() -> None:
+async def test_expected_loads_are_passed_to_the_selection() -> None:
     runner = ScriptedRunner("i-1")
     config = configuration(dataclasses.replace(READING, pinned=True), services=(PINNED,))
     async with edge(runner, config=config) as made:
@@ -300,7 +300,7 @@
 
 
 @on_loop
-async def test_counters_tell_kept_connections_from_new_ones() -> None:
+async def test_counters_distinguish_reused_and_new_connections() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.client()
--- a/tests/edge/test_expected_returns.py
+++ b/tests/edge/test_expected_returns.py
@@ -1,4 +1,4 @@
-"""Clients that were told to come back count as waiting until they do."""
+"""Clients told to retry later count as waiting until their retry time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.support.routing_factories import world
 
 
-def test_client_counts_until_the_time_at_which_it_was_told_to_come_back() -> None:
+def test_a_client_counts_as_waiting_until_its_retry_time() -> None:
     w = world()
     asked = w.request("m", "a1", target_s=0.5)
     returns = ExpectedReturns()
@@ -15,7 +15,7 @@
     assert returns.pending(w.now + 2.0) == []
 
 
-def test_earlier_returns_do_not_hide_behind_later_ones() -> None:
+def test_an_earlier_retry_time_expires_before_a_later_one_added_first() -> None:
     w = world()
     returns = ExpectedReturns()
     returns.add(w.now, w.request("m"), 3.0)
@@ -23,7 +23,7 @@
     assert [awaited.key[1] for awaited in returns.pending(w.now + 2.0)] == ["m"]
 
 
-def test_load_that_takes_longer_than_the_time_to_the_return_is_still_in_time_for_placement() -> None:
+def test_the_original_deadline_is_kept_for_placement() -> None:
     w = world()
     returns = ExpectedReturns()
     returns.add(w.now, w.request("m", target_s=0.5, deadline_s=15.0), 5.0)
--- a/tests/edge/test_fuzz.py
+++ b/tests/edge/test_fuzz.py
@@ -1,6 +1,6 @@
-"""The edge under hostile bytes on sockets: what reaches a runner was sent so, and good requests go on.
+"""Malformed and malicious bytes on sockets: runners get only what was sent, and valid requests still succeed.
 
-Everything is drawn from fixed seeds, so that a failure comes again.
+All random data comes from fixed seeds, so that failures are reproducible.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 MUTANTS = 400
 VICTIM_BODY = b"the victim's own"
-HEAD_LIMIT = 16384  # of the configuration that `edge` makes
+HEAD_LIMIT = 16384  # of the default configuration of `edge`
 CHARACTERS = b"\r\n\t :;,\x00\x7f\xff0aZ/%-"
 
 
-class Seen:
-    """Every request that reached the runner, which serves all of them."""
+class RecordingRunner:
+    """Serves and records every request that reaches a runner."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
 
     async def serve(self, runner: ScriptedRunner) -> None:
-        """Answers each with its id."""
+        """Answers each request with its id."""
         while True:
             call = await runner.call()
             self.calls.append(call)
             call.answer(call.id.encode())
 
     def named(self, id: str) -> list[Call]:
-        """Those with this attempt id."""
+        """Returns the requests with this attempt id."""
         return [call for call in self.calls if call.id == id]
 
 
 @asynccontextmanager
-async def serving() -> AsyncIterator[tuple[Edge, Seen]]:
-    """An edge before one runner that serves all."""
-    runner, seen = ScriptedRunner("i-1"), Seen()
+async def serving() -> AsyncIterator[tuple[Edge, RecordingRunner]]:
+    """Runs an edge with one runner that serves all requests."""
+    runner, seen = ScriptedRunner("i-1"), RecordingRunner()
     async with edge(runner) as made:
         task = asyncio.create_task(seen.serve(runner))
         try:
@@ -52,7 +52,7 @@
 
 
 def request(id: str, body: bytes = b"ask", path: str = "/writing/x", chunked: bool = False) -> bytes:
-    """A proper request."""
+    """Returns a valid request."""
     fields = [f"Host: {HOST}", f"X-Attempt-Id: {id}", "X-Time-Left-Ms: 4000", "X-Extra: some, text"]
     framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {len(body)}"
     head = "\r\n".join([f"POST {path} HTTP/1.1", *fields, framing]).encode() + b"\r\n\r\n"
@@ -63,14 +63,14 @@
     return head + b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in [*parts, b""])
 
 
-async def turns(count: int = 3) -> None:
-    """Lets the loop read what has been written."""
+async def run_loop(count: int = 3) -> None:
+    """Runs the loop until written data is read."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 @on_loop
-async def test_a_request_cut_anywhere_is_the_same_request() -> None:
+async def test_a_request_in_any_two_pieces_is_parsed_alike() -> None:
     async with serving() as (made, seen):
         client = await made.client()
         for chunked in (False, True):
@@ -79,7 +79,7 @@
                 id = f"id{cut:04d}"
                 data = request(id, chunked=chunked)
                 client.writer.write(data[:cut])
-                await turns()
+                await run_loop()
                 client.writer.write(data[cut:])
                 answer = await client.answer()
                 assert (answer.status, answer.body) == (200, id.encode()), (chunked, cut)
@@ -90,7 +90,7 @@
 
 
 def pieces(data: bytes, rng: random.Random) -> Iterator[bytes]:
-    """The same in pieces of drawn sizes."""
+    """Splits data into pieces of random sizes."""
     while data:
         size = rng.choice((1, 2, 7, 64, 500))
         yield data[:size]
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @on_loop
-async def test_requests_sent_ahead_in_any_pieces_keep_their_order_and_bodies(seed: int) -> None:
+async def test_pipelined_requests_in_any_pieces_keep_their_order_and_bodies(seed: int) -> None:
     rng = random.Random(seed)
     sent = {f"id{number}": rng.randbytes(rng.choice((0, 1, 300, 3000))) for number in range(25)}
     async with serving() as (made, seen):
@@ -123,7 +123,7 @@
 
 
 def mutant(data: bytes, rng: random.Random) -> bytes:
-    """The request with some of its bytes changed, added, dropped or repeated."""
+    """Returns the request with some bytes changed, added, removed or repeated."""
     for _ in range(rng.randint(1, 3)):
         at = rng.randrange(len(data))
         end = min(at + rng.randint(1, 12), len(data))
@@ -143,7 +143,7 @@
 
 
 async def all_answers(client: Client) -> list[Answer]:
-    """Every answer until the connection ends."""
+    """Returns every response until the connection ends."""
     answers = []
     while True:
         try:
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @on_loop
-async def test_a_spoilt_request_never_changes_the_one_behind_it(seed: int) -> None:
+async def test_a_malformed_request_never_changes_the_next_one(seed: int) -> None:
     rng = random.Random(seed)
     async with serving() as (made, seen):
         for number in range(MUTANTS // 4):
@@ -203,7 +203,7 @@
     ],
 )
 @on_loop
-async def test_two_readings_of_a_length_never_make_two_requests(framing: bytes) -> None:
+async def test_an_ambiguous_length_never_yields_two_requests(framing: bytes) -> None:
     async with serving() as (made, seen):
         body = b"0\r\n\r\n" + SMUGGLED
         head = f"POST /writing/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: outer\r\n".encode()
@@ -228,7 +228,7 @@
     ],
 )
 @on_loop
-async def test_a_head_without_end_is_cut_short_and_others_are_served(head: bytes) -> None:
+async def test_an_endless_head_is_rejected_and_others_are_served(head: bytes) -> None:
     async with serving() as (made, seen):
         client = await made.client()
         client.writer.write(head)
@@ -236,7 +236,7 @@
         try:
             said = await soon(client.reader.read())
         except ConnectionError:
-            said = b""  # closed with bytes unread
+            said = b""  # closed with unread bytes, so reset
         assert said == b"" or said.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5")), said[:80]
         assert seen.calls == []
         good = await made.ask("/writing/x", "good")
--- a/tests/edge/test_parsers.py
+++ b/tests/edge/test_parsers.py
@@ -1,4 +1,4 @@
-"""Whatever the pieces in which bytes come, and wherever they end, the same is read."""
+"""Parsers give the same result for any chunk boundaries, and detect truncation at any byte."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 @given(streams(), st.binary(max_size=6).filter(lambda x: b"\n" not in x), st.lists(st.integers(0, 999)))
-def test_events_are_the_same_however_they_are_cut(stream: list[bytes], tail: bytes, cuts: list[int]) -> None:
+def test_events_do_not_depend_on_chunk_boundaries(stream: list[bytes], tail: bytes, cuts: list[int]) -> None:
     splitter, got = EventSplitter(), []
     for piece in pieces(b"".join(stream) + tail, cuts):
         got += splitter.feed(piece)
@@ -64,7 +64,7 @@
     assert got + splitter.rest() == data
 
 
-def test_an_event_tells_its_id_and_version_and_a_comment_tells_nothing() -> None:
+def test_id_and_version_of_an_event_are_parsed_and_comments_have_none() -> None:
     event = parse(b"versions: 8\nid: 12\ndata: id: 9\n\n")
     assert (event.id, event.version, event.is_comment) == (12, b"8", False)
     assert parse(b"id: 4\r\ndata: x\r\n\r\n").id == 4
@@ -72,7 +72,7 @@
     assert parse(b": ping\n\n").is_comment
 
 
-def test_an_event_without_an_end_is_not_held_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_event_without_an_end_is_rejected_at_the_size_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(events_module, "MAX_EVENT_BYTES", 100)
     splitter = EventSplitter()
     splitter.feed(b"x" * 100)
@@ -80,11 +80,11 @@
         splitter.feed(b"x")
 
 
-# A runner's answer, cut at every byte
+# A runner's response, split at every byte
 
 
 class CarriedRequest:
-    """Notes what a connection tells of its request."""
+    """Records what a connection reports to its request."""
 
     name = b"id1"
 
@@ -112,7 +112,7 @@
 
 
 class Pool:
-    """Owns one connection whose bytes the test gives by hand."""
+    """Owns one connection whose data the test supplies."""
 
     def __init__(self) -> None:
         self.clock, self.deadlines, self.closing_count = Clock(), Deadlines(), 0
@@ -152,7 +152,7 @@
     return carried, pool
 
 
-def test_a_dead_machine_is_noticed_on_every_connection_to_a_runner() -> None:
+def test_every_connection_to_a_runner_detects_a_dead_machine() -> None:
     link = RunnerConnection(Pool(), ("127.0.0.1", 9))  # type: ignore[arg-type]
     connection = link.connection
     assert not isinstance(connection, ConnectionOutcome)
@@ -162,18 +162,18 @@
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\nX-Server-Seal: s\r\n"
-STRANGER = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id0\r\nContent-Length: 3\r\n\r\nold"
+FOREIGN_RESPONSE = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: id0\r\nContent-Length: 3\r\n\r\nold"
 ANSWERS = [
     HEAD + b"Content-Length: 5\r\n\r\nhello",
     HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
-    STRANGER + HEAD + b"Content-Length: 5\r\n\r\nhello",
+    FOREIGN_RESPONSE + HEAD + b"Content-Length: 5\r\n\r\nhello",
     b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD + b"Content-Length: 5\r\n\r\nhello",
 ]
 
 
 @pytest.mark.parametrize("answer", ANSWERS)
 @pytest.mark.parametrize("ending", [ConnectionOutcome.CLOSED, ConnectionOutcome.BROKE])
-def test_an_answer_cut_at_any_byte_is_never_taken_for_whole(answer: bytes, ending: ConnectionOutcome) -> None:
+def test_a_response_truncated_at_any_byte_is_never_complete(answer: bytes, ending: ConnectionOutcome) -> None:
     for size in range(len(answer)):
         carried, pool = carry([answer[:size]], ending)
         assert carried.ends in ([AttemptOutcome.RESET], [AttemptOutcome.CUT]), size
@@ -183,16 +183,16 @@
 
 
 @pytest.mark.parametrize("answer", ANSWERS)
-def test_an_answer_in_any_two_pieces_is_the_same_one(answer: bytes) -> None:
+def test_a_response_in_any_two_pieces_is_parsed_alike(answer: bytes) -> None:
     for size in range(len(answer) + 1):
         carried, pool = carry([answer[:size], answer[size:]], None)
         assert (carried.ends, carried.body) == (["whole"], b"hello"), size
         assert carried.head is not None
         assert carried.head.status == 200
-        assert pool.free == (not answer.startswith(STRANGER))
+        assert pool.free == (not answer.startswith(FOREIGN_RESPONSE))
 
 
-def test_a_connection_that_was_paused_for_a_slow_client_is_read_again_for_the_next_request() -> None:
+def test_a_connection_paused_for_a_slow_client_resumes_for_the_next_request() -> None:
     class Slow(CarriedRequest):
         def on_body(self, data: bytes) -> None:
             link.pause(True)
@@ -212,7 +212,7 @@
 
 
 @given(st.binary(min_size=1, max_size=120))
-def test_bytes_at_random_are_never_an_answer(data: bytes) -> None:
+def test_random_bytes_are_never_a_response(data: bytes) -> None:
     carried, pool = carry([data], ConnectionOutcome.CLOSED)
     assert carried.ends in ([AttemptOutcome.RESET], [AttemptOutcome.GARBLED])
     assert pool.free == 0
@@ -220,19 +220,19 @@
 
 
 @given(st.integers(0, 200), st.binary(min_size=1, max_size=60))
-def test_an_answer_with_foreign_bytes_inside_is_never_kept_for_the_next_request(at: int, junk: bytes) -> None:
+def test_a_connection_with_foreign_bytes_in_a_response_is_not_reused(at: int, junk: bytes) -> None:
     whole = ANSWERS[1]
     at %= len(whole) + 1
     carried, pool = carry([whole[:at] + junk + whole[at:]], ConnectionOutcome.BROKE)
     assert len(carried.ends) == 1
-    if pool.free:  # then it was read as a whole answer with nothing behind it
+    if pool.free:  # then it was a complete response without surplus
         assert carried.ends == ["whole"]
 
 
 # Headers
 
 
-def test_fields_of_one_connection_are_dropped_and_all_others_kept_in_order() -> None:
+def test_hop_by_hop_fields_are_dropped_and_all_others_kept_in_order() -> None:
     fields = [
         (b"Connection", b"keep-alive, X-Hop"),
         (b"x-hop", b"1"),
@@ -245,7 +245,7 @@
     assert end_to_end(fields) == [(b"Cookie", b"a"), (b"Cookie", b"b"), (b"X-Server-Seal", b"s")]
 
 
-def test_headers_of_a_request_are_read_and_wrong_ones_borne() -> None:
+def test_request_headers_are_parsed_and_invalid_ones_tolerated() -> None:
     headers = {
         b"x-model": b"daka510000/a3",
         b"x-token-count": b"1460,80",
@@ -262,13 +262,13 @@
     assert (model_of({}), tokens_of({b"x-token-count": b"x"}), parts_of({})) == (("", ""), (0, 0), ())
 
 
-def test_a_connection_that_proved_dead_shortens_the_trust_for_a_while() -> None:
+def test_a_stale_connection_lowers_the_keep_alive_limit_temporarily() -> None:
     keep = KeepAliveLimit()
     assert keep.limit_s(0.0, idempotent=False) < keep.limit_s(0.0) < 10.0
     keep.observe_advertised(5.0)
     assert keep.limit_s(0.0) == 4.0
     assert keep.limit_s(0.0, idempotent=False) == 2.0
-    keep.observe_idle_close(50.0, idle_s=2.0)  # it has told its time: this one ended for another reason
+    keep.observe_idle_close(50.0, idle_s=2.0)  # ignored, because a time was advertised
     assert keep.limit_s(50.0) == 4.0
     keep.observe_stale(100.0, idle_s=3.0)
     assert keep.limit_s(100.0) == 0.8 * 1.5
@@ -277,7 +277,7 @@
     assert keep.limit_s(200.0) == 4.0
 
 
-def test_runners_that_tell_no_time_are_known_by_the_connections_that_they_close() -> None:
+def test_the_keep_alive_limit_is_learned_from_closed_connections() -> None:
     keep = KeepAliveLimit()
     keep.observe_advertised(0.0)
     keep.observe_idle_close(10.0, idle_s=0.7)
--- a/tests/edge/test_partitioned_control.py
+++ b/tests/edge/test_partitioned_control.py
@@ -1,4 +1,4 @@
-"""An edge that has just started and reaches a control process which is cut off, on real sockets."""
+"""An edge that reaches only an isolated control process, on real sockets."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class System:
-    """One control process, scripted, and an edge that has it as its seed."""
+    """A scripted control process, and an edge with it as its seed."""
 
     def __init__(self) -> None:
         self.isolated = True
@@ -64,7 +64,7 @@
         self.registry.put(RUNNER_PREFIX + "i-1", record.encode(), version)
 
     async def until(self, status: int) -> None:
-        """Waits until the edge answers the platform so."""
+        """Waits until the readiness probe has this result."""
         async with asyncio.timeout(PATIENCE):
             while await self.get(self.ready, "/ready") != status:
                 await asyncio.sleep(0.02)
@@ -96,7 +96,7 @@
 
 
 @on_loop
-async def test_an_edge_that_reaches_only_a_cut_off_process_refuses_requests_and_is_not_ready() -> None:
+async def test_an_edge_that_reaches_only_an_isolated_process_refuses_requests_and_is_not_ready() -> None:
     async with started() as system:
         system.publish(version=3)
         await system.until_runner_is_known(call_count=3)
@@ -109,7 +109,7 @@
 
 
 @on_loop
-async def test_an_edge_that_serves_keeps_what_it_has_while_its_source_is_cut_off() -> None:
+async def test_a_serving_edge_keeps_its_state_while_its_source_is_isolated() -> None:
     async with started() as system:
         system.isolated = False
         system.publish(version=3)
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -1,4 +1,4 @@
-"""DRAIN: an edge is not ready from the moment of its SIGTERM, on a real port, and ends what it has begun."""
+"""DRAIN: from SIGTERM on, an edge is not ready and completes its open requests; uses a real port."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from tests.support.configurations import example
 from tests.support.edge_stand_ins import soon
 
-IP = "127.55.0.1"  # of this test alone
-COUNTED_AFTER_S = 4.0  # seconds from SIGTERM in which the platform must have missed two answers
-ASKED_EVERY_S = 1.0
+IP = "127.55.0.1"  # used by this test only
+UNREADY_WITHIN_S = 4.0  # seconds from SIGTERM within which two probes must fail
+PROBE_INTERVAL_S = 1.0
 
 
 async def status(node: EdgeNode) -> int:
@@ -34,7 +34,7 @@
 
 
 @on_loop
-async def test_an_edge_is_ready_once_it_knows_enough_and_not_from_its_sigterm_on(
+async def test_an_edge_is_ready_with_configuration_and_runners_until_sigterm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(node_module, "READINESS_NOTICE_S", 0.0)
@@ -50,18 +50,18 @@
     await node.start()
     assert await status(node) == 503
     node.registry.put(CONFIGURATION_KEY, pack(example()), 1)
-    assert await status(node) == 503  # it knows no runner
+    assert await status(node) == 503  # no runner is known
     node.registry.put(
         RUNNER_PREFIX + "i-1", RunnerRecord(RunnerId("i-1"), "s", "10.0.0.1:1", "z").encode(), 1
     )
     assert await status(node) == 200
     stopping = asyncio.ensure_future(node.stop())
-    await asyncio.sleep(0)  # the handler of the signal has run; nothing else has
+    await asyncio.sleep(0)  # only the signal handler has run
     assert not node.is_ready()
     assert await status(node) == 503
     await soon(stopping)
     assert await status(node) == 503
 
 
-def test_two_questions_of_the_platform_lie_in_the_time_before_an_edge_stops_listening() -> None:
-    assert 2 * ASKED_EVERY_S <= READINESS_NOTICE_S < COUNTED_AFTER_S
+def test_the_platform_probes_twice_before_an_edge_stops_listening() -> None:
+    assert 2 * PROBE_INTERVAL_S <= READINESS_NOTICE_S < UNREADY_WITHIN_S
--- a/tests/edge/test_recorded_bytes.py
+++ b/tests/edge/test_recorded_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of the demand reports that an edge sends, against those recorded by running commit 0d35ed7."""
+"""Demand reports are byte for byte the same as those recorded with commit 0d35ed7."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def recordings(folder: Path) -> dict[str, str]:
-    """Reports as a dispatcher sends them: with arrivals and waiting requests, folded, and without any."""
+    """Returns reports with arrivals and waiting requests, with adapters summed up, and empty."""
     tally = DemandCounter()
     requests = [
         traits(0, 0, "m1"),
@@ -55,7 +55,7 @@
     assert recordings(tmp_path) == {NAME: (FIXTURES / NAME).read_text(encoding="utf-8")}
 
 
-def test_the_first_recorded_report_says_what_was_asked_for() -> None:
+def test_the_first_recorded_report_has_the_requested_models() -> None:
     report = decode_struct(DemandReport, bytes.fromhex(json.loads((FIXTURES / NAME).read_text())[0]))
     assert (report.node_name, report.interval_ms) == ("edge-1", 500)
     lines = {(line.service_name, line.model, line.adapter): line for line in report.models}
--- a/tests/edge/test_request_limits.py
+++ b/tests/edge/test_request_limits.py
@@ -1,5 +1,6 @@
-"""What is promised of each request: the time that is handed on, no work for clients that left, an answer in
-time, no refusal for good, and headers that stay as they came. The rows are those of docs/calls.md.
+"""Guarantees for each request: remaining time, cancellation, deadlines, no permanent rejection, headers.
+
+The cases are those of docs/calls.md.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
     until,
 )
 
-SLACK_MS = 500  # by which a runner may be told more than the client has left
+SLACK_MS = 500  # by which the time sent to a runner may exceed the client's remaining time
 
 
 def left(call_headers: dict[str, str]) -> int:
     return int(call_headers["x-time-left-ms"])
 
 
-# BUDGET: the time that is left
+# BUDGET: the remaining time
 
 
 @pytest.mark.parametrize("told", ["4000", "900000", ""])
 @on_loop
-async def test_a_second_send_says_what_is_left_by_then(told: str) -> None:
-    """Not what the first one said, and never more than the route allows."""
+async def test_a_retry_sends_the_remaining_time(told: str) -> None:
+    """It is less than that of the first attempt, and never more than the route allows."""
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second, clock=FakeClock()) as made:
         most = min(float(told or "inf"), 5000.0)
@@ -53,7 +54,7 @@
 
 
 @on_loop
-async def test_a_stream_that_goes_on_says_what_is_left_by_then() -> None:
+async def test_a_resumed_stream_sends_the_remaining_time() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second, clock=FakeClock()) as made:
         client = await made.ask("/streaming/x")
@@ -73,7 +74,7 @@
 
 
 @on_loop
-async def test_a_request_that_waited_says_what_is_left_when_it_is_sent() -> None:
+async def test_a_request_that_waited_sends_the_remaining_time() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         made.selection.script = [Wait(made.loop.clock.now() + 2.0, "full")]
@@ -87,7 +88,7 @@
 
 
 @on_loop
-async def test_the_clients_time_runs_from_the_first_byte_of_a_body_that_comes_slowly() -> None:
+async def test_the_deadline_of_a_slow_body_counts_from_the_first_byte() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         client = await made.client()
@@ -97,7 +98,7 @@
         )
         server = made.proxy._server
         assert server is not None
-        await until(lambda: server.body_memory.used_bytes)  # bytes of the body have been read
+        await until(lambda: server.body_memory.used_bytes)  # part of the body was read
         made.move(2.0)
         client.writer.write(b"later")
         call = await runner.call()
@@ -108,7 +109,7 @@
 
 
 @on_loop
-async def test_a_request_sent_ahead_says_what_is_left_once_its_turn_has_come() -> None:
+async def test_a_pipelined_request_sends_the_remaining_time() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         client = await made.client()
@@ -126,11 +127,11 @@
         assert runner.unread == 0
 
 
-# GONE: nobody works for a client that has left
+# GONE: no work for a client that has disconnected
 
 
 @on_loop
-async def test_no_request_of_a_client_that_left_while_it_waited_reaches_a_runner() -> None:
+async def test_a_waiting_request_of_a_disconnected_client_is_not_sent() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         made.selection.script = [Wait(float("inf"), "full")]
@@ -145,7 +146,7 @@
 
 
 @on_loop
-async def test_no_request_sent_ahead_reaches_a_runner_once_its_client_has_left() -> None:
+async def test_a_pipelined_request_of_a_disconnected_client_is_not_sent() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.client()
@@ -161,7 +162,7 @@
 
 @pytest.mark.parametrize("path", ["/read_only/x", "/writing/x", "/streaming/x", "/once/x"])
 @on_loop
-async def test_a_runner_is_left_when_its_client_has_left_whatever_it_has_sent(path: str) -> None:
+async def test_the_runner_connection_is_closed_when_the_client_disconnects(path: str) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         client = await made.ask(path)
@@ -169,18 +170,18 @@
         call.stream() if "s" in path.split("/")[1][:1] else call.head()
         await until(lambda: made.selection.sends)
         client.close()
-        await soon(runner.closed.get())  # the clock stands still: no time is waited for
+        await soon(runner.closed.get())  # the clock is stopped, so this needs no time-out
         assert made.selection.outcomes == [AttemptOutcome.CANCELLED]
 
 
-# CONFIG: an answer at the route's deadline
+# CONFIG: a response by the route's deadline
 
 
 @pytest.mark.parametrize("path", ["/read_only/x", "/writing/x", "/streaming/x", "/once/x"])
 @pytest.mark.parametrize("state", ["waits", "sent", "head", "begun"])
 @on_loop
-async def test_every_kind_of_request_has_its_answer_at_the_routes_deadline(path: str, state: str) -> None:
-    """However long its client would wait: the route's 5 s hold."""
+async def test_every_request_is_answered_by_the_deadline_of_its_route(path: str, state: str) -> None:
+    """The route's 5 s apply even if the client would wait longer."""
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         if state == "waits":
@@ -204,12 +205,12 @@
             assert (await client.answer()).status == (503 if state == "waits" else 504)
 
 
-# DENIED: no refusal for good of what may be allowed
+# DENIED: no permanent rejection of a request that may be allowed
 
 
 @on_loop
-async def test_an_edge_without_a_configuration_refuses_nothing_for_good() -> None:
-    """Large bodies and heads too: what the limits will be is not known yet."""
+async def test_an_edge_without_a_configuration_rejects_nothing_permanently() -> None:
+    """Includes large bodies and heads, since the limits are not known yet."""
     async with edge(configured=False) as made:
         large = await made.ask(body=bytes(5 << 20))
         assert (await large.answer()).status == 503
@@ -217,7 +218,7 @@
         assert (await long.answer()).status == 503
 
 
-# UNASKED: headers as they came
+# UNASKED: unchanged headers
 
 PROMPT = {
     "X_Model": "daka510000/a3",
@@ -227,7 +228,7 @@
 
 
 @on_loop
-async def test_what_a_request_says_of_its_model_and_prompt_reaches_every_runner_unchanged() -> None:
+async def test_model_and_prompt_headers_reach_every_runner_unchanged() -> None:
     first, second, third = (ScriptedRunner(f"i-{number}") for number in range(3))
     config = configuration(dataclasses.replace(STREAM, tries=3))
     async with edge(first, second, third, config=config) as made:
@@ -249,12 +250,12 @@
                 assert [told for field, told in call.fields if field == name] == [value]
 
 
-# MIXED and 421: runners that are not the one that was meant
+# MIXED and 421: another runner than the intended one
 
 
 @on_loop
-async def test_a_runner_at_a_reused_address_turns_the_request_away_and_it_goes_elsewhere() -> None:
-    """The id in X-Target-Runner is that of the record, not of whoever listens there."""
+async def test_a_request_rejected_by_a_runner_at_a_reused_address_is_retried() -> None:
+    """X-Target-Runner holds the id of the record, whichever runner listens at the address."""
     other, right = ScriptedRunner("i-9"), ScriptedRunner("i-2")
     async with edge(other, right) as made:
         there = made.records.pop("i-9")
@@ -269,7 +270,7 @@
 
 
 @on_loop
-async def test_a_kept_connection_is_not_used_for_the_next_runner_at_the_same_address() -> None:
+async def test_a_connection_is_not_reused_for_another_runner_at_the_same_address() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask(name="id1")
@@ -286,7 +287,7 @@
 
 
 @on_loop
-async def test_other_weights_than_expected_are_no_end_of_a_request_that_never_ran() -> None:
+async def test_a_request_rejected_for_other_weights_is_retried() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     config = configuration(route("writing"))
     async with edge(first, second, config=config) as made:
@@ -300,11 +301,11 @@
         assert (await client.answer()).body == b"second"
 
 
-# Runners that leave without draining
+# Runners removed without draining
 
 
 @on_loop
-async def test_a_runner_that_left_without_draining_gets_nothing_more_and_ends_what_it_has() -> None:
+async def test_a_removed_runner_gets_no_more_requests_and_completes_current_ones() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         resting, running = await made.ask(name="a"), await made.ask(name="b")
@@ -323,7 +324,7 @@
 
 
 @on_loop
-async def test_a_request_whose_runner_leaves_while_its_connection_comes_up_goes_elsewhere() -> None:
+async def test_a_request_is_retried_if_its_runner_is_removed_while_connecting() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
 
--- a/tests/edge/test_requests.py
+++ b/tests/edge/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are answered as a whole: routes, tries, promises, and what reaches the runner."""
+"""Requests with complete responses: routing, retries, status codes, and what reaches the runner."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @on_loop
-async def test_an_answer_is_passed_on_unchanged_with_its_seal() -> None:
+async def test_a_response_is_forwarded_unchanged_with_its_seal() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask(
@@ -60,7 +60,7 @@
 
 
 @on_loop
-async def test_one_connection_carries_many_requests_at_both_sides() -> None:
+async def test_client_and_runner_connections_are_reused() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.client()
@@ -72,7 +72,7 @@
 
 
 @on_loop
-async def test_a_body_in_chunks_reaches_the_runner_whole() -> None:
+async def test_a_chunked_body_reaches_the_runner_completely() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask(body=b"", Transfer_Encoding="chunked")
@@ -85,7 +85,7 @@
 
 
 @on_loop
-async def test_a_body_of_megabytes_passes_and_a_larger_one_than_allowed_does_not() -> None:
+async def test_bodies_up_to_the_limit_are_accepted() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         body = bytes(range(256)) * 4096 * 4
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("fields", [{"Transfer_Encoding": "chunked"}, {"Host": ""}, {"X_Attempt_Id": ""}])
 @on_loop
-async def test_a_request_that_two_readers_could_read_differently_reaches_no_runner(
+async def test_an_ambiguous_request_reaches_no_runner(
     fields: dict[str, str],
 ) -> None:
     runner = ScriptedRunner("i-1")
@@ -112,7 +112,7 @@
 
 
 @on_loop
-async def test_an_id_that_comes_twice_is_refused() -> None:
+async def test_a_duplicate_attempt_id_is_rejected() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.client()
@@ -125,7 +125,7 @@
 
 
 @on_loop
-async def test_routes_go_by_host_and_longest_prefix_and_change_at_once() -> None:
+async def test_routes_match_host_and_longest_prefix_and_change_immediately() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         assert (await (await made.ask("/nowhere/x")).answer()).status == 404
@@ -151,7 +151,7 @@
         assert len(made.selection.sends) == 1
 
 
-# Never ran: may go elsewhere
+# Attempts that never ran: may be retried
 
 
 @pytest.mark.parametrize(
@@ -163,7 +163,9 @@
     ],
 )
 @on_loop
-async def test_what_never_ran_goes_to_another_runner(status: str, outcome: AttemptOutcome) -> None:
+async def test_a_request_that_never_ran_is_sent_to_another_runner(
+    status: str, outcome: AttemptOutcome
+) -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/writing/x")
@@ -178,7 +180,7 @@
 
 
 @on_loop
-async def test_without_budget_a_refusal_is_promised_without_the_runners_seal() -> None:
+async def test_without_retry_budget_a_rejection_becomes_503_without_the_runners_seal() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         made.budget.left = 0
@@ -193,7 +195,7 @@
 
 
 @on_loop
-async def test_a_connection_that_fails_draws_on_no_budget() -> None:
+async def test_a_failed_connection_uses_no_retry_budget() -> None:
     dead, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(dead, second) as made:
         made.budget.left = 0
@@ -206,7 +208,7 @@
 
 
 @on_loop
-async def test_a_runner_that_drains_while_its_connection_comes_up_gets_nothing() -> None:
+async def test_a_runner_that_drains_while_connecting_gets_no_request() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
 
@@ -224,7 +226,7 @@
 
 
 @on_loop
-async def test_a_refusal_without_proof_is_no_promise() -> None:
+async def test_a_rejection_without_x_not_run_may_have_run() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/writing/x")
@@ -235,11 +237,11 @@
         assert second.unread == 0
 
 
-# May have run
+# Attempts that may have run
 
 
 @on_loop
-async def test_what_may_have_run_is_sent_again_only_where_it_is_idempotent() -> None:
+async def test_a_request_that_may_have_run_is_retried_only_if_idempotent() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/writing/x")
@@ -257,7 +259,7 @@
 
 
 @on_loop
-async def test_no_more_runners_than_the_route_allows_may_have_run_it() -> None:
+async def test_attempts_that_may_have_run_are_limited_by_the_tries_of_the_route() -> None:
     runners = [ScriptedRunner(f"i-{number}") for number in range(4)]
     async with edge(*runners) as made:
         client = await made.ask("/read_only/x")
@@ -276,7 +278,7 @@
     ],
 )
 @on_loop
-async def test_what_is_no_answer_of_this_runner_is_not_passed_on(garbage: bytes) -> None:
+async def test_an_invalid_response_is_not_forwarded(garbage: bytes) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask("/writing/x")
@@ -287,7 +289,7 @@
 
 
 @on_loop
-async def test_an_answer_to_another_request_is_skipped_and_its_connection_not_used_again() -> None:
+async def test_a_response_to_another_request_is_skipped_and_its_connection_not_reused() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask("/writing/x", "mine")
@@ -304,7 +306,7 @@
 
 
 @on_loop
-async def test_bytes_behind_an_answer_belong_to_no_request() -> None:
+async def test_bytes_after_a_response_belong_to_no_request() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask(name="id1")
@@ -319,7 +321,7 @@
 
 
 @on_loop
-async def test_a_kept_connection_that_proves_dead_does_not_repeat_a_writing_request() -> None:
+async def test_a_non_idempotent_request_on_a_stale_connection_is_not_retried() -> None:
     first, second = ScriptedRunner("i-1"), ScriptedRunner("i-2")
     async with edge(first, second) as made:
         client = await made.ask("/writing/x", "id1")
@@ -338,7 +340,7 @@
     ("path", "told"), [("/writing/x", "1000"), ("/read_only/x", "1000"), ("/writing/x", "900000")]
 )
 @on_loop
-async def test_at_the_deadline_what_was_sent_gets_504_and_its_runner_may_stop(path: str, told: str) -> None:
+async def test_a_sent_request_gets_504_at_the_deadline_and_is_cancelled(path: str, told: str) -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         client = await made.ask(path, X_Time_Left_Ms=told)
@@ -353,7 +355,7 @@
 
 
 @on_loop
-async def test_at_the_deadline_what_waited_gets_a_promise() -> None:
+async def test_a_waiting_request_gets_503_at_the_deadline() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         made.selection.script = [Wait(float("inf"), "no_holder")]
@@ -367,7 +369,7 @@
 
 
 @on_loop
-async def test_what_is_given_up_is_answered_at_once() -> None:
+async def test_a_rejected_request_is_answered_immediately() -> None:
     async with edge(clock=FakeClock()) as made:
         made.selection.script = [Reject(0.4, "holders_full")]
         answer = await (await made.ask(X_Time_Left_Ms="3000")).answer()
@@ -376,7 +378,7 @@
 
 
 @on_loop
-async def test_a_request_that_waits_is_asked_again_in_time_or_when_runners_change() -> None:
+async def test_a_waiting_request_is_decided_again_in_time_or_when_runners_change() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner, clock=FakeClock()) as made:
         now = made.loop.clock.now()
@@ -392,7 +394,7 @@
 
 
 @on_loop
-async def test_the_end_of_an_attempt_wakes_the_most_urgent_that_waits() -> None:
+async def test_the_end_of_an_attempt_wakes_the_most_urgent_waiting_request() -> None:
     runner = ScriptedRunner("i-1")
     config = configuration(route("read_only", rank=2), route("writing", rank=0))
     async with edge(runner, config=config, clock=FakeClock()) as made:
@@ -415,7 +417,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_cancels_its_request() -> None:
+async def test_a_client_disconnect_cancels_its_request() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client = await made.ask("/writing/x")
@@ -441,7 +443,7 @@
 
 
 @on_loop
-async def test_a_drain_answers_what_is_open_and_then_is_done() -> None:
+async def test_a_drain_ends_once_open_requests_are_answered() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         client, resting = await made.ask(name="a"), await made.ask(name="b")
@@ -463,7 +465,7 @@
 
 
 @on_loop
-async def test_at_a_forced_end_each_open_request_is_told_what_is_known_of_it() -> None:
+async def test_a_forced_stop_answers_every_open_request() -> None:
     runner = ScriptedRunner("i-1")
     async with edge(runner) as made:
         sent = await made.ask("/writing/x", "sent")
@@ -480,7 +482,7 @@
         assert made.selection.outcomes == [AttemptOutcome.CANCELLED]
 
 
-def test_a_split_route_keeps_to_its_weights_and_a_try_to_its_service() -> None:
+def test_a_split_route_follows_its_weights_and_an_attempt_id_keeps_its_service() -> None:
     split = route("writing", shares=(Share("a", 90.0), Share("none", 0.0), Share("b", 10.0)))
     names = [b"%016x" % (number * 2654435761) for number in range(4000)]
     to_b = sum(choose_service(split, name) == "b" for name in names)
--- a/tests/edge/test_trace.py
+++ b/tests/edge/test_trace.py
@@ -1,4 +1,4 @@
-"""Debug lines about requests: written at DEBUG, and nothing is kept for them otherwise."""
+"""Debug log of requests: written at level DEBUG; without it, no trace is kept."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.support.routing_factories import world
 
 
-def test_a_request_that_was_lost_and_repeated_can_be_followed_line_by_line() -> None:
+def test_each_attempt_of_a_retried_request_is_logged() -> None:
     w = world()
     with capture_logs() as lines:
         trace = RequestTrace.of(w.request("m", "a1"), b"id7")
@@ -36,7 +36,7 @@
     ]
 
 
-def test_the_last_line_tells_where_the_time_of_a_request_went() -> None:
+def test_the_last_line_summarizes_the_time_spent() -> None:
     w = world()
     with capture_logs() as lines:
         trace = RequestTrace.of(w.request("m", "a1"), b"id7")
@@ -58,7 +58,7 @@
     assert (last["failed_ms"], last["began_ms"], last["longest_pause_ms"]) == (100, 600, 300)
 
 
-def test_no_trace_is_kept_where_debug_lines_are_not_written() -> None:
+def test_no_trace_is_kept_without_debug_logging() -> None:
     before = structlog.get_config()["wrapper_class"]
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.INFO))
     try:
--- a/tests/net/test_asyncio_loop.py
+++ b/tests/net/test_asyncio_loop.py
@@ -1,4 +1,4 @@
-"""The event loop on asyncio: sockets and deadlines as the present program's loop serves them."""
+"""The event loop on asyncio: sockets, deadlines and calls from other threads."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     asyncio.run(on_loop())
 
 
-def test_a_paused_socket_is_not_heard_until_it_is_watched_again() -> None:
+def test_a_paused_socket_has_no_events_until_watched_again() -> None:
     async def test(loop: AsyncLoop) -> None:
         ours, theirs = socket.socketpair()
         masks: list[int] = []
@@ -53,7 +53,7 @@
     run(test)
 
 
-def test_asyncio_is_told_only_of_events_that_change(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_asyncio_is_called_only_for_changed_events(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(loop: AsyncLoop) -> None:
         ours, theirs = socket.socketpair()
         calls: list[str] = []
@@ -69,7 +69,7 @@
     run(test)
 
 
-def test_deadlines_come_in_order_also_those_set_later_and_dropped_ones_do_not() -> None:
+def test_deadlines_run_in_order_and_cancelled_ones_do_not() -> None:
     async def test(loop: AsyncLoop) -> None:
         now, ran, done = loop.clock.now(), list[str](), asyncio.Event()
         loop.deadlines.add(now + 0.03, done.set)
@@ -83,7 +83,7 @@
     run(test)
 
 
-def test_one_callback_that_fails_ends_neither_the_sweep_nor_the_loop() -> None:
+def test_a_failing_callback_stops_neither_other_deadlines_nor_the_loop() -> None:
     async def test(loop: AsyncLoop) -> None:
         loop.counters = Counters()
         done = asyncio.Event()
@@ -96,7 +96,7 @@
     run(test)
 
 
-def test_another_thread_can_hand_work_in() -> None:
+def test_another_thread_can_schedule_a_call() -> None:
     async def test(loop: AsyncLoop) -> None:
         done = asyncio.Event()
         await asyncio.get_running_loop().run_in_executor(None, loop.call_soon, done.set)
--- a/tests/net/test_graceful_stop.py
+++ b/tests/net/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""A server that stops lets no further request in on a connection whose answer began before."""
+"""A stopping server accepts no next_request request on a connection whose response had begun."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RecordingHandler:
-    """Keeps the requests that it is given, and tells when one comes."""
+    """Queues the requests that it receives."""
 
     name = "test"
 
@@ -30,7 +30,7 @@
 
 
 @on_loop
-async def test_connection_of_an_answer_that_began_before_the_stop_takes_no_request_behind_it() -> None:
+async def test_a_stopping_server_closes_after_a_response_that_had_begun() -> None:
     handler = RecordingHandler()
     loop = AsyncLoop(asyncio.get_running_loop())
     server = HttpServer(
@@ -47,12 +47,12 @@
     exchange.end(complete=True)
     await reader.readuntil(LAST_CHUNK)
     writer.write(REQUEST)
-    further = asyncio.ensure_future(handler.exchanges.get())
+    next_request = asyncio.ensure_future(handler.exchanges.get())
     closed = asyncio.ensure_future(reader.read())
-    await asyncio.wait((further, closed), return_when=asyncio.FIRST_COMPLETED)
-    was_taken = further.done()
-    for task in (further, closed):
+    await asyncio.wait((next_request, closed), return_when=asyncio.FIRST_COMPLETED)
+    was_accepted = next_request.done()
+    for task in (next_request, closed):
         task.cancel()
     writer.close()
     loop.close()
-    assert not was_taken
+    assert not was_accepted
--- a/tests/net/test_request_reader.py
+++ b/tests/net/test_request_reader.py
@@ -1,4 +1,4 @@
-"""The reader of HTTP requests without a socket: the same requests and refusals however the bytes come."""
+"""The HTTP request reader without a socket: the same results for any chunk boundaries."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("piece", [1, 2, 7, 50, 10_000])
-def test_requests_are_the_same_in_pieces_of_any_size(piece: int) -> None:
+def test_requests_do_not_depend_on_the_piece_size(piece: int) -> None:
     owner, bodies = read(TWO, piece)
     first, second = owner.requests
     assert (first.method, first.target, first.path, first.body) == (b"POST", b"/a?x=1", b"/a", b"hello")
@@ -94,7 +94,7 @@
     ],
 )
 @pytest.mark.parametrize("piece", [1, 500, 100_000])
-def test_what_is_too_large_or_ambiguous_is_refused_once_and_holds_no_memory(
+def test_a_too_large_or_ambiguous_request_is_refused_once_and_holds_no_memory(
     data: bytes, status: int, piece: int
 ) -> None:
     owner, bodies = read(data + b"GET /next HTTP/1.1\r\n\r\n", piece)
@@ -103,7 +103,7 @@
     assert all(request.path != b"/next" for request in owner.requests)
 
 
-def test_a_body_beyond_the_memory_is_refused_and_counted() -> None:
+def test_a_body_beyond_the_memory_limit_is_refused_and_counted() -> None:
     owner, bodies = read(TWO, 10_000, memory=4)
     assert [status for status, _ in owner.refused] == [503]
     assert not owner.requests
@@ -112,7 +112,7 @@
     assert counted == {"larchgw_caps_total_test_bodies": 1.0}
 
 
-def test_a_limit_replaced_in_the_midst_of_a_request_counts_at_once() -> None:
+def test_a_limit_replaced_during_a_request_applies_immediately() -> None:
     owner, bodies = RecordingOwner(), BodyMemory(Counters(), "test", 1000)
     limits = [ServerLimits(body_bytes=100)]
     reader = RequestReader(owner, bodies, lambda: limits[0])
