--- a/larchgw/replication/__init__.py
+++ b/larchgw/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated control state: a primary and backups, witnesses that decide failover, leases."""
+"""Replicated control state: primary and backups, witnesses that vote on failover, and leases."""
--- a/larchgw/replication/candidate.py
+++ b/larchgw/replication/candidate.py
@@ -1,4 +1,4 @@
-"""A candidate: an in-sync member that tries to become primary, or a primary that forms its next view."""
+"""An in-sync member that tries to become primary, or a primary that forms its next view."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class _PreVoteRound:
-    """One round of pre-votes: would a quorum let this member try?"""
+    """One round of pre-votes, which asks whether a quorum lets this member try to become primary."""
 
     number: int
     view: View
@@ -25,9 +25,9 @@
 class Candidate:
     """Collects pre-votes, and then runs one view change. Times are seconds of the member's clock.
 
-    Pre-votes come first because a view change costs the present primary its role: a member that was merely
-    partitioned from the others must not raise epochs when it comes back. A backup therefore begins only once
-    a quorum too has not seen the primary lately.
+    Pre-votes come first because a view change takes the role from the current primary: a member that was only
+    partitioned from the others must not raise epochs when it reconnects. A backup therefore starts a view
+    change only once a quorum has not seen the primary recently either.
 
     Source: Raft, section 9.6 of the thesis (Ongaro, 2014); Paxos Made Simple, section 2.2 (proposers).
 
@@ -43,9 +43,10 @@
 
         Args:
             member_id: The identity of this member.
-            outbound: Takes the requests to the others.
+            outbound: Receives the requests to the other members.
             timing: Time-outs.
-            random_source: Staggers candidates, so that two do not outbid each other again and again.
+            random_source: Source of the random delays that keep two candidates from superseding each other
+                repeatedly.
         """
         self._member_id = member_id
         self._outbound = outbound
@@ -58,27 +59,27 @@
         self.highest_epoch = 0
 
     def observe_epoch(self, epoch: int) -> None:
-        """An epoch that another has promised or proposed."""
+        """Records an epoch that another member has promised or proposed."""
         self.highest_epoch = max(self.highest_epoch, epoch)
 
     def postpone_until(self, when: float) -> None:
-        """No attempt before this time."""
+        """Prevents attempts before this time."""
         self._next_attempt_at = max(self._next_attempt_at, when)
 
     def request_pre_votes(self, now: float, view: View) -> None:
-        """Asks whether the others too miss the primary of the view, if it is time."""
+        """Asks the witnesses whether they have not heard the primary either, if a round is due."""
         if self.view_change is not None or now < self._next_attempt_at:
             return
         if self._pre_vote_round is not None and now < self._pre_vote_round.ends_at:
             return
         self._pre_vote_rounds += 1
-        ends_at = now + self._timing.pre_vote_s * (1 + self._random_source.random())
+        ends_at = now + self._timing.pre_vote_timeout_s * (1 + self._random_source.random())
         self._pre_vote_round = _PreVoteRound(self._pre_vote_rounds, view, ends_at)
         for member in view.all_witnesses:
             self._outbound.send(member, PreVoteRequest(self._pre_vote_rounds))
 
     def receive_pre_vote(self, now: float, sender: str, number: int) -> None:
-        """A member would let this one try; with a quorum of them a view change begins."""
+        """Counts a granted pre-vote; starts a view change once a quorum has granted."""
         pre_vote_round = self._pre_vote_round
         if pre_vote_round is None or pre_vote_round.number != number or now >= pre_vote_round.ends_at:
             return
@@ -87,29 +88,29 @@
             self.start(now, pre_vote_round.view)
 
     def start(self, now: float, base: View) -> None:
-        """Begins a view change with an epoch above all that were seen."""
+        """Starts a view change with an epoch higher than all that were seen."""
         self._pre_vote_round = None
         self.highest_epoch = max(self.highest_epoch, base.epoch) + 1
         self.view_change = ViewChangeRound(self.highest_epoch, base, now, self._timing)
         self._prepare(self.view_change.participants)
 
     def abandon(self, now: float) -> None:
-        """Gives up what is under way and leaves others some time."""
+        """Abandons the attempt in progress and gives other candidates some time."""
         self.view_change = None
         self._pre_vote_round = None
         self.postpone_until(now + self._timing.rank_stagger_s * (1 + self._random_source.random()))
 
     def propose(self, view: View) -> None:
-        """Begins the second phase: asks for the acceptance of `view`."""
+        """Starts the second phase: asks the members to accept `view`."""
         assert self.view_change is not None
         self.view_change.propose(view)
         self._send_proposal(self.view_change.participants)
 
     def tick(self, now: float) -> None:
-        """Repeats what may have been lost; gives up what takes too long."""
+        """Resends requests that may have been lost; abandons an attempt that takes too long."""
         if self.view_change is None:
             return
-        if self.view_change.is_over(now):
+        if self.view_change.has_timed_out(now):
             self.abandon(now)
             return
         unanswered = self.view_change.resend_to(now)
--- a/larchgw/replication/compaction.py
+++ b/larchgw/replication/compaction.py
@@ -1,4 +1,4 @@
-"""When a member replaces the beginning of its log by a snapshot."""
+"""Decides when a member replaces the beginning of its log by a snapshot."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from .settings import MemberSettings
 
 DISK_RETRY_S = 5.0  # after a failed compaction
-POSTPONED_FACTOR = 2  # the log may grow to so many times its bounds while a member is sent a snapshot
+POSTPONED_FACTOR = 2  # multiplies the limits of the log while a snapshot is being sent
 
 
 class Compaction:
-    """Cuts the log once it has grown past its bounds. Times are seconds of the member's clock."""
+    """Compacts the log once it exceeds its limits. Times are seconds of the member's clock."""
 
     def __init__(self, replica: Replica, settings: MemberSettings, snapshot: Callable[[], bytes]) -> None:
-        """Begins.
+        """Creates the policy for one log.
 
         Args:
             replica: The log.
-            settings: Its bounds.
-            snapshot: Gives the caller's state as of the last record that was handed to it.
+            settings: The limits of the log.
+            snapshot: Returns the caller's state as of the last record that was delivered to it.
         """
         self._replica = replica
         self._settings = settings
@@ -28,13 +28,13 @@
         self._retry_at = 0.0
 
     def tick(self, now: float, delivered: int, is_sending_snapshot: bool) -> None:
-        """Compacts up to `delivered`, the last record handed out, if the log has grown past its bounds.
+        """Compacts up to `delivered`, the last delivered record, if the log exceeds its limits.
 
-        While a snapshot is being sent the log may grow further, so that its receiver finds the records after
-        it: otherwise compactions could outrun a slow transfer for ever.
+        While a snapshot is being sent the limits are higher, so that the records after it are still there for
+        its receiver. Otherwise compactions could overtake a slow transfer each time.
 
         Raises:
-            OSError: The disk refuses; it is tried again after some seconds.
+            OSError: The snapshot cannot be stored; compaction is retried after `DISK_RETRY_S`.
         """
         if not self._has_outgrown(POSTPONED_FACTOR if is_sending_snapshot else 1):
             return
--- a/larchgw/replication/effects.py
+++ b/larchgw/replication/effects.py
@@ -1,4 +1,4 @@
-"""What a member asks of its caller after each call."""
+"""What the caller of a member has to do after each call."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Role(Enum):
-    """What a member is to the log. Votes as a witness are independent of it."""
+    """The role of a member for the log. Its votes as a witness are independent of it."""
 
-    LEARNER = auto()  # not in sync: no data, or behind
+    LEARNER = auto()  # not in sync: has no data, or lags behind
     BACKUP = auto()
     PRIMARY = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """Stands for one `propose`, `confirm` or `announce` until an Effects lists it as done or failed.
+    """Identifies a `propose`, `confirm` or `announce` call until an Effects lists it as done or failed.
 
     Attributes:
         number: Unique within one member.
@@ -29,11 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDone:
-    """A call has ended well.
+    """A call has succeeded.
 
     Attributes:
         call: The call.
-        index: Where the proposed record is, or as of which record the read is confirmed; 0 for `announce`.
+        index: The index of the proposed record, or the record as of which the read is confirmed; 0 for
+            `announce`.
     """
 
     call: PendingCall
@@ -44,8 +45,11 @@
 class CallFailed:
     """A call has failed.
 
-    Attributes: call: The call. reason: Why. may_be_committed: Whether the record may still be acknowledged by
-    another primary: never answer the call as rejected.
+    Attributes:
+        call: The call.
+        reason: Why it failed.
+        may_be_committed: Whether another primary may still acknowledge the record. The caller must then not
+            report the call as rejected.
     """
 
     call: PendingCall
@@ -55,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """One message to send; it may be lost, doubled or late.
+    """A message to send; it may be lost, duplicated or delayed.
 
     Attributes:
-        address: The rpc address it goes to.
+        address: The RPC address of the receiver.
         message: The message.
     """
 
@@ -81,11 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class InstalledSnapshot:
-    """A snapshot that takes the place of the caller's state.
+    """A snapshot that replaces the caller's state.
 
     Attributes:
-        index: The record as of which it was taken.
-        content: The bytes that the caller of some member gave.
+        index: The last record whose effect it includes.
+        content: The bytes that the caller of some member provided as its state.
     """
 
     index: int
@@ -94,15 +98,17 @@
 
 @dataclass(slots=True)
 class Effects:
-    """What a call asks of the caller, in this order: `installed`, `committed`, `done`, `failed`, `messages`.
+    """What the caller has to handle after a call.
+
+    The order is `installed`, `committed`, `done`, `failed`, `messages`.
 
     Attributes:
         messages: Messages to send.
         installed: A snapshot that replaces the caller's state.
         committed: Acknowledged records, each once and in order of index, on every member.
-        done: Calls that have ended well.
+        done: Calls that have succeeded.
         failed: Calls that have failed.
-        role: The new role; None where it has not changed.
+        role: The new role; None if it has not changed.
     """
 
     messages: list[OutgoingMessage] = field(default_factory=list)
--- a/larchgw/replication/effects_collector.py
+++ b/larchgw/replication/effects_collector.py
@@ -1,4 +1,4 @@
-"""What the calls of a member come to: records handed out, calls ended, the role it plays."""
+"""Collects the effects of a member's calls: delivered records, completed calls, and its role."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class EffectsCollector:
-    """Collects the `Effects` of one call after the other, and what they must go on from.
+    """Collects the `Effects` of each call, and the state that later calls continue from.
 
     Attributes:
-        delivered: The last record that was handed out, or that a snapshot handed out stands for.
+        delivered: The last record that was delivered, by itself or as part of a snapshot.
     """
 
     def __init__(self, replica: Replica, deliver_bytes: int) -> None:
-        """Begins with nothing handed out.
+        """Begins with nothing delivered.
 
         Args:
             replica: The log.
-            deliver_bytes: Records times the size of the state that are handed out at a time.
+            deliver_bytes: Limit of the number of records times the size of the state that one call delivers.
         """
         self._replica = replica
         self._deliver_bytes = deliver_bytes
@@ -33,46 +33,46 @@
         self.delivered = 0
 
     def add_proposal(self, index: int) -> PendingCall:
-        """A call that ends once the record at `index` is acknowledged and handed out."""
+        """Adds a call that is done once the record at `index` is acknowledged and delivered."""
         return self._pending_calls.add_proposal(index)
 
     def add_read(self, heartbeat_round: int) -> PendingCall:
-        """A call that ends once a quorum has granted the heartbeat `heartbeat_round` or a later one."""
+        """Adds a call that is done once a quorum has granted heartbeat `heartbeat_round` or a later one."""
         return self._pending_calls.add_read(heartbeat_round)
 
     def add_announcement(self) -> PendingCall:
-        """A call that ends with `end_announcements` or `fail_announcements`."""
+        """Creates a call that ends with `complete_announcements` or `fail_announcements`."""
         return self._pending_calls.add_announcement()
 
-    def end_announcements(self, calls: Iterable[PendingCall]) -> None:
-        """A quorum of witnesses remembers the acts that these calls announced."""
-        self._pending_calls.end_announcements(calls, self._effects)
+    def complete_announcements(self, calls: Iterable[PendingCall]) -> None:
+        """Completes calls: a quorum of witnesses remembers the actions that they announced."""
+        self._pending_calls.complete_announcements(calls, self._effects)
 
     def fail_announcements(self, calls: Iterable[PendingCall], reason: str) -> None:
-        """The acts that these calls announced must not be begun."""
+        """Fails calls: the actions that they announced must not be started."""
         self._pending_calls.fail_announcements(calls, reason, self._effects)
 
     def fail_calls(self, reason: str) -> None:
-        """The member is primary no more."""
+        """Fails all proposals and reads because the member is no longer primary."""
         self._pending_calls.fail(reason, self._effects)
 
     def start_from(self, index: int, snapshot: bytes) -> None:
-        """Hands out the snapshot on the disk, if there is one (`index` above 0)."""
+        """Delivers the snapshot on the disk, if there is one (`index` above 0)."""
         if index:
             self._effects.installed = InstalledSnapshot(index, snapshot)
         self.delivered = index
 
     def install(self, snapshot: InstalledSnapshot) -> None:
-        """A snapshot has replaced the log: it is handed out in place of the records before it."""
+        """Delivers a snapshot that has replaced the log, in place of the records that it includes."""
         self._effects.installed = snapshot
         self._effects.committed = []
         self.delivered = snapshot.index
 
     def deliver(self) -> None:
-        """Hands out acknowledged records.
+        """Delivers acknowledged records.
 
-        A few at a time where the state is large: the caller needs time for each, and heartbeats must go on
-        meanwhile.
+        If the state is large, a call delivers only a few: the caller takes time in proportion to the state
+        for each record, and heartbeats must continue in between.
         """
         if self.delivered >= self._replica.committed:
             return
@@ -82,26 +82,26 @@
         self._effects.committed.extend(CommittedRecord(index, record) for index, record in records)
         self.delivered = last
 
-    def complete_calls(self, leading: Leadership, self_granted: bool) -> None:
-        """Ends the calls whose records have been handed out, and the reads that are proven.
+    def complete_calls(self, leadership: Leadership, self_granted: bool) -> None:
+        """Completes the proposals whose records have been delivered, and the reads that are confirmed.
 
         Args:
-            leading: The view in which this member is primary.
-            self_granted: Whether its own witness grants its heartbeats.
+            leadership: The state of this member as primary.
+            self_granted: Whether this member, as a witness, grants its own heartbeats.
         """
         self._pending_calls.acknowledge(self.delivered, self._effects)
-        has_all = leading.is_ready and self.delivered == self._replica.committed
+        has_all = leadership.is_ready and self.delivered == self._replica.committed
         if self._pending_calls.has_reads and has_all:
-            proven_round = leading.proven_round(self_granted)
+            proven_round = leadership.proven_round(self_granted)
             self._pending_calls.confirm(proven_round, self._replica.committed, self._effects)
 
     def update_role(self, role: Role) -> None:
-        """Reports the role where it has changed."""
+        """Adds the role to the effects if it has changed."""
         if role is not self._role:
             self._role = self._effects.role = role
 
     def take(self, outbound: OutboundMessages) -> Effects:
-        """The effects so far, with the messages of the outbound; the next ones begin empty."""
+        """Returns and clears the effects collected so far, together with the outbound messages."""
         effects, self._effects = self._effects, Effects()
         effects.messages = outbound.drain()
         return effects
--- a/larchgw/replication/errors.py
+++ b/larchgw/replication/errors.py
@@ -1,4 +1,4 @@
-"""Errors of replication."""
+"""Errors of the replication package."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 
 
 class NotPrimaryError(ReplicationError):
-    """Only the primary takes this call: send it there, or try again once there is one.
+    """The call was sent to a member that is not primary; send it to the primary, or retry once there is one.
 
     Attributes:
         member_id: The member that refused the call.
-        primary: Rpc address of the primary, as far as the member knows.
+        primary: RPC address of the primary, as far as the member knows.
     """
 
     def __init__(self, member_id: str, primary: str | None) -> None:
         """See the attributes."""
-        super().__init__(f"{member_id} is not primary; send this to {primary or 'another member'}")
+        super().__init__(
+            f"member {member_id} is not the primary; send the call to {primary or 'another member'}"
+        )
         self.member_id = member_id
         self.primary = primary
 
 
 class MessageDecodeError(ReplicationError):
-    """A body that is no message of this protocol; it is dropped. Check that all members run one version.
+    """A received body is not a valid message and is dropped; check that all members run the same version.
 
     Attributes:
-        kind: The kind under which the transport carried it.
+        kind: The message type that the transport named.
     """
 
     def __init__(self, kind: str, reason: str) -> None:
         """See the attributes; `reason` says what could not be read."""
-        super().__init__(f"a {kind!r} message cannot be read: {reason}; do all members run one version?")
+        super().__init__(
+            f"cannot decode {kind!r} message: {reason}; check that all members run the same version"
+        )
         self.kind = kind
--- a/larchgw/replication/follower.py
+++ b/larchgw/replication/follower.py
@@ -1,4 +1,4 @@
-"""What a member does for a primary: answers heartbeats, takes records in, asks to be taken in itself."""
+"""What a member does for a primary: answers heartbeats, stores records, and asks to join when out of sync."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     """Follows the primary of the last accepted view. Times are seconds of the member's clock.
 
     Attributes:
-        primary_seen_at: When a primary was last heard from; None until one was.
+        primary_seen_at: When a primary was last heard; None if none was since the start.
         incoming: The snapshot that is being received.
     """
 
@@ -43,10 +43,10 @@
 
         Args:
             member_id: The identity of this member.
-            address: Its rpc address, under which the others reach it.
-            witness: The epoch promised and the view accepted here.
+            address: Its RPC address.
+            witness: The epoch promised and the view accepted by this member.
             replica: The log.
-            outbound: Takes the replies.
+            outbound: Receives the replies.
             timing: Time-outs.
         """
         self._member_id = member_id
@@ -58,36 +58,36 @@
         self._started_at = 0.0
         self._next_join_at = 0.0
         self._matched_in_epoch = 0
-        self._matched = 0  # the log is the primary's up to here, in `_matched_in_epoch`
+        self._matched = 0  # up to this index the log equals that of the primary of `_matched_in_epoch`
         self.primary_seen_at: float | None = None
         self.incoming = IncomingSnapshot()
 
     def start(self, now: float) -> None:
-        """Once, before any other call. A primary has as long to be heard as if it had just been."""
+        """Called once, before any other call. The time-out of the primary starts now."""
         self._started_at = now
         self._next_join_at = now
 
     def has_recent_primary(self, now: float) -> bool:
-        """Whether a primary was heard so lately that nobody should try to replace it."""
+        """Whether a primary was heard so recently that no member should try to replace it."""
         return (
             self.primary_seen_at is not None
-            and now - self.primary_seen_at < self._timing.primary_silence_s * 0.8
+            and now - self.primary_seen_at < self._timing.primary_timeout_s * 0.8
         )
 
     def candidacy_due_at(self, view: View) -> float:
         """When this member, in sync in `view`, should try to become primary."""
         rank = view.in_sync.index(self._member_id)
         if self.primary_seen_at is not None:
-            return self.primary_seen_at + self._timing.primary_silence_s + rank * self._timing.rank_stagger_s
+            return self.primary_seen_at + self._timing.primary_timeout_s + rank * self._timing.rank_stagger_s
         if rank == 0:
             return self._started_at + self._timing.own_restart_s
-        return self._started_at + self._timing.primary_silence_s + rank * self._timing.rank_stagger_s
+        return self._started_at + self._timing.primary_timeout_s + rank * self._timing.rank_stagger_s
 
     def heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> None:
-        """The primary of an epoch is there.
+        """Answers the heartbeat of a primary.
 
-        Unless a higher epoch is promised, granting it is a proof for its reads. A primary that lacks a newer
-        view is sent it.
+        It is granted unless a higher epoch is promised; a grant confirms the primary's reads. The reply
+        carries the accepted view if it is newer than the primary's.
         """
         promised, view = self._witness.promised, self._witness.view
         granted = promised <= heartbeat.epoch
@@ -102,7 +102,7 @@
         )
 
     def append(self, now: float, sender: str, append: Append) -> None:
-        """Takes records of the primary. Those of a view that is not accepted here are dropped."""
+        """Stores records of the primary. Those of a view that this member has not accepted are dropped."""
         if not self._follows(sender, append.epoch):
             return
         self.primary_seen_at = now
@@ -116,7 +116,7 @@
         self._outbound.send(sender, AppendReply(append.epoch, matched, index))
 
     def install(self, now: float, sender: str, install: InstallSnapshot) -> InstalledSnapshot | None:
-        """Takes a chunk of the primary's snapshot; returns the snapshot once it has replaced the log."""
+        """Handles a chunk of the primary's snapshot; returns the snapshot once it has replaced the log."""
         if not self._follows(sender, install.epoch):
             return None
         self.primary_seen_at = now
@@ -142,7 +142,7 @@
         self._outbound.send(sender, AppendReply(install.epoch, True, install.index))
 
     def request_join(self, now: float, contacts: Iterable[str]) -> None:
-        """While this member is not in sync it asks to be brought up to date, time and again."""
+        """Sends a request to join, if one is due; called repeatedly while this member is not in sync."""
         if now < self._next_join_at:
             return
         self._next_join_at = now + self._timing.join_interval_s
--- a/larchgw/replication/graceful_leave.py
+++ b/larchgw/replication/graceful_leave.py
@@ -1,7 +1,7 @@
-"""Graceful leave: a member that will end asks the primary to go on without it, and ends once it has agreed.
+"""Graceful leave: a member asks the primary to continue without it, and shuts down once the primary agrees.
 
-Nothing acknowledged depends on this: a member that is killed while it leaves is a member that is lost. What
-it gives is that the end costs no redundancy that the others could have had before it.
+No acknowledged record depends on this: a member that is killed while it leaves is treated as lost. Graceful
+leave only ensures that the shutdown does not reduce redundancy that the other members could have kept.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class LeavingMembers:
-    """What this member knows of others that leave.
+    """The other members that are leaving, as far as this member knows.
 
-    Kept in memory, by every member: whoever becomes primary next knows it already. A member that stops
-    repeating its wish has ended, or come back.
+    Every member tracks them in memory, so that the next primary already knows them. A member that stops
+    repeating its request has shut down or has come back.
     """
 
     def __init__(self, timing: Timing) -> None:
@@ -30,68 +30,68 @@
         self._released: set[str] = set()
 
     def observe_request(self, now: float, member: str) -> None:
-        """The member wants to leave."""
+        """Records a request to leave."""
         self._requested_at[member] = now
 
     def observe_return(self, member: str) -> None:
-        """The member wants to be taken in: it is back."""
+        """Forgets the request of a member that asks to join again."""
         self._requested_at.pop(member, None)
         self._released.discard(member)
 
     def leaving(self, now: float) -> frozenset[str]:
-        """Who wants to leave now."""
+        """The members that are leaving now."""
         self._drop_silent(now)
         return frozenset(self._requested_at)
 
     def release(self, member: str) -> None:
-        """This member, as primary, has agreed to the end of the other."""
+        """Records that this member, as primary, has granted the request of `member`."""
         self._released.add(member)
 
     def released(self, now: float) -> frozenset[str]:
-        """Whose end was agreed to, and who has not been back since: their votes are not counted on."""
+        """Members whose request was granted and that have not come back; their votes do not count."""
         self._drop_silent(now)
         return frozenset(self._released)
 
     def volatile_state(self) -> tuple[object, ...]:
-        """What messages have changed, times left out."""
+        """All state that messages have changed, without times."""
         return (frozenset(self._requested_at), frozenset(self._released))
 
     def _drop_silent(self, now: float) -> None:
         for member in [
-            member for member, at in self._requested_at.items() if now - at > self._timing.backup_silence_s
+            member for member, at in self._requested_at.items() if now - at > self._timing.backup_timeout_s
         ]:
             del self._requested_at[member]
             self._released.discard(member)
 
 
 class GracefulLeave:
-    """The graceful leave of this member: begun once, and requested again and again until the primary agrees.
+    """The graceful leave of this member, requested repeatedly until the primary agrees.
 
     Attributes:
-        has_begun: Whether the end is wanted.
+        has_begun: Whether this member is leaving.
     """
 
     def __init__(self, member_id: str, outbound: OutboundMessages, timing: Timing) -> None:
-        """Begins without the wish to leave.
+        """Creates the state of a member that is not leaving.
 
         Args:
             member_id: The identity of this member.
-            outbound: Takes the requests.
+            outbound: Receives the requests.
             timing: Time-outs.
         """
         self._member_id = member_id
         self._outbound = outbound
         self._timing = timing
         self._next_request_at = 0.0
-        self._granted_epoch = 0  # the primary of this epoch goes on without this member
+        self._granted_epoch = 0  # the newest epoch whose primary continues without this member
         self.has_begun = False
 
     def begin(self) -> None:
-        """The end is wanted; this cannot be taken back."""
+        """Starts to leave; this cannot be revoked."""
         self.has_begun = True
 
     def request(self, now: float, view: View | None) -> None:
-        """Asks everyone in the view, if it is time: whoever is primary, or is about to be, should know."""
+        """Sends the request, if it is due, to all members of the view: one may be the next primary."""
         if view is None or now < self._next_request_at:
             return
         self._next_request_at = now + self._timing.leave_interval_s
@@ -100,15 +100,15 @@
                 self._outbound.send(member, LeaveRequest(self._member_id))
 
     def receive_granted(self, message: LeaveGranted) -> None:
-        """A primary goes on without this member."""
+        """Records that a primary continues without this member."""
         self._granted_epoch = max(self._granted_epoch, message.epoch)
 
     def volatile_state(self) -> tuple[object, ...]:
-        """What calls and messages have changed, times left out."""
+        """All state that calls and messages have changed, without times."""
         return (self.has_begun, self._granted_epoch)
 
     def is_complete(self, view: View | None) -> bool:
-        """Whether nobody counts on this member any more, as far as it knows by the last view it accepted."""
+        """Whether no member relies on this one any more, judging by `view`, the last that it accepted."""
         if not self.has_begun:
             return False
         return view is None or self._granted_epoch >= view.epoch
--- a/larchgw/replication/identity.py
+++ b/larchgw/replication/identity.py
@@ -1,4 +1,4 @@
-"""Who a member is: durable before it says anything."""
+"""The identity of a member, which is durable before the member sends any message."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """`is_new`: the disk held none."""
+    """The identity of a member. `is_new`: whether there was none on the disk."""
 
     id: MemberId
     is_new: bool
@@ -24,11 +24,11 @@
 def load_or_create_identity(
     cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseAcceptor
 ) -> Identity:
-    """The identity on the disk, or a new one.
+    """Loads the identity from the disk, or creates one.
 
-    A seed at the first boot is named by its address and takes the first view for granted; any other empty
-    disk has a fresh identity without vote or data. The identity is stored last: while it is missing, nothing
-    that was stored before it has been relied on.
+    A seed at the first boot takes its address as its identity and assumes the initial view. Any other member
+    with an empty disk gets a fresh identity, without a vote and without data. The identity is stored last:
+    while it is missing, no other member has relied on the state that was stored before it.
     """
     stored = cell.load()
     if stored is not None:
@@ -42,5 +42,5 @@
 
 
 def store_identity(cell: Cell, identity: str) -> None:
-    """Makes this the identity on the disk."""
+    """Stores the identity on the disk."""
     cell.store(json.dumps({"id": identity}).encode())
--- a/larchgw/replication/leadership.py
+++ b/larchgw/replication/leadership.py
@@ -1,4 +1,4 @@
-"""What an acting primary does: sends records, counts copies, proves reads, and watches its peers."""
+"""The work of an acting primary: sends records, counts copies, confirms reads, and monitors its peers."""
 
 from __future__ import annotations
 
@@ -16,18 +16,22 @@
     """The primary of one view that a quorum has accepted; replaced with each further view that it forms.
 
     Why an acknowledged record is never lost: it is acknowledged once it is durable at the primary and at
-    every backup, those of a proposed view included (`commit_index`). So every in-sync member of whatever view
-    comes next has it, and only in-sync members become primary.
+    every backup, including those of a proposed view (`commit_index`). So every in-sync member of the next
+    view has it, whichever view that is, and only in-sync members become primary.
 
     Why a read is never stale: it is confirmed once a quorum has granted a heartbeat that was sent after the
-    read began (`proven_round`). A view formed before would have had the promise of a witness in that quorum.
+    read began (`proven_round`). A view that was formed before has the promise of a witness in that quorum,
+    which would have refused the heartbeat.
 
     Times are seconds of the member's clock.
 
-    Attributes: view: The view. round: Number of the newest heartbeat. takeover_index: The last record of the
-    log when the role was won; until all up to there is acknowledged, nothing new is taken. joined: Members
-    that asked to be brought up to date, and when last. refused_since: When a member first refused a heartbeat
-    because it has promised a higher epoch.
+    Attributes:
+        view: The view.
+        round: Number of the newest heartbeat.
+        takeover_index: The last record of the log when this member became primary. New records are accepted
+            only once all records up to this one are acknowledged.
+        joined: Members that asked to be brought up to date, with the time of their last request.
+        refused_since: When a member first refused a heartbeat because it has promised a higher epoch.
     """
 
     def __init__(
@@ -47,12 +51,12 @@
             member_id: The identity of this member.
             view: The view that was accepted.
             replica: The log.
-            outbound: Takes the messages.
-            settings: Copies needed, and time-outs.
+            outbound: Receives the messages to send.
+            settings: The number of copies needed, and time-outs.
             now: Seconds of the member's clock.
-            predecessor: The view that this member led before, if it stays primary.
-            leaving: Who asked to be left out before a planned end: such a member did nothing wrong, and may
-                come back as soon as it likes.
+            predecessor: The leadership of the previous view, if this member was its primary.
+            leaving: Members that asked to be left out before a planned shutdown. They were not faulty, so
+                they may rejoin without the delay.
         """
         self.view = view
         self._member_id = member_id
@@ -63,7 +67,7 @@
         self._peers: dict[str, Peer] = {}
         self._sender = LogSender(view.epoch, replica, outbound, settings, self._peers)
         self._proposed_backups: set[str] = set()
-        self._entering: frozenset[str] = frozenset()  # a view change is in progress to take them in
+        self._joining_backups: frozenset[str] = frozenset()  # members that the view change in progress adds
         self._heartbeat_at = now
         self.round = 0
         self.takeover_index = replica.last_index
@@ -91,25 +95,26 @@
         replicating = member in self.view.backups or member in self.joined
         self._peers[member] = Peer(last_seen_at, self._replica.last_index + 1, replicating=replicating)
 
-    # ---- what is proven ----
+    # ---- acknowledgements and reads ----
 
     @property
     def is_ready(self) -> bool:
-        """Whether everything it took over is acknowledged.
+        """Whether all records of earlier views are acknowledged.
 
-        Only then may it judge new records or confirm reads.
+        Only then may it accept new records or confirm reads.
         """
         return self._replica.committed >= self.takeover_index
 
     def commit_index(self) -> int:
-        """Up to where records are durable at the primary and at every backup.
+        """The index up to which records are durable at the primary and at every backup.
 
-        Those of a proposed view count as well: it may be chosen without this primary knowing, and its members
-        would be taken to hold everything acknowledged. So do members that are about to be taken in.
+        The backups of a proposed view count as well: the view may be chosen without this primary knowing it,
+        and all its in-sync members are assumed to hold every acknowledged record. Members that are about to
+        join count too.
         """
         if len(self.view.in_sync) < self._settings.tolerated_failures + 1:
             return self._replica.committed
-        required = set(self.view.backups) | self._proposed_backups | self._entering
+        required = set(self.view.backups) | self._proposed_backups | self._joining_backups
         required.discard(self._member_id)
         copies = [self._peers[member].match_index for member in required if member in self._peers]
         if len(copies) < len(required):
@@ -117,7 +122,7 @@
         return max(self._replica.committed, min([self._replica.last_index, *copies]))
 
     def proven_round(self, self_granted: bool) -> int:
-        """The newest heartbeat that a quorum has granted: the view stood when it was sent."""
+        """The newest heartbeat that a quorum has granted: no later view existed when it was sent."""
         rounds = {member: peer.round for member, peer in self._peers.items()}
         if self_granted:
             rounds[self._member_id] = self.round
@@ -127,26 +132,26 @@
         return 0
 
     def has_contact(self, now: float) -> bool:
-        """Whether a quorum has been heard of lately."""
+        """Whether a quorum has been heard recently."""
         heard = {
             member
             for member, peer in self._peers.items()
-            if now - peer.last_seen_at <= self._timing.quorum_contact_s
+            if now - peer.last_seen_at <= self._timing.quorum_timeout_s
         }
         return self.view.has_quorum(heard | {self._member_id})
 
     # ---- views ----
 
-    def set_entering(self, members: frozenset[str]) -> None:
-        """Sets the members that the view change which begins now is to take in; none if no change is needed.
+    def set_joining_backups(self, members: frozenset[str]) -> None:
+        """Sets the members that the view change which begins now adds; none if no change is needed.
 
-        Until its end nothing is acknowledged without them. Otherwise they would be a record behind again when
-        the view is composed, and with a steady stream of changes never enter.
+        Until it ends no record is acknowledged without them. Otherwise they would lag by a record again when
+        the view is composed, and would never join during a steady stream of changes.
         """
-        self._entering = members
+        self._joining_backups = members
 
     def propose(self, view: View) -> None:
-        """A view was proposed: until it is decided its backups, too, must hold what is acknowledged."""
+        """Records a proposed view. Until it is decided, acknowledged records need its backups, too."""
         self._proposed_backups.update(view.backups)
         for member in view.members:
             self._peer(member, NEVER)
@@ -154,12 +159,12 @@
     def observe_members(
         self, now: float, replaced: frozenset[str], leaving: frozenset[str]
     ) -> ObservedMembers:
-        """What the next view is to be planned by.
+        """Returns the observations from which the next view is planned.
 
         Args:
             now: Seconds of the member's clock.
-            replaced: Identities whose address now belongs to another.
-            leaving: Members that are about to end.
+            replaced: Identities whose address now belongs to another member.
+            leaving: Members that are about to shut down.
         """
         healthy = {
             member
@@ -174,7 +179,7 @@
         lost = {
             member
             for member, peer in self._peers.items()
-            if member in replaced or now - peer.last_seen_at > self._timing.witness_silence_s
+            if member in replaced or now - peer.last_seen_at > self._timing.witness_timeout_s
         }
         addresses = {
             member: address
@@ -184,9 +189,9 @@
         return ObservedMembers(frozenset(healthy), tuple(sorted(ready)), frozenset(lost), leaving, addresses)
 
     def can_release(self, now: float, member: str, released: frozenset[str]) -> bool:
-        """Whether this member may end, and those `released` before too.
+        """Whether `member` may shut down in addition to those `released` before.
 
-        No acknowledgement waits for its copy, and the others that are there are a quorum.
+        It may if no acknowledgement waits for its copy and the other reachable members are a quorum.
         """
         if member in self.view.in_sync or member in self._proposed_backups:
             return False
@@ -194,14 +199,14 @@
         return self.view.has_quorum((present | {self._member_id}) - released - {member})
 
     def _is_healthy(self, now: float, peer: Peer) -> bool:
-        return peer.is_healthy(now, self._timing.backup_silence_s)
+        return peer.is_healthy(now, self._timing.backup_timeout_s)
 
     def _may_join_in_sync_set(self, now: float, member: str, leaving: frozenset[str]) -> bool:
         peer = self._peers[member]
         if member in self.view.in_sync or not peer.replicating:
             return False
         if peer.match_index < max(self._replica.committed, self.takeover_index):
-            # What was taken over may all be acknowledged, though this primary does not know yet.
+            # Records of earlier views may all be acknowledged without this primary knowing it yet.
             return False
         staying = [backup for backup in self.view.backups if backup not in leaving]
         short = (
@@ -210,8 +215,8 @@
         )
         return short or now - self._removed_at.get(member, NEVER) >= self._timing.rejoin_delay_s
 
-    def reset_silence(self, now: float) -> None:
-        """This process itself did not run: what it did not hear in that time says nothing of the others."""
+    def restart_timeouts(self, now: float) -> None:
+        """Restarts the time-outs of all peers after a pause of this process, which heard nobody."""
         for peer in self._peers.values():
             peer.last_seen_at = max(peer.last_seen_at, now)
             peer.overdue_at = None
@@ -219,7 +224,7 @@
     # ---- sending ----
 
     def join(self, now: float, member: str) -> None:
-        """A member that is not in sync asks for records."""
+        """Handles the request of a member outside the in-sync set to receive records."""
         if member in self.view.in_sync:
             return
         self.joined[member] = now
@@ -232,7 +237,7 @@
         self._send_view(now, member, peer)
 
     def heartbeat(self, now: float) -> None:
-        """A new round to everyone."""
+        """Sends the heartbeat of a new round to all peers."""
         self.round += 1
         self._heartbeat_at = now + self._timing.heartbeat_interval_s
         heartbeat = Heartbeat(self.view.epoch, self.round, self._replica.committed)
@@ -240,7 +245,7 @@
             self._outbound.send(member, heartbeat)
 
     def tick(self, now: float) -> None:
-        """Heartbeats, records that are due, and forgetting of members that stopped asking."""
+        """Sends due heartbeats and records, and forgets members that stopped sending requests."""
         if now >= self._heartbeat_at:
             self.heartbeat(now)
         self.replicate(now)
@@ -252,18 +257,18 @@
             for member, peer in self._peers.items()
             if member not in self.view.members
             and member not in self._proposed_backups
-            and now - peer.last_seen_at > self._timing.forget_peer_s
+            and now - peer.last_seen_at > self._timing.peer_expiry_s
         ]:
             del self._peers[member]
             self.joined.pop(member, None)
 
     def replicate(self, now: float) -> None:
-        """Sends each replica what it lacks."""
+        """Sends each replica the records that it lacks."""
         self._sender.replicate(now)
 
     @property
     def is_sending_snapshot(self) -> bool:
-        """Whether some member is being sent a snapshot: the records after it should be kept until then."""
+        """Whether a snapshot is being sent; the records after it should be kept until it has arrived."""
         return self._sender.is_sending_snapshot
 
     def _send_view(self, now: float, member: str, peer: Peer) -> None:
@@ -271,10 +276,10 @@
             peer.view_sent_at = now
             self._outbound.send(member, Accept(self.view))
 
-    # ---- answers ----
+    # ---- replies ----
 
     def heartbeat_reply(self, now: float, sender: str, reply: HeartbeatReply) -> None:
-        """A peer has answered a heartbeat of this epoch."""
+        """Handles the reply to a heartbeat of this epoch."""
         peer = self._observe_reply(now, sender, reply.epoch)
         if peer is None:
             return
@@ -287,19 +292,19 @@
             self._send_view(now, sender, peer)
 
     def append_reply(self, now: float, sender: str, reply: AppendReply) -> None:
-        """A replica has answered records of this epoch, or has installed a snapshot."""
+        """Handles the reply of a replica to records of this epoch, or to the last chunk of a snapshot."""
         peer = self._observe_reply(now, sender, reply.epoch)
         if peer is not None:
             self._sender.append_reply(now, sender, peer, reply)
 
     def install_reply(self, now: float, sender: str, reply: InstallSnapshotReply) -> None:
-        """A replica says how far a snapshot of this epoch has come."""
+        """Handles the progress report of a replica that receives a snapshot of this epoch."""
         peer = self._observe_reply(now, sender, reply.epoch)
         if peer is not None:
             self._sender.install_reply(now, sender, peer, reply)
 
     def _observe_reply(self, now: float, sender: str, epoch: int) -> Peer | None:
-        """The peer that replied, if it is known and the reply is of this epoch."""
+        """Records the contact; returns the peer if it is known and the reply is of this epoch."""
         peer = self._peers.get(sender)
         if peer is None or epoch != self.view.epoch:
             return None
@@ -307,12 +312,12 @@
         return peer
 
     def volatile_state(self) -> tuple[object, ...]:
-        """Everything that answers have changed, times left out."""
+        """All state that replies have changed, without times."""
         peers = tuple((member, *peer.volatile_state()) for member, peer in sorted(self._peers.items()))
         return (self.view.epoch, self.round, self.takeover_index, frozenset(self._proposed_backups), peers)
 
     def successor(self, now: float, leaving: frozenset[str]) -> str | None:
-        """The backup that would lose the least by becoming primary now."""
+        """The healthy backup that holds the most records; None if no backup is healthy."""
         healthy = [
             member
             for member in self.view.backups
--- a/larchgw/replication/lease.py
+++ b/larchgw/replication/lease.py
@@ -1,4 +1,4 @@
-"""The holder's side of a singleton role's lease, elected and renewed over the witnesses of the view."""
+"""The holder's side of the lease of a singleton role, which the witnesses of the view grant and renew."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 
 log = structlog.get_logger()
 
-USABLE_GRANT_SHARE = 0.9  # from before the lease was asked for; the rest covers clocks that run differently
+USABLE_GRANT_SHARE = 0.9  # counted from the request; the rest allows for different clock rates
 RENEWALS_PER_GRANT = 5
-FENCING_TOKENS_PER_EPOCH = 1 << 16  # tokens of a later view are above all of an earlier one
+FENCING_TOKENS_PER_EPOCH = 1 << 16  # every token of a later view is above those of an earlier view
 
 
 class LeaseState(Enum):
-    """How far this member is with one lease."""
+    """The state of one lease at this member."""
 
     NOT_ELECTED = auto()
     """No quorum of witnesses has granted the lease to this member."""
 
     ELECTED = auto()
-    """A quorum has granted it, but does not know yet that this member acts: it must not act."""
+    """A quorum has granted the lease but has not stored yet that this member acts: it must not act."""
 
     ACTING = auto()
-    """A quorum has stored that this member acts under its token: it holds the lease until that expires."""
+    """A quorum has stored that this member acts under its token: it holds the lease until it expires."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Held until `expires_at`, in seconds on the caller's clock; every act carries `fencing_token`."""
+    """Held until `expires_at`, in seconds on the caller's clock; every action carries `fencing_token`."""
 
     name: str
     fencing_token: FencingToken
@@ -56,16 +56,16 @@
 
 
 class AnnouncementCalls(Protocol):
-    """Where calls that announce an act are made and ended; `EffectsCollector` is the implementation."""
+    """Creates and completes the calls that announce actions; implemented by `EffectsCollector`."""
 
     def add_announcement(self) -> PendingCall:
-        """A call that ends with one of the two below."""
+        """Creates a call, to be ended by one of the two methods below."""
 
-    def end_announcements(self, calls: list[PendingCall]) -> None:
-        """A quorum of witnesses remembers these acts."""
+    def complete_announcements(self, calls: list[PendingCall]) -> None:
+        """Completes the calls: a quorum of witnesses remembers their actions."""
 
     def fail_announcements(self, calls: list[PendingCall], reason: str) -> None:
-        """These acts must not be begun."""
+        """Fails the calls: their actions must not be started."""
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
         return self.view.has_quorum([member for member, reply in self.replies.items() if reply.granted])
 
     def only_outdated(self) -> bool:
-        """Whether all answered, and refusals were only for an outdated fencing token or view."""
+        """Whether all have answered, and each refusal was due to an outdated fencing token or view."""
         refused = [reply for reply in self.replies.values() if not reply.granted]
         return len(self.replies) == len(self.view.all_witnesses) and all(
             reply.remaining_s <= 0.0 and (reply.fencing_token >= self.fencing_token or reply.view is not None)
@@ -95,28 +95,29 @@
         )
 
     def refused_by_all(self) -> bool:
-        """Whether it is certain that nobody granted."""
+        """Whether all witnesses have refused."""
         refused = [reply for reply in self.replies.values() if not reply.granted]
         return len(refused) == len(self.view.all_witnesses)
 
     def remaining_refusal_s(self) -> float:
-        """The longest time for which another may hold the lease."""
+        """The longest time for which another member may still hold the lease."""
         return max((reply.remaining_s for reply in self.replies.values() if not reply.granted), default=0.0)
 
 
 class LeaseHolder:
-    """One member's side of one lease: it asks the witnesses of the view for it, renews it, and gives it up.
+    """One member's side of one lease: requests it from the witnesses of the view, renews it, and releases it.
 
     Transitions:
 
     - NOT_ELECTED to ELECTED: a quorum of witnesses grants a new fencing token. Each witness grants to one
-      holder at a time, for `GRANT_SHARE` of a term, so that a holder that is lost has a successor soon.
-    - ELECTED to ACTING: a quorum has stored that this member acts under its token. Where a quorum does not
-      know what was announced lately, this is asked for only once all acts of others are a term old.
-    - ACTING to ACTING: renewed `RENEWALS_PER_GRANT` times a grant. A grant is used for `USABLE_GRANT_SHARE`
-      of its time from before it was asked for, hence never longer than any witness keeps it.
-    - ACTING to ELECTED: a quorum has granted another, higher token to it; somebody may have acted in between.
-    - to NOT_ELECTED: the grant has run out, or the lease is released.
+      holder at a time, for `GRANT_SHARE` of a term, so that a lost holder is replaced soon.
+    - ELECTED to ACTING: a quorum has stored that this member acts under its token. If no quorum knows all
+      recent announcements, the member requests this only once all actions of other holders are a term old.
+    - ACTING to ACTING: the grant is renewed `RENEWALS_PER_GRANT` times in its duration. It is used for
+      `USABLE_GRANT_SHARE` of its duration, counted from the request, so never longer than a witness keeps it.
+    - ACTING to ELECTED: a quorum has granted a higher token to this member; another member may have acted in
+      between.
+    - Any state to NOT_ELECTED: the grant has expired, or the lease is released.
 
     The holder announces the target of each action (`announce`) and starts the action before
     `action_permitted_until`. It does not act before `target_free_at` on a target on which another holder
@@ -145,9 +146,9 @@
             name: The name of the lease.
             member_id: The identity of this member.
             settings: The term and time-outs.
-            outbound: Takes the requests to the witnesses.
-            random_source: Staggers candidates.
-            calls: Where announcements are made and ended.
+            outbound: Receives the requests to the witnesses.
+            random_source: Source of the random delays that keep candidates from colliding.
+            calls: Creates and completes the calls that announce actions.
         """
         self.name = name
         self._member_id = member_id
@@ -160,12 +161,12 @@
         self._attempt: _Attempt | None = None
         self._attempts = 0
         self._state = LeaseState.NOT_ELECTED
-        self._fencing_token = 0  # that it was elected under; 0 while NOT_ELECTED
-        self._elected_by_attempt = 0  # the first attempt that asked for that token
-        self._elected_view: View | None = None  # whose quorum granted it last
+        self._fencing_token = 0  # under which it was elected; 0 while NOT_ELECTED
+        self._elected_by_attempt = 0  # number of the first attempt with that token
+        self._elected_view: View | None = None  # the view whose quorum granted the lease last
         self._expires_at = 0.0
         self._predecessors = PredecessorActions(self._separation_s)
-        self._permitted_until: dict[str, float] = {}  # by target that was announced
+        self._permitted_until: dict[str, float] = {}  # by announced target
         self._to_announce: list[tuple[tuple[str, ...], PendingCall]] = []
         self._next_attempt_at: float | None = None
         self._highest_token = 0
@@ -176,15 +177,15 @@
         return self._state is not LeaseState.NOT_ELECTED
 
     def lease(self, now: float) -> Lease | None:
-        """The lease, if it is held and may be acted on now."""
+        """The lease, if it is held and actions under it are allowed now."""
         if self._state is LeaseState.ACTING and now < self._expires_at:
             return Lease(self.name, FencingToken(self._fencing_token), self._expires_at)
         return None
 
     def announce(self, now: float, targets: Sequence[str], view: View | None) -> PendingCall:
-        """Announces an act on `targets`.
+        """Announces an action on `targets`.
 
-        Once the call is done, `action_permitted_until` tells until when the act may be begun.
+        Once the call is done, `action_permitted_until` returns until when the action may be started.
         """
         call = self._calls.add_announcement()
         if self.lease(now) is None or view is None:
@@ -196,21 +197,21 @@
         return call
 
     def action_permitted_until(self, now: float, target: str) -> float:
-        """Until when an act on `target` may be begun; minus infinity if it may not."""
+        """Until when an action on `target` may be started; minus infinity if it may not."""
         if self.lease(now) is None or now < self.target_free_at(target):
             return -inf
         return self._permitted_until.get(target, -inf)
 
     def target_free_at(self, target: str) -> float:
-        """When acts of others on `target` are a term old; infinite while this member is not elected."""
+        """When actions of other holders on `target` are a term old; infinite while not elected."""
         return self._predecessors.free_at(target) if self._is_elected else inf
 
     def action_history(self) -> ActionHistory:
-        """The acts before this holding of the lease, as far as witnesses remember them."""
+        """The actions before this member was elected, as far as witnesses remember them."""
         return self._predecessors.history() if self._is_elected else ActionHistory(inf, {})
 
     def release(self, now: float, view: View | None, pause_s: float) -> None:
-        """Gives the lease up and does not stand for it for a while."""
+        """Releases the lease, and does not request it again for `pause_s`."""
         if view is not None and (self._is_elected or self._attempt is not None):
             self._send_release(view)
         self._give_up()
@@ -218,20 +219,20 @@
         self._next_attempt_at = None
 
     def tick(self, now: float, view: View | None, rank: int) -> None:
-        """Begins the next round if it is due. `rank` staggers candidates."""
+        """Starts the next round of requests if it is due. `rank` staggers candidates."""
         if view is None or now < self._no_candidacy_until:
             return
         if self._attempt is not None and now >= self._attempt.ends_at:
             self._fail(now, rank)
         if self._is_elected and now >= self._expires_at:
-            self._lose(now)
+            self._expire(now)
         if self._next_attempt_at is None:
             self._next_attempt_at = now + rank * self._timing.lease_stagger_s
         if self._attempt is None and now >= self._next_attempt_at:
             self._begin_attempt(now, view)
 
     def observe_release(self, now: float, rank: int) -> None:
-        """Its holder, or a candidate without success, has given the lease up."""
+        """Handles the release of the lease by its holder, or by an unsuccessful candidate."""
         if self._is_elected or self._attempt is not None or self._next_attempt_at is None:
             return
         self._next_attempt_at = min(
@@ -239,7 +240,7 @@
         )
 
     def receive_reply(self, now: float, sender: str, reply: LeaseReply, rank: int) -> None:
-        """A witness has answered."""
+        """Handles the reply of a witness."""
         attempt = self._attempt
         self._highest_token = max(self._highest_token, reply.fencing_token)
         if attempt is None or reply.attempt != attempt.number:
@@ -252,19 +253,19 @@
             self._fail(now, rank)
 
     def _receive_late_reply(self, now: float, sender: str, reply: LeaseReply) -> None:
-        """A witness answers after a quorum has granted: it may know more than the quorum does."""
+        """Handles a reply that came after a quorum had granted; its witness may know more than the quorum."""
         if self._elected_view is None or reply.attempt < self._elected_by_attempt:
             return
-        if reply.granted and reply.acts is not None:
-            self._predecessors.observe(now, sender, reply.acts)
+        if reply.granted and reply.known_actions is not None:
+            self._predecessors.observe(now, sender, reply.known_actions)
             self._predecessors.evaluate(self._elected_view)
-            self._plan_begin_of_acts(now)
+            self._schedule_acting_request(now)
 
     def _begin_attempt(self, now: float, view: View) -> None:
         self._attempts += 1
         token = self._next_token(view)
         is_renewal = token == self._fencing_token
-        is_acting = is_renewal and self._is_elected and now >= self._predecessors.all_free_at
+        is_acting = is_renewal and self._is_elected and now >= self._predecessors.unreported_targets_free_at
         announced, self._to_announce = (self._to_announce, []) if is_acting else ([], self._to_announce)
         targets = tuple(
             dict.fromkeys(target for announced_targets, _ in announced for target in announced_targets)
@@ -277,19 +278,23 @@
             calls=[call for _, call in announced],
             view=view,
             asked_at=now,
-            ends_at=now + self._timing.lease_round_s,
+            ends_at=now + self._timing.lease_round_timeout_s,
             replies={},
         )
         self._highest_token = max(self._highest_token, token)
-        acts = ActionAnnouncement(targets, is_acting and now >= self._predecessors.all_targets_free_at)
-        request = LeaseRequest(self.name, token, is_renewal, view.epoch, self._attempts, is_acting, acts)
+        announcement = ActionAnnouncement(
+            targets, is_acting and now >= self._predecessors.all_targets_free_at
+        )
+        request = LeaseRequest(
+            self.name, token, is_renewal, view.epoch, self._attempts, is_acting, announcement
+        )
         for member in view.all_witnesses:
             self._outbound.send(member, request)
 
     def _next_token(self, view: View) -> int:
-        """The present one; a new one when not elected, or when a witness would not renew the present one.
+        """The current token; a new one if not elected, or if a witness would not renew the current token.
 
-        It would not if it has stored a higher one for another member whose election failed.
+        A witness would not if it has stored a higher token for another member whose election failed.
         """
         if self._is_elected and self._highest_token <= self._fencing_token:
             return self._fencing_token
@@ -302,45 +307,47 @@
         self._elected_view = attempt.view
         self._expires_at = attempt.asked_at + USABLE_GRANT_SHARE * self._grant_s
         for witness, reply in attempt.replies.items():
-            if reply.granted and reply.acts is not None:
-                self._predecessors.observe(now, witness, reply.acts)
+            if reply.granted and reply.known_actions is not None:
+                self._predecessors.observe(now, witness, reply.known_actions)
         self._predecessors.evaluate(attempt.view)
         if attempt.is_acting and self._state is not LeaseState.ACTING:
             self._state = LeaseState.ACTING
             log.info("lease.acquired", lease=self.name, fencing_token=self._fencing_token)
-        self._permit(attempt)
+        self._permit_actions(attempt)
         self._next_attempt_at = attempt.asked_at + self._grant_s / RENEWALS_PER_GRANT
         if self._to_announce:
             self._next_attempt_at = now
-        self._plan_begin_of_acts(now)
+        self._schedule_acting_request(now)
 
     def _elect(self, attempt: _Attempt) -> None:
-        """A quorum has granted a new token. What others announced before is told with the grants."""
+        """Becomes elected under a new token. The grants report what other holders announced before."""
         self._state = LeaseState.ELECTED
         self._fencing_token = attempt.fencing_token
         self._elected_by_attempt = attempt.number
         self._predecessors = PredecessorActions(self._separation_s)
         self._permitted_until = {}
 
-    def _permit(self, attempt: _Attempt) -> None:
-        """A quorum remembers the acts that the attempt announced."""
+    def _permit_actions(self, attempt: _Attempt) -> None:
+        """Permits the actions that the attempt announced, which a quorum now remembers."""
         until = attempt.asked_at + ACTION_START_WINDOW_S
         self._permitted_until = {
             target: end for target, end in self._permitted_until.items() if end > attempt.asked_at
         }
         self._permitted_until.update(dict.fromkeys(attempt.targets, until))
-        self._calls.end_announcements(attempt.calls)
+        self._calls.complete_announcements(attempt.calls)
 
-    def _plan_begin_of_acts(self, now: float) -> None:
-        """While ELECTED, the next attempt is due as soon as acts of others are old enough."""
+    def _schedule_acting_request(self, now: float) -> None:
+        """While ELECTED, schedules the next attempt for when actions of other holders are old enough."""
         if self._state is LeaseState.ELECTED and self._next_attempt_at is not None:
-            self._next_attempt_at = min(self._next_attempt_at, max(now, self._predecessors.all_free_at))
+            self._next_attempt_at = min(
+                self._next_attempt_at, max(now, self._predecessors.unreported_targets_free_at)
+            )
 
     def _fail(self, now: float, rank: int) -> None:
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
-        self._calls.fail_announcements(attempt.calls, "no quorum of witnesses has answered")
+        self._calls.fail_announcements(attempt.calls, "no quorum of witnesses granted the request in time")
         if self._is_elected:
             self._next_attempt_at = now + self._timing.heartbeat_interval_s
             return
@@ -354,7 +361,7 @@
     def _stagger_s(self, rank: int) -> float:
         return (rank + self._random_source.random()) * self._timing.lease_stagger_s
 
-    def _lose(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         log.warning("lease.expired", lease=self.name, fencing_token=self._fencing_token)
         self._give_up()
         self._next_attempt_at = now
@@ -363,7 +370,7 @@
         calls = [call for _, call in self._to_announce]
         if self._attempt is not None:
             calls += self._attempt.calls
-        self._calls.fail_announcements(calls, "the lease is given up")
+        self._calls.fail_announcements(calls, "the lease was released or has expired")
         self._state = LeaseState.NOT_ELECTED
         self._fencing_token = 0
         self._elected_view = None
--- a/larchgw/replication/lease_actions.py
+++ b/larchgw/replication/lease_actions.py
@@ -18,7 +18,7 @@
 
 Neither argument depends on the duration of a grant, which only decides how soon a lost holder is replaced.
 
-Times are seconds on a monotonic clock that counts time spent frozen.
+Times are seconds on a monotonic clock that also counts the time for which the machine is suspended.
 
 Source: the rule ONE of the rules page; Paxos Made Simple (Lamport, 2001), section 2.2, for the argument of
 the two quorums; Leases (Gray and Cheriton, 1989).
@@ -33,48 +33,49 @@
 
 from .view import View
 
-ACTION_START_WINDOW_S = 0.25  # after an announcement was asked for: until then the act must have been begun
-ACTION_DELIVERY_S = 0.3  # an act that has begun has arrived by then
-HANDOVER_TERMS = 1.05  # between acts of two holders on one target, in terms: clocks may run differently
+ACTION_START_WINDOW_S = 0.25  # from the request of an announcement to the latest start of the action
+ACTION_DELIVERY_S = 0.3  # from the start of an action to its latest arrival
+HANDOVER_TERMS = 1.05  # between actions of two holders on one target; allows for different clock rates
 
 
 def separation_s(term_s: float) -> float:
-    """Seconds from an announcement to the first act of another holder on the same target."""
+    """Seconds from an announcement to the first action of another holder on the same target."""
     return HANDOVER_TERMS * term_s + ACTION_START_WINDOW_S + ACTION_DELIVERY_S
 
 
 @dataclass(frozen=True, slots=True)
 class ActionAnnouncement:
-    """What a request for a lease says of the sender's acts.
+    """The part of a lease request that announces the sender's actions.
 
     Attributes:
-        targets: It is about to act on these, and only on these.
-        is_sole_actor: No act of another holder is younger than the separation of two holders.
+        targets: The targets on which the sender is about to act, and no others.
+        is_sole_actor: Whether all actions of other holders are older than `separation_s`.
     """
 
     targets: tuple[str, ...] = ()
     is_sole_actor: bool = False
 
     def to_json(self) -> dict[str, Any]:
-        """As it is sent; the keys never change."""
+        """Converts the value to the JSON that is sent; the keys must not change."""
         return {"targets": list(self.targets), "sole": self.is_sole_actor}
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> ActionAnnouncement:
-        """Reads what `to_json` gave; raises KeyError, TypeError or ValueError for anything else."""
+        """Reads the output of `to_json`; raises KeyError, TypeError or ValueError for anything else."""
         return cls(tuple(map(str, value["targets"])), bool(value["sole"]))
 
 
 @dataclass(frozen=True, slots=True)
 class KnownActions:
-    """What a witness knows of the acts of holders other than the one that it answers.
+    """What a witness knows of announced actions, in reply to a lease request.
 
     Attributes:
-        known_s: It knows every announcement of others made to it in the last so many seconds; below zero,
-            acts that were not announced may be begun for so long from now on.
-        ages_s: Target -> seconds since the last announcement of an act of another on it.
-        remembered_s: As `known_s`, but with the asker's own announcements, of an earlier life of it too.
-        own_ages_s: Target -> seconds since the asker last announced an act on it.
+        known_s: The witness knows every announcement that other holders made to it in the last `known_s`
+            seconds. If negative, actions that were not announced may still start for `-known_s` seconds.
+        ages_s: Target -> seconds since another holder last announced an action on it.
+        remembered_s: Like `known_s`, but including announcements of the requesting member, also those that
+            it made before a restart.
+        own_ages_s: Target -> seconds since the requesting member last announced an action on it.
     """
 
     known_s: float
@@ -83,7 +84,7 @@
     own_ages_s: Mapping[str, float]
 
     def to_json(self) -> dict[str, Any]:
-        """As it is sent; the keys never change."""
+        """Converts the value to the JSON that is sent; the keys must not change."""
         return {
             "known": self.known_s,
             "ages": dict(self.ages_s),
@@ -93,7 +94,7 @@
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> KnownActions:
-        """Reads what `to_json` gave; raises KeyError, TypeError or ValueError for anything else."""
+        """Reads the output of `to_json`; raises KeyError, TypeError or ValueError for anything else."""
         return cls(
             float(value["known"]),
             _read_ages(value["ages"]),
@@ -108,11 +109,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ActionHistory:
-    """What a holder knows of the acts before its own, of an earlier life of it too.
+    """The actions that were announced before a holder was elected, including its own before a restart.
 
     Attributes:
-        complete_since: Every act that was announced since then is among `announced_at`.
-        announced_at: Target -> when an act on it was announced last, at the latest.
+        complete_since: `announced_at` includes every action that was announced since then.
+        announced_at: Target -> the latest time at which an action on it can have been announced.
     """
 
     complete_since: float
@@ -126,37 +127,37 @@
 
 
 class ActionMemory:
-    """What one witness remembers of announced acts under one lease; in memory only."""
+    """The announced actions under one lease that one witness remembers; in memory only."""
 
     def __init__(self, retention_s: float) -> None:
         """Begins with nothing announced.
 
         Args:
-            retention_s: For which an announcement is remembered; the separation of two holders at least.
+            retention_s: For how long an announcement is remembered; `separation_s` at least.
         """
         self._retention_s = retention_s
         self._last_by_target: dict[str, _Announced] = {}
         self._unannounced_until = -inf
 
     def record(self, now: float, holder: str, targets: tuple[str, ...]) -> None:
-        """Notes that `holder` is about to act on `targets`."""
+        """Records that `holder` is about to act on `targets`."""
         for target in targets:
             self._last_by_target[target] = _Announced(holder, now)
 
     def allow_unannounced(self, until: float) -> None:
-        """Notes that a holder which announces nothing may act on anything until then."""
+        """Records that a holder that announces nothing may act on any target until `until`."""
         self._unannounced_until = max(self._unannounced_until, until)
 
     def known_to(
         self, now: float, sender: str, complete_since: float, remembered_since: float
     ) -> KnownActions:
-        """What is to be told to `sender`.
+        """What the reply to `sender` reports.
 
         Args:
             now: The time.
             sender: A holder, or a candidate.
-            complete_since: All announcements of others that were made since then are remembered.
-            remembered_since: All announcements, those of `sender` too.
+            complete_since: Since when all announcements of other holders are remembered.
+            remembered_since: Since when all announcements are remembered, including those of `sender`.
         """
         self._last_by_target = {
             target: announced
@@ -176,58 +177,63 @@
 
 
 class PredecessorActions:
-    """What a new holder has learned of acts of others, from the witnesses that granted its fencing token."""
+    """The earlier actions that the witnesses which granted a new holder's fencing token reported to it."""
 
     def __init__(self, separation: float) -> None:
-        """Begins with nothing learned.
+        """Begins without any report.
 
         Args:
-            separation: Seconds between an announcement and the first act of another holder on its target.
+            separation: Seconds between an announcement and the first action of another holder on its target.
         """
         self._separation_s = separation
         self._complete_since: dict[str, float] = {}  # by witness
         self._remembered_since: dict[str, float] = {}  # by witness
-        self._announced_at: dict[str, float] = {}  # by target, acts of others
+        self._announced_at: dict[str, float] = {}  # by target, actions of other holders
         self._own_announced_at: dict[str, float] = {}  # by target
-        self._all_free_at = inf  # of targets on which no witness told an act
+        self._unreported_targets_free_at = inf  # of targets on which no witness reported an action
         self._history_since = inf
 
-    def observe(self, now: float, witness: str, acts: KnownActions) -> None:
-        """Takes in what a witness told with its first grant of the token; it refuses any other acts since."""
+    def observe(self, now: float, witness: str, known: KnownActions) -> None:
+        """Records the report of a witness, which came with its first grant of the token.
+
+        The witness has refused announcements under earlier tokens since.
+        """
         if witness in self._complete_since:
-            return  # the reply has come twice
-        _merge(self._announced_at, now, acts.ages_s)
-        _merge(self._own_announced_at, now, acts.own_ages_s)
-        self._complete_since[witness] = now - acts.known_s
-        self._remembered_since[witness] = now - acts.remembered_s
+            return  # a duplicate of the reply
+        _merge(self._announced_at, now, known.ages_s)
+        _merge(self._own_announced_at, now, known.own_ages_s)
+        self._complete_since[witness] = now - known.known_s
+        self._remembered_since[witness] = now - known.remembered_s
 
     def evaluate(self, view: View) -> None:
-        """Works out when targets of which nobody told an act are free, from the quorum that knows most."""
+        """Computes when targets without a reported action are free, from the quorum that knows the most."""
         complete_since = _known_to_a_quorum(self._complete_since, view)
-        self._all_free_at = min(self._all_free_at, complete_since + self._separation_s)
+        self._unreported_targets_free_at = min(
+            self._unreported_targets_free_at, complete_since + self._separation_s
+        )
         self._history_since = min(self._history_since, _known_to_a_quorum(self._remembered_since, view))
 
     def history(self) -> ActionHistory:
-        """All acts that witnesses told of, own ones of an earlier life too."""
+        """All actions that witnesses reported, including the holder's own before a restart."""
         announced_at = dict(self._own_announced_at)
         for target, at in self._announced_at.items():
             announced_at[target] = max(at, announced_at.get(target, -inf))
         return ActionHistory(self._history_since, announced_at)
 
     @property
-    def all_free_at(self) -> float:
-        """When targets are free of which no witness told an act; infinite before a quorum has answered."""
-        return self._all_free_at
+    def unreported_targets_free_at(self) -> float:
+        """When targets without a reported action are free; infinite before a quorum has answered."""
+        return self._unreported_targets_free_at
 
     @property
     def all_targets_free_at(self) -> float:
-        """When all targets are free."""
-        return max([self._all_free_at, *map(self.free_at, self._announced_at)])
+        """When all targets are free, including those with a reported action."""
+        return max([self._unreported_targets_free_at, *map(self.free_at, self._announced_at)])
 
     def free_at(self, target: str) -> float:
         """When this target may be acted on."""
         announced_at = self._announced_at.get(target, -inf)
-        return max(self._all_free_at, announced_at + self._separation_s)
+        return max(self._unreported_targets_free_at, announced_at + self._separation_s)
 
 
 def _merge(announced_at: dict[str, float], now: float, ages_s: Mapping[str, float]) -> None:
@@ -236,7 +242,7 @@
 
 
 def _known_to_a_quorum(since_by_witness: Mapping[str, float], view: View) -> float:
-    """Since when a quorum of witnesses knows everything; infinite if no quorum has answered."""
+    """Since when some quorum of witnesses knows all announcements; infinite if no quorum has answered."""
     informed: list[str] = []
     for witness, since in sorted(since_by_witness.items(), key=lambda item: item[1]):
         informed.append(witness)
--- a/larchgw/replication/log_sender.py
+++ b/larchgw/replication/log_sender.py
@@ -1,4 +1,4 @@
-"""Sending of the log: each replica gets the records it lacks, or a snapshot in place of those not kept."""
+"""Sends each replica the records that it lacks, or a snapshot in place of compacted records."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LogSender:
-    """The primary's side of log replication in one epoch: to each peer one message in flight at a time.
+    """The primary's side of log replication in one epoch; one message per peer is in flight at a time.
 
     Times are seconds of the member's clock. `peers` is the primary's table, shared with `Leadership`.
 
@@ -34,7 +34,7 @@
         Args:
             epoch: The epoch of the primary's view.
             replica: The log.
-            outbound: Takes the messages.
+            outbound: Receives the messages to send.
             settings: Sizes of messages, and time-outs.
             peers: The other members, by identity.
         """
@@ -47,20 +47,20 @@
 
     @property
     def is_sending_snapshot(self) -> bool:
-        """Whether some member is being sent a snapshot: the records after it should be kept until then."""
+        """Whether a snapshot is being sent; the records after it should be kept until it has arrived."""
         return any(peer.snapshot is not None for peer in self._peers.values())
 
     def replicate(self, now: float) -> None:
-        """Sends each replica what it lacks."""
+        """Sends each replica the records that it lacks."""
         for member, peer in self._peers.items():
             if peer.replicating:
                 self._replicate_to(now, member, peer)
 
     def append_reply(self, now: float, sender: str, peer: Peer, reply: AppendReply) -> None:
-        """A replica has answered records of this epoch, or has installed a snapshot."""
+        """Handles the reply of a replica to records of this epoch, or to the last chunk of a snapshot."""
         if peer.snapshot is not None:
             if not reply.matched or reply.index < peer.snapshot.snapshot.index:
-                return  # a late answer to records that were sent before the snapshot
+                return  # a late reply to records that were sent before the snapshot
             peer.snapshot = None
         if reply.matched:
             if reply.index > peer.match_index:
@@ -73,13 +73,13 @@
         self._replicate_to(now, sender, peer)
 
     def install_reply(self, now: float, sender: str, peer: Peer, reply: InstallSnapshotReply) -> None:
-        """A replica says how far a snapshot of this epoch has come."""
+        """Handles the progress report of a replica that receives a snapshot of this epoch."""
         if peer.snapshot is not None and peer.snapshot.acknowledge(reply.index, reply.offset):
             peer.in_flight = False
             self._replicate_to(now, sender, peer)
 
     def _replicate_to(self, now: float, member: str, peer: Peer) -> None:
-        """Sends what the peer lacks, unless a message to it is in flight."""
+        """Sends the next records or chunk that the peer lacks, unless a message to it is in flight."""
         last = self._replica.last_index
         if peer.match_index >= last:
             peer.overdue_at = None
@@ -96,11 +96,13 @@
         )
         outstanding_bytes = sent_bytes if peer.snapshot is None else peer.snapshot.remaining_bytes
         peer.in_flight = True
-        peer.resend_at = now + self._timing.retransmit_s + sent_bytes / self._timing.slowest_link_bytes_per_s
+        peer.resend_at = (
+            now + self._timing.retransmit_timeout_s + sent_bytes / self._timing.slowest_link_bytes_per_s
+        )
         if peer.overdue_at is None:
             peer.overdue_at = (
                 now
-                + self._timing.backup_silence_s
+                + self._timing.backup_timeout_s
                 + outstanding_bytes / self._timing.slowest_link_bytes_per_s
             )
 
@@ -115,7 +117,7 @@
         return sum(map(len, records))
 
     def _start_snapshot(self) -> OutgoingSnapshot:
-        """A transfer of the newest snapshot, which is read once for all members that need it."""
+        """Starts a transfer of the newest snapshot, which is read once for all members that need it."""
         newest = self._replica.first_index - 1
         shared = (peer.snapshot.snapshot for peer in self._peers.values() if peer.snapshot is not None)
         snapshot = next((each for each in shared if each.index == newest), None)
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -1,4 +1,4 @@
-"""One process of the replicated control state: a witness, a replica and the leases behind one interface."""
+"""One member of the replicated control state: its log, its votes and its leases behind one interface."""
 
 from __future__ import annotations
 
@@ -26,58 +26,59 @@
 
 
 class Member:
-    """A member of the replicated control state: fed messages and time, it returns what the caller has to do.
+    """A member of the replicated control state: takes messages and the time, returns effects for the caller.
 
-    The state is a log of records, replicated from a primary to its backups. At any time each member plays
-    three parts that are independent of one another:
+    The state is a log of records, replicated from a primary to its backups. Each member has three functions
+    that are independent of one another:
 
-    - A replica, as the last accepted view says: primary (appends, sends and acknowledges records), backup (in
-      sync: holds every acknowledged record) or learner (behind, or without data; asks to join).
-    - A witness, if the view names it as one: it promises epochs, accepts views and grants leases. A majority
+    - A replica, in the role that the last accepted view gives it: primary (appends, sends and acknowledges
+      records), backup (in sync: holds every acknowledged record) or learner (lags behind, or has no data;
+      asks to join).
+    - A witness, if the view lists it as one: it promises epochs, accepts views and grants leases. A majority
       of the witnesses is a quorum.
-    - A candidate, while it tries to form a view: as a backup that misses the primary, or as the primary that
-      changes its backups or witnesses.
+    - A candidate, while it tries to form a view: a backup that no longer hears the primary, or the primary
+      when it changes its backups or witnesses.
 
-    What happens in order:
+    How the members work together:
 
     1. A record is appended at the primary, synced, and sent to the backups. It is acknowledged once it is
-       durable at the primary and at every backup of the view, `tolerated_failures` + 1 copies at least. So
-       every member of the in-sync set holds every acknowledged record, and whichever of them becomes primary
-       next has lost nothing.
-    2. A backup that is silent is left out by a new view, and one that has caught up is taken in by a new
-       view.
-    3. A primary that is silent is replaced: a backup asks a quorum whether they miss it too (pre-vote), and
-       then forms a view in two phases (`view_changes.ViewChanges`).
-    4. A read is confirmed by a heartbeat that a quorum grants after the read began: had another view been
-       formed before, a witness of that quorum would have promised its epoch and refused.
-
-    Every call is followed by the same steps: the member's own votes are counted, records that have enough
-    copies count as acknowledged, acknowledged records are handed out, and calls that wait for them end.
-    Nothing that a failed write was to make durable is ever sent.
-
-    Not thread safe. Times are seconds on a monotonic clock that counts time spent frozen.
+       durable at the primary and at every backup of the view, that is at `tolerated_failures` + 1 members at
+       least. So every member of the in-sync set holds every acknowledged record, and none is lost whichever
+       of them becomes the next primary.
+    2. A new view leaves out a backup that is silent, and adds a member that has caught up.
+    3. A primary that is silent is replaced: a backup asks a quorum whether they have not heard it either
+       (pre-vote), and then forms a view in two phases (`view_changes.ViewChanges`).
+    4. A read is confirmed by a heartbeat that a quorum grants after the read began. If another view had been
+       formed before, a witness of that quorum would have promised its epoch and refused the heartbeat.
+
+    Every call ends with the same steps: the member's own votes are counted, records that have enough copies
+    are acknowledged, acknowledged records are delivered to the caller, and the calls that wait for them are
+    completed. A message that relies on a failed write is never sent.
+
+    Not thread safe. Times are seconds on a monotonic clock that also counts the time for which the machine is
+    suspended.
 
     Source: Viewstamped Replication Revisited (Liskov and Cowling, 2012); Paxos Made Simple (Lamport, 2001)
     for the choice of views; Leases (Gray and Cheriton, 1989).
 
     Attributes:
-        disk_error: The last write that the disk refused; None if none was.
+        disk_error: The last failed write; None if no write has failed.
     """
 
     def __init__(
         self, settings: MemberSettings, ports: Ports, snapshot: Callable[[], bytes], random_source: Random
     ) -> None:
-        """Reads the disk; a member without an identity is given one.
+        """Reads the durable state, and creates an identity if there is none.
 
         Args:
             settings: Settings of the member.
             ports: Its durable storage.
-            snapshot: Gives the caller's state as of the last record that an Effects has handed to it; asked
-                at the beginning of a tick, when all Effects returned before must have been carried out.
-            random_source: Staggers candidates.
+            snapshot: Returns the caller's state as of the last record that an Effects has delivered. It is
+                called at the beginning of a tick; the caller must have handled all earlier Effects by then.
+            random_source: Source of the random delays that keep candidates from colliding.
 
         Raises:
-            OSError: The disk refuses the first identity.
+            OSError: A new identity cannot be stored.
         """
         self._settings = settings
         self._timing = settings.timing
@@ -88,7 +89,7 @@
         self._last_call_at = 0.0
         self.disk_error: OSError | None = None
 
-    # ---- what is known ----
+    # ---- state ----
 
     @property
     def id(self) -> MemberId:
@@ -97,17 +98,17 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether this member acts as primary and everything it took over is acknowledged.
+        """Whether this member acts as primary and has acknowledged all records of earlier views.
 
-        It may have been replaced without knowing: only a call that is done proves anything.
+        It may have been replaced without knowing it; only a completed call proves that it was not.
         """
-        leading = self._parts.role.leading
-        return leading is not None and leading.is_ready
+        leadership = self._parts.role.leadership
+        return leadership is not None and leadership.is_ready
 
     @property
     def primary(self) -> str | None:
-        """The rpc address of the primary, as far as it is known and was heard lately."""
-        if self._parts.role.leading is not None:
+        """The RPC address of the primary; None if it is not known or was not heard recently."""
+        if self._parts.role.leadership is not None:
             return self._settings.address
         view = self._parts.witness.view
         if view is None or view.primary == self._member_id:
@@ -118,42 +119,42 @@
 
     @property
     def view(self) -> View | None:
-        """The view that this member acts in as primary, or else the last that it has accepted."""
+        """The view in which this member acts as primary, or else the last view that it has accepted."""
         return self._parts.views.view
 
     @property
     def committed_index(self) -> int:
-        """The newest record known to be acknowledged."""
+        """Index of the newest record known to be acknowledged."""
         return self._parts.replica.committed
 
     @property
     def last_index(self) -> int:
-        """The newest record of the log, acknowledged or not."""
+        """Index of the newest record of the log, acknowledged or not."""
         return self._parts.replica.last_index
 
     @property
     def has_left(self) -> bool:
-        """Whether this member may end, after `leave`.
+        """Whether this member may shut down, after `leave`.
 
-        No acknowledgement needs its copy, it has no role, and the others are enough to decide without it.
+        No acknowledgement needs its copy, it is not primary, and the others are a quorum without it.
         """
-        return self._parts.role.leading is None and self._parts.graceful_leave.is_complete(
+        return self._parts.role.leadership is None and self._parts.graceful_leave.is_complete(
             self._parts.witness.view
         )
 
     @property
     def acting_epoch(self) -> int | None:
         """The epoch in which this member acts as primary; None if it does not."""
-        leading = self._parts.role.leading
-        return None if leading is None else leading.view.epoch
+        leadership = self._parts.role.leadership
+        return None if leadership is None else leadership.view.epoch
 
     @property
     def discarded_snapshots(self) -> int:
-        """Snapshots that came to their end and did not agree with their checksum."""
+        """Number of received snapshots that were complete but did not match their checksum."""
         return self._parts.follower.incoming.discarded
 
     def volatile_state(self) -> tuple[object, ...]:
-        """What is kept in memory only, times left out; for explorations that compare states."""
+        """The state that is kept in memory only, without times; the model checker compares it."""
         return (
             self._parts.replica.committed,
             *self._parts.views.volatile_state(),
@@ -161,25 +162,31 @@
         )
 
     def validate_state(self) -> None:
-        """Checks what must hold between any two calls. Cheap; tests call it, production does not.
+        """Checks the invariants that hold between any two calls. Cheap; only tests call it.
 
         Raises:
             AssertionError: An invariant does not hold; the message names it.
         """
         parts = self._parts
-        view, replica, leading = parts.witness.view, parts.replica, parts.role.leading
-        assert view is None or view.epoch <= parts.witness.promised, "a view above the promise is accepted"
-        assert replica.committed <= replica.last_index, "an acknowledged record is not in the log"
-        assert parts.effects.delivered <= replica.committed, "an unacknowledged record was handed out"
+        view, replica, leadership = parts.witness.view, parts.replica, parts.role.leadership
+        assert view is None or view.epoch <= parts.witness.promised, (
+            "the accepted view is above the promised epoch"
+        )
+        assert replica.committed <= replica.last_index, "an acknowledged record is missing from the log"
+        assert parts.effects.delivered <= replica.committed, "an unacknowledged record was delivered"
         assert replica.first_index <= replica.committed + 1, "an unacknowledged record was compacted"
-        if leading is not None:
-            assert leading.view.primary == self._member_id, "it leads a view of another primary"
-            assert leading.takeover_index <= replica.last_index, "records that it took over are gone"
+        if leadership is not None:
+            assert leadership.view.primary == self._member_id, (
+                "the member acts as primary of another member's view"
+            )
+            assert leadership.takeover_index <= replica.last_index, (
+                "records of earlier views are missing from the log"
+            )
 
     # ---- calls ----
 
     def start(self, now: float) -> Effects:
-        """Begins; once, before any other call. Hands out the snapshot on the disk, if there is one."""
+        """Starts the member, before any other call. Delivers the snapshot on the disk, if there is one."""
         parts = self._parts
         self._last_call_at = now
         parts.follower.start(now)
@@ -195,7 +202,7 @@
         return self._finish(now)
 
     def receive(self, now: float, envelope: Envelope) -> Effects:
-        """Takes a message from another member; what cannot be read or is not for this member is dropped."""
+        """Handles a message of another member; drops it if it is invalid or meant for another receiver."""
         self._observe_time(now)
         if envelope.receiver not in ("", self._member_id) or envelope.sender == self._member_id:
             return self._finish(now)
@@ -208,7 +215,7 @@
         return self._guarded(now, lambda: self._router.handle(now, envelope.sender, message))
 
     def tick(self, now: float) -> Effects:
-        """Runs timers; to be called at least every 20 ms."""
+        """Runs timers; must be called at least every 20 ms."""
         self._observe_time(now)
         return self._guarded(now, lambda: self._run_timers(now))
 
@@ -216,58 +223,60 @@
         """Appends a record. Until the call is done the record may or may not become acknowledged.
 
         Raises:
-            NotPrimaryError: This member is not primary, or has not yet acknowledged what it took over.
-            OSError: The disk refuses the record; then nothing is promised.
+            NotPrimaryError: This member is not primary, or has not yet acknowledged all records of earlier
+                views.
+            OSError: The record cannot be stored, and is not sent to any member.
         """
         self._observe_time(now)
-        leading = self._parts.role.leading
-        if leading is None or not leading.is_ready:
+        leadership = self._parts.role.leadership
+        if leadership is None or not leadership.is_ready:
             raise NotPrimaryError(self._member_id, self.primary)
         try:
-            index = self._parts.replica.append(leading.view.epoch, record)
+            index = self._parts.replica.append(leadership.view.epoch, record)
         except OSError as error:
             self._handle_disk_error(now, error)
             raise
         call = self._parts.effects.add_proposal(index)
-        leading.replicate(now)
+        leadership.replicate(now)
         return call, self._finish_call(now)
 
     def confirm(self, now: float) -> tuple[PendingCall, Effects]:
-        """Begins a read: done once it is proven that nobody else has acknowledged anything before this call.
+        """Begins a read; done once it is proven that no other primary acknowledged a record before this call.
 
         Raises:
             NotPrimaryError: This member is not primary.
-            OSError: The disk refuses one of this member's own votes; then nothing is proven.
+            OSError: One of this member's own votes cannot be stored; then the read is not confirmed.
         """
         self._observe_time(now)
-        leading = self._parts.role.leading
-        if leading is None:
+        leadership = self._parts.role.leadership
+        if leadership is None:
             raise NotPrimaryError(self._member_id, self.primary)
-        leading.heartbeat(now)
-        call = self._parts.effects.add_read(leading.round)
+        leadership.heartbeat(now)
+        call = self._parts.effects.add_read(leadership.round)
         return call, self._finish_call(now)
 
     def step_down(self, now: float) -> Effects:
-        """Hands the primary's role to a backup, gives up leases, and tries for neither for some seconds.
+        """Hands the primary role to a backup, gives up all leases, and seeks neither for some seconds.
 
-        What is proposed and not acknowledged fails as possibly committed.
+        Proposals that are not acknowledged yet fail as possibly committed.
         """
         self._observe_time(now)
         return self._guarded(now, lambda: self._give_up_roles(now, self._timing.step_down_pause_s))
 
     def leave(self, now: float) -> Effects:
-        """Prepares a planned end, to be followed by ticks until `has_left`; safe to be cut short.
+        """Prepares a planned shutdown. Call `tick` until `has_left`; it is safe to stop earlier.
 
-        Hands over as `step_down` does, for good, and asks to be left out of the in-sync set. The vote stays.
+        Hands over as `step_down` does, but permanently, and asks to be left out of the in-sync set. The
+        member keeps its vote.
         """
         self._observe_time(now)
         self._parts.graceful_leave.begin()
         return self._guarded(now, lambda: self._begin_leaving(now))
 
     def lease(self, now: float, name: str) -> Lease | None:
-        """The lease, if it is held and may be acted on now.
+        """The lease, if it is held and actions under it are allowed now.
 
-        Otherwise it is asked for from now on, unless this member leaves.
+        Otherwise this member starts to request the lease, unless it is leaving.
         """
         if self._parts.graceful_leave.has_begun:
             return None
@@ -280,34 +289,37 @@
         fails if the lease is not held or no quorum of witnesses answers.
 
         Raises:
-            OSError: The disk of this member, as one of the witnesses, refuses to store the lease.
+            OSError: This member is one of the witnesses and cannot store the lease.
         """
         self._observe_time(now)
         call = self._parts.leases.announce(now, name, targets, self._parts.witness.view)
         return call, self._finish_call(now)
 
     def action_permitted_until(self, now: float, name: str, target: str) -> float:
-        """Until when an act on `target` may be begun; minus infinity if it may not. Read before each act."""
+        """Until when an action on `target` may be started; minus infinity if it may not.
+
+        Must be checked before each action.
+        """
         return self._parts.leases.action_permitted_until(now, name, target)
 
     def target_free_at(self, name: str, target: str) -> float:
-        """From when on this member, as holder of the lease, may act on `target`, where others did lately."""
+        """From when on this holder may act on `target`, on which another holder may have acted recently."""
         return self._parts.leases.target_free_at(name, target)
 
     def action_history(self, name: str) -> ActionHistory:
-        """The acts under the lease before this member held it, as far as witnesses remember them."""
+        """The actions under the lease before this member held it, as far as witnesses remember them."""
         return self._parts.leases.action_history(name)
 
     def set_contacts(self, addresses: Iterable[str]) -> None:
-        """Sets rpc addresses of members known from elsewhere, to be asked for admission besides the seeds."""
+        """Sets further RPC addresses, besides the seeds, at which this member may ask to join."""
         self._contacts = tuple(dict.fromkeys((*addresses, *self._settings.seeds)))
 
     # ---- time ----
 
     def _run_timers(self, now: float) -> None:
         parts = self._parts
-        leading = parts.role.leading
-        is_sending_snapshot = leading is not None and leading.is_sending_snapshot
+        leadership = parts.role.leadership
+        is_sending_snapshot = leadership is not None and leadership.is_sending_snapshot
         parts.compaction.tick(now, parts.effects.delivered, is_sending_snapshot)
         parts.views.tick(now, self._contacts, parts.graceful_leave.has_begun)
         if parts.graceful_leave.has_begun:
@@ -315,9 +327,9 @@
         parts.leases.tick(now, parts.witness.view, self._router.lease_rank)
 
     def _observe_time(self, now: float) -> None:
-        """Notes the time. After a pause of the process itself, silence of others means nothing."""
+        """Records the time. After a pause of this process the silence of other members proves nothing."""
         if self._last_call_at and now - self._last_call_at > self._timing.process_pause_s:
-            self._parts.views.reset_silence(now)
+            self._parts.views.restart_timeouts(now)
         self._last_call_at = now
 
     def _begin_leaving(self, now: float) -> None:
@@ -333,12 +345,12 @@
     def _finish(self, now: float) -> Effects:
         parts = self._parts
         self._process_own_messages(now)
-        leading = parts.role.leading
-        if leading is not None:
-            self._advance_commit(now, leading)
+        leadership = parts.role.leadership
+        if leadership is not None:
+            self._advance_commit(now, leadership)
         parts.effects.deliver()
-        if leading is not None:
-            parts.effects.complete_calls(leading, parts.witness.promised <= leading.view.epoch)
+        if leadership is not None:
+            parts.effects.complete_calls(leadership, parts.witness.promised <= leadership.view.epoch)
         parts.effects.update_role(self._current_role())
         return parts.effects.take(parts.outbound)
 
@@ -359,12 +371,12 @@
             if not self._parts.views.advance(now) and not own_messages:
                 return
 
-    def _advance_commit(self, now: float, leading: Leadership) -> None:
-        """Counts as acknowledged what has enough copies, and lets the backups know."""
-        index = leading.commit_index()
+    def _advance_commit(self, now: float, leadership: Leadership) -> None:
+        """Acknowledges the records that have enough copies, and informs the backups."""
+        index = leadership.commit_index()
         if index > self._parts.replica.committed:
             self._parts.replica.committed = index
-            leading.heartbeat(now)
+            leadership.heartbeat(now)
 
     def _current_role(self) -> Role:
         if self.is_primary:
@@ -375,7 +387,7 @@
         return Role.LEARNER
 
     def _guarded(self, now: float, work: Callable[[], None]) -> Effects:
-        """Nothing that a failed write was to make durable is sent."""
+        """Runs `work`; after a failed write, drops the messages that rely on it."""
         try:
             work()
             return self._finish(now)
--- a/larchgw/replication/member_addresses.py
+++ b/larchgw/replication/member_addresses.py
@@ -1,4 +1,4 @@
-"""Which member is at which address, and which have lost their disk to a successor there."""
+"""Tracks the addresses of members, and which members were replaced by a new identity at their address."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 
 class MemberAddresses:
-    """Fills the outbound's addresses from views and from the messages of members."""
+    """Collects addresses from views and from the messages of members."""
 
     def __init__(self, outbound: OutboundMessages) -> None:
         """Begins without any address.
 
         Args:
-            outbound: Is given the addresses.
+            outbound: Stores the addresses.
         """
         self._outbound = outbound
         self._replaced: set[str] = set()
 
     @property
     def replaced(self) -> frozenset[str]:
-        """Members whose address another identity has taken: their disks are gone."""
+        """Members whose address now belongs to another identity: their disks are lost."""
         return frozenset(self._replaced)
 
     def record_sender(self, member: str, address: str, view: View | None) -> None:
-        """A message came from this member.
+        """Records the address of a member that sent a message.
 
-        One not known before, at an address that was another's in `view`, has taken its place: the other's
-        disk is gone.
+        If the member was not known before and `view` lists another member at its address, the other one's
+        disk is lost and the sender has replaced it.
         """
         if self._outbound.address_of(member) is None:
             self._replaced.update(other for other in _members_at(address, view) if other != member)
@@ -36,7 +36,7 @@
             self._outbound.set_address(member, address)
 
     def update_from_view(self, view: View) -> None:
-        """Addresses of members that were not heard themselves yet."""
+        """Adds the addresses in `view` of members without a known address."""
         for member, address in view.addresses.items():
             if self._outbound.address_of(member) is None:
                 self._outbound.set_address(member, address)
--- a/larchgw/replication/member_parts.py
+++ b/larchgw/replication/member_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a member, and how they are put together."""
+"""The components of a member, and their assembly."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberParts:
-    """The parts of one member, each a state machine of its own.
+    """The components of one member, each a separate state machine.
 
     Attributes:
-        identity: Who this member is.
-        witness: Durable: the epoch promised and the view accepted.
+        identity: The identity of this member.
+        witness: Durable: the promised epoch and the accepted view.
         replica: Durable: the log.
         outbound: Messages to send.
-        addresses: Where the other members are.
-        follower: What this member does for a primary.
-        role: Whether it is primary itself.
+        addresses: The addresses of the other members.
+        follower: What this member does for another primary.
+        role: Whether this member is primary.
         voter: Its votes on views.
         views: Its own attempts to form a view.
-        lease_acceptor: Durable: its part as a witness of leases.
-        leases: The leases that it holds or asks for.
-        graceful_leave: Its own planned end.
-        compaction: When the log is cut.
-        effects: What the present call has come to.
+        lease_acceptor: Durable: the leases that it has granted as a witness.
+        leases: The leases that it holds or requests.
+        graceful_leave: Its own planned shutdown.
+        compaction: Decides when the log is compacted.
+        effects: Collects the effects of the current call.
     """
 
     identity: Identity
@@ -65,16 +65,16 @@
 def assemble(
     settings: MemberSettings, ports: Ports, snapshot: Callable[[], bytes], random_source: Random
 ) -> MemberParts:
-    """Reads what the disk holds, sets up an identity where there is none, and connects the parts.
+    """Reads the durable state, creates an identity if there is none, and connects the components.
 
     Args:
         settings: Settings of the member.
         ports: Its durable storage.
-        snapshot: Gives the caller's state as of the last record that was handed to it.
-        random_source: Staggers candidates.
+        snapshot: Returns the caller's state as of the last record that was delivered to it.
+        random_source: Source of the random delays that keep candidates from colliding.
 
     Raises:
-        OSError: The disk refuses the first identity.
+        OSError: A new identity cannot be stored.
     """
     timing = settings.timing
     witness = Witness(ports.witness)
--- a/larchgw/replication/message_codec.py
+++ b/larchgw/replication/message_codec.py
@@ -1,11 +1,11 @@
-"""Encoding of replication messages: a JSON header followed by the records as they are.
+"""Encoding of replication messages: a JSON header followed by raw bytes.
 
-Every body is a big-endian 32-bit header length, the header, and the bytes that do not go into JSON: the
-records of an append, or the piece of a snapshot. Every header carries the sender's address under "from", so
-that a member can answer a newcomer that no view names.
+Every body is a big-endian 32-bit header length, the header, and the raw bytes: the records of an append, or
+the chunk of a snapshot. Every header carries the sender's address under "from", so that a member can answer a
+new member that is not in any view yet.
 
-The names on the wire are written out here, in the order in which they are sent. They never change, whatever
-the Python names become: members of several versions run side by side during an upgrade.
+The names on the wire are listed here, in the order in which they are sent. They must not change, even if the
+Python names do, because members of several versions run side by side during an upgrade.
 """
 
 from __future__ import annotations
@@ -47,18 +47,18 @@
 _RECORD_LENGTHS_KEY = "lengths"
 _VIEW_KEY = "view"
 _EPOCHS_KEY = "epochs"
-_ACTS_KEY = "acts"  # left out where it is None: members of earlier versions know no such key
+_ACTS_KEY = "acts"  # omitted if None, because members of earlier versions reject the key
 
 
 @dataclass(frozen=True, slots=True)
 class _WireFormat:
-    """How one type of message is sent.
+    """The wire format of one type of message.
 
     Attributes:
-        kind: The kind under which the transport carries it.
-        message_type: The class it is read into.
-        keys: Attribute name -> key in the JSON header, in the order in which they are written. What follows
-            the header (`Append.records`, `InstallSnapshot.chunk`) is not among them.
+        kind: The name of the type on the wire.
+        message_type: The class of the message.
+        keys: Attribute name -> key in the JSON header, in the order in which they are written. Attributes
+            sent after the header (`Append.records`, `InstallSnapshot.chunk`) are not included.
     """
 
     kind: str
@@ -140,7 +140,7 @@
             "view_epoch": "view_epoch",
             "attempt": "attempt",
             "is_acting": "acting",
-            "acts": _ACTS_KEY,
+            "announcement": _ACTS_KEY,
         },
     ),
     _WireFormat(
@@ -155,7 +155,7 @@
             "acting_token": "acting_fence",
             "remaining_s": "remaining",
             "view": _VIEW_KEY,
-            "acts": _ACTS_KEY,
+            "known_actions": _ACTS_KEY,
         },
     ),
     _WireFormat("lease_release", LeaseRelease, {"name": "name", "fencing_token": "fence"}),
@@ -171,7 +171,7 @@
 
 
 def encode(message: Message, address: str) -> tuple[str, bytes]:
-    """The kind and the body of a message from the member at `address`."""
+    """Returns the kind and the body of a message from the member at `address`."""
     wire_format = _FORMAT_BY_TYPE[type(message)]
     header: dict[str, Any] = {_SENDER_KEY: address}
     for attribute, key in wire_format.keys.items():
@@ -190,10 +190,10 @@
 
 
 def decode(kind: str, body: bytes) -> tuple[Message, str]:
-    """The message and its sender's address.
+    """Returns the message and its sender's address.
 
     Raises:
-        MessageDecodeError: The kind is not known, or the body is not one of that kind.
+        MessageDecodeError: The kind is not known, or the body is invalid for it.
     """
     try:
         wire_format = _FORMAT_BY_KIND[kind]
@@ -208,7 +208,7 @@
 
 
 def _payload_arguments(kind: str, header: dict[str, Any], body: bytes, start: int) -> dict[str, Any]:
-    """What follows the header in a body of this kind."""
+    """Reads the attributes that follow the header."""
     if kind == "append":
         return {"records": _records(header.pop(_RECORD_LENGTHS_KEY), body, start)}
     if kind == "install":
@@ -217,7 +217,7 @@
 
 
 def _header_arguments(kind: str, header: dict[str, Any]) -> dict[str, Any]:
-    """What the header says, by attribute; KeyError for a key that is not of this kind."""
+    """Reads the attributes in the header; raises KeyError for a key that this kind does not have."""
     if header.get(_VIEW_KEY) is not None:
         header[_VIEW_KEY] = View.from_json(header[_VIEW_KEY])
     if _EPOCHS_KEY in header:
@@ -234,5 +234,5 @@
         records.append(bytes(body[start : start + length]))
         start += length
     if start != len(body):
-        raise ValueError("the lengths of its records are wrong")
+        raise ValueError("record lengths do not add up to the length of the body")
     return tuple(records)
--- a/larchgw/replication/message_router.py
+++ b/larchgw/replication/message_router.py
@@ -1,4 +1,4 @@
-"""Which part of a member handles which message."""
+"""Dispatches each message to the component of a member that handles it."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 class MessageRouter:
-    """Hands each message to the part of the member that it concerns."""
+    """Dispatches messages by their type."""
 
     def __init__(self, member_id: str, parts: MemberParts) -> None:
         """Registers one handler for each type of message.
 
         Args:
             member_id: The identity of this member.
-            parts: Its parts.
+            parts: The components of the member.
         """
         self._member_id = member_id
         self._parts = parts
@@ -70,7 +70,7 @@
         """Handles one message.
 
         Raises:
-            OSError: What it asks for cannot be made durable.
+            OSError: The change that it requests cannot be made durable.
         """
         self._handlers[type(message)](now, sender, message)
 
@@ -86,8 +86,8 @@
     # ---- the log ----
 
     def _append_reply(self, now: float, sender: str, reply: AppendReply) -> None:
-        if self._parts.role.leading is not None:
-            self._parts.role.leading.append_reply(now, sender, reply)
+        if self._parts.role.leadership is not None:
+            self._parts.role.leadership.append_reply(now, sender, reply)
 
     def _install_snapshot(self, now: float, sender: str, message: InstallSnapshot) -> None:
         installed = self._parts.follower.install(now, sender, message)
@@ -95,16 +95,16 @@
             self._parts.effects.install(installed)
 
     def _install_snapshot_reply(self, now: float, sender: str, reply: InstallSnapshotReply) -> None:
-        if self._parts.role.leading is not None:
-            self._parts.role.leading.install_reply(now, sender, reply)
+        if self._parts.role.leadership is not None:
+            self._parts.role.leadership.install_reply(now, sender, reply)
 
-    # ---- members that come and go ----
+    # ---- joining and leaving ----
 
     def _join(self, now: float, sender: str, join: JoinRequest) -> None:
         parts = self._parts
         parts.addresses.record_sender(join.member, join.address, parts.views.view)
         parts.role.join(now, join)
-        if parts.role.leading is not None:
+        if parts.role.leadership is not None:
             return
         view = parts.witness.view
         if sender == join.member and parts.follower.has_recent_primary(now) and view is not None:
--- a/larchgw/replication/messages.py
+++ b/larchgw/replication/messages.py
@@ -1,6 +1,6 @@
 """The messages that members of the replicated control state exchange.
 
-Their names and the names of their fields are free to change: `message_codec` holds the names on the wire.
+`message_codec` holds the names on the wire, so classes and fields may be renamed here.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class Envelope(Protocol):
-    """What the transport carries: thrift's PeerMessage.
+    """The unit that the transport carries: Thrift's PeerMessage.
 
     Attributes:
         sender: Identity of the sending member.
         receiver: Identity of the receiver; empty where only an address is known.
-        kind: See `message_codec`.
-        body: See `message_codec`.
+        kind: The type of the message, as named by `message_codec`.
+        body: The message as encoded by `message_codec`.
     """
 
     sender: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVoteRequest:
-    """Asks whether the receiver would let the sender try to become primary; binds nobody.
+    """Asks whether the receiver would let the sender try to become primary; not binding.
 
     Attributes:
         round: Number of the sender's round of pre-votes.
@@ -45,7 +45,7 @@
 
     Attributes:
         round: The round that was asked.
-        granted: Whether the sender of this reply misses the primary too.
+        granted: Whether the sender of this reply has not heard the primary recently either.
         promised: The highest epoch that it has promised.
         view: The last view that it has accepted.
     """
@@ -74,7 +74,7 @@
     Attributes:
         epoch: The epoch that was asked for.
         granted: Whether it is promised.
-        promised: The highest epoch promised, which stands in the way of a refused one.
+        promised: The highest epoch promised; a refused epoch is below it, or promised to another candidate.
         view: The last view accepted.
     """
 
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks to accept a view; also sent to a member that missed it.
+    """Asks the receiver to accept a view; also sent to a member that has not received it.
 
     Attributes:
         view: The view.
@@ -112,11 +112,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The primary is there.
+    """Shows that the primary is alive.
 
     Attributes:
         epoch: The epoch of its view.
-        round: Rises with each heartbeat.
+        round: Number of the heartbeat, which increases by one each time.
         committed_index: The newest acknowledged record.
     """
 
@@ -135,7 +135,7 @@
         granted: Whether nothing above `epoch` is promised.
         promised: The highest epoch promised.
         view_epoch: The epoch of the last view accepted; 0 if none is.
-        view: A newer view that the primary lacks.
+        view: A newer view, which the primary does not know.
     """
 
     epoch: int
@@ -173,12 +173,12 @@
 
     Attributes:
         epoch: The epoch of the primary's view.
-        index: The snapshot stands for all records up to this one.
+        index: The snapshot replaces all records up to this one.
         index_epoch: The epoch in which that one was proposed.
         offset: Where the chunk begins.
         size_bytes: Bytes of the complete snapshot.
         checksum: SHA-256 of the complete snapshot, in hex.
-        chunk: The bytes at `offset`.
+        chunk: Bytes of the snapshot that begin at `offset`.
     """
 
     epoch: int
@@ -192,12 +192,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshotReply:
-    """How far a snapshot has come.
+    """Reports how much of a snapshot has been received.
 
     Attributes:
         epoch: The epoch of the primary's view.
-        index: The record that the snapshot stands for.
-        offset: Bytes held: the sender is to go on from there.
+        index: The last record that the snapshot replaces.
+        offset: Number of bytes received; the sender continues from there.
     """
 
     epoch: int
@@ -207,12 +207,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """Answers records, or a snapshot that is complete.
+    """Answers an append, or the last chunk of a snapshot.
 
     Attributes:
         epoch: The epoch of the primary's view.
-        matched: Whether everything up to `index` is durable and the primary's.
-        index: That index; if not matched, the one to go back to.
+        matched: Whether the log up to `index` is durable and equal to the primary's.
+        index: That index; if not matched, the index from which the primary should try again.
     """
 
     epoch: int
@@ -222,11 +222,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinRequest:
-    """A member that is not in sync asks to be brought up to date and taken in.
+    """A member that is not in sync asks to be brought up to date and added to the in-sync set.
 
     Attributes:
         member: Its identity.
-        address: Its rpc address.
+        address: Its RPC address.
     """
 
     member: str
@@ -235,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequest:
-    """A member is about to end: no acknowledgement shall wait for its copy.
+    """A member is about to shut down and asks that no acknowledgement wait for its copy.
 
     Attributes:
         member: Its identity.
@@ -246,7 +246,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveGranted:
-    """The primary needs neither the copy nor the vote of the receiver, which may end.
+    """The primary needs neither the copy nor the vote of the receiver, which may shut down.
 
     Attributes:
         epoch: The epoch of the primary's view.
@@ -273,11 +273,12 @@
     Attributes:
         name: The lease.
         fencing_token: The token to be granted.
-        is_renewal: Whether the sender was elected under this token; otherwise it is a new one.
+        is_renewal: Whether the sender already holds the lease under this token; otherwise the token is new.
         view_epoch: The epoch of the view whose witnesses are asked.
         attempt: Number of the sender's attempt.
         is_acting: Whether the sender acts under the token, or is about to.
-        acts: The acts that it is about to begin; None from members of versions that announce none.
+        announcement: The actions that the sender is about to start; None from members of earlier versions,
+            which announce none.
     """
 
     name: str
@@ -286,24 +287,24 @@
     view_epoch: int
     attempt: int
     is_acting: bool
-    acts: ActionAnnouncement | None = None
+    announcement: ActionAnnouncement | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseReply:
-    """Answers a lease request with what the witness had stored before.
+    """Answers a lease request with the state that the witness had stored before it.
 
     Attributes:
         name: The lease.
         attempt: The attempt that asked.
         granted: Whether the token is granted for one term.
         fencing_token: The highest token granted before.
-        actor: Who was last known to act; see `lease_acceptor`.
-        acting_token: The token under which it acted.
-        remaining_s: Seconds until the witness is free to grant.
-        view: A newer view that the sender of the request lacks.
-        acts: What is known of acts under earlier tokens; None where the lease is not granted, this token was
-            granted before, or the request had none.
+        actor: The last holder known to have acted; see `lease_acceptor`.
+        acting_token: The token under which that holder acted.
+        remaining_s: Seconds until the witness can grant the lease.
+        view: A newer view, which the sender of the request does not know.
+        known_actions: What the witness knows of actions under earlier tokens; None if the lease is not
+            granted, this token was granted before, or the request had no announcement.
     """
 
     name: str
@@ -314,16 +315,16 @@
     acting_token: int
     remaining_s: float
     view: View | None
-    acts: KnownActions | None = None
+    known_actions: KnownActions | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRelease:
-    """The holder gives a lease up.
+    """The holder gives up a lease.
 
     Attributes:
         name: The lease.
-        fencing_token: It will not use this token any more, nor a lower one.
+        fencing_token: The sender no longer uses this token or a lower one.
     """
 
     name: str
--- a/larchgw/replication/outbound_messages.py
+++ b/larchgw/replication/outbound_messages.py
@@ -1,4 +1,4 @@
-"""Collects what one call of a member sends, and remembers where members are."""
+"""Collects the messages that a call of a member sends, and stores the addresses of members."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class OutboundMessages:
-    """Addresses come from views and from the messages themselves; a message to nowhere is dropped."""
+    """Messages to send. A message to a member whose address is not known is dropped."""
 
     def __init__(self, member_id: str, address: str) -> None:
         """Begins empty.
 
         Args:
             member_id: The identity of this member.
-            address: Its rpc address.
+            address: Its RPC address.
         """
         self._member_id = member_id
         self._address = address
@@ -25,15 +25,15 @@
         self._to_self: list[Message] = []
 
     def set_address(self, member: str, address: str) -> None:
-        """The member is, or was last, at this address."""
+        """Stores the last known address of a member."""
         self._addresses[member] = address
 
     def address_of(self, member: str) -> str | None:
-        """Where the member is, if it is known."""
+        """The address of the member; None if it is not known."""
         return self._addresses.get(member)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Sends to a member by its identity; what it sends to itself is for `drain_to_self`."""
+        """Sends to a member by its identity; `drain_to_self` returns messages to this member itself."""
         if receiver == self._member_id:
             self._to_self.append(message)
             return
@@ -42,17 +42,20 @@
             self._enqueue(address, receiver, message)
 
     def send_to_address(self, address: str, message: Message) -> None:
-        """Sends to whoever is at the address."""
+        """Sends to any member at the address."""
         if address != self._address:
             self._enqueue(address, "", message)
 
     def drain_to_self(self) -> list[Message]:
-        """What the member has sent to itself. Its own vote is cast by the same code as the others'."""
+        """Returns and removes the messages of the member to itself.
+
+        The member's own votes are handled by the same code as those of other members.
+        """
         to_self, self._to_self = self._to_self, []
         return to_self
 
     def drain(self) -> list[OutgoingMessage]:
-        """What is to be sent; the outbound is empty afterwards."""
+        """Returns and removes the messages to other members."""
         messages, self._messages = self._messages, []
         return messages
 
--- a/larchgw/replication/peer.py
+++ b/larchgw/replication/peer.py
@@ -1,4 +1,4 @@
-"""What an acting primary knows of one other member."""
+"""The state that a primary keeps for each other member."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     """One other member, as seen by the primary in one epoch. Times are seconds of the primary's clock.
 
     Attributes:
-        last_seen_at: When its last message came.
+        last_seen_at: When its last message arrived.
         next_index: Index of the record to send next.
         match_index: Everything up to this index is durable there; -1 until that is known in this epoch.
         round: Round of the newest heartbeat that it granted.
         resend_at: When the message in flight is sent again.
-        in_flight: Whether records or a chunk were sent that are not answered yet.
-        overdue_at: When it no longer counts as keeping up; None while it lacks nothing.
-        replicating: Whether it is sent records: a backup, or a member that asked to join.
+        in_flight: Whether records or a chunk were sent and not answered yet.
+        overdue_at: When it no longer counts as keeping up; None while it has all records.
+        replicating: Whether records are sent to it: it is a backup, or a member that asked to join.
         view_sent_at: When the view was last sent to it.
         snapshot: The snapshot being sent to it; records wait until it is installed.
     """
@@ -44,6 +44,6 @@
         return self.overdue_at is None or now <= self.overdue_at
 
     def volatile_state(self) -> tuple[object, ...]:
-        """Everything that its replies have changed, times left out."""
+        """All state that its replies have changed, without times."""
         offset = None if self.snapshot is None else self.snapshot.offset
         return (self.match_index, self.next_index, self.round, self.in_flight, self.replicating, offset)
--- a/larchgw/replication/planning.py
+++ b/larchgw/replication/planning.py
@@ -1,4 +1,4 @@
-"""Which view comes next. Pure: what a primary or a candidate knows of the others comes in as an argument."""
+"""Computes the next view from what a primary or a candidate knows of the others. Pure functions."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedMembers:
-    """What the primary knows of the other members.
+    """The state of the other members as the primary observes it.
 
     Attributes:
         healthy: Members that answer and keep up.
-        ready: Members not in sync that hold everything acknowledged and may be taken in.
-        lost: Members silent for long, or whose address belongs to a new identity.
-        leaving: Members about to end, which asked that nothing depends on them.
-        addresses: Rpc address of each member.
+        ready: Members outside the in-sync set that hold every acknowledged record and may join it.
+        lost: Members that were silent for too long, or whose address belongs to a new identity.
+        leaving: Members that are about to shut down and asked that nothing depend on them.
+        addresses: RPC address of each member.
     """
 
     healthy: frozenset[str]
@@ -38,40 +38,40 @@
     """The view of a new primary.
 
     The candidate is in sync in `base`, so it has every acknowledged record. The backups are the in-sync
-    members that answered and stay. If these are too few, the view is filled up to `min_copies` with members
-    that leave and then with members that did not answer: nothing is acknowledged until they are back or
-    replaced, but the rule holds that every in-sync member has all that was acknowledged.
+    members that answered and are not leaving. If these are too few, leaving members and then members that
+    did not answer fill the view up to `min_copies`. No record is acknowledged until those are back or
+    replaced, but every in-sync member still has every acknowledged record.
 
     Args:
         epoch: The epoch of the new view.
         candidate: The new primary.
         base: The last accepted view.
         answered: Members that promised the epoch.
-        leaving: Members that are about to end.
-        min_copies: Members in sync, at least.
+        leaving: Members that are about to shut down.
+        min_copies: The least number of in-sync members.
     """
     others = [member for member in base.in_sync if member != candidate]
     staying = [member for member in others if member in answered and member not in leaving]
     present_first = sorted(others, key=lambda member: member not in answered)
-    backups = _at_least(min_copies - 1, staying, present_first)
+    backups = _fill_up_to(min_copies - 1, staying, present_first)
     return View(epoch, candidate, backups, base.witnesses, base.former_witnesses, base.addresses)
 
 
 def next_view(
     epoch: int, view: View, observed: ObservedMembers, min_copies: int, max_witnesses: int
 ) -> View | None:
-    """The change that the primary of `view` should make now; None if there is none.
+    """The view to which the primary of `view` should change now; None if no change is needed.
 
-    One step a view, so that each is safe on its own: first the in-sync set, then the end of a joint view,
-    then the witnesses. Witnesses change by a joint view (`former_witnesses` the present ones) that the next
-    view ends.
+    Each view makes only one step, so that each step is safe on its own: first a change of the in-sync set,
+    then the end of a joint view, then a change of the witnesses. Witnesses change through a joint view, whose
+    `former_witnesses` are the current ones; the view after it ends the change.
 
     Args:
         epoch: The epoch of the new view.
-        view: The present view.
+        view: The current view.
         observed: What the primary knows of the other members.
-        min_copies: Copies that a record must have.
-        max_witnesses: Up to which the witness set grows.
+        min_copies: The number of copies that a record must have.
+        max_witnesses: The size up to which the witness set grows.
     """
     backups = _next_backups(view, observed, min_copies)
     if set(backups) != set(view.backups):
@@ -85,7 +85,7 @@
 
 
 def same_view(epoch: int, view: View) -> View:
-    """The same members under a new epoch."""
+    """The same view under a new epoch."""
     return View(epoch, view.primary, view.backups, view.witnesses, view.former_witnesses, view.addresses)
 
 
@@ -96,10 +96,10 @@
     likely_back_first = sorted(
         spare, key=lambda member: (member not in observed.healthy, member in observed.lost)
     )
-    return _at_least(min_copies - 1, [*kept, *observed.ready], likely_back_first)
+    return _fill_up_to(min_copies - 1, [*kept, *observed.ready], likely_back_first)
 
 
-def _at_least(count: int, members: Collection[str], spare: Collection[str]) -> tuple[str, ...]:
+def _fill_up_to(count: int, members: Collection[str], spare: Collection[str]) -> tuple[str, ...]:
     """The members, filled up to `count` from `spare`."""
     chosen = list(members)
     for member in spare:
@@ -113,10 +113,10 @@
 def _next_witnesses(view: View, observed: ObservedMembers, max_witnesses: int) -> tuple[str, ...]:
     """The witnesses that the view should have.
 
-    One witness that is lost, or leaves, is replaced by an in-sync member that is none yet; else witnesses are
-    added, up to an odd number and no more than `max_witnesses`. The set never shrinks, as leases rely on it:
-    if it grew with each machine that comes before the one that it replaces goes, those that went would soon
-    be half of it.
+    One witness that is lost or leaving is replaced by an in-sync member that is not a witness yet. Otherwise
+    witnesses are added, up to an odd number of at most `max_witnesses`. The set never shrinks, because leases
+    rely on it. It has a maximum because a replacement machine often joins before the old one leaves: if the
+    set grew each time, machines that are gone would soon be half of it.
     """
     staying = (observed.healthy | {view.primary}) - observed.leaving
     spare = [member for member in view.in_sync if member not in view.witnesses and member in staying]
--- a/larchgw/replication/ports.py
+++ b/larchgw/replication/ports.py
@@ -1,6 +1,6 @@
-"""The narrow ports to durable storage; `larchgw/storage` satisfies them.
+"""Ports to durable storage, implemented by `larchgw/storage`.
 
-All may raise OSError (a full disk).
+Every method may raise OSError, for example when the disk is full.
 """
 
 from __future__ import annotations
@@ -14,10 +14,13 @@
     """One small value, replaced atomically and durable once `store` returns."""
 
     def load(self) -> bytes | None:
-        """What was stored last; None if nothing was."""
+        """Returns the last stored value; None if none was stored."""
 
     def store(self, value: bytes) -> None:
-        """Durable once it returns; after an OSError the old or the new value stands."""
+        """Replaces the value; durable once it returns.
+
+        After an OSError either the old or the new value is stored.
+        """
 
 
 class Journal(Protocol):
@@ -37,21 +40,21 @@
         """Drops the records above `index`; durable once it returns."""
 
     def read(self, first: int, last: int) -> Iterator[tuple[int, bytes]]:
-        """Records `first` to `last`, both included."""
+        """Yields the records `first` to `last`, both included, with their indices."""
 
     def snapshot(self) -> tuple[int, bytes] | None:
-        """The snapshot and the index up to which it stands for records."""
+        """Returns the index of the last record that the snapshot replaces, and the snapshot."""
 
     def compact(self, up_to: int, snapshot: bytes) -> None:
         """Replaces the records up to `up_to` by a snapshot."""
 
     def install(self, index: int, snapshot: bytes) -> None:
-        """Replaces everything by a snapshot."""
+        """Replaces the whole log by a snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """All that a member keeps on its disk. `identity` is written last when a member is first set up."""
+    """The durable state of a member. `identity` is written last when a member is first set up."""
 
     identity: Cell
     witness: Cell
--- a/larchgw/replication/primary_role.py
+++ b/larchgw/replication/primary_role.py
@@ -1,4 +1,4 @@
-"""Whether this member acts as primary: the role is won by a view, and lost or handed over."""
+"""The primary role of this member: acquired with a view, and lost or handed over."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class PrimaryRole:
-    """The primary's role of one member. Times are seconds of the member's clock.
+    """The primary role of one member. Times are seconds of the member's clock.
 
     Attributes:
-        leading: The view that this member acts in as primary; None while it does not.
-        no_candidacy_until: It does not try to become primary before this time.
-        leaving_members: Members that asked to be left out before a planned end. Every member keeps them, so
-            that whoever becomes primary next knows of them already.
+        leadership: The state of this member as primary of its view; None while it is not primary.
+        no_candidacy_until: The member does not try to become primary before this time.
+        leaving_members: Members that asked to be left out before a planned shutdown. Every member tracks
+            them, so that the next primary already knows them.
     """
 
     def __init__(
@@ -42,16 +42,16 @@
         candidate: Candidate,
         on_resign: Callable[[str], None],
     ) -> None:
-        """Creates the role, not held.
+        """Creates the role; the member is not primary yet.
 
         Args:
             member_id: The identity of this member.
-            settings: Copies and witnesses that views must have, and time-outs.
+            settings: The numbers of copies and witnesses that views must have, and time-outs.
             replica: The log, whose records a primary sends.
-            outbound: Takes the messages to send.
-            addresses: Which members have lost their disk to a successor at their address.
-            follower: Noted as just having seen a primary once the role is lost.
-            candidate: Given up, and postponed, once the role is lost.
+            outbound: Receives the messages to send.
+            addresses: Knows which members were replaced by a new identity at their address.
+            follower: Is set to have just seen a primary when the role is lost.
+            candidate: Abandons its attempt, and is postponed, when the role is lost.
             on_resign: Called with the reason when this member stops acting as primary.
         """
         self._member_id = member_id
@@ -63,89 +63,91 @@
         self._candidate = candidate
         self._on_resign = on_resign
         self.leaving_members = LeavingMembers(settings.timing)
-        self.leading: Leadership | None = None
+        self.leadership: Leadership | None = None
         self.no_candidacy_until = 0.0
 
     def lead(self, now: float, view: View) -> None:
-        """Begins to act in a view that a quorum has accepted and in which this member is primary.
+        """Starts to act as primary of a view that a quorum has accepted.
 
         Raises:
-            OSError: The log cannot be made durable; this member's own copy must count.
+            OSError: The log cannot be made durable, but this member's own copy must count.
         """
         self._candidate.view_change = None
-        self._replica.sync()  # also what an earlier incarnation of this process left unsynced
-        self.leading = Leadership(
+        self._replica.sync()  # also records that this process left unsynced before a restart
+        self.leadership = Leadership(
             self._member_id,
             view,
             self._replica,
             self._outbound,
             self._settings,
             now,
-            self.leading,
+            self.leadership,
             self.leaving_members.leaving(now),
         )
         log.info("primary.acquired", view_epoch=view.epoch, backups=view.backups, witnesses=view.witnesses)
-        self.leading.heartbeat(now)
-        self.leading.replicate(now)
+        self.leadership.heartbeat(now)
+        self.leadership.replicate(now)
 
     def resign(self, now: float, reason: str) -> None:
-        """Stops acting as primary, if it does."""
-        if self.leading is None:
+        """Stops acting as primary; does nothing if the member is not primary."""
+        if self.leadership is None:
             return
-        log.info("primary.lost", view_epoch=self.leading.view.epoch, reason=reason)
-        self.leading = None
+        log.info("primary.lost", view_epoch=self.leadership.view.epoch, reason=reason)
+        self.leadership = None
         self._candidate.abandon(now)
         self._on_resign(reason)
         self._follower.primary_seen_at = now
 
     def step_down(self, now: float, pause_s: float) -> None:
-        """Hands the role to a backup, and does not try to win it again for `pause_s`."""
+        """Hands the role to a backup, and does not try to become primary again for `pause_s`."""
         self.no_candidacy_until = max(self.no_candidacy_until, now + pause_s)
-        if self.leading is None:
+        if self.leadership is None:
             return
-        successor = self.leading.successor(now, self.leaving_members.leaving(now))
+        successor = self.leadership.successor(now, self.leaving_members.leaving(now))
         if successor is not None:
-            self._outbound.send(successor, TakeOver(self.leading.view.epoch))
+            self._outbound.send(successor, TakeOver(self.leadership.view.epoch))
         self.resign(now, "stepped down")
 
-    def may_stand(self, now: float, view: View) -> bool:
+    def may_become_candidate(self, now: float, view: View) -> bool:
         """Whether this member may try to become primary after `view`.
 
-        Only a member of the in-sync set may: a record counts as acknowledged once every member of that set
-        has it durable, so that each of them holds all acknowledged records, and no other member is known to.
+        Only a member of the in-sync set may: a record is acknowledged only once it is durable at every member
+        of that set. So each of them holds all acknowledged records, which is not known of other members.
         """
         return (
             self._member_id in view.in_sync
             and now >= self.no_candidacy_until
-            and self.leading is None
+            and self.leadership is None
             and self._candidate.view_change is None
         )
 
-    def next_view(self, now: float, epoch: int, leading: Leadership) -> View | None:
-        """The change that should be made to the view now, under `epoch`; None if there is none."""
-        observed = leading.observe_members(now, self._addresses.replaced, self.leaving_members.leaving(now))
+    def next_view(self, now: float, epoch: int, leadership: Leadership) -> View | None:
+        """The view, under `epoch`, to which the primary should change now; None if no change is needed."""
+        observed = leadership.observe_members(
+            now, self._addresses.replaced, self.leaving_members.leaving(now)
+        )
         return next_view(
-            epoch, leading.view, observed, self._settings.min_copies, self._settings.max_witnesses
+            epoch, leadership.view, observed, self._settings.min_copies, self._settings.max_witnesses
         )
 
     def join(self, now: float, join: JoinRequest) -> None:
-        """A member asks to be brought up to date and taken in."""
+        """Handles the request of a member to be brought up to date and added to the in-sync set."""
         self.leaving_members.observe_return(join.member)
-        if self.leading is not None:
-            self.leading.join(now, join.member)
+        if self.leadership is not None:
+            self.leadership.join(now, join.member)
 
     def leave(self, now: float, sender: str, leave: LeaveRequest) -> None:
-        """A member is about to end; its wish is granted once nothing depends on it any more.
+        """Handles the request of a member that is about to shut down.
 
-        That is so once there is no further change of the view to make, and the others are a quorum without
-        it.
+        The request is granted once nothing depends on the member: no further change of the view is needed,
+        and the other members are a quorum without it.
         """
         self.leaving_members.observe_request(now, leave.member)
-        if self.leading is None or not self.leading.has_contact(now):
+        if self.leadership is None or not self.leadership.has_contact(now):
             return
-        if self.next_view(now, self.leading.view.epoch + 1, self.leading) is not None:
+        if self.next_view(now, self.leadership.view.epoch + 1, self.leadership) is not None:
             return
         released = self.leaving_members.released(now) - {leave.member}
-        if self.leading.can_release(now, leave.member, released):
+        if self.leadership.can_release(now, leave.member, released):
             self.leaving_members.release(leave.member)
-            self._outbound.send(sender, LeaveGranted(self.leading.view.epoch))
+            self._outbound.send(sender, LeaveGranted(self.leadership.view.epoch))
--- a/larchgw/replication/replica.py
+++ b/larchgw/replication/replica.py
@@ -1,4 +1,4 @@
-"""The log of one replica: records with the epoch of their proposal, so that divergent tails are found."""
+"""The log of one replica. Each record has the epoch of its proposal, so that divergent tails are detected."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSize:
-    """The records after the snapshot.
+    """The size of the log after the snapshot.
 
     Attributes:
-        records: How many.
-        size_bytes: Their bytes.
+        records: Number of records.
+        size_bytes: Total size of the records.
     """
 
     records: int
@@ -25,15 +25,16 @@
 
 
 class Replica:
-    """The log of one replica, over a journal. Each record is stored as its epoch (64 bits) and its bytes.
+    """The log of one replica. The journal stores each record as its epoch (64 bits) and its bytes.
 
-    The log of a member may end in records that the primary does not have: they were proposed by an earlier
-    primary and never acknowledged. They are found by their epoch (no two primaries share one) and replaced.
+    The log of a member may end in records that the primary does not have: an earlier primary proposed them
+    and they were never acknowledged. They are detected by their epoch, which no two primaries share, and are
+    replaced.
 
     Source: Raft, section 5.3 (log matching).
 
     Attributes:
-        committed: The newest record known to be acknowledged; never shrinks, and is not durable.
+        committed: Index of the newest record known to be acknowledged; never decreases, and is not durable.
     """
 
     def __init__(self, journal: Journal) -> None:
@@ -47,15 +48,15 @@
         self._base_epoch = 0
         self._snapshot_bytes = 0
         self._epochs: list[int] = []  # of the records after the snapshot
-        self._sizes: list[int] = []  # their bytes
-        self._synced = False  # a process that was killed may have left records that were never synced
+        self._sizes: list[int] = []  # sizes of those records, in bytes
+        self._synced = False  # an earlier process may have been killed before it synced its last records
         self.committed = 0
         self._load()
 
     def _load(self) -> None:
-        held = self._journal.snapshot()
-        self._base_index, self._base_epoch = (held[0], _epoch(held[1])) if held is not None else (0, 0)
-        self._snapshot_bytes = len(held[1]) if held is not None else 0
+        stored = self._journal.snapshot()
+        self._base_index, self._base_epoch = (stored[0], _epoch(stored[1])) if stored is not None else (0, 0)
+        self._snapshot_bytes = len(stored[1]) if stored is not None else 0
         self._epochs = []
         self._sizes = []
         for _, record in self._journal.read(self._base_index + 1, self._journal.last_index):
@@ -70,41 +71,47 @@
 
     @property
     def first_index(self) -> int:
-        """The lowest index whose record is still there; below it there is only the snapshot."""
+        """The lowest index whose record is kept; the snapshot replaces those below it."""
         return self._base_index + 1
 
     @property
     def size(self) -> LogSize:
-        """What follows the snapshot."""
+        """The size of the records after the snapshot."""
         return LogSize(len(self._epochs), sum(self._sizes))
 
     @property
     def state_bytes(self) -> int:
-        """A guess at the size of the state: that of the snapshot, or of the records, which may replace it."""
+        """An estimate of the size of the state.
+
+        It is the larger of the snapshot and the records after it, because records may replace the state.
+        """
         return max(self._snapshot_bytes, sum(self._sizes))
 
     def epoch_at(self, index: int) -> int:
-        """The epoch of a record, from the snapshot's last on; 0 at index 0."""
+        """The epoch of the record at `index`, which must not be below the last one of the snapshot.
+
+        It is 0 at index 0.
+        """
         if index == self._base_index:
             return self._base_epoch
         return self._epochs[index - self._base_index - 1]
 
     def has_record(self, index: int, epoch: int) -> bool:
-        """Whether this record, or a snapshot that stands for it, is here already."""
+        """Whether the log holds this record, or a snapshot that includes it."""
         return index <= self._base_index or index <= self.last_index and self.epoch_at(index) == epoch
 
     def snapshot(self) -> tuple[int, int, bytes]:
-        """Index, epoch and content of the snapshot; index 0 and nothing if there is none."""
-        held = self._journal.snapshot()
-        if held is None:
+        """Index, epoch and content of the snapshot; index 0 and no content if there is none."""
+        stored = self._journal.snapshot()
+        if stored is None:
             return 0, 0, b""
-        return held[0], _epoch(held[1]), held[1][_EPOCH.size :]
+        return stored[0], _epoch(stored[1]), stored[1][_EPOCH.size :]
 
     def append(self, epoch: int, record: bytes) -> int:
-        """Adds a record as primary, durable, and returns its index.
+        """Appends a record as primary, makes it durable, and returns its index.
 
         Raises:
-            OSError: The disk refuses; the record is taken back, or counts as never sent.
+            OSError: The record cannot be stored. It is removed from the log again, and was not sent.
         """
         self._add(epoch, record)
         try:
@@ -123,14 +130,14 @@
     def append_from_primary(
         self, previous_index: int, previous_epoch: int, epochs: Sequence[int], records: Sequence[bytes]
     ) -> tuple[bool, int]:
-        """Makes the primary's records after `previous_index` durable, in place of any that diverge.
+        """Makes the primary's records after `previous_index` durable, and replaces those that diverge.
 
-        They fit if the record at `previous_index` is there with `previous_epoch`: then, by induction,
-        everything up to it is the primary's too.
+        The records match if the log holds the record at `previous_index` with `previous_epoch`. Then, by
+        induction, the log up to there equals the primary's too.
 
         Returns:
-            Whether they fit, and the index up to which the log is the primary's; if they do not fit, the
-            index from which to try again.
+            Whether the records match, and the index up to which the log equals the primary's. If they do not
+            match, the index is the one from which the primary should try again.
         """
         if previous_index > self.last_index:
             return False, self.last_index
@@ -144,7 +151,7 @@
         return True, max(index, self._base_index)
 
     def install(self, index: int, epoch: int, snapshot: bytes) -> bool:
-        """Replaces the log by a snapshot, durable; False where the log holds that record already."""
+        """Replaces the log by a snapshot, durably; returns False if the log already holds that record."""
         if self.has_record(index, epoch):
             return False
         self._journal.install(index, _EPOCH.pack(epoch) + snapshot)
@@ -153,7 +160,7 @@
         return True
 
     def compact(self, index: int, snapshot: bytes) -> None:
-        """Replaces the records up to `index` by a snapshot of their effect."""
+        """Replaces the records up to `index` by a snapshot of the state after them."""
         epoch = self.epoch_at(index)
         self._journal.compact(index, _EPOCH.pack(epoch) + snapshot)
         del self._epochs[: index - self._base_index]
@@ -161,11 +168,11 @@
         self._base_index, self._base_epoch, self._snapshot_bytes = index, epoch, len(snapshot)
 
     def read(self, first: int, last: int) -> list[tuple[int, bytes]]:
-        """Records without their epochs."""
+        """Returns the records `first` to `last` with their indices, without their epochs."""
         return [(index, record[_EPOCH.size :]) for index, record in self._journal.read(first, last)]
 
     def batch(self, first: int, limit_bytes: int) -> tuple[tuple[int, ...], tuple[bytes, ...]]:
-        """Epochs and records from `first` on: one at least, and no more than `limit_bytes` together."""
+        """Epochs and records from `first` on: at least one, and otherwise at most `limit_bytes` in total."""
         epochs: list[int] = []
         records: list[bytes] = []
         size = 0
@@ -195,13 +202,13 @@
 
     def _truncate(self, index: int) -> None:
         if index < self.committed:
-            raise AssertionError(f"record {index + 1} is acknowledged and must not be dropped")
+            raise AssertionError(f"cannot truncate the log after {index}: record {index + 1} is acknowledged")
         self._journal.truncate_after(index)
         del self._epochs[index - self._base_index :]
         del self._sizes[index - self._base_index :]
 
     def _before_epoch(self, index: int) -> int:
-        """The last index before the run of records that have the same epoch as the one at `index`."""
+        """The last index before the run of records with the same epoch as the record at `index`."""
         epoch = self.epoch_at(index)
         while index > self._base_index and self.epoch_at(index) == epoch:
             index -= 1
@@ -209,7 +216,7 @@
 
 
 def split_frame(framed: bytes) -> tuple[int, bytes]:
-    """The epoch and the record, or snapshot, that a journal holds as `framed`."""
+    """Splits an entry of the journal into the epoch and the record or snapshot."""
     return _epoch(framed), framed[_EPOCH.size :]
 
 
--- a/larchgw/replication/settings.py
+++ b/larchgw/replication/settings.py
@@ -12,48 +12,61 @@
 class Timing:
     """Intervals and time-outs, in seconds.
 
-    They are chosen for a round trip of some ms inside a region, syncs of up to tens of ms, and restarts of
-    some seconds.
+    The defaults suit round trips of a few ms inside a region, disk syncs of up to tens of ms, and restarts of
+    a few seconds.
 
-    Attributes: heartbeat_interval_s: Between two heartbeats of a primary. backup_silence_s: After which a
-    backup is left out: several heartbeats. primary_silence_s: After which a backup tries to become primary.
-    rank_stagger_s: Added by rank, so that candidates do not collide. own_restart_s: After which a restarted
-    primary tries again: it need not wait for itself. view_change_s: After which a view change without result
-    is given up. view_change_resend_s: Between two requests to a member that has not answered a view change.
-    promise_grace_s: For which a quorum of promises waits for the other in-sync members. quorum_contact_s:
-    After which a primary without a quorum gives up its role. refusal_s: After which a promise to another
-    member that leads to no view is overruled. join_interval_s: Between two requests of a member that is not
-    in sync. retransmit_s: After which an append without a reply is sent again, in addition to the time that
-    its bytes take over `slowest_link_bytes_per_s`. slowest_link_bytes_per_s: What the slowest link carries.
-    rejoin_delay_s: For which a backup that was left out for silence is not taken in again. One that is silent
-    time and again costs changes `backup_silence_s` each time, so less than a third of the time.
-    witness_silence_s: After which a witness is replaced, if an in-sync member can take its place.
-    forget_peer_s: After which a member outside the view that stopped asking is forgotten. pre_vote_s: To wait
-    for replies to a pre-vote. lease_round_s: To wait for replies of the witnesses to a lease request.
-    lease_stagger_s: Between candidates for a lease, by rank: some round trips with a write at the witnesses.
-    leave_interval_s: Between two requests of a member that is about to end. step_down_pause_s: After
-    `step_down`, before a member tries for a role again. process_pause_s: A gap between calls that means that
-    the process itself did not run.
+    Attributes:
+        heartbeat_interval_s: Between two heartbeats of a primary.
+        backup_timeout_s: A backup that is silent for this long is left out of the view; several heartbeats.
+        primary_timeout_s: A backup that has not heard the primary for this long tries to become primary.
+        rank_stagger_s: Added per rank, so that candidates do not collide.
+        own_restart_s: After a restart the primary of the last view becomes a candidate after this time. It
+            does not need to wait for itself.
+        view_change_timeout_s: A view change without a result is abandoned after this time.
+        view_change_resend_s: Between two requests to a member that has not answered a view change.
+        promise_grace_s: Once a quorum has promised, how long a candidate waits for the other in-sync members.
+        quorum_timeout_s: A primary that has not heard a quorum for this long gives up its role.
+        refusal_timeout_s: If a member refuses the primary's heartbeats because it has promised a higher
+            epoch, and no view follows within this time, the primary forms a view with an even higher epoch.
+        join_interval_s: Between two requests of a member that is not in sync.
+        retransmit_timeout_s: An append without a reply is sent again after this time plus the time that its
+            bytes take at `slowest_link_bytes_per_s`.
+        slowest_link_bytes_per_s: Throughput of the slowest link.
+        rejoin_delay_s: For how long a backup that was left out because it was silent is not added again. A
+            backup that is silent repeatedly delays changes by `backup_timeout_s` each time, so with this
+            delay for less than a third of the time.
+        witness_timeout_s: A witness that is silent for this long is replaced if an in-sync member can take
+            its place.
+        peer_expiry_s: The primary forgets a member outside the view that has not sent a request for this
+            long.
+        pre_vote_timeout_s: How long a candidate waits for replies to a pre-vote.
+        lease_round_timeout_s: How long a holder waits for replies of the witnesses to a lease request.
+        lease_stagger_s: Between candidates for a lease, per rank; covers several round trips with a write at
+            the witnesses.
+        leave_interval_s: Between two requests of a member that is leaving.
+        step_down_pause_s: After `step_down`, for how long a member does not try for a role again.
+        process_pause_s: A gap between two calls that is longer than this means that the process itself was
+            not running.
     """
 
     heartbeat_interval_s: float = 0.1
-    backup_silence_s: float = 0.5
-    primary_silence_s: float = 0.6
+    backup_timeout_s: float = 0.5
+    primary_timeout_s: float = 0.6
     rank_stagger_s: float = 0.15
     own_restart_s: float = 0.1
-    view_change_s: float = 0.8
+    view_change_timeout_s: float = 0.8
     view_change_resend_s: float = 0.15
     promise_grace_s: float = 0.03
-    quorum_contact_s: float = 1.5
-    refusal_s: float = 0.3
+    quorum_timeout_s: float = 1.5
+    refusal_timeout_s: float = 0.3
     join_interval_s: float = 0.4
-    retransmit_s: float = 0.4
+    retransmit_timeout_s: float = 0.4
     slowest_link_bytes_per_s: float = 10e6
     rejoin_delay_s: float = 1.2
-    witness_silence_s: float = 1.2
-    forget_peer_s: float = 5.0
-    pre_vote_s: float = 0.25
-    lease_round_s: float = 0.3
+    witness_timeout_s: float = 1.2
+    peer_expiry_s: float = 5.0
+    pre_vote_timeout_s: float = 0.25
+    lease_round_timeout_s: float = 0.3
     lease_stagger_s: float = 0.1
     leave_interval_s: float = 0.05
     step_down_pause_s: float = 5.0
@@ -106,10 +119,10 @@
 
     @property
     def min_copies(self) -> int:
-        """Members in sync, at least."""
+        """The least number of in-sync members."""
         return self.tolerated_failures + 1
 
     @property
     def max_witnesses(self) -> int:
-        """Up to which the witnesses grow by members that come."""
+        """The size up to which joining members extend the witness set."""
         return sys.maxsize if self.all_in_sync_vote else 2 * self.tolerated_failures + 1
--- a/larchgw/replication/snapshot_transfer.py
+++ b/larchgw/replication/snapshot_transfer.py
@@ -1,8 +1,9 @@
-"""A snapshot on its way from the primary to a member that lacks records which are no longer kept.
+"""Transfer of a snapshot from the primary to a member that lacks records which were compacted.
 
-It goes in chunks, one in flight at a time, so that heartbeats pass between them and no message grows with the
-state. The receiver says from where to go on; nothing is replaced before all of it is there and its checksum
-agrees. What is received lies in memory: a receiver that restarts begins anew.
+A snapshot is sent in chunks, one in flight at a time, so that heartbeats are sent between them and the size
+of a message does not grow with the state. The receiver reports the offset from which to continue. It replaces
+its log only once the snapshot is complete and matches its checksum. Received chunks are kept in memory, so a
+receiver that restarts begins again.
 
 Source: Raft, section 7.
 """
@@ -17,8 +18,12 @@
 from .messages import InstallSnapshot
 
 log = structlog.get_logger()
-CHUNK_BYTES = 256 << 10  # 26 ms on the slowest link: a heartbeat waits no longer behind it
-MAX_SNAPSHOT_BYTES = 24 << 20  # set aside for one; control/configuration_size.py keeps states below
+CHUNK_BYTES = (
+    256 << 10
+)  # 26 ms on the slowest link, which is the longest that a heartbeat waits behind a chunk
+MAX_SNAPSHOT_BYTES = (
+    24 << 20
+)  # most that a receiver buffers; control/configuration_size.py keeps states below this
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,23 +37,23 @@
 
     @classmethod
     def of(cls, index: int, epoch: int, content: bytes) -> Snapshot:
-        """With its checksum."""
+        """Creates a snapshot and computes its checksum."""
         return cls(index, epoch, content, checksum_of(content))
 
 
 def checksum_of(content: bytes) -> str:
-    """SHA-256 of a snapshot, in hex: tells a complete one from one that was put together wrongly."""
+    """SHA-256 of a snapshot, in hex; detects a snapshot that was assembled incorrectly."""
     return hashlib.sha256(content).hexdigest()
 
 
 class OutgoingSnapshot:
     """The sender's side: one snapshot for one member.
 
-    It is kept until the member has it, though a newer one may replace it on the disk meanwhile.
+    The content is kept until the member has received it, even if a newer one replaces it on disk.
 
     Attributes:
-        snapshot: What is sent.
-        offset: Where the chunk in flight, or the next one, begins.
+        snapshot: The snapshot that is sent.
+        offset: Offset of the chunk in flight, or of the next one.
     """
 
     def __init__(self, epoch: int, snapshot: Snapshot, chunk_bytes: int) -> None:
@@ -56,7 +61,7 @@
 
         Args:
             epoch: The epoch of the primary that sends it.
-            snapshot: What to send.
+            snapshot: The snapshot to send.
             chunk_bytes: The size of a chunk.
         """
         self.snapshot = snapshot
@@ -66,7 +71,7 @@
 
     @property
     def remaining_bytes(self) -> int:
-        """Bytes that have not been answered."""
+        """Number of bytes that the receiver has not acknowledged."""
         return len(self.snapshot.content) - self.offset
 
     def chunk(self) -> InstallSnapshot:
@@ -84,11 +89,11 @@
         )
 
     def acknowledge(self, index: int, offset: int) -> bool:
-        """Goes on from the offset that the receiver reports; True if the next chunk is to be sent at once.
+        """Continues from the offset that the receiver reports; True if the next chunk is to be sent at once.
 
-        A reply that does not go beyond the chunk in flight is an old one, or the receiver has begun anew.
-        Either way the chunk is sent again only after a time-out: sending on every reply would keep as many
-        chunks in flight as replies were doubled.
+        If the offset does not reach the end of the chunk in flight, the reply is an old one or the receiver
+        has begun again. The chunk is then sent again only after a time-out: sending one on every reply would
+        put an additional chunk in flight for each duplicated reply.
         """
         if index != self.snapshot.index or not 0 <= offset <= len(self.snapshot.content):
             return False
@@ -98,10 +103,10 @@
 
 
 class IncomingSnapshot:
-    """The receiver's side: at most one snapshot, as far as it has come.
+    """The receiver's side: at most one partially received snapshot.
 
     Attributes:
-        discarded: How many were complete and did not agree with their checksum.
+        discarded: Number of snapshots that were complete but did not match their checksum.
     """
 
     def __init__(self) -> None:
@@ -113,23 +118,23 @@
 
     @property
     def offset(self) -> int:
-        """From where the sender is to go on."""
+        """The offset from which the sender has to continue."""
         return len(self._content)
 
     def discard(self) -> None:
-        """Nothing is being received any more."""
+        """Drops the partial snapshot."""
         self._transfer = ()
         self._content = bytearray()
 
     def discard_up_to(self, index: int) -> None:
-        """The log has come as far as `index` without a snapshot."""
+        """Drops the partial snapshot if the log has reached `index` and no longer needs it."""
         if self._order[1] <= index:
             self.discard()
 
     def begin(self, install: InstallSnapshot) -> bool:
-        """Turns to the transfer that the chunk belongs to; False if the chunk is to be dropped.
+        """Selects the transfer that the chunk belongs to; returns False if the chunk must be dropped.
 
-        A transfer of a higher epoch, or of a newer snapshot, takes the place of the one before.
+        A transfer of a higher epoch, or of a newer snapshot, replaces the current one.
         """
         if not 0 <= install.size_bytes <= MAX_SNAPSHOT_BYTES:
             log.error("snapshot.too_large", size_bytes=install.size_bytes, max_bytes=MAX_SNAPSHOT_BYTES)
@@ -145,9 +150,10 @@
         return True
 
     def receive(self, install: InstallSnapshot) -> bytes | None:
-        """Takes a chunk of the present transfer; returns the snapshot if this chunk completes it.
+        """Adds a chunk of the current transfer; returns the snapshot if this chunk completes it.
 
-        The last chunk is not kept: until the snapshot is durable, and `discard` is called, it can come again.
+        The last chunk is not stored, so it can be received again until the snapshot is durable and `discard`
+        is called.
         """
         if not self._fits(install):
             return None
@@ -169,7 +175,7 @@
 
 
 def _transfer_of(install: InstallSnapshot) -> tuple[object, ...]:
-    """What all chunks of one transfer have in common."""
+    """The fields that all chunks of one transfer share; they identify the transfer."""
     return install.epoch, install.index, install.index_epoch, install.size_bytes, install.checksum
 
 
--- a/larchgw/replication/view.py
+++ b/larchgw/replication/view.py
@@ -1,4 +1,4 @@
-"""A view: who is primary, who is in sync and who decides, and the quorums that follow from it."""
+"""A view: which member is primary, which are in sync, and which are witnesses and form its quorums."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def majority_of(voters: Collection[str], members: Collection[str]) -> bool:
-    """Whether `voters` hold a majority of `members`."""
+    """Whether `voters` include a majority of `members`."""
     return 2 * sum(member in voters for member in members) > len(members)
 
 
@@ -16,12 +16,16 @@
 class View:
     """One view of the replicated control state.
 
-    Attributes: epoch: Its number; no two views share one. primary: Who proposes records. backups: Who must
-    have a record before it is acknowledged. witnesses: Whose majority is a quorum. former_witnesses: The
-    witnesses of the view before, while the witness set is being changed; else the same as `witnesses`. Until
-    the next view majorities of both sets must agree to everything: a majority of the former and one of the
-    new need not share a witness, but each shares one with a joint quorum. addresses: Rpc address of each
-    member.
+    Attributes:
+        epoch: Its number; no two views have the same.
+        primary: The member that proposes records.
+        backups: The members that must have a record before it is acknowledged.
+        witnesses: The members that vote; a majority of them is a quorum.
+        former_witnesses: The witnesses of the previous view while the witness set is being changed; otherwise
+            the same as `witnesses`. Until the next view every decision needs majorities of both sets: a
+            majority of the former set and one of the new set need not share a witness, but each shares one
+            with every joint quorum.
+        addresses: RPC address of each member.
 
     Source: Raft, section 6 (joint consensus).
     """
@@ -40,25 +44,25 @@
 
     @property
     def is_joint(self) -> bool:
-        """Whether a change of the witness set is under way."""
+        """Whether the witness set is being changed."""
         return set(self.witnesses) != set(self.former_witnesses)
 
     @property
     def all_witnesses(self) -> tuple[str, ...]:
-        """All whose agreement may count for this view."""
+        """The witnesses and the former witnesses: all whose votes may count for this view."""
         return tuple(dict.fromkeys((*self.witnesses, *self.former_witnesses)))
 
     @property
     def members(self) -> tuple[str, ...]:
-        """All that take part in this view."""
+        """The in-sync members and all witnesses."""
         return tuple(dict.fromkeys((*self.in_sync, *self.all_witnesses)))
 
     def has_quorum(self, voters: Collection[str]) -> bool:
-        """Whether `voters` are a majority of the witnesses, and of the former ones while they change."""
+        """Whether `voters` include majorities of the witnesses and of the former witnesses."""
         return majority_of(voters, self.witnesses) and majority_of(voters, self.former_witnesses)
 
     def to_json(self) -> dict[str, Any]:
-        """As it is stored and sent."""
+        """Converts the view to the JSON that is stored and sent."""
         return {
             "epoch": self.epoch,
             "primary": self.primary,
@@ -70,7 +74,7 @@
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> View:
-        """Reads what `to_json` gave; raises KeyError, TypeError or ValueError for anything else."""
+        """Reads the output of `to_json`; raises KeyError, TypeError or ValueError for anything else."""
         return cls(
             epoch=int(value["epoch"]),
             primary=str(value["primary"]),
@@ -82,9 +86,9 @@
 
 
 def first_view(seeds: Collection[str]) -> View:
-    """The view that all seeds take for granted at the first start of the system.
+    """The initial view, which all seeds assume at the first start of the system without a vote.
 
-    The ids of the seeds are their addresses.
+    The identity of each seed is its address.
     """
     ids = tuple(dict.fromkeys(seeds))
     return View(1, ids[0], ids[1:], ids, ids, {seed: seed for seed in ids})
--- a/larchgw/replication/view_voter.py
+++ b/larchgw/replication/view_voter.py
@@ -16,7 +16,7 @@
 class ViewVoter:
     """The acceptor's side of a view change. Every vote is durable before it is sent.
 
-    Each method raises OSError where the disk refuses; then nothing is sent.
+    Each method raises OSError if a vote cannot be stored; then nothing is sent.
 
     Source: Paxos Made Simple, section 2.2 (acceptors); Raft, section 9.6 of the thesis (pre-votes).
     """
@@ -37,12 +37,12 @@
         Args:
             member_id: The identity of this member.
             witness: The epoch promised and the view accepted.
-            lease_acceptor: Told when this member becomes a witness.
+            lease_acceptor: Notified when this member becomes a witness.
             addresses: Updated from accepted views.
-            outbound: Takes the replies.
-            follower: Knows whether a primary was seen lately.
-            candidate: Learns of epochs that others have used.
-            role: Given up where a view with another primary is accepted.
+            outbound: Receives the replies.
+            follower: Knows whether a primary was seen recently.
+            candidate: Notified of the epochs that others use.
+            role: Given up when a view with another primary is accepted.
         """
         self._member_id = member_id
         self._witness = witness
@@ -54,19 +54,19 @@
         self._role = role
 
     def receive_pre_vote_request(self, now: float, sender: str, request: PreVoteRequest) -> None:
-        """A member asks whether it may try to become primary; nothing is promised by the reply."""
+        """Answers whether a member may try to become primary; the reply is not a promise."""
         view = self._witness.view
         granted = view is None or view.primary == sender or not self._follower.has_recent_primary(now)
-        leading = self._role.leading
-        if leading is not None and sender != self._member_id and leading.has_contact(now):
+        leadership = self._role.leadership
+        if leadership is not None and sender != self._member_id and leadership.has_contact(now):
             granted = False
         self._outbound.send(sender, PreVoteReply(request.round, granted, self._witness.promised, view))
 
     def prepare(self, now: float, sender: str, prepare: Prepare) -> None:
-        """A candidate asks for a promise of its epoch.
+        """Answers a candidate that asks for a promise of its epoch.
 
         The reply carries the last view accepted here. A candidate that has such replies from a quorum knows
-        every view that may have been chosen under a lower epoch, as any two quorums share a witness.
+        every view that may have been chosen under a lower epoch, because any two quorums share a witness.
         """
         granted = self._witness.promise(prepare.epoch, sender)
         self._candidate.observe_epoch(self._witness.promised)
@@ -75,12 +75,12 @@
         )
 
     def accept(self, now: float, sender: str, message: Accept) -> None:
-        """A candidate, or the primary, asks for the acceptance of a view."""
+        """Answers a candidate, or the primary, that asks this member to accept a view."""
         granted = self._accept(now, message.view)
         self._outbound.send(sender, Accepted(message.view.epoch, granted, self._witness.promised))
 
     def adopt(self, now: float, view: View) -> None:
-        """Accepts a view that another member has accepted, if it is newer and may be accepted."""
+        """Accepts a view that another member reports, if it is newer and no promise rules it out."""
         self._candidate.observe_epoch(view.epoch)
         if self._witness.view is None or view.epoch > self._witness.view.epoch:
             self._accept(now, view)
@@ -89,7 +89,7 @@
         previous = self._witness.view
         is_new = previous is None or previous.epoch != view.epoch
         if is_new and self._becomes_witness(view, previous) and self._witness.may_accept(view):
-            # First, since what is lost between the two writes is then only a term.
+            # Before the view is accepted: a crash between the two writes then only costs a term of waiting.
             self._lease_acceptor.join_as_witness(now)
         if not self._witness.accept(view):
             return False
--- a/larchgw/replication/witness.py
+++ b/larchgw/replication/witness.py
@@ -1,4 +1,4 @@
-"""The durable state of a member's votes: the epoch it promised and the view it accepted."""
+"""The durable state of a member's votes: the promised epoch and the accepted view."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WitnessState:
-    """Durable. `promised_to` is the candidate whose epoch `promised` is."""
+    """The stored state. `promised_to` is the candidate to which the epoch `promised` was promised."""
 
     promised: int = 0
     promised_to: str = ""
@@ -21,40 +21,40 @@
 class Witness:
     """The acceptor of views. Every change is stored before the call returns.
 
-    An epoch is promised to one candidate, and no view below the highest promise is accepted, also after a
-    restart.
+    Each epoch is promised to one candidate only, and no view below the highest promised epoch is accepted.
+    Both also hold after a restart.
 
-    Raises OSError from the port, which leaves the state as it was.
+    Methods raise OSError if the port does; the state is then unchanged.
 
     Source: Paxos Made Simple, section 2.2 (acceptors).
     """
 
     def __init__(self, cell: Cell) -> None:
-        """Reads what is stored.
+        """Reads the stored state.
 
         Args:
-            cell: Where it is stored.
+            cell: The storage of the state.
         """
         self._cell = cell
         self._state = _load(cell)
 
     @property
     def promised(self) -> int:
-        """No view below this epoch is accepted."""
+        """The highest promised epoch; no view below it is accepted."""
         return self._state.promised
 
     @property
     def view(self) -> View | None:
-        """The last view accepted. Whether a quorum accepted it too is not known here."""
+        """The last accepted view; it is not known whether a quorum accepted it too."""
         return self._state.view
 
     def reset(self, view: View | None) -> None:
-        """Begins anew: with the first view, or, for a new identity, with nothing."""
+        """Replaces the state by the initial view, or by an empty state for a new identity."""
         state = WitnessState() if view is None else WitnessState(view.epoch, view.primary, view)
         self._store(state)
 
     def promise(self, epoch: int, candidate: str) -> bool:
-        """Promises `epoch` to the candidate, unless it or a higher one is promised to another."""
+        """Promises `epoch` to the candidate, unless it is promised to another or a higher one is promised."""
         state = self._state
         if (epoch, candidate) == (state.promised, state.promised_to):
             return True
@@ -66,8 +66,8 @@
     def may_accept(self, view: View) -> bool:
         """Whether no promise rules the view out.
 
-        Of one epoch there is only one view, whoever was promised it here: its primary has the promises of a
-        quorum.
+        Each epoch has at most one view, because its primary has the promises of a quorum. So the view of the
+        promised epoch is accepted even if this witness promised the epoch to another candidate.
         """
         state = self._state
         if state.view is not None and state.view.epoch == view.epoch:
@@ -75,7 +75,7 @@
         return view.epoch >= state.promised
 
     def accept(self, view: View) -> bool:
-        """Accepts the view if it may."""
+        """Accepts the view unless a promise rules it out; returns whether it is accepted."""
         if not self.may_accept(view):
             return False
         if self._state.view is not None and self._state.view.epoch == view.epoch:
--- a/tests/replication/test_lease.py
+++ b/tests/replication/test_lease.py
@@ -254,7 +254,7 @@
     learned.evaluate(VIEW)
     learned.observe(10.2, "c", knows(9.0, runner_1=2.0))
     learned.evaluate(VIEW)
-    assert learned.all_free_at <= 10.2
+    assert learned.unreported_targets_free_at <= 10.2
     assert (
         learned.all_targets_free_at
         == learned.free_at("runner-1")
@@ -267,7 +267,7 @@
     for each in ("a", "b"):
         learned.observe(10.0, each, knows(-2.0))
     learned.evaluate(VIEW)
-    assert learned.all_free_at == pytest.approx(12.0 + separation_s(LEASE_TERM_S))
+    assert learned.unreported_targets_free_at == pytest.approx(12.0 + separation_s(LEASE_TERM_S))
 
 
 def test_the_history_of_acts_holds_own_ones_of_an_earlier_life_as_far_as_a_quorum_remembers() -> None:
@@ -300,13 +300,15 @@
     asked.handle_request(0.1, "x", ask_with_acts(1, "runner-1"), VIEW)
     granted = asked.handle_request(1.2, "y", ask_with_acts(2, is_renewal=False), VIEW)
     assert granted.granted
-    assert granted.acts is not None
-    assert granted.acts.ages_s == {"runner-1": pytest.approx(1.1)}
-    assert granted.acts.known_s >= separation_s(LEASE_TERM_S)
-    assert asked.handle_request(1.3, "y", ask_with_acts(2), VIEW).acts is None  # not with each renewal
+    assert granted.known_actions is not None
+    assert granted.known_actions.ages_s == {"runner-1": pytest.approx(1.1)}
+    assert granted.known_actions.known_s >= separation_s(LEASE_TERM_S)
+    assert (
+        asked.handle_request(1.3, "y", ask_with_acts(2), VIEW).known_actions is None
+    )  # not with each renewal
     again = asked.handle_request(2.5, "x", ask_with_acts(3, is_renewal=False), VIEW)
-    assert again.acts is not None
-    assert again.acts.ages_s == {}
+    assert again.known_actions is not None
+    assert again.known_actions.ages_s == {}
 
 
 def test_a_witness_refuses_announcements_under_a_token_below_the_one_it_granted_last() -> None:
@@ -325,11 +327,11 @@
     after = witness(disk)
     after.observe_restart(1.0)
     own = after.handle_request(1.5, "x", ask_with_acts(2, is_renewal=False), VIEW)
-    assert own.acts is not None
-    assert own.acts.known_s >= separation_s(LEASE_TERM_S)
+    assert own.known_actions is not None
+    assert own.known_actions.known_s >= separation_s(LEASE_TERM_S)
     other = after.handle_request(4.5, "y", ask_with_acts(3, is_renewal=False), VIEW)
-    assert other.acts is not None
-    assert other.acts.known_s == pytest.approx(3.5)
+    assert other.known_actions is not None
+    assert other.known_actions.known_s == pytest.approx(3.5)
 
 
 def test_a_holder_of_an_earlier_version_has_a_whole_term_in_which_it_may_act_on_anything() -> None:
@@ -337,8 +339,8 @@
     asked.handle_request(0.0, "x", LeaseRequest("placer", 1, False, 1, 1, True), VIEW)
     assert not asked.handle_request(2.9, "y", ask_with_acts(2, is_renewal=False), VIEW).granted
     granted = asked.handle_request(3.5, "y", ask_with_acts(2, is_renewal=False), VIEW)
-    assert granted.acts is not None
-    assert granted.acts.known_s == pytest.approx(0.5)
+    assert granted.known_actions is not None
+    assert granted.known_actions.known_s == pytest.approx(0.5)
 
 
 def test_an_earlier_version_asks_for_no_acts_is_told_none_and_waits_a_term_for_the_lease() -> None:
@@ -347,7 +349,7 @@
     assert not asked.handle_request(2.9, "y", ask(2), VIEW).granted
     reply = asked.handle_request(3.0, "y", ask(2), VIEW)
     assert reply.granted
-    assert reply.acts is None
+    assert reply.known_actions is None
 
 
 def test_a_thawed_holder_knows_at_once_that_its_lease_is_over() -> None:
--- a/tests/replication/test_member_invariants.py
+++ b/tests/replication/test_member_invariants.py
@@ -52,5 +52,5 @@
     cluster = play_random_walk(0)
     member = next(machine.member for machine in cluster.machines.values() if machine.member is not None)
     member._parts.effects.delivered = member.committed_index + 1
-    with pytest.raises(AssertionError, match="an unacknowledged record was handed out"):
+    with pytest.raises(AssertionError, match="an unacknowledged record was delivered"):
         member.validate_state()
--- a/tests/replication/test_parts.py
+++ b/tests/replication/test_parts.py
@@ -288,9 +288,9 @@
     log.append(1, b"one")
     leading = leadership(log)
     leading.join(0.0, "d")
-    leading.set_entering(frozenset("d"))
+    leading.set_joining_backups(frozenset("d"))
     for backup in "bc":
         leading.append_reply(0.0, backup, AppendReply(1, True, 1))
     assert leading.commit_index() == 0
-    leading.set_entering(frozenset())
+    leading.set_joining_backups(frozenset())
     assert leading.commit_index() == 1
--- a/tests/replication/test_recorded_bytes.py
+++ b/tests/replication/test_recorded_bytes.py
@@ -218,7 +218,7 @@
     again = LeaseAcceptor(MemoryCell(recorded("cells")["leases with a holder that announces its acts"]), 3.0)
     again.observe_restart(9.0)
     request = LeaseRequest("planner", 65538, False, 1, 1, False, ActionAnnouncement())
-    known = again.handle_request(9.5, "a:1", request, FIRST_VIEW).acts
+    known = again.handle_request(9.5, "a:1", request, FIRST_VIEW).known_actions
     assert known is not None
     assert known.known_s > known.remembered_s == 0.5
 
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -256,7 +256,7 @@
     leading.begin()
     leading.answer(0.1, InstallSnapshotReply(1, 9, 4))
     leading.answer(0.2, InstallSnapshotReply(1, 9, 0))
-    leading.leadership.replicate(0.2 + Timing().retransmit_s + 0.1)
+    leading.leadership.replicate(0.2 + Timing().retransmit_timeout_s + 0.1)
     assert pieces()[0] in leading.sent()
 
 
