--- a/larchgw/replication/replica.py
+++ b/larchgw/replication/replica.py
@@ -202,7 +202,7 @@
 
     def _truncate(self, index: int) -> None:
         if index < self.committed:
-            raise AssertionError(f"cannot truncate the log after {index}: record {index + 1} is acknowledged")
+            raise AssertionError(f"record {index + 1} is acknowledged and must not be truncated")
         self._journal.truncate_after(index)
         del self._epochs[index - self._base_index :]
         del self._sizes[index - self._base_index :]
--- a/larchgw/storage/cell.py
+++ b/larchgw/storage/cell.py
@@ -1,7 +1,7 @@
 """A small value that is replaced atomically.
 
-It is kept in two files that are written in turn, each with a sequence number and a checksum. A write that is
-cut short damages only the older of the two, so the newest valid one is the value.
+It is stored in two files that are written in turn, each with a sequence number and a checksum. An incomplete
+write damages only the older file, so the newest valid file holds the value.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 """Magic, sequence number, length of the value."""
 CRC_BYTES = 4
 MAX_VALUE_BYTES = 64 * 1024
-"""Epochs and views take a few hundred bytes; what is larger belongs in the log."""
+"""Epochs and views take a few hundred bytes; larger values belong in the log."""
 FILE_SUFFIXES = ("-a", "-b")
 
 
 @dataclass(frozen=True, order=True, slots=True)
 class CellSlot:
-    """What one of the two files holds; the greater one is the newer.
+    """The content of one of the two files; the greater slot is the newer one.
 
     Attributes:
-        sequence: Counts the values stored, from 1.
+        sequence: Number of the stored value, counted from 1.
         value: The value.
     """
 
@@ -38,15 +38,15 @@
 
 
 class Cell:
-    """One value under `name` in a folder. Not to be shared between threads."""
+    """One value, stored under `name` in a folder. Not thread safe."""
 
     def __init__(self, port: FilePort, folder: str, name: str, reserve: Reserve | None = None) -> None:
         """Recovers the value.
 
         Args:
             port: The disk.
-            folder: Where the two files lie; made if it is not there.
-            name: What their names begin with.
+            folder: The folder of the two files; created if it does not exist.
+            name: The prefix of their names.
             reserve: Disk space that is released when the disk is full.
 
         Raises:
@@ -66,7 +66,7 @@
     def load(self) -> bytes | None:
         """Returns the value; None if none was ever stored.
 
-        It is durable: after a crash it is this or a later one.
+        The value is durable: after a crash, `load` returns it or a later one.
         """
         return self._value
 
@@ -74,12 +74,14 @@
         """Replaces the value; durable once it returns.
 
         Raises:
-            DiskFullError, DiskFailedError: `load` returns the former value, a crash leaves the former or the
-                new one, and the call may be repeated.
+            DiskFullError, DiskFailedError: `load` still returns the former value. After a crash it returns
+                the former or the new one. The call may be repeated.
             ValueError: The value is longer than MAX_VALUE_BYTES.
         """
         if len(value) > MAX_VALUE_BYTES:
-            raise ValueError(f"a value of {len(value)} bytes; the most is {MAX_VALUE_BYTES}: use the log")
+            raise ValueError(
+                f"value of {len(value)} bytes exceeds the limit of {MAX_VALUE_BYTES}; use the log"
+            )
         try:
             self._write(value)
         except DiskFullError:
@@ -113,7 +115,10 @@
         self._port.sync_folder(self._folder)
 
     def _check_never_stored(self, contents: list[bytes | None]) -> None:
-        """The second file is begun only once the first is valid, so a torn first one stands alone."""
+        """Raises if the second file exists: it is created only once the first is valid.
+
+        So a first file that is torn by an incomplete write is the only file.
+        """
         if contents[1] is not None:
             raise CorruptCellError(self._paths[0], 0, "neither copy of the value can be read")
 
@@ -128,9 +133,9 @@
 
 
 def _decode(data: bytes) -> CellSlot | None:
-    """Returns what the bytes of a file hold; None if they are not valid.
+    """Decodes the content of a file; returns None if it is not valid.
 
-    Bytes of an earlier, longer value may follow.
+    Bytes of an earlier, longer value may follow the value.
     """
     body = HEADER.size + CRC_BYTES
     if len(data) < body:
--- a/larchgw/storage/cleanup.py
+++ b/larchgw/storage/cleanup.py
@@ -1,4 +1,4 @@
-"""What failed calls left in a log's folder, to be put right before the next write."""
+"""Cleanup of a log's folder after failed calls, done before the next write."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 
 class TailState(Enum):
-    """What follows the last record in the last segment."""
+    """The state of the end of the last segment, after its last record."""
 
     CLEAN = auto()
-    """Nothing."""
+    """Nothing follows the last record."""
     TORN = auto()
-    """Bytes of a write that failed or was cut short; they must be cut off."""
+    """Bytes of a failed or incomplete write follow; they must be cut off."""
     TRUNCATED = auto()
-    """Bytes were cut off, and the file has to be synced."""
+    """The bytes were cut off, and the file must be synced."""
 
 
 class LogCleanup:
-    """Repairs and removals that a log's folder still needs.
+    """The pending repairs and removals in a log's folder.
 
-    A call that fails may leave a torn record, a segment or a snapshot whose name may or may not be durable,
-    or a cut that is not durable. A recovery could take some of it for valid, so `finish` runs before anything
-    else is written or guaranteed. Obsolete files do no harm and are removed when the disk allows it.
+    A failed call may leave a torn record, a segment or snapshot whose name may or may not be durable, or a
+    truncation that is not durable. A recovery could consider some of this valid, so `finish` runs before any
+    other write and before any guarantee is given. Obsolete files are harmless and are removed when possible.
 
-    The owner thread of the log and the thread that syncs may both call it: `finish` under the log's sync lock
-    only.
+    The owner thread of the log and the thread that syncs may both use it, but may call `finish` only under
+    the log's sync lock.
     """
 
     def __init__(self, port: FilePort, folder: str) -> None:
-        """Nothing is pending at first."""
+        """Creates a cleanup without pending work."""
         self._port = port
         self._folder = folder
         self._invalid_paths: list[str] = []
@@ -47,31 +47,31 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether `finish` has something to do."""
+        """Whether `finish` has work to do."""
         return (
             bool(self._invalid_paths) or self._is_folder_unsynced or self._tail_state is not TailState.CLEAN
         )
 
     def add_invalid_files(self, *paths: str) -> None:
-        """Has files removed that a recovery would take for valid; the last one goes first."""
+        """Adds files to be removed, last one first, because a recovery would consider them valid."""
         self._invalid_paths += paths
 
     def set_tail_state(self, state: TailState) -> None:
-        """Says what has become of the end of the last segment."""
+        """Sets the state of the end of the last segment."""
         self._tail_state = state
 
     def set_folder_unsynced(self) -> None:
-        """Says that a file was removed and the folder has to be synced."""
+        """Records that a file was removed, so that the folder must be synced."""
         self._is_folder_unsynced = True
 
     def finish(self, segments: Sequence[Segment]) -> None:
-        """Does all that is pending, but for the removal of obsolete files.
+        """Completes all pending work except the removal of obsolete files.
 
         Args:
-            segments: Those of the log; the last one is there if its tail is not clean.
+            segments: The segments of the log; not empty unless the tail is clean.
 
         Raises:
-            DiskFullError, DiskFailedError: The rest stays pending.
+            DiskFullError, DiskFailedError: The remaining work stays pending.
         """
         self._remove_invalid_files()
         if self._is_folder_unsynced:
@@ -85,7 +85,7 @@
             self._tail_state = TailState.CLEAN
 
     def remove_obsolete(self, paths: Sequence[str]) -> None:
-        """Removes files that no longer count; those that cannot be removed now are tried again next time."""
+        """Removes files that are no longer used; retries those that cannot be removed at the next call."""
         pending, self._obsolete_paths = [*self._obsolete_paths, *paths], []
         for path in pending:
             try:
--- a/larchgw/storage/durability.py
+++ b/larchgw/storage/durability.py
@@ -1,4 +1,4 @@
-"""Which records of a log are durable, and the sync that makes the others so."""
+"""Tracks which records of a log are durable, and syncs the others."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
     Attributes:
         index: Index of the record.
-        path: Its segment file.
-        offset: Its start there, in bytes.
-        data: Its bytes, kept so that a sync can write them again after one that failed.
+        path: The segment file that holds it.
+        offset: Start of the record in the file, in bytes.
+        data: The encoded record, kept so that it can be written again after a failed sync.
     """
 
     index: int
@@ -27,44 +27,44 @@
 class Durability:
     """Tracks the records that are not durable yet, and syncs them.
 
-    The system may drop data whose sync failed and report success at the next one, so a sync after a failed
-    one writes all of it again.
+    The operating system may drop data whose sync failed and still report success for the next sync. So the
+    sync after a failed one writes all unsynced records again.
 
-    `sync` may run in another thread while the owner of the log calls `add`; every other call excludes it by
-    the log's sync lock.
+    `sync` may run in another thread while the owner of the log calls `add`; the log's sync lock excludes it
+    from all other calls.
 
     Attributes:
         durable_index: All records up to this one survive a loss of power.
     """
 
     def __init__(self, port: FilePort, folder: str) -> None:
-        """Starts for an empty log."""
+        """Creates the state for an empty log."""
         self._port = port
         self._folder = folder
         self._unsynced: list[UnsyncedWrite] = []
         self._must_rewrite = False
         self._last_named_path = ""
-        """The last segment whose name was synced."""
+        """Path of the last segment whose name was synced."""
         self.durable_index = 0
 
     @property
     def has_unsynced(self) -> bool:
-        """Whether records wait for a sync."""
+        """Whether any record is not synced yet."""
         return bool(self._unsynced)
 
     def set_segment_name_synced(self, segment_path: str) -> None:
-        """Says that the name of the last segment, which a recovery found, is durable."""
+        """Records that the name of a recovered segment, the last one, is durable."""
         self._last_named_path = segment_path
 
     def add(self, write: UnsyncedWrite) -> None:
-        """Counts a record that was written."""
+        """Adds a record that was written."""
         self._unsynced.append(write)
 
     def sync(self) -> None:
-        """Makes the records durable that were added before the call.
+        """Makes the records that were added before the call durable.
 
         Raises:
-            DiskFullError, DiskFailedError: No more is durable than before, and all of them stay unsynced.
+            DiskFullError, DiskFailedError: No further record is durable, and all of them stay unsynced.
         """
         batch = self._unsynced[:]
         if not batch:
@@ -83,16 +83,16 @@
         del self._unsynced[: len(batch)]
 
     def drop_after(self, index: int) -> None:
-        """Forgets the records above `index`, which the log no longer holds."""
+        """Removes the records above `index`, which the log has dropped."""
         self._unsynced = [write for write in self._unsynced if write.index <= index]
         self.durable_index = min(self.durable_index, index)
 
     def forget_segment_name(self) -> None:
-        """Says that the last segment was removed: one of the same name must be synced anew."""
+        """Records that the last segment was removed, so that a new one of the same name is synced again."""
         self._last_named_path = ""
 
     def reset(self, durable_index: int) -> None:
-        """Begins anew behind a snapshot up to `durable_index` that replaced all records."""
+        """Clears the state after a snapshot up to `durable_index` has replaced all records."""
         self._unsynced = []
         self._must_rewrite = False
         self.durable_index = durable_index
--- a/larchgw/storage/errors.py
+++ b/larchgw/storage/errors.py
@@ -1,30 +1,30 @@
-"""Errors of the storage. Every message names the file, the problem and the remedy."""
+"""Errors of the storage package. Every message names the file, the problem and the remedy."""
 
 from __future__ import annotations
 
 import errno
 
 FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
-"""Error numbers of a system call that found no space."""
+"""Error numbers of system calls that mean that there is no space."""
 
 RESTORE_REMEDY = (
     "move the data folder aside and start the process with an empty one, so that it is taken in as a new "
     "replica, or restore the folder from a copy"
 )
-"""What to do when synced data is damaged: another replica has a copy."""
+"""The remedy for damaged synced data, of which another replica has a copy."""
 
 
 class StorageError(Exception):
-    """Any failure of the storage.
+    """Base of the errors of this package.
 
     Attributes:
-        path: The file or folder concerned.
+        path: The file or folder.
         problem: What is wrong with it.
         remedy: What the caller or the operator can do.
     """
 
     def __init__(self, path: str, problem: str, remedy: str) -> None:
-        """Makes the message from the three fields."""
+        """Builds the message from the three attributes."""
         super().__init__(f"{path}: {problem}; {remedy}")
         self.path = path
         self.problem = problem
@@ -32,34 +32,34 @@
 
 
 class DiskFullError(StorageError, OSError):
-    """The disk, or the log's limit, has no space left.
+    """The disk is full, or the log has reached its limit.
 
-    The call that raised it guarantees nothing, and the storage stays usable. It is an OSError, as the ports
-    of `larchgw/replication` require: a member then gives up its role and goes on.
+    The call that raised it has no guaranteed effect, and the storage stays usable. It is an OSError, as the
+    ports of `larchgw/replication` require: a member then gives up its role and continues to run.
     """
 
 
 class DiskFailedError(StorageError, OSError):
-    """The disk refused a call for another reason than space.
+    """A call to the disk failed for another reason than lack of space.
 
-    The call that raised it guarantees nothing and may be repeated. It is an OSError for the same reason as
-    DiskFullError.
+    The call that raised it has no guaranteed effect and may be repeated. It is an OSError for the same reason
+    as DiskFullError.
     """
 
 
 class CompactedRecordsError(StorageError):
-    """The records asked for were replaced by a snapshot."""
+    """A snapshot has replaced the requested records."""
 
 
 class CorruptDataError(StorageError):
     """Synced data cannot be read back.
 
     Attributes:
-        offset: Where the damage begins, in bytes from the start of the file.
+        offset: Start of the damage, in bytes from the start of the file.
     """
 
     def __init__(self, path: str, offset: int, problem: str, remedy: str = RESTORE_REMEDY) -> None:
-        """Adds the offset to the problem."""
+        """Includes the offset in the problem."""
         super().__init__(path, f"at byte {offset}: {problem}", remedy)
         self.offset = offset
 
@@ -69,11 +69,11 @@
 
 
 class CorruptCellError(CorruptDataError):
-    """Neither copy of a small value can be read."""
+    """Neither copy of a cell's value can be read."""
 
 
 def from_os_error(path: str, error: OSError) -> StorageError:
-    """Returns the typed error for what a system call on `path` raised."""
+    """Converts the error of a system call on `path` to an error of this package."""
     reason = error.strerror or str(error)
     if error.errno in FULL_ERRNOS:
         return DiskFullError(path, reason, "compact the log or free space on the disk, then repeat the call")
--- a/larchgw/storage/files.py
+++ b/larchgw/storage/files.py
@@ -1,8 +1,8 @@
 """The port to the disk, and its implementation by system calls.
 
-What callers may rely on when power is lost: a file holds what its last `sync_file` covered; of the writes and
-truncations after it, each may be there, be missing or be torn, whatever became of the others. A name that was
-made, renamed or removed is durable only after `sync_folder`.
+After a loss of power a file holds everything that its last `sync_file` covered. Each write or truncation
+after that may be complete, missing or torn, independently of the others. The creation, renaming or removal of
+a name is durable only after `sync_folder`.
 """
 
 from __future__ import annotations
@@ -20,10 +20,13 @@
 
 
 class FilePort(Protocol):
-    """Calls on files by path; sizes and offsets are bytes. Each raises DiskFullError or DiskFailedError."""
+    """File operations by path; sizes and offsets are bytes.
+
+    Each method raises DiskFullError or DiskFailedError.
+    """
 
     def make_folder(self, folder: str) -> None:
-        """Makes a folder with its parents, unless it is there; durable once it returns."""
+        """Creates a folder and its parents if they do not exist; durable once it returns."""
 
     def list(self, folder: str) -> list[str]:
         """Returns the names of the files in a folder, sorted."""
@@ -35,30 +38,30 @@
         """Returns up to `size` bytes from `offset`; fewer only at the end of the file."""
 
     def write(self, path: str, offset: int, data: bytes) -> None:
-        """Writes all bytes at `offset`, and makes the file if need be. Part may be written when it raises."""
+        """Writes all bytes at `offset`; creates the file if needed. An error may leave a partial write."""
 
     def truncate(self, path: str, size: int) -> None:
         """Shortens a file to `size` bytes."""
 
     def rename(self, path: str, target: str) -> None:
-        """Renames within a folder, in place of what was at `target`."""
+        """Renames a file within a folder, and replaces `target` if it exists."""
 
     def remove(self, path: str) -> None:
-        """Removes a file; nothing happens if there is none."""
+        """Removes a file; does nothing if it does not exist."""
 
     def close(self, path: str) -> None:
-        """Closes the descriptor of a file that will not be written any more."""
+        """Closes the descriptor of a file that will not be written again."""
 
     def sync_file(self, path: str) -> None:
-        """Makes everything written to the file so far survive a loss of power."""
+        """Makes all data written to the file so far durable."""
 
     def sync_folder(self, folder: str) -> None:
-        """Makes all names in the folder survive a loss of power as they are now."""
+        """Makes the current names in the folder durable."""
 
 
 @contextmanager
 def _raise_storage_errors(path: str) -> Iterator[None]:
-    """Turns what the system raises inside it into the typed errors."""
+    """Converts each OSError of the block to an error of this package."""
     try:
         yield
     except StorageError:
@@ -70,14 +73,14 @@
 class DiskFiles:
     """FilePort on the operating system. Calls on different files may come from different threads.
 
-    A file that was written is kept open until it is closed, renamed or removed: only a descriptor that was
-    open at the time is sure to be told of a failed write-back by a later fdatasync.
+    A written file is kept open until it is closed, renamed or removed: a later fdatasync is sure to report a
+    failed write-back only on a descriptor that was open when it failed.
 
     Source: fsync(2), "EIO".
     """
 
     def __init__(self) -> None:
-        """Opens nothing yet."""
+        """Creates the port without open files."""
         self._descriptors: dict[str, int] = {}
         self._lock = threading.Lock()
 
@@ -122,7 +125,7 @@
                 written = os.pwrite(descriptor, remaining, offset)
                 if written == 0:
                     raise DiskFailedError(
-                        path, "a write made no progress", "check the disk, then repeat the call"
+                        path, "write returned 0 bytes", "check the disk, then repeat the call"
                     )
                 remaining = remaining[written:]
                 offset += written
--- a/larchgw/storage/log.py
+++ b/larchgw/storage/log.py
@@ -1,4 +1,4 @@
-"""The log of one replica: records in segment files, and a snapshot that stands for the oldest of them."""
+"""The log of one replica: records in segment files, and a snapshot that replaces the oldest of them."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 log = structlog.get_logger()
 
 DEFAULT_SEGMENT_BYTES = 1024 * 1024
-"""A segment of this size is followed by a new one: compaction can free no less than a segment."""
+"""Size at which a new segment is begun. Compaction frees whole segments only."""
 DEFAULT_LIMIT_BYTES = 64 * 1024 * 1024
-"""Half of a disk of 128 MB, the smallest in use: a snapshot has to find space before segments go."""
+"""Half of the smallest disk in use, 128 MB: a snapshot needs space before segments are removed."""
 
 
 class Log:
-    """Append-only records with indexes from 1 on, a snapshot in place of the oldest, in one folder.
+    """An append-only log in one folder. Indices begin at 1; a snapshot replaces the oldest records.
 
-    The records lie in segment files. Appends go to the last segment; once that has reached its size and every
-    record is durable, a new one is begun. A compaction writes a snapshot and then removes the segments that
-    it covers; an installed snapshot of another replica replaces everything. What a failed call left on disk
-    is put right before the next one writes (`LogCleanup`); which records survive a loss of power is kept by
-    `Durability`; `recovery` reads the folder at the start.
+    The records are stored in segment files. Appends go to the last segment; once that has reached its size
+    and every record is durable, a new one is begun. A compaction writes a snapshot and then removes the
+    segments that it covers; an installed snapshot of another replica replaces everything. `LogCleanup`
+    repairs what a failed call left on disk before the next write. `Durability` tracks which records survive a
+    loss of power. `recovery` reads the folder at the start.
 
-    One thread owns a log. Only `sync` may run in another one, while the owner goes on with `append` and
-    `read`; the other calls wait for it.
+    One thread owns a log. Only `sync` may run in another thread while the owner calls `append` and `read`;
+    all other calls wait for it.
 
-    Which guarantees hold after which call, returned or failed, stands in docs/storage.md.
+    docs/storage.md lists the guarantees after each call, whether it returned or failed.
     """
 
     def __init__(self, port: FilePort, folder: str, segment_bytes: int, limit_bytes: int) -> None:
@@ -59,13 +59,13 @@
         segment_bytes: int = DEFAULT_SEGMENT_BYTES,
         limit_bytes: int = DEFAULT_LIMIT_BYTES,
     ) -> Log:
-        """Recovers the log, which is empty if the folder is. Everything it then holds is durable.
+        """Recovers the log, which is empty if the folder is. All recovered records are durable.
 
         Args:
             port: The disk.
-            folder: Where the files lie; made if it is not there.
-            segment_bytes: Size at which a segment is followed by a new one.
-            limit_bytes: Most bytes of segments and snapshot; `append` refuses more.
+            folder: The folder of the files; created if it does not exist.
+            segment_bytes: Size at which a new segment is begun.
+            limit_bytes: Limit of the size of segments and snapshot; `append` fails beyond it.
 
         Raises:
             CorruptLogError: Synced data is damaged or missing.
@@ -78,36 +78,38 @@
 
     @property
     def first_index(self) -> int:
-        """The first index that `read` can give."""
+        """The first index that `read` can return."""
         return self._snapshots.current.index + 1
 
     @property
     def last_index(self) -> int:
-        """Index of the newest record; that of the snapshot (or 0) when there is none."""
+        """Index of the newest record; that of the snapshot, or 0, if there is no record."""
         return self._segments[-1].last_index if self._segments else self._snapshots.current.index
 
     @property
     def durable_index(self) -> int:
-        """All records up to this one survive a loss of power."""
+        """The index up to which all records survive a loss of power."""
         return self._durability.durable_index
 
     @property
     def size_bytes(self) -> int:
-        """Length of the segments and of the snapshot."""
+        """Total size of the segments and the snapshot."""
         return sum(segment.end_offset for segment in self._segments) + self._snapshots.size_bytes
 
     def append(self, record: bytes) -> int:
-        """Adds a record and returns its index. It is durable once a `sync` called after this has returned.
+        """Appends a record and returns its index. It is durable once a `sync` called after this has returned.
 
         Raises:
-            DiskFullError: The disk, or the limit of the log, has no space for it.
-            DiskFailedError: The disk refused it.
-            ValueError: It is longer than MAX_RECORD_BYTES.
+            DiskFullError: The disk is full, or the log has reached its limit.
+            DiskFailedError: The record cannot be written.
+            ValueError: The record is longer than MAX_RECORD_BYTES.
 
         After an error the record is not in the log and its index is free again.
         """
         if len(record) > MAX_RECORD_BYTES:
-            raise ValueError(f"a record of {len(record)} bytes; the most is {MAX_RECORD_BYTES}: split it")
+            raise ValueError(
+                f"record of {len(record)} bytes exceeds the limit of {MAX_RECORD_BYTES}; split it"
+            )
         if self._cleanup.is_pending:
             with self._sync_lock:
                 self._cleanup.finish(self._segments)
@@ -122,10 +124,10 @@
         return index
 
     def sync(self) -> None:
-        """Makes all records durable that were appended before the call.
+        """Makes all records that were appended before the call durable.
 
         Raises:
-            DiskFullError, DiskFailedError: No more is durable than before. The records stay appended, and a
+            DiskFullError, DiskFailedError: No further record is durable. The records stay in the log, and a
                 later sync writes them again.
         """
         with self._sync_lock:
@@ -135,9 +137,9 @@
         """Drops the records above `index`; durable once it returns.
 
         Raises:
-            DiskFullError, DiskFailedError: Any number of records above `index` may remain, none of them after
-                a gap. The call may be repeated.
-            ValueError: The snapshot stands for records above `index`.
+            DiskFullError, DiskFailedError: Any number of records above `index` may remain, without gaps. The
+                call may be repeated.
+            ValueError: The snapshot includes records above `index`.
         """
         with self._sync_lock:
             self._cleanup.finish(self._segments)
@@ -155,8 +157,8 @@
         Records must not be dropped while it iterates.
 
         Raises:
-            CompactedRecordsError: Some are part of the snapshot.
-            ValueError: Some do not exist yet.
+            CompactedRecordsError: Some of the records are part of the snapshot.
+            ValueError: Some of the records do not exist yet.
             CorruptLogError, DiskFailedError: While iterating.
         """
         if first < self.first_index:
@@ -167,13 +169,13 @@
         return self._read_records(first, last)
 
     def compact(self, up_to: int, snapshot: bytes) -> None:
-        """Lets a snapshot stand for the records up to `up_to`; durable once it returns.
+        """Replaces the records up to `up_to` by a snapshot; durable once it returns.
 
-        Segments that hold only such records are removed after that. Nothing happens if the present snapshot
-        reaches as far.
+        Segments that hold only such records are then removed. Does nothing if the current snapshot already
+        includes these records.
 
         Raises:
-            DiskFullError, DiskFailedError: All records stay.
+            DiskFullError, DiskFailedError: No record is removed.
             ValueError: There is no record `up_to`.
         """
         with self._sync_lock:
@@ -191,7 +193,7 @@
             self._cleanup.remove_obsolete([segment.path for segment in covered])
 
     def snapshot(self) -> tuple[int, bytes] | None:
-        """Returns index and payload of the snapshot, if there is one.
+        """Returns the index and payload of the snapshot; None if there is none.
 
         Raises:
             CorruptLogError, DiskFailedError: It cannot be read back.
@@ -201,10 +203,10 @@
         return self._snapshots.current.index, self._snapshots.read()
 
     def install(self, index: int, snapshot: bytes) -> None:
-        """Replaces everything by a snapshot from another replica; durable, as a whole, once it returns.
+        """Atomically replaces everything by a snapshot of another replica; durable once it returns.
 
         Raises:
-            DiskFullError, DiskFailedError: Everything is as before.
+            DiskFullError, DiskFailedError: The log is unchanged.
         """
         with self._sync_lock:
             self._cleanup.finish(self._segments)
@@ -229,7 +231,10 @@
         self._cleanup.remove_obsolete(recovered.obsolete_paths)
 
     def _recover_tail(self, segment: Segment, torn_bytes: int) -> None:
-        """Makes the records durable; the torn tail is cut before the next write: a full disk can be read."""
+        """Makes the records durable. A torn tail is cut off only before the next write.
+
+        So a log on a full disk can still be read.
+        """
         if torn_bytes:
             last = segment.last_index
             log.warning("log.torn_tail", path=segment.path, size_bytes=torn_bytes, record_index=last)
@@ -245,7 +250,7 @@
             raise DiskFullError(self._folder, problem, "compact it, then append again")
 
     def _writable_segment(self, index: int) -> Segment:
-        """The last segment, or a new one. A new one is begun only when everything before it is durable."""
+        """The last segment, or a new one. A new one is begun only when all records before it are durable."""
         if self._segments:
             last = self._segments[-1]
             if last.end_offset < self._segment_bytes or self._durability.has_unsynced:
--- a/larchgw/storage/log_inspection.py
+++ b/larchgw/storage/log_inspection.py
@@ -1,6 +1,6 @@
-"""Read-only views of a log's folder, for the command line and for a restore.
+"""Read-only access to the folder of a log, for the command line and for a restore.
 
-Nothing is changed, so they are safe beside a running process.
+Nothing is changed, so this is safe while a process uses the folder.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .snapshots import NO_SNAPSHOT, parse_snapshot_name, read_snapshot
 
 PREVIEW_BYTES = 60
-"""How much of a payload a line shows."""
+"""Number of bytes of a payload that a line shows."""
 
 
 @dataclass(frozen=True)
@@ -25,12 +25,12 @@
 
     Attributes:
         problem: Why it cannot be opened; empty if it can.
-        snapshot_index: Up to which record the snapshot stands; 0 if there is none.
+        snapshot_index: The last record that the snapshot includes; 0 if there is none.
         first_index: The first record after the snapshot.
-        last_index: The newest record; that of the snapshot if none follows it.
+        last_index: The newest record, or the index of the snapshot if no record follows it.
         segments: Number of segment files in use.
-        torn_bytes: Bytes at the end that were never synced and would be cut off.
-        obsolete_files: Number of files that no longer count.
+        torn_bytes: Number of bytes at the end that were never synced and would be cut off.
+        obsolete_files: Number of files that are no longer used.
     """
 
     problem: str
@@ -43,11 +43,11 @@
 
     @property
     def is_ok(self) -> bool:
-        """Whether all that was synced can be read back."""
+        """Whether all synced data can be read back."""
         return not self.problem
 
     def __str__(self) -> str:
-        """Returns one line, without its end."""
+        """Returns one line, without a newline."""
         if self.problem:
             return f"DAMAGED: {self.problem}"
         return (
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True)
 class LogContents:
-    """All that a log holds.
+    """The contents of a log.
 
     Attributes:
-        snapshot_index: Up to which record the snapshot stands; 0 if there is none.
+        snapshot_index: The last record that the snapshot includes; 0 if there is none.
         snapshot: Payload of the snapshot.
         records: Index and payload of each record after it.
     """
@@ -106,7 +106,7 @@
 
 
 def read_log(folder: str, port: FilePort | None = None) -> LogContents:
-    """Returns all that the log of a folder holds; raises as `dump_log`."""
+    """Returns the contents of the log in a folder; raises the same errors as `dump_log`."""
     port = port or DiskFiles()
     recovered = recover(port, folder)
     snapshot_index = recovered.snapshot.index
@@ -118,7 +118,7 @@
 
 
 def read_snapshot_file(path: str, port: FilePort | None = None) -> LogContents:
-    """Returns what the file of a snapshot alone holds; raises as `dump_log`."""
+    """Returns the contents of a single snapshot file; raises the same errors as `dump_log`."""
     folder, name = os.path.split(path)
     snapshot = parse_snapshot_name(name)
     if snapshot is None:
@@ -127,7 +127,7 @@
 
 
 def _read_records(port: FilePort, recovered: RecoveredLog) -> Iterator[tuple[int, Record]]:
-    """Yields each record that the recovery found, with its index."""
+    """Yields each recovered record with its index."""
     for segment in recovered.segments:
         for index in range(segment.first_index, segment.last_index + 1):
             span = segment.locate(index)
--- a/larchgw/storage/recovery.py
+++ b/larchgw/storage/recovery.py
@@ -1,9 +1,9 @@
-"""Reads what a log's folder holds after any end of the process, without changing it.
+"""Reads the folder of a log after any kind of termination, without changing it.
 
-Damage may be a torn write that was never synced, and may then be cut off, only at the end of the last
-segment, above the snapshot, with no valid record behind it that calls the damaged index durable. A segment is
-begun only when everything before it is durable, so damage in an earlier segment is always damage of synced
-data.
+Damage is considered a torn write, which was never synced and may be cut off, only if it is at the end of the
+last segment, is above the snapshot, and no valid record after it lists the damaged index as durable. All
+other damage affects synced data. A segment is begun only when all records before it are durable, so damage in
+an earlier segment always affects synced data.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @dataclass
 class RecoveredLog:
-    """State of a log's folder.
+    """The recovered state of a log's folder.
 
     Attributes:
         snapshot: The newest snapshot; NO_SNAPSHOT if there is none.
         snapshot_bytes: Length of its payload.
-        segments: Those with records above the snapshot, in order.
-        obsolete_paths: Files that no longer count.
-        torn_bytes: How many bytes at the end of the last segment are to be cut off.
+        segments: The segments with records above the snapshot, in order.
+        obsolete_paths: Files that are no longer used.
+        torn_bytes: Number of bytes to be cut off at the end of the last segment.
     """
 
     snapshot: SnapshotId = NO_SNAPSHOT
@@ -43,7 +43,7 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the newest record; that of the snapshot (or 0) when there is none."""
+        """Index of the newest record; that of the snapshot, or 0, if there is no record."""
         return self.segments[-1].last_index if self.segments else self.snapshot.index
 
 
@@ -52,7 +52,7 @@
 
     Raises:
         CorruptLogError: Synced data is damaged or missing.
-        DiskFailedError: The folder cannot be read now.
+        DiskFailedError: The folder cannot be read.
     """
     recovered = RecoveredLog()
     names = port.list(folder)
@@ -68,7 +68,7 @@
 
 
 def _find_snapshot(port: FilePort, folder: str, names: list[str], recovered: RecoveredLog) -> None:
-    """Reads the newest snapshot; temporary and earlier ones are obsolete."""
+    """Reads the newest snapshot, and lists temporary and earlier ones as obsolete."""
     name_by_snapshot = {snapshot: name for name in names if (snapshot := parse_snapshot_name(name))}
     recovered.obsolete_paths += [os.path.join(folder, name) for name in names if is_temporary_snapshot(name)]
     if not name_by_snapshot:
@@ -81,7 +81,7 @@
 
 
 def _find_segments(folder: str, names: list[str], recovered: RecoveredLog) -> list[Segment]:
-    """Returns the segments that may hold records above the snapshot, in order; the others are obsolete."""
+    """Returns the segments that may hold records above the snapshot, in order; lists others as obsolete."""
     segments = []
     for name in names:
         parsed = parse_segment_name(name)
@@ -89,7 +89,7 @@
             continue
         path = os.path.join(folder, name)
         if parsed.generation > recovered.snapshot.generation:
-            raise CorruptLogError(path, 0, "the snapshot that this segment builds on is missing")
+            raise CorruptLogError(path, 0, "the snapshot that precedes this segment is missing")
         if parsed.generation < recovered.snapshot.generation:
             recovered.obsolete_paths.append(path)
         else:
@@ -102,7 +102,7 @@
 
 
 def _read_segment(port: FilePort, segment: Segment, is_last: bool, recovered: RecoveredLog) -> None:
-    """Finds the records of a segment, and tells damage of synced data from a torn write."""
+    """Finds the records of a segment, and distinguishes a torn write from damage to synced data."""
     data = port.read(segment.path, 0, port.size(segment.path) or 0)
     scan = scan_segment(segment.first_index, data)
     segment.record_offsets, segment.end_offset = scan.record_offsets, scan.end_offset
@@ -117,7 +117,7 @@
 
 
 def _check_continuity(segment: Segment, recovered: RecoveredLog) -> None:
-    """Checks that no record is missing between the segments before and this one."""
+    """Checks that no record is missing between the earlier segments and this one."""
     next_index = recovered.last_index + 1
     is_first = not recovered.segments
     if segment.first_index > next_index or (not is_first and segment.first_index != next_index):
@@ -126,7 +126,7 @@
 
 
 def _drop_covered_segments(recovered: RecoveredLog) -> None:
-    """Drops segments left over from a compaction that was cut short: the snapshot covers them."""
+    """Drops segments left by an interrupted compaction, all of whose records the snapshot includes."""
     if recovered.last_index < recovered.snapshot.index:
         recovered.obsolete_paths += [segment.path for segment in recovered.segments]
         recovered.segments = []
--- a/larchgw/storage/reserve.py
+++ b/larchgw/storage/reserve.py
@@ -1,4 +1,4 @@
-"""Disk space set aside, released when the disk is full so that small values can still be stored."""
+"""Reserved disk space, released when the disk is full so that small values can still be stored."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from .files import FilePort
 
 RESERVE_BYTES = 256 * 1024
-"""Some dozens of stored epochs, with the blocks that a file system takes for each."""
+"""Enough for some dozens of stored epochs, including the blocks that a file system uses for each."""
 RESERVE_FILE_NAME = "reserve"
 
 
 class Reserve:
-    """A file of zeros beside the log."""
+    """A file of zeros next to the log that reserves disk space."""
 
     def __init__(self, port: FilePort, folder: str, size_bytes: int = RESERVE_BYTES) -> None:
-        """Does not touch the disk; call `refill` at start and from time to time."""
+        """Does not access the disk; call `refill` at the start and regularly afterwards."""
         self._port = port
         self._folder = folder
         self._path = os.path.join(folder, RESERVE_FILE_NAME)
         self._size_bytes = size_bytes
 
     def refill(self) -> bool:
-        """Sets the space aside unless it is; False if the disk does not have it now."""
+        """Reserves the space unless it is reserved already; returns False if the file cannot be written."""
         try:
             if self._port.size(self._path) == self._size_bytes:
                 return True
@@ -35,14 +35,14 @@
         return True
 
     def is_allocated(self) -> bool:
-        """Whether the space is set aside now."""
+        """Whether the space is reserved now."""
         try:
             return self._port.size(self._path) == self._size_bytes
         except StorageError:
             return False
 
     def release(self) -> bool:
-        """Gives the space back to the disk; False if there is none or the disk refuses even that."""
+        """Frees the reserved space; returns False if none is reserved or the file cannot be removed."""
         try:
             if not self._port.size(self._path):
                 return False
--- a/larchgw/storage/segments.py
+++ b/larchgw/storage/segments.py
@@ -1,10 +1,10 @@
 """Segment files of the log: their names, the codec of a record, and the scan of a whole segment.
 
-A record is a header and its payload. The header holds a magic number (which is also the version of the
-format), the length of the payload, the index of the record, the highest index that was durable when the
-record was written, and a CRC-32. The CRC covers the header, the payload and the position of the record (first
-index of its segment, offset in the file): bytes of a record that lie elsewhere, such as inside the payload of
-another one, are never taken for a record.
+A record is a header and a payload. The header holds a magic number (which is also the version of the format),
+the length of the payload, the index of the record, the highest index that was durable when the record was
+written, and a CRC-32. The CRC covers the header, the payload and the position of the record (first index of
+its segment, offset in the file). So the bytes of a record at another position, such as inside the payload of
+another record, are never read as a record.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 HEADER = struct.Struct(">4sIQQI")
 """Magic, payload length, record index, durable index, CRC."""
 POSITION = struct.Struct(">QQ")
-"""First index of the segment and offset of the record: part of the CRC, not of the file."""
+"""First index of the segment and offset of the record; covered by the CRC but not stored."""
 CRC_BYTES = 4
 MAX_RECORD_BYTES = 8 * 1024 * 1024
-"""A configuration of 4 MiB at most and what the caller wraps it in."""
+"""Enough for the largest configuration, 4 MiB, and the data that the caller adds to it."""
 
 NAME_PATTERN = re.compile(r"log-(\d{6,})-(\d{20})\.seg")
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentName:
-    """What the name of a segment file says.
+    """The parsed name of a segment file.
 
     Attributes:
-        generation: How many snapshots of other replicas had been installed when it was begun.
+        generation: Number of snapshots of other replicas installed before the segment was begun.
         first_index: Index of its first record.
     """
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordSpan:
-    """Where a record lies in its segment file; both in bytes."""
+    """The position and size of a record in its segment file, in bytes."""
 
     offset: int
     size_bytes: int
@@ -67,11 +67,11 @@
 
     @property
     def last_index(self) -> int:
-        """Index of its last record; `first_index - 1` when it is empty."""
+        """Index of its last record; `first_index - 1` if it is empty."""
         return self.first_index + len(self.record_offsets) - 1
 
     def locate(self, index: int) -> RecordSpan:
-        """Returns where the record `index`, which it must hold, lies."""
+        """Returns the position of record `index`, which the segment must hold."""
         position = index - self.first_index
         offset = self.record_offsets[position]
         is_last = position + 1 == len(self.record_offsets)
@@ -79,12 +79,12 @@
         return RecordSpan(offset, end - offset)
 
     def add_record(self, size_bytes: int) -> None:
-        """Counts a record of this size that was written at the end."""
+        """Adds a record of this size that was written at the end."""
         self.record_offsets.append(self.end_offset)
         self.end_offset += size_bytes
 
     def drop_records_after(self, index: int) -> None:
-        """Counts the records above `index` no more."""
+        """Removes the records above `index` from the list of records."""
         remaining = max(0, index - self.first_index + 1)
         if remaining < len(self.record_offsets):
             self.end_offset = self.record_offsets[remaining]
@@ -98,7 +98,7 @@
     Attributes:
         index: Its index in the log, from 1.
         durable_index: The highest index that was durable when it was written.
-        payload: What the caller appended.
+        payload: The data that the caller appended.
         size_bytes: Length of header and payload.
     """
 
@@ -110,14 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentScan:
-    """The valid records from the start of a segment, and what follows them.
+    """The valid records from the start of a segment, and the state of the bytes after them.
 
     Attributes:
         record_offsets: Start of each valid record, in bytes.
         end_offset: End of the last valid record, in bytes.
         is_damaged: Whether bytes follow that are not the next record.
-        durable_index_after_damage: The highest index that a valid record behind the damage calls durable; 0
-            if there is none.
+        durable_index_after_damage: The highest durable index in any valid record after the damage; 0 if there
+            is no such record.
     """
 
     record_offsets: list[int]
@@ -127,12 +127,12 @@
 
 
 def segment_name(generation: int, first_index: int) -> str:
-    """Returns the name of the file of a segment."""
+    """Returns the file name of a segment."""
     return f"log-{generation:06d}-{first_index:020d}.seg"
 
 
 def parse_segment_name(name: str) -> SegmentName | None:
-    """Returns what the name of a segment says; None for another file."""
+    """Parses the name of a segment file; returns None for any other file."""
     match = NAME_PATTERN.fullmatch(name)
     return SegmentName(int(match[1]), int(match[2])) if match else None
 
@@ -143,20 +143,20 @@
     Args:
         first_index: First index of its segment.
         offset: Its start in the segment, in bytes.
-        index: Its index.
+        index: Index of the record.
         durable_index: The highest index that is durable now.
-        payload: What it holds.
+        payload: The data of the record.
     """
     start = HEADER.pack(MAGIC, len(payload), index, durable_index, 0)[:-CRC_BYTES]
     return start + _crc(first_index, offset, start, payload).to_bytes(CRC_BYTES, "big") + payload
 
 
 def decode_record(first_index: int, data: bytes, offset: int, base: int = 0) -> Record | None:
-    """Returns the record at `offset` of `data`; None if there is no valid one.
+    """Decodes the record at `offset` of `data`; returns None if there is no valid record.
 
     Args:
         first_index: First index of its segment.
-        data: A part of the segment, or all of it.
+        data: The content of the segment, or a part of it.
         offset: Start of the record in `data`, in bytes.
         base: Start of `data` in the segment, in bytes.
     """
@@ -188,7 +188,7 @@
 
 
 def _highest_durable_index(first_index: int, data: bytes, offset: int) -> int:
-    """Searches for valid records anywhere from `offset` on; 0 if there is none."""
+    """The highest durable index in any valid record from `offset` on, at any position; 0 if there is none."""
     highest = 0
     offset = data.find(MAGIC, offset)
     while offset >= 0:
--- a/larchgw/storage/snapshots.py
+++ b/larchgw/storage/snapshots.py
@@ -1,7 +1,7 @@
 """Snapshot files of the log: their names, their codec, and the store that writes and reads them.
 
-A snapshot stands for all records up to its index. One that is installed from another replica begins a new
-generation: segments and snapshots of earlier generations no longer count. So one rename replaces everything.
+A snapshot replaces all records up to its index. A snapshot that is installed from another replica begins a
+new generation: segments and snapshots of earlier generations are obsolete. So one rename replaces everything.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, order=True)
 class SnapshotId:
-    """Which snapshot it is; a greater one replaces a smaller one.
+    """Identifies a snapshot; a greater one replaces a smaller one.
 
     Attributes:
-        generation: How many snapshots of other replicas had been installed, this one included.
-        index: The last record that it stands for.
+        generation: Number of snapshots of other replicas installed so far, including this one.
+        index: The last record that it includes.
     """
 
     generation: int
@@ -47,24 +47,24 @@
 
 
 def parse_snapshot_name(name: str) -> SnapshotId | None:
-    """Returns the snapshot that a file holds by its name; None for another file."""
+    """Parses the name of a snapshot file; returns None for any other file."""
     match = NAME_PATTERN.fullmatch(name)
     return SnapshotId(int(match[1]), int(match[2])) if match else None
 
 
 def is_temporary_snapshot(name: str) -> bool:
-    """Whether this is the name of a snapshot that was not written to its end."""
+    """Whether this is the name of a snapshot that was not written completely."""
     return name.startswith(NAME_PREFIX) and name.endswith(TEMPORARY_SUFFIX)
 
 
 def encode_snapshot(snapshot: SnapshotId, payload: bytes) -> bytes:
-    """Returns the bytes of its file."""
+    """Returns the content of the snapshot's file."""
     start = HEADER.pack(MAGIC, snapshot.index, snapshot.generation, len(payload))
     return start + zlib.crc32(payload, zlib.crc32(start)).to_bytes(CRC_BYTES, "big") + payload
 
 
 def decode_snapshot(snapshot: SnapshotId, data: bytes) -> bytes | None:
-    """Returns the payload; None if these are not the bytes of that snapshot."""
+    """Returns the payload; None if `data` is not the valid content of that snapshot."""
     body = HEADER.size + CRC_BYTES
     if len(data) < body:
         return None
@@ -78,8 +78,8 @@
     """Returns the payload of a snapshot that was synced.
 
     Raises:
-        CorruptLogError: It is damaged or missing.
-        DiskFailedError: It cannot be read now.
+        CorruptLogError: The file is damaged or missing.
+        DiskFailedError: The file cannot be read.
     """
     path = os.path.join(folder, snapshot.file_name)
     payload = decode_snapshot(snapshot, port.read(path, 0, port.size(path) or 0))
@@ -89,15 +89,15 @@
 
 
 class SnapshotStore:
-    """The current snapshot of one log. Belongs to the log's owner thread.
+    """The current snapshot of one log. Only the log's owner thread may use it.
 
     Attributes:
-        current: The snapshot in force; NO_SNAPSHOT if there is none.
+        current: The current snapshot; NO_SNAPSHOT if there is none.
         size_bytes: Length of its payload.
     """
 
     def __init__(self, port: FilePort, folder: str, cleanup: LogCleanup) -> None:
-        """Starts with no snapshot; the log sets the one that a recovery found."""
+        """Creates a store without a snapshot; the log sets `current` to the recovered one."""
         self._port = port
         self._folder = folder
         self._cleanup = cleanup
@@ -109,10 +109,10 @@
         return read_snapshot(self._port, self._folder, self.current)
 
     def replace(self, snapshot: SnapshotId, payload: bytes) -> None:
-        """Makes this the current snapshot; durable once it returns. The file of the former one is removed.
+        """Stores a new current snapshot, durably, and removes the file of the former one.
 
         Raises:
-            DiskFullError, DiskFailedError: The former snapshot stays in force.
+            DiskFullError, DiskFailedError: The former snapshot stays current.
         """
         path = os.path.join(self._folder, snapshot.file_name)
         self._write_durably(path, encode_snapshot(snapshot, payload))
