--- a/tests/replication/test_graceful_leave.py
+++ b/tests/replication/test_graceful_leave.py
@@ -1,4 +1,4 @@
-"""Planned ends: a member that leaves hands over by agreement, and the others lose nothing by it."""
+"""Planned shutdown: a leaving member hands over by agreement, without a loss of redundancy or records."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from larchgw.replication.view import View, first_view
 
 
-def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> SimulatedCluster:
-    cluster = SimulatedCluster(1, machines, seeds, survive)
+def started(machines: int = 3, seeds: int = 3, tolerated_failures: int = 1) -> SimulatedCluster:
+    cluster = SimulatedCluster(1, machines, seeds, tolerated_failures)
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
     serve(cluster, 3.0)
@@ -45,16 +45,16 @@
     return next(machine for machine in cluster.running if machine is not primary(cluster))
 
 
-def seconds_to_leave(cluster: SimulatedCluster, address: str, most: float = 5.0) -> float:
-    """Asks the process to end, and ends it once it has left."""
-    began = cluster.now
+def seconds_to_leave(cluster: SimulatedCluster, address: str, limit_s: float = 5.0) -> float:
+    """Asks the member to leave, and ends it once it has left; returns how long that took."""
+    started_at = cluster.now
     cluster.leave(address)
     while not cluster.end_if_left(address):
-        assert cluster.now - began < most, "it has not left"
+        assert cluster.now - started_at < limit_s, "the member has not left in time"
         cluster.run(0.01)
         for machine in cluster.primaries():
             cluster.change(machine)
-    return cluster.now - began
+    return cluster.now - started_at
 
 
 def lease_holders(cluster: SimulatedCluster) -> list[str]:
@@ -65,21 +65,23 @@
     ]
 
 
-# ---- the end ----
+# ---- leaving ----
 
 
-@pytest.mark.parametrize("shape", [(3, 3, 1), (4, 3, 1), (5, 3, 2), (5, 5, 2)])
-@pytest.mark.parametrize("whose", [primary, backup])
-def test_in_calm_times_a_member_has_left_within_300_ms(shape: tuple[int, int, int], whose: object) -> None:
-    cluster = started(*shape)
-    leaver = (primary if whose is primary else backup)(cluster)
+@pytest.mark.parametrize("cluster_shape", [(3, 3, 1), (4, 3, 1), (5, 3, 2), (5, 5, 2)])
+@pytest.mark.parametrize("select", [primary, backup])
+def test_without_faults_a_member_leaves_within_300_ms(
+    cluster_shape: tuple[int, int, int], select: object
+) -> None:
+    cluster = started(*cluster_shape)
+    leaver = (primary if select is primary else backup)(cluster)
     assert seconds_to_leave(cluster, leaver.address) < 0.3
     assert leaver.id not in view_of(cluster).in_sync
     assert leaver.id in view_of(cluster).witnesses or len(cluster.running) >= len(view_of(cluster).witnesses)
     assert serve(cluster, 0.3) >= 3
 
 
-def test_a_leaving_primary_passes_its_lease_on() -> None:
+def test_another_member_acquires_the_lease_of_a_leaving_primary() -> None:
     cluster = started()
     cluster.run(2.0)
     leaver = primary(cluster)
@@ -93,7 +95,7 @@
     assert lease_holders(cluster) not in ([], [leaver.address])
 
 
-def test_a_member_that_left_in_order_is_in_sync_again_within_half_a_second_of_its_return() -> None:
+def test_a_member_that_left_is_in_sync_again_within_half_a_second_of_its_return() -> None:
     cluster = started()
     leaver = backup(cluster)
     seconds_to_leave(cluster, leaver.address)
@@ -118,7 +120,7 @@
     assert serve(cluster, 0.5) > 3
 
 
-def test_of_two_that_leave_at_once_only_as_many_are_let_go_as_the_others_can_spare() -> None:
+def test_of_two_members_that_leave_at_once_only_one_is_released() -> None:
     cluster = started()
     leavers = [machine for machine in cluster.running if machine is not primary(cluster)]
     for leaver in leavers:
@@ -129,7 +131,7 @@
     assert serve(cluster, 1.0) > 3
 
 
-def test_a_vote_that_the_others_need_is_not_taken_away() -> None:
+def test_a_member_whose_vote_is_needed_for_a_quorum_is_not_released() -> None:
     cluster = started(5, 5, 1)
     leaver, *silent = [machine for machine in cluster.running if machine is not primary(cluster)][:3]
     for machine in silent:
@@ -144,7 +146,7 @@
     assert seconds_to_leave(cluster, leaver.address) < 0.5
 
 
-def test_a_member_killed_while_it_leaves_is_a_member_killed() -> None:
+def test_a_member_killed_while_it_leaves_can_return() -> None:
     for cut_short in range(12):
         cluster = started()
         leaver = primary(cluster)
@@ -158,7 +160,7 @@
         assert leaver.id in view_of(cluster).in_sync
 
 
-def test_a_new_machine_first_and_then_the_end_of_the_old_one() -> None:
+def test_a_new_machine_replaces_an_old_one_that_leaves_afterwards() -> None:
     cluster = started()
     new = cluster.new_machine()
     cluster.start(new.address)
@@ -174,7 +176,7 @@
     assert serve(cluster, 0.5) > 3
 
 
-def test_two_planned_replacements_at_once_leave_a_group_that_bears_the_next_loss() -> None:
+def test_after_two_simultaneous_planned_replacements_the_next_loss_is_tolerated() -> None:
     cluster = started()
     old = [machine for machine in cluster.running if machine is not primary(cluster)]
     for _ in old:
@@ -200,37 +202,37 @@
     assert seconds_to_leave(cluster, new.address) < 0.3
 
 
-# ---- plans ----
+# ---- planning of the next view ----
 
 
-def standing(healthy: str, ready: str = "", gone: str = "", leaving: str = "") -> ObservedMembers:
+def observed(healthy: str, ready: str = "", lost: str = "", leaving: str = "") -> ObservedMembers:
     addresses = {member: member for member in "abcd"}
-    return ObservedMembers(frozenset(healthy), tuple(ready), frozenset(gone), frozenset(leaving), addresses)
+    return ObservedMembers(frozenset(healthy), tuple(ready), frozenset(lost), frozenset(leaving), addresses)
 
 
 VIEW = first_view(["a", "b", "c"])
 
 
 def test_a_leaving_backup_is_left_out_only_while_enough_copies_remain() -> None:
-    changed = next_view(2, VIEW, standing("bc", leaving="b"), 2, 5)
+    changed = next_view(2, VIEW, observed("bc", leaving="b"), 2, 5)
     assert changed is not None
     assert changed.backups == ("c",)
     assert changed.witnesses == VIEW.witnesses
-    assert next_view(2, VIEW, standing("bc", leaving="b"), 3, 5) is None
+    assert next_view(2, VIEW, observed("bc", leaving="b"), 3, 5) is None
 
 
-def test_a_leaving_backup_is_a_better_copy_than_a_silent_one() -> None:
-    changed = next_view(2, VIEW, standing("b", leaving="b"), 2, 5)
+def test_a_leaving_backup_is_preferred_to_a_silent_one() -> None:
+    changed = next_view(2, VIEW, observed("b", leaving="b"), 2, 5)
     assert changed is not None
     assert changed.backups == ("b",)
 
 
-def test_a_leaving_backup_is_exchanged_for_one_that_is_ready() -> None:
-    changed = next_view(2, VIEW, standing("bcd", ready="d", leaving="b"), 3, 5)
+def test_a_leaving_backup_is_replaced_by_a_ready_member() -> None:
+    changed = next_view(2, VIEW, observed("bcd", ready="d", leaving="b"), 3, 5)
     assert changed is not None
     assert set(changed.backups) == {"c", "d"}
 
 
-def test_a_new_primary_goes_on_without_the_one_that_leaves() -> None:
+def test_a_new_primary_leaves_out_a_leaving_member() -> None:
     assert failover_view(2, "b", VIEW, {"a", "b", "c"}, {"a"}, 2).in_sync == ("b", "c")
     assert set(failover_view(2, "b", VIEW, {"a", "b"}, {"a"}, 2).in_sync) == {"a", "b"}
--- a/tests/replication/test_late_votes.py
+++ b/tests/replication/test_late_votes.py
@@ -1,4 +1,4 @@
-"""One member and scripted others: votes that come after the member has moved on."""
+"""One member with scripted peers: votes that arrive after the member has promised a later epoch."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 VIEW = first_view(["a", "b", "c"])
 
 
-class Scripted:
-    """Member "b" of a, b, c; the others are scripted by the test."""
+class MemberWithScriptedPeers:
+    """Member "b" of a, b, c; the test sends the messages of the others."""
 
     def __init__(self) -> None:
         settings = MemberSettings("b", ("a", "b", "c"), True, "", 1, 3.0)
@@ -36,14 +36,14 @@
 
 
 def test_the_last_vote_for_its_view_makes_a_member_primary() -> None:
-    b = Scripted()
+    b = MemberWithScriptedPeers()
     b.propose_view_2()
     b.receive(101.3, "a", Accepted(2, True, 2))
     assert b.member.acting_epoch == 2
 
 
-def test_a_late_vote_makes_no_primary_of_a_member_that_follows_a_later_view() -> None:
-    b = Scripted()
+def test_a_late_vote_does_not_make_a_member_primary_that_follows_a_later_view() -> None:
+    b = MemberWithScriptedPeers()
     b.propose_view_2()
     later = View(3, "c", ("b",), VIEW.witnesses, VIEW.witnesses, VIEW.addresses)
     b.receive(101.2, "c", Accept(later))
@@ -52,6 +52,6 @@
     assert b.member.view == later
 
 
-def test_a_member_that_is_not_primary_agrees_to_nobody_s_end() -> None:
-    b = Scripted()
+def test_a_member_that_is_not_primary_grants_no_request_to_leave() -> None:
+    b = MemberWithScriptedPeers()
     assert ("c", "left") not in b.receive(100.1, "c", LeaveRequest("c"))
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -1,4 +1,4 @@
-"""Whole members in virtual time: failover, replacement, planned ends and losses of disks."""
+"""Complete members in virtual time: failover, replacement, planned shutdown and lost disks."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from larchgw.replication.effects import Effects
 
 
-def started(machines: int = 3, seeds: int = 3, survive: int = 1) -> SimulatedCluster:
-    cluster = SimulatedCluster(1, machines, seeds, survive)
+def started(machines: int = 3, seeds: int = 3, tolerated_failures: int = 1) -> SimulatedCluster:
+    cluster = SimulatedCluster(1, machines, seeds, tolerated_failures)
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
     serve(cluster, 2.0)
@@ -38,30 +38,30 @@
     return [machine for machine in cluster.running if machine is not primary(cluster)]
 
 
-def test_a_first_boot_has_a_primary_before_a_second_is_over() -> None:
+def test_a_first_boot_has_a_primary_within_a_second() -> None:
     cluster = SimulatedCluster(1, 3, 3, 1)
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
     assert serve(cluster, 1.0) > 0
 
 
-@pytest.mark.parametrize("how", ["kill", "lose_power", "wipe", "freeze"])
-def test_a_lost_primary_is_replaced_within_1500_ms(how: str) -> None:
+@pytest.mark.parametrize("fault", ["kill", "lose_power", "wipe", "freeze"])
+def test_a_lost_primary_is_replaced_within_1500_ms(fault: str) -> None:
     cluster = started()
-    getattr(cluster, how)(primary(cluster).address)
+    getattr(cluster, fault)(primary(cluster).address)
     cluster.run(1.5)
     assert serve(cluster, 1.0) > 5
 
 
-@pytest.mark.parametrize("how", ["kill", "lose_power", "wipe", "freeze"])
-def test_a_lost_backup_does_not_stop_changes_for_a_second(how: str) -> None:
+@pytest.mark.parametrize("fault", ["kill", "lose_power", "wipe", "freeze"])
+def test_a_lost_backup_does_not_stop_changes_for_a_second(fault: str) -> None:
     cluster = started()
-    getattr(cluster, how)(backups(cluster)[0].address)
+    getattr(cluster, fault)(backups(cluster)[0].address)
     cluster.run(1.0)
     assert serve(cluster, 1.0) > 10
 
 
-def test_after_the_loss_of_all_power_the_last_view_forms_again() -> None:
+def test_the_members_form_a_view_again_after_all_lost_power() -> None:
     cluster = started()
     for address in cluster.machines:
         cluster.lose_power(address)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("killed", [1, 2, 3])
-def test_members_killed_at_once_serve_on_with_all_that_was_acknowledged(
+def test_members_killed_at_once_continue_with_all_acknowledged_records(
     killed: int,
 ) -> None:
     cluster = started()
@@ -85,7 +85,7 @@
     assert primary(cluster).member.committed_index >= committed + 10
 
 
-def test_one_disk_is_lost_while_all_others_lose_power() -> None:
+def test_the_loss_of_one_disk_while_all_others_lose_power_is_tolerated() -> None:
     cluster = started()
     cluster.wipe(primary(cluster).address)
     for machine in list(cluster.running):
@@ -121,7 +121,7 @@
     assert not set(cluster.seeds) & set(primary(cluster).member.view.members)
 
 
-def test_a_seed_that_never_came_up_does_not_stop_the_others() -> None:
+def test_a_seed_that_did_not_start_does_not_block_the_others() -> None:
     cluster = SimulatedCluster(1, 3, 3, 1)
     for address in list(cluster.machines)[1:]:
         cluster.start(address, first_boot=True)
@@ -131,7 +131,7 @@
     assert f"{cluster.seeds[0]}#1" in primary(cluster).member.view.in_sync
 
 
-def test_five_machines_from_three_seeds_bear_the_loss_of_two() -> None:
+def test_five_machines_from_three_seeds_tolerate_the_loss_of_two() -> None:
     cluster = started(5, 3, 2)
     serve(cluster, 2.0)
     view = primary(cluster).member.view
@@ -142,7 +142,7 @@
     assert serve(cluster, 1.0) > 5
 
 
-def test_a_planned_end_of_the_primary_takes_less_than_200_ms() -> None:
+def test_stepping_down_replaces_the_primary_within_200_ms() -> None:
     cluster = started()
     cluster.step_down(primary(cluster))
     cluster.run(0.2)
@@ -160,7 +160,7 @@
     assert primary(cluster).member.acting_epoch > epoch
 
 
-def test_a_thawed_primary_confirms_no_read_of_its_old_view() -> None:
+def test_a_resumed_primary_confirms_no_read_of_its_old_view() -> None:
     cluster = started()
     machine = primary(cluster)
     cluster.freeze(machine.address)
@@ -181,36 +181,36 @@
     assert serve(cluster, 0.5) > 3
 
 
-def test_a_restarted_member_is_handed_a_large_state_s_records_a_few_at_a_time() -> None:
-    """To take a record in takes time in proportion to the state, and heartbeats must go on between them."""
+def test_a_restarted_member_with_a_large_state_delivers_a_few_records_at_a_time() -> None:
+    """Applying a record takes time in proportion to the state, and heartbeats must continue in between."""
     cluster = started()
     cluster.kill(backups(cluster)[0].address)
     serve(cluster, 1.0)
-    late = next(machine for machine in cluster.machines.values() if machine.member is None)
-    handed_out: list[int] = []
+    restarted = next(machine for machine in cluster.machines.values() if machine.member is None)
+    delivered_counts: list[int] = []
     carry_out = cluster._carry_out
 
     def watched(machine: Machine, effects: Effects, written: float = 0.0) -> None:
-        if machine is late:
-            handed_out.append(len(effects.committed))
+        if machine is restarted:
+            delivered_counts.append(len(effects.committed))
         carry_out(machine, effects, written)
 
     cluster._carry_out = watched  # type: ignore[method-assign]
-    cluster.start(late.address)
+    cluster.start(restarted.address)
     serve(cluster, 3.0)
-    assert late.version == primary(cluster).version
-    assert max(handed_out) <= DELIVER_BYTES // cluster.snapshot_padding_bytes
+    assert restarted.version == primary(cluster).version
+    assert max(delivered_counts) <= DELIVER_BYTES // cluster.snapshot_padding_bytes
 
 
-def test_a_primary_counts_no_record_of_its_own_that_an_earlier_life_left_unsynced() -> None:
-    """It was acknowledged with such a copy, then lost with the power, and another one put in its place."""
+def test_a_primary_does_not_count_records_that_it_left_unsynced_before_a_restart() -> None:
+    """A record was acknowledged with an unsynced copy, which a loss of power replaced by another record."""
     cluster = SimulatedCluster(1, 1, 1, 0)
     (machine,) = cluster.machines.values()
     cluster.start(machine.address, first_boot=True)
     serve(cluster, 0.4)
     cluster.kill(machine.address)
     assert machine.disk.synced_count == len(machine.disk.records) > 0
-    machine.disk.synced_count -= 1  # killed between the append and the sync
+    machine.disk.synced_count -= 1  # as if killed between the append and the sync
     cluster.start(machine.address)
     while not cluster.primaries():
         cluster.run(0.001)
--- a/tests/replication/test_member_crashes.py
+++ b/tests/replication/test_member_crashes.py
@@ -1,8 +1,8 @@
-"""A whole member on files that lose what a real disk may lose: its power is cut at every single call that
-changes the disk, and what it has said before binds it afterwards.
+"""A complete member on simulated files that lose power at each call that changes the disk.
 
-The member is the backup b. Scripted primaries have it take records, a divergent tail, a snapshot in pieces, a
-compaction, promises, views and leases.
+After a restart the member must keep every commitment that its messages made before. The member is the backup
+b. Scripted primaries send it records, a divergent tail, a snapshot in chunks, promises, views and lease
+requests, and it compacts its log.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 SNAPSHOT = b"the state after record 30"
 CHUNK_BYTES = 10
 TERM = 3.0
-ACKNOWLEDGED_IN_FIRST = 7  # the last record of the first view that all its members had
+ACKNOWLEDGED_IN_FIRST = 7  # the last record of the first view that all of its members had stored
 
 
 def record(epoch: int, index: int) -> bytes:
@@ -64,7 +64,7 @@
     return Append(epoch, index, previous[1], commit, epochs, records)
 
 
-def pieces(epoch: int) -> Iterator[InstallSnapshot]:
+def chunks(epoch: int) -> Iterator[InstallSnapshot]:
     for offset in range(0, len(SNAPSHOT), CHUNK_BYTES):
         yield InstallSnapshot(
             epoch,
@@ -77,26 +77,26 @@
         )
 
 
-def ask(fence: int, renewal: bool) -> LeaseRequest:
-    return LeaseRequest("placer", fence, renewal, 9, attempt=fence, is_acting=True)
+def lease_request(fencing_token: int, is_renewal: bool) -> LeaseRequest:
+    return LeaseRequest("placer", fencing_token, is_renewal, 9, attempt=fencing_token, is_acting=True)
 
 
 SCRIPT: tuple[tuple[str, Message], ...] = (
     ("a", Heartbeat(1, 1, 0)),
     ("a", append(1, (0, 0), (1, 1, 1), 0)),
     ("a", append(1, (3, 1), (1, 1, 1, 1), 5)),
-    ("a", append(1, (7, 1), (1, 1), 7)),  # 8 and 9 are acknowledged by nobody
-    ("a", ask(70_000, renewal=False)),
+    ("a", append(1, (7, 1), (1, 1), 7)),  # records 8 and 9 are never acknowledged
+    ("a", lease_request(70_000, is_renewal=False)),
     ("c", Prepare(2)),
     ("c", Accept(SECOND)),
     ("c", Heartbeat(2, 1, 7)),
-    ("c", append(2, (7, 1), (2, 2), 7)),  # another 8 and 9
-    ("a", append(1, (9, 1), (1,), 9)),  # of the old primary
-    ("a", next(pieces(1))),
-    *(("c", piece) for piece in pieces(2)),
+    ("c", append(2, (7, 1), (2, 2), 7)),  # different records 8 and 9
+    ("a", append(1, (9, 1), (1,), 9)),  # from the old primary
+    ("a", next(chunks(1))),
+    *(("c", chunk) for chunk in chunks(2)),
     ("c", append(2, (30, 2), (2, 2, 2), 31)),
     ("a", LeaseRelease("placer", 70_000)),
-    ("c", ask(140_000, renewal=False)),
+    ("c", lease_request(140_000, is_renewal=False)),
     ("c", append(2, (33, 2), (2, 2, 2), 36)),
     ("a", Prepare(4)),
     ("c", Prepare(5)),
@@ -107,13 +107,13 @@
 
 @dataclass
 class Commitments:
-    """What others may rely on, as its messages left the member."""
+    """The commitments of a member to other members, collected from its messages."""
 
     promised: int = 0
     accepted: int = 0
     matched: tuple[int, int, bytes | None] = (0, 0, None)  # epoch of the view, index, record if not compacted
     fencing_token: int = 0
-    records: dict[int, bytes] = field(default_factory=dict)  # index -> what the primaries last sent
+    records: dict[int, bytes] = field(default_factory=dict)  # index -> the record that a primary last sent
 
     def observe(self, message: Message) -> None:
         match message:
@@ -130,7 +130,7 @@
 
 
 class Backup:
-    """Member b on its files, one life after the other."""
+    """Member b on its files, over several restarts."""
 
     def __init__(self, files: FaultyFiles) -> None:
         self.files = files
@@ -150,8 +150,8 @@
     def snapshot(self) -> bytes:
         return SNAPSHOT if self.version == 30 else f"the state after record {self.version}".encode()
 
-    def play(self, before_step: Callable[[int], None] = lambda step: None) -> None:
-        """The script from its start; whoever has heard a part of it already hears it again."""
+    def run_script(self, before_step: Callable[[int], None] = lambda step: None) -> None:
+        """Sends the whole script; after a restart the member gets a part of it again."""
         for number, (sender, message) in enumerate(SCRIPT):
             before_step(number)
             now = 100.0 + 0.01 * number
@@ -177,8 +177,8 @@
             message, _ = decode(outgoing.message.kind, outgoing.message.body)
             self.commitments.observe(message)
 
-    def check_bound(self) -> None:
-        """Nothing that was said is forgotten, and nothing else is claimed."""
+    def check_commitments(self) -> None:
+        """Checks that the member keeps all commitments and claims no role."""
         member, commitments = self.member, self.commitments
         assert member is not None
         assert not member.is_primary
@@ -200,51 +200,51 @@
         )
 
 
-def calls_of_the_script() -> int:
+def count_script_calls() -> int:
     backup = Backup(FaultyFiles())
     backup.start()
-    backup.play()
+    backup.run_script()
     assert backup.version == 38
     return backup.files.call_count
 
 
-def test_the_script_takes_the_member_through_snapshot_and_compaction() -> None:
+def test_the_script_includes_a_snapshot_and_a_compaction() -> None:
     backup = Backup(FaultyFiles())
     backup.start()
-    backup.play()
+    backup.run_script()
     assert backup.member._parts.replica.first_index > 31
     assert backup.commitments.promised == 5
     assert backup.commitments.accepted == 5
     assert backup.commitments.fencing_token == 140_000
 
 
-@pytest.mark.parametrize("end", [FaultyFiles.lose_power, FaultyFiles.kill_process])
-def test_a_member_that_ended_at_any_write_is_bound_by_all_it_said(end: Callable[[FaultyFiles], None]) -> None:
-    for cut_at in range(1, calls_of_the_script() + 1):
+@pytest.mark.parametrize("stop", [FaultyFiles.lose_power, FaultyFiles.kill_process])
+def test_a_member_stopped_at_any_write_keeps_its_commitments(stop: Callable[[FaultyFiles], None]) -> None:
+    for power_loss_at_call in range(1, count_script_calls() + 1):
         for seed in range(4):
             backup = Backup(FaultyFiles(seed, strict=seed % 2 == 1))
-            backup.files.power_loss_at = cut_at
+            backup.files.power_loss_at = power_loss_at_call
             try:
                 backup.start()
-                backup.play()
+                backup.run_script()
             except PowerLossError:
                 pass
-            end(backup.files)
+            stop(backup.files)
             backup.files.power_loss_at = 0
             backup.start()
-            backup.check_bound()
-            backup.play()
-            backup.check_bound()
+            backup.check_commitments()
+            backup.run_script()
+            backup.check_commitments()
             assert backup.version == 38
 
 
 @pytest.mark.parametrize("call", ["write", "rename", "remove", "sync_file", "sync_folder", "truncate"])
-def test_a_member_whose_disk_fails_for_a_moment_is_bound_by_all_it_said(call: str) -> None:
+def test_a_member_with_a_temporary_disk_failure_keeps_its_commitments(call: str) -> None:
     for fails_at in range(len(SCRIPT)):
         for seed in range(4):
             backup = Backup(FaultyFiles(seed, strict=seed % 2 == 1))
             backup.start()
-            backup.play(
+            backup.run_script(
                 lambda step,
                 backup=backup,
                 at=fails_at,
@@ -253,33 +253,37 @@
             backup.files.failures_left.clear()
             backup.files.lose_power()
             backup.start()
-            backup.check_bound()
+            backup.check_commitments()
 
 
-def test_a_witness_that_ends_while_it_is_seated_grants_nothing_of_its_former_seat() -> None:
-    """It may have been away while others granted the lease: whom it granted to long ago says nothing."""
+def test_a_member_that_crashes_while_it_becomes_a_witness_again_does_not_rely_on_old_grants() -> None:
+    """Other witnesses may have granted the lease in the meantime, so its own stored holder is outdated."""
     for crash_after in range(6):
         disk = SimulatedDisk()
-        former = LeaseAcceptor(disk.ports().leases, TERM)
-        former.reset(from_first_boot=True)
-        former.handle_request(0.0, "x", LeaseRequest("placer", 70_000, False, 1, 1, is_acting=True), None)
-        outside = View(3, "a", ("c",), ("a", "c", "d"), ("a", "c", "d"), {each: each for each in "abcd"})
-        Witness(disk.ports().witness).reset(outside)
+        acceptor = LeaseAcceptor(disk.ports().leases, TERM)
+        acceptor.reset(from_first_boot=True)
+        acceptor.handle_request(0.0, "x", LeaseRequest("placer", 70_000, False, 1, 1, is_acting=True), None)
+        view_without_member = View(
+            3, "a", ("c",), ("a", "c", "d"), ("a", "c", "d"), {each: each for each in "abcd"}
+        )
+        Witness(disk.ports().witness).reset(view_without_member)
         disk.cells["identity"] = b'{"id": "b"}'
-        seat = View(4, "a", ("b", "c"), ("a", "b", "c"), ("a", "c", "d"), {each: each for each in "abcd"})
+        view_with_member = View(
+            4, "a", ("b", "c"), ("a", "b", "c"), ("a", "c", "d"), {each: each for each in "abcd"}
+        )
         disk.writes_until_crash = crash_after
         settings = MemberSettings("b", SEEDS, False, "b#new", 1, TERM)
         try:
             member = Member(settings, disk.ports(), lambda: b"", Random(1))
             member.start(100.0)
-            kind, body = encode(Accept(seat), "a")
+            kind, body = encode(Accept(view_with_member), "a")
             member.receive(100.0, PeerMessage("a", "b", kind, body))
         except SimulatedCrashError:
             pass
         disk.writes_until_crash = None
         member = Member(settings, disk.ports(), lambda: b"", Random(1))
         member.start(101.0)
-        kind, body = encode(Accept(seat), "a")
+        kind, body = encode(Accept(view_with_member), "a")
         member.receive(101.0, PeerMessage("a", "b", kind, body))
         kind, body = encode(LeaseRequest("placer", 300_000, False, 4, 1, is_acting=False), "x")
         effects = member.receive(101.1, PeerMessage("x", "b", kind, body))
--- a/tests/replication/test_parts.py
+++ b/tests/replication/test_parts.py
@@ -44,21 +44,21 @@
     )
 
 
-def standing(healthy: str = "", ready: str = "", gone: str = "", leaving: str = "") -> ObservedMembers:
+def observed(healthy: str = "", ready: str = "", lost: str = "", leaving: str = "") -> ObservedMembers:
     addresses = {member: member for member in "abcdef"}
-    return ObservedMembers(frozenset(healthy), tuple(ready), frozenset(gone), frozenset(leaving), addresses)
+    return ObservedMembers(frozenset(healthy), tuple(ready), frozenset(lost), frozenset(leaving), addresses)
 
 
 # ---- messages ----
 
 
 @given(st.lists(st.binary(max_size=20), max_size=5))
-def test_records_of_any_bytes_arrive_as_they_were_sent(records: list[bytes]) -> None:
+def test_records_of_any_bytes_are_decoded_as_sent(records: list[bytes]) -> None:
     append = Append(7, 3, 2, 1, tuple(range(len(records))), tuple(records))
     assert decode(*encode(append, "x:1")) == (append, "x:1")
 
 
-def test_views_and_snapshots_arrive_as_they_were_sent() -> None:
+def test_views_and_snapshots_are_decoded_as_sent() -> None:
     promises = Promise(1, True, 1, None), Promise(1, True, 1, VIEW)
     for message in (
         Accept(VIEW),
@@ -70,12 +70,12 @@
 
 
 @given(st.sampled_from(["append", "accept", "promise", "unheard of"]), st.binary(max_size=60))
-def test_garbage_is_refused_as_such(kind: str, body: bytes) -> None:
+def test_invalid_bodies_are_rejected(kind: str, body: bytes) -> None:
     with pytest.raises(MessageDecodeError):
         decode(kind, body)
 
 
-def test_an_append_that_was_cut_short_is_not_taken_for_a_shorter_one() -> None:
+def test_a_truncated_append_is_rejected() -> None:
     kind, body = encode(Append(1, 0, 0, 0, (1, 1), (b"one", b"two")), "x:1")
     with pytest.raises(MessageDecodeError):
         decode(kind, body[:-1])
@@ -115,7 +115,7 @@
     assert witness(disk).view == view(3, "a", "b")
 
 
-def test_a_witness_that_promised_an_epoch_in_vain_still_accepts_its_view() -> None:
+def test_a_witness_accepts_the_view_of_an_epoch_that_it_promised_to_another_candidate() -> None:
     disk = SimulatedDisk()
     witness(disk).promise(3, "c")
     assert witness(disk).accept(view(3, "a", "b"))
@@ -137,28 +137,28 @@
     return Replica(disk.ports().journal)
 
 
-def test_a_divergent_tail_is_replaced_by_the_primary_s() -> None:
+def test_a_divergent_tail_is_replaced_by_the_records_of_the_primary() -> None:
     disk = SimulatedDisk()
-    log = replica(disk)
+    local_replica = replica(disk)
     for record in (b"1", b"2", b"lost"):
-        log.append(1, record)
-    assert log.append_from_primary(3, 2, (2,), (b"4",)) == (False, 0)
-    assert log.append_from_primary(2, 1, (2, 2), (b"3", b"4")) == (True, 4)
-    assert [record for _, record in log.read(1, 4)] == [b"1", b"2", b"3", b"4"]
+        local_replica.append(1, record)
+    assert local_replica.append_from_primary(3, 2, (2,), (b"4",)) == (False, 0)
+    assert local_replica.append_from_primary(2, 1, (2, 2), (b"3", b"4")) == (True, 4)
+    assert [record for _, record in local_replica.read(1, 4)] == [b"1", b"2", b"3", b"4"]
 
 
-def test_a_gap_is_never_filled_over() -> None:
+def test_records_after_a_gap_are_rejected() -> None:
     assert replica(SimulatedDisk()).append_from_primary(5, 1, (1,), (b"6",)) == (False, 0)
 
 
-def test_records_that_come_twice_or_late_change_nothing() -> None:
-    log = replica(SimulatedDisk())
-    log.append_from_primary(0, 0, (1, 1), (b"1", b"2"))
-    assert log.append_from_primary(0, 0, (1,), (b"1",)) == (True, 1)
-    assert log.last_index == 2
+def test_duplicate_or_late_records_change_nothing() -> None:
+    local_replica = replica(SimulatedDisk())
+    local_replica.append_from_primary(0, 0, (1, 1), (b"1", b"2"))
+    assert local_replica.append_from_primary(0, 0, (1,), (b"1",)) == (True, 1)
+    assert local_replica.last_index == 2
 
 
-def test_what_a_killed_process_left_unsynced_is_synced_before_it_is_counted_on() -> None:
+def test_records_that_a_killed_process_left_unsynced_are_synced_before_they_are_reported_as_matched() -> None:
     disk = SimulatedDisk()
     journal = disk.ports().journal
     journal.append(b"\0" * 7 + b"\1" + b"one")
@@ -169,73 +169,73 @@
 
 def test_a_record_that_could_not_be_synced_is_not_in_the_log() -> None:
     disk = SimulatedDisk()
-    log = replica(disk)
+    local_replica = replica(disk)
     disk.writes_until_crash = 1
     with pytest.raises(SimulatedCrashError):
-        log.append(1, b"one")
+        local_replica.append(1, b"one")
     disk.lose_power(Random(1))
     assert disk.synced_count == len(disk.records)
 
 
-def test_compaction_keeps_what_follows_and_a_snapshot_replaces_what_is_behind() -> None:
+def test_compaction_keeps_later_records_and_a_snapshot_replaces_an_older_log() -> None:
     disk = SimulatedDisk()
-    log = replica(disk)
+    local_replica = replica(disk)
     for number in range(1, 6):
-        log.append(1, str(number).encode())
-    log.compact(3, b"state of 3")
-    assert log.snapshot() == (3, 1, b"state of 3")
+        local_replica.append(1, str(number).encode())
+    local_replica.compact(3, b"state of 3")
+    assert local_replica.snapshot() == (3, 1, b"state of 3")
     assert replica(disk).read(4, 5) == [(4, b"4"), (5, b"5")]
     behind = replica(SimulatedDisk())
-    assert behind.install(*log.snapshot())
-    assert not behind.install(*log.snapshot())
+    assert behind.install(*local_replica.snapshot())
+    assert not behind.install(*local_replica.snapshot())
     assert behind.append_from_primary(3, 1, (1,), (b"4",)) == (True, 4)
 
 
-# ---- the next view ----
+# ---- planning of the next view ----
 
 
-def test_a_candidate_keeps_those_that_answered_and_fills_up_to_the_copies_needed() -> None:
+def test_a_candidate_keeps_members_that_answered_and_fills_up_to_the_copies_needed() -> None:
     assert set(failover_view(2, "b", VIEW, {"b", "c"}, (), 2).in_sync) == {"b", "c"}
     assert len(failover_view(2, "b", VIEW, {"b"}, (), 2).in_sync) == 2
     assert set(failover_view(2, "b", VIEW, {"a", "b", "c"}, (), 2).in_sync) == {"a", "b", "c"}
 
 
 def test_a_silent_backup_is_left_out_only_while_enough_copies_remain() -> None:
-    changed = next_view(2, VIEW, standing(healthy="b"), 2, 3)
+    changed = next_view(2, VIEW, observed(healthy="b"), 2, 3)
     assert changed is not None
     assert changed.backups == ("b",)
-    assert next_view(2, VIEW, standing(healthy="b"), 3, 5) is None
+    assert next_view(2, VIEW, observed(healthy="b"), 3, 5) is None
 
 
-def test_a_silent_backup_is_exchanged_for_one_that_is_ready() -> None:
-    changed = next_view(3, view(2, "a", "b"), standing(healthy="d", ready="d"), 2, 3)
+def test_a_silent_backup_is_replaced_by_a_ready_member() -> None:
+    changed = next_view(3, view(2, "a", "b"), observed(healthy="d", ready="d"), 2, 3)
     assert changed is not None
     assert changed.backups == ("d",)
     assert changed.addresses["d"] == "d"
 
 
 def test_witnesses_change_one_by_one_and_only_for_members_in_sync() -> None:
-    assert next_view(3, view(2, "a", "b"), standing(healthy="b", gone="c"), 2, 3) is None
-    joint = next_view(3, view(2, "a", "bd"), standing(healthy="bd", gone="c"), 2, 3)
+    assert next_view(3, view(2, "a", "b"), observed(healthy="b", lost="c"), 2, 3) is None
+    joint = next_view(3, view(2, "a", "bd"), observed(healthy="bd", lost="c"), 2, 3)
     assert joint is not None
     assert set(joint.witnesses) == set("abd")
     assert joint.is_joint
-    settled = next_view(4, joint, standing(healthy="bd"), 2, 3)
+    settled = next_view(4, joint, observed(healthy="bd"), 2, 3)
     assert settled is not None
     assert not settled.is_joint
     assert settled.witnesses == joint.witnesses
 
 
 def test_the_number_of_witnesses_stays_odd() -> None:
-    assert next_view(3, view(2, "a", "bcd"), standing(healthy="bcd"), 2, 5) is None
-    grown = next_view(3, view(2, "a", "bcde"), standing(healthy="bcde"), 2, 5)
+    assert next_view(3, view(2, "a", "bcd"), observed(healthy="bcd"), 2, 5) is None
+    grown = next_view(3, view(2, "a", "bcde"), observed(healthy="bcde"), 2, 5)
     assert grown is not None
     assert len(grown.witnesses) == 5
 
 
-def test_the_witnesses_are_no_more_than_are_needed() -> None:
-    assert next_view(3, view(2, "a", "bcde"), standing(healthy="bcde"), 2, 3) is None
-    exchanged = next_view(3, view(2, "a", "bcde"), standing(healthy="bcde", gone="c"), 2, 3)
+def test_the_number_of_witnesses_is_limited() -> None:
+    assert next_view(3, view(2, "a", "bcde"), observed(healthy="bcde"), 2, 3) is None
+    exchanged = next_view(3, view(2, "a", "bcde"), observed(healthy="bcde", lost="c"), 2, 3)
     assert exchanged is not None
     assert len(exchanged.witnesses) == 3
 
@@ -247,15 +247,15 @@
 # ---- acknowledgement ----
 
 
-def leadership(log: Replica, before: Leadership | None = None) -> Leadership:
+def leadership(local_replica: Replica, predecessor: Leadership | None = None) -> Leadership:
     settings = MemberSettings("a", ("a", "b", "c"), True, "", 1, 3.0)
-    return Leadership("a", VIEW, log, OutboundMessages("a", "a"), settings, 0.0, before)
+    return Leadership("a", VIEW, local_replica, OutboundMessages("a", "a"), settings, 0.0, predecessor)
 
 
-def test_a_record_counts_only_once_every_backup_has_it() -> None:
-    log = replica(SimulatedDisk())
-    log.append(1, b"one")
-    leading = leadership(log)
+def test_a_record_is_acknowledged_only_once_every_backup_has_it() -> None:
+    local_replica = replica(SimulatedDisk())
+    local_replica.append(1, b"one")
+    leading = leadership(local_replica)
     leading.append_reply(0.0, "b", AppendReply(1, True, 1))
     assert leading.commit_index() == 0
     leading.append_reply(0.0, "c", AppendReply(1, True, 1))
@@ -263,19 +263,19 @@
 
 
 def test_the_backups_of_an_undecided_view_must_have_a_record_too() -> None:
-    log = replica(SimulatedDisk())
-    log.append(1, b"one")
-    leading = leadership(log)
+    local_replica = replica(SimulatedDisk())
+    local_replica.append(1, b"one")
+    leading = leadership(local_replica)
     leading.propose(view(2, "a", "bcd"))
     for backup in "bc":
         leading.append_reply(0.0, backup, AppendReply(1, True, 1))
     assert leading.commit_index() == 0
 
 
-def test_a_member_that_lacks_what_was_taken_over_is_not_ready_to_enter() -> None:
-    log = replica(SimulatedDisk())
-    log.append(1, b"one")
-    leading = leadership(log)
+def test_a_member_that_lacks_records_of_earlier_views_is_not_ready_to_join() -> None:
+    local_replica = replica(SimulatedDisk())
+    local_replica.append(1, b"one")
+    leading = leadership(local_replica)
     leading.join(0.0, "d")
     leading.append_reply(0.0, "d", AppendReply(1, True, 0))
     assert leading.observe_members(0.0, frozenset(), frozenset()).ready == ()
@@ -283,10 +283,10 @@
     assert leading.observe_members(0.0, frozenset(), frozenset()).ready == ("d",)
 
 
-def test_a_member_that_is_about_to_be_taken_in_must_have_a_record_too() -> None:
-    log = replica(SimulatedDisk())
-    log.append(1, b"one")
-    leading = leadership(log)
+def test_a_member_that_is_about_to_join_must_have_a_record_too() -> None:
+    local_replica = replica(SimulatedDisk())
+    local_replica.append(1, b"one")
+    leading = leadership(local_replica)
     leading.join(0.0, "d")
     leading.set_joining_backups(frozenset("d"))
     for backup in "bc":
--- a/tests/replication/test_recorded_bytes.py
+++ b/tests/replication/test_recorded_bytes.py
@@ -1,7 +1,7 @@
-"""The bytes of replication: every kind of message, stored cell and log record, as recorded before renaming.
+"""Compatibility of replication with recorded bytes: every kind of message, stored cell and log record.
 
 The files in `tests/fixtures/replication` were written by running the code of commit 0d35ed7. A message or a
-stored value that reads or writes otherwise cannot be exchanged with a member of an earlier version.
+stored value that is encoded differently is incompatible with members of earlier versions.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
     return content
 
 
-# Arguments by position: the names of fields are free to change, their order and meaning are not.
+# Arguments are positional: the fields may be renamed, but their order and meaning must not change.
 MESSAGES: dict[str, Message] = {
     "probe": PreVoteRequest(3),
     "probe_reply without a view": PreVoteReply(3, False, 4, None),
@@ -136,7 +136,7 @@
     assert decoded == (MESSAGES[name], SENDER_ADDRESS)
 
 
-def test_snapshot_pieces_are_sent_as_recorded() -> None:
+def test_snapshot_chunks_are_sent_as_recorded() -> None:
     outgoing = OutgoingSnapshot(6, Snapshot.of(9, 5, SNAPSHOT_CONTENT), 4)
     bodies = []
     for outgoing.offset in (0, 4, 8):
@@ -206,13 +206,13 @@
     assert cell.matches("leases after becoming a witness again")
 
 
-def test_lease_acceptor_writes_what_a_holder_that_announces_its_acts_tells() -> None:
+def test_lease_acceptor_writes_recorded_cells_of_a_holder_that_announces_its_actions() -> None:
     cell = MemoryCell()
     acceptor = LeaseAcceptor(cell, LEASE_TERM_S)
     acceptor.reset(from_first_boot=True)
-    for acts in (ActionAnnouncement(("i-7",)), ActionAnnouncement((), is_sole_actor=True)):
+    for announcement in (ActionAnnouncement(("i-7",)), ActionAnnouncement((), is_sole_actor=True)):
         acceptor.handle_request(
-            1.0, "a:1", LeaseRequest("planner", 65537, True, 1, 1, True, acts), FIRST_VIEW
+            1.0, "a:1", LeaseRequest("planner", 65537, True, 1, 1, True, announcement), FIRST_VIEW
         )
     assert cell.matches("leases with a holder that announces its acts")
     again = LeaseAcceptor(MemoryCell(recorded("cells")["leases with a holder that announces its acts"]), 3.0)
--- a/tests/replication/test_snapshot_catch_up.py
+++ b/tests/replication/test_snapshot_catch_up.py
@@ -1,4 +1,4 @@
-"""Members that catch up by a snapshot while changes go on, and the transport that the snapshot goes over."""
+"""Members that catch up by a snapshot during changes, and the transport that carries the snapshot."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 CHANGE_PERIOD_S = 0.25  # an operator changes the configuration four times a second at most
 
 
-def started(filling_bytes: int) -> SimulatedCluster:
+def started(padding_bytes: int) -> SimulatedCluster:
     cluster = SimulatedCluster(1, 3, 3, 1)
-    cluster.snapshot_padding_bytes = filling_bytes
+    cluster.snapshot_padding_bytes = padding_bytes
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
     serve(cluster, 6.0)
@@ -28,7 +28,7 @@
 
 
 def serve(cluster: SimulatedCluster, seconds: float) -> int:
-    """Four changes a second; returns how many were acknowledged."""
+    """Sends four changes a second; returns how many were acknowledged."""
     before, end = cluster.acknowledged, cluster.now + seconds
     while cluster.now < end:
         for machine in cluster.primaries():
@@ -47,9 +47,9 @@
     return cluster.machines[address].id in primary.member.view.in_sync
 
 
-def test_no_message_grows_with_the_snapshot() -> None:
-    """Before snapshots went in pieces a member that needed a larger one was never taken in again."""
-    cluster = started(filling_bytes=4000)
+def test_the_size_of_messages_does_not_grow_with_the_snapshot() -> None:
+    """Guards against snapshots in one message: a member that needed one over the limit could never join."""
+    cluster = started(padding_bytes=4000)
     cluster.links.max_body_bytes = 1000
     lost = backup(cluster).address
     cluster.wipe(lost)
@@ -60,8 +60,8 @@
 
 
 @pytest.mark.parametrize(("loss", "double"), [(0.0, 0.0), (0.1, 0.1), (0.0, 0.5)])
-def test_a_wiped_member_catches_up_while_four_changes_a_second_go_on(loss: float, double: float) -> None:
-    cluster = started(filling_bytes=1000)
+def test_a_wiped_member_catches_up_during_four_changes_a_second(loss: float, double: float) -> None:
+    cluster = started(padding_bytes=1000)
     lost = backup(cluster).address
     cluster.wipe(lost)
     serve(cluster, 1.0)
@@ -73,8 +73,8 @@
     assert in_sync(cluster, lost)
 
 
-def test_a_member_that_is_killed_in_the_middle_of_a_transfer_begins_anew_and_is_taken_in() -> None:
-    cluster = started(filling_bytes=4000)
+def test_a_member_killed_during_a_transfer_starts_again_and_joins() -> None:
+    cluster = started(padding_bytes=4000)
     lost = backup(cluster).address
     cluster.wipe(lost)
     serve(cluster, 1.0)
@@ -90,20 +90,20 @@
 # ---- the transport ----
 
 
-class _Silent:
+class _StubHandler:
     async def deliver(self, message: PeerMessage) -> None:
-        """Takes anything."""
+        """Accepts any message."""
 
     async def status(self, request: StatusRequest) -> ControlStatus:
-        """Answers anything."""
+        """Answers any request."""
         return ControlStatus()
 
 
-def test_a_frame_over_the_limit_ends_the_connection_that_all_other_messages_use() -> None:
-    """Why no message of replication may grow with the state."""
+def test_a_frame_over_the_limit_closes_the_shared_connection() -> None:
+    """Shows why the size of replication messages must not grow with the state."""
 
-    async def play() -> None:
-        server = RpcServer(_Silent())
+    async def run() -> None:
+        server = RpcServer(_StubHandler())
         port = await server.start("127.0.0.1", 0)
         client = RpcClient(f"127.0.0.1:{port}")
         await client.call("status", StatusRequest(), 5.0)
@@ -116,8 +116,8 @@
             client.close()
             server.stop()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_piece_fits_a_frame_many_times_over() -> None:
+def test_a_chunk_is_much_smaller_than_a_frame() -> None:
     assert CHUNK_BYTES * 16 <= MAX_FRAME_BYTES
--- a/tests/replication/test_snapshot_transfer.py
+++ b/tests/replication/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots on their way: chunks that may be lost, doubled, reordered, altered or of an old primary."""
+"""Transfer of snapshots: chunks may be lost, duplicated, reordered, corrupted or sent by an old primary."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 def outgoing(
-    content: bytes = CONTENT, epoch: int = 1, index: int = 9, piece_bytes: int = 4
+    content: bytes = CONTENT, epoch: int = 1, index: int = 9, chunk_bytes: int = 4
 ) -> OutgoingSnapshot:
-    return OutgoingSnapshot(epoch, Snapshot.of(index, 1, content), piece_bytes)
+    return OutgoingSnapshot(epoch, Snapshot.of(index, 1, content), chunk_bytes)
 
 
-def pieces(content: bytes = CONTENT, epoch: int = 1, index: int = 9) -> list[InstallSnapshot]:
+def chunks(content: bytes = CONTENT, epoch: int = 1, index: int = 9) -> list[InstallSnapshot]:
     sent = outgoing(content, epoch, index)
     found = []
     for sent.offset in range(0, len(content), 4):
@@ -54,85 +54,85 @@
 # ---- the receiver ----
 
 
-def test_pieces_in_order_make_the_snapshot() -> None:
+def test_chunks_in_order_make_the_snapshot() -> None:
     incoming = IncomingSnapshot()
-    assert [receive(incoming, piece) for piece in pieces()] == [None, None, CONTENT]
+    assert [receive(incoming, chunk) for chunk in chunks()] == [None, None, CONTENT]
 
 
 @given(st.integers(0, 1 << 30), st.binary(max_size=60))
-def test_whatever_is_lost_doubled_or_reordered_the_whole_snapshot_comes_or_none(
+def test_the_snapshot_completes_correctly_despite_lost_duplicated_or_reordered_chunks(
     seed: int, content: bytes
 ) -> None:
     random = Random(seed)
     sent, incoming = outgoing(content), IncomingSnapshot()
-    under_way = [sent.chunk()]
+    in_flight = [sent.chunk()]
     for _ in range(2000):
-        if random.random() < 0.2 or not under_way:
-            under_way.append(sent.chunk())  # its time is over
-        whole = receive(incoming, piece := under_way.pop(random.randrange(len(under_way))))
-        if whole is not None:
-            assert whole == content
+        if random.random() < 0.2 or not in_flight:
+            in_flight.append(sent.chunk())  # resent after a time-out
+        complete = receive(incoming, chunk := in_flight.pop(random.randrange(len(in_flight))))
+        if complete is not None:
+            assert complete == content
             assert incoming.discarded == 0
             return
         if random.random() < 0.2:
-            under_way.append(piece)
+            in_flight.append(chunk)
         if random.random() < 0.8 and sent.acknowledge(9, incoming.offset):
-            under_way.append(sent.chunk())
-    raise AssertionError("the snapshot never came")
+            in_flight.append(sent.chunk())
+    raise AssertionError("the snapshot was never completed")
 
 
-def test_a_piece_that_was_altered_replaces_nothing_and_the_snapshot_is_fetched_again() -> None:
+def test_a_corrupted_chunk_discards_the_snapshot_and_it_is_fetched_again() -> None:
     incoming = IncomingSnapshot()
-    first, second, last = pieces()
+    first, second, last = chunks()
     altered = InstallSnapshot(1, 9, 1, 4, 10, first.checksum, b"XXXX")
-    assert [receive(incoming, piece) for piece in (first, altered, last)] == [None, None, None]
+    assert [receive(incoming, chunk) for chunk in (first, altered, last)] == [None, None, None]
     assert (incoming.discarded, incoming.offset) == (1, 0)
-    assert [receive(incoming, piece) for piece in (first, second, last)] == [None, None, CONTENT]
+    assert [receive(incoming, chunk) for chunk in (first, second, last)] == [None, None, CONTENT]
 
 
-def test_a_transfer_of_a_higher_epoch_takes_the_place_of_a_partial_one() -> None:
+def test_a_transfer_of_a_higher_epoch_replaces_a_partial_one() -> None:
     incoming = IncomingSnapshot()
-    old, new = pieces(b"a" * 10, epoch=1), pieces(b"b" * 10, epoch=2)
+    old, new = chunks(b"a" * 10, epoch=1), chunks(b"b" * 10, epoch=2)
     receive(incoming, old[0])
     assert receive(incoming, new[1]) is None
     assert incoming.offset == 0
-    assert [receive(incoming, piece) for piece in new] == [None, None, b"b" * 10]
+    assert [receive(incoming, chunk) for chunk in new] == [None, None, b"b" * 10]
 
 
-def test_a_newer_snapshot_takes_the_place_of_a_partial_one_and_late_pieces_of_that_are_left_alone() -> None:
+def test_a_newer_snapshot_replaces_a_partial_one_whose_late_chunks_are_dropped() -> None:
     incoming = IncomingSnapshot()
-    old, new = pieces(b"a" * 10, index=9), pieces(b"b" * 10, index=12)
+    old, new = chunks(b"a" * 10, index=9), chunks(b"b" * 10, index=12)
     receive(incoming, old[0])
     receive(incoming, new[0])
     assert not incoming.begin(old[1])
     assert incoming.offset == 4
-    assert [receive(incoming, piece) for piece in new[1:]] == [None, b"b" * 10]
+    assert [receive(incoming, chunk) for chunk in new[1:]] == [None, b"b" * 10]
 
 
-def test_the_last_piece_can_come_again_until_the_snapshot_is_durable() -> None:
+def test_the_last_chunk_can_be_received_again_until_the_snapshot_is_durable() -> None:
     incoming = IncomingSnapshot()
-    *first, last = pieces()
-    for piece in first:
-        receive(incoming, piece)
+    *first, last = chunks()
+    for chunk in first:
+        receive(incoming, chunk)
     assert receive(incoming, last) == receive(incoming, last) == CONTENT
 
 
 @pytest.mark.parametrize("size", [-1, MAX_SNAPSHOT_BYTES + 1])
-def test_no_room_is_set_aside_for_a_snapshot_of_an_impossible_size(size: int) -> None:
+def test_a_snapshot_of_an_invalid_size_is_rejected(size: int) -> None:
     assert not IncomingSnapshot().begin(InstallSnapshot(1, 9, 1, 0, size, "", b"x"))
 
 
-def test_a_piece_beyond_the_end_is_not_taken() -> None:
+def test_a_chunk_beyond_the_end_is_dropped() -> None:
     incoming = IncomingSnapshot()
     assert receive(incoming, InstallSnapshot(1, 9, 1, 0, 4, "", b"12345")) is None
     assert incoming.offset == 0
 
 
-# ---- the member that follows ----
+# ---- the follower ----
 
 
-class Following:
-    """Member b of the first view, which lacks everything."""
+class FollowerFixture:
+    """Member b of the initial view, without any data."""
 
     def __init__(self) -> None:
         self.disk = SimulatedDisk()
@@ -147,15 +147,15 @@
     def install(self, install: InstallSnapshot, sender: str = "a") -> InstalledSnapshot | None:
         return self.follower.install(0.0, sender, install)
 
-    def answers(self) -> list[object]:
+    def replies(self) -> list[object]:
         return [decode(sent.message.kind, sent.message.body)[0] for sent in self.outbound.drain()]
 
 
-def test_each_piece_is_answered_with_the_place_to_go_on_from_and_the_whole_as_matched() -> None:
-    member = Following()
-    installed = [member.install(piece) for piece in pieces()]
+def test_each_chunk_is_answered_with_the_next_offset_and_the_last_one_as_matched() -> None:
+    member = FollowerFixture()
+    installed = [member.install(chunk) for chunk in chunks()]
     assert installed == [None, None, InstalledSnapshot(9, CONTENT)]
-    assert member.answers() == [
+    assert member.replies() == [
         InstallSnapshotReply(1, 9, 4),
         InstallSnapshotReply(1, 9, 8),
         AppendReply(1, True, 9),
@@ -163,29 +163,29 @@
     assert Replica(member.disk.ports().journal).snapshot() == (9, 1, CONTENT)
 
 
-def test_pieces_of_an_old_primary_are_not_answered() -> None:
-    member = Following()
+def test_chunks_of_an_old_primary_are_not_answered() -> None:
+    member = FollowerFixture()
     member.witness.promise(2, "c")
-    assert [member.install(piece) for piece in pieces()] == [None, None, None]
-    assert [member.install(piece, "c") for piece in pieces()] == [None, None, None]
-    assert member.answers() == []
+    assert [member.install(chunk) for chunk in chunks()] == [None, None, None]
+    assert [member.install(chunk, "c") for chunk in chunks()] == [None, None, None]
+    assert member.replies() == []
     assert member.replica.last_index == 0
 
 
-def test_a_snapshot_that_is_there_already_is_not_fetched_again() -> None:
-    member = Following()
-    for piece in pieces():
-        member.install(piece)
-    member.answers()
-    assert member.install(pieces()[0]) is None
-    assert member.answers() == [AppendReply(1, True, 9)]
+def test_an_installed_snapshot_is_not_fetched_again() -> None:
+    member = FollowerFixture()
+    for chunk in chunks():
+        member.install(chunk)
+    member.replies()
+    assert member.install(chunks()[0]) is None
+    assert member.replies() == [AppendReply(1, True, 9)]
 
 
-def test_a_full_disk_keeps_what_came_and_the_last_piece_finishes_it_once_there_is_room() -> None:
-    member = Following()
-    *first, last = pieces()
-    for piece in first:
-        member.install(piece)
+def test_after_a_full_disk_the_last_chunk_completes_the_snapshot_once_there_is_space() -> None:
+    member = FollowerFixture()
+    *first, last = chunks()
+    for chunk in first:
+        member.install(chunk)
     member.disk.is_full = True
     with pytest.raises(OSError, match="the simulated disk is full"):
         member.install(last)
@@ -194,7 +194,7 @@
     assert member.install(last) == InstalledSnapshot(9, CONTENT)
 
 
-def test_a_whole_snapshot_as_earlier_versions_sent_it_is_dropped_as_unreadable() -> None:
+def test_an_unchunked_snapshot_of_an_earlier_version_is_rejected() -> None:
     header = json.dumps({"from": "a", "epoch": 1, "index": 9, "index_epoch": 1}).encode()
     with pytest.raises(MessageDecodeError):
         decode("install", len(header).to_bytes(4, "big") + header + CONTENT)
@@ -203,8 +203,8 @@
 # ---- the primary ----
 
 
-class Leading:
-    """Member a, whose log begins after record 9; c asks to be taken in."""
+class PrimaryFixture:
+    """Member a, whose log begins after record 9; b lacks all records."""
 
     def __init__(self, view: View = VIEW) -> None:
         self.replica = Replica(SimulatedDisk().ports().journal)
@@ -219,7 +219,7 @@
     def sent(self) -> list[object]:
         return [decode(sent.message.kind, sent.message.body)[0] for sent in self.outbound.drain()]
 
-    def answer(self, now: float, reply: AppendReply | InstallSnapshotReply) -> list[object]:
+    def reply_from_b(self, now: float, reply: AppendReply | InstallSnapshotReply) -> list[object]:
         if isinstance(reply, AppendReply):
             self.leadership.append_reply(now, "b", reply)
         else:
@@ -227,48 +227,48 @@
         return self.sent()
 
     def begin(self) -> None:
-        self.answer(0.0, AppendReply(1, False, 0))
+        self.reply_from_b(0.0, AppendReply(1, False, 0))
 
 
-def test_the_answer_to_a_piece_brings_the_next_one_and_the_last_brings_the_records_after_it() -> None:
-    leading = Leading()
+def test_each_reply_triggers_the_next_chunk_and_the_last_one_the_records_after_it() -> None:
+    leading = PrimaryFixture()
     leading.begin()
-    assert leading.answer(0.1, InstallSnapshotReply(1, 9, 4)) == [pieces()[1]]
-    assert leading.answer(0.2, InstallSnapshotReply(1, 9, 8)) == [pieces()[2]]
+    assert leading.reply_from_b(0.1, InstallSnapshotReply(1, 9, 4)) == [chunks()[1]]
+    assert leading.reply_from_b(0.2, InstallSnapshotReply(1, 9, 8)) == [chunks()[2]]
     assert leading.leadership.is_sending_snapshot
-    (append,) = leading.answer(0.3, AppendReply(1, True, 9))
+    (append,) = leading.reply_from_b(0.3, AppendReply(1, True, 9))
     assert (append.previous_index, len(append.records)) == (9, 3)
     assert not leading.leadership.is_sending_snapshot
 
 
-def test_an_answer_that_comes_twice_or_late_puts_no_second_piece_under_way() -> None:
-    leading = Leading()
+def test_a_duplicate_or_late_reply_puts_no_second_chunk_in_flight() -> None:
+    leading = PrimaryFixture()
     leading.begin()
-    leading.answer(0.1, InstallSnapshotReply(1, 9, 4))
-    assert leading.answer(0.1, InstallSnapshotReply(1, 9, 4)) == []
-    assert leading.answer(0.1, InstallSnapshotReply(1, 9, 0)) == []
-    assert leading.answer(0.1, InstallSnapshotReply(1, 8, 8)) == []
-    assert leading.answer(0.1, AppendReply(1, False, 0)) == []
+    leading.reply_from_b(0.1, InstallSnapshotReply(1, 9, 4))
+    assert leading.reply_from_b(0.1, InstallSnapshotReply(1, 9, 4)) == []
+    assert leading.reply_from_b(0.1, InstallSnapshotReply(1, 9, 0)) == []
+    assert leading.reply_from_b(0.1, InstallSnapshotReply(1, 8, 8)) == []
+    assert leading.reply_from_b(0.1, AppendReply(1, False, 0)) == []
 
 
-def test_a_receiver_that_begins_anew_is_sent_the_snapshot_from_its_start() -> None:
-    leading = Leading()
+def test_a_receiver_that_restarts_is_sent_the_snapshot_from_its_start() -> None:
+    leading = PrimaryFixture()
     leading.begin()
-    leading.answer(0.1, InstallSnapshotReply(1, 9, 4))
-    leading.answer(0.2, InstallSnapshotReply(1, 9, 0))
+    leading.reply_from_b(0.1, InstallSnapshotReply(1, 9, 4))
+    leading.reply_from_b(0.2, InstallSnapshotReply(1, 9, 0))
     leading.leadership.replicate(0.2 + Timing().retransmit_timeout_s + 0.1)
-    assert pieces()[0] in leading.sent()
+    assert chunks()[0] in leading.sent()
 
 
-def test_a_compaction_in_the_middle_of_a_transfer_does_not_lose_it() -> None:
-    leading = Leading()
+def test_a_compaction_during_a_transfer_does_not_interrupt_it() -> None:
+    leading = PrimaryFixture()
     leading.begin()
-    leading.answer(0.1, InstallSnapshotReply(1, 9, 4))
+    leading.reply_from_b(0.1, InstallSnapshotReply(1, 9, 4))
     leading.replica.compact(12, b"newer")
-    assert leading.answer(0.2, InstallSnapshotReply(1, 9, 8)) == [pieces()[2]]
+    assert leading.reply_from_b(0.2, InstallSnapshotReply(1, 9, 8)) == [chunks()[2]]
 
 
-def test_compactions_wait_for_a_transfer_but_not_for_ever() -> None:
+def test_compactions_are_postponed_during_a_transfer_but_not_indefinitely() -> None:
     settings = MemberSettings("a", ("a",), True, "", 1, 3.0, compact_records=5)
     replica = Replica(SimulatedDisk().ports().journal)
     compaction = Compaction(replica, settings, lambda: b"state")
@@ -280,7 +280,7 @@
     assert replica.size.records == 0
 
 
-def test_the_larger_the_state_the_fewer_records_are_left_to_take_in_after_a_restart() -> None:
+def test_a_larger_state_leaves_fewer_records_to_apply_after_a_restart() -> None:
     settings = MemberSettings("a", ("a",), True, "", 1, 3.0, compact_replay_bytes=1000)
     replica = Replica(SimulatedDisk().ports().journal)
     compaction = Compaction(replica, settings, lambda: b"x" * 200)
@@ -295,10 +295,10 @@
 
 
 def test_one_snapshot_is_read_for_all_members_that_need_it() -> None:
-    leading = Leading()
+    leading = PrimaryFixture()
     leading.outbound.set_address("c", "c")
     leading.begin()
     leading.leadership.append_reply(0.0, "c", AppendReply(1, False, 0))
-    held = [peer.snapshot.snapshot for peer in leading.leadership._peers.values() if peer.snapshot]
-    assert len(held) == 2
-    assert held[0] is held[1]
+    snapshots = [peer.snapshot.snapshot for peer in leading.leadership._peers.values() if peer.snapshot]
+    assert len(snapshots) == 2
+    assert snapshots[0] is snapshots[1]
--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -1,4 +1,4 @@
-"""A simulated disk, and a log on it."""
+"""Fixtures: a simulated disk and a log on it."""
 
 from __future__ import annotations
 
--- a/tests/storage/test_cell.py
+++ b/tests/storage/test_cell.py
@@ -1,4 +1,4 @@
-"""A small value that is replaced atomically, over losses of power, failures and damage."""
+"""The atomically replaced value (`Cell`) under losses of power, failures and damage."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def store_until_power_loss(port: FaultyFiles) -> int:
-    """Stores VALUES, and opens the cell anew after each other one; returns how many were stored."""
+    """Stores VALUES, and reopens the cell after every second one; returns how many were stored."""
     stored = 0
     with suppress(PowerLossError):
         cell = Cell(port, FOLDER, "vote")
--- a/tests/storage/test_damage.py
+++ b/tests/storage/test_damage.py
@@ -1,4 +1,4 @@
-"""A log whose files are damaged or missing: synced data is reported, a torn write is cut off."""
+"""Damaged or missing files of a log: damage to synced data is reported, a torn write is cut off."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
         list(log.read(1, 2))
 
 
-def test_record_inside_a_torn_payload_is_not_taken_for_a_later_one(port: FaultyFiles, log: Log) -> None:
+def test_encoded_record_inside_a_torn_payload_is_not_read_as_a_record(port: FaultyFiles, log: Log) -> None:
     append_synced_records(log, 3)
     inner = encode_record(first_index=1, offset=0, index=99, durable_index=98, payload=b"not of this log")
     log.append(inner)
@@ -133,7 +133,7 @@
 @settings(max_examples=300)
 @given(st.binary(max_size=200), st.integers(0, 700), st.integers(0, 2), st.booleans())
 def test_random_bytes_in_a_file_are_reported_or_cut_off_and_never_crash_recovery(
-    noise: bytes, offset: int, which: int, replaced: bool
+    random_bytes: bytes, offset: int, which: int, replaced: bool
 ) -> None:
     port = FaultyFiles()
     log = Log.open(port, FOLDER, segment_bytes=SEGMENT_BYTES)
@@ -141,8 +141,10 @@
     log.compact(2, b"snapshot")
     path = port.paths()[which]
     content = port.read(path, 0, 10_000)
-    spoiled = noise if replaced else content[:offset] + noise + content[offset + len(noise) :]
-    port.set_content(path, spoiled)
+    damaged_content = (
+        random_bytes if replaced else content[:offset] + random_bytes + content[offset + len(random_bytes) :]
+    )
+    port.set_content(path, damaged_content)
     try:
         found = read_state(Log.open(port, FOLDER, segment_bytes=SEGMENT_BYTES))
     except CorruptLogError:
@@ -151,11 +153,11 @@
 
 
 @given(st.binary(max_size=400))
-def test_random_bytes_as_the_only_segment_never_crash_recovery(noise: bytes) -> None:
+def test_random_bytes_as_the_only_segment_never_crash_recovery(random_bytes: bytes) -> None:
     port = FaultyFiles()
     path = f"{FOLDER}/{segment_name(0, 1)}"
-    port.set_content(path, noise)
+    port.set_content(path, random_bytes)
     assert Log.open(port, FOLDER).last_index == 0
-    port.set_content(f"{FOLDER}/{segment_name(0, 7)}", noise)
+    port.set_content(f"{FOLDER}/{segment_name(0, 7)}", random_bytes)
     with pytest.raises(CorruptLogError):
         Log.open(port, FOLDER)
--- a/tests/storage/test_disk_files.py
+++ b/tests/storage/test_disk_files.py
@@ -1,4 +1,4 @@
-"""The storage on a real disk."""
+"""The storage package on a real disk."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.storage_model import SEGMENT_BYTES, make_record, read_state
 
 
-def test_real_disk_keeps_log_and_cell_over_a_reopening(tmp_path: Path) -> None:
+def test_log_and_cell_on_a_real_disk_can_be_reopened(tmp_path: Path) -> None:
     port, folder = DiskFiles(), f"{tmp_path}/a/b"
     log = Log.open(port, folder, segment_bytes=SEGMENT_BYTES)
     for number in range(30):
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -1,4 +1,4 @@
-"""The log and the small values on a disk without space."""
+"""The log and the cells on a full disk."""
 
 from __future__ import annotations
 
@@ -80,7 +80,9 @@
     assert Log.open(port, FOLDER).last_index == 3
 
 
-def test_remains_of_a_longer_snapshot_do_not_corrupt_the_next_one(port: FaultyFiles, log: Log) -> None:
+def test_remaining_bytes_of_a_longer_snapshot_do_not_corrupt_the_next_one(
+    port: FaultyFiles, log: Log
+) -> None:
     log.append(b"one")
     log.sync()
     port.failures_left.update(sync_file=1, remove=1)
--- a/tests/storage/test_log_crashes.py
+++ b/tests/storage/test_log_crashes.py
@@ -1,4 +1,4 @@
-"""What the log guarantees, over power losses, kills and failing calls at any point."""
+"""The guarantees of the log under power losses, kills and failed calls at any point."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.support.storage_model import CheckedLog, make_record
 
 SEEDS = range(6)
-"""Outcomes drawn for each point of a power loss."""
+"""Seeds of the random outcomes of each power loss."""
 
 
 def append_records(log: CheckedLog, numbers: range) -> None:
@@ -77,7 +77,7 @@
 
 
 def run_until_power_loss(script: Callable[[CheckedLog], None], power_loss_at: int, seed: int) -> CheckedLog:
-    """A log that lost power at a call of its script; nothing is recovered yet."""
+    """Runs the script until the power loss; returns the log before its recovery."""
     port = FaultyFiles(seed, strict=seed % 2 == 1)
     log = CheckedLog(port)
     port.power_loss_at = power_loss_at
@@ -149,7 +149,7 @@
 
 
 class LogMachine(RuleBasedStateMachine):
-    """Any order of calls, failures, power losses and kills."""
+    """Runs calls, failures, power losses and kills in random order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -166,7 +166,7 @@
             pass
 
     def index_at(self, share: float) -> int:
-        """Index of the record behind this share of the records; the snapshot's at 0."""
+        """Index of the last record of this share of the records; that of the snapshot for share 0."""
         state = self.log.state
         return state.snapshot_index + int(share * len(state.records))
 
--- a/tests/storage/test_recorded_bytes.py
+++ b/tests/storage/test_recorded_bytes.py
@@ -1,8 +1,8 @@
-"""Folders written by an earlier release are read to the same values; the same calls write the same bytes.
+"""Folders of an earlier release yield the recorded values, and the same calls write the recorded bytes.
 
-`tests/fixtures/storage` holds one folder a case, and `expected.json` what that release read from each.
-`control_process` is the data folder of a control process that ran alone; `WRITERS` wrote those that it names;
-the others are such folders after a power loss during a write or a compaction.
+`tests/fixtures/storage` holds one folder per case; `expected.json` holds the values that the release read.
+`control_process` is the data folder of a control process that ran alone. The functions in `WRITERS` wrote the
+folders of the same name. The other folders are the same kind after a power loss during a write or compaction.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 
 def stored_values(folder: Path) -> dict[str, Any]:
-    """What a process finds in a data folder, bytes as hexadecimal text; repairs it as a start does."""
+    """Reads a data folder, with bytes as hexadecimal text, after the repair that a process makes at its start."""
     cells = {name: Cell(DiskFiles(), str(folder), name).load() for name in CELL_NAMES}
     log = open_log(folder)
     snapshot = log.snapshot()
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("case", sorted(EXPECTED))
-def test_folder_of_an_earlier_release_is_read_to_the_recorded_values(case: str, tmp_path: Path) -> None:
+def test_folder_of_an_earlier_release_yields_the_recorded_values(case: str, tmp_path: Path) -> None:
     folder = tmp_path / case
     shutil.copytree(FIXTURES / case, folder)
     assert stored_values(folder) == EXPECTED[case]["values"]
--- a/tests/storage/test_sync.py
+++ b/tests/storage/test_sync.py
@@ -1,4 +1,4 @@
-"""When records are synced, and which of them are called durable."""
+"""When records are synced, and which of them count as durable."""
 
 from __future__ import annotations
 
