--- a/tests/storage/test_recorded_bytes.py
+++ b/tests/storage/test_recorded_bytes.py
@@ -82,7 +82,7 @@
 
 
 def stored_values(folder: Path) -> dict[str, Any]:
-    """Reads a data folder, with bytes as hexadecimal text, after the repair that a process makes at its start."""
+    """Reads a data folder, with bytes as hexadecimal text; opening it repairs it as a process start does."""
     cells = {name: Cell(DiskFiles(), str(folder), name).load() for name in CELL_NAMES}
     log = open_log(folder)
     snapshot = log.snapshot()
