--- a/larchgw/replication/errors.py
+++ b/larchgw/replication/errors.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, kind: str, reason: str) -> None:
-        """See the attributes; `reason` says what could not be read."""
+        """Creates the error; `reason` says what could not be decoded."""
         super().__init__(
             f"cannot decode {kind!r} message: {reason}; check that all members run the same version"
         )
--- a/larchgw/replication/graceful_leave.py
+++ b/larchgw/replication/graceful_leave.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, timing: Timing) -> None:
-        """Begins with nobody leaving.
+        """Begins without leaving members.
 
         Args:
             timing: Time-outs.
--- a/larchgw/replication/lease_acceptor.py
+++ b/larchgw/replication/lease_acceptor.py
@@ -17,7 +17,7 @@
 from .ports import Cell
 from .view import View
 
-NOBODY = ""  # this witness was there from the first boot on, and no holder has acted
+NOBODY = ""  # this witness exists since the first boot and knows of no holder that acted
 UNKNOWN = "?"  # this witness joined later: holders may have acted before
 GRANT_SHARE = 1 / 3  # of a term, for a holder that announces its actions; then another may be elected
 
--- a/larchgw/replication/member.py
+++ b/larchgw/replication/member.py
@@ -355,7 +355,7 @@
         return parts.effects.take(parts.outbound)
 
     def _finish_call(self, now: float) -> Effects:
-        """As `_finish`, for a call that raises what the disk refuses."""
+        """Like `_finish`, but raises an OSError to the caller after handling it."""
         try:
             return self._finish(now)
         except OSError as error:
@@ -363,7 +363,7 @@
             raise
 
     def _process_own_messages(self, now: float) -> None:
-        """Counts this member's own votes, and takes its view change as far as it comes."""
+        """Handles this member's messages to itself, and advances its view change as far as possible."""
         while True:
             own_messages = self._parts.outbound.drain_to_self()
             for message in own_messages:
--- a/larchgw/replication/settings.py
+++ b/larchgw/replication/settings.py
@@ -79,7 +79,7 @@
 
     Attributes:
         address: Its RPC address.
-        seeds: RPC addresses of the first witnesses, in the same order at all of them.
+        seeds: RPC addresses of the first witnesses; the same list, in the same order, at all of them.
         first_boot: Whether the system is started for the first time.
         fresh_identity: The identity of this member if its disk is empty and it is not a seed at the first
             boot; must be unique.
--- a/larchgw/replication/snapshot_transfer.py
+++ b/larchgw/replication/snapshot_transfer.py
@@ -18,12 +18,8 @@
 from .messages import InstallSnapshot
 
 log = structlog.get_logger()
-CHUNK_BYTES = (
-    256 << 10
-)  # 26 ms on the slowest link, which is the longest that a heartbeat waits behind a chunk
-MAX_SNAPSHOT_BYTES = (
-    24 << 20
-)  # most that a receiver buffers; control/configuration_size.py keeps states below this
+CHUNK_BYTES = 256 << 10  # the slowest link needs 26 ms for it, which limits the delay of heartbeats
+MAX_SNAPSHOT_BYTES = 24 << 20  # a receiver buffers no more; control/configuration_size.py keeps states below
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchgw/storage/errors.py
+++ b/larchgw/storage/errors.py
@@ -8,8 +8,8 @@
 """Error numbers of system calls that mean that there is no space."""
 
 RESTORE_REMEDY = (
-    "move the data folder aside and start the process with an empty one, so that it is taken in as a new "
-    "replica, or restore the folder from a copy"
+    "move the data folder aside and start the process with an empty one, so that it joins as a new replica, "
+    "or restore the folder from a copy"
 )
 """The remedy for damaged synced data, of which another replica has a copy."""
 
--- a/larchgw/storage/log.py
+++ b/larchgw/storage/log.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, port: FilePort, folder: str, segment_bytes: int, limit_bytes: int) -> None:
-        """Use Log.open, which also recovers what the folder holds."""
+        """Use Log.open instead, which also recovers the log from the folder."""
         self._port = port
         self._folder = folder
         self._segment_bytes = segment_bytes
--- a/larchgw/storage/log_inspection.py
+++ b/larchgw/storage/log_inspection.py
@@ -122,7 +122,9 @@
     folder, name = os.path.split(path)
     snapshot = parse_snapshot_name(name)
     if snapshot is None:
-        raise CorruptLogError(path, 0, "its name is not that of a snapshot", "give the file its name back")
+        raise CorruptLogError(
+            path, 0, "its name is not that of a snapshot", "restore the original name of the file"
+        )
     return LogContents(snapshot.index, read_snapshot(port or DiskFiles(), folder, snapshot), [])
 
 
