--- a/larchgw/control/order_permits.py
+++ b/larchgw/control/order_permits.py
@@ -18,7 +18,7 @@
 """Before the fencing token and a serial number: each load from the weight store is announced as a target."""
 
 
-class ActAnnouncer(Protocol):
+class LeaseActionAnnouncer(Protocol):
     """Announces acts under a lease; `ReplicatedLog` is the implementation."""
 
     @property
@@ -31,7 +31,7 @@
     async def announce(self, lease_name: str, targets: Sequence[str]) -> None:
         """Announces an act; raises ReplicationUnavailableError where no quorum of witnesses answers."""
 
-    def act_permitted_until(self, lease_name: str, target: str) -> float:
+    def action_permitted_until(self, lease_name: str, target: str) -> float:
         """Until when an announced act may be begun."""
 
 
@@ -43,7 +43,7 @@
     Source: `replication.lease_actions`; the rule ONE of the rules page.
     """
 
-    def __init__(self, log: ActAnnouncer) -> None:
+    def __init__(self, log: LeaseActionAnnouncer) -> None:
         """Permits nothing before this process holds the lease.
 
         Args:
@@ -66,7 +66,7 @@
 
     def permitted_until_s(self, runner_id: RunnerId) -> float:
         """Until when an announced order may be sent; minus infinity if it may not."""
-        return self._log.act_permitted_until(PLACER_LEASE, runner_id)
+        return self._log.action_permitted_until(PLACER_LEASE, runner_id)
 
     def free_at_s(self, runner_id: RunnerId) -> float:
         """From when on this process may order at a runner that another process has ordered at lately."""
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -85,14 +85,14 @@
         return self.member.lease(self._clock(), name)
 
     async def announce(self, lease_name: str, targets: Sequence[str]) -> None:
-        """Announces an act on `targets` under a lease; `act_permitted_until` says until when to begin it.
+        """Announces an act on `targets` under a lease; `action_permitted_until` says until when to begin it.
 
         Raises:
             ReplicationUnavailableError: The lease is not held, or no quorum of witnesses answers.
         """
         await self._call(lambda now: self.member.announce(now, lease_name, targets))
 
-    def act_permitted_until(self, lease_name: str, target: str) -> float:
+    def action_permitted_until(self, lease_name: str, target: str) -> float:
         """See Member.action_permitted_until; on the clock of this log."""
         return self.member.action_permitted_until(self._clock(), lease_name, target)
 
--- a/larchgw/model_checking/placement_lease/cluster.py
+++ b/larchgw/model_checking/placement_lease/cluster.py
@@ -82,7 +82,7 @@
         if call is None or not await Suspended(call=call):
             raise ReplicationUnavailableError("the act is not announced")
 
-    def act_permitted_until(self, lease_name: str, target: str) -> float:
+    def action_permitted_until(self, lease_name: str, target: str) -> float:
         """See ReplicatedLog."""
         return self.member.action_permitted_until(self._cluster.clock(self._machine), lease_name, target)
 
