--- a/larchgw/control/assembly.py
+++ b/larchgw/control/assembly.py
@@ -1,8 +1,8 @@
-"""Makes and connects the components of a control process.
+"""Creates and connects the components of a control process.
 
-Wiring only; what the components do stands in their modules.
+This module contains wiring only; each component documents its own behavior.
 
-The components are made in a fixed order, since several of them draw from one random source.
+The components are created in a fixed order, because several of them draw from the same random source.
 """
 
 from __future__ import annotations
@@ -47,18 +47,18 @@
 from .runner_ownership import RunnerOwnership, owner_name
 from .status import StatusService, StatusSources
 
-LOAD_MEMORY_MARGIN_S = 1.0  # for which announced loads are remembered beyond the window of the load limit
+LOAD_MEMORY_MARGIN_S = 1.0  # how long announced loads are remembered beyond the window of the load rate limit
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationComponents:
-    """The replicated log with the state that it makes, on this process's disk.
+    """The replicated log, the state built from it, and their files on disk.
 
     Attributes:
         disk: The data folder.
-        state: The configuration and the orders that were accepted.
+        state: The configuration and the accepted orders.
         log: Runs the replication member.
-        operator_calls: Serves the operator's calls on the log.
+        operator_calls: Routes the operator's calls to the primary.
     """
 
     disk: ControlDisk
@@ -68,7 +68,7 @@
 
     @property
     def member(self) -> Member:
-        """This process's member of the replication protocol."""
+        """The replication member of this process."""
         return self.log.member
 
 
@@ -78,13 +78,13 @@
 
     Attributes:
         registry: The entries that all processes share.
-        publisher: Puts the committed configuration into the registry.
-        latest_view: The latest view that is known here.
+        publisher: Publishes the committed configuration in the registry.
+        latest_view: The latest view known to this process.
         processes: The other control processes.
-        pullers: Pull what the others know.
-        pull_service: Serves the pulls of others.
-        handoff: Pushes urgent entries to the others.
-        contact: Whether a majority of the witnesses is in reach.
+        pullers: Pull entries from the other control processes.
+        pull_service: Serves pulls from other processes.
+        handoff: Pushes urgent entries to the other control processes.
+        contact: Tells whether a majority of the witnesses is reachable.
     """
 
     registry: Registry
@@ -99,12 +99,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerComponents:
-    """What concerns runners.
+    """The components that manage runners.
 
     Attributes:
-        directory: The runners that are known here.
-        check_ins: Which of their calls are acknowledged.
-        placer: Places models on them while this process holds the lease.
+        directory: The runners known to this process.
+        check_ins: Records their check-ins and decides which ones to acknowledge.
+        placer: Places models on runners while this process holds the placer lease.
     """
 
     directory: RunnerDirectory
@@ -114,17 +114,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlComponents:
-    """All components of a control process but for its sockets and tasks.
+    """All components of a control process except its sockets and tasks.
 
     Attributes:
-        clients: Connections to other control processes, for replication and the operator's calls.
-        swim: Membership.
+        clients: Connections to other control processes, for replication and forwarded operator calls.
+        swim: The membership protocol.
         replication: See ReplicationComponents.
         distribution: See DistributionComponents.
         runners: See RunnerComponents.
-        periodic_work: The ticks.
-        rpc_service: What other processes may call.
-        status: The status of the process, for people and their programs.
+        periodic_work: The periodic tasks.
+        rpc_service: The RPC methods that other processes call.
+        status: Reports the status of the process.
     """
 
     clients: RpcClients
@@ -138,11 +138,11 @@
 
 
 def assemble(settings: NodeSettings, data_folder: str) -> ControlComponents:
-    """Makes the components of one control process and recovers its files; nothing runs yet.
+    """Creates the components of one control process and recovers its files, without starting anything.
 
     Args:
-        settings: Of this process.
-        data_folder: Where it keeps its state.
+        settings: The settings of this process.
+        data_folder: The directory where it keeps its state.
 
     Raises:
         StorageError: The data folder cannot be read.
@@ -158,7 +158,8 @@
     member = Member(
         _member_settings(settings, address, random_source), disk.ports, state.snapshot, random_source
     )
-    # The placer's lease comes from the log, and the placer works by the configuration in the log.
+    # The lambda breaks a cycle: the placer needs the lease from the log, and the log passes configuration
+    # changes on to the placer.
     log = ReplicatedLog(member, state, clients, lambda: propagation.on_state_changed())
     replication = ReplicationComponents(
         disk, state, log, OperatorCallRouter(member, OperatorService(state, log), clients)
--- a/larchgw/control/configuration_size.py
+++ b/larchgw/control/configuration_size.py
@@ -1,7 +1,8 @@
-"""How large the operator's configuration may grow: each member keeps, sends, receives and installs it whole.
+"""Limit on the size of the configuration, which every member stores, transfers and installs as a whole.
 
-An order may be small and what it makes too large, so the whole is measured before an order is proposed. What
-is in the log is never rejected any more. The sizes stand in docs/storage.md.
+A small order can produce a configuration that is too large, so the resulting configuration is checked before
+the order is proposed. Once in the log, an order is no longer rejected for its size. The sizes are documented
+in docs/storage.md.
 """
 
 from __future__ import annotations
@@ -12,46 +13,46 @@
 from ..configuration.model import Configuration
 from .errors import ConfigurationTooLargeError
 
-MAX_CONFIGURATION_BYTES = 8 << 20  # as JSON; the memory that it takes stands in docs/storage.md
-_MAX_GROWTH = 4  # bytes of JSON that one byte of an order becomes at most: 1e15 -> 1000000000000000.0
-_MAX_HEAD_BYTES = 64  # a configuration's version, and names of fields that an order left out
+MAX_CONFIGURATION_BYTES = 8 << 20  # as JSON; docs/storage.md has the memory that this takes
+_MAX_GROWTH = 4  # at most this many bytes of JSON per byte of an order: 1e15 -> 1000000000000000.0
+_MAX_HEAD_BYTES = 64  # the configuration's version, and names of fields that the order omitted
 
 
 def encode_json(raw: Mapping[str, object]) -> bytes:
-    """The JSON text whose length counts, and of which snapshots are made.
+    """Encodes JSON as it is measured against the limit and as it is written to snapshots.
 
-    `json.loads` reads it back, halves of surrogate pairs included.
+    `json.loads` reads it back, including unpaired surrogates.
     """
     return json.dumps(raw, separators=(",", ":"), ensure_ascii=False).encode("utf-8", "surrogatepass")
 
 
 class ConfigurationSizeLimit:
-    """Rejects configurations that are too large, without writing each one out as JSON.
+    """Rejects configurations that are too large, without encoding each one as JSON.
 
-    The size of the configuration before and that of the order give an upper bound; the size is measured only
-    where the bound is above the limit.
+    The sizes of the previous configuration and of the order give an upper bound. The exact size is measured
+    only if this bound exceeds the limit.
 
     Attributes:
-        measurements: How often a configuration was written out.
+        measurements: How often a configuration was encoded to measure it.
     """
 
     def __init__(self, max_bytes: int = MAX_CONFIGURATION_BYTES) -> None:
-        """Makes the limit of so many bytes."""
+        """Creates a limit of `max_bytes`."""
         self._max_bytes = max_bytes
         self._bound_of: Configuration | None = None
         self._bound = 0
         self.measurements = 0
 
     def check(self, current: Configuration | None, body: bytes, changed: Configuration) -> None:
-        """Checks what an order makes of the configuration in force.
+        """Checks the size of the configuration that results from an order.
 
         Args:
             current: The configuration in force.
-            body: Of the order.
-            changed: What the order makes of `current`.
+            body: The body of the order.
+            changed: The result of applying the order to `current`.
 
         Raises:
-            ConfigurationTooLargeError: `changed` is above the limit.
+            ConfigurationTooLargeError: `changed` exceeds the limit.
         """
         bound = self._size_of(current) + _MAX_GROWTH * len(body) + _MAX_HEAD_BYTES
         if bound > self._max_bytes:
--- a/larchgw/control/configuration_state.py
+++ b/larchgw/control/configuration_state.py
@@ -1,4 +1,4 @@
-"""The replicated state made of committed records: the configuration and the orders that were accepted."""
+"""The replicated state built from committed records: the configuration and the accepted orders."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from .operator_order import OperatorOrder
 
 log = structlog.get_logger()
-MAX_REMEMBERED_ORDERS = 20_000  # accepted orders; one sent again after so many others gets 412
+MAX_REMEMBERED_ORDERS = 20_000  # accepted orders; one that is resent after this many others gets status 412
 
-# Keys of a snapshot; other versions read them.
+# Keys of a snapshot, which other versions of the program also read.
 RECORD_INDEX_KEY = "index"
 CONFIGURATION_KEY = "configuration"
 ACCEPTED_VERSIONS_KEY = "taken"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Evaluation:
-    """What `order` makes of the configuration of `version`."""
+    """The result of applying `order` to the configuration of `version`."""
 
     order: OperatorOrder
     version: int
@@ -36,16 +36,16 @@
 class ConfigurationState:
     """The state machine that every replica runs over the committed records.
 
-    The digests of accepted orders are part of the state, so that an order that is sent again is acknowledged
-    again by whichever replica is primary then.
+    The digests of accepted orders are part of the state, so that any later primary acknowledges a resent
+    order again.
 
     Attributes:
         current: The configuration in force; None before the first.
-        record_index: Index of the record that made `current`; 0 for none.
+        record_index: Index of the record that produced `current`; 0 for none.
     """
 
     def __init__(self) -> None:
-        """Makes the state before the first record."""
+        """Creates the state before the first record."""
         self.current: Configuration | None = None
         self.record_index = 0
         self._last_evaluation: _Evaluation | None = None
@@ -57,11 +57,11 @@
         return self.current.config_version if self.current is not None else 0
 
     def is_accepted(self, order: OperatorOrder) -> bool:
-        """Whether this very order is part of the state."""
+        """Whether this same order has already been accepted."""
         return order.digest() in self._accepted_versions
 
     def evaluate(self, order: OperatorOrder) -> Result[Configuration, ConfigurationError]:
-        """The configuration that the order would put in force, or why it cannot."""
+        """Returns the configuration that the order would put in force, or why it is invalid."""
         last = self._last_evaluation
         if last is not None and last.order == order and last.version == self.version:
             return Ok(last.configuration)
@@ -73,14 +73,14 @@
         return Ok(changed)
 
     def apply(self, index: int, record: bytes) -> None:
-        """Applies one committed record; every replica comes to the same state.
+        """Applies one committed record; every replica reaches the same state.
 
-        An order that does not fit the state any more is without effect: it was proposed while the fate of one
-        before it was not known.
+        An order that no longer applies to the state has no effect: it was proposed while it was unknown
+        whether an earlier one would be committed.
 
         Args:
-            index: Of the record in the log; rises with each call.
-            record: An OperatorOrder, encoded.
+            index: Index of the record in the log; increases with each call.
+            record: An encoded OperatorOrder.
         """
         order = OperatorOrder.decode(record)
         result = self.evaluate(order)
@@ -91,7 +91,7 @@
         self._remember(order, self.current.config_version)
 
     def snapshot(self) -> bytes:
-        """The whole state, for `restore`."""
+        """Encodes the whole state for `restore`."""
         return encode_json(
             {
                 RECORD_INDEX_KEY: self.record_index,
@@ -101,7 +101,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Becomes what a snapshot holds."""
+        """Replaces the state with the contents of a snapshot."""
         fields = json.loads(data)
         raw = fields[CONFIGURATION_KEY]
         self.current = parse_configuration(raw) if raw is not None else None
--- a/larchgw/control/contact_monitor.py
+++ b/larchgw/control/contact_monitor.py
@@ -1,4 +1,4 @@
-"""Logs when this process loses contact with the majority of the control processes, and when it gains it."""
+"""Logs when this process loses or gains contact with a majority of the witnesses."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class ContactState(Enum):
-    """Whether a majority of the witnesses has lately been proven to be in reach."""
+    """Whether recent pulls have proven that a majority of the witnesses is reachable."""
 
     ISOLATED = "isolated"
     IN_CONTACT = "in contact"
 
 
 class ContactMonitor:
-    """Follows `contact` by polling. A process begins isolated, which is not logged."""
+    """Polls `contact` for changes. A process starts isolated, which is not logged."""
 
     def __init__(self, contact: MajorityContact) -> None:
-        """Begins at the state of a process that has proven nothing yet."""
+        """Starts in the isolated state, since nothing has been proven yet."""
         self._contact = contact
         self._state = ContactState.ISOLATED
 
     def poll(self) -> ContactState:
-        """The state now; logs it if it has changed since the last call."""
+        """Returns the current state; logs it if it has changed since the last call."""
         state = ContactState.ISOLATED if self._contact.is_isolated() else ContactState.IN_CONTACT
         if state is not self._state:
             self._state = state
--- a/larchgw/control/control_processes.py
+++ b/larchgw/control/control_processes.py
@@ -10,48 +10,49 @@
 
 
 class ControlProcesses:
-    """The control processes that membership and the latest view name.
+    """The control processes known from membership and from the latest view.
 
-    All addresses are rpc addresses ("host:port").
+    All addresses are RPC addresses ("host:port").
     """
 
     def __init__(self, swim: Swim, latest_view: LatestView, own_address: str, seeds: Sequence[str]) -> None:
-        """Makes the lists; each is read anew at every call.
+        """Keeps the sources; every call evaluates them again.
 
         Args:
-            swim: Membership of this process.
-            latest_view: Names the witnesses.
-            own_address: Rpc address of this process.
-            seeds: Rpc addresses of the settings' seed list.
+            swim: The membership protocol of this process.
+            latest_view: Source of the witnesses.
+            own_address: RPC address of this process.
+            seeds: RPC addresses from the seed list in the settings.
         """
         self._swim, self._latest_view = swim, latest_view
         self._own_address = own_address
         self._seeds = tuple(seeds)
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Replaces the seeds after the settings have changed."""
+        """Replaces the seeds after a change of the settings."""
         self._seeds = tuple(seeds)
 
     def present(self) -> list[Process]:
-        """Those that are members now and serve rpc, this one included."""
+        """The current members that serve RPC, including this process."""
         return [process for process in self._swim.members("control") if process.address_rpc]
 
     def peers(self) -> list[str]:
-        """Addresses of the other processes that are present."""
+        """Addresses of the other control processes that are present."""
         return [process.address_rpc for process in self.present() if process.address_rpc != self._own_address]
 
     def all_addresses(self) -> list[str]:
-        """Addresses of this process and its peers, the own one first."""
+        """Addresses of this process and its peers, starting with its own."""
         return [self._own_address, *self.peers()]
 
     def peers_and_witnesses(self) -> list[str]:
-        """The peers, then the witnesses that are none of them.
+        """Addresses of the peers, followed by those of witnesses that are not peers.
 
-        Witnesses are named also while membership takes them for lost: they decide on contact.
+        Witnesses are included even while membership considers them dead, because contact with a majority of
+        the witnesses must still be proven.
         """
         witnesses = self._latest_view.other_witnesses(self._own_address)
         return list(dict.fromkeys([*self.peers(), *witnesses]))
 
     def contacts(self) -> set[str]:
-        """Addresses at which the replication member asks to join, and among which the election goes on."""
+        """Addresses that the replication member asks to join, and contacts during an election."""
         return set(self.peers()) | set(self._seeds) - {self._own_address}
--- a/larchgw/control/disk.py
+++ b/larchgw/control/disk.py
@@ -1,4 +1,4 @@
-"""The data folder of a control process: the files of its replication member, and room kept in reserve."""
+"""The data folder of a control process: the files of its replication member, and reserved disk space."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 LOG_FOLDER = "log"
 RESERVE_NEVER_FILLED = -1
-FREE_BYTES_UNKNOWN = -1  # in the status, where the file system does not tell
+FREE_BYTES_UNKNOWN = -1  # in the status, if the file system does not report its free space
 
 
 class ControlDisk:
@@ -22,23 +22,23 @@
     Attributes:
         folder: Path of the data folder.
         log: The log of the replication member.
-        ports: Storage for the member, which owns it.
-        reserve: Room for small values on a full disk.
+        ports: Storage interfaces of the member, which owns them.
+        reserve: Reserved space for small values when the disk is full.
     """
 
     def __init__(self, folder: str, log: Log, reserve: Reserve, ports: Ports) -> None:
-        """Use `open`, which recovers the files."""
+        """Wraps recovered files; use `open` to recover them."""
         self.folder, self.log, self.ports = folder, log, ports
         self.reserve = reserve
-        self._reserve_filled_at_index = RESERVE_NEVER_FILLED  # first index of the log at that time
+        self._reserve_filled_at_index = RESERVE_NEVER_FILLED  # the log's first index at the last refill
 
     @classmethod
     def open(cls, files: FilePort, folder: str) -> ControlDisk:
-        """Recovers the files of a data folder; makes it if it is not there.
+        """Recovers the files of a data folder; creates the folder if it does not exist.
 
         Raises:
-            DiskFullError: There is no room.
-            DiskFailedError: The disk refuses a call.
+            DiskFullError: There is no space left on the disk.
+            DiskFailedError: A disk operation failed.
             CorruptLogError: A record or snapshot is damaged.
             CorruptCellError: A small value is damaged.
         """
@@ -52,17 +52,17 @@
         return cls(folder, log, reserve, ports)
 
     def refill_reserve(self) -> None:
-        """Fills the reserve up at the first call, and whenever a compaction has freed room since.
+        """Refills the reserve at the first call, and whenever a compaction has freed space since then.
 
-        At no other time: room that a cell has taken from the reserve on a full disk would be fought over
-        with the log.
+        It is not refilled at other times: on a full disk, the refill would compete with the log for the space
+        that a cell has just taken from the reserve.
         """
         if self.log.first_index != self._reserve_filled_at_index:
             self._reserve_filled_at_index = self.log.first_index
             self.reserve.refill()
 
     def status(self) -> DiskStatus:
-        """Sizes and indexes of the files, for the status."""
+        """Reports sizes and log indexes of the files."""
         return DiskStatus(
             log_bytes=self.log.size_bytes,
             first_index=self.log.first_index,
--- a/larchgw/control/errors.py
+++ b/larchgw/control/errors.py
@@ -1,4 +1,4 @@
-"""Why the control role cannot do what was asked."""
+"""Errors of the control role."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 
 
 class ControlError(Exception):
-    """Any failure of the control role that is not the operator's to mend."""
+    """Base of the control role's errors, except those in the operator's configuration."""
 
 
 class ReplicationUnavailableError(ControlError):
-    """This process is not the primary, or cannot tell in time. What was proposed may still be committed.
+    """This process is not the primary, or could not confirm it in time. A proposal may still be committed.
 
-    The caller sends the same call again.
+    The caller repeats the same call.
 
     Attributes:
-        reason: Why no answer can be given, for people.
+        reason: Human-readable reason why no answer can be given.
     """
 
     def __init__(self, reason: str) -> None:
-        """Makes the error; its text is `reason`."""
+        """Creates the error with `reason` as its message."""
         super().__init__(reason)
         self.reason = reason
 
 
 class RestoreError(ControlError):
-    """A restore cannot be done; nothing was written.
+    """A restore is impossible; nothing was written.
 
     Attributes:
         path: The file or folder concerned.
         problem: What is wrong with it.
-        remedy: What to do.
+        remedy: What the operator can do about it.
     """
 
     def __init__(self, path: Path, problem: str, remedy: str) -> None:
-        """Makes the error; its text names all three."""
+        """Creates the error; its message contains all three."""
         super().__init__(f"{path}: {problem}; {remedy}")
         self.path, self.problem, self.remedy = path, problem, remedy
 
 
 class ConfigurationTooLargeError(ConfigurationError):
-    """The order is proper, but the configuration that it makes is too large to be kept and passed on.
+    """The order is valid, but the resulting configuration is too large to be stored and replicated.
 
     Attributes:
         size_bytes: Size of that configuration as JSON.
@@ -52,7 +52,7 @@
     status = 413
 
     def __init__(self, size_bytes: int, max_bytes: int) -> None:
-        """Makes the error, which names the operator's remedy."""
+        """Creates the error; its message includes the remedy for the operator."""
         super().__init__(
             "configuration",
             f"{size_bytes} bytes as JSON are over {max_bytes}",
--- a/larchgw/control/http_api.py
+++ b/larchgw/control/http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface to the operator and to runners, on Tornado."""
+"""The HTTP API for the operator and for runners, on Tornado."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from .operator_calls import READ
 from .operator_service import OperatorResponse
 
-MAX_BODY_BYTES = 64 << 20  # a configuration of many thousand routes
-SERVER_OPTIONS: dict[str, int] = {  # of Tornado's server; the times are seconds
+MAX_BODY_BYTES = 64 << 20  # enough for a configuration with many thousands of routes
+SERVER_OPTIONS: dict[str, int] = {  # options of Tornado's server; times are in seconds
     "max_body_size": MAX_BODY_BYTES,
     "max_buffer_size": MAX_BODY_BYTES,
     "idle_connection_timeout": 60,
 }
 BASE_VERSION_HEADER = "X-Built-On"
-LISTEN_BACKLOG = 512  # connections that the kernel holds until they are accepted
-_VERSION = re.compile(r"[0-9]{1,19}")  # int() would also take "-1", "1_0" and digits of other scripts
+LISTEN_BACKLOG = 512  # connections that the kernel queues until they are accepted
+_VERSION = re.compile(r"[0-9]{1,19}")  # int() also accepts "-1", "1_0" and digits of other scripts
 
 
 class OperatorCallService(Protocol):
@@ -36,8 +36,8 @@
 
         Args:
             operation: "replace", "change" or "read".
-            base_version: The version that an order builds on; NO_BASE_VERSION if it names none.
-            body: The order as it came.
+            base_version: The version that an order is based on; NO_BASE_VERSION if it names none.
+            body: The order as received.
         """
 
 
@@ -51,15 +51,15 @@
             False if it must not be acknowledged now.
 
         Raises:
-            CheckInError: The body cannot be read.
+            CheckInError: The body is not a valid check-in.
         """
 
     async def leave(self, runner_id: str) -> bool:
-        """Records that a runner has left; False if that must not be acknowledged now."""
+        """Records that a runner has left; returns False if that must not be acknowledged now."""
 
 
 class _Handler(tornado.web.RequestHandler):
-    """Answers in JSON, without entity tags."""
+    """Responds with JSON, without an ETag header."""
 
     def answer(self, status: int, body: bytes) -> None:
         self.set_status(status)
@@ -71,7 +71,7 @@
 
 
 def _base_version(text: str) -> int | None:
-    """The version in the header, NO_BASE_VERSION if it is left out, None where it can be no version."""
+    """Parses the version header: NO_BASE_VERSION if it is missing, None if it is not a valid version."""
     if not text:
         return NO_BASE_VERSION
     if _VERSION.fullmatch(text) is None or int(text) > MAX_NUMBER:
@@ -80,7 +80,7 @@
 
 
 class _OperatorHandler(_Handler):
-    """Passes a call of the operator on, with the version that its header names."""
+    """Forwards a call of the operator with the base version from its header."""
 
     def initialize(self, operator_calls: OperatorCallService) -> None:
         self.operator_calls = operator_calls
@@ -116,14 +116,15 @@
 
 
 class _RunnerHandler(_Handler):
-    """Acknowledges a call of a runner, or sends the runner to another control process."""
+    """Acknowledges a call of a runner, or rejects it so that the runner tries another control process."""
 
     def initialize(self, check_ins: CheckInService, address: str) -> None:
         self.check_ins, self.address = check_ins, address
 
     def acknowledge(self, may_acknowledge: bool) -> None:
         if may_acknowledge:
-            # A runner that stays with one process is watched there; moving about is news for all of them.
+            # The runner is asked to keep calling this process: each change of process must be replicated
+            # to all of them.
             self.answer(200, json.dumps({"beat_to": self.address}).encode())
         else:
             self.answer(503, b'{"error": "cut off from the other control processes; call another one"}')
@@ -154,7 +155,7 @@
     address: str,
     additional_rules: Sequence[Any] = (),
 ) -> tornado.web.Application:
-    """Makes the Tornado application.
+    """Creates the Tornado application.
 
     Args:
         operator_calls: Serves the operator's calls.
@@ -183,10 +184,10 @@
     address: str,
     additional_rules: Sequence[Any] = (),
 ) -> tornado.httpserver.HTTPServer:
-    """Listens for the operator and for runners at `address`; see `application`.
+    """Starts the HTTP server for the operator and for runners at `address`; see `application`.
 
     Raises:
-        OSError: The address cannot be listened at.
+        OSError: The server cannot listen at the address.
     """
     rules = application(operator_calls, check_ins, address, additional_rules)
     server = tornado.httpserver.HTTPServer(rules, **SERVER_OPTIONS)
--- a/larchgw/control/main.py
+++ b/larchgw/control/main.py
@@ -1,4 +1,4 @@
-"""`larchgw control`."""
+"""Entry point of the command `larchgw control`."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def run() -> int:
-    """Serves until SIGTERM; returns the exit status."""
+    """Runs a control process until SIGTERM; returns the exit status."""
     return process.run(ControlNode)
--- a/larchgw/control/majority_contact.py
+++ b/larchgw/control/majority_contact.py
@@ -1,14 +1,15 @@
 """Proof of contact with a majority of the witnesses, which a control process needs before it serves.
 
-The proof is an answered pull. A pull that began at T and whose reply left nothing more to send shows two
-things: the other process ran after T, and everything it knew at T is known here. So a process that is not
-isolated at a time U knows every entry that a majority of the witnesses held MAX_CONTACT_AGE_S before U,
-because two majorities have a member in common. What counts is the begin of the pull, not the arrival of its
-answer: an answer may have been held up by a cut, or lain unread while this process was frozen.
-
-While no majority can reach one another anywhere, every control process is isolated. Runners are then turned
-away by all of them and go round; what they report is kept and reaches the edges near them, which go on with
-the configuration that they have. Nothing is acknowledged until a majority is back.
+The proof is an answered pull. A pull that started at T and whose reply was complete shows two things: the
+other process was running after T, and this process now has every entry that the other one had at T. Because
+any two majorities have a member in common, a process that is not isolated at a time U knows every entry that
+a majority of the witnesses held MAX_CONTACT_AGE_S before U. The start of the pull counts, not the arrival of
+the reply: a reply may have been delayed by a network partition, or left unread while this process was paused.
+
+While no majority is connected anywhere, every control process is isolated. All of them then reject the calls
+of runners, which try one process after the other. What runners report is still recorded and reaches the edges
+that can connect, which continue with the configuration that they have. Nothing is acknowledged until a
+majority is connected again.
 """
 
 from __future__ import annotations
@@ -19,30 +20,30 @@
 
 from ..replication.view import View
 
-MAX_CONTACT_AGE_S = 1.3  # two pulls between control processes wait 0.25 s each; the rest is for lost segments
+MAX_CONTACT_AGE_S = 1.3  # two pulls between control processes wait 0.25 s each; the rest covers packet loss
 
 
 class MajorityContact(Protocol):
-    """What a control process knows of its own contact with the others."""
+    """What a control process knows about its contact with the other control processes."""
 
     def is_isolated(self) -> bool:
-        """Whether no majority of the witnesses, this process included, has lately answered a pull.
+        """Whether no majority of the witnesses, counting this process, has recently answered a pull.
 
-        True also while nothing has been proven since the start of this process.
+        Also true after the start of this process until contact has been proven.
         """
 
     def is_majority(self, addresses: Collection[str]) -> bool:
-        """Whether the processes at these rpc addresses, with this one, are a majority of the witnesses.
+        """Whether the processes at these RPC addresses and this one are a majority of the witnesses.
 
-        While the set of witnesses is being changed, a majority of the former set is asked for too.
+        While the set of witnesses is being changed, a majority of the previous set is required as well.
         """
 
 
 class PullContact:
-    """MajorityContact by the pulls from the other witnesses.
+    """Proves MajorityContact by pulls from the other witnesses.
 
-    Source: quorum intersection, as in Viewstamped Replication and Paxos; the begin of a call as the time that
-    counts, as for leases (Gray and Cheriton, 1989).
+    Source: quorum intersection, as in Viewstamped Replication and Paxos; validity counted from the start of a
+    call, as for leases (Gray and Cheriton, 1989).
     """
 
     def __init__(
@@ -52,36 +53,36 @@
         proven_at: Callable[[str], float | None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Judges anew at each call.
+        """Keeps the sources; every call evaluates them again.
 
         Args:
             member_id: Durable identity of this member.
-            view: Gives the latest view that is known here.
-            proven_at: When the last pull from an rpc address began that was answered in full; None if none
-                was. A time of `clock`.
-            clock: Seconds, monotonic.
+            view: Returns the latest view known to this process.
+            proven_at: Returns the start, by `clock`, of the last pull from an RPC address that was answered
+                completely; None if there was none.
+            clock: Monotonic clock in seconds.
         """
         self._member_id, self._view = member_id, view
         self._proven_at, self._clock = proven_at, clock
 
     def is_isolated(self) -> bool:
-        """Whether no majority is proven to be in reach; see MajorityContact.
+        """Whether no majority is proven to be reachable; see MajorityContact.
 
-        A process that knows no view does not know who decides, and is isolated.
+        A process that knows no view does not know the witnesses, and is isolated.
         """
         view = self._view()
         return view is None or not self._has_quorum(view, self._is_proven)
 
     def is_majority(self, addresses: Collection[str]) -> bool:
-        """Whether these addresses, with this process, make a majority; see MajorityContact."""
+        """Whether these addresses and this process form a majority; see MajorityContact."""
         view = self._view()
         return view is not None and self._has_quorum(view, lambda address: address in addresses)
 
     def _has_quorum(self, view: View, counts: Callable[[str], bool]) -> bool:
-        """Whether the witnesses for whose address `counts` is true, with this process, are a quorum.
+        """Whether this process and the witnesses whose address satisfies `counts` form a quorum.
 
-        `counts` is never true of the own address: this process counts by its identity, since one whose disk
-        was lost is no witness any more, though its address is that of one.
+        `counts` is never true for this process's own address. This process is matched by its identity: after
+        the loss of its disk it is no longer a witness, although its address is still that of one.
         """
         return view.has_quorum(
             [name for name in view.all_witnesses if name == self._member_id or counts(view.addresses[name])]
--- a/larchgw/control/metrics.py
+++ b/larchgw/control/metrics.py
@@ -13,13 +13,13 @@
 
 
 class _StatusCollector(Collector):
-    """Collects the gauges of one status."""
+    """Exposes one status as gauges."""
 
     def __init__(self, status: ControlStatus) -> None:
         self._status = status
 
     def collect(self) -> Iterator[GaugeMetricFamily]:
-        """The gauges of one status."""
+        """Yields the gauges."""
         status = self._status
         yield _gauge(
             "view_epoch",
@@ -52,7 +52,7 @@
 
 
 def metrics_text(status: ControlStatus) -> bytes:
-    """The metrics of a status in Prometheus's text format."""
+    """Formats the metrics of a status in the Prometheus text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_StatusCollector(status))
     return generate_latest(registry)
--- a/larchgw/control/node.py
+++ b/larchgw/control/node.py
@@ -23,24 +23,24 @@
 from .replicated_log import TICK_S
 
 log = structlog.get_logger()
-LEAVE_TIMEOUT_FRACTION = 0.5  # of the grace period; then it ends without the agreement of the others
-OPEN_CALLS_GRACE_S = 0.1  # after the others have agreed, for answers that are under way
+LEAVE_TIMEOUT_FRACTION = 0.5  # of the grace period; then it stops without the agreement of the others
+OPEN_CALLS_GRACE_S = 0.1  # after the others have agreed, for responses in flight
 
 
 class ControlNode:
     """One control process.
 
     Attributes:
-        settings: Those in force.
-        components: What it consists of but for its sockets and tasks.
-        tasks: Its background tasks.
+        settings: The settings in force.
+        components: All components except sockets and tasks.
+        tasks: The background tasks.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Recovers the data folder; see `start` for the rest.
+        """Recovers the data folder; `start` does the rest.
 
         Raises:
-            SettingsError: The settings name no data folder.
+            SettingsError: The settings contain no data folder.
             StorageError: The data folder cannot be read.
         """
         if settings.data_dir is None:
@@ -50,10 +50,10 @@
         self.tasks = BackgroundTasks()
 
     async def start(self) -> None:
-        """Listens and begins its work.
+        """Starts the servers and the background tasks.
 
         Raises:
-            OSError: An address cannot be listened at.
+            OSError: A server cannot listen at its address.
         """
         components = self.components
         components.runners.placer.start()
@@ -67,17 +67,17 @@
         log.info("control.started", member=components.replication.member.id)
 
     def reload(self, settings: NodeSettings) -> None:
-        """Applies changed settings: the seeds. Addresses stay."""
+        """Applies changed settings. Only the seeds can change; addresses stay the same."""
         self.settings = settings
         self.components.distribution.processes.set_seeds(seed_rpc_addresses(settings))
         self.components.swim.join(seed_gossip_addresses(settings))
 
     async def stop(self) -> None:
-        """Hands over what it is alone in doing, and ends once the others go on without it.
+        """Hands over the roles that only this process has, and stops once the others continue without it.
 
-        Until then it listens: an operator's call is passed on to the new primary, and a runner's check-in is
-        refused, which sends the runner to another process at once. Nothing depends on the end being in
-        order; cut short, it is the loss of a process.
+        Until then it keeps listening: operator calls are forwarded to the new primary, and check-ins are
+        rejected, which makes runners switch to another process at once. Correctness does not depend on a
+        graceful shutdown; if it is cut short, the others treat it as a crash.
         """
         self.components.runners.check_ins.close()
         self.components.replication.log.leave()
@@ -106,7 +106,7 @@
         )
 
     async def _has_left_within(self, seconds: float) -> bool:
-        """Whether the others have agreed to its end within this time."""
+        """Waits until the others have agreed to this process leaving; returns False after `seconds`."""
         replicated_log = self.components.replication.log
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
--- a/larchgw/control/operator_calls.py
+++ b/larchgw/control/operator_calls.py
@@ -1,4 +1,4 @@
-"""Brings an operator's call to the primary, wherever it came in."""
+"""Routes the operator's calls to the primary, whichever control process receives them."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 )
 
 READ = "read"
-"""The operation that gives the configuration; the others are those of configuration/change.py."""
+"""The operation that reads the configuration; configuration/change.py defines the other ones."""
 
-CALL_TIMEOUT_S = 0.85  # an operator goes to another process after a second of silence
-LARGE_CALL_TIMEOUT_S = 2.5  # and later where the body is large
+CALL_TIMEOUT_S = 0.85  # the operator's client tries another process after 1 s without an answer
+LARGE_CALL_TIMEOUT_S = 2.5  # for large bodies, for which the client waits longer
 LARGE_BODY_BYTES = 256 * 1024
-PRIMARY_POLL_S = 0.02  # between two attempts while there is no primary
+PRIMARY_POLL_S = 0.02  # pause between attempts while there is no primary
 
 
 def _timeout_s(call: OperatorCall) -> float:
@@ -44,28 +44,28 @@
 
 
 class OperatorCallRouter:
-    """Serves a call here if this is the primary, else at the primary that is known here."""
+    """Serves a call locally if this process is the primary, otherwise forwards it to the known primary."""
 
     def __init__(self, member: Member, service: OperatorService, clients: RpcClients) -> None:
-        """Routes calls.
+        """Creates the router.
 
         Args:
-            member: Tells who is primary.
-            service: Serves calls while this process is primary.
+            member: Knows the current primary.
+            service: Serves calls while this process is the primary.
             clients: Connections to the other control processes.
         """
         self._member, self._service, self._clients = member, service, clients
 
     async def operator_call(self, operation: str, base_version: int, body: bytes) -> OperatorResponse:
-        """Serves one call of the operator that came to this process.
+        """Serves a call that this process received from the operator.
 
         Args:
             operation: "replace", "change" or "read".
-            base_version: The version that an order builds on; NO_BASE_VERSION if it names none.
-            body: The order as it came.
+            base_version: The version that an order is based on; NO_BASE_VERSION if it names none.
+            body: The order as received.
 
         Returns:
-            The primary's response; status 503 where no primary gave a clear one in time.
+            The primary's response; status 503 if no primary gave a definite one in time.
         """
         if len(body) > MAX_ORDER_BYTES:
             return order_too_large_response(len(body))
@@ -76,7 +76,7 @@
     async def serve_forwarded(self, call: OperatorCall) -> OperatorAnswer:
         """Serves a call that another process forwards.
 
-        It ends, at the latest, when that process has given the call up.
+        It ends no later than the timeout of the forwarding process.
         """
         if not self._member.is_primary:
             return OperatorAnswer(STATUS_UNCONFIRMED, b"", "")
@@ -84,9 +84,9 @@
         return OperatorAnswer(response.status, response.body, self._member.id)
 
     async def _retry_until_clear(self, call: OperatorCall, deadline: float) -> OperatorResponse:
-        """Tries again while there is no primary: its place is filled within a second.
+        """Retries while there is no primary, as a new one is elected within a second.
 
-        `deadline` is a time of the event loop.
+        `deadline` is a time of the event loop's clock.
         """
         while True:
             if self._member.is_primary:
@@ -105,7 +105,7 @@
     async def _forward(self, call: OperatorCall, timeout_s: float) -> OperatorResponse:
         address = self._member.primary
         if not address:
-            return unconfirmed_response("no primary is known here")
+            return unconfirmed_response("this process knows no primary")
         try:
             answer = await self._clients.get(address).call("submit", call, max(timeout_s, PRIMARY_POLL_S))
         except RpcError as error:
--- a/larchgw/control/operator_order.py
+++ b/larchgw/control/operator_order.py
@@ -1,4 +1,4 @@
-"""An order of the operator as one record of the replicated log."""
+"""Encoding of an operator's order as a record of the replicated log."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from ..configuration.change import order_digest
 
-# Keys of a record's head in the log; other versions read them.
+# Keys in the header line of a record, which other versions of the program also read.
 OPERATION_KEY = "operation"
 BASE_VERSION_KEY = "built_on"
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOrder:
-    """One order of the operator; not to be taken for placement's orders to runners.
+    """An operator's order to change the configuration; not one of placement's orders to runners.
 
     Attributes:
         operation: "replace" or "change".
-        base_version: The version that the order builds on; NO_BASE_VERSION if it names none.
-        body: The configuration or the change, as it came.
+        base_version: The version that the order is based on; NO_BASE_VERSION if it names none.
+        body: The configuration or the change, as received.
     """
 
     operation: str
@@ -27,17 +27,17 @@
     body: bytes
 
     def encode(self) -> bytes:
-        """The order as a record: a line of JSON, then the body as it came."""
+        """Encodes the order as a record: one line of JSON, followed by the body as received."""
         head = json.dumps({OPERATION_KEY: self.operation, BASE_VERSION_KEY: self.base_version})
         return head.encode() + b"\n" + self.body
 
     @classmethod
     def decode(cls, record: bytes) -> OperatorOrder:
-        """The order in a record that `encode` made."""
+        """Decodes a record that `encode` returned."""
         head, _, body = record.partition(b"\n")
         fields = json.loads(head)
         return cls(fields[OPERATION_KEY], fields[BASE_VERSION_KEY], body)
 
     def digest(self) -> str:
-        """Identifies the order: the same for the same order, however often it is sent."""
+        """Returns a digest that identifies the order, the same each time it is resent."""
         return order_digest(self.operation, self.base_version, self.body)
--- a/larchgw/control/operator_service.py
+++ b/larchgw/control/operator_service.py
@@ -1,4 +1,4 @@
-"""The operator's calls at the primary: what is acknowledged, rejected, or left without a clear answer."""
+"""Serves the operator's calls at the primary: accepts, rejects, or leaves them unconfirmed."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 STATUS_NOT_FOUND = 404
 STATUS_TOO_LARGE = 413
 STATUS_UNCONFIRMED = 503
-MAX_ORDER_BYTES = 7 << 20  # an order with its head is one record of the log, which takes 8 MiB
+MAX_ORDER_BYTES = 7 << 20  # an order with its header is one record of the log, which holds up to 8 MiB
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorResponse:
-    """The answer to one call of the operator.
+    """The response to one call of the operator.
 
     Attributes:
         status: HTTP status.
@@ -37,54 +37,54 @@
 
 
 def unconfirmed_response(reason: str) -> OperatorResponse:
-    """Neither accepted nor rejected, as far as is known here: the operator sends the same call again."""
+    """Returns the response to a call whose outcome is unknown; the operator repeats the same call."""
     detail = {"error": reason, "remedy": "send the same call again"}
     return OperatorResponse(STATUS_UNCONFIRMED, json.dumps(detail).encode())
 
 
 def order_too_large_response(size_bytes: int) -> OperatorResponse:
-    """Rejects an order that no record of the log can hold."""
+    """Returns the response that rejects an order too large for a record of the log."""
     reason = f"body: {size_bytes} bytes are over {MAX_ORDER_BYTES}; send it as several changes"
     return OperatorResponse(STATUS_TOO_LARGE, json.dumps({"error": reason, "field": "body"}).encode())
 
 
 class Replication(Protocol):
-    """What OperatorService needs of the replicated log.
+    """The operations of the replicated log that OperatorService uses.
 
-    All methods raise ReplicationUnavailableError where this process is not the primary, or cannot tell.
+    All methods raise ReplicationUnavailableError if this process is not the primary, or cannot confirm it.
     """
 
     async def wait_until_decided(self) -> None:
-        """Returns once no record that was proposed here is undecided."""
+        """Waits until every record proposed by this process is decided."""
 
     async def confirm_primary(self) -> None:
-        """Returns once it is certain that this process was primary of the last view after the call began."""
+        """Waits for confirmation that this process was primary of the latest view after the call started."""
 
     async def propose(self, record: bytes) -> int:
-        """Returns the record's index once it is committed and applied here."""
+        """Returns the record's index once it is committed and applied by this process."""
 
 
 class OperatorService:
     """Serves the operator's calls on the state of this replica, one order at a time.
 
-    An order is evaluated on a state that is confirmed to be the newest, with no proposal undecided. It is
-    acknowledged once its record is committed and applied. One that was accepted is acknowledged again
-    whenever it is sent again, never rejected. Where a commit cannot be awaited, the answer says so and the
-    operator repeats the call.
+    An order is evaluated on a state that is confirmed to be the newest, while no proposal is undecided. It is
+    acknowledged once its record is committed and applied. An order that was accepted is acknowledged again,
+    never rejected, whenever it is resent. If the commit cannot be confirmed in time, the response says so and
+    the operator repeats the call.
 
     Attributes:
         state: The replicated state of this process.
-        replication: The log that the state is made of.
+        replication: The log that the state is built from.
     """
 
     def __init__(self, state: ConfigurationState, replication: Replication) -> None:
-        """Serves calls on `state`, which `replication` keeps."""
+        """Serves calls on `state`, which `replication` keeps up to date."""
         self.state, self.replication = state, replication
         self._order_lock = asyncio.Lock()
         self._size_limit = ConfigurationSizeLimit()
 
     async def read(self) -> OperatorResponse:
-        """The newest configuration as JSON."""
+        """Returns the newest configuration as JSON."""
         try:
             await self.replication.confirm_primary()
         except ReplicationUnavailableError as error:
@@ -94,7 +94,7 @@
         return OperatorResponse(STATUS_OK, json.dumps(self.state.current.raw).encode())
 
     async def submit(self, order: OperatorOrder) -> OperatorResponse:
-        """Accepts the order, or says why not."""
+        """Accepts the order, or returns the reason why it is not accepted."""
         try:
             async with self._order_lock:
                 return await self._submit(order)
@@ -102,9 +102,9 @@
             return unconfirmed_response(str(error))
 
     async def _submit(self, order: OperatorOrder) -> OperatorResponse:
-        # A call that ended early may have left a proposal behind: this very order, or one that it builds on.
+        # A call that timed out may have left an undecided proposal: this order, or one that it is based on.
         await self.replication.wait_until_decided()
-        await self.replication.confirm_primary()  # else a new primary may have accepted it unnoticed
+        await self.replication.confirm_primary()  # otherwise a new primary may have accepted it already
         if self.state.is_accepted(order):
             return self._accepted()
         evaluated = self.state.evaluate(order)
--- a/larchgw/control/order_permits.py
+++ b/larchgw/control/order_permits.py
@@ -1,4 +1,4 @@
-"""When this process, as the placer, may send an order to a runner: by the witnesses of its lease."""
+"""Permission for the placer to send orders to runners, obtained from the witnesses of its lease."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from .errors import ReplicationUnavailableError
 
 PLACER_LEASE = "placer"
-"""Name of the lease whose holder is the placer."""
+"""Name of the lease held by the placer."""
 STORE_LOAD_PREFIX = "store-load/"
-"""Before the fencing token and a serial number: each load from the weight store is announced as a target."""
+"""Prefix of the target that announces a load from the weight store: `<prefix><fencing token>/<serial>`."""
 
 
 class LeaseActionAnnouncer(Protocol):
@@ -26,13 +26,13 @@
         """The replication member of this process."""
 
     def lease(self, name: str) -> Lease | None:
-        """The lease, while this process holds it."""
+        """Returns the lease while this process holds it."""
 
     async def announce(self, lease_name: str, targets: Sequence[str]) -> None:
-        """Announces an act; raises ReplicationUnavailableError where no quorum of witnesses answers."""
+        """Announces an act; raises ReplicationUnavailableError if no quorum of witnesses answers."""
 
     def action_permitted_until(self, lease_name: str, target: str) -> float:
-        """Until when an announced act may be begun."""
+        """Returns the time until which an announced act may be started."""
 
 
 class LeaseOrderPermits:
@@ -44,16 +44,16 @@
     """
 
     def __init__(self, log: LeaseActionAnnouncer) -> None:
-        """Permits nothing before this process holds the lease.
+        """Permits no order until this process holds the lease.
 
         Args:
-            log: Knows the lease and its witnesses.
+            log: Holds the lease and announces acts to its witnesses.
         """
         self._log = log
         self._store_loads = 0
 
     async def announce(self, runner_id: RunnerId, is_store_load: bool) -> None:
-        """Announces an order to a runner; where that fails, `permitted_until_s` permits none."""
+        """Announces an order to a runner; if that fails, `permitted_until_s` does not permit it."""
         targets = [str(runner_id)]
         lease = self._log.lease(PLACER_LEASE)
         if is_store_load and lease is not None:
@@ -65,15 +65,15 @@
             return
 
     def permitted_until_s(self, runner_id: RunnerId) -> float:
-        """Until when an announced order may be sent; minus infinity if it may not."""
+        """Returns the time until which an announced order may be sent; minus infinity if it may not."""
         return self._log.action_permitted_until(PLACER_LEASE, runner_id)
 
     def free_at_s(self, runner_id: RunnerId) -> float:
-        """From when on this process may order at a runner that another process has ordered at lately."""
+        """Returns when this process may order at a runner that recently got an order from another process."""
         return self._log.member.target_free_at(PLACER_LEASE, runner_id)
 
     def load_history(self) -> LoadHistory:
-        """Loads from the weight store that were ordered before this holding of the lease."""
+        """Returns the loads from the weight store that earlier lease holders may have ordered."""
         history = self._log.member.action_history(PLACER_LEASE)
         longest_s = ACTION_START_WINDOW_S + ACTION_DELIVERY_S
         begun_by_s = tuple(
--- a/larchgw/control/placer_role.py
+++ b/larchgw/control/placer_role.py
@@ -1,4 +1,4 @@
-"""This process's part as the placer: it places models while it holds the lease of that singleton role."""
+"""The placer role: this process places models while it holds the lease of that singleton role."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 class PlacerRole:
     """Connects the placement service with the lease, the registry and the runner directory.
 
-    `start` comes before every other call.
+    `start` must be called before any other method.
     """
 
     service: PlacementService
@@ -44,10 +44,10 @@
         """Prepares the role; nothing runs before `start`.
 
         Args:
-            own_address: Rpc address of this process; names it in orders to runners and in the registry.
-            lease: Gives the lease of that name while this process holds it.
-            permits: Says when an order may be sent to a runner.
-            registry: Where the placer and the loads that it expects are published.
+            own_address: RPC address of this process, which identifies it in orders and in the registry.
+            lease: Returns the lease of a given name while this process holds it.
+            permits: Decides when an order may be sent to a runner.
+            registry: Where the placer and its expected loads are published.
             directory: The runners.
             settings: Limits of placement.
             random_source: Breaks ties between plans.
@@ -58,7 +58,7 @@
         self._expected_loads_serial = 0
 
     def start(self) -> None:
-        """Makes the service, which needs a running event loop, and follows the runners from now on."""
+        """Creates the service, which needs a running event loop, and starts watching the runners."""
         self.service = PlacementService(
             PlacementRuntime(
                 clock=time.monotonic,
@@ -76,37 +76,37 @@
         )
 
     async def run(self) -> None:
-        """Places models while this process holds the lease; runs until it is cancelled."""
+        """Runs until cancelled, and places models whenever this process holds the lease."""
         await self.service.run()
 
     def configure(self, configuration: Configuration) -> None:
-        """Places by this configuration from now on."""
+        """Replaces the configuration that placement uses."""
         self.service.configure(configuration)
 
     def receive_demand_report(self, report: DemandReport) -> None:
-        """Counts what a dispatcher was asked for."""
+        """Records the demand that a dispatcher reports."""
         self.service.receive_demand_report(report)
 
     def summary(self) -> PlacementSummary | None:
-        """What is placed; None while another process holds the lease."""
+        """Summarizes the placement; None unless this process holds the lease."""
         return self.service.summary()
 
     def current_lease(self) -> Lease | None:
-        """The placer's lease, while this process holds it."""
+        """Returns the placer lease while this process holds it, otherwise None."""
         return self._lease(PLACER_LEASE)
 
     def publish_placer(self) -> None:
-        """Names this process as the placer, if it is."""
+        """Publishes this process as the placer if it holds the lease."""
         lease = self.current_lease()
         if lease is not None:
             publish_placer(self._registry, self._own_address, lease.fencing_token)
 
     def publish_expected_loads(self, runner_id: str, names: dict[str, float]) -> None:
-        """Publishes what a runner is expected to hold soon; see PlacementRuntime.publish.
+        """Publishes the models that a runner is expected to hold soon; see PlacementRuntime.publish.
 
         Args:
             runner_id: Id of the runner.
-            names: Milliseconds until each model, or "model/adapter", can be used there.
+            names: Milliseconds until each model, or "model/adapter", is usable on the runner.
         """
         lease = self.current_lease()
         if lease is None:
@@ -120,7 +120,7 @@
         )
 
     def expected_loads(self, runner_id: RunnerId) -> list[str]:
-        """What a placer has published as being loaded at a runner, and not withdrawn."""
+        """Returns the models that a placer has published as loading on a runner and not withdrawn."""
         entry = self._registry.get(EXPECTED_LOADS_PREFIX + runner_id)
         if entry is None:
             return []
--- a/larchgw/control/publication.py
+++ b/larchgw/control/publication.py
@@ -1,4 +1,4 @@
-"""Which control process puts the committed configuration into the registry, and when."""
+"""Publication of the committed configuration in the registry."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from ..distribution.registry import Registry
 from .configuration_state import ConfigurationState
 
-BACKUP_PUBLISH_DELAY_S = 0.5  # after which a backup publishes a configuration that the primary has not
+BACKUP_PUBLISH_DELAY_S = 0.5  # after this, a backup publishes a configuration that the primary has not
 
 
 class ConfigurationPublisher:
     """Publishes the configuration of a replica's state in the registry.
 
-    The primary publishes at once, or each process would send the same to all; a backup publishes some time
-    after it has learned of a commit, should the primary have ended meanwhile. What a start finds on the disk
-    is as old as the last snapshot. It is left to the primary: an edge that starts at the same time would
-    serve by it.
+    The primary publishes at once. A backup publishes only some time after it has learned of a commit, in case
+    the primary has failed; if all published at once, each process would send the same entry to all others.
+
+    The state recovered from disk at startup is only as new as the last snapshot, so a backup does not publish
+    it: an edge that starts at the same time would serve requests with an outdated configuration.
 
     All times are seconds on one monotonic clock.
     """
@@ -31,23 +32,23 @@
         Args:
             state: The replicated state of this process.
             registry: Where the configuration is published.
-            is_primary: Whether this process is the primary with everything that it took over acknowledged:
+            is_primary: Whether this process is the primary and all records that it took over are committed;
                 its state is then the newest.
         """
         self._state, self._registry, self._is_primary = state, registry, is_primary
         self._due_at: float | None = None
 
     def on_restored(self) -> None:
-        """What the state holds by now came from the disk."""
+        """Called after the state was recovered from disk; a backup does not publish that state."""
         self._due_at = None
 
     def on_committed(self, now: float) -> None:
-        """The state has changed."""
+        """Called after a commit has changed the state."""
         self._due_at = now + BACKUP_PUBLISH_DELAY_S
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        """To be called several times in BACKUP_PUBLISH_DELAY_S."""
+        """Publishes the state if this is due; call it several times per BACKUP_PUBLISH_DELAY_S."""
         if self._is_primary() or (self._due_at is not None and now >= self._due_at):
             self._due_at = None
             self._publish()
@@ -59,7 +60,7 @@
 
 
 class ConfigurationPropagation:
-    """Hands the configuration of a changed state to the placer of this process, then to the publisher."""
+    """Passes a changed configuration to the placer of this process, then to the publisher."""
 
     def __init__(
         self,
@@ -67,11 +68,11 @@
         configure: Callable[[Configuration], None],
         publisher: ConfigurationPublisher,
     ) -> None:
-        """Reads `state` at each change; `configure` is the placer's."""
+        """Reads `state` at each change; `configure` passes the configuration to the placer."""
         self._state, self._configure, self._publisher = state, configure, publisher
 
     def on_state_changed(self) -> None:
-        """The replicated state has changed; it may hold no configuration yet."""
+        """Called when the replicated state has changed; it may not contain a configuration yet."""
         current = self._state.current
         if current is None:
             return
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -1,4 +1,4 @@
-"""Runs this process's replication member: its time, its messages, and the calls that wait for it."""
+"""Runs the replication member of this process: its timers, its messages, and the calls that await it."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from .errors import ReplicationUnavailableError
 
 log = structlog.get_logger()
-TICK_S = 0.02  # heartbeats and time-outs of the protocol are multiples of this
-DISK_RETRY_S = 1.0  # after the disk refused a write, before it is written to again
+TICK_S = 0.02  # heartbeat intervals and timeouts of the protocol are multiples of this
+DISK_RETRY_S = 1.0  # pause after a failed write before the disk is used again
 
 
 class ReplicatedLog:
-    """Carries out what the replication member asks for, on the event loop of the process.
+    """Carries out the effects that the replication member requests, on the event loop of the process.
 
-    The member itself is a state machine without I/O: each step returns the effects of a message, of a call or
-    of time that has passed. Here they are carried out in their order: a snapshot and committed records go
-    into the state, calls that wait are answered, messages are sent.
+    The member itself is a state machine without network I/O: each step returns the effects of a message, a
+    call or elapsed time. They are carried out in order: a snapshot and committed records are applied to the
+    state, pending calls are completed, and messages are sent.
 
-    A disk that refuses a write stops all steps for DISK_RETRY_S, in which the other members take this one for
-    silent.
+    After a failed write to disk, all steps are suspended for DISK_RETRY_S; during that time this member
+    appears unresponsive to the others.
 
     Attributes:
         member: The replication member.
-        state: What the committed records make.
+        state: The state built from the committed records.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         on_change: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Runs nothing before `start`.
+        """Creates the log; nothing runs before `start`.
 
         Args:
-            member: The replication member; called from here only.
-            state: Replaced and extended from here only.
+            member: The replication member. Only this object steps it.
+            state: The replicated state. Only this object changes it.
             clients: Connections to the other members.
             on_change: Called after the state has changed.
-            clock: Seconds, monotonic.
+            clock: Monotonic clock in seconds.
         """
         self.member, self.state = member, state
         self._clients, self._on_change, self._clock = clients, on_change, clock
@@ -60,32 +60,32 @@
         self._paused_until = 0.0
 
     def start(self) -> None:
-        """Begins with what the disk holds."""
+        """Starts the member from the state on disk."""
         self._run_step(lambda: self.member.start(self._clock()))
 
     def tick(self) -> None:
-        """Lets time pass; to be called each TICK_S."""
+        """Advances the member's timers; must be called every TICK_S."""
         self._run_step(lambda: self.member.tick(self._clock()))
 
     def receive(self, message: PeerMessage) -> None:
-        """Handles a message of another member."""
+        """Handles a message from another member."""
         self._run_step(lambda: self.member.receive(self._clock(), message))
 
     def leave(self) -> None:
-        """Asks the others to go on without this process; `has_left` tells when they do."""
+        """Asks the others to continue without this process; `has_left` becomes true once they do."""
         self._run_step(lambda: self.member.leave(self._clock()))
 
     @property
     def has_left(self) -> bool:
-        """Whether the others go on without this process; see Member.has_left."""
+        """Whether the others continue without this process; see Member.has_left."""
         return self.member.has_left
 
     def lease(self, name: str) -> Lease | None:
-        """The lease of that name, while this process is its holder."""
+        """Returns the lease of that name while this process holds it, otherwise None."""
         return self.member.lease(self._clock(), name)
 
     async def announce(self, lease_name: str, targets: Sequence[str]) -> None:
-        """Announces an act on `targets` under a lease; `action_permitted_until` says until when to begin it.
+        """Announces an act on `targets` under a lease; `action_permitted_until` limits when it may start.
 
         Raises:
             ReplicationUnavailableError: The lease is not held, or no quorum of witnesses answers.
@@ -93,13 +93,13 @@
         await self._call(lambda now: self.member.announce(now, lease_name, targets))
 
     def action_permitted_until(self, lease_name: str, target: str) -> float:
-        """See Member.action_permitted_until; on the clock of this log."""
+        """Returns Member.action_permitted_until, a time on the clock of this log."""
         return self.member.action_permitted_until(self._clock(), lease_name, target)
 
     async def wait_until_decided(self) -> None:
-        """Returns once no record that was proposed here is undecided.
+        """Waits until every record proposed by this process is decided.
 
-        A backup's log may hold undecided records for ever, a primary's not.
+        The log of a backup may contain undecided records indefinitely; the log of a primary may not.
 
         Raises:
             ReplicationUnavailableError: This process is not the primary.
@@ -110,18 +110,18 @@
             raise ReplicationUnavailableError(f"{self.member.id} is not primary")
 
     async def confirm_primary(self) -> None:
-        """Returns once it is certain that this process was primary after the call began.
+        """Waits for confirmation that this process was the primary after the call started.
 
         Raises:
-            ReplicationUnavailableError: It is not, or the disk refuses writes.
+            ReplicationUnavailableError: It is not the primary, or a write to disk failed.
         """
         await self._call(self.member.confirm)
 
     async def propose(self, record: bytes) -> int:
-        """Adds a record to the log; returns its index once it is committed and applied here.
+        """Appends a record to the log; returns its index once it is committed and applied by this process.
 
         Raises:
-            ReplicationUnavailableError: It may be committed or not, now or later.
+            ReplicationUnavailableError: The outcome is unknown; the record may still be committed later.
         """
         return await self._call(lambda now: self.member.propose(now, record))
 
@@ -150,12 +150,12 @@
             self._pause(error)
 
     def _pause(self, error: OSError) -> None:
-        """Stops all steps for a while. Nothing was promised by the one that failed."""
+        """Suspends all steps for DISK_RETRY_S. The failed step had no effects outside this process."""
         log.error("replication.paused", error=str(error), pause_s=DISK_RETRY_S)
         self._paused_until = self._clock() + DISK_RETRY_S
 
     def _apply_effects(self, effects: Effects) -> None:
-        """Carries effects out, in the order that Effects asks for."""
+        """Carries out effects, in the order that Effects requires."""
         index_before = self.state.record_index
         if effects.installed is not None:
             self.state.restore(effects.installed.content)
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -1,8 +1,8 @@
-"""Restoring the configuration after more was lost than `survive` allows.
+"""Restores the configuration after the loss of more control processes than the setting `survive` tolerates.
 
-docs/operators-system.md has the steps.
-From what is left (a data folder, its log, a snapshot's file, or a configuration as JSON) the state is read,
-and a data folder is written with which one control process begins anew; see replication/forced_new_view.py.
+The state is read from any remaining copy: a data folder, its log, a snapshot file, or a configuration in
+JSON. It is written to a new data folder, from which one control process bootstraps the system again; see
+replication/forced_new_view.py. docs/operators-system.md describes the procedure.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RestorableState:
-    """What a source holds. Of several copies the one with the highest (last_epoch, last_index) is the newest.
+    """The state read from a source. The newest copy is that with the highest (last_epoch, last_index).
 
     Attributes:
         state: The replicated state.
-        configuration: The configuration in it.
-        last_epoch: Highest view epoch in the log that it came from; 0 for none.
+        configuration: The configuration in the state.
+        last_epoch: Highest view epoch in the source's log; 0 for none.
         last_index: Highest record index in that log; 0 for none.
     """
 
@@ -44,13 +44,13 @@
 
 
 def read_source(source: Path) -> RestorableState:
-    """Reads the state in a data folder, a log's folder, a snapshot's file or a JSON configuration.
+    """Reads the state from a data folder, a log folder, a snapshot file or a JSON configuration.
 
-    All records of a log are applied, also those whose acknowledgement is not known: an operator who got no
-    clear answer expects either.
+    All records of a log are applied, including those that may not have been committed: an operator who got no
+    definite response must expect either outcome.
 
     Raises:
-        RestoreError: The source cannot be read or holds no configuration.
+        RestoreError: The source cannot be read or contains no configuration.
     """
     try:
         if source.is_dir():
@@ -65,40 +65,40 @@
 
 
 def check_empty(folder: Path) -> None:
-    """Checks that a folder may be written to.
+    """Checks that a folder is empty or does not exist.
 
     Raises:
-        RestoreError: It holds something.
+        RestoreError: The folder is not empty, or is not a folder.
     """
     if folder.exists() and (not folder.is_dir() or any(folder.iterdir())):
         raise RestoreError(folder, "is not empty", "move what it holds aside; it may still be needed")
 
 
 def write_folder(
-    folder: Path, found: RestorableState, begin: ForcedView, files: FilePort | None = None
+    folder: Path, restorable: RestorableState, forced_view: ForcedView, files: FilePort | None = None
 ) -> None:
-    """Writes the data folder of the process that begins anew.
+    """Writes the data folder of the process that bootstraps the system again.
 
     Args:
-        folder: Empty, or not there.
-        found: The state to begin with.
-        begin: Identity, view epoch and record index to begin with.
-        files: Where to write; the machine's disk if left out.
+        folder: The folder to write; empty or nonexistent.
+        restorable: The state to start with.
+        forced_view: Identity, view epoch and record index to start with.
+        files: Where to write; defaults to the local disk.
 
     Raises:
-        StorageError: The folder is not whole; remove it.
+        StorageError: The folder is incomplete and must be removed.
     """
     state = ConfigurationState()
-    state.restore(found.state.snapshot())
-    state.record_index = begin.index
+    state.restore(restorable.state.snapshot())
+    state.record_index = forced_view.index
     disk = ControlDisk.open(files or DiskFiles(), str(folder))
-    write_forced_view(disk.ports, begin, state.snapshot())
+    write_forced_view(disk.ports, forced_view, state.snapshot())
     disk.refill_reserve()
 
 
 def _log_folder(source: Path) -> Path:
-    inner = source / LOG_FOLDER
-    return inner if inner.is_dir() else source
+    subfolder = source / LOG_FOLDER
+    return subfolder if subfolder.is_dir() else source
 
 
 def _from_log(source: Path, log_contents: LogContents) -> RestorableState:
@@ -125,17 +125,17 @@
     return RestorableState(state, state.current, 0, 0)
 
 
-def describe(found: RestorableState) -> str:
-    """Describes in one line what would be restored."""
-    configuration = found.configuration
+def describe(restorable: RestorableState) -> str:
+    """Describes the state that would be restored, in one line."""
+    configuration = restorable.configuration
     size = len(json.dumps(configuration.raw))
     return (
         f"configuration {configuration.config_version}: {len(configuration.routes)} routes, "
-        f"{len(configuration.services)} services, {size} bytes; last epoch {found.last_epoch}, "
-        f"last record {found.last_index}"
+        f"{len(configuration.services)} services, {size} bytes; last epoch {restorable.last_epoch}, "
+        f"last record {restorable.last_index}"
     )
 
 
 def fresh_identity(address: str) -> str:
-    """Makes an identity that no process has had, for the process at this rpc address."""
+    """Generates a unique member identity for the process at this RPC address."""
     return f"{address}#{os.urandom(8).hex()}"
--- a/larchgw/control/rpc_service.py
+++ b/larchgw/control/rpc_service.py
@@ -1,4 +1,4 @@
-"""What other processes of the system may call at a control process."""
+"""The RPC methods that a control process serves to other processes of the system."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RpcService:
-    """Serves the methods of the thrift service `Control`; each coroutine has the name of its method."""
+    """Serves the Thrift service `Control`; each coroutine is named after the method that it serves."""
 
     def __init__(
         self,
@@ -32,20 +32,20 @@
         operator_calls: OperatorCallRouter,
         status: StatusService,
     ) -> None:
-        """Takes the parts that serve the calls."""
+        """Takes the components that serve the calls."""
         self._pull_service, self._replicated_log, self._placer = pull_service, replicated_log, placer
         self._operator_calls, self._status = operator_calls, status
 
     async def pull(self, request: PullRequest) -> PullReply:
-        """Answers with the entries that the caller lacks."""
+        """Returns the entries that the caller does not have."""
         return await self._pull_service.pull(request)
 
     async def push(self, request: PushRequest) -> PushReply:
-        """Merges entries that another control process hands over."""
+        """Merges entries that another process pushes."""
         return await self._pull_service.push(request)
 
     async def demand(self, report: DemandReport) -> None:
-        """Counts what a dispatcher was asked for."""
+        """Records the demand that a dispatcher reports."""
         self._placer.receive_demand_report(report)
 
     async def submit(self, call: OperatorCall) -> OperatorAnswer:
@@ -53,9 +53,9 @@
         return await self._operator_calls.serve_forwarded(call)
 
     async def deliver(self, message: PeerMessage) -> None:
-        """Handles a message of the replication protocol."""
+        """Delivers a message of the replication protocol to the local member."""
         self._replicated_log.receive(message)
 
     async def status(self, request: StatusRequest) -> ControlStatus:
-        """Reports the status of this process."""
+        """Returns the status of this process."""
         return await self._status.status(request)
--- a/larchgw/control/runner_check_ins.py
+++ b/larchgw/control/runner_check_ins.py
@@ -1,4 +1,4 @@
-"""Which check-ins and leaves of runners are acknowledged."""
+"""Records check-ins and leaves of runners, and decides which ones are acknowledged."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ..runner_directory.directory import CheckInOutcome, RunnerDirectory
 from .majority_contact import MajorityContact
 
-HANDOFF_TIMEOUT_S = 0.4  # a runner waits a second for its acknowledgement
+HANDOFF_TIMEOUT_S = 0.4  # a runner waits 1 s for the acknowledgement
 
 
 class Replicator(Protocol):
-    """Brings entries to the other control processes; hinted_handoff.HintedHandoff is the real one."""
+    """Pushes entries to the other control processes; implemented by hinted_handoff.HintedHandoff."""
 
     async def replicate(
         self, entries: Sequence[Entry], timeout_s: float, quorum_reached: Callable[[set[str]], bool]
@@ -24,37 +24,37 @@
         """Pushes entries to the other control processes.
 
         Returns:
-            The rpc addresses of those that have the entries, as soon as `quorum_reached` is true of
-            them, at the latest after `timeout_s`.
+            The RPC addresses of the processes that have the entries, as soon as `quorum_reached` is true for
+            them, but no later than after `timeout_s`.
         """
 
 
 class RunnerCheckIns:
     """Records every check-in, and acknowledges it only in proven contact with a majority of the witnesses.
 
-    A runner that is not acknowledged calls another process. What it reported is kept all the same, so that
-    edges that can reach no other process than this one know the runner. That a runner drains or has left is
-    at a majority of the witnesses before it is acknowledged: each control process that edges may pull from
-    then knows it within MAX_CONTACT_AGE_S (majority_contact.py).
+    A runner that gets no acknowledgement calls another process. Its report is recorded anyway, so that edges
+    that can reach only this process know the runner. The news that a runner is draining or has left is
+    replicated to a majority of the witnesses before it is acknowledged: every control process that edges may
+    pull from then knows it within MAX_CONTACT_AGE_S (majority_contact.py).
     """
 
     def __init__(
         self, directory: RunnerDirectory, registry: Registry, contact: MajorityContact, replicator: Replicator
     ) -> None:
-        """Takes the calls of runners.
+        """Creates the service.
 
         Args:
-            directory: Where they are recorded.
+            directory: Where the calls are recorded.
             registry: Holds the entries that the directory publishes.
-            contact: Whether anything may be acknowledged now.
-            replicator: Pushes to the other control processes what is urgent.
+            contact: Tells whether calls may be acknowledged now.
+            replicator: Pushes urgent entries to the other control processes.
         """
         self._directory, self._registry = directory, registry
         self._contact, self._replicator = contact, replicator
         self._is_closed = False
 
     def close(self) -> None:
-        """Acknowledges nothing from now on: this process is about to end, and runners go to another one."""
+        """Stops acknowledging calls, so that runners switch to another process before this one stops."""
         self._is_closed = True
 
     async def check_in(self, runner_id: str, body: bytes) -> bool:
@@ -64,7 +64,7 @@
             Whether it may be acknowledged.
 
         Raises:
-            CheckInError: The body cannot be read.
+            CheckInError: The body is not a valid check-in.
         """
         return await self._acknowledge(runner_id, self._directory.check_in(parse_check_in(runner_id, body)))
 
@@ -78,7 +78,7 @@
         return not outcome.needs_replication or await self._replicate(runner_id)
 
     async def _replicate(self, runner_id: str) -> bool:
-        """Whether a majority of the witnesses has the runner's entry."""
+        """Pushes the runner's entry; returns whether a majority of the witnesses has it."""
         entry = self._registry.get(RUNNER_PREFIX + runner_id)
         record = self._directory.get(runner_id)
         if entry is None or record is None:
--- a/larchgw/control/runner_ownership.py
+++ b/larchgw/control/runner_ownership.py
@@ -1,4 +1,4 @@
-"""Whether the runners of a control process are still watched, by it or by its next incarnation."""
+"""Tells whether the runners of a control process are still monitored, by it or by its next incarnation."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 
 def owner_name(address: str, incarnation: int) -> str:
-    """How records of runners name one incarnation of the control process at an rpc address."""
+    """Returns the name that identifies one incarnation of a control process in runner records."""
     return f"{address}/{incarnation}"
 
 
 def is_owner_present(owner: str, own_address: str, present: Iterable[Process]) -> bool:
-    """Whether a process answers for the runners that `owner`, which is not this incarnation, acknowledged.
+    """Whether a process other than this one is responsible for the runners that `owner` acknowledged.
 
-    A process that has started again answers for its own earlier incarnations: it alone knows for certain that
-    they have ended. The others go by its address. The number that membership gives an incarnation tells them
-    nothing: a process takes another one if its earlier incarnation had a clock that ran ahead.
+    `owner` is never the current incarnation of this process. A restarted process is itself responsible for
+    the runners of its earlier incarnations, because it alone knows for certain that they have ended. Other
+    processes compare only the address. The incarnation number in membership is no evidence, because a process
+    picks a different number if the clock of its earlier incarnation was ahead.
 
     Args:
-        owner: A name that `owner_name` made.
-        own_address: Rpc address of this process.
-        present: The control processes that are members now.
+        owner: A name returned by `owner_name`.
+        own_address: RPC address of this process.
+        present: The control processes that are currently members.
     """
     address = owner.rpartition("/")[0]
     if address == own_address:
@@ -32,16 +33,16 @@
 
 
 class RunnerOwnership:
-    """Tells the runner directory whose runners are left without a control process."""
+    """Tells the runner directory which owners of runners are still alive."""
 
     def __init__(
         self, own_address: str, contact: MajorityContact, present: Callable[[], Iterable[Process]]
     ) -> None:
-        """Judges by `present`, the control processes that are members now, at each call."""
+        """Evaluates `present`, which returns the current control processes, at each call."""
         self._own_address, self._contact, self._present = own_address, contact, present
 
     def is_owner_alive(self, owner: str) -> bool:
-        """True also while this process is isolated: it cannot know then."""
+        """Whether the owner is alive. Also true while this process is isolated and cannot know."""
         if self._contact.is_isolated():
             return True
         return is_owner_present(owner, self._own_address, self._present())
--- a/larchgw/control/status.py
+++ b/larchgw/control/status.py
@@ -1,4 +1,4 @@
-"""The status of a control process: over rpc, as JSON and as metrics."""
+"""The status of a control process, served over RPC, as JSON and as metrics."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .disk import ControlDisk
 from .majority_contact import MajorityContact
 
-# How the status names what it tells of; operators' programs read these names.
+# Names in the status, which operators' programs parse.
 ROLE_NAMES = {Role.PRIMARY: "primary", Role.BACKUP: "backup", Role.LEARNER: "learner"}
 STAGE_NAMES = {
     Stage.READY: "ready",
@@ -41,18 +41,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusSources:
-    """The parts of a control process that a status is read from.
+    """The components of a control process from which a status is read.
 
     Attributes:
         node_name: Name of the process.
         member: Its replication member.
         state: The replicated state.
-        swim: Membership.
-        registry: Names the placer.
+        swim: The membership protocol.
+        registry: Holds the entry that names the placer.
         directory: The runners.
         disk: The data folder.
-        contact: Whether the process is isolated.
-        placement: Gives what is placed; None unless this process places models.
+        contact: Tells whether the process is isolated.
+        placement: Returns a summary of the placement; None unless this process is the placer.
     """
 
     node_name: str
@@ -67,14 +67,14 @@
 
 
 class StatusService:
-    """Reads the status anew at each call; nothing is kept."""
+    """Reads the current status at each call, without caching."""
 
     def __init__(self, sources: StatusSources) -> None:
-        """Reads from `sources`."""
+        """Creates a service that reads from `sources`."""
         self._sources = sources
 
     async def status(self, request: ttypes.StatusRequest) -> ttypes.ControlStatus:
-        """The status for the rpc call of that name, with what is placed if it is asked for."""
+        """Serves the RPC method `status`; includes the placement if the request asks for it."""
         status = self.read()
         summary = self._sources.placement() if request.placement else None
         if summary is not None:
@@ -82,7 +82,7 @@
         return status
 
     def read(self) -> ttypes.ControlStatus:
-        """The status but for what is placed."""
+        """Returns the status without the placement."""
         sources = self._sources
         view = sources.member.view
         placer = known_placer(sources.registry)
@@ -103,32 +103,32 @@
         )
 
     def as_json(self) -> dict[str, Any]:
-        """The status that `read` gives, as an object for JSON."""
+        """Returns the status from `read` as a JSON object."""
         return cast(dict[str, Any], to_json(self.read()))
 
     def metrics(self) -> bytes:
-        """The status that `read` gives, as Prometheus text.
+        """Returns the status from `read` in the Prometheus text format.
 
-        The metrics library is loaded only where it is asked for.
+        The metrics library is imported only here, so that processes that serve no metrics do not load it.
         """
         from .metrics import metrics_text
 
         return metrics_text(self.read())
 
     def _processes(self) -> list[Process]:
-        """The members, and those that ended without leaving, by role and name."""
+        """Returns the members and the dead processes, sorted by role and name."""
         found = [*self._sources.swim.members(), *self._sources.swim.dead()]
         return sorted(found, key=lambda process: (process.role, process.name))
 
 
 class _ThriftStruct(Protocol):
-    """What thrift's generated structs have in common."""
+    """Common interface of the structs that Thrift generates."""
 
     __slots__: tuple[str, ...]
 
 
 def to_json(value: object) -> object:
-    """A thrift struct with all that it holds as dicts and lists; fields that are not set are left out."""
+    """Converts a Thrift struct and its contents to dicts and lists, omitting unset fields."""
     if isinstance(value, list):
         return [to_json(item) for item in value]
     if isinstance(value, dict):
