--- a/larchgw/distribution/connection.py
+++ b/larchgw/distribution/connection.py
@@ -1,4 +1,4 @@
-"""A connection to another process, as this package needs it."""
+"""The interface of a connection to another process."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class Connection(Protocol):
-    """A connection to one process; rpc.client.RpcClient is the real one."""
+    """A connection to one process; implemented by rpc.client.RpcClient."""
 
     async def call(self, method: str, argument: object, timeout_s: float) -> object:
-        """Calls an rpc method with its one argument and returns the answer.
+        """Calls an RPC method with its single argument and returns the reply.
 
         Raises:
-            RpcError: There was no answer within `timeout_s` seconds, or it was an error.
+            RpcError: There was no reply within `timeout_s` seconds, or it was an error.
         """
 
     def close(self) -> None:
@@ -21,4 +21,4 @@
 
 
 Connect = Callable[[str], Connection]
-"""Opens a connection to an rpc address."""
+"""Opens a connection to an RPC address."""
--- a/larchgw/distribution/hinted_handoff.py
+++ b/larchgw/distribution/hinted_handoff.py
@@ -1,9 +1,9 @@
-"""Hinted handoff: urgent entries are at other control processes before they are acknowledged.
+"""Hinted handoff: pushes urgent entries to other control processes before they are acknowledged.
 
-`HintedHandoff.replicate` pushes entries to every peer and returns those that have them, without waiting for
-the slowest once there is a quorum. What a peer did not accept is kept as a hint, and handed over by `run` in
-batches when the peer answers again. Hints shorten the time until a returning peer knows what is urgent; no
-guarantee depends on them, since peers also pull from one another.
+`HintedHandoff.replicate` pushes entries to every peer and returns the peers that have them, without waiting
+for the slowest once there is a quorum. Entries that a peer did not accept are stored as hints, and `run`
+delivers them in batches when the peer answers again. Hints let a returning peer learn urgent entries sooner;
+no guarantee depends on them, because peers also pull from one another.
 
 Source: DeCandia and others, "Dynamo", SOSP 2007, section 4.6.
 """
@@ -22,10 +22,10 @@
 from .hints import HintStore
 
 log = structlog.get_logger()
-MAX_HINTS_PER_PEER = 5000  # some times the runners of a large deployment
-BATCH_ENTRIES = 200  # in one handover, about 50 kB
+MAX_HINTS_PER_PEER = 5000  # several times the number of runners of a large deployment
+BATCH_ENTRIES = 200  # per push, about 50 kB
 BATCH_PAUSE_S = 0.05  # between two batches to one peer
-HANDOVER_INTERVAL_S = 0.5  # between two attempts at peers that hints are kept for
+HANDOVER_INTERVAL_S = 0.5  # between two attempts to deliver hints
 HANDOVER_TIMEOUT_S = 1.0
 
 
@@ -44,19 +44,19 @@
         node_name: str = "",
         max_hints: int = MAX_HINTS_PER_PEER,
     ) -> None:
-        """Creates it without connections; `run` hands hints over.
+        """Creates it without connections; `run` delivers hints.
 
         Args:
             connect: Opens a connection to an address.
-            peers: Gives the rpc addresses of the other live control processes.
-            node_name: Name of this process, for the logs of the processes that answer.
-            max_hints: How many entries are kept for one peer.
+            peers: Returns the RPC addresses of the other live control processes.
+            node_name: Name of this process, for the logs of the called processes.
+            max_hints: Maximum number of entries stored for one peer.
         """
         self._connect = connect
         self._peers = peers
         self._node_name = node_name
         self._connections: dict[str, Connection] = {}
-        self._pushes: set[asyncio.Task[bool]] = set()  # of `replicate`, in flight
+        self._pushes: set[asyncio.Task[bool]] = set()  # started by `replicate` and still in flight
         self.hints = HintStore(max_hints)
 
     async def replicate(
@@ -68,13 +68,14 @@
         """Pushes entries to all peers.
 
         Args:
-            entries: What to push.
-            timeout_s: How long one push may take.
-            quorum_reached: Whether the peers that have the entries by now are enough.
+            entries: The entries to push.
+            timeout_s: Timeout of each push.
+            quorum_reached: Whether the peers that have accepted the entries so far are sufficient.
 
         Returns:
-            The peers that have the entries, once `quorum_reached` says so of them, all have answered, or
-            after `timeout_s`. The others are pushed to meanwhile and, should that fail, get a hint.
+            The peers that have accepted the entries, as soon as `quorum_reached` is true for them, all peers
+            have answered, or `timeout_s` has passed. The remaining pushes continue in the background, and a
+            hint is stored for each one that fails.
         """
         pushes = {
             asyncio.ensure_future(self._push_or_keep_hint(peer, entries, timeout_s)): peer
@@ -89,7 +90,7 @@
         return accepted_by
 
     async def run(self) -> None:
-        """Hands hints over until it is cancelled."""
+        """Delivers hints periodically until cancelled."""
         try:
             while True:
                 await asyncio.sleep(HANDOVER_INTERVAL_S)
@@ -98,7 +99,7 @@
             self.close()
 
     async def hand_over(self) -> None:
-        """Pushes hints to the peers that are live; closes connections to former peers."""
+        """Pushes stored hints to live peers; closes connections to former peers."""
         live = set(self._peers())
         for address in set(self._connections) - live:
             self._connections.pop(address).close()
@@ -106,7 +107,7 @@
         await asyncio.gather(*(self._hand_over_to(peer) for peer in reachable))
 
     def close(self) -> None:
-        """Closes the connections, and cancels pushes that are in flight."""
+        """Closes the connections and cancels pushes in flight."""
         for push in list(self._pushes):
             push.cancel()
         for connection in self._connections.values():
@@ -125,7 +126,7 @@
         try:
             is_accepted = await self._push(peer, entries, timeout_s)
         finally:
-            self._pushes.discard(task)  # type: ignore[arg-type]  # we run as one of these
+            self._pushes.discard(task)  # type: ignore[arg-type]  # this coroutine runs as one of the tasks
         if not is_accepted:
             self.hints.add(peer, entries)
         return is_accepted
--- a/larchgw/distribution/peer_pullers.py
+++ b/larchgw/distribution/peer_pullers.py
@@ -1,4 +1,4 @@
-"""Control processes pull from one another: one puller a peer, all keys."""
+"""Pulls between control processes: one puller per peer, for all keys."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .puller import Puller
 from .registry import Registry
 
-RECONCILE_INTERVAL_S = 0.1  # between two comparisons of the list of peers with the pullers that run
+RECONCILE_INTERVAL_S = 0.1  # between two comparisons of the list of peers with the running pullers
 
 
 class PeerPullers:
@@ -32,13 +32,13 @@
         """Creates it without pullers; `run` starts them.
 
         Args:
-            registry: Where entries are merged.
+            registry: The registry to merge entries into.
             connect: Opens a connection to an address.
-            peers: Gives the rpc addresses of the other control processes.
-            settings: Times of pulls.
-            random_source: Draws pauses.
-            node_name: Name of this process, for the logs of the processes that answer.
-            clock: Seconds, monotonic.
+            peers: Returns the RPC addresses of the other control processes.
+            settings: Timing of pulls.
+            random_source: Randomizes pauses.
+            node_name: Name of this process, for the logs of the called processes.
+            clock: Monotonic clock in seconds.
         """
         self._registry = registry
         self._connect = connect
@@ -51,7 +51,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Follows the list of peers until it is cancelled."""
+        """Keeps the pullers in line with the list of peers until cancelled."""
         try:
             while True:
                 self.reconcile()
@@ -61,7 +61,7 @@
                 self._stop(address)
 
     def reconcile(self) -> None:
-        """Starts and stops pullers so that they are those of the peers of now."""
+        """Starts and stops pullers so that exactly one runs for each current peer."""
         wanted = dict.fromkeys(self._peers())
         for address in [address for address in self._tasks if address not in wanted]:
             self._stop(address)
@@ -70,9 +70,10 @@
                 self._start(address)
 
     def contact_proven_at(self, address: str) -> float | None:
-        """Returns when the last pull from that peer began that was answered in full.
+        """Returns the start of the last pull from that peer that was answered completely.
 
-        By `clock`; None if there was none. It counts also if the peer was cut off from the majority itself.
+        A time of `clock`; None if there was none. A peer that is itself isolated from the majority counts
+        too.
         """
         puller = self._pullers.get(address)
         return puller.contact_proven_at if puller is not None else None
--- a/larchgw/distribution/pull_settings.py
+++ b/larchgw/distribution/pull_settings.py
@@ -1,4 +1,4 @@
-"""Times of pulls."""
+"""Timing of pulls."""
 
 from __future__ import annotations
 
@@ -6,26 +6,28 @@
 
 from ..configuration.settings import TimeLimits
 
-WAIT_SHARE = 0.25  # of the time within which a change must be in force: how long one pull waits
-REPLY_GRACE_SHARE = 0.35  # of that time: how much longer than the wait an answer may take
+WAIT_SHARE = 0.25  # wait of one pull, as a share of the time within which a change must be in force
+REPLY_GRACE_SHARE = 0.35  # how much longer than the wait a reply may take, as a share of that time
 MAX_PEER_WAIT_S = 0.25  # between control processes, whose pulls prove contact (control/majority_contact.py)
-MAX_PEER_BACKOFF_S = 0.25  # the longest pause before one that did not answer is asked again
+MAX_PEER_BACKOFF_S = 0.25  # the longest pause before an unresponsive control process is called again
 
 
 @dataclass(frozen=True, slots=True)
 class PullSettings:
-    """Times of pulls, in seconds.
+    """Timing of pulls, in seconds.
 
     Attributes:
-        wait_s: How long a control process may keep a pull waiting (long poll).
-        reply_grace_s: How much later than that the reply may come before the call times out.
-        start_jitter_s: The first pull comes within this time, so that a start of all at once is spread.
-        min_backoff_s: Pause once every process was tried in vain; doubles with each round.
-        max_backoff_s: Where doubling ends.
-        zone_recheck_s: After this time a source in the same zone is preferred again, if the current one is
-            elsewhere.
-        resync_after_s: Out of touch for longer, tombstones may have been missed; half of their retention.
-        hand_back_after_s: From a change of the source until runners that it does not know are handed to it.
+        wait_s: How long a control process may delay the reply to a pull (long poll).
+        reply_grace_s: How much later than that the reply may arrive before the call times out.
+        start_jitter_s: Maximum random delay of the first pull, which spreads a simultaneous start of many
+            processes.
+        min_backoff_s: Pause after every process has failed once; doubles with each round.
+        max_backoff_s: Upper limit of that pause.
+        zone_recheck_s: Time after which a source in the same zone is preferred again, if the current one is
+            in another zone.
+        resync_after_s: Disconnection time after which tombstones may have been missed; half of their
+            retention time.
+        hand_back_after_s: Delay from a change of the source until runners unknown to it are pushed to it.
     """
 
     wait_s: float = 0.5
@@ -39,12 +41,12 @@
 
     @property
     def timeout_s(self) -> float:
-        """How long a pull may take altogether."""
+        """Timeout of a pull call."""
         return self.wait_s + self.reply_grace_s
 
     @classmethod
     def from_time_limits(cls, limits: TimeLimits) -> PullSettings:
-        """Returns waits so short that a change comes in time although one control process was just lost."""
+        """Returns waits so short that changes arrive in time even if one control process has just failed."""
         bound_s = min(limits.apply_ms, limits.drain_end_ms) / 1000.0
         return cls(wait_s=WAIT_SHARE * bound_s, reply_grace_s=REPLY_GRACE_SHARE * bound_s)
 
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -1,10 +1,10 @@
-"""The asking side of pulls: keeps a registry up to date from one control process at a time.
+"""Client side of pulls: keeps a registry up to date from one control process at a time.
 
-A pull waits at the control process for a change (long poll). A process whose call fails or times out, or
-that reports to be cut off from the majority, is replaced by another at once. From the reply of a cut-off
-process an edge merges only the runners: its configuration may be an old one, and an edge that knows none yet
-would begin to serve with it. Control processes merge everything from one another, since a merge never
-replaces an entry by an older one.
+A pull waits at the control process for a change (long poll). If the call fails or times out, or if the
+process reports that it is isolated from the majority, the puller switches to another process at once. From
+the reply of an isolated process, an edge merges only the runners: the configuration may be outdated, and an
+edge that has none yet would start serving with it. Control processes merge everything from one another, which
+is safe because a merge never replaces an entry with an older one.
 """
 
 from __future__ import annotations
@@ -28,18 +28,19 @@
 from .version_vectors import VersionVector, cursors, without_cursors
 
 log = structlog.get_logger()
-NO_ADDRESS_PAUSE_S = 0.1  # until the addresses are asked for again
+NO_ADDRESS_PAUSE_S = 0.1  # before checking again for addresses when none is known
 
 
 class _Session:
-    """What is known of the process pulled from, since the change to it.
+    """State of pulling from one control process, from the switch to it until the next switch.
 
     Attributes:
-        address: Its rpc address.
+        address: Its RPC address.
         connection: The connection to it.
         cursors: How far its registry has been read; sent with each pull.
-        vector: What it holds, as far as its replies have claimed.
-        hand_back_at: When runners that it does not know are handed to it, by the puller's clock; None: done.
+        vector: The version vector that its replies have claimed.
+        hand_back_at: When runners that it does not know are pushed to it, by the puller's clock; None if this
+            is not due or already done.
     """
 
     def __init__(self, address: str, connection: Connection) -> None:
@@ -48,13 +49,13 @@
         self.cursors: VersionVector = {}
         self.vector: VersionVector = {}
         self.hand_back_at: float | None = None
-        self._incarnation = ""  # the key of its cursor
+        self._incarnation = ""  # identified by the key of its cursor
 
     def update(self, reply: PullReply) -> bool:
-        """Notes how far it is read.
+        """Updates cursors and vector from a reply.
 
         Returns:
-            Whether the reply is the first of this incarnation of the process.
+            Whether the reply is the first from this incarnation of the process.
         """
         upto = reply.upto or {}
         self.cursors = cursors(upto)
@@ -68,14 +69,14 @@
 
 
 class Puller:
-    """Pulls entries into a registry until it is cancelled.
+    """Pulls entries into a registry until cancelled.
 
     Attributes:
-        registry: Where entries are merged.
-        last_heard_at: By `clock`: the last answer of a process that is not cut off.
-        contact_proven_at: By `clock`: begin of the last pull that was answered in full, also by a process
-            that is cut off. All that the process held then has been merged.
-        source_changes: How often the process pulled from has changed.
+        registry: The registry to merge entries into.
+        last_heard_at: Time of the last reply from a process that is not isolated, by `clock`.
+        contact_proven_at: Start of the last pull that was answered completely, by `clock`; an isolated
+            process counts too. All entries that the process held at that time have been merged.
+        source_changes: How often the puller has switched to another process.
     """
 
     def __init__(
@@ -96,22 +97,22 @@
         """Creates a puller; `run` starts it.
 
         Args:
-            registry: Where entries are merged.
+            registry: The registry to merge entries into.
             connect: Opens a connection to an address.
-            addresses: Gives the control processes to start from.
-            settings: Times of pulls.
-            random_source: Draws sources, pauses and the time of handing back.
-            node_name: Name of this process, for the logs of the process that answers.
-            prefixes: Keys to pull begin with one of these; none: all keys.
-            is_near: Whether an address is in the zone of this process.
-            is_only_source: Whether nothing else fills the registry. Further addresses are then learned from
-                the replies, replies of a cut-off process are merged in part, and after `resync_after_s` out
-                of touch the registry is compared with a complete other one (resync.py). Where other pullers
-                fill it as well, changes made by a third process are not waited for here.
-            hands_back_runners: Whether entries of runners that the process pulled from does not hold some
-                time after the change to it are pushed to it. After a restart of all control processes the
-                dispatchers are the only ones who know of a runner that crashed meanwhile.
-            clock: Seconds, monotonic.
+            addresses: Returns the initial addresses of control processes.
+            settings: Timing of pulls.
+            random_source: Randomizes the choice of sources, pauses, and the time of handing back runners.
+            node_name: Name of this process, for the logs of the called process.
+            prefixes: Only keys with one of these prefixes are pulled; empty means all keys.
+            is_near: Whether an address is in the same zone as this process.
+            is_only_source: Whether this puller is the only one that fills the registry. If so, it learns
+                further addresses from replies, merges replies from isolated processes only in part, and after
+                `resync_after_s` of disconnection compares the registry with a complete one (resync.py). If
+                not, its pulls do not wait for changes made by third processes.
+            hands_back_runners: Whether to push runner entries that the current source still lacks some time
+                after the switch to it. After a restart of all control processes, only the dispatchers know
+                of a runner that crashed meanwhile.
+            clock: Monotonic clock in seconds.
         """
         self.registry = registry
         self.last_heard_at: float | None = None
@@ -129,16 +130,16 @@
         self._hands_back_runners = hands_back_runners
         self._clock = clock
         self._learned_addresses: list[str] = []
-        self._unresponsive: set[str] = set()  # addresses whose last call had no answer
+        self._unresponsive: set[str] = set()  # addresses whose last call failed
         self._session: _Session | None = None
 
     @property
     def source(self) -> str:
-        """The control process that served last; empty if there is none."""
+        """Address of the control process that served last; empty if there is none."""
         return self._selector.current
 
     async def run(self) -> None:
-        """Pulls until it is cancelled."""
+        """Pulls until cancelled."""
         try:
             while True:
                 await self.step()
@@ -146,7 +147,7 @@
             self._close_session()
 
     async def step(self) -> None:
-        """Pulls once, after the pause that the choice of the source asks for."""
+        """Chooses a source, pauses if the choice requires it, and pulls once."""
         given = list(self._addresses())
         source = self._selector.choose(self._clock(), self._learned_addresses or given, given)
         if source is None:
@@ -159,7 +160,7 @@
         try:
             reply = await self._pull(session)
         except RpcError as error:
-            self._record_no_answer(source.address, error)
+            self._record_call_failure(source.address, error)
             return
         self._unresponsive.discard(source.address)
         if self._is_only_source and not self._is_current(reply, began_at):
@@ -178,8 +179,9 @@
         )
         return await session.connection.call("pull", request, self._settings.timeout_s)
 
-    def _record_no_answer(self, address: str, error: RpcError) -> None:
-        # Logged once, until it answers again: a control process asks a lost witness several times a second.
+    def _record_call_failure(self, address: str, error: RpcError) -> None:
+        # Logged at INFO once until the address answers again, because a control process calls a failed
+        # witness several times a second.
         level = logging.DEBUG if address in self._unresponsive else logging.INFO
         log.log(level, "pull.failed", address=address, error=str(error))
         self._unresponsive.add(address)
@@ -187,11 +189,11 @@
         self._close_session()
 
     def _is_current(self, reply: PullReply, began_at: float) -> bool:
-        """Returns whether its sender was in contact with the majority, and so lately that it still holds."""
+        """Returns whether the sender was in contact with the majority, recently enough to be still valid."""
         return not reply.isolated and self._clock() - began_at <= self._settings.timeout_s
 
     def _merge_from_isolated(self, session: _Session, reply: PullReply) -> None:
-        """Merges the runners. Nothing is claimed, so that what is left out is sent again."""
+        """Merges only the runners. The vector is not advanced, so that the skipped entries are sent again."""
         self.registry.merge([entry for entry in reply.entries or [] if entry.key.startswith(RUNNER_PREFIX)])
         self._selector.record_failure(session.address)
         self._close_session()
--- a/larchgw/distribution/registry.py
+++ b/larchgw/distribution/registry.py
@@ -1,35 +1,35 @@
-"""Versioned entries that every process holds a copy of: a last-writer-wins map, synchronized by deltas.
+"""One process's replica of the versioned entries: a last-writer-wins map, synchronized by deltas.
 
-Of two entries with one key the one with the higher rank wins: (major, minor), then (origin, sequence), which
-decides between two processes that wrote under one number and is otherwise of no meaning. A merged entry keeps
+Of two entries with the same key, the one with the higher rank wins. The rank compares (major, minor), then
+(origin, sequence), which only breaks ties between processes that wrote the same numbers. A merged entry keeps
 its origin and sequence. Merging is idempotent, commutative and associative.
 
-What a version vector promises
-    `vector()[origin] == n` says: of each entry that `origin` made as its update 1..n, this registry holds
-    that entry or one of the same key with a higher rank (leaving out keys outside the prefixes that it asks
-    for, and keys that were removed). It is raised in two places only: by `put` for the registry's own
+What a version vector guarantees
+    `vector()[origin] == n` means: for each entry that `origin` wrote as its update 1..n, this registry holds
+    that entry or one of the same key with a higher rank (except keys outside the prefixes that it pulls, and
+    keys that were removed). The vector is advanced in only two places: by `put` for the registry's own
     origin, and by `advance` with the `upto` of a reply whose entries have all been merged.
 
-Why `upto` of a cut reply claims nothing
-    Entry (A, 3) may have been superseded by (B, 7). A reply that sent all of A and was cut before B would,
-    had it claimed A, let its caller skip (A, 3) elsewhere without ever having held (B, 7), and if the one who
-    holds (B, 7) dies, the key is lost. So a cut reply carries a cursor alone. Entries are sent in the order
-    in which this registry stored them; a key that changes moves to the end. A caller that comes back with the
-    cursor is sent what stands behind it, and the reply that reaches the end claims the whole vector: by then
-    everything this registry held was sent, skipped because the caller's vector covered it, or replaced by
-    something sent later.
+Why `upto` of a truncated reply claims nothing
+    Entry (A, 3) may have been superseded by (B, 7). Suppose a reply contained all entries of A, was truncated
+    before B, and claimed A. Its caller would then skip (A, 3) elsewhere without ever having held (B, 7), and
+    if the process that holds (B, 7) fails, the key is lost. A truncated reply therefore contains only a
+    cursor. Entries are sent in the order in which this registry stored them; a key that changes moves to the
+    end. A caller that returns with the cursor gets the entries stored after it. The reply that reaches the
+    end claims the whole vector: by then every entry of this registry was sent, skipped because the caller's
+    vector covered it, or replaced by an entry sent later.
 
 Entries beyond the vector
-    A pushed entry (hinted_handoff.py) is held before the updates made ahead of it have come, so the vector
-    does not cover it. It is passed on all the same, once to each caller that keeps its cursor: the cursor,
-    not the vector, is what keeps a waiting caller from being sent the same entry again.
+    A pushed entry (hinted_handoff.py) may arrive before earlier updates of its origin, so the vector does not
+    cover it. It is still forwarded, once to each caller that keeps its cursor: the cursor, not the vector,
+    prevents a waiting caller from getting the same entry again.
 
 Why origins can be pruned
-    Every incarnation of a process has an origin of its own, so vectors would grow with each restart. Where
-    this registry holds no entry of an origin any more, it drops the origin from its vector. Claiming less is
-    always correct: the worst is that another registry, which still holds an old entry of that origin, sends
-    it again, and it loses against the newer one here. The vector is thus bounded by the origins that have the
-    last word on some key.
+    Every incarnation of a process has its own origin, so vectors would grow with each restart. When this
+    registry no longer holds any entry of an origin, it drops the origin from its vector. Claiming less is
+    always correct: at worst, another registry that still holds an old entry of that origin sends it again,
+    and it loses against the newer one. The size of the vector is thus bounded by the number of origins that
+    wrote the current entry of some key.
 
 Source: Dynamo (SOSP 2007), sections 4.4 and 4.7; Parker and others 1983 (version vectors).
 """
@@ -46,59 +46,60 @@
 from ..rpc.generated.ttypes import Entry, PullReply
 from .version_vectors import CURSOR_PREFIX, VersionVector, cursor_key, without_cursors
 
-ENTRY_OVERHEAD_BYTES = 40  # numbers and lengths around an encoded entry's strings
+ENTRY_OVERHEAD_BYTES = 40  # numbers and string lengths of an encoded entry
 AFTER_ANY_KEY = "\U0010ffff"
 
 Watcher = Callable[[Entry], None]
 
 
 def rank(entry: Entry) -> tuple[int, int, str, int]:
-    """Returns what decides between two entries with one key: the higher rank wins."""
+    """Returns the rank by which entries with the same key are compared; the highest wins."""
     return (entry.major, entry.minor, entry.origin, entry.sequence)
 
 
 def encoded_size_bytes(entry: Entry) -> int:
-    """Returns about how many bytes the entry takes in a message."""
+    """Returns the approximate size of the entry in a message."""
     return len(entry.key) + len(entry.origin) + len(entry.value) + ENTRY_OVERHEAD_BYTES
 
 
 class Registry:
-    """One process's copy of the entries.
+    """One process's replica of the entries.
 
-    Runs on the event loop's thread; callbacks of `watch` run within the call that changed the registry.
+    Must be used on the event loop's thread. Callbacks of `watch` run within the call that changes the
+    registry.
 
     Attributes:
-        origin: Names this incarnation of the process; must never have been used before.
+        origin: Identifies this incarnation of the process; must never have been used before.
     """
 
     def __init__(self, origin: str) -> None:
-        """Creates an empty registry; `origin` as `version_vectors.new_origin` makes it."""
+        """Creates an empty registry; `origin` comes from `version_vectors.new_origin`."""
         if not origin or origin.startswith(CURSOR_PREFIX):
             raise ValueError(f"origin {origin!r} is empty or begins with {CURSOR_PREFIX!r}; use new_origin()")
         self.origin = Origin(origin)
-        self._sequence = 0  # of this origin's last update
-        self._position = 0  # of the entry that was stored last
-        self._own_superseded_at = 0  # position of the last entry that took the place of one of this origin's
+        self._sequence = 0  # of the last update by this origin
+        self._position = 0  # of the last stored entry
+        self._own_superseded_at = 0  # position of the last foreign entry that replaced one of this origin
         self._positions: dict[str, int] = {}
-        self._entries: dict[str, Entry] = {}  # in the order of their positions
+        self._entries: dict[str, Entry] = {}  # ordered by position
         self._keys: Any = SortedList()
         self._vector: VersionVector = {}
         self._keys_by_origin: dict[str, Any] = {}  # origin -> SortedDict of sequence -> key
         self._watchers: list[tuple[str, Watcher]] = []
         self._removal_watchers: list[tuple[str, Watcher]] = []
-        self._unannounced: deque[Entry] = deque()  # stored, and watchers not yet called
+        self._unannounced: deque[Entry] = deque()  # stored entries for which watchers were not called yet
         self._is_notifying = False
 
     def __len__(self) -> int:
-        """Returns the number of entries."""
+        """Returns the number of entries, including tombstones."""
         return len(self._entries)
 
     def put(self, key: str, value: bytes, major: int, minor: int = 0) -> bool:
-        """Publishes a value made here.
+        """Publishes a value under this registry's own origin.
 
         Returns:
-            Whether it was stored; False, with nothing changed, if the registry holds an entry of the key with
-            this or a higher `(major, minor)`.
+            Whether it was stored. If the registry holds an entry of the key with the same or a higher
+            `(major, minor)`, nothing changes and the result is False.
         """
         held = self._entries.get(key)
         if held is not None and (held.major, held.minor) >= (major, minor):
@@ -109,25 +110,25 @@
         return True
 
     def merge(self, entries: Sequence[Entry]) -> list[Entry]:
-        """Merges entries from another process, without raising the vector (see `advance`).
+        """Merges entries from another process, without advancing the vector (see `advance`).
 
         Returns:
-            Those that replaced an older entry or had none to replace.
+            The entries that were stored because they are new or replace an older entry.
         """
         return [entry for entry in entries if self._merge_one(entry)]
 
     def advance(self, upto: Mapping[str, int]) -> None:
-        """Raises the vector by the `upto` of a reply, after all of the reply's entries were merged."""
+        """Advances the vector to the `upto` of a reply, after all entries of the reply were merged."""
         for origin, sequence in without_cursors(upto).items():
             if origin in self._keys_by_origin and origin != self.origin:
                 self._vector[origin] = max(self._vector.get(origin, 0), sequence)
 
     def reset_vector(self) -> None:
-        """Claims nothing that others made, so that all of it is sent again."""
+        """Resets the vector to this registry's own updates, so that all other entries are sent again."""
         self._vector = {self.origin: self._sequence} if self._sequence else {}
 
     def vector(self) -> VersionVector:
-        """Returns what this registry holds, to be sent as `have`."""
+        """Returns the version vector of this registry, to be sent as `have`."""
         return dict(self._vector)
 
     def delta(self, have: Mapping[str, int], prefixes: Sequence[str], limit_bytes: int) -> PullReply:
@@ -135,11 +136,12 @@
 
         Args:
             have: The caller's version vector, with its cursor of this registry if it has one.
-            prefixes: Only keys that begin with one of these count; none: all keys.
-            limit_bytes: About how large the entries together may be; at least one is sent if any is missing.
+            prefixes: Only keys with one of these prefixes are included; empty means all keys.
+            limit_bytes: Approximate limit on the total size of the entries; at least one is sent if any is
+                missing.
 
         Returns:
-            The reply, its `isolated` and `control` left empty. `more` is set where it was cut at the limit.
+            The reply, with empty `isolated` and `control`. `more` is set if it was truncated at the limit.
         """
         own_cursor_key = cursor_key(self.origin)
         cursor = have.get(own_cursor_key)
@@ -161,20 +163,20 @@
 
     @property
     def position(self) -> int:
-        """Where the entry that was stored last stands in the order in which entries were stored."""
+        """Position of the last stored entry in the order in which entries are stored."""
         return self._position
 
     def own_changes(self, position: int, prefixes: Sequence[str], limit_bytes: int) -> PullReply:
-        """Returns the entries that this process itself has made since `position`.
+        """Returns the entries that this process itself has written since `position`.
 
-        Others' entries since then are left out, and the cursor stays at `position`, so that the next `delta`
-        has them. An own update that one of them has superseded is in neither, so that the reply claims none
-        after such a one.
+        Entries by other processes are omitted, and the cursor stays at `position`, so that the next `delta`
+        includes them. An own update that one of them has superseded is not sent either; the reply then claims
+        no own updates.
 
         Args:
-            position: Up to there the caller holds everything, or something newer.
+            position: The caller holds every entry up to this position, or a newer one of the same key.
             prefixes: As for `delta`.
-            limit_bytes: As for `delta`; `more` is set where it was cut.
+            limit_bytes: As for `delta`; `more` is set if the reply was truncated.
         """
         wanted_prefixes = tuple(prefixes) or ("",)
         upto = {cursor_key(self.origin): position}
@@ -192,39 +194,40 @@
         return PullReply(entries=entries, upto=upto, more=False, isolated=False, control=[])
 
     def get(self, key: str) -> Entry | None:
-        """Returns the entry that is held for the key."""
+        """Returns the entry for the key, or None."""
         return self._entries.get(key)
 
     def items(self, prefix: str = "") -> Iterator[Entry]:
-        """Yields the entries whose keys begin with the prefix, by key; the registry may change meanwhile."""
+        """Yields the entries under the prefix, sorted by key; the registry may change during iteration."""
         for key in list(self._keys.irange(prefix, prefix + AFTER_ANY_KEY)):
             entry = self._entries.get(key)
             if entry is not None:
                 yield entry
 
     def not_covered_by(self, vector: Mapping[str, int], prefix: str = "") -> Iterator[Entry]:
-        """Returns the entries under the prefix that a process at this vector does not claim to hold."""
+        """Returns the entries under the prefix that the version vector does not cover."""
         return (entry for entry in self.items(prefix) if entry.sequence > vector.get(entry.origin, 0))
 
     def watch(self, prefix: str, callback: Watcher) -> None:
-        """Calls back for each entry under the prefix that is stored from now on, made here or merged.
+        """Registers a callback for each entry under the prefix that is stored, whether put or merged.
 
-        A callback may `put`; watchers are called for that entry after all were called for the ones before.
+        A callback may call `put`; watchers are notified of that entry after they were all notified of the
+        earlier ones.
         """
         self._watchers.append((prefix, callback))
 
     def watch_removals(self, prefix: str, callback: Watcher) -> None:
-        """Calls back for each entry under the prefix that is removed from now on."""
+        """Registers a callback for each entry under the prefix that is removed."""
         self._removal_watchers.append((prefix, callback))
 
     def remove_if(self, prefix: str, predicate: Callable[[Entry], bool]) -> int:
-        """Removes the entries under the prefix for which the predicate holds.
+        """Removes the entries under the prefix for which the predicate is true.
 
-        For tombstones that every process has had time to see. An older entry of such a key that a process cut
-        off for longer than that still holds would come back.
+        Meant for tombstones that every process has had time to receive. If a process was disconnected for
+        longer than that and still holds an older entry of such a key, the older entry would come back.
 
         Returns:
-            How many entries were removed.
+            The number of removed entries.
         """
         removed = [entry for entry in self.items(prefix) if predicate(entry)]
         for entry in removed:
@@ -299,7 +302,7 @@
                 self._vector.pop(entry.origin, None)
 
     def _missing(self, have: Mapping[str, int], cursor: int | None) -> list[Entry]:
-        """Returns entries that the vector does not cover, behind the cursor if there is one, by position."""
+        """Returns the entries that the vector does not cover, after the cursor if given, by position."""
         if cursor is not None:
             return self._missing_after(cursor, have)
         missing = [
@@ -313,7 +316,7 @@
         return [entry for entry in self._stored_after(cursor) if entry.sequence > have.get(entry.origin, 0)]
 
     def _stored_after(self, position: int) -> list[Entry]:
-        """Returns the entries that were stored after a position, in that order."""
+        """Returns the entries stored after a position, in the order of their positions."""
         stored: list[Entry] = []
         for key in reversed(self._entries):
             if self._positions[key] <= position:
@@ -323,7 +326,7 @@
         return stored
 
     def _claimed_vector(self, have: Mapping[str, int], is_first_pull: bool) -> VersionVector:
-        """Returns the vector, after the first pull only what of it is above `have`."""
+        """Returns the whole vector for a first pull, and only its items that exceed `have` for later ones."""
         if is_first_pull:
             return dict(self._vector)
         return {
--- a/larchgw/distribution/resync.py
+++ b/larchgw/distribution/resync.py
@@ -1,9 +1,9 @@
-"""Anti-entropy after a time out of touch so long that tombstones may have been removed meanwhile.
+"""Anti-entropy after a disconnection so long that tombstones may have been removed meanwhile.
 
-A runner's last entry, which says that it is gone (its tombstone), is removed after some minutes. A process
-that did not receive it would keep the entry before it for ever, since no version vector covers an entry that
-nobody holds. After such a time it therefore resets its vector, is sent the complete registry, and removes
-what is not in it.
+The last entry of a runner, which marks it as gone (its tombstone), is removed after some minutes. A process
+that missed the tombstone would keep the runner's previous entry forever, because an entry that no process
+holds is never sent again. After a long disconnection, a process therefore resets its vector, reads the
+complete registry of another process, and removes the entries that are not in it.
 
 Source: Dynamo (SOSP 2007), section 4.7, in its simplest form: a comparison of all keys.
 """
@@ -19,36 +19,36 @@
 from .registry import Registry
 
 log = structlog.get_logger()
-REMOVABLE_PREFIXES = (RUNNER_PREFIX, EXPECTED_LOADS_PREFIX)  # keys that come and go; the others stay for ever
+REMOVABLE_PREFIXES = (RUNNER_PREFIX, EXPECTED_LOADS_PREFIX)  # entries of all other kinds are never removed
 
 
 class Resync:
-    """One comparison of the registry with a complete other one: `start`, `observe` ..., `finish`."""
+    """Compares the registry with another complete one: `start`, `observe` for each reply, then `finish`."""
 
     def __init__(self, registry: Registry) -> None:
-        """Compares `registry` with the one that a puller reads."""
+        """Creates a comparison of `registry` with the registry that a puller reads."""
         self._registry = registry
         self._observed_keys: set[str] | None = None  # None: no comparison is running
 
     @property
     def is_running(self) -> bool:
-        """Whether entries are being compared."""
+        """Whether a comparison is running."""
         return self._observed_keys is not None
 
     def start(self) -> None:
-        """Starts, or starts again: from now on another registry's entries come from its first one."""
+        """Starts or restarts a comparison; the next replies send the other registry from its beginning."""
         self._registry.reset_vector()
         self._observed_keys = set()
 
     def observe(self, entries: Iterable[Entry]) -> None:
-        """Notes that the other registry holds these."""
+        """Records that the other registry holds these entries."""
         if self._observed_keys is not None:
             self._observed_keys.update(entry.key for entry in entries)
 
     def finish(self) -> None:
-        """Drops what the other registry does not hold, after all of its entries were observed.
+        """Drops entries that the other registry does not hold, after all of its entries were observed.
 
-        A registry without any runner has just started, and proves nothing.
+        Nothing is dropped if the other registry contains no runner, because its process has just started.
         """
         observed_keys, self._observed_keys = self._observed_keys or set(), None
         if not any(key.startswith(RUNNER_PREFIX) for key in observed_keys):
--- a/larchgw/distribution/source_selector.py
+++ b/larchgw/distribution/source_selector.py
@@ -1,6 +1,6 @@
-"""Which control process to pull from next.
+"""Selection of the control process to pull from.
 
-Pure: time comes in as an argument, randomness is a seeded generator.
+Deterministic and without I/O: the time is an argument and the random generator is passed in.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Pull from this address after a pause of so many seconds."""
+    """The address to pull from, and the pause before the pull in seconds."""
 
     address: str
     pause_s: float
 
 
 class SourceSelector:
-    """Stays with one process while it serves; tries every other one before it comes back to one that did not.
+    """Keeps using one process while it serves; after a failure, tries all others before it returns to it.
 
-    After a round in which no process served comes a pause that doubles up to a bound, with jitter. A process
-    of the same zone is preferred, and looked for again some time after another one was selected.
+    A round in which no process served is followed by a pause with jitter, which doubles up to a limit. A
+    process in the same zone is preferred; while another one is in use, this is checked again periodically.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         random_source: random.Random,
         is_near: Callable[[str], bool] | None = None,
     ) -> None:
-        """Starts without a current source; `is_near` says of an address whether it is in the same zone."""
+        """Starts without a current source; `is_near` tells whether an address is in the same zone."""
         self._settings = settings
         self._random_source = random_source
         self._is_near = is_near or (lambda address: False)
@@ -45,16 +45,16 @@
 
     @property
     def current(self) -> str:
-        """The process that served last; empty if it no longer does."""
+        """Address of the process in use; empty if there is none."""
         return self._current
 
     def choose(self, now: float, addresses: Sequence[str], fallback: Sequence[str] = ()) -> Source | None:
-        """Returns whom to ask next.
+        """Returns the source to pull from next.
 
         Args:
-            now: Seconds on a clock that does not go back.
-            addresses: The control processes known now.
-            fallback: Addresses that are tried after all others.
+            now: Time in seconds on a monotonic clock.
+            addresses: The currently known control processes.
+            fallback: Addresses to try after all others.
 
         Returns:
             The source, or None while no address is known.
@@ -75,14 +75,14 @@
         return Source(self._random_source.choice(near or preferred), pause_s)
 
     def record_success(self, now: float, address: str) -> None:
-        """Notes that it has answered, and is not cut off from the majority."""
+        """Records that the process has answered and is not isolated from the majority."""
         if address != self._current:
             self._current, self._selected_at = address, now
         self._failed_in_round.clear()
         self._failed_rounds = 0
 
     def record_failure(self, address: str) -> None:
-        """Notes that it gave no answer, or said that it is cut off from the majority."""
+        """Records that the process did not answer, or reported that it is isolated from the majority."""
         self._failed_in_round.add(address)
         self._current = ""
 
@@ -101,6 +101,6 @@
         return self._random_source.random() * self._settings.start_jitter_s
 
     def _backoff_s(self) -> float:
-        longest_s = min(self._settings.min_backoff_s * 2.0**self._failed_rounds, self._settings.max_backoff_s)
+        backoff_s = min(self._settings.min_backoff_s * 2.0**self._failed_rounds, self._settings.max_backoff_s)
         self._failed_rounds += 1
-        return longest_s * self._random_source.uniform(0.5, 1.0)
+        return backoff_s * self._random_source.uniform(0.5, 1.0)
