--- a/larchgw/membership/addresses.py
+++ b/larchgw/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of membership sockets: "host:port" with an IPv4 host, six bytes on the wire."""
+"""Addresses of membership sockets: "host:port" with an IPv4 host, encoded in six bytes on the wire."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 @lru_cache(maxsize=CACHED_ADDRESSES)
 def pack_address(address: str) -> bytes:
-    """Returns the four bytes of the IPv4 address and two of the port.
+    """Encodes an address as four bytes of IPv4 address and two bytes of port.
 
     Raises:
-        InvalidMemberError: If it is no IPv4 address with a port.
+        InvalidMemberError: If it is not an IPv4 address with a port.
     """
     host, _, port = address.rpartition(":")
     try:
         return socket.inet_aton(host) + int(port).to_bytes(2, "big")
     except (OSError, ValueError, OverflowError) as error:
-        message = f"{address!r} is no IPv4 address and port; give one as 10.0.0.1:7660"
+        message = f"{address!r} is not an IPv4 address with a port; use the form 10.0.0.1:7660"
         raise InvalidMemberError("address", address, message) from error
 
 
 @lru_cache(maxsize=CACHED_ADDRESSES)
 def unpack_address(data: bytes) -> str:
-    """Returns the address in six bytes."""
+    """Decodes an address from six bytes."""
     return f"{socket.inet_ntoa(data[:4])}:{int.from_bytes(data[4:6], 'big')}"
 
 
 def is_valid_address(address: str) -> bool:
-    """Whether a datagram can be sent there."""
+    """Whether the text is an address to which a datagram can be sent."""
     try:
         pack_address(address)
     except InvalidMemberError:
--- a/larchgw/membership/codec.py
+++ b/larchgw/membership/codec.py
@@ -1,9 +1,9 @@
-"""Messages of the membership protocol as the bytes of datagrams.
+"""Encoding of membership protocol messages as datagrams.
 
-A datagram is: magic (2 bytes), version, kind, CRC-32 of what follows (4 bytes), sequence (4), digest (4), the
-sender's record, the fields of its kind, and records until its end. A record is: state and flags, role,
-address (6), incarnation (8), refutations (4), [rpc address (6)], [accuser (6)], name, zone; a text is its
-length and UTF-8. Integers are big-endian.
+A datagram consists of: magic (2 bytes), version (1), kind (1), CRC-32 of the rest (4), sequence (4), digest
+(4), the sender's record, the fields of its kind, and records up to its end. A record consists of: state and
+flags (1), role (1), address (6), incarnation (8), refutations (4), [RPC address (6)], [accuser (6)], name,
+zone. Names and zones are a length byte followed by UTF-8. Integers are big-endian.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
     Update,
 )
 
-MAX_DATAGRAM_BYTES = 1200  # below every usual MTU, so that nothing is fragmented
+MAX_DATAGRAM_BYTES = 1200  # below all common MTUs, so that datagrams are not fragmented
 MAGIC = b"lM"
 VERSION = 1
-BUCKETS = 32  # into which addresses are divided when tables are compared
+BUCKETS = 32  # number of buckets of addresses with a digest each, for comparing member tables
 
-ROLES: tuple[Role, ...] = ("edge", "control")  # by their number on the wire
+ROLES: tuple[Role, ...] = ("edge", "control")  # a role's index is its number on the wire
 HAS_RPC = 0x10
 HAS_ACCUSER = 0x20
 STATE_MASK = 0x0F
@@ -55,7 +55,7 @@
 
 
 def encode_update(update: Update) -> bytes:
-    """Returns the record of an update."""
+    """Encodes an update as a record."""
     member = update.member
     flags = member.state | (HAS_RPC if member.address_rpc else 0) | (HAS_ACCUSER if update.accuser else 0)
     name, zone = member.name.encode(), member.zone.encode()
@@ -79,15 +79,15 @@
 
 
 class DatagramBuilder:
-    """A datagram that is filled with records up to its limit.
+    """Builds a datagram from a message and as many records as fit.
 
     Attributes:
-        message: What is sent; its fields, but not its updates, may be replaced until `build`.
+        message: The message to send; its fields, but not its updates, may be replaced until `build`.
         free_bytes: Bytes left for records.
     """
 
     def __init__(self, message: Message) -> None:
-        """Begins with the updates of `message`, as far as they fit."""
+        """Starts with those updates of `message` that fit."""
         self.message = message
         self._sender = encode_update(Update(message.sender))
         self._records: list[bytes] = []
@@ -97,7 +97,7 @@
             self.add(encode_update(update))
 
     def add(self, record: bytes) -> bool:
-        """Adds an encoded update if it fits; returns whether it did."""
+        """Adds an encoded update if it fits; returns whether it was added."""
         if len(record) > self.free_bytes:
             return False
         self.free_bytes -= len(record)
@@ -105,7 +105,7 @@
         return True
 
     def build(self) -> bytes:
-        """Returns the datagram."""
+        """Returns the bytes of the datagram."""
         message = self.message
         body = b"".join(
             (
@@ -134,10 +134,10 @@
 
 
 def decode(data: bytes) -> Message:
-    """Returns the message of a datagram.
+    """Decodes the message in a datagram.
 
     Raises:
-        DatagramDecodeError: If it is none of this protocol.
+        DatagramDecodeError: If the bytes are not a datagram of this protocol.
     """
     try:
         return _decode(data)
@@ -147,10 +147,10 @@
 
 def _decode(data: bytes) -> Message:
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise DatagramDecodeError(f"{len(data)} bytes are over {MAX_DATAGRAM_BYTES}")
+        raise DatagramDecodeError(f"datagram of {len(data)} bytes exceeds the limit of {MAX_DATAGRAM_BYTES}")
     magic, version, kind, checksum = _FRONT.unpack_from(data)
     if magic != MAGIC or version != VERSION or checksum != crc32(data[_FRONT.size :]):
-        raise DatagramDecodeError("its magic, version or checksum is another")
+        raise DatagramDecodeError("wrong magic, version or checksum")
     reader = _Reader(data, _FRONT.size)
     sequence, digest = reader.unpack(_BODY)
     read_message = _MESSAGE_READERS[MessageKind(kind)]
@@ -158,7 +158,7 @@
 
 
 class _Reader:
-    """Reads the fields of a datagram one after the other."""
+    """Reads the fields of a datagram in sequence."""
 
     __slots__ = ("data", "offset")
 
@@ -174,7 +174,7 @@
     def raw(self, length: int) -> bytes:
         end = self.offset + length
         if end > len(self.data):
-            raise DatagramDecodeError("it ends early")
+            raise DatagramDecodeError("datagram is truncated")
         field = self.data[self.offset : end]
         self.offset = end
         return field
@@ -207,7 +207,7 @@
         return Update(member, accuser)
 
     def updates(self) -> tuple[Update, ...]:
-        """Reads records until the end of the datagram."""
+        """Reads the records up to the end of the datagram."""
         updates: list[Update] = []
         while self.offset < len(self.data):
             updates.append(self.update())
@@ -215,7 +215,7 @@
 
 
 def _reader_without_fields(message_type: type[Message]) -> Callable[[_Reader, Message], Message]:
-    """Returns the reader of a message that has no fields of its own."""
+    """Returns a reader for a message type without fields of its own."""
 
     def read(reader: _Reader, header: Message) -> Message:
         return message_type(header.sequence, header.sender, header.digest, reader.updates())
--- a/larchgw/membership/death_verification.py
+++ b/larchgw/membership/death_verification.py
@@ -1,6 +1,7 @@
-"""Reported deaths of members that are alive here: the member is pinged before it is suspected.
+"""Verification of reported deaths: a member that is alive in the local table is pinged before it is suspect.
 
-Such a report comes from a process that was cut off, or is true and its suspicion did not arrive here.
+Such a report may come from a process that was partitioned. It may also be true, if the suspicion before it
+did not arrive at this process.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 
 @dataclass(slots=True)
 class ReportedDeath:
-    """A death that another member reported.
+    """A death that another member has reported.
 
     Attributes:
-        dead: The record of the member, as dead.
-        source: Address of the member that reported it.
-        pinged_at: When the member was pinged for it, None before that.
+        dead: The record of the reported member, in state DEAD.
+        source: Address of the member that reported the death.
+        pinged_at: When the reported member was pinged; None before that.
     """
 
     dead: Member
@@ -28,25 +29,25 @@
 
 
 class DeathVerification:
-    """Reported deaths under verification, one at most for each address, at a bounded rate of pings."""
+    """Reported deaths under verification, at most one per address, with a limited rate of pings."""
 
     def __init__(self, settings: SwimSettings) -> None:
-        """Begins without any."""
+        """Starts without reported deaths."""
         self._settings = settings
         self._pending: dict[str, ReportedDeath] = {}
         self._next_ping_at = float("-inf")
 
     def add(self, dead: Member, source: str) -> None:
-        """Begins to verify a death that `source` reported, unless its address is under verification."""
+        """Adds a death reported by `source`, unless its address is already under verification."""
         self._pending.setdefault(dead.address, ReportedDeath(dead, source))
 
     def next_to_ping(self, now: float, is_in_question: Callable[[Member], bool]) -> Member | None:
-        """Returns the record, as dead, of the member to ping now, if any.
+        """Returns the record, in state DEAD, of the member to ping now, if any.
 
         Args:
-            now: The time, seconds on the monotonic clock.
-            is_in_question: Whether a reported death would still end a member that is present here; others are
-                dropped.
+            now: Time in seconds on the monotonic clock.
+            is_in_question: Whether the reported member is still present in the local table, so that the death
+                would take effect; other reports are dropped.
         """
         if now < self._next_ping_at:
             return None
@@ -60,7 +61,7 @@
         return None
 
     def take_unanswered(self, now: float) -> list[ReportedDeath]:
-        """Removes and returns the deaths that were not refuted in the probe period after the ping."""
+        """Removes and returns the deaths that were not refuted within the probe period after the ping."""
         unanswered = [
             death
             for death in self._pending.values()
--- a/larchgw/membership/dissemination.py
+++ b/larchgw/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Updates that are to be passed on, each a bounded number of times and all at a bounded rate.
+"""Dissemination of updates, each a limited number of times, at a limited total rate.
 
 Source: SWIM (Das and others, 2002), infection-style dissemination.
 """
@@ -22,26 +22,26 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """The lowest is sent first: the least sent, and among these refutations before suspicions."""
+        """Sort key: updates sent least often first, and among these refutations before suspicions."""
         return (self.sends, self.state)
 
 
 class Dissemination:
-    """Queue of the newest update for each address, with a token bucket of bytes."""
+    """Queue of the newest update for each address, rate-limited by a token bucket of bytes."""
 
     def __init__(self, settings: SwimSettings) -> None:
-        """Begins empty, with a full bucket."""
+        """Starts empty, with a full token bucket."""
         self._settings = settings
         self._queue: dict[str, _QueuedUpdate] = {}
         self._allowance_bytes = settings.update_burst_bytes
         self._refilled_at = 0.0
 
     def __len__(self) -> int:
-        """Returns how many updates are still to be passed on."""
+        """Returns the number of queued updates."""
         return len(self._queue)
 
     def add(self, update: Update) -> None:
-        """Queues an update in place of an older one for its address; over the limit the last in rank goes."""
+        """Queues an update, replacing any for its address; drops the last in rank if the queue is full."""
         self._queue.pop(update.member.address, None)
         self._queue[update.member.address] = _QueuedUpdate(encode_update(update), update.member.state)
         if len(self._queue) > self._settings.max_queued_updates:
@@ -49,7 +49,7 @@
             del self._queue[last]
 
     def refill(self, now: float) -> None:
-        """Adds to the bucket what the rate gives for the time since the last call (seconds, monotonic)."""
+        """Refills the token bucket for the time since the last call; `now` is in seconds, monotonic."""
         settings = self._settings
         added = settings.update_bytes_per_s * (now - self._refilled_at)
         self._allowance_bytes = min(self._allowance_bytes + added, settings.update_burst_bytes)
@@ -59,8 +59,8 @@
         """Returns records for one datagram and counts them as sent.
 
         Args:
-            free_bytes: Room in the datagram.
-            members: Members that are present, which sets how often each update is sent.
+            free_bytes: Space left in the datagram.
+            members: Number of present members, which determines how often each update is sent.
         """
         if not self._queue:
             return []
--- a/larchgw/membership/errors.py
+++ b/larchgw/membership/errors.py
@@ -8,28 +8,28 @@
 
 
 class InvalidMemberError(MembershipError, ValueError):
-    """A member cannot be described in a datagram; the message says what to change.
+    """A member cannot be encoded in a datagram; the message says what to change.
 
     Attributes:
-        field: Name of the field of `Member` that is at fault.
-        value: What it holds.
+        field: Name of the invalid field of `Member`.
+        value: The invalid value.
     """
 
     def __init__(self, field: str, value: object, message: str) -> None:
-        """Args as the attributes; `message` says what is wrong and what to do."""
+        """Creates the error; `message` says what is wrong and how to correct it."""
         super().__init__(message)
         self.field = field
         self.value = value
 
 
 class DatagramDecodeError(MembershipError):
-    """Bytes that are no datagram of this protocol, which the receiver ignores.
+    """The received bytes are not a datagram of this protocol; the receiver ignores them.
 
     Attributes:
-        reason: What is wrong with them.
+        reason: What is wrong with the bytes.
     """
 
     def __init__(self, reason: str) -> None:
-        """Takes the reason as the message."""
+        """Creates the error with `reason` as its message."""
         super().__init__(reason)
         self.reason = reason
--- a/larchgw/membership/failure_detector.py
+++ b/larchgw/membership/failure_detector.py
@@ -1,7 +1,7 @@
-"""SWIM's failure detector: one probe a period, direct and then indirect.
+"""SWIM's failure detector: one probe per period, first direct and then indirect.
 
-The next member of a shuffled round is sent a ping. Without an answer in the probe timeout, a few others are
-asked to ping it. Without any answer by the end of the period it is suspect.
+The next member of a shuffled round is pinged. If it does not answer within the probe timeout, a few other
+members are asked to ping it. If there is no answer by the end of the period, it becomes suspect.
 
 Source: SWIM (Das and others, 2002), section 3.1; Lifeguard (Dadgar and others, 2018), local health
 multiplier.
@@ -25,14 +25,14 @@
     """A probe of one incarnation of a member.
 
     Attributes:
-        sequence: Number of its ping and of its ping requests.
-        address: The probed member.
-        incarnation: Its incarnation.
+        sequence: Sequence number of its ping and of its ping requests.
+        address: Address of the probed member.
+        incarnation: Incarnation of the probed member.
         relays_due_at: When other members are asked to ping it.
-        ends_at: When it has failed.
-        relays: How many members were asked.
-        nacks: How many of them reported that they have no answer either.
-        is_indirect: Whether that was done.
+        ends_at: When the probe counts as failed.
+        relays: Number of members that were asked.
+        nacks: Number of these that reported that they have no answer either.
+        is_indirect: Whether other members were asked.
     """
 
     sequence: int
@@ -46,7 +46,7 @@
 
 
 class FailureDetector:
-    """Probes members in turn, and probes for others that ask for it.
+    """Probes members in turn, and relays probes on request of other members.
 
     Times are seconds on the monotonic clock.
     """
@@ -59,7 +59,7 @@
         local_health: LocalHealth,
         outbound: OutboundDatagrams,
     ) -> None:
-        """Begins without a probe; `random_source` spreads probes in time."""
+        """Starts without a probe; `random_source` adds jitter to the time between probes."""
         self._settings = settings
         self._random_source = random_source
         self._states = states
@@ -71,25 +71,25 @@
         self._next_probe_at = 0.0
 
     def tick(self, now: float) -> None:
-        """Reports on probes for others, and goes on with this process's own."""
+        """Sends the nacks that are due for relayed probes, and advances this process's own probe."""
         for relayed in self._relayed_probes.overdue(now):
             self._outbound.add_nack(relayed.requester, relayed.sequence)
         self._advance_probe(now)
 
     def abandon_probes(self) -> None:
-        """Drops all probes under way: this process did not run, and their answers may have been lost."""
+        """Drops all probes in progress, whose answers may have been lost while this process was paused."""
         self._probe = None
         self._relayed_probes.clear()
 
     def receive_ack(self, now: float, sequence: int) -> None:
-        """Ends the probe of that number, this process's own or one for another member."""
+        """Ends the probe with that sequence number, either its own or one relayed for another member."""
         probe = self._probe
         if probe is not None and probe.sequence == sequence:
             self._probe = None
             if now < probe.relays_due_at:
                 self._local_health.improve()
             return
-        if sequence == self._failed_sequence:  # this process, or its link, is slow
+        if sequence == self._failed_sequence:  # a late answer: this process or its link is slow
             self._failed_sequence = None
             self._local_health.worsen()
             return
@@ -98,12 +98,12 @@
             self._outbound.add_ack(relayed.requester, relayed.sequence)
 
     def receive_nack(self, sequence: int) -> None:
-        """Counts a relay that works and has no answer of the probed member."""
+        """Counts a relay that is alive but has no answer from the probed member."""
         if self._probe is not None and self._probe.sequence == sequence:
             self._probe.nacks += 1
 
     def receive_ping_request(self, now: float, requester: str, request: PingRequest) -> None:
-        """Pings the target for the member at `requester`, unless too many such probes are under way."""
+        """Pings the target on behalf of `requester`, unless too many relayed probes are in progress."""
         sequence = self._outbound.next_sequence()
         nack_at = now + self._settings.nack_delay_s
         ends_at = now + self._settings.probe_period_s
--- a/larchgw/membership/member.py
+++ b/larchgw/membership/member.py
@@ -1,4 +1,4 @@
-"""One process as membership knows it."""
+"""The description of one process in the membership protocol."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 Role = Literal["edge", "control"]
 
-MAX_TEXT_BYTES = 64  # of a name or a zone, so that several records fit into a datagram
+MAX_TEXT_BYTES = 64  # of a name or a zone, so that several records fit in a datagram
 NO_RPC_ADDRESS = RpcAddress("")
 MAX_INCARNATION = (1 << 63) - 1
 
 
 class MemberState(IntEnum):
-    """State of a member; of two updates on the same incarnation and refutation the greater state holds."""
+    """State of a member; of two updates with equal incarnation and refutations, the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -30,19 +30,19 @@
 class Member:
     """One incarnation of the process at `address`.
 
-    What SWIM calls the incarnation number has two parts here, compared in this order: `incarnation` tells one
-    run of the process from the next, `refutations` counts within it.
+    SWIM's incarnation number is split into two parts, compared in this order: `incarnation` distinguishes the
+    runs of the process, and `refutations` counts within one run.
 
     Attributes:
-        name: The node's name, for people.
+        name: Human-readable name of the node.
         address: Address of its membership socket, "host:port" with an IPv4 host.
-        role: What the process is.
-        incarnation: The process's start, in milliseconds of its wall clock. Where an earlier incarnation's
-            clock ran ahead, the first greater value.
+        role: Role of the process.
+        incarnation: Start time of the process in milliseconds of its wall clock; if an earlier incarnation
+            has a higher number because its clock was ahead, that number plus one.
         zone: Its failure domain.
-        address_rpc: Address where it serves rpc, empty where it serves none.
+        address_rpc: Address of its RPC server; empty if it has none.
         refutations: How often this incarnation has refuted a suspicion of itself.
-        state: What the author of the record holds it to be.
+        state: State of the member according to the author of the record.
     """
 
     name: str
@@ -56,28 +56,28 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Of two records of one address the one with the greater precedence holds."""
+        """Sort key of records of the same address; the record with the highest precedence wins."""
         return (self.incarnation, self.refutations, self.state)
 
     @property
     def is_present(self) -> bool:
-        """Whether it counts as a member: alive or suspect."""
+        """Whether the process counts as a member, that is, is alive or suspect."""
         return self.state <= MemberState.SUSPECT
 
 
 def check_member(member: Member) -> None:
-    """Checks that a datagram can describe the member.
+    """Checks that the member can be encoded in a datagram.
 
     Raises:
         InvalidMemberError: If it cannot.
     """
     for text, field in ((member.name, "name"), (member.zone, "zone")):
         if len(text.encode()) > MAX_TEXT_BYTES:
-            message = f"{field} {text!r} is over {MAX_TEXT_BYTES} bytes; shorten it"
+            message = f"{field} {text!r} exceeds {MAX_TEXT_BYTES} bytes; shorten it"
             raise InvalidMemberError(field, text, message)
     pack_address(member.address)
     if member.address_rpc:
         pack_address(member.address_rpc)
     if not 0 <= member.incarnation <= MAX_INCARNATION:
-        message = f"incarnation {member.incarnation} is out of range; give milliseconds"
+        message = f"incarnation {member.incarnation} is out of range; use milliseconds since the epoch"
         raise InvalidMemberError("incarnation", member.incarnation, message)
--- a/larchgw/membership/member_states.py
+++ b/larchgw/membership/member_states.py
@@ -1,4 +1,4 @@
-"""What this process holds to be the state of all members, and how updates change it."""
+"""The local view of the states of all members, and the rules by which updates change it."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 
 class MemberStates:
-    """The states of all members: merges updates by precedence, refutes suspicions of this process, passes on.
+    """The states of all members: merges and forwards updates, and refutes suspicions of this process.
 
     Times are seconds on the monotonic clock.
 
     Attributes:
         me: This process's record of itself.
         table: The records of all members.
-        probe_order: The members in the order in which they are probed.
-        dissemination: Updates to be passed on.
+        probe_order: The order in which members are probed.
+        dissemination: Updates to be sent to other members.
         suspicions: Timers of suspected members.
-        reconnect_candidates: Addresses of members that are dead here and alive at another member, in the
-            order heard.
-        on_change: Called with each record whose state or incarnation changed.
+        reconnect_candidates: Addresses of members that are dead in this table and alive in that of another
+            member, in the order in which they were reported.
+        on_change: Called with each record whose state or incarnation has changed.
     """
 
     def __init__(
         self, me: Member, settings: SwimSettings, random_source: Random, local_health: LocalHealth
     ) -> None:
-        """Begins with this process as the one member."""
+        """Starts with this process as the only member."""
         self.me = me
         self.table = MemberTable(random_source)
         self.probe_order = ProbeOrder(random_source)
@@ -50,36 +50,36 @@
         self._ended_at: dict[str, float] = {}
         self.table.put(me)
 
-    # Questions
+    # Queries
 
     def is_present(self, address: str) -> bool:
-        """Whether a member at the address is alive or suspect."""
+        """Whether the address belongs to a member that is alive or suspect."""
         member = self.table.get(address)
         return member is not None and member.is_present
 
     def is_present_peer(self, address: str) -> bool:
-        """Whether a member other than this process is alive or suspect at the address."""
+        """Whether the address belongs to another member that is alive or suspect."""
         return address != self.me.address and self.is_present(address)
 
     def sample_peers(self, number: int, without: str = "") -> list[str]:
-        """Returns the addresses of up to `number` present members other than this process and `without`."""
+        """Returns up to `number` addresses of present members, excluding this process and `without`."""
         return self.table.sample(number, frozenset((self.me.address, without)))
 
     def dead(self) -> list[Member]:
-        """Returns members that ended without leaving, as long as they are remembered."""
+        """Returns the dead members, which ended without leaving, until they are forgotten."""
         ended = (self.table.get(address) for address in self._ended_at)
         return [member for member in ended if member is not None and member.state is MemberState.DEAD]
 
     # Events
 
     def receive_gossip(self, now: float, update: Update, source: str) -> bool:
-        """Merges an update that rode on a message of the member at `source`.
+        """Merges an update piggybacked on a message from the member at `source`.
 
-        A death is believed only of a member that has been suspect here for a while. Where the suspicion did
-        not come well before it, its author may have been cut off, and the death is verified first.
+        A death is accepted only if the member has been suspect in this table for a while. Otherwise the
+        author of the update may have been partitioned, and the death is verified first.
 
         Returns:
-            Whether it changed anything here.
+            Whether the local state has changed.
         """
         member = update.member
         if self._is_death_of_present(member) and not self.suspicions.is_mature(now, member.address):
@@ -88,13 +88,13 @@
         return self._merge(now, update, is_gossip=True)
 
     def receive_table_record(self, now: float, update: Update, source: str) -> bool:
-        """Merges a record out of the table of the member at `source`.
+        """Merges a record from the member table of the member at `source`.
 
-        A death in it may be one that a partition made up, and is verified first. Changes are not passed on,
-        as all members compare tables.
+        A death in it may be the result of a partition, and is verified first. Changes are not disseminated,
+        because all members compare tables.
 
         Returns:
-            Whether it changed anything here.
+            Whether the local state has changed.
         """
         if self._is_death_of_present(update.member):
             self._death_verification.add(update.member, source)
@@ -102,7 +102,7 @@
         return self._merge(now, update, is_gossip=False)
 
     def suspect(self, now: float, address: str, incarnation: int) -> None:
-        """Suspects a member because this process's own probe of that incarnation failed."""
+        """Marks a member as suspect because this process's own probe of that incarnation failed."""
         known = self.table.get(address)
         if known is None or not known.is_present or known.incarnation != incarnation:
             return
@@ -110,15 +110,15 @@
         self._merge(now, Update(suspect, self.me.address), is_gossip=True)
 
     def leave(self) -> None:
-        """Marks this process as leaving by plan."""
+        """Marks this process as leaving gracefully."""
         self._replace_self(replace(self.me, state=MemberState.LEFT))
 
     def next_death_to_verify(self, now: float) -> Member | None:
-        """Returns the record, as dead, of the member to ping now because its death was reported, if any."""
+        """Returns the record, in state DEAD, of a member to ping now because its death was reported."""
         return self._death_verification.next_to_ping(now, self._is_death_of_present)
 
     def tick(self, now: float) -> None:
-        """Suspects members whose reported death stood, declares suspects dead, forgets members long ended."""
+        """Suspects members with unrefuted reported deaths, declares suspects dead, forgets ended members."""
         self.dissemination.refill(now)
         self._suspect_unrefuted_deaths(now)
         self._declare_expired_suspects_dead(now)
@@ -128,16 +128,16 @@
         """Checks the invariants between the parts of this state.
 
         Raises:
-            AssertionError: If one is broken; it names it.
+            AssertionError: If an invariant is violated; the message names it.
         """
         self.table.validate()
         assert self.table.get(self.me.address) == self.me, "the table's record of this process differs"
         others = [member for member in self.table.records() if member.address != self.me.address]
         suspects = {member.address for member in others if member.state is MemberState.SUSPECT}
-        assert self.suspicions.addresses() == suspects, "suspects without timer, or timers without suspect"
+        assert self.suspicions.addresses() == suspects, "suspicion timers differ from the suspect members"
         ended = {member.address for member in others if not member.is_present}
-        assert set(self._ended_at) == ended, "ended members differ from those to be forgotten"
-        assert set(self.reconnect_candidates) <= ended, "a candidate to reconnect that has not ended"
+        assert set(self._ended_at) == ended, "end times differ from the ended members in the table"
+        assert set(self.reconnect_candidates) <= ended, "a reconnect candidate has not ended"
 
     def _suspect_unrefuted_deaths(self, now: float) -> None:
         for death in self._death_verification.take_unanswered(now):
@@ -162,7 +162,7 @@
             self.table.forget(address)
 
     def _is_death_of_present(self, reported: Member) -> bool:
-        """Whether it is the death of an incarnation that is present here and has not refuted it."""
+        """Whether this reports the death of an incarnation that is present here and has not refuted it."""
         known = self.table.get(reported.address)
         return (
             reported.state is MemberState.DEAD
@@ -181,9 +181,7 @@
             return self._receive_about_self(reported)
         known = self.table.get(reported.address)
         if known is None:
-            if (
-                not reported.is_present
-            ):  # nothing to end; stale updates must not keep a forgotten member known
+            if not reported.is_present:  # stale updates must not bring back a forgotten member
                 return False
             self._apply(now, None, update, is_gossip)
             return True
@@ -201,7 +199,7 @@
         me = self.me
         if me.state is MemberState.LEFT or reported.precedence <= me.precedence:
             return False
-        if reported.incarnation > me.incarnation:  # an earlier incarnation had a clock that ran ahead
+        if reported.incarnation > me.incarnation:  # the clock of an earlier incarnation was ahead
             self._replace_self(replace(me, incarnation=reported.incarnation + 1, refutations=0))
             return True
         self._local_health.worsen()
--- a/larchgw/membership/member_table.py
+++ b/larchgw/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that this process knows of, with digests by which two tables are compared."""
+"""The table of known members, with digests for comparing the tables of two processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def bucket_of(address: str) -> int:
-    """Returns the number of the bucket to which an address belongs."""
+    """Returns the number of the bucket that contains an address."""
     return crc32(address.encode()) % BUCKETS
 
 
@@ -23,9 +23,9 @@
 
 
 class MemberTable:
-    """One record for each address, ordered by bucket and address.
+    """One record per address, ordered by bucket and address.
 
-    Digests cover which incarnations are present, not whether they are suspect.
+    The digests depend on which incarnations are present, but not on whether they are suspect.
 
     Attributes:
         digest: Digest of the whole table.
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, random_source: Random) -> None:
-        """Begins empty; `random_source` draws samples."""
+        """Starts empty; `random_source` is used for samples."""
         self.digest = 0
         self.buckets = [0] * BUCKETS
         self._random_source = random_source
@@ -44,11 +44,11 @@
         self._counts: Counter[str] = Counter()
 
     def get(self, address: str) -> Member | None:
-        """Returns the record of the address, which may be of a member that ended."""
+        """Returns the record of the address, which may be that of an ended member."""
         return self._members.get(address)
 
     def put(self, member: Member) -> None:
-        """Replaces the record of the member's address."""
+        """Adds or replaces the record of the member's address."""
         self._withdraw(member.address)
         if member.address not in self._members:
             insort(self._order, (bucket_of(member.address), member.address))
@@ -66,35 +66,35 @@
             del self._order[bisect_left(self._order, key)]
 
     def records(self) -> list[Member]:
-        """Returns all records, those of members that ended among them."""
+        """Returns all records, including those of ended members."""
         return list(self._members.values())
 
     def present(self, role: Role | None = None) -> list[Member]:
-        """Returns the members that are alive or suspect, of one role or all."""
+        """Returns the members that are alive or suspect, optionally only those of one role."""
         members = (self._members[address] for address in self._present)
         return [member for member in members if role is None or member.role == role]
 
     def present_count(self) -> int:
-        """Returns how many members are alive or suspect."""
+        """Returns the number of members that are alive or suspect."""
         return len(self._present)
 
     def count(self, role: Role) -> int:
-        """Returns how many members of the role are alive or suspect."""
+        """Returns the number of members of the role that are alive or suspect."""
         return self._counts[role]
 
     def sample(self, number: int, without: frozenset[str]) -> list[str]:
-        """Returns the addresses of up to `number` different present members, drawn at random."""
-        if number == 1:  # the frequent case, which needs no copy of the whole
+        """Returns the addresses of up to `number` distinct present members, chosen at random."""
+        if number == 1:  # the most frequent case, which needs no copy of the list
             return self._sample_one(without)
         candidates = [address for address in self._present if address not in without]
         return self._random_source.sample(candidates, min(number, len(candidates)))
 
     def differing(self, buckets: tuple[int, ...], after: Cursor) -> Iterator[Member]:
-        """Yields the members in buckets whose digest differs, in order.
+        """Yields the members in buckets whose digests differ, in table order.
 
         Args:
-            buckets: Digests of the other table's buckets.
-            after: The position behind which to begin.
+            buckets: Bucket digests of the other table.
+            after: The position after which to start.
         """
         start = bisect_right(self._order, (after.bucket, after.address))
         for bucket, address in self._order[start:]:
@@ -102,14 +102,14 @@
                 yield self._members[address]
 
     def cursor_at(self, address: str) -> Cursor:
-        """Returns the position of an address."""
+        """Returns the position of an address in the table order."""
         return Cursor(bucket_of(address), address)
 
     def validate(self) -> None:
-        """Checks that digests, order and counts are those of the records.
+        """Checks that digests, order and counts match the records.
 
         Raises:
-            AssertionError: If they are not; it names the part that is wrong.
+            AssertionError: If they do not; the message names the inconsistent part.
         """
         present = [member for member in self._members.values() if member.is_present]
         buckets = [0] * BUCKETS
@@ -118,9 +118,9 @@
         digest = 0
         for bucket in buckets:
             digest ^= bucket
-        assert self.buckets == buckets, "digests of buckets differ from the records"
-        assert self.digest == digest, "the digest differs from the records"
-        assert self._order == sorted((bucket_of(a), a) for a in self._members), "the order is broken"
+        assert self.buckets == buckets, "bucket digests differ from the records"
+        assert self.digest == digest, "the table digest differs from the records"
+        assert self._order == sorted((bucket_of(a), a) for a in self._members), "the table order is wrong"
         assert sorted(self._present) == sorted(m.address for m in present), "present members differ"
         assert all(self._present[position] == a for a, position in self._position.items()), "positions differ"
         assert +self._counts == Counter(m.role for m in present), "counts by role differ"
--- a/larchgw/membership/messages.py
+++ b/larchgw/membership/messages.py
@@ -1,7 +1,7 @@
-"""The messages of the membership protocol, one a datagram.
+"""The messages of the membership protocol, one per datagram.
 
 Source: Das, Gupta, Motivala, "SWIM" (2002), for ping, ping-req and ack; Dadgar, Phillips, Currey, "Lifeguard"
-(2018), for nack. Gossip, pull and page are this project's.
+(2018), for nack. Gossip, pull and page are extensions of this project.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MessageKind(IntEnum):
-    """What a datagram is for, as its fourth byte says."""
+    """Kind of a message, the fourth byte of a datagram."""
 
     PING = 1
     ACK = 2
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """What its author holds a member to be.
+    """A report on the state of a member.
 
     Attributes:
         member: The member's record.
-        accuser: Address of the member that suspects it; empty where its state is no suspicion.
+        accuser: Address of the member that suspects it; empty unless the state is a suspicion.
     """
 
     member: Member
@@ -44,7 +44,7 @@
 
     Attributes:
         bucket: Number of the bucket.
-        address: Address within it; an empty one stands before all of the bucket.
+        address: Address in the bucket; an empty one precedes all addresses of the bucket.
     """
 
     bucket: int = 0
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """What every message carries. Subclasses without fields of their own need no dataclass of their own.
+    """Fields common to all messages. Subclasses without further fields are not decorated as dataclasses.
 
     Attributes:
-        sequence: Number of a request; what answers it carries the same.
+        sequence: Number of a request; the answer has the same number.
         sender: The sender's record of itself.
         digest: Digest of the sender's member table.
-        updates: Updates that ride on the message.
+        updates: Updates piggybacked on the message.
     """
 
     kind: ClassVar[MessageKind]
@@ -78,7 +78,7 @@
 
 
 class Ack(Message):
-    """Answers a `Ping`, or reports to the author of a `PingRequest` that its target answered."""
+    """Answers a `Ping`, or reports to the sender of a `PingRequest` that its target has answered."""
 
     __slots__ = ()
     kind: ClassVar[MessageKind] = MessageKind.ACK
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest(Message):
-    """Asks the receiver to ping `target` in the sender's place (SWIM's ping-req)."""
+    """Asks the receiver to ping `target` on the sender's behalf (SWIM's ping-req)."""
 
     kind: ClassVar[MessageKind] = MessageKind.PING_REQUEST
 
@@ -94,14 +94,14 @@
 
 
 class Nack(Message):
-    """Reports to the author of a `PingRequest` that its target has not answered yet."""
+    """Reports to the sender of a `PingRequest` that its target has not answered yet."""
 
     __slots__ = ()
     kind: ClassVar[MessageKind] = MessageKind.NACK
 
 
 class Gossip(Message):
-    """Carries updates alone."""
+    """Carries only updates."""
 
     __slots__ = ()
     kind: ClassVar[MessageKind] = MessageKind.GOSSIP
@@ -109,11 +109,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Pull(Message):
-    """Asks for the records in which the receiver's member table differs from the sender's.
+    """Requests the records of the receiver's member table in buckets that differ from the sender's.
 
     Attributes:
-        buckets: Digests of the buckets of the sender's table.
-        cursor: The position behind which the page is to begin.
+        buckets: Bucket digests of the sender's table.
+        cursor: The position after which the page starts.
     """
 
     kind: ClassVar[MessageKind] = MessageKind.PULL
@@ -124,10 +124,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Page(Message):
-    """Answers a `Pull` with records as its updates.
+    """Answers a `Pull`; its updates are records of the member table.
 
     Attributes:
-        next_cursor: Where the next page begins; None after the last page.
+        next_cursor: The position after which the next page starts; None on the last page.
     """
 
     kind: ClassVar[MessageKind] = MessageKind.PAGE
--- a/larchgw/membership/outbound_datagrams.py
+++ b/larchgw/membership/outbound_datagrams.py
@@ -1,4 +1,4 @@
-"""The datagrams that this process is about to send, each with as many updates as fit."""
+"""The datagrams that this process is about to send, each with as many piggybacked updates as fit."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """Bytes to be sent to `address` ("host:port")."""
+    """Bytes to send to `address` ("host:port")."""
 
     address: str
     data: bytes
 
 
 class OutboundDatagrams:
-    """Builds messages and keeps their datagrams until `take`.
+    """Builds messages and queues their datagrams until `take`.
 
-    The parts of the protocol add messages here; `Swim` hands the datagrams out. `about`, where given, is the
-    record that this process holds of the receiver: unless that is alive, it goes in front of all updates, so
-    that the receiver can refute it.
+    The components of the protocol add messages, and `Swim` returns the datagrams to its caller. `about`, if
+    given, is this process's record of the receiver. Unless its state is ALIVE, it is placed before all
+    updates, so that the receiver can refute it.
     """
 
     def __init__(self, states: MemberStates, first_sequence: int) -> None:
-        """Begins empty, with request numbers that follow `first_sequence`."""
+        """Starts empty; request numbers follow `first_sequence`."""
         self._states = states
         self._sequence = first_sequence
         self._datagrams: list[Datagram] = []
@@ -45,16 +45,16 @@
         return datagrams
 
     def add_ping(self, address: str, about: Member | None, sequence: int | None = None) -> None:
-        """Adds a ping, under a new number unless one is given."""
+        """Adds a ping with the given sequence number, or with a new one."""
         number = self.next_sequence() if sequence is None else sequence
         self._add(address, Ping(number, self._states.me, self._states.table.digest), about)
 
     def add_ack(self, address: str, sequence: int, about: Member | None = None) -> None:
-        """Adds an answer to the ping or ping request of that number."""
+        """Adds an answer to the ping or ping request with that sequence number."""
         self._add(address, Ack(sequence, self._states.me, self._states.table.digest), about)
 
     def add_nack(self, address: str, sequence: int) -> None:
-        """Adds a report that the target of the ping request of that number has not answered yet."""
+        """Adds a report that the target of the ping request with that number has not answered yet."""
         self._add(address, Nack(sequence, self._states.me, self._states.table.digest))
 
     def add_ping_request(self, address: str, sequence: int, target: str) -> None:
@@ -63,17 +63,17 @@
         self._add(address, message)
 
     def add_gossip(self, address: str) -> None:
-        """Adds a message that carries updates alone."""
+        """Adds a message that carries only updates."""
         self._add(address, Gossip(self.next_sequence(), self._states.me, self._states.table.digest))
 
     def add_pull(self, address: str, sequence: int, cursor: Cursor) -> None:
-        """Adds a request for the page behind `cursor`."""
+        """Adds a request for the page after `cursor`."""
         table = self._states.table
         buckets = tuple(table.buckets)
         self._add(address, Pull(sequence, self._states.me, table.digest, buckets=buckets, cursor=cursor))
 
     def add_page(self, address: str, pull: Pull) -> None:
-        """Adds the answer to a pull: the differing records behind its cursor, as many as fit."""
+        """Adds the answer to a pull: as many differing records after its cursor as fit."""
         table = self._states.table
         page = Page(pull.sequence, self._states.me, table.digest)
         builder = DatagramBuilder(page)
--- a/larchgw/membership/probe_order.py
+++ b/larchgw/membership/probe_order.py
@@ -1,4 +1,4 @@
-"""Whom to probe next.
+"""The order in which members are probed.
 
 Source: SWIM (Das and others, 2002), section 4.3, round-robin probe target selection.
 """
@@ -10,17 +10,17 @@
 
 
 class ProbeOrder:
-    """Every address once a round, in an order shuffled anew each round."""
+    """Yields every address once per round; the order is shuffled again for each round."""
 
     def __init__(self, random_source: Random) -> None:
-        """Begins empty; `random_source` draws the order."""
+        """Starts empty; `random_source` determines the order."""
         self._random_source = random_source
         self._order: list[str] = []
         self._known: set[str] = set()
         self._next = 0
 
     def add(self, address: str) -> None:
-        """Inserts an address at a random position among those still to come in this round."""
+        """Inserts an address at a random position in the rest of the current round."""
         if address in self._known:
             return
         self._known.add(address)
@@ -28,7 +28,7 @@
         self._order.insert(position, address)
 
     def next(self, is_candidate: Callable[[str], bool]) -> str | None:
-        """Returns the next address that is still a candidate; others on the way are removed."""
+        """Returns the next address that is still a candidate, and removes skipped addresses."""
         while self._order:
             if self._next >= len(self._order):
                 self._random_source.shuffle(self._order)
--- a/larchgw/membership/pull_progress.py
+++ b/larchgw/membership/pull_progress.py
@@ -1,7 +1,7 @@
-"""When to compare tables with another member, and how far the comparison under way has come.
+"""Schedule and progress of pulls, which compare member tables with another member.
 
-A member that sees another digest than its own in a datagram pulls what differs, bucket by bucket, one page
-a tick. Pulls become rare while they bring nothing.
+A member that receives a digest different from its own pulls the differing records, bucket by bucket, one page
+per tick. Pulls become less frequent while they bring no updates.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from .messages import Cursor
 from .settings import SwimSettings
 
-PAGE_ATTEMPTS = 3  # sends of the request for one page
+PAGE_ATTEMPTS = 3  # how often the request for one page is sent
 
 
 @dataclass(slots=True)
 class PageRequest:
-    """The page that is asked for.
+    """The request for one page.
 
     Attributes:
-        address: Whom to ask.
-        sequence: Number of the last request sent for it.
-        cursor: The position behind which the page begins.
+        address: Address of the member to ask.
+        sequence: Sequence number of the last request sent for the page.
+        cursor: The position after which the page starts.
     """
 
     address: str
@@ -31,13 +31,13 @@
 
 
 class PullProgress:
-    """Schedule and progress of pulls, of which one at most is under way.
+    """Schedule and progress of pulls, of which at most one is in progress.
 
     Times are seconds on the monotonic clock of the caller.
     """
 
     def __init__(self, settings: SwimSettings, random_source: Random) -> None:
-        """Begins without a pull; `random_source` spreads pulls in time."""
+        """Starts without a pull; `random_source` adds jitter to the time between pulls."""
         self._settings = settings
         self._random_source = random_source
         self._request: PageRequest | None = None
@@ -48,17 +48,17 @@
         self._has_updates = False
 
     def start_if_due(self, now: float, address: str) -> None:
-        """Starts a pull from a member whose digest differs, unless one is under way or was lately."""
+        """Starts a pull from a member whose digest differs, unless one is in progress or was recent."""
         if self._request is None and now >= self._next_pull_at:
             self.start(now, address)
 
     def start(self, now: float, address: str, attempts: int = PAGE_ATTEMPTS) -> None:
-        """Starts a pull in place of one under way.
+        """Starts a pull, replacing any in progress.
 
         Args:
-            now: The time.
-            address: Whom to pull from.
-            attempts: Sends of the request for the first page.
+            now: Current time.
+            address: Address of the member to pull from.
+            attempts: How often the request for the first page may be sent.
         """
         self._request = PageRequest(address, 0, Cursor())
         self._due_at = now
@@ -67,7 +67,7 @@
         self._schedule_next(now)
 
     def next_request(self, now: float, sequence: int) -> PageRequest | None:
-        """Returns the request to send now under the number `sequence`, if one is due."""
+        """Returns the request to send now with the number `sequence`, if one is due."""
         request = self._request
         if request is None or now < self._due_at:
             return None
@@ -82,15 +82,15 @@
     def receive_page(
         self, now: float, sequence: int, next_cursor: Cursor | None, has_updates: bool, next_peer: str
     ) -> None:
-        """Goes on to the next page, or ends the pull.
+        """Continues with the next page, or ends the pull.
 
         Args:
-            now: The time.
-            sequence: Number of the request that the page answers.
-            next_cursor: Where the next page begins, None after the last.
-            has_updates: Whether the page changed anything here.
-            next_peer: Whom to ask for the next page: another member, so that those that many join by (seeds)
-                carry little of it.
+            now: Current time.
+            sequence: Sequence number of the request that the page answers.
+            next_cursor: The position after which the next page starts; None on the last page.
+            has_updates: Whether the page has changed the local state.
+            next_peer: Address of the member to ask for the next page. A different member each time keeps the
+                load on seeds low, from which many processes pull when they join.
         """
         request = self._request
         if request is None or request.sequence != sequence:
--- a/larchgw/membership/relayed_probes.py
+++ b/larchgw/membership/relayed_probes.py
@@ -1,4 +1,4 @@
-"""Probes that this process makes for other members: the relay's side of an indirect probe.
+"""Probes that this process performs for other members: the relay side of an indirect probe.
 
 Source: SWIM (Das and others, 2002), ping-req; Lifeguard (Dadgar and others, 2018), nack.
 """
@@ -7,18 +7,18 @@
 
 from dataclasses import dataclass
 
-MAX_RELAYED_PROBES = 64  # at a time; requests for more are dropped
+MAX_RELAYED_PROBES = 64  # concurrently; further requests are dropped
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe that this process makes for another member.
+    """A probe that this process performs for another member.
 
     Attributes:
-        requester: Address of the member that asked for it.
-        sequence: The number under which the requester waits for the answer.
-        nack_at: When the requester is sent a nack.
-        ends_at: When the probe is given up.
+        requester: Address of the member that requested it.
+        sequence: Sequence number of the requester's ping request.
+        nack_at: When a nack is sent to the requester.
+        ends_at: When the probe is abandoned.
         is_nacked: Whether the nack was sent.
     """
 
@@ -30,17 +30,17 @@
 
 
 class RelayedProbes:
-    """Probes under way for others, by the number of this process's own ping."""
+    """Relayed probes in progress, keyed by the sequence number of this process's own ping."""
 
     def __init__(self) -> None:
-        """Begins without any."""
+        """Starts without probes."""
         self._probes: dict[int, RelayedProbe] = {}
 
     def add(self, own_sequence: int, probe: RelayedProbe) -> bool:
-        """Accepts a probe for another member; returns whether there was room for it.
+        """Adds a probe for another member; returns whether it was accepted under the limit.
 
         Args:
-            own_sequence: Number of this process's own ping.
+            own_sequence: Sequence number of this process's own ping.
             probe: The probe.
         """
         if len(self._probes) >= MAX_RELAYED_PROBES:
@@ -49,11 +49,11 @@
         return True
 
     def receive_ack(self, own_sequence: int) -> RelayedProbe | None:
-        """Ends and returns the probe that was answered, None for an unknown number."""
+        """Removes and returns the probe that was answered; None if the number is unknown."""
         return self._probes.pop(own_sequence, None)
 
     def overdue(self, now: float) -> list[RelayedProbe]:
-        """Returns, each once, the probes for which a nack is due; removes those that are given up."""
+        """Returns the probes for which a nack is due, each only once; removes expired probes."""
         overdue: list[RelayedProbe] = []
         for own_sequence, probe in list(self._probes.items()):
             if not probe.is_nacked and probe.nack_at <= now:
@@ -64,5 +64,5 @@
         return overdue
 
     def clear(self) -> None:
-        """Drops all probes under way."""
+        """Drops all probes in progress."""
         self._probes.clear()
--- a/larchgw/membership/seeds.py
+++ b/larchgw/membership/seeds.py
@@ -1,4 +1,4 @@
-"""When to ask a seed. A seed is an address to ask, not a member."""
+"""Schedule of requests to seeds. A seed is an address to contact and not necessarily a member."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class Seeds:
-    """Seeds, asked in turn: with backoff while no member is known, and now and then those that are none.
+    """Seeds, contacted in turn: with backoff while no other member is known, otherwise at a long interval.
 
-    Times are seconds on the monotonic clock.
+    Seeds that are members are skipped. Times are seconds on the monotonic clock.
     """
 
     def __init__(self, settings: SwimSettings, random_source: Random) -> None:
-        """Begins without seeds; `random_source` draws their order and pauses."""
+        """Starts without seeds; `random_source` determines their order and the pauses."""
         self._settings = settings
         self._random_source = random_source
         self._addresses: list[str] = []
         self._next = 0
         self._period_s = settings.min_join_period_s
-        self._due_at: float | None = None  # drawn by the first call of `next_due`
+        self._due_at: float | None = None  # chosen by the next call of `next_due`
 
     def replace(self, addresses: Sequence[str]) -> None:
-        """Replaces the seeds. Where these are others than before, they are asked at once."""
+        """Replaces the seeds. If they have changed, they are contacted at once."""
         unique = list(dict.fromkeys(addresses))
         if sorted(unique) == sorted(self._addresses):
             return
@@ -37,14 +37,14 @@
         self._due_at = None
 
     def next_due(self, now: float, is_alone: bool, is_member: Callable[[str], bool]) -> str | None:
-        """Returns the seed to ask now, if any.
+        """Returns the seed to contact now, if any.
 
         Args:
-            now: The time.
+            now: Current time.
             is_alone: Whether no other member is known.
-            is_member: Whether a member is present at an address, which need not be asked then.
+            is_member: Whether a present member has a given address, which is skipped then.
         """
-        if self._due_at is None:  # processes started together must not ask all at once
+        if self._due_at is None:  # jitter, so that processes started together do not all ask at once
             self._due_at = now + self._random_source.uniform(0.0, self._settings.min_join_period_s)
         if now < self._due_at:
             return None
--- a/larchgw/membership/settings.py
+++ b/larchgw/membership/settings.py
@@ -7,39 +7,41 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimSettings:
-    """Periods, time-outs and limits of SWIM with Lifeguard's additions.
+    """Periods, timeouts and limits of SWIM with Lifeguard's extensions.
 
-    The defaults cost a member two small datagrams a second while nothing changes. Nothing here depends on the
-    deployment; what follows from the number of members is derived from it.
+    With the defaults, an idle member sends two small datagrams per second. The settings do not depend on the
+    deployment; values that vary with the number of members are derived from it.
 
     Attributes:
-        probe_period_s: Time from one probe to the next, in which the probed member must answer.
-        probe_timeout_s: Wait for a direct answer before other members are asked to probe; covers a late turn
-            on a busy machine.
-        indirect_probes: Members that are asked to probe one that did not answer directly.
+        probe_period_s: Time between probes, within which the probed member must answer.
+        probe_timeout_s: Wait for a direct answer before other members are asked to probe; allows for
+            scheduling delays on a busy machine.
+        indirect_probes: Number of members asked to probe a member that did not answer directly.
         nack_delay_s: Time after which a relaying member reports that its probe has no answer yet.
-        suspicion_multiplier: Shortest suspicion: this times the probe period times log10 of the members.
-        max_suspicion_multiplier: Longest suspicion, as a multiple of the shortest.
-        suspicion_confirmations: Independent accusers that bring a suspicion down to the shortest.
-        final_ping_lead_s: Time before a suspicion ends at which the member is pinged once more.
+        suspicion_multiplier: The minimum suspicion time is this times the probe period times log10 of the
+            number of members.
+        max_suspicion_multiplier: Maximum suspicion time, as a multiple of the minimum.
+        suspicion_confirmations: Number of independent accusers that reduce a suspicion to its minimum time.
+        final_ping_lead_s: How long before the end of a suspicion the member is pinged once more.
         verification_period_s: Time between two such pings, and between two pings that verify reported deaths.
-        retransmit_multiplier: Sends of one update by one member: this times log10 of the members.
+        retransmit_multiplier: Each member sends an update this times log10 of the number of members.
         gossip_period_s: Time between datagrams that carry only updates, while there are any.
-        max_queued_updates: Updates that wait to be passed on; more are left to synchronisation.
-        update_bytes_per_s: Rate of updates that a member sends, however much happens at once.
-        update_burst_bytes: Updates that may be sent at once; four full datagrams.
-        freeze_threshold_s: A longer pause between ticks (0.1 s apart) means that this process did not run.
-        freeze_recovery_s: Time after a freeze in which failed probes are put down to this process.
-        max_local_health_score: Probe times are stretched by at most this plus one.
-        page_timeout_s: Wait for a page of a synchronisation.
-        min_pull_period_s: Time between synchronisations that bring updates.
-        max_pull_period_s: Time between synchronisations that bring none.
-        min_join_period_s: First pause between attempts at seeds while no other member is known.
-        max_join_period_s: Longest pause between such attempts.
-        seed_period_s: Time between attempts at seeds that are not members.
-        dead_probe_period_s: Time between probes of dead members, which heal a partition.
-        reconnect_period_s: Time between probes of dead members that another member reports alive.
-        dead_retention_s: Time for which a member that ended is remembered.
+        max_queued_updates: Maximum number of updates waiting to be disseminated; others are left to table
+            synchronisation.
+        update_bytes_per_s: Maximum rate at which a member sends updates, however many there are.
+        update_burst_bytes: Maximum size of updates sent at once; four full datagrams.
+        freeze_threshold_s: A longer time between ticks (0.1 s apart) means that this process was paused.
+        freeze_recovery_s: Time after a pause in which failed probes are attributed to this process.
+        max_local_health_score: Probe times are multiplied by at most this plus one.
+        page_timeout_s: Timeout for one page of a table synchronisation.
+        min_pull_period_s: Time between synchronisations while they bring updates.
+        max_pull_period_s: Maximum time between synchronisations while they bring none.
+        min_join_period_s: First pause between requests to seeds while no other member is known.
+        max_join_period_s: Longest pause between such requests.
+        seed_period_s: Time between requests to seeds that are not members.
+        dead_probe_period_s: Time between pings of dead members, which heal a partition.
+        reconnect_period_s: Time between pings of dead members that another member reports as alive.
+        dead_retention_s: Time until an ended member is forgotten.
 
     Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
     Protocol" (2002); Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
--- a/larchgw/membership/suspicion.py
+++ b/larchgw/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Timers of suspected members, which shorten as independent members confirm the suspicion.
+"""Timers of suspected members, which become shorter as independent members confirm the suspicion.
 
 Source: Dadgar, Phillips, Currey, "Lifeguard" (2018), dynamic suspicion timeouts.
 """
@@ -10,9 +10,7 @@
 
 from .settings import SwimSettings
 
-MATURITY_FRACTION = (
-    0.5  # of the shortest suspicion; the rest is for the time that a suspicion takes to spread
-)
+MATURITY_FRACTION = 0.5  # of the minimum suspicion time; the rest allows for the spread of a suspicion
 
 
 @dataclass(slots=True)
@@ -26,7 +24,7 @@
 
     @property
     def deadline(self) -> float:
-        """The end of the suspicion: falls from the longest to the shortest with the log of confirmations."""
+        """End of the suspicion; decreases from the longest to the shortest with the log of confirmations."""
         if self.max_confirmations <= 0:
             return self.started_at + self.shortest_s
         confirmations = min(len(self.accusers) - 1, self.max_confirmations)
@@ -35,29 +33,32 @@
 
 
 class SuspicionTimers:
-    """One timer for each suspected address. Times are seconds on the monotonic clock."""
+    """One timer per suspected address. Times are seconds on the monotonic clock."""
 
     def __init__(self, settings: SwimSettings) -> None:
-        """Begins without any."""
+        """Starts without timers."""
         self._settings = settings
         self._running: dict[str, _Suspicion] = {}
 
     def addresses(self) -> set[str]:
-        """Returns the addresses that are suspected."""
+        """Returns the suspected addresses."""
         return set(self._running)
 
     def start(self, now: float, address: str, accuser: str, members: int) -> None:
-        """Starts, or starts anew, the timer of a member that `accuser` suspects; `members` are present."""
+        """Starts or restarts the timer of a member that `accuser` suspects.
+
+        `members` is the number of present members.
+        """
         settings = self._settings
         scale = max(log10(max(members, 1)), 1.0)
         shortest_s = settings.suspicion_multiplier * settings.probe_period_s * scale
         longest_s = shortest_s * settings.max_suspicion_multiplier
-        others = members - 3  # not the suspect, its accuser or this process
+        others = members - 3  # all except the suspect, its accuser and this process
         max_confirmations = min(settings.suspicion_confirmations, others)
         self._running[address] = _Suspicion(now, shortest_s, longest_s, max_confirmations, {accuser})
 
     def confirm(self, address: str, accuser: str) -> bool:
-        """Counts another accuser; returns whether its suspicion is worth passing on."""
+        """Counts another accuser; returns whether its suspicion must be disseminated."""
         suspicion = self._running.get(address)
         if suspicion is None or accuser in suspicion.accusers:
             return False
@@ -67,24 +68,24 @@
         return True
 
     def is_mature(self, now: float, address: str) -> bool:
-        """Whether the suspicion has run long enough here that the member could have refuted it."""
+        """Whether the suspicion has lasted long enough that the member could have refuted it."""
         suspicion = self._running.get(address)
         if suspicion is None:
             return False
         return now - suspicion.started_at >= suspicion.shortest_s * MATURITY_FRACTION
 
     def clear(self, address: str) -> None:
-        """Stops the timer of an address whose suspicion was refuted or has become a death."""
+        """Stops the timer of an address whose suspicion was refuted or has ended in a death."""
         self._running.pop(address, None)
 
     def extend(self, seconds: float) -> None:
-        """Extends all suspicions by a time in which this process could not receive a refutation."""
+        """Extends all suspicions by a time during which this process could not receive refutations."""
         for suspicion in self._running.values():
             suspicion.started_at += seconds
             suspicion.pinged_at = None
 
     def next_to_ping(self, now: float) -> str | None:
-        """Returns a member whose suspicion ends soon and that has not been pinged for that yet."""
+        """Returns a member whose suspicion ends soon and that has not had its final ping yet."""
         soon = now + self._settings.final_ping_lead_s
         for address, suspicion in self._running.items():
             if suspicion.pinged_at is None and suspicion.deadline <= soon:
@@ -93,7 +94,7 @@
         return None
 
     def expired(self, now: float) -> list[str]:
-        """Returns the addresses that neither refuted their suspicion nor answered the final ping in time."""
+        """Returns the addresses whose suspicion has ended and whose final ping was not answered in time."""
         pinged_before = now - self._settings.probe_timeout_s
         return [
             address
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -1,10 +1,10 @@
-"""The membership protocol of one process: SWIM with Lifeguard's additions, without sockets or clocks.
+"""The membership protocol of one process: SWIM with Lifeguard's extensions, without sockets or clocks.
 
-Its parts, each a module: `failure_detector` probes members in turn and suspects those without an answer;
-`member_states` merges updates, refutes suspicions of this process and declares suspects dead that did not
-refute theirs (`suspicion`); `dissemination` lets updates ride on all datagrams; `table_synchronisation`
-compares whole tables with seeds and other members; `verification_pings` asks a member itself before its death
-is believed, and dead members whether they are back.
+Its components, one per module: `failure_detector` probes members in turn and suspects those that do not
+answer; `member_states` merges updates, refutes suspicions of this process, and declares suspects dead if they
+do not refute the suspicion in time (`suspicion`); `dissemination` piggybacks updates on all datagrams;
+`table_synchronisation` compares whole tables with seeds and other members; `verification_pings` pings a
+member before its death is accepted, and pings dead members to detect that they are back.
 
 Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002); Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
@@ -34,26 +34,26 @@
 
 log = structlog.get_logger()
 
-MAX_LEAVE_NOTIFICATIONS = 8  # members that are notified of a graceful leave; they pass it on
+MAX_LEAVE_NOTIFICATIONS = 8  # members that are notified of a graceful leave and disseminate it
 
 
 class Swim:
-    """One process's part in the protocol: routes messages and ticks to the parts that handle them.
+    """The protocol state of one process: dispatches messages and ticks to its components.
 
     `receive` and `tick` return the datagrams to send; `tick` must be called every 0.1 s. Times are seconds on
-    a monotonic clock that goes on while the process is frozen.
+    a monotonic clock that continues while the process is paused.
     """
 
     def __init__(self, me: Member, settings: SwimSettings, random_source: Random) -> None:
-        """Begins as the one member that this process knows of.
+        """Starts with this process as the only known member.
 
         Args:
-            me: This process.
+            me: The member record of this process.
             settings: Periods and limits.
-            random_source: Draws whom to probe and ask, and spreads timers.
+            random_source: Chooses the members to contact, and adds jitter to timers.
 
         Raises:
-            InvalidMemberError: If a datagram cannot describe `me`.
+            InvalidMemberError: If `me` cannot be encoded in a datagram.
         """
         check_member(me)
         self._settings = settings
@@ -71,12 +71,12 @@
 
     @property
     def me(self) -> Member:
-        """This process, with the refutations it had to make."""
+        """The member record of this process, including its refutations so far."""
         return self._states.me
 
     @property
     def on_change(self) -> Callable[[Member], None] | None:
-        """Called with each member whose state changed; where an address has a new incarnation, with both."""
+        """Called with each member whose state changed; for a new incarnation at an address, with both."""
         return self._states.on_change
 
     @on_change.setter
@@ -85,34 +85,34 @@
 
     @property
     def health_score(self) -> int:
-        """Lifeguard's local health: 0 (healthy) up to the settings' limit."""
+        """Lifeguard's local health score: 0 (healthy) up to the limit in the settings."""
         return self._local_health.score
 
     def members(self, role: Role | None = None) -> list[Member]:
-        """Returns alive and suspect members, this process among them."""
+        """Returns the alive and suspect members, including this process."""
         return self._states.table.present(role)
 
     def count(self, role: Role) -> int:
-        """Returns how many processes of that role are alive or suspect, this one among them."""
+        """Returns the number of alive and suspect members of that role, including this process."""
         return self._states.table.count(role)
 
     def dead(self, role: Role | None = None) -> list[Member]:
-        """Returns members that ended without leaving, for some minutes."""
+        """Returns the members that ended without leaving, until they are forgotten after some minutes."""
         return [member for member in self._states.dead() if role is None or member.role == role]
 
     def join(self, addresses: Sequence[str]) -> None:
-        """Replaces the seeds, given as membership addresses. They are asked from the next ticks on."""
+        """Replaces the seeds, given as membership addresses. They are contacted in the following ticks."""
         self._synchronisation.replace_seeds(addresses)
 
     def leave(self, now: float) -> list[Datagram]:
-        """Notifies some members that this process ends by plan. Nothing is sent after that."""
+        """Notifies some members that this process leaves gracefully. Nothing is sent after that."""
         self._states.leave()
         for address in self._states.sample_peers(MAX_LEAVE_NOTIFICATIONS):
             self._outbound.add_gossip(address)
         return self._outbound.take()
 
     def receive(self, now: float, address: str, data: bytes) -> list[Datagram]:
-        """Receives a datagram from `address`. Bytes that are none of this protocol are ignored."""
+        """Handles a datagram from `address`. Bytes that are not a datagram of this protocol are ignored."""
         if self.me.state is MemberState.LEFT:
             return []
         try:
@@ -123,7 +123,7 @@
             )
             return []
         self._detect_freeze(now)
-        if not self._is_from_former_self(message):
+        if not self._is_from_own_address(message):
             self._receive_updates(now, message)
             self._handle(now, address, message)
         return self._outbound.take()
@@ -145,12 +145,12 @@
         """Checks the invariants of the member states.
 
         Raises:
-            AssertionError: If one is broken; it names it.
+            AssertionError: If an invariant is violated; the message names it.
         """
         self._states.validate()
 
-    def _is_from_former_self(self, message: Message) -> bool:
-        """Whether this process, or an earlier one at its address, sent the message."""
+    def _is_from_own_address(self, message: Message) -> bool:
+        """Whether this process, or an earlier incarnation at its address, sent the message."""
         sender, me = message.sender, self.me
         return sender.address == me.address and sender.incarnation <= me.incarnation
 
@@ -194,7 +194,7 @@
             self._outbound.add_gossip(address)
 
     def _detect_freeze(self, now: float) -> None:
-        """Notices that this process did not run: answers may have been lost, and others are not to blame."""
+        """Detects that this process was paused, so that lost answers are not blamed on other members."""
         pause_s = 0.0 if self._last_ran_at is None else now - self._last_ran_at
         self._last_ran_at = now
         if pause_s <= self._settings.freeze_threshold_s:
--- a/larchgw/membership/table_synchronisation.py
+++ b/larchgw/membership/table_synchronisation.py
@@ -1,4 +1,4 @@
-"""Anti-entropy between member tables: with seeds, and with members whose digest differs."""
+"""Anti-entropy between member tables, with seeds and with members whose digests differ."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TableSynchronisation:
-    """Pulls the records that differ from other members, and answers their pulls.
+    """Pulls differing records from other members, and answers their pulls.
 
     Times are seconds on the monotonic clock.
     """
@@ -27,18 +27,18 @@
         states: MemberStates,
         outbound: OutboundDatagrams,
     ) -> None:
-        """Begins without seeds and without a pull."""
+        """Starts without seeds and without a pull."""
         self._states = states
         self._outbound = outbound
         self._seeds = Seeds(settings, random_source)
         self._progress = PullProgress(settings, random_source)
 
     def replace_seeds(self, addresses: Sequence[str]) -> None:
-        """Replaces the seeds; addresses to which no datagram can be sent are left out."""
+        """Replaces the seeds; invalid addresses are omitted."""
         self._seeds.replace([address for address in addresses if is_valid_address(address)])
 
     def tick(self, now: float) -> None:
-        """Turns to a seed and sends a pull, where these are due."""
+        """Starts a pull from a seed and sends the request for a page, if these are due."""
         is_alone = self._states.table.present_count() <= 1
         seed = self._seeds.next_due(now, is_alone, self._states.is_present)
         if seed is not None:
@@ -48,7 +48,7 @@
             self._outbound.add_pull(request.address, request.sequence, request.cursor)
 
     def observe_digest(self, now: float, address: str, digest: int) -> None:
-        """Compares the digest of the member at `address` with this table's, and pulls if they differ."""
+        """Starts a pull from the member at `address` if its digest differs from that of this table."""
         if digest != self._states.table.digest:
             self._progress.start_if_due(now, address)
 
@@ -57,7 +57,7 @@
         self._outbound.add_page(address, pull)
 
     def receive_page(self, now: float, address: str, page: Page) -> None:
-        """Merges the records of a page, and goes on with the next one."""
+        """Merges the records of a page, and continues with the next one."""
         source = page.sender.address
         changed = [self._states.receive_table_record(now, update, source) for update in page.updates]
         has_peers = self._states.table.present_count() > 1
--- a/larchgw/membership/transport.py
+++ b/larchgw/membership/transport.py
@@ -1,4 +1,4 @@
-"""The membership protocol on a UDP socket of the asyncio loop."""
+"""Runs the membership protocol on a UDP socket of the asyncio loop."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class SwimTransport(asyncio.DatagramProtocol):
-    """Carries the datagrams of one `Swim` and ticks it. Belongs to the running asyncio loop.
+    """Sends and receives the datagrams of one `Swim` and ticks it, on the running asyncio loop.
 
     Attributes:
-        swim: The protocol.
+        swim: The protocol state of this process.
     """
 
     def __init__(self, swim: Swim, host: str, port: int) -> None:
-        """Binds nothing yet; `host` and `port` must be the address of the member that `swim` is."""
+        """Creates the transport without a socket; `host` and `port` must be the address of `swim.me`."""
         self.swim = swim
         self._host = host
         self._port = port
@@ -32,17 +32,17 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Binds the socket and begins to tick.
+        """Binds the socket and starts the ticks.
 
         Raises:
-            OSError: If the port is taken.
+            OSError: If the socket cannot be bound, for example because the port is in use.
         """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(self._host, self._port))
         self._tick()
 
     def leave(self) -> None:
-        """Notifies other members that this process ends by plan, and closes."""
+        """Notifies other members that this process leaves gracefully, and closes the socket."""
         self._send(self.swim.leave(monotonic()))
         self.close()
 
@@ -56,15 +56,16 @@
             self._transport = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the bound socket (asyncio's callback)."""
-        self._transport = cast(asyncio.DatagramTransport, transport)  # asyncio's own is no subclass of it
+        """Stores the bound socket's transport (asyncio callback)."""
+        # asyncio's datagram transport is not a subclass of asyncio.DatagramTransport.
+        self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Receives a datagram and sends the answers at once (asyncio's callback)."""
+        """Handles a datagram and sends the answers at once (asyncio callback)."""
         self._send(self.swim.receive(monotonic(), f"{addr[0]}:{addr[1]}", data))
 
     def error_received(self, exc: Exception) -> None:
-        """Logs a closed port of a peer or a full link; lost datagrams are expected (asyncio's callback)."""
+        """Logs a send error, such as a peer's closed port; datagram loss is expected (asyncio callback)."""
         log.debug("membership.send_failed", error=str(exc))
 
     def _tick(self) -> None:
--- a/larchgw/membership/verification_pings.py
+++ b/larchgw/membership/verification_pings.py
@@ -1,4 +1,4 @@
-"""Pings beside the probes: of members about to be declared dead, and of dead members that may be back."""
+"""Pings in addition to the probes: of members about to be declared dead, and of dead members."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 
 
 class SuspectPings:
-    """Pings members before a suspicion of them, or a report of their death, takes effect.
+    """Pings members before a suspicion or a reported death of them takes effect.
 
-    The ping carries the report, so that its receiver can refute it. Times are seconds on the monotonic clock.
+    The ping carries the suspicion or death, so that the receiver can refute it. Times are seconds on the
+    monotonic clock.
     """
 
     def __init__(self, settings: SwimSettings, states: MemberStates, outbound: OutboundDatagrams) -> None:
-        """Begins without a ping."""
+        """Starts without a scheduled ping."""
         self._settings = settings
         self._states = states
         self._outbound = outbound
         self._next_suspect_at = 0.0
 
     def tick(self, now: float) -> None:
-        """Sends the pings that are due, one of each sort at most."""
+        """Sends the pings that are due, at most one to a suspect and one to a member reported dead."""
         self._ping_suspect(now)
         self._ping_reported_dead(now)
 
     def _ping_suspect(self, now: float) -> None:
-        """Pings a suspect whose time ends: its refutation may have been lost on the way here."""
+        """Pings a suspect whose suspicion ends soon, because its refutation may have been lost."""
         if now < self._next_suspect_at:
             return
         address = self._states.suspicions.next_to_ping(now)
@@ -43,7 +44,7 @@
 
 
 class DeadMemberPings:
-    """Pings dead members, which heals a partition. Times are seconds on the monotonic clock."""
+    """Pings dead members, so that a partition heals. Times are seconds on the monotonic clock."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         states: MemberStates,
         outbound: OutboundDatagrams,
     ) -> None:
-        """Begins without a ping; `random_source` draws whom to ping and when."""
+        """Starts without a scheduled ping; `random_source` chooses the members and the times."""
         self._settings = settings
         self._random_source = random_source
         self._states = states
@@ -61,7 +62,7 @@
         self._next_any_at = 0.0
 
     def tick(self, now: float) -> None:
-        """Sends the pings that are due: of a member alive elsewhere, and of any dead one."""
+        """Sends the pings that are due: to a member reported alive elsewhere, and to any dead member."""
         if now >= self._next_reconnect_at and self._states.reconnect_candidates:
             self._next_reconnect_at = now + self._settings.reconnect_period_s
             self._ping_reconnect_candidate()
