--- a/tests/control/test_configuration_size.py
+++ b/tests/control/test_configuration_size.py
@@ -1,4 +1,4 @@
-"""A configuration that no member could keep or pass on is refused before it is proposed."""
+"""An order that makes the configuration too large to store or replicate is rejected before it is proposed."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     }
 
 
-def whole(version: int, routes: int, filling: int) -> OperatorOrder:
+def replacement(version: int, routes: int, filling: int) -> OperatorOrder:
     body = {
         "config_version": version,
         "services": [{"name": "s"}],
@@ -63,19 +63,19 @@
     return asyncio.run(service.submit(order))
 
 
-def test_small_orders_that_add_up_to_too_much_are_refused_before_they_are_proposed() -> None:
+def test_small_order_that_exceeds_the_total_limit_is_rejected_before_it_is_proposed() -> None:
     state = ConfigurationState()
     replication = ScriptedReplication(state)
     service = OperatorService(state, replication)
-    assert submit(service, whole(1, 6, 1_100_000)).status == 200
+    assert submit(service, replacement(1, 6, 1_100_000)).status == 200
     assert submit(service, addition(2, "a", 1 << 20)).status == 200
-    taken = replication.index
+    accepted = replication.index
     refused = submit(service, addition(3, "b", 1 << 20))
     detail = json.loads(refused.body)
     assert (refused.status, detail["field"], detail["config_version"]) == (413, "configuration", 2)
     assert str(MAX_CONFIGURATION_BYTES) in detail["error"]
     assert "remove" in detail["error"]
-    assert replication.index == taken
+    assert replication.index == accepted
     shrunk = {
         "config_version": 3,
         "remove": {"routes": ["r0", "r1"]},
@@ -88,7 +88,7 @@
     limit = ConfigurationSizeLimit(SMALL_LIMIT)
     current = None
     for version in range(1, 6):
-        order = whole(version, 1, 10)
+        order = replacement(version, 1, 10)
         wanted = evaluate_order(current, order.operation, order.base_version, order.body)
         limit.check(current, order.body, wanted)
         current = wanted
@@ -104,7 +104,7 @@
 
 @given(JSON, st.sampled_from(["1e15", "-9E15", "0.1e16", "1E0", "12e14"]))
 def test_no_order_grows_beyond_the_bound(value: object, number: str) -> None:
-    """The bound is of the order's own bytes, so that nothing too large passes unmeasured."""
+    """The bound is derived from the size of the order, so that no oversized result passes unmeasured."""
     body = f'{{"config_version":1,"routes":[],"services":[],"other":[{json.dumps(value)},{number}]}}'.encode()
     raw = json.loads(body)
     assert len(encode_json(raw)) <= 4 * len(body) + 64
@@ -116,7 +116,7 @@
 
 
 def test_a_configuration_at_the_limit_passes_and_one_byte_more_does_not() -> None:
-    order = whole(1, 1, 1000)
+    order = replacement(1, 1, 1000)
     wanted = evaluate_order(None, order.operation, order.base_version, order.body)
     size = len(encode_json(wanted.raw))
     ConfigurationSizeLimit(size).check(None, order.body, wanted)
@@ -125,12 +125,12 @@
 
 
 def test_size_limits_of_order_record_snapshot_and_disk_are_consistent() -> None:
-    """The largest order is a record; the largest state is a snapshot that a member sets room aside for."""
-    taken = {"f" * 64: 10**15}
-    most_taken_bytes = MAX_REMEMBERED_ORDERS * len(encode_json(taken))
+    """The largest order fits in a record, and the largest state in a snapshot that fits on the disk."""
+    accepted = {"f" * 64: 10**15}
+    max_accepted_bytes = MAX_REMEMBERED_ORDERS * len(encode_json(accepted))
     assert MAX_ORDER_BYTES <= MAX_CONFIGURATION_BYTES
     assert MAX_ORDER_BYTES + 4096 <= MAX_RECORD_BYTES
-    snapshot = MAX_CONFIGURATION_BYTES + most_taken_bytes + 4096
+    snapshot = MAX_CONFIGURATION_BYTES + max_accepted_bytes + 4096
     assert snapshot <= MAX_SNAPSHOT_BYTES
     settings = MemberSettings("a", ("a",), True, "", 1, 3.0)
     log = POSTPONED_FACTOR * settings.compact_bytes + 2 * MAX_RECORD_BYTES
@@ -138,16 +138,16 @@
     assert 2 * snapshot + log <= 0.6 * DISK_BYTES
 
 
-def test_large_configurations_replaced_again_and_again_never_take_half_of_the_disk() -> None:
+def test_repeated_replacement_of_a_large_configuration_never_uses_half_of_the_disk() -> None:
     files = FaultyFiles(capacity=DISK_BYTES)
     log = Log.open(files, "data")
     replica = Replica(log)
     content = b"x" * (7 << 20)
     compaction = Compaction(replica, MemberSettings("a", ("a",), True, "", 1, 3.0), lambda: content)
-    most = 0
+    max_used_bytes = 0
     for number in range(20):
         replica.append(1, content[: 5 << 20])
         compaction.tick(float(number), replica.last_index, is_sending_snapshot=number % 2 == 0)
-        most = max(most, files.used())
+        max_used_bytes = max(max_used_bytes, files.used())
     assert replica.first_index > 10
-    assert most <= DISK_BYTES // 2
+    assert max_used_bytes <= DISK_BYTES // 2
--- a/tests/control/test_contact_monitor.py
+++ b/tests/control/test_contact_monitor.py
@@ -1,4 +1,4 @@
-"""Loss and gain of contact with the majority are logged once each."""
+"""Each loss and gain of contact with the majority is logged once."""
 
 from __future__ import annotations
 
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a control process: a full one stops no more than the writes, and small values find room."""
+"""The disk of a control process: a full disk only stops writes, and small values still have space."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
         self.files = FaultyFiles()
         self.disk = ControlDisk.open(self.files, "data")
 
-    def test_an_epoch_finds_room_on_a_disk_that_became_full(self) -> None:
+    def test_epoch_can_be_stored_after_the_disk_became_full(self) -> None:
         self.disk.refill_reserve()
         self.files.capacity = self.files.used()
         self.disk.ports.witness.store(b"epoch 7")
         assert ControlDisk.open(self.files, "data").ports.witness.load() == b"epoch 7"
         assert self.files.size(RESERVE) is None
 
-    def test_the_reserve_is_not_taken_back_before_a_compaction_has_freed_room(self) -> None:
+    def test_reserve_is_not_refilled_before_a_compaction_has_freed_space(self) -> None:
         self.disk.refill_reserve()
         self.files.capacity = self.files.used()
         self.disk.ports.witness.store(b"epoch 7")
@@ -66,7 +66,7 @@
 
 
 class FullDiskTest(TestCase):
-    """One member alone, whose disk fills up."""
+    """A single member whose disk becomes full."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -120,7 +120,7 @@
     assert str(error) == "log/segment: no room; free some"
 
 
-def test_a_write_refused_by_the_system_is_typed(tmp_path: Path) -> None:
+def test_failed_write_raises_a_typed_error_with_the_path(tmp_path: Path) -> None:
     with pytest.raises(DiskFailedError) as caught:
         DiskFiles().write(str(tmp_path), 0, b"a folder is no file")
     assert str(tmp_path) in str(caught.value)
@@ -128,14 +128,14 @@
 
 @pytest.fixture
 def hang_up_handler() -> Iterator[None]:
-    """Puts the handler of SIGHUP back: processes that other tests start would inherit that it is ignored."""
+    """Restores the SIGHUP handler; otherwise processes started by other tests would inherit SIG_IGN."""
     before = signal.getsignal(signal.SIGHUP)
     yield
     signal.signal(signal.SIGHUP, before)
 
 
 @pytest.mark.usefixtures("hang_up_handler")
-def test_a_damaged_data_folder_ends_the_start_with_one_line_that_names_the_remedy(
+def test_damaged_data_folder_fails_the_start_with_one_log_line_that_names_the_remedy(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     settings = tmp_path / "local.json"
--- a/tests/control/test_graceful_stop.py
+++ b/tests/control/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""The planned end of a control process: the others must go on without it before it ends, and it must end."""
+"""Graceful shutdown of a control process: it waits until the others continue without it, but not forever."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RecordingStub:
-    """Stands in for a component of the node and records its calls."""
+    """Replaces a component of the node and records its calls."""
 
     def __init__(self, name: str, events: list[str]) -> None:
         self._name, self._events = name, events
@@ -29,7 +29,7 @@
 
 
 class ReplicatedLogStub(RecordingStub):
-    """The replicated log; the others agree to the end after `agreed_after` seconds."""
+    """Replaces the replicated log; the others agree to the shutdown after `agreed_after` seconds."""
 
     def __init__(self, events: list[str], agreed_after: float) -> None:
         super().__init__("log", events)
@@ -60,7 +60,7 @@
         self.events: list[str] = []
 
     def stop_node(self, agreed_after: float) -> float:
-        """Stops the process; returns the seconds that it took."""
+        """Stops the process; returns how many seconds this took."""
         node: Any = self.node
         log: Any = ReplicatedLogStub(self.events, agreed_after)
         clients: Any = RecordingStub("clients", self.events)
@@ -76,20 +76,20 @@
 
         return run(stop())
 
-    def test_it_ends_soon_after_the_others_have_agreed(self) -> None:
+    def test_process_stops_soon_after_the_others_have_agreed(self) -> None:
         assert self.stop_node(agreed_after=0.2) < 0.5
 
-    def test_it_listens_and_takes_part_until_the_others_have_agreed(self) -> None:
+    def test_process_keeps_serving_until_the_others_have_agreed(self) -> None:
         self.stop_node(agreed_after=2.0)
         assert self.events[:3] == ["log.leave", "gossip.leave", "http.stop"]
         assert {"tasks.stop", "rpc.stop", "clients.close"} == set(self.events[3:])
 
-    def test_without_their_agreement_it_ends_well_within_the_grace_period(self) -> None:
-        took = self.stop_node(agreed_after=1000.0)
-        assert took > GRACE_S / 4
-        assert took < GRACE_S * 0.6
+    def test_process_stops_within_the_grace_period_if_the_others_do_not_agree(self) -> None:
+        duration_s = self.stop_node(agreed_after=1000.0)
+        assert duration_s > GRACE_S / 4
+        assert duration_s < GRACE_S * 0.6
 
-    def test_a_runner_that_checks_in_meanwhile_is_sent_to_another_process(self) -> None:
+    def test_check_ins_are_not_acknowledged_while_the_process_stops(self) -> None:
         async def check_in() -> bool:
             return await self.node.components.runners.check_ins.check_in("i-1", BODY)
 
--- a/tests/control/test_http_api.py
+++ b/tests/control/test_http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a control process, to the operator and to runners."""
+"""The HTTP API of a control process for the operator and for runners."""
 
 import asyncio
 import json
@@ -46,13 +46,13 @@
     def post(self, path, body=b"{}", **headers):
         return self.fetch(path, method="POST", body=body, headers=headers)
 
-    def raw(self, data, breaks_off=False):
-        """All that comes back for these bytes until the connection ends."""
+    def raw(self, data, closes_early=False):
+        """Sends these bytes; returns everything received until the connection closes."""
 
         async def exchange():
             reader, writer = await asyncio.open_connection("127.0.0.1", self.get_http_port())
             writer.write(data)
-            if breaks_off:
+            if closes_early:
                 writer.write_eof()
             answer = await reader.read()
             writer.close()
@@ -60,7 +60,7 @@
 
         return self.io_loop.run_sync(exchange, timeout=20.0)
 
-    def test_a_configuration_reaches_the_service_with_the_version_it_builds_on(self):
+    def test_configuration_is_passed_to_the_service_with_its_base_version(self):
         answer = self.post("/Config.Replace", b'{"config_version": 7}', **{"X-Built-On": "5"})
         assert (answer.code, answer.body) == (200, b'{"config_version": 7}')
         assert self.service.calls == [("replace", 5, b'{"config_version": 7}')]
@@ -78,12 +78,12 @@
             assert self.post("/Config.Replace", b"{}", **{"X-Built-On": text}).code == 400, text[:30]
         assert self.service.calls == []
 
-    def test_a_version_may_have_zeros_in_front_and_be_as_large_as_versions_are(self):
+    def test_base_version_may_have_leading_zeros_and_the_largest_valid_value(self):
         self.post("/Config.Replace", **{"X-Built-On": "007"})
         self.post("/Config.Replace", **{"X-Built-On": str(2**63 - 1)})
         assert [base_version for _, base_version, _ in self.service.calls] == [7, 2**63 - 1]
 
-    def test_a_body_longer_than_any_that_is_read_is_refused_whatever_the_state_is(self):
+    def test_body_over_the_size_limit_is_rejected(self):
         answer = self.raw(
             b"POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n"
             % (http_api.MAX_BODY_BYTES + 1)
@@ -91,10 +91,10 @@
         assert answer.startswith(b"HTTP/1.1 400 "), answer
         assert self.service.calls == []
 
-    def test_a_body_that_breaks_off_is_no_order(self):
+    def test_truncated_body_is_not_passed_to_the_service(self):
         self.raw(
             b'POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n{"config_version"',
-            breaks_off=True,
+            closes_early=True,
         )
         assert self.service.calls == []
 
@@ -117,12 +117,12 @@
         assert self.post("/Runners.Checkin/i-1").code == 503
         assert self.post("/Runners.Leave/i-1").code == 503
 
-    def test_a_check_in_that_cannot_be_read_names_the_fault(self):
+    def test_response_to_an_invalid_check_in_names_the_fault(self):
         self.service.error = CheckInError("service", "is missing", "send it")
         answer = self.post("/Runners.Checkin/i-1")
         assert answer.code == 400
         assert "service" in json.loads(answer.body)["error"]
 
-    def test_other_paths_and_methods_are_not_there(self):
+    def test_other_paths_and_methods_are_rejected(self):
         assert self.fetch("/Config").code == 404
         assert self.fetch("/Config.Replace").code == 405
--- a/tests/control/test_majority_contact.py
+++ b/tests/control/test_majority_contact.py
@@ -1,6 +1,7 @@
-"""A control process knows whether a majority of the witnesses has answered pulls that it began lately.
+"""A control process is isolated unless a majority of the witnesses has answered its recent pulls.
 
-Takes the place of the tests of `isolation.py`, whose first seconds after a start counted as contact.
+These tests also guard against counting the first seconds after a start as contact, which a previous
+implementation did.
 """
 
 from __future__ import annotations
@@ -39,10 +40,10 @@
         addresses = {name: name for name in "abcdef"}
         return View(9, "a", ("b",), ("a", "b", "c"), ("d", "e", "f"), addresses)
 
-    def test_one_of_three_alone_is_isolated(self) -> None:
+    def test_one_process_of_three_is_isolated(self) -> None:
         assert self.contact.is_isolated()
 
-    def test_a_start_is_isolated_until_a_majority_has_answered(self) -> None:
+    def test_process_is_isolated_after_its_start_until_a_majority_has_answered(self) -> None:
         assert self.of("a").is_isolated()
         self.proven["b"] = self.now
         assert not self.of("a").is_isolated()
@@ -56,7 +57,7 @@
         self.proven["b"] = self.now
         assert self.contact.is_isolated()
 
-    def test_two_of_five_that_hear_each_other_are_isolated(self) -> None:
+    def test_two_of_five_in_contact_with_each_other_are_isolated(self) -> None:
         self.view = first_view(["a", "b", "c", "d", "e"])
         self.proven["b"] = self.now
         assert self.contact.is_isolated()
@@ -67,30 +68,30 @@
         self.proven["b"] = self.now - MAX_CONTACT_AGE_S - 0.01
         assert self.contact.is_isolated()
 
-    def test_a_thawed_process_is_isolated_until_it_has_asked_again(self) -> None:
+    def test_process_is_isolated_after_a_pause_until_it_has_pulled_again(self) -> None:
         self.proven["b"] = self.proven["c"] = self.now
         self.now += 20.0
         assert self.contact.is_isolated()
 
-    def test_one_that_is_alone_by_configuration_is_not_isolated(self) -> None:
+    def test_only_process_of_a_system_is_not_isolated(self) -> None:
         self.view = first_view(["a"])
         assert not self.contact.is_isolated()
 
-    def test_one_that_knows_no_view_is_isolated_whoever_answers(self) -> None:
+    def test_process_without_a_view_is_isolated_whichever_peers_answer(self) -> None:
         self.view = None
         self.proven["b"] = self.proven["c"] = self.now
         assert self.contact.is_isolated()
         assert not self.contact.is_majority({"b", "c"})
         assert LatestView(lambda: None, Registry("a.1")).other_witnesses("a") == []
 
-    def test_one_that_is_no_witness_does_not_count_itself(self) -> None:
+    def test_process_that_is_not_a_witness_does_not_count_itself(self) -> None:
         standby = self.of("d")
         self.proven["b"] = self.now
         assert standby.is_isolated()
         self.proven["c"] = self.now
         assert not standby.is_isolated()
 
-    def test_one_whose_disk_was_lost_does_not_count_as_the_witness_it_was(self) -> None:
+    def test_process_whose_disk_was_lost_no_longer_counts_as_a_witness(self) -> None:
         replaced = self.of("a#another")
         self.proven["b"] = self.now
         assert replaced.is_isolated()
@@ -107,13 +108,13 @@
         newest = LatestView(lambda: self.view, Registry("a.1"))
         assert newest.other_witnesses("a") == ["b", "c", "d", "e", "f"]
 
-    def test_processes_that_are_no_witnesses_make_no_majority(self) -> None:
+    def test_processes_that_are_not_witnesses_form_no_majority(self) -> None:
         assert not self.contact.is_majority({"x", "y", "z"})
         assert self.contact.is_majority({"c"})
 
 
 class ProofByPullsTest(testtools.TestCase):
-    """The pulls of a control process as proof, over scripted peers in virtual time."""
+    """Proof of contact by the pulls of a control process from scripted peers, in virtual time."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -125,8 +126,8 @@
         self.view = LatestView(lambda: first_view(["a", "b", "c"]), self.registry)
         self.contact = PullContact("a", self.view.get, self.pullers.contact_proven_at, now)
 
-    def play(self, main: object) -> None:
-        async def played() -> None:
+    def run_with_pullers(self, main: object) -> None:
+        async def main_with_pullers() -> None:
             task = asyncio.ensure_future(self.pullers.run())
             try:
                 await main()  # type: ignore[operator]
@@ -134,9 +135,9 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-        run(played())
+        run(main_with_pullers())
 
-    def both(self, fault: str, value: bool) -> None:
+    def set_fault_on_all_peers(self, fault: str, value: bool) -> None:
         for peer in self.peers:
             setattr(peer, fault, value)
 
@@ -147,11 +148,11 @@
                 assert not self.contact.is_isolated(), now()
                 await asyncio.sleep(0.01)
 
-        self.play(main)
+        self.run_with_pullers(main)
 
     def test_peers_that_are_themselves_isolated_prove_contact(self) -> None:
-        """Else nobody could be the first after a start of all at once."""
-        self.both("is_isolated", True)
+        """Otherwise no process could be the first to gain contact after all have started at once."""
+        self.set_fault_on_all_peers("is_isolated", True)
 
         async def main() -> None:
             await asyncio.sleep(SETTINGS.start_jitter_s + 0.01)
@@ -159,23 +160,23 @@
                 assert not self.contact.is_isolated(), now()
                 await asyncio.sleep(0.01)
 
-        self.play(main)
+        self.run_with_pullers(main)
 
     def test_partition_is_detected_within_the_maximum_contact_age_and_its_end_soon(self) -> None:
         async def main() -> None:
             await asyncio.sleep(3.0)
-            self.both("is_hung", True)
+            self.set_fault_on_all_peers("is_hung", True)
             await asyncio.sleep(MAX_CONTACT_AGE_S)
             assert self.contact.is_isolated()
             await asyncio.sleep(20.0)
             assert self.contact.is_isolated()
-            self.both("is_hung", False)
+            self.set_fault_on_all_peers("is_hung", False)
             await asyncio.sleep(ANSWER_IN_TIME_S)
             assert not self.contact.is_isolated()
 
-        self.play(main)
+        self.run_with_pullers(main)
 
-    def test_one_silent_witness_of_three_isolates_nobody(self) -> None:
+    def test_one_unresponsive_witness_of_three_does_not_isolate_the_others(self) -> None:
         self.peers[0].is_hung = True
 
         async def main() -> None:
@@ -184,24 +185,24 @@
                 assert not self.contact.is_isolated(), now()
                 await asyncio.sleep(0.01)
 
-        self.play(main)
+        self.run_with_pullers(main)
 
-    def test_entry_held_by_a_majority_is_known_here_within_the_maximum_contact_age(self) -> None:
-        """An entry is at peer b when a pull from there that proves contact begins after it."""
+    def test_entry_held_by_a_majority_is_known_within_the_maximum_contact_age(self) -> None:
+        """The entry is at peer b before a pull from b starts that proves contact."""
 
         async def main() -> None:
             await asyncio.sleep(2.0)
             self.peers[0].registry.merge([Entry("runner/x", 1, 2, "z.1", 1, b"x")])
-            put = now()
-            while (began := self.pullers.contact_proven_at("b")) is None or began < put:
+            put_at = now()
+            while (began := self.pullers.contact_proven_at("b")) is None or began < put_at:
                 await asyncio.sleep(0.001)
             assert self.registry.get("runner/x") is not None
-            assert now() - put < MAX_CONTACT_AGE_S
+            assert now() - put_at < MAX_CONTACT_AGE_S
 
-        self.play(main)
+        self.run_with_pullers(main)
 
-    def test_one_that_was_left_out_of_the_view_is_not_in_contact_by_the_view_it_knows(self) -> None:
-        """Left out while it was frozen, then cut off together with one witness out of three."""
+    def test_process_removed_from_the_view_is_not_in_contact_by_its_old_view(self) -> None:
+        """It was removed while it was paused, then partitioned together with one witness out of three."""
         later = View(7, "b", ("d", "e"), ("b", "d", "e"), ("b", "d", "e"), {name: name for name in "bde"})
         self.peers[1].is_down = True
 
@@ -213,7 +214,7 @@
             assert self.contact.is_isolated()
             assert self.view.other_witnesses("a") == ["b", "d", "e"]
 
-        self.play(main)
+        self.run_with_pullers(main)
 
     def test_older_view_does_not_replace_a_later_one(self) -> None:
         later = View(7, "b", ("d", "e"), ("b", "d", "e"), ("b", "d", "e"), {name: name for name in "bde"})
@@ -222,17 +223,17 @@
         assert later == self.view.get()
         assert self.registry.get("view").major == 7  # type: ignore[union-attr]
 
-    def test_an_answer_that_was_held_up_proves_contact_at_its_begin_alone(self) -> None:
+    def test_delayed_reply_proves_contact_only_at_the_start_of_its_pull(self) -> None:
         async def main() -> None:
             await asyncio.sleep(2.0)
-            self.both("is_hung", True)
-            held_up_from = now()
+            self.set_fault_on_all_peers("is_hung", True)
+            hung_at = now()
             await asyncio.sleep(0.6)
-            self.both("is_hung", False)  # the answers to pulls from before arrive now
+            self.set_fault_on_all_peers("is_hung", False)  # the replies to the earlier pulls arrive now
             await asyncio.sleep(0.02)
             for peer in self.peers:
                 began = self.pullers.contact_proven_at(peer.name)
                 assert began is not None
-                assert began <= held_up_from
+                assert began <= hung_at
 
-        self.play(main)
+        self.run_with_pullers(main)
--- a/tests/control/test_operator_calls.py
+++ b/tests/control/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""An operator's call reaches the primary from whichever process it comes to, or is left unclear in time."""
+"""Operator calls are forwarded to the primary by any process, or are answered as unconfirmed in time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     id = "me"
 
     def __init__(self, *primaries: str | None) -> None:
-        """Who is primary at each look; the last one stays."""
+        """Takes the address of the primary for each successive read; the last one is repeated."""
         self.primaries = list(primaries)
         self.is_primary = False
 
@@ -30,7 +30,7 @@
 
 
 class ScriptedService:
-    """Answers in turn as the primary's own service; counts what it was given."""
+    """Returns scripted answers in order as the primary's own service, and records the submitted orders."""
 
     def __init__(self, *answers: OperatorResponse) -> None:
         self.answers = list(answers)
@@ -45,7 +45,7 @@
 
 
 class ScriptedPeers:
-    """Rpc clients by address; a peer that has no answers left cannot be reached."""
+    """RPC clients by address; a peer without further scripted answers is unreachable."""
 
     def __init__(self, **answers: list[int]) -> None:
         self.answers = {PRIMARY: answers.get("primary", []), OTHER: answers.get("other", [])}
@@ -64,7 +64,7 @@
         return Client()
 
 
-def calls(member: ScriptedMember, service: object, peers: object) -> OperatorCallRouter:
+def new_router(member: ScriptedMember, service: object, peers: object) -> OperatorCallRouter:
     return OperatorCallRouter(member, service, peers)
 
 
@@ -72,13 +72,13 @@
     def test_backup_forwards_call_and_returns_the_primarys_response(self) -> None:
         for status in (200, 412, 400):
             peers = ScriptedPeers(primary=[status])
-            answer = run(calls(ScriptedMember(PRIMARY), None, peers).operator_call("replace", 1, b"x"))
+            answer = run(new_router(ScriptedMember(PRIMARY), None, peers).operator_call("replace", 1, b"x"))
             assert (status, b"x", [PRIMARY]) == (answer.status, answer.body, peers.called)
 
     def test_call_waits_for_the_next_primary_and_is_forwarded_there(self) -> None:
         peers = ScriptedPeers(other=[503, 200])
         member = ScriptedMember(PRIMARY, None, None, OTHER)
-        answer = run(calls(member, None, peers).operator_call("change", 1, b"x"))
+        answer = run(new_router(member, None, peers).operator_call("change", 1, b"x"))
         assert (answer.status, peers.called) == (200, [PRIMARY, OTHER, OTHER])
 
     def test_process_that_becomes_primary_meanwhile_serves_the_call_itself(self) -> None:
@@ -89,7 +89,7 @@
                 member.is_primary = True
                 return super().get(address)
 
-        answer = run(calls(member, service, Deposed()).operator_call("replace", 4, b"x"))
+        answer = run(new_router(member, service, Deposed()).operator_call("replace", 4, b"x"))
         assert (answer.status, answer.body) == (200, b"mine")
         assert [(order.operation, order.base_version, order.body) for order in service.orders] == [
             ("replace", 4, b"x")
@@ -99,7 +99,9 @@
         async def timed() -> tuple[int, float]:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            answer = await calls(ScriptedMember(None), None, ScriptedPeers()).operator_call("read", -1, b"")
+            answer = await new_router(ScriptedMember(None), None, ScriptedPeers()).operator_call(
+                "read", -1, b""
+            )
             return answer.status, loop.time() - began
 
         status, seconds = run(timed())
@@ -117,7 +119,7 @@
             member = ScriptedMember(PRIMARY)
             member.is_primary = True
             call = OperatorCall("replace", 1, b"x")
-            answer = await calls(member, SilentService(), None).serve_forwarded(call)
+            answer = await new_router(member, SilentService(), None).serve_forwarded(call)
             return answer.status, asyncio.get_running_loop().time()
 
         assert run(timed()) == (503, CALL_TIMEOUT_S)
@@ -125,8 +127,8 @@
     def test_call_forwarded_to_a_non_primary_is_unconfirmed_and_not_accepted(self) -> None:
         service = ScriptedService(OperatorResponse(200))
         member = ScriptedMember(PRIMARY)
-        answer = run(calls(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
+        answer = run(new_router(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
         assert (answer.status, service.orders) == (503, [])
         member.is_primary = True
-        answer = run(calls(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
+        answer = run(new_router(member, service, None).serve_forwarded(OperatorCall("replace", 1, b"x")))
         assert (answer.status, answer.primary, len(service.orders)) == (200, "me", 1)
--- a/tests/control/test_operator_service.py
+++ b/tests/control/test_operator_service.py
@@ -1,4 +1,4 @@
-"""The operator's calls at the primary: nothing acknowledged twice, nothing taken refused."""
+"""Operator calls at the primary: accepted orders are applied once and acknowledged whenever resent."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 
 class ScriptedReplication:
-    """Commits what is proposed, unless told that the primary role or the answer is lost."""
+    """Commits every proposal, unless a test sets that the primary role or the answer is lost."""
 
     def __init__(self, state):
         self.state = state
@@ -41,7 +41,7 @@
         self.deposed = False
         self.answer_lost = False
         self.copies_missing = False
-        self.undecided = []  # records without enough copies, whose callers wait or have given up
+        self.undecided = []  # records without enough copies, whose callers are waiting or have timed out
         self.before_confirm = lambda: None
         self.before_commit = lambda: None
 
@@ -97,19 +97,19 @@
         assert self.submit(order) == [200]
         assert self.replication.index == 1
 
-    def test_an_order_sent_again_after_later_ones_is_not_refused(self):
+    def test_order_resent_after_later_ones_is_not_rejected(self):
         first, second = replace(5, 0), replace(7, 5)
         self.submit(first)
         self.submit(second)
         assert self.submit(first) == [200]
         assert self.state.version == 7
 
-    def test_of_two_changes_at_once_on_one_version_one_wins(self):
+    def test_only_one_of_two_concurrent_changes_based_on_the_same_version_is_accepted(self):
         self.submit(replace(5, 0))
         statuses = self.submit(replace(7, 5, "/x/"), replace(8, 5, "/y/"))
         assert sorted(statuses) == [200, 412]
 
-    def test_two_different_changes_under_one_number_are_not_both_acknowledged(self):
+    def test_two_different_changes_with_the_same_version_are_not_both_acknowledged(self):
         self.submit(replace(5, 0))
         statuses = self.submit(replace(7, 5, "/x/"), replace(7, 5, "/y/"))
         assert sorted(statuses) == [200, 412]
@@ -122,7 +122,7 @@
         assert self.submit(order) == [200]
         assert self.replication.index == 1
 
-    def test_a_deposed_primary_gives_no_clear_answer_even_to_what_looks_stale(self):
+    def test_deposed_primary_leaves_even_an_apparently_outdated_order_unconfirmed(self):
         self.submit(replace(5, 0))
         self.replication.deposed = True
         assert self.submit(replace(6, 4)) == [503]
@@ -130,11 +130,11 @@
     def test_order_accepted_by_another_primary_meanwhile_is_acknowledged(self):
         order = replace(5, 0)
 
-        def taken_elsewhere():
+        def accept_at_another_primary():
             if not self.state.is_accepted(order):
                 self.replication.commit(order.encode())
 
-        self.replication.before_confirm = taken_elsewhere
+        self.replication.before_confirm = accept_at_another_primary
         assert self.submit(order) == [200]
         assert self.replication.index == 1
 
@@ -144,7 +144,7 @@
         assert self.submit(replace(7, 5, "/x/")) == [412]
         assert self.state.version == 6
 
-    def test_no_order_is_judged_or_proposed_while_the_one_that_an_ended_call_left_is_undecided(self):
+    def test_no_order_is_evaluated_or_proposed_while_that_of_a_timed_out_call_is_undecided(self):
         self.submit(replace(5, 0))
         base = configuration(6)
         base["services"].append({"name": "t"})
@@ -167,29 +167,29 @@
             )
         )
 
-        async def given_up(order):
+        async def status_or_timeout(order):
             try:
                 async with asyncio.timeout(0.85):
                     return (await self.service.submit(order)).status
             except TimeoutError:
                 return "no answer"
 
-        async def play():
+        async def run_orders():
             self.replication.copies_missing = True
-            answers = [await given_up(order) for order in (removal, return_, use)]
+            answers = [await status_or_timeout(order) for order in (removal, return_, use)]
             assert (answers, len(self.replication.undecided)) == (["no answer"] * 3, 1)
             self.replication.copies_missing = False
             self.replication.decide()
-            answer, accepted = await given_up(use), self.state.is_accepted(use)
-            return answer, accepted, await given_up(return_), await given_up(use)
+            answer, accepted = await status_or_timeout(use), self.state.is_accepted(use)
+            return answer, accepted, await status_or_timeout(return_), await status_or_timeout(use)
 
-        # Had all three been proposed, `use` would be refused after the first one and come into force later.
-        assert virtual_loop.run(play()) == (400, False, 200, 200)
+        # If all three had been proposed, `use` would be rejected after the first one and take effect later.
+        assert virtual_loop.run(run_orders()) == (400, False, 200, 200)
 
     def test_an_order_whose_call_ended_while_it_was_undecided_is_acknowledged_when_sent_again(self):
         order = replace(5, 0)
 
-        async def play():
+        async def run_orders():
             self.replication.copies_missing = True
             first = asyncio.ensure_future(self.service.submit(order))
             await asyncio.sleep(0.1)
@@ -203,10 +203,10 @@
             self.replication.decide()
             return [(await call).status for call in (again, other)]
 
-        assert virtual_loop.run(play()) == [200, 412]
+        assert virtual_loop.run(run_orders()) == [200, 412]
         assert self.replication.index == 1
 
-    def test_an_invalid_configuration_is_refused_and_not_proposed(self):
+    def test_invalid_configuration_is_rejected_and_not_proposed(self):
         body = configuration(5)
         body["routes"][0]["service"] = "unknown"
         assert self.submit(OperatorOrder("replace", 0, json.dumps(body).encode())) == [400]
@@ -227,14 +227,14 @@
     committed_index = 2
 
 
-class SettleTest(testtools.TestCase):
+class WaitUntilDecidedTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.member = ScriptedMember()
         self.log = ReplicatedLog(self.member, ConfigurationState(), None, lambda: None)
 
-    def settled_after(self, **changes):
-        async def play():
+    def wait_until_decided_after(self, **changes):
+        async def run_orders():
             waiting = asyncio.ensure_future(self.log.wait_until_decided())
             await asyncio.sleep(0.5)
             assert not waiting.done()
@@ -242,14 +242,14 @@
                 setattr(self.member, name, value)
             await waiting
 
-        virtual_loop.run(play())
+        virtual_loop.run(run_orders())
 
     def test_it_waits_until_the_last_record_of_this_primary_is_committed(self):
-        self.settled_after(committed_index=3)
+        self.wait_until_decided_after(committed_index=3)
 
     def test_waiting_fails_once_the_process_is_no_longer_primary(self):
         with pytest.raises(ReplicationUnavailableError):
-            self.settled_after(is_primary=False)
+            self.wait_until_decided_after(is_primary=False)
 
 
 class ConfigurationStateTest(testtools.TestCase):
@@ -275,7 +275,7 @@
             assert [state.is_accepted(order) for order in orders] == [False] * 3 + [True] * 3
         assert kept.snapshot() == restored.snapshot()
 
-    def test_an_order_is_known_by_what_was_sent_not_by_what_it_means(self):
+    def test_order_is_identified_by_its_bytes_and_not_by_its_meaning(self):
         state = ConfigurationState()
         state.apply(1, replace(5, 0).encode())
         for body in (json.dumps(configuration(5), indent=1), json.dumps(configuration(5), sort_keys=True)):
@@ -288,7 +288,7 @@
         state.restore(ConfigurationState().snapshot())
         assert state.current is None
 
-    def test_a_record_that_does_not_fit_is_without_effect(self):
+    def test_record_that_no_longer_applies_has_no_effect(self):
         state = ConfigurationState()
         state.apply(1, replace(5, 0).encode())
         state.apply(2, replace(9, 3).encode())
--- a/tests/control/test_publication.py
+++ b/tests/control/test_publication.py
@@ -1,4 +1,4 @@
-"""A committed configuration goes out once, when it is certain to be the newest, and smaller than it is."""
+"""A committed configuration is published once, only when known to be the newest, and compressed."""
 
 import json
 import random
@@ -42,7 +42,7 @@
         assert self.published() == 3
 
     def test_configuration_found_on_the_disk_at_start_is_published_by_the_primary_only(self):
-        """It is as old as the last snapshot; all may have started at once, with edges that know nothing."""
+        """It is as old as the last snapshot, and edges without a configuration may start at the same time."""
         self.commit(3, 7, now=1.0)
         self.publisher.on_restored()
         for tenth in range(100):
@@ -52,7 +52,7 @@
         self.publisher.tick(12.0)
         assert self.published() == 3
 
-    def test_nothing_older_replaces_what_another_has_published(self):
+    def test_older_configuration_does_not_replace_one_that_another_process_has_published(self):
         self.registry.put(CONFIGURATION_KEY, b"newer", 9)
         self.is_primary = True
         self.commit(3, 7, now=1.0)
@@ -70,14 +70,14 @@
         raw = {"config_version": 3, "routes": routes}
         assert raw == json.loads(unpack(pack(raw)))
 
-    def test_many_alike_routes_take_less_than_a_fifth_of_their_size(self):
-        dice = random.Random(7)
+    def test_many_similar_routes_are_packed_to_less_than_a_fifth_of_their_size(self):
+        random_source = random.Random(7)
         routes = [
             {
-                "name": f"r-{dice.getrandbits(32):x}",
+                "name": f"r-{random_source.getrandbits(32):x}",
                 "hostname": "h.example",
                 "kind": "writing",
-                "path_start": f"/{dice.getrandbits(32):x}/",
+                "path_start": f"/{random_source.getrandbits(32):x}/",
                 "deadline_ms": 1500,
                 "service": "s",
             }
--- a/tests/control/test_recorded_bytes.py
+++ b/tests/control/test_recorded_bytes.py
@@ -1,7 +1,7 @@
-"""What a control process stores, publishes and answers is, byte for byte, what earlier versions wrote.
+"""A control process stores, publishes and answers the same bytes as earlier versions.
 
-The fixtures were written by this program before its names were revised. Only a change of the formats that is
-meant, and that other versions can read, may replace one.
+The fixtures were written by this program before its identifiers were renamed. Replace one only for an
+intended change of a format that other versions can read.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
     return state
 
 
-# ---- What is stored ----
+# ---- Stored data ----
 
 
 def written_records() -> list[dict[str, str]]:
@@ -136,24 +136,26 @@
 
 
 def written_folder(source: Path, folder: Path) -> dict[str, Any]:
-    found = restore.read_source(source)
-    restore.write_folder(folder, found, ForcedView(f"{ADDRESS}#anew", ADDRESS, 1_800_000_000, 1_800_000_000))
-    return {"found": restore.describe(found), "files": folder_contents(folder)}
+    restorable = restore.read_source(source)
+    restore.write_folder(
+        folder, restorable, ForcedView(f"{ADDRESS}#anew", ADDRESS, 1_800_000_000, 1_800_000_000)
+    )
+    return {"found": restore.describe(restorable), "files": folder_contents(folder)}
 
 
 def test_a_restore_writes_and_reads_the_folder_as_recorded(tmp_path: Path) -> None:
     written = written_folder(FIXTURES / "restore.json", tmp_path / "data")
     assert written == fixture("restored_folder.json")
-    found = restore.read_source(FIXTURES / "restored_folder")
-    assert (found.last_epoch, found.last_index) == (1_800_000_000, 1_800_000_000)
-    assert found.configuration.raw == CONFIGURATION
+    restorable = restore.read_source(FIXTURES / "restored_folder")
+    assert (restorable.last_epoch, restorable.last_index) == (1_800_000_000, 1_800_000_000)
+    assert restorable.configuration.raw == CONFIGURATION
 
 
-# ---- What is published ----
+# ---- Published entries ----
 
 
 def published_entries() -> dict[str, Any]:
-    """Key -> major, minor and value of all that control puts into the registry itself."""
+    """Returns major, minor and value by key of all entries that control puts into the registry itself."""
     registry, state = Registry("a.1"), state_with_both_orders()
     ConfigurationPublisher(state, registry, lambda: True).on_committed(1.0)
     LatestView(lambda: VIEW, registry).publish()
@@ -172,7 +174,7 @@
 
 
 def published_by_node(folder: Path) -> dict[str, Any]:
-    """What the node publishes while it holds the placer's lease."""
+    """Returns the entries that a node publishes while it holds the placer lease."""
     settings = NodeSettings(
         "core-1", "10.0.0.1", "a", spare_ports=[7660, 7675], first_boot=True, data_dir=str(folder)
     )
@@ -199,11 +201,11 @@
     assert latest.get() == VIEW
 
 
-# ---- What is told to people and their programs ----
+# ---- Status and metrics ----
 
 
 def scripted_status() -> StatusService:
-    """The sole member, which is primary, with a runner, a second process and an open order."""
+    """Returns the status service of a single member, the primary, with a runner and an open order."""
     state = ConfigurationState()
     disk = ControlDisk.open(FaultyFiles(), "no-such-folder")
     settings = MemberSettings(ADDRESS, (ADDRESS,), True, f"{ADDRESS}#0", 0, 3.0)
@@ -251,7 +253,7 @@
     assert scripted_status().metrics() == (FIXTURES / "metrics.txt").read_bytes()
 
 
-# ---- What operators and runners are answered ----
+# ---- Answers to operators and runners ----
 
 
 class ScriptedReplication:
@@ -301,7 +303,7 @@
 
 
 class ScriptedControl:
-    """What stands behind the HTTP interface; notes its calls."""
+    """The services behind the HTTP API; records their calls."""
 
     def __init__(self) -> None:
         self.calls: list[list[Any]] = []
@@ -326,7 +328,7 @@
 
 
 def http_answers(service: ScriptedControl, fetch: Callable[..., Any]) -> dict[str, Any]:
-    """All answers of the HTTP interface but for what differs between runs, and the calls behind them."""
+    """Returns all answers of the HTTP API without headers that differ between runs, and the service calls."""
     answers: list[dict[str, Any]] = []
 
     def call(path: str, body: str | None = "{}", **headers: str) -> None:
--- a/tests/control/test_restore.py
+++ b/tests/control/test_restore.py
@@ -1,4 +1,4 @@
-"""A restore: nothing of the lost system counts more than what was restored, and the rest joins it."""
+"""Restoring a lost system: the restored state supersedes all remains, and new processes can join it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Process:
-    """One control process's replicated state on a real folder, alone, in virtual time."""
+    """The replicated state of a single control process in a real folder, in virtual time."""
 
     def __init__(self, folder: Path, first_boot: bool = False, survive: int = 0) -> None:
         self.now, self.state = 100.0, ConfigurationState()
@@ -51,21 +51,23 @@
         asyncio.run(self.log.propose(OperatorOrder("replace", base_version, body).encode()))
 
 
-def restored(source: Path, target: Path) -> ForcedView:
-    found = read_source(source)
-    begin = plan_forced_view(fresh_identity(ADDRESS), ADDRESS, LATER, found.last_epoch, found.last_index)
-    write_folder(target, found, begin)
-    return begin
+def restore_to(source: Path, target: Path) -> ForcedView:
+    restorable = read_source(source)
+    forced_view = plan_forced_view(
+        fresh_identity(ADDRESS), ADDRESS, LATER, restorable.last_epoch, restorable.last_index
+    )
+    write_folder(target, restorable, forced_view)
+    return forced_view
 
 
-def test_a_process_begins_anew_with_the_configuration_and_takes_the_next_change(tmp_path: Path) -> None:
+def test_process_starts_with_the_restored_configuration_and_accepts_the_next_change(tmp_path: Path) -> None:
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
     lost.replace(6, 4)
-    begin = restored(tmp_path / "lost", tmp_path / "new")
+    forced_view = restore_to(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
     assert process.member.is_primary
-    assert process.member.id == begin.identity
+    assert process.member.id == forced_view.identity
     assert process.state.version == 6
     process.replace(9, 6)
     assert (process.state.version, Process(tmp_path / "new").state.version) == (9, 9)
@@ -74,19 +76,19 @@
 def test_restored_state_is_newer_than_that_of_running_dispatchers(tmp_path: Path) -> None:
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
-    begin = restored(tmp_path / "lost", tmp_path / "new")
+    forced_view = restore_to(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
-    assert process.state.record_index == begin.index > lost.state.record_index
+    assert process.state.record_index == forced_view.index > lost.state.record_index
     assert process.member.view is not None
     assert lost.member.view is not None
-    assert process.member.view.epoch * FENCING_TOKENS_PER_EPOCH < 1 << 53  # JSON keeps it whole
-    assert process.member.view.epoch >= begin.epoch > lost.member.view.epoch
+    assert process.member.view.epoch * FENCING_TOKENS_PER_EPOCH < 1 << 53  # JSON numbers are exact up to this
+    assert process.member.view.epoch >= forced_view.epoch > lost.member.view.epoch
 
 
 def test_order_accepted_before_the_loss_is_acknowledged_again_after_the_restore(tmp_path: Path) -> None:
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
-    restored(tmp_path / "lost", tmp_path / "new")
+    restore_to(tmp_path / "lost", tmp_path / "new")
     process = Process(tmp_path / "new")
     body = canonical_json(example() | {"config_version": 4})
     assert process.state.is_accepted(OperatorOrder("replace", 0, body))
@@ -95,7 +97,7 @@
 def test_all_forms_of_a_source_restore_the_same_configuration(tmp_path: Path) -> None:
     lost = Process(tmp_path / "lost", first_boot=True)
     lost.replace(4, 0)
-    restored(tmp_path / "lost", tmp_path / "new")  # holds a snapshot and no records
+    restore_to(tmp_path / "lost", tmp_path / "new")  # its log contains a snapshot and no records
     (tmp_path / "read.json").write_bytes(canonical_json(example() | {"config_version": 4}))
     (snapshot,) = (tmp_path / "new" / "log").glob("snapshot-*")
     for source in (
@@ -108,23 +110,23 @@
         assert read_source(source).configuration.config_version == 4
 
 
-def test_a_second_restore_is_above_the_first_even_if_the_clock_went_back(tmp_path: Path) -> None:
+def test_second_restore_has_higher_epoch_and_index_even_if_the_clock_went_back(tmp_path: Path) -> None:
     (tmp_path / "read.json").write_bytes(canonical_json(example()))
-    first = restored(tmp_path / "read.json", tmp_path / "first")
-    found = read_source(tmp_path / "first")
-    second = plan_forced_view("x", ADDRESS, 1000.0, found.last_epoch, found.last_index)
+    first = restore_to(tmp_path / "read.json", tmp_path / "first")
+    restorable = read_source(tmp_path / "first")
+    second = plan_forced_view("x", ADDRESS, 1000.0, restorable.last_epoch, restorable.last_index)
     assert second.epoch > first.epoch
     assert second.index > first.index
 
 
 @pytest.mark.parametrize(("content", "word"), [(b"{", "valid"), (b"{}", "config_version")])
-def test_a_file_that_is_no_configuration_is_refused(content: bytes, word: str, tmp_path: Path) -> None:
+def test_file_that_is_not_a_configuration_is_rejected(content: bytes, word: str, tmp_path: Path) -> None:
     (tmp_path / "x.json").write_bytes(content)
     with pytest.raises(RestoreError, match=word):
         read_source(tmp_path / "x.json")
 
 
-def test_sources_that_hold_nothing_or_are_damaged_are_refused(tmp_path: Path) -> None:
+def test_empty_and_damaged_sources_are_rejected(tmp_path: Path) -> None:
     (tmp_path / "empty").mkdir()
     with pytest.raises(RestoreError, match="no configuration"):
         read_source(tmp_path / "empty")
@@ -135,7 +137,7 @@
         read_source(tmp_path / "other-file")
 
 
-def test_a_folder_that_holds_something_is_not_written_to(tmp_path: Path) -> None:
+def test_folder_that_is_not_empty_is_not_written_to(tmp_path: Path) -> None:
     check_empty(tmp_path / "none")
     check_empty(tmp_path)
     (tmp_path / "reserve").write_bytes(b"")
@@ -144,49 +146,51 @@
 
 
 class JoiningTest(TestCase):
-    """Members around a restored one, in virtual time."""
+    """Other members join a restored one, in virtual time."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.world = SimulatedCluster(1, 3, 3, 1)
-        for address in self.world.machines:
-            self.world.start(address, first_boot=True)
-        self.changes(2.0)
-        self.stale = self.world.machines["m2:1"].disk
-        for address in list(self.world.machines):
-            self.world.wipe(address)
-        self.known = self.world.checks.newest_acknowledged
-        begin = ForcedView("m0:1#anew", "m0:1", 1_800_000_000, self.known)
-        write_forced_view(self.world.machines["m0:1"].disk.ports(), begin, str(self.known).encode())
-        self.world.checks.made_snapshot(self.known, str(self.known).encode())
-        self.world.start("m0:1")
-
-    def changes(self, seconds: float) -> int:
-        before, end = self.world.acknowledged, self.world.now + seconds
-        while self.world.now < end:
-            self.world.run(0.05)
-            for machine in self.world.primaries():
-                self.world.change(machine)
-        return self.world.acknowledged - before
-
-    def test_nothing_is_acknowledged_before_as_many_copies_exist_as_must_be_survived(self) -> None:
-        assert self.changes(3.0) == 0
-
-    def test_empty_disks_join_and_the_loss_of_one_is_survived_again(self) -> None:
+        self.cluster = SimulatedCluster(1, 3, 3, 1)
+        for address in self.cluster.machines:
+            self.cluster.start(address, first_boot=True)
+        self.acknowledge_changes(2.0)
+        self.stale = self.cluster.machines["m2:1"].disk
+        for address in list(self.cluster.machines):
+            self.cluster.wipe(address)
+        self.newest_acknowledged = self.cluster.checks.newest_acknowledged
+        forced_view = ForcedView("m0:1#anew", "m0:1", 1_800_000_000, self.newest_acknowledged)
+        write_forced_view(
+            self.cluster.machines["m0:1"].disk.ports(), forced_view, str(self.newest_acknowledged).encode()
+        )
+        self.cluster.checks.made_snapshot(self.newest_acknowledged, str(self.newest_acknowledged).encode())
+        self.cluster.start("m0:1")
+
+    def acknowledge_changes(self, seconds: float) -> int:
+        before, end = self.cluster.acknowledged, self.cluster.now + seconds
+        while self.cluster.now < end:
+            self.cluster.run(0.05)
+            for machine in self.cluster.primaries():
+                self.cluster.change(machine)
+        return self.cluster.acknowledged - before
+
+    def test_nothing_is_acknowledged_before_enough_copies_exist(self) -> None:
+        assert self.acknowledge_changes(3.0) == 0
+
+    def test_processes_with_empty_disks_join_and_the_loss_of_one_is_tolerated_again(self) -> None:
         for address in ("m1:1", "m2:1"):
-            self.world.start(address)
-        assert self.changes(4.0) > 10
-        (primary,) = self.world.primaries()
-        self.world.wipe(primary.address)
-        self.world.run(2.0)
-        assert self.changes(2.0) > 10
-
-    def test_a_process_with_an_old_disk_changes_nothing(self) -> None:
-        self.world.machines["m2:1"].disk = self.stale
-        self.world.start("m2:1")
-        self.world.start("m1:1")
-        assert self.changes(4.0) > 10
-        (primary,) = self.world.primaries()
+            self.cluster.start(address)
+        assert self.acknowledge_changes(4.0) > 10
+        (primary,) = self.cluster.primaries()
+        self.cluster.wipe(primary.address)
+        self.cluster.run(2.0)
+        assert self.acknowledge_changes(2.0) > 10
+
+    def test_process_with_a_disk_from_before_the_loss_does_not_affect_the_others(self) -> None:
+        self.cluster.machines["m2:1"].disk = self.stale
+        self.cluster.start("m2:1")
+        self.cluster.start("m1:1")
+        assert self.acknowledge_changes(4.0) > 10
+        (primary,) = self.cluster.primaries()
         member = primary.member
         assert member is not None
         assert member.view is not None
--- a/tests/control/test_runner_check_ins.py
+++ b/tests/control/test_runner_check_ins.py
@@ -1,4 +1,4 @@
-"""Which check-ins and Leaves a control process acknowledges, with its peers scripted and in virtual time."""
+"""Acknowledgement of check-ins and leaves by a control process, with scripted peers in virtual time."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from larchgw.runner_directory.runner_record import Stage
 from tests.support.scripted_peers import ScriptedPeer, connect_to, now
 
-BEAT_S = 1.2
-PROMPT_S = 0.05  # an acknowledgement that waits for nobody
-RUNNER_PATIENCE_S = 1.0  # PROTOCOL: an acknowledgement counts if it comes within a second
+HEARTBEAT_S = 1.2
+PROMPT_S = 0.05  # upper bound for an acknowledgement that does not wait for an unresponsive peer
+RUNNER_TIMEOUT_S = 1.0  # by the protocol, an acknowledgement counts only if it arrives within 1 s
 
 
-class Contact:
-    """The witnesses are a (this process), b and c."""
+class ScriptedContact:
+    """Scripted majority contact; the witnesses are a (this process), b and c."""
 
     def __init__(self) -> None:
-        self.cut_off = False
+        self.is_cut_off = False
 
     def is_isolated(self) -> bool:
-        return self.cut_off
+        return self.is_cut_off
 
     def is_majority(self, addresses: Collection[str]) -> bool:
         return bool({"b", "c"} & set(addresses))
@@ -40,21 +40,21 @@
     def setUp(self) -> None:
         super().setUp()
         self.peers = [ScriptedPeer("b"), ScriptedPeer("c")]
-        self.contact = Contact()
+        self.contact = ScriptedContact()
         self.registry = Registry("a.1")
         self.count = 0
 
-    def play(self, main: Coroutine[Any, Any, None]) -> None:
-        async def played() -> None:
+    def run_with_components(self, main: Coroutine[Any, Any, None]) -> None:
+        async def main_with_components() -> None:
             self.handoff = HintedHandoff(connect_to(self.peers), lambda: ["b", "c"])
-            self.directory = RunnerDirectory(self.registry, now, BEAT_S, "a/1")
+            self.directory = RunnerDirectory(self.registry, now, HEARTBEAT_S, "a/1")
             self.check_ins = RunnerCheckIns(self.directory, self.registry, self.contact, self.handoff)
             try:
                 await main
             finally:
                 self.handoff.close()
 
-        run(played())
+        run(main_with_components())
 
     async def check_in(self, state: str = "ready") -> bool:
         self.count += 1
@@ -65,19 +65,19 @@
         entry = peer.registry.get("runner/i-1")
         return Stage(entry.minor) if entry is not None else None
 
-    def test_a_check_in_is_not_acknowledged_by_a_process_that_is_cut_off_but_it_is_kept(self) -> None:
+    def test_isolated_process_records_a_check_in_but_does_not_acknowledge_it(self) -> None:
         async def main() -> None:
-            self.contact.cut_off = True
+            self.contact.is_cut_off = True
             assert not await self.check_in()
             record = self.directory.get("i-1")
             assert record is not None
-            self.contact.cut_off = False
+            self.contact.is_cut_off = False
             assert await self.check_in()
 
-        self.play(main())
+        self.run_with_components(main())
 
-    def test_a_drain_and_a_leave_that_no_other_witness_has_are_not_acknowledged(self) -> None:
-        """The first moments of a cut, in which this process still counts as in contact."""
+    def test_drain_and_leave_are_not_acknowledged_before_another_witness_has_them(self) -> None:
+        """At the start of a partition, this process still counts as being in contact."""
 
         async def main() -> None:
             assert await self.check_in()
@@ -86,11 +86,11 @@
             assert not await self.check_in("draining")
             assert not await self.check_in("draining")  # still urgent
             assert not await self.check_ins.leave("i-1")
-            assert now() < 3 * RUNNER_PATIENCE_S
+            assert now() < 3 * RUNNER_TIMEOUT_S
 
-        self.play(main())
+        self.run_with_components(main())
 
-    def test_a_drain_and_a_leave_are_at_a_majority_when_they_are_acknowledged(self) -> None:
+    def test_drain_and_leave_are_replicated_to_a_majority_before_they_are_acknowledged(self) -> None:
         async def main() -> None:
             self.peers[0].is_down = True
             assert await self.check_in("draining")
@@ -98,9 +98,9 @@
             assert await self.check_ins.leave("i-1")
             assert Stage.GONE is self.stage_at(self.peers[1])
 
-        self.play(main())
+        self.run_with_components(main())
 
-    def test_a_process_that_is_about_to_end_keeps_check_ins_and_acknowledges_none(self) -> None:
+    def test_stopping_process_records_check_ins_but_acknowledges_none(self) -> None:
         async def main() -> None:
             assert await self.check_in()
             self.check_ins.close()
@@ -108,9 +108,9 @@
             assert Stage.DRAINING is self.stage()
             assert not await self.check_ins.leave("i-1")
 
-        self.play(main())
+        self.run_with_components(main())
 
-    def test_frozen_process_does_not_delay_an_acknowledgement_and_gets_a_hint(self) -> None:
+    def test_hung_peer_does_not_delay_an_acknowledgement_and_gets_a_hint(self) -> None:
         async def main() -> None:
             self.peers[0].is_hung = True
             assert await self.check_in("draining")
@@ -118,7 +118,7 @@
             await asyncio.sleep(HANDOFF_TIMEOUT_S + 0.01)
             assert self.handoff.hints.peers() == ["b"]
 
-        self.play(main())
+        self.run_with_components(main())
 
     def test_a_leave_during_a_drains_replication_is_replicated_itself(self) -> None:
         async def main() -> None:
@@ -126,24 +126,24 @@
             self.peers[1].is_down = True
             draining = asyncio.ensure_future(self.check_in("draining"))
             await asyncio.sleep(0.01)
-            self.directory.leave("i-1")  # as it comes in over another connection
+            self.directory.leave("i-1")  # as if received over another connection
             slow.proceed.set()
             assert await draining
             assert self.directory.leave("i-1").needs_replication
             assert await self.check_ins.leave("i-1")
             assert Stage.GONE is self.stage_at(self.peers[0])
 
-        self.play(main())
+        self.run_with_components(main())
 
-    def test_isolated_process_marks_no_runner_silent_that_it_turns_away(self) -> None:
+    def test_isolated_process_does_not_mark_the_runners_that_it_rejects_as_silent(self) -> None:
         async def main() -> None:
             assert await self.check_in()
             await self.tick_for(20.0, isolated=True)
             assert Stage.READY is self.stage()
-            await self.tick_for(SILENCE_TIMEOUT_HEARTBEATS * BEAT_S + 0.5, isolated=False)
+            await self.tick_for(SILENCE_TIMEOUT_HEARTBEATS * HEARTBEAT_S + 0.5, isolated=False)
             assert Stage.SILENT is self.stage()
 
-        self.play(main())
+        self.run_with_components(main())
 
     async def tick_for(self, seconds: float, isolated: bool) -> None:
         until = now() + seconds
@@ -157,7 +157,7 @@
 
 
 class SlowPush:
-    """Holds the pushes to a peer up until told to proceed."""
+    """Delays pushes to a peer until `proceed` is set."""
 
     def __init__(self, peer: ScriptedPeer) -> None:
         self.proceed = asyncio.Event()
--- a/tests/control/test_status.py
+++ b/tests/control/test_status.py
@@ -1,4 +1,4 @@
-"""What processes tell of themselves: a status must be true of a process in any state, and change nothing."""
+"""Status of processes: it must be correct in any state of a process, and reading it must change nothing."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class ControlStatusTest(TestCase):
-    """A control process that was made and not started."""
+    """The status of a control process that was created but not started."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -107,7 +107,7 @@
         assert [process.name for process in status.processes] == ["core-1"]
         assert (status.disk.first_index, status.disk.last_index) == (1, 0)
 
-    def test_the_placer_and_the_runners_are_those_of_the_registry(self) -> None:
+    def test_status_reports_the_placer_and_the_runners_in_the_registry(self) -> None:
         placer = json.dumps({"address": "10.0.0.3:7660"}).encode()
         self.components.distribution.registry.put(PLACER_KEY, placer, 70_001)
         self.components.runners.directory.check_in(RunnerRecord("i-1", "s", "10.0.0.9:1", "a", call_count=1))
@@ -149,7 +149,7 @@
     assert to_json(status) == {"node_name": "a", "processes": [{"name": "b"}]}
 
 
-def test_a_status_arrives_as_it_was_sent_with_and_without_what_is_optional() -> None:
+def test_status_is_decoded_as_encoded_with_and_without_optional_fields() -> None:
     bare = ttypes.ControlStatus(
         "a",
         "a#1",
@@ -216,17 +216,17 @@
     status = EdgeStatus(
         "edge-1", lambda: False, lambda: configuration, puller, RunnerView(registry), swim, edge.proxy, budget
     )
-    told = json.loads(json.dumps(status.read()))
-    assert told["config_version"] == configuration.config_version
-    assert not told["ready"]
-    assert told["runners"][service] == {"ready": 1}
-    assert told["control"] == {"source": "", "changes": 0, "silent_s": None}
-    assert (told["dispatchers"], told["open_requests"], told["retries_left"]) == (1, 0, {})
+    reported = json.loads(json.dumps(status.read()))
+    assert reported["config_version"] == configuration.config_version
+    assert not reported["ready"]
+    assert reported["runners"][service] == {"ready": 1}
+    assert reported["control"] == {"source": "", "changes": 0, "silent_s": None}
+    assert (reported["dispatchers"], reported["open_requests"], reported["retries_left"]) == (1, 0, {})
     budget.record_request(edge.loop.clock.now(), service)
     assert status.read()["retries_left"][service] > 0
 
 
-def test_reading_the_retry_budget_does_not_begin_the_time_in_which_more_dispatchers_are_assumed() -> None:
+def test_reading_the_retry_budget_does_not_start_the_period_in_which_more_dispatchers_are_assumed() -> None:
     read, unread = (
         RetryBudget(TimeLimits(retry_extra=START_DISPATCHERS * 2), random.Random(1)) for _ in range(2)
     )
@@ -238,7 +238,7 @@
 
 
 class StatusPagesTest(AsyncHTTPTestCase):
-    """`/status` and `/metrics` beside the pages of a role."""
+    """The pages `/status` and `/metrics`, which every role serves in addition to its own."""
 
     def get_app(self) -> tornado.web.Application:
         return tornado.web.Application(http_status.rules(lambda: {"node_name": "core-1"}, lambda: b"a 7.0\n"))
