--- a/tests/distribution/test_faults.py
+++ b/tests/distribution/test_faults.py
@@ -1,4 +1,4 @@
-"""Control processes and dispatchers together, under drawn faults: nothing is lost, nothing stays old."""
+"""Control processes and dispatchers under random faults: nothing is lost and no entry stays outdated."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from tests.support.scripted_peers import ScriptedPeer, connect_to, now
 
 SETTINGS = PullSettings()
-SETTLE_S = 4.0  # after the last fault: the longest backoff, a silence and a pull
+SETTLE_S = 4.0  # convergence time after the last fault: the longest backoff, a timeout and a pull
 STEPS = ("put", "put", "urgent", "urgent", "hang", "down", "isolate", "restart", "heal")
 FAULTS = {"hang": "is_hung", "down": "is_down", "isolate": "is_isolated"}
 HEALTHY_FOR_S = SETTINGS.wait_s + SETTINGS.reply_grace_s + 2 * SETTINGS.max_backoff_s
 
 
 class ControlProcess(ScriptedPeer):
-    """A control process that pulls from the others and pushes what is urgent to them."""
+    """A control process that pulls from the others and pushes urgent entries to them."""
 
     def begin(self, others: list[ScriptedPeer], random_source: random.Random) -> None:
         names = [peer.name for peer in others]
@@ -41,7 +41,7 @@
 
 
 class Deployment:
-    """Three control processes and four dispatchers, under steps drawn from a seed."""
+    """Three control processes and four dispatchers, with random steps from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.random_source = random.Random(seed)
@@ -60,7 +60,7 @@
             for number, registry in enumerate(self.edges)
         ]
         self.incarnations, self.major = 1, 0
-        self.acknowledged: dict[str, int] = {}  # key -> major that two control processes have
+        self.acknowledged: dict[str, int] = {}  # key -> major held by two control processes
 
     def begin(self) -> None:
         for process in self.control:
@@ -93,7 +93,7 @@
                 self.acknowledged[key] = max(major, self.acknowledged.get(key, 0))
 
     async def restart(self, process: ControlProcess) -> None:
-        """One at a time, and long enough after the last fault that the others have all that is urgent."""
+        """Restarts one process at a time; the others have time to catch up before the next fault."""
         await process.end()
         self.incarnations += 1
         process.start(self.incarnations)
@@ -108,22 +108,22 @@
             process.is_down = process.is_hung = process.is_isolated = False
 
     def check_freshness(self) -> None:
-        """At most one control process is faulty at a time, so every dispatcher hears of another soon."""
+        """Every dispatcher has a recent reply, because at most one control process is faulty at a time."""
         for puller in self.pullers:
             if now() > HEALTHY_FOR_S:
                 assert puller.last_heard_at is not None
                 assert now() - puller.last_heard_at < HEALTHY_FOR_S
 
     def check_agreement(self) -> None:
-        best: dict[str, tuple[int, int, str, int]] = {}
-        everyone = [process.registry for process in self.control] + self.edges
-        for registry in everyone:
+        highest_ranks: dict[str, tuple[int, int, str, int]] = {}
+        registries = [process.registry for process in self.control] + self.edges
+        for registry in registries:
             for entry in registry.items():
-                best[entry.key] = max(best.get(entry.key, rank(entry)), rank(entry))
-        for registry in everyone:
-            assert {entry.key: rank(entry) for entry in registry.items()} == best
+                highest_ranks[entry.key] = max(highest_ranks.get(entry.key, rank(entry)), rank(entry))
+        for registry in registries:
+            assert {entry.key: rank(entry) for entry in registry.items()} == highest_ranks
         for key, major in self.acknowledged.items():
-            assert best[key][0] >= major
+            assert highest_ranks[key][0] >= major
 
     async def end(self) -> None:
         for task in self.tasks:
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_all_agree_after_any_faults_and_what_was_acknowledged_is_there(seed: int) -> None:
+def test_registries_converge_after_faults_and_keep_acknowledged_entries(seed: int) -> None:
     async def main() -> None:
         deployment = Deployment(seed)
         deployment.begin()
--- a/tests/distribution/test_hinted_handoff.py
+++ b/tests/distribution/test_hinted_handoff.py
@@ -1,6 +1,4 @@
-"""Hinted handoff: urgent entries are at the peers before they are acknowledged, and what one missed reaches
-it.
-"""
+"""Hinted handoff: urgent entries are pushed to all peers, and entries that a peer missed follow later."""
 
 from __future__ import annotations
 
@@ -30,13 +28,13 @@
         self.handoff = HintedHandoff(connect_to(self.peers), lambda: ["a", "b"], node_name="me")
 
     @in_virtual_time
-    async def test_all_live_peers_have_it_when_replicate_returns(self) -> None:
+    async def test_all_live_peers_have_the_entry_when_replicate_returns(self) -> None:
         assert {"a", "b"} == await self.handoff.replicate([entry("runner/x")], 0.4)
         for peer in self.peers:
             assert peer.registry.get("runner/x") is not None
 
     @in_virtual_time
-    async def test_a_hung_peer_holds_an_acknowledgement_up_no_longer_than_the_timeout(self) -> None:
+    async def test_hung_peer_delays_an_acknowledgement_no_longer_than_the_timeout(self) -> None:
         self.peers[1].is_hung = True
         assert {"a"} == await self.handoff.replicate([entry("runner/x")], 0.4)
         assert now() == pytest.approx(0.4, abs=0.005)
@@ -44,8 +42,10 @@
     @in_virtual_time
     async def test_replicate_waits_for_a_quorum_and_no_longer(self) -> None:
         self.peers[1].is_hung = True
-        taken = await self.handoff.replicate([entry("runner/x")], 0.4, lambda taken: "a" in taken)
-        assert {"a"} == taken
+        accepted_by = await self.handoff.replicate(
+            [entry("runner/x")], 0.4, lambda accepted_by: "a" in accepted_by
+        )
+        assert {"a"} == accepted_by
         assert now() < 0.05
         await asyncio.sleep(0.41)
         assert self.handoff.hints.peers() == ["b"]
@@ -53,7 +53,7 @@
     @in_virtual_time
     async def test_a_peer_that_is_slow_and_then_accepts_gets_no_hint(self) -> None:
         self.peers[1].is_hung = True
-        await self.handoff.replicate([entry("runner/x")], 0.4, lambda taken: "a" in taken)
+        await self.handoff.replicate([entry("runner/x")], 0.4, lambda accepted_by: "a" in accepted_by)
         await asyncio.sleep(0.2)
         self.peers[1].is_hung = False
         await asyncio.sleep(0.3)
@@ -61,7 +61,7 @@
         assert self.handoff.hints.peers() == []
 
     @in_virtual_time
-    async def test_what_a_peer_missed_is_handed_over_when_it_returns(self) -> None:
+    async def test_missed_entries_are_delivered_when_the_peer_returns(self) -> None:
         task = asyncio.ensure_future(self.handoff.run())
         self.peers[1].is_down = True
         await self.handoff.replicate([entry("runner/x")], 0.4)
@@ -74,7 +74,7 @@
         task.cancel()
 
     @in_virtual_time
-    async def test_many_hints_are_handed_over_in_paced_batches(self) -> None:
+    async def test_many_hints_are_delivered_in_paced_batches(self) -> None:
         self.handoff.hints.add("b", entries(5 * BATCH_ENTRIES))
         await self.handoff.hand_over()
         assert len(self.peers[1].registry) == 5 * BATCH_ENTRIES
@@ -83,7 +83,7 @@
         assert times[-1] - times[0] >= 4 * BATCH_PAUSE_S - 1e-09
 
     @in_virtual_time
-    async def test_nothing_is_sent_to_a_process_that_is_no_peer_now(self) -> None:
+    async def test_hints_are_not_sent_to_a_process_that_is_no_longer_a_peer(self) -> None:
         self.handoff.hints.add("gone", entries(1))
         await self.handoff.hand_over()
         assert self.handoff.hints.peers() == ["gone"]
--- a/tests/distribution/test_hints.py
+++ b/tests/distribution/test_hints.py
@@ -1,4 +1,4 @@
-"""Hints: the newest entry of each key is kept, within bounds."""
+"""Hints: the newest entry of each key is stored, within limits."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
     def test_a_hint_that_changed_during_a_handover_stays(self) -> None:
         hints = HintStore(10)
         hints.add("a", [entry("runner/x", 1)])
-        under_way = hints.oldest("a", 10)
+        in_flight = hints.oldest("a", 10)
         hints.add("a", [entry("runner/x", 2)])
-        hints.remove_delivered("a", under_way)
+        hints.remove_delivered("a", in_flight)
         assert [hint.major for hint in hints.oldest("a", 10)] == [2]
 
-    def test_hints_for_ever_more_lost_peers_stay_bounded(self) -> None:
+    def test_hints_for_a_growing_number_of_lost_peers_stay_bounded(self) -> None:
         hints = HintStore(10, max_peers=4)
         for number in range(100):
             hints.add(f"peer{number}", entries(2))
--- a/tests/distribution/test_peer_pullers.py
+++ b/tests/distribution/test_peer_pullers.py
@@ -1,4 +1,4 @@
-"""One puller for each peer that is listed."""
+"""Pulls between control processes, with one puller per peer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CountingConnection:
-    """A connection that counts the entries of the replies."""
+    """A connection that counts the entries in replies."""
 
     def __init__(self, connection: ScriptedConnection, sent: Counter[str]) -> None:
         self._connection, self._sent = connection, sent
@@ -37,16 +37,17 @@
         self._connection.close()
 
 
-def exchange(
+def simulate_changes(
     unreachable: frozenset[tuple[str, str]] = frozenset(),
 ) -> tuple[Counter[str], list[set[str]]]:
-    """Nine control processes make changes one after another.
+    """Simulates nine control processes that publish changes one after another.
 
     Args:
-        unreachable: Pairs of caller and peer between which no call comes through.
+        unreachable: Pairs of caller and peer between which all calls fail.
 
     Returns:
-        How often each entry was sent, and the keys that each process holds half a second later.
+        How often each entry was sent, and the keys that each process holds half a second after the last
+        change.
     """
     peers = [ScriptedPeer(f"c{number}") for number in range(PROCESSES)]
     sent: Counter[str] = Counter()
@@ -91,15 +92,15 @@
     return sent, held
 
 
-def test_a_change_is_sent_to_each_peer_about_once_and_not_by_each_of_them() -> None:
-    sent, held = exchange()
+def test_each_change_is_sent_to_each_peer_about_once() -> None:
+    sent, held = simulate_changes()
     assert all(len(keys) == CHANGES for keys in held)
     assert sum(sent.values()) < 1.5 * CHANGES * (PROCESSES - 1)
 
 
-def test_a_change_comes_by_way_of_others_where_its_maker_is_out_of_reach() -> None:
+def test_change_is_forwarded_by_other_processes_if_its_origin_is_unreachable() -> None:
     cut_off = frozenset((f"c{number}", "c0") for number in range(2, PROCESSES))
-    _, held = exchange(cut_off)
+    _, held = simulate_changes(cut_off)
     assert all(len(keys) == CHANGES for keys in held)
 
 
--- a/tests/distribution/test_pull_service.py
+++ b/tests/distribution/test_pull_service.py
@@ -1,4 +1,4 @@
-"""Long polls: changes arrive at once, and a change outside its prefixes does not wake a caller."""
+"""Long polls: changes are sent at once, and a change outside the requested prefixes does not end a wait."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.registry, self.service = self.peer.registry, self.peer.service
 
     @in_virtual_time
-    async def test_a_caller_that_is_new_here_is_answered_at_once_though_there_is_nothing(self) -> None:
+    async def test_first_pull_of_a_caller_is_answered_at_once_even_without_entries(self) -> None:
         reply = await self.service.pull(request())
         assert (now(), reply.entries) == (0.0, [])
 
@@ -68,7 +68,7 @@
         assert now() == pytest.approx(0.5, abs=0.0005)
 
     @in_virtual_time
-    async def test_a_process_cut_off_from_the_majority_says_so_at_once(self) -> None:
+    async def test_isolated_process_replies_at_once(self) -> None:
         first = await self.service.pull(request())
         self.peer.is_isolated = True
         reply = await self.service.pull(request(first))
@@ -86,7 +86,7 @@
         assert now() < 0.2
 
     @in_virtual_time
-    async def test_a_large_registry_comes_in_parts_that_add_up(self) -> None:
+    async def test_large_registry_is_sent_in_several_replies(self) -> None:
         service = PullService(self.registry, lambda: False, list, max_reply_bytes=1000)
         for number in range(100):
             self.registry.put(f"runner/{number}", b"x" * 100, 1)
@@ -111,7 +111,7 @@
         assert [pushed] == (await waiting).entries
 
     @in_virtual_time
-    async def test_a_caller_that_gives_up_leaves_nothing_behind(self) -> None:
+    async def test_cancelled_pull_leaves_no_waiting_future(self) -> None:
         first = await self.service.pull(request())
         waiting = asyncio.ensure_future(self.service.pull(request(first)))
         await asyncio.sleep(0.1)
@@ -135,7 +135,7 @@
         assert now() == pytest.approx(0.5, abs=0.0005)
 
     @in_virtual_time
-    async def test_a_peer_that_has_not_heard_of_it_elsewhere_gets_it_with_its_next_pull(self) -> None:
+    async def test_peer_gets_a_change_by_another_process_with_its_next_pull(self) -> None:
         first = await self.service.pull(request())
         waiting = asyncio.ensure_future(self._pull_own_changes(first))
         await asyncio.sleep(0.1)
@@ -145,7 +145,7 @@
         assert now() == pytest.approx(0.5, abs=0.0005)
 
     @in_virtual_time
-    async def test_a_peer_is_sent_an_own_change_at_once_without_those_of_others_and_not_again(self) -> None:
+    async def test_own_change_is_sent_to_a_peer_at_once_and_only_once_without_changes_by_others(self) -> None:
         first = await self.service.pull(request())
         waiting = asyncio.ensure_future(self._pull_own_changes(first))
         await asyncio.sleep(0.1)
@@ -154,14 +154,14 @@
         reply = await waiting
         assert [entry.key for entry in reply.entries] == ["view"]
         assert now() < 0.1 + 2 * GATHER_DELAY_S
-        reply.upto = dict(first.upto) | reply.upto | {"c.1": 1}  # it has heard of r-1 from c
+        reply.upto = dict(first.upto) | reply.upto | {"c.1": 1}  # it has received r-1 from c
         again = asyncio.ensure_future(self._pull_own_changes(reply))
         await asyncio.sleep(0.1)
         assert not again.done()
         again.cancel()
 
     @in_virtual_time
-    async def test_nothing_is_claimed_where_another_process_has_the_last_word_on_an_own_entry(self) -> None:
+    async def test_reply_claims_nothing_if_another_process_has_superseded_an_own_entry(self) -> None:
         self.registry.put("runner/r-1", b"x", 1)
         first = await self.service.pull(request())
         waiting = asyncio.ensure_future(self._pull_own_changes(first))
--- a/tests/distribution/test_recorded_bytes.py
+++ b/tests/distribution/test_recorded_bytes.py
@@ -1,8 +1,9 @@
-"""Bytes that the registry publishes and sends, against those recorded before names in the code were changed.
+"""The registry publishes and sends the same bytes as before identifiers in the code were renamed.
 
-The fixtures were made by running commit 0d35ed7. What is recorded must be read as it was, and written as it
-was: processes of both versions run side by side during an upgrade. `peer_pulls.json` was made later, when
-control processes began to ask each other for `own_changes_only`; the exchange of before is played without it.
+The fixtures were recorded with commit 0d35ed7. Recorded bytes must be decoded and encoded as at that time,
+because processes of both versions run side by side during an upgrade. `peer_pulls.json` was recorded later,
+when control processes began to set `own_changes_only` in pulls from each other; the earlier exchange is
+simulated without this field.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
     "r-1", "llm", "10.0.0.9:8080", "z1", Stage.DRAINING, 8, "v7", "both", 250.5, 9000.0, 12,
     (HeldModel("m1", 3, ("a1", "ä2")), HeldModel("m2")), "control-1.0123abcd",
 )  # fmt: skip
-MAX_REPLY_BYTES = 150  # so that replies are cut
+MAX_REPLY_BYTES = 150  # so small that replies are truncated
 
 
 def recorded(name: str) -> Any:
@@ -51,7 +52,7 @@
 
 
 def filled_registry() -> Registry:
-    """A registry with one entry of every kind, as the processes publish them."""
+    """Returns a registry with one entry of every kind, as published by the processes."""
     registry = Registry(new_origin("control-1", random.Random(7)))
     registry.put(keys.CONFIGURATION_KEY, pack(CONFIGURATION), 31)
     registry.put(keys.RUNNER_PREFIX + RUNNER.id, RUNNER.encode(), RUNNER.call_count, int(RUNNER.stage))
@@ -61,7 +62,7 @@
     return registry
 
 
-def produce_entries() -> dict[str, Any]:
+def encode_entries() -> dict[str, Any]:
     registry = filled_registry()
     return {
         "origin": registry.origin,
@@ -72,11 +73,11 @@
 
 
 class Transcript:
-    """The calls between processes in virtual time: when, by whom, to whom, and the bytes both ways."""
+    """Records the calls between processes in virtual time: times, callers, addresses, and bytes both ways."""
 
     def __init__(self) -> None:
         self.calls: list[list[Any]] = []
-        self.leaves_out_own_changes_only = False  # as processes did that did not know the field
+        self.omits_own_changes_only = False  # like older processes, which do not know the field
         self.services: dict[str, PullService] = {}
         self.unreachable: set[str] = set()
         self.hung: set[str] = set()
@@ -86,13 +87,13 @@
 
 
 class RecordingConnection:
-    """Carries a call as bytes and writes it down."""
+    """Transfers a call as bytes and records it."""
 
     def __init__(self, transcript: Transcript, caller: str, address: str) -> None:
         self.transcript, self.caller, self.address = transcript, caller, address
 
     async def call(self, method: str, argument: Any, timeout_s: float) -> Any:
-        if self.transcript.leaves_out_own_changes_only and isinstance(argument, PullRequest):
+        if self.transcript.omits_own_changes_only and isinstance(argument, PullRequest):
             argument.own_changes_only = None
         sent = encode_struct(argument)
         now = round(asyncio.get_running_loop().time(), 6)
@@ -153,25 +154,25 @@
             max_reply_bytes=MAX_REPLY_BYTES,
         )
 
-    async def play(self) -> None:
+    async def simulate(self) -> None:
         task = asyncio.ensure_future(self.puller.run())
-        await self.pull_and_lose_the_source()
-        await self.pull_from_a_cut_off_process()
+        await self.pull_until_the_source_fails()
+        await self.pull_from_an_isolated_process()
         await self.restart_the_source()
-        await self.be_out_of_touch()
+        await self.disconnect()
         await self.resync()
         self.transcript.calls.append([entry.key for entry in self.puller.registry.items()])
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def pull_and_lose_the_source(self) -> None:
+    async def pull_until_the_source_fails(self) -> None:
         await asyncio.sleep(1.2)
         self.registries["a"].put("configuration", b"first", 1)
         await asyncio.sleep(0.4)
         self.transcript.unreachable.add("a")
         await asyncio.sleep(1.0)
 
-    async def pull_from_a_cut_off_process(self) -> None:
+    async def pull_from_an_isolated_process(self) -> None:
         self.isolated.add("b")
         self.registries["b"].put("runner/b0", b"y", 9)
         self.registries["b"].put("configuration", b"second", 2)
@@ -181,12 +182,12 @@
         self.transcript.unreachable.clear()
 
     async def restart_the_source(self) -> None:
-        """The new incarnation knows nothing; the dispatcher hands back the runners that it knows."""
+        """Starts a new incarnation without entries, to which the dispatcher pushes the runners it knows."""
         self.start("a", incarnation=2)
         await asyncio.sleep(8.0)
 
-    async def be_out_of_touch(self) -> None:
-        """For so long that tombstones may be missed; only the first calls of that time are kept."""
+    async def disconnect(self) -> None:
+        """Disconnects long enough to miss tombstones; only the first calls of that time are recorded."""
         self.transcript.hung.update("ab")
         await asyncio.sleep(2.0)
         self.transcript.unreachable.update("ab")
@@ -202,29 +203,27 @@
         await asyncio.sleep(2.0)
 
 
-def produce_edge_pulls() -> list[list[Any]]:
-    """Cut replies, a loss, a cut-off, a restart and a long time out of touch, after which registries are
-    compared.
-    """
+def record_edge_pulls() -> list[list[Any]]:
+    """Records truncated replies, a failed and an isolated source, a restart, and a resync."""
     scenario = EdgeScenario()
-    run(scenario.play())
+    run(scenario.simulate())
     return scenario.transcript.calls
 
 
-def produce_control_exchange() -> list[list[Any]]:
-    """Two control processes that do not know `own_changes_only`."""
-    return play_control_exchange(leaves_out_own_changes_only=True)
+def record_control_exchange() -> list[list[Any]]:
+    """Records an exchange of two control processes that do not know `own_changes_only`."""
+    return simulate_control_exchange(omits_own_changes_only=True)
 
 
-def produce_peer_pulls() -> list[list[Any]]:
-    """The same exchange as it is now."""
-    return play_control_exchange(leaves_out_own_changes_only=False)
+def record_peer_pulls() -> list[list[Any]]:
+    """Records the same exchange with the current fields."""
+    return simulate_control_exchange(omits_own_changes_only=False)
 
 
-def play_control_exchange(leaves_out_own_changes_only: bool) -> list[list[Any]]:
-    """Two control processes pull from each other and hand over what one missed."""
+def simulate_control_exchange(omits_own_changes_only: bool) -> list[list[Any]]:
+    """Simulates two control processes that pull from each other and deliver hints."""
     transcript = Transcript()
-    transcript.leaves_out_own_changes_only = leaves_out_own_changes_only
+    transcript.omits_own_changes_only = omits_own_changes_only
 
     async def main() -> None:
         registries = {name: Registry(f"{name}.1") for name in "ab"}
@@ -262,11 +261,11 @@
     return transcript.calls
 
 
-def test_entries_of_every_kind_are_written_as_recorded() -> None:
-    assert produce_entries() == recorded("entries.json")
+def test_entries_of_every_kind_are_encoded_as_recorded() -> None:
+    assert encode_entries() == recorded("entries.json")
 
 
-def test_recorded_entries_are_read_to_what_was_published() -> None:
+def test_recorded_entries_are_decoded_to_the_published_values() -> None:
     registry = Registry("edge.1")
     saved = recorded("entries.json")
     entries = [decode_struct(Entry, bytes.fromhex(data)) for data in saved["entries"].values()]
@@ -287,7 +286,7 @@
     assert expected.expected("m2", "") == {}
 
 
-def test_the_keys_of_the_registry_are_those_recorded() -> None:
+def test_registry_keys_are_as_recorded() -> None:
     assert sorted(recorded("entries.json")["entries"]) == [
         "configuration", "expected/r-1", "placer", "runner/r-1", "view"
     ]  # fmt: skip
@@ -298,23 +297,23 @@
 
 
 @pytest.mark.parametrize(
-    ("fixture", "produce"),
+    ("fixture", "record"),
     [
-        ("edge_pulls.json", produce_edge_pulls),
-        ("control_exchange.json", produce_control_exchange),
-        ("peer_pulls.json", produce_peer_pulls),
+        ("edge_pulls.json", record_edge_pulls),
+        ("control_exchange.json", record_control_exchange),
+        ("peer_pulls.json", record_peer_pulls),
     ],
 )
 def test_pulls_and_pushes_are_sent_at_the_times_and_with_the_bytes_recorded(
-    fixture: str, produce: Callable[[], list[list[Any]]]
+    fixture: str, record: Callable[[], list[list[Any]]]
 ) -> None:
-    calls, saved = produce(), recorded(fixture)
+    calls, saved = record(), recorded(fixture)
     for call, expected in zip(calls, saved, strict=False):
         assert call == expected
     assert len(calls) == len(saved)
 
 
-def test_recorded_messages_are_read_to_their_fields() -> None:
+def test_recorded_messages_are_decoded_to_their_fields() -> None:
     calls = [call for call in recorded("edge_pulls.json") if len(call) == 7]
     first = calls[0]
     request = decode_struct(PullRequest, bytes.fromhex(first[5]))
--- a/tests/distribution/test_registry.py
+++ b/tests/distribution/test_registry.py
@@ -1,6 +1,4 @@
-"""The registry: whatever the order of messages, copies agree, and no vector claims what its holder never
-had.
-"""
+"""The registry: replicas converge for any order of messages, and no vector claims an entry never held."""
 
 from __future__ import annotations
 
@@ -18,7 +16,7 @@
 
 KEYS = ["runner/a", "runner/b", "expected/a", "configuration"]
 PREFIXES: list[tuple[str, ...]] = [(), ("runner/",), ("configuration", "expected/")]
-SMALL = 90  # bytes: about one entry a reply
+SMALL = 90  # bytes: about one entry per reply
 LIMITS = [SMALL, 2 * SMALL + 50, 10**6]
 
 
@@ -27,9 +25,7 @@
 
 
 class Caller:
-    """Pulls into a registry from others, as the puller does: the cursor of one source is kept, and lost at a
-    change.
-    """
+    """Pulls into a registry like the puller: it keeps the cursor of one source until the source changes."""
 
     def __init__(self, registry: Registry, prefixes: tuple[str, ...] = ()) -> None:
         self.registry = registry
@@ -38,7 +34,7 @@
         self.cursors: dict[str, int] = {}
 
     def pull(self, source: Registry, limit: int, lost: bool = False) -> bool:
-        """One exchange; whether there is more to pull."""
+        """Pulls once; returns whether there is more to pull."""
         if self.source != source.origin:
             self.source, self.cursors = source.origin, {}
         reply: PullReply = source.delta(self.registry.vector() | self.cursors, self.prefixes, limit)
@@ -52,10 +48,10 @@
 
 
 class Cluster:
-    """Registries that put, pull, push, restart; and every entry ever made, to check the vectors against."""
+    """Registries that put, pull, push and restart, with a record of all entries for checking the vectors."""
 
     def __init__(self, size: int) -> None:
-        self.made: list[Entry] = []
+        self.all_entries: list[Entry] = []
         self.incarnations = 0
         self.processes: list[Registry] = []
         self.callers: dict[tuple[int, int], Caller] = {}
@@ -72,7 +68,7 @@
         return registry
 
     def _record(self, entry: Entry) -> None:
-        self.made.append(entry)
+        self.all_entries.append(entry)
 
     def caller(self, index: int, source: int) -> Caller:
         key = (index, source)
@@ -85,27 +81,27 @@
         self.callers = {key: caller for key, caller in self.callers.items() if key[0] != index}
 
     def exchange_all(self) -> None:
-        """Every process pulls from every other, three times over: an entry may take a way over two others."""
+        """Every process pulls from every other three times, since an entry may need two intermediate hops."""
         for _ in range(3):
             for index, source in itertools.permutations(range(len(self.processes)), 2):
-                pulls(self.caller(index, source), self.processes[source])
+                pull_all(self.caller(index, source), self.processes[source])
         for caller in self.dispatchers:
-            pulls(caller, self.processes[0])
+            pull_all(caller, self.processes[0])
 
     def check_claims(self) -> None:
-        everyone = [(registry, ()) for registry in self.processes]
-        everyone += [(caller.registry, caller.prefixes) for caller in self.dispatchers]
-        for registry, prefixes in everyone:
+        holders = [(registry, ()) for registry in self.processes]
+        holders += [(caller.registry, caller.prefixes) for caller in self.dispatchers]
+        for registry, prefixes in holders:
             registry.validate_state()
             vector, ranks = registry.vector(), ranks_by_key(registry)
-            for entry in self.made:
+            for entry in self.all_entries:
                 if prefixes and not entry.key.startswith(prefixes):
                     continue
                 if entry.sequence <= vector.get(entry.origin, 0):
                     assert ranks.get(entry.key, (-1, 0, "", 0)) >= rank(entry), (registry.origin, entry)
 
 
-actions = st.one_of(
+ACTIONS = st.one_of(
     st.tuples(st.just("put"), st.integers(0, 2), st.sampled_from(KEYS), st.integers(0, 5), st.integers(0, 2)),
     st.tuples(st.just("pull"), st.integers(0, 2), st.integers(0, 2), st.sampled_from(LIMITS), st.booleans()),
     st.tuples(
@@ -116,7 +112,7 @@
 )
 
 
-def play(cluster: Cluster, steps: list[tuple]) -> Iterator[None]:  # type: ignore[type-arg]
+def apply_steps(cluster: Cluster, steps: list[tuple]) -> Iterator[None]:  # type: ignore[type-arg]
     for step in steps:
         kind, index, *rest = step
         registry = cluster.processes[index]
@@ -136,18 +132,18 @@
 
 
 @settings(max_examples=300, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-@given(st.lists(actions, max_size=60))
-def test_no_vector_claims_an_entry_that_its_holder_never_had(steps: list[tuple]) -> None:  # type: ignore[type-arg]
+@given(st.lists(ACTIONS, max_size=60))
+def test_no_vector_claims_an_entry_that_its_registry_never_held(steps: list[tuple]) -> None:  # type: ignore[type-arg]
     cluster = Cluster(3)
-    for _ in play(cluster, steps):
+    for _ in apply_steps(cluster, steps):
         cluster.check_claims()
 
 
 @settings(max_examples=200, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-@given(st.lists(actions, max_size=60))
-def test_copies_agree_on_the_maximum_once_messages_get_through(steps: list[tuple]) -> None:  # type: ignore[type-arg]
+@given(st.lists(ACTIONS, max_size=60))
+def test_replicas_converge_to_the_highest_rank_once_messages_arrive(steps: list[tuple]) -> None:  # type: ignore[type-arg]
     cluster = Cluster(3)
-    for _ in play(cluster, steps):
+    for _ in apply_steps(cluster, steps):
         pass
     reachable = highest_ranks(cluster.processes)
     cluster.exchange_all()
@@ -161,7 +157,7 @@
 
 
 def highest_ranks(registries: list[Registry]) -> dict[str, tuple[int, int, str, int]]:
-    """Key -> the highest rank that any of them holds."""
+    """Returns the highest rank by key over all registries."""
     highest: dict[str, tuple[int, int, str, int]] = {}
     for registry in registries:
         for key, value in ranks_by_key(registry).items():
@@ -169,11 +165,11 @@
     return highest
 
 
-def pulls(caller: Caller, source: Registry, limit: int = SMALL) -> None:
+def pull_all(caller: Caller, source: Registry, limit: int = SMALL) -> None:
     for _ in range(100):
         if not caller.pull(source, limit):
             return
-    raise AssertionError("a cut pull never came to its end")
+    raise AssertionError("a truncated pull did not finish within 100 replies")
 
 
 class RegistryTest(testtools.TestCase):
@@ -185,7 +181,7 @@
         assert registry.put("view", b"3", 5, 1)
         assert registry.get("view").value == b"3"
 
-    def test_two_writers_under_one_number_end_with_the_same_value_everywhere(self) -> None:
+    def test_two_writers_of_the_same_version_converge_to_the_same_value(self) -> None:
         first, second = Registry("a.1"), Registry("b.1")
         first.put("fleet", b"one", 3)
         second.put("fleet", b"two", 3)
@@ -194,7 +190,7 @@
         assert first.get("fleet").value == b"two"
         assert second.get("fleet").value == b"two"
 
-    def test_a_cut_reply_claims_nothing(self) -> None:
+    def test_truncated_reply_claims_nothing(self) -> None:
         registry = Registry("a.1")
         for number in range(5):
             registry.put(f"runner/{number}", b"x" * 50, 1)
@@ -210,26 +206,26 @@
         assert len(reply.entries) == 1
         assert not reply.more
 
-    def test_a_cut_reply_goes_on_behind_a_key_that_changed_meanwhile(self) -> None:
+    def test_truncated_pull_continues_correctly_after_a_sent_key_has_changed(self) -> None:
         source, caller = Registry("a.1"), Caller(Registry("edge.1"))
         for number in range(4):
             source.put(f"runner/{number}", b"old" * 20, 1)
         assert caller.pull(source, SMALL)
         source.put("runner/0", b"new", 2)
-        pulls(caller, source)
+        pull_all(caller, source)
         assert ranks_by_key(source) == ranks_by_key(caller.registry)
 
-    def test_a_cut_reply_goes_on_where_entries_of_several_origins_came_in_turns(self) -> None:
+    def test_truncated_pull_continues_correctly_with_interleaved_origins(self) -> None:
         source, caller = Registry("m.1"), Caller(Registry("edge.1"))
         for number in range(4):
             for origin in ("z.1", "a.1"):
                 source.merge([Entry(f"runner/{origin}{number}", 1, 0, origin, number + 1, b"x" * 40)])
-        pulls(caller, source, limit=3 * SMALL)
+        pull_all(caller, source, limit=3 * SMALL)
         assert ranks_by_key(source) == ranks_by_key(caller.registry)
 
-    def test_a_pushed_entry_is_passed_on_though_updates_before_it_are_missing(self) -> None:
+    def test_pushed_entry_is_forwarded_although_earlier_updates_are_missing(self) -> None:
         writer, other, caller = Registry("a.1"), Registry("b.1"), Caller(Registry("edge.1"))
-        pulls(caller, other)
+        pull_all(caller, other)
         writer.put("runner/0", b"first", 1)
         writer.put("runner/1", b"urgent", 1)
         other.merge([writer.get("runner/1")])
@@ -237,41 +233,41 @@
         reply = other.delta(caller.registry.vector() | caller.cursors, (), 10**6)
         assert [entry.key for entry in reply.entries] == ["runner/1"]
 
-    def test_a_pushed_entry_is_not_sent_again_and_again_to_a_waiting_caller(self) -> None:
+    def test_pushed_entry_is_not_sent_repeatedly_to_a_waiting_caller(self) -> None:
         writer, other, caller = Registry("a.1"), Registry("b.1"), Caller(Registry("edge.1"))
         writer.put("runner/0", b"first", 1)
         writer.put("runner/1", b"urgent", 1)
         other.merge([writer.get("runner/1")])
-        pulls(caller, other)
+        pull_all(caller, other)
         reply = other.delta(caller.registry.vector() | caller.cursors, (), 10**6)
         assert reply.entries == []
 
-    def test_a_cursor_of_another_registry_means_nothing(self) -> None:
+    def test_cursor_of_another_registry_is_ignored(self) -> None:
         source = Registry("a.1")
         source.put("runner/0", b"x", 1)
         reply = source.delta({cursor_key("a.0"): 1000}, (), 10**6)
         assert len(reply.entries) == 1
 
     def test_vectors_stay_bounded_over_many_incarnations(self) -> None:
-        keeper = Registry("k.1")
+        observer = Registry("k.1")
         for incarnation in range(200):
             process = Registry(f"p.{incarnation}")
             process.put("placer", b"x", incarnation + 1)
-            keeper.merge(list(process.items()))
-            keeper.advance(process.vector())
-        assert keeper.vector() == {"p.199": 1}
+            observer.merge(list(process.items()))
+            observer.advance(process.vector())
+        assert observer.vector() == {"p.199": 1}
 
-    def test_a_pruned_origin_that_comes_back_takes_nothing_back(self) -> None:
-        old, new, keeper = Registry("p.1"), Registry("p.2"), Caller(Registry("k.1"))
+    def test_old_entry_of_a_pruned_origin_does_not_replace_a_newer_one(self) -> None:
+        old, new, observer = Registry("p.1"), Registry("p.2"), Caller(Registry("k.1"))
         old.put("placer", b"old", 1)
         new.put("placer", b"new", 2)
-        pulls(keeper, old)
-        pulls(keeper, new)
-        pulls(keeper, old)
-        assert keeper.registry.get("placer").value == b"new"
-        assert "p.1" not in keeper.registry.vector()
+        pull_all(observer, old)
+        pull_all(observer, new)
+        pull_all(observer, old)
+        assert observer.registry.get("placer").value == b"new"
+        assert "p.1" not in observer.registry.vector()
 
-    def test_watchers_see_an_answering_put_after_what_it_answers(self) -> None:
+    def test_watchers_see_a_put_from_a_callback_after_the_entry_that_caused_it(self) -> None:
         registry = Registry("a.1")
         seen: list[int] = []
         registry.watch("view", lambda entry: registry.put("view", b"mine", 10) and None)
@@ -290,21 +286,21 @@
         with pytest.raises(ValueError, match="begins with '@'"):
             Registry("@a")
 
-    def test_a_small_delta_does_not_read_all_entries(self) -> None:
+    def test_small_delta_reads_only_few_entries(self) -> None:
         registry = Registry("a.1")
         for number in range(3000):
             registry.put(f"runner/{number:05}", b"x", 1)
         have = registry.vector()
         registry.put("runner/00007", b"y", 2)
-        looked = Counted(registry._entries)
-        registry._entries = looked
+        counting_entries = CountingDict(registry._entries)
+        registry._entries = counting_entries
         reply = registry.delta(have, (), 10**6)
         assert len(reply.entries) == 1
-        assert looked.reads < 5
+        assert counting_entries.reads < 5
 
 
-class Counted(dict):  # type: ignore[type-arg]
-    """Counts the entries that are looked at."""
+class CountingDict(dict):  # type: ignore[type-arg]
+    """Counts reads of entries."""
 
     reads = 0
 
--- a/tests/distribution/test_source_selector.py
+++ b/tests/distribution/test_source_selector.py
@@ -1,4 +1,4 @@
-"""Which control process is asked next, and after which pause."""
+"""Selection of the next control process to pull from, and the pause before the pull."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     return SourceSelector(SETTINGS, random.Random(seed), near)
 
 
-class SourceChoiceTest(testtools.TestCase):
-    def test_no_address_no_source(self) -> None:
+class SourceSelectorTest(testtools.TestCase):
+    def test_no_source_without_an_address(self) -> None:
         assert new_selector().choose(0.0, []) is None
 
     def test_the_selector_stays_with_the_source_that_serves(self) -> None:
@@ -77,30 +77,30 @@
         assert pauses[-1] >= SETTINGS.max_backoff_s / 2
         assert max(pauses) <= SETTINGS.max_backoff_s
 
-    def test_processes_that_start_together_do_not_ask_together(self) -> None:
+    def test_processes_that_start_together_spread_their_first_pulls(self) -> None:
         first = [new_selector(seed=seed).choose(0.0, ["a", "b", "c"]) for seed in range(100)]
         assert max(source.pause_s for source in first) > 0.8 * SETTINGS.start_jitter_s
         assert min(sum(source.address == name for source in first) for name in "abc") > 15
 
-    def test_a_source_in_the_own_zone_comes_first(self) -> None:
+    def test_source_in_the_same_zone_is_preferred(self) -> None:
         for seed in range(20):
             selector = new_selector(lambda address: address == "c", seed)
             assert selector.choose(0.0, ["a", "b", "c"]).address == "c"
             selector.record_failure("c")
             assert selector.choose(0.0, ["a", "b", "c"]).address != "c"
 
-    def test_the_selector_comes_back_to_its_zone_after_a_while(self) -> None:
+    def test_selector_returns_to_a_source_in_its_zone_after_the_recheck_time(self) -> None:
         selector = new_selector(lambda address: address == "c")
         selector.record_success(0.0, "a")
         assert selector.choose(SETTINGS.zone_recheck_s / 2, ["a", "c"]).address == "a"
         assert selector.choose(SETTINGS.zone_recheck_s + 1.0, ["a", "c"]).address == "c"
 
-    def test_seeds_are_asked_only_when_those_known_now_have_failed(self) -> None:
+    def test_fallback_addresses_are_used_only_after_all_known_ones_have_failed(self) -> None:
         selector = new_selector()
         assert selector.choose(0.0, ["new"], ["seed"]).address == "new"
         selector.record_failure("new")
         assert selector.choose(0.0, ["new"], ["seed"]).address == "seed"
 
-    def test_waits_follow_from_the_shorter_of_the_bounds(self) -> None:
+    def test_waits_are_derived_from_the_shorter_time_limit(self) -> None:
         settings = PullSettings.from_time_limits(TimeLimits(apply_ms=2000, drain_end_ms=1000))
         assert settings.wait_s + settings.reply_grace_s < 0.7
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol: messages read back as written, and bytes that must be ignored."""
+"""Datagrams of the membership protocol: messages are decoded as encoded, and invalid bytes are ignored."""
 
 from contextlib import suppress
 from dataclasses import replace
@@ -58,7 +58,7 @@
     MEMBERS,
     st.lists(UPDATES, max_size=4),
 )
-def test_message_is_read_as_it_was_written(
+def test_message_is_decoded_as_it_was_encoded(
     message_type: type[Message], sequence: int, sender: Member, updates: list[Update]
 ) -> None:
     message = message_type(sequence, sender, digest=sequence, updates=tuple(updates))
@@ -75,7 +75,7 @@
         Page(3, ME, next_cursor=None),
     ],
 )
-def test_fields_of_each_kind_are_read_as_written(message: Message) -> None:
+def test_fields_of_each_kind_are_decoded_as_encoded(message: Message) -> None:
     assert decode(DatagramBuilder(message).build()) == message
 
 
@@ -91,7 +91,7 @@
 
 
 @given(st.binary(max_size=1300))
-def test_arbitrary_bytes_are_no_datagram(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(DatagramDecodeError):
         decode(data)
 
@@ -102,19 +102,19 @@
     offset = data.draw(st.integers(0, len(datagram) - 1))
     changed = bytes((datagram[offset] ^ data.draw(st.integers(1, 255)),))
     if offset == 3:
-        return  # the kind alone is outside the checksum; the next test covers it
+        return  # the checksum does not cover the kind; the next test does
     with pytest.raises(DatagramDecodeError):
         decode(datagram[:offset] + changed + datagram[offset + 1 :])
 
 
 @given(st.binary(min_size=0, max_size=200), st.integers(0, 255))
-def test_garbage_with_a_right_checksum_raises_no_other_error(body: bytes, kind: int) -> None:
+def test_invalid_body_with_a_valid_checksum_raises_only_a_decode_error(body: bytes, kind: int) -> None:
     data = b"lM" + bytes((1, kind)) + crc32(body).to_bytes(4, "big") + body
     with suppress(DatagramDecodeError):
         decode(data)
 
 
-def test_garbage_is_not_answered_and_changes_nothing() -> None:
+def test_invalid_datagrams_are_not_answered_and_have_no_effect() -> None:
     swim = Swim(ME, SwimSettings(), Random(1))
     random = Random(2)
     for _ in range(500):
@@ -134,6 +134,6 @@
         replace(ME, incarnation=-1),
     ],
 )
-def test_member_that_no_datagram_can_describe_is_rejected_at_the_start(member: Member) -> None:
+def test_member_that_cannot_be_encoded_is_rejected_at_the_start(member: Member) -> None:
     with pytest.raises(InvalidMemberError):
         check_member(member)
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Updates on their way: how often, in what order and at what rate they are passed on."""
+"""Dissemination of updates: how often, in which order and at what rate they are sent."""
 
 from dataclasses import replace
 
--- a/tests/membership/test_recorded_bytes.py
+++ b/tests/membership/test_recorded_bytes.py
@@ -1,4 +1,4 @@
-"""Recorded datagrams of every kind: they are read and written as when they were recorded."""
+"""Recorded datagrams of every kind are decoded and encoded as at the time of the recording."""
 
 from __future__ import annotations
 
@@ -66,12 +66,12 @@
 
 
 @pytest.mark.parametrize("name", sorted(DATAGRAMS))
-def test_recorded_datagram_is_read_to_the_same_message(name: str) -> None:
+def test_recorded_datagram_is_decoded_to_the_same_message(name: str) -> None:
     assert decode(bytes.fromhex(RECORDED[name])) == DATAGRAMS[name]
 
 
 @pytest.mark.parametrize("name", sorted(DATAGRAMS))
-def test_message_is_written_to_the_recorded_datagram(name: str) -> None:
+def test_message_is_encoded_as_the_recorded_datagram(name: str) -> None:
     assert DatagramBuilder(DATAGRAMS[name]).build().hex() == RECORDED[name]
 
 
@@ -81,10 +81,10 @@
 
 
 class RecordedRun:
-    """Fifteen processes through loss, a freeze, a crash, a partition, a restart and a planned end.
+    """Fifteen processes with message loss, a pause, a crash, a partition, a restart and a graceful leave.
 
-    Every datagram counts: who sends it, when, where to, and its bytes. A draw of the random source or an
-    iteration in another order shows as another digest.
+    The digest covers sender, time, receiver and bytes of every datagram, so that any change in the order of
+    random numbers or iterations results in another digest.
     """
 
     def __init__(self) -> None:
@@ -93,8 +93,8 @@
         self._network = DatagramNetwork(11, Link(delay=0.002, spread=0.05, loss=0.08, duplicates=0.05))
         self._seeds = [self._address(number) for number in range(3)]
 
-    def play(self) -> dict[str, object]:
-        """Runs it all; returns what is compared with the recording."""
+    def simulate(self) -> dict[str, object]:
+        """Runs the simulation; returns the values to compare with the recording."""
         network, starts = self._network, Random(11)
         for number in range(15):
             self._start(number, starts.uniform(0.0, 0.3))
@@ -145,4 +145,4 @@
 
 
 def test_processes_in_virtual_time_send_the_recorded_datagrams_at_the_recorded_times() -> None:
-    assert RecordedRun().play() == RECORDED_RUN
+    assert RecordedRun().simulate() == RECORDED_RUN
--- a/tests/membership/test_single_process.py
+++ b/tests/membership/test_single_process.py
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def swim() -> Swim:
-    """A process that knows of no other."""
+    """Returns the protocol state of a process that knows no other."""
     return started_swim()
 
 
@@ -37,13 +37,13 @@
     message_type: type[Message] = Gossip,
     sender: Member = PEER,
 ) -> list[Datagram]:
-    """Hands over a message of `sender` with an update on each member; returns the answers."""
+    """Delivers a message from `sender` with one update per member; returns the answers."""
     updates = tuple(Update(member, accuser) for member in members)
     message = message_type(5, sender, updates=updates)
     return swim.receive(now, sender.address, DatagramBuilder(message).build())
 
 
-def test_suspicion_of_oneself_is_refuted_in_the_next_datagram(swim: Swim) -> None:
+def test_suspicion_of_this_process_is_refuted_in_the_next_datagram(swim: Swim) -> None:
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT), accuser=PEER.address)
     answers = [decode(d.data) for d in swim.tick(0.2)]
     assert answers
@@ -51,14 +51,14 @@
     assert swim.health_score == 1
 
 
-def test_old_suspicion_of_oneself_is_ignored(swim: Swim) -> None:
+def test_outdated_suspicion_of_this_process_is_ignored(swim: Swim) -> None:
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=4))
     deliver(swim, 0.1, replace(ME, state=MemberState.SUSPECT, refutations=2))
     deliver(swim, 0.1, replace(ME, state=MemberState.DEAD, incarnation=900))
     assert (swim.me.refutations, swim.me.incarnation) == (5, 1000)
 
 
-def test_death_that_no_suspicion_preceded_is_verified_and_then_becomes_a_suspicion(swim: Swim) -> None:
+def test_death_without_a_preceding_suspicion_is_verified_and_then_becomes_a_suspicion(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
     dead = replace(victim, state=MemberState.DEAD)
     deliver(swim, 0.1, victim)
@@ -71,7 +71,7 @@
     assert [m.state for m in swim.members() if m.address == victim.address] == [MemberState.SUSPECT]
 
 
-def test_death_that_its_member_refutes_changes_nothing(swim: Swim) -> None:
+def test_death_refuted_by_its_member_has_no_effect(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, victim)
     deliver(swim, 0.2, replace(victim, state=MemberState.DEAD))
@@ -86,11 +86,11 @@
     assert [member for member in changes if member.address == victim.address] == []
 
 
-def test_death_of_a_mature_suspect_is_believed(swim: Swim) -> None:
+def test_death_of_a_mature_suspect_is_accepted(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
     deliver(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
     deliver(swim, 0.2, replace(victim, state=MemberState.DEAD))
-    assert swim.dead() == []  # too soon: it had no time to refute the suspicion
+    assert swim.dead() == []  # too soon: the member had no time to refute the suspicion
     for step in range(3, 23):
         swim.tick(step / 10)
     deliver(swim, 2.3, replace(victim, state=MemberState.DEAD))
@@ -117,16 +117,16 @@
 
 
 def test_suspicion_ends_sooner_as_independent_members_confirm_it() -> None:
-    lone = time_to_death(["10.0.0.10:7662"])
-    repeated = time_to_death(["10.0.0.10:7662"] * 4)
-    confirmed = time_to_death([f"10.0.0.{n}:7662" for n in range(10, 14)])
-    assert lone == repeated
-    assert confirmed < lone / 2.5
+    one_accuser = time_to_death(["10.0.0.10:7662"])
+    repeated_accuser = time_to_death(["10.0.0.10:7662"] * 4)
+    several_accusers = time_to_death([f"10.0.0.{n}:7662" for n in range(10, 14)])
+    assert one_accuser == repeated_accuser
+    assert several_accusers < one_accuser / 2.5
 
 
 def test_suspect_is_pinged_before_it_is_declared_dead(swim: Swim) -> None:
     victim = replace(ME, address="10.0.0.9:7662")
-    for n in range(20):  # so many that the round of probes does not come to the victim by chance
+    for n in range(20):  # so many that a regular probe does not reach the victim by chance
         deliver(swim, 0.1, *(replace(ME, address=f"10.1.{n}.{m}:7662") for m in range(10)))
     deliver(swim, 0.1, replace(victim, state=MemberState.SUSPECT), accuser=PEER.address)
     pinged = []
@@ -154,9 +154,9 @@
         step += 1
 
 
-def test_probe_that_a_freeze_interrupted_accuses_nobody(swim: Swim) -> None:
+def test_probe_interrupted_by_a_pause_accuses_nobody(swim: Swim) -> None:
     deliver(swim, 0.1, replace(PEER, refutations=1))
-    swim.tick(0.2)  # begins a probe of the peer
+    swim.tick(0.2)  # starts a probe of the peer
     swim.tick(30.0)
     swim.tick(30.1)
     assert all(m.state is MemberState.ALIVE for m in swim.members())
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -1,4 +1,4 @@
-"""The membership protocol on a socket, with a stub in place of the datagram transport."""
+"""The membership protocol on a socket, with a stub or a real datagram transport."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 
 
 class DatagramTransportStub(asyncio.DatagramTransport):
-    """Records the messages sent."""
+    """Records sent messages."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,11 +42,11 @@
 
 def free_ports(count: int) -> list[int]:
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    ports = [each.getsockname()[1] for each in sockets]
-    for each in sockets:
-        each.close()
+    for udp_socket in sockets:
+        udp_socket.bind(("127.0.0.1", 0))
+    ports = [udp_socket.getsockname()[1] for udp_socket in sockets]
+    for udp_socket in sockets:
+        udp_socket.close()
     return ports
 
 
@@ -60,7 +60,7 @@
     assert [(to, m.kind, m.sequence) for to, m in stub.sent] == [(("127.0.0.1", 7661), MessageKind.ACK, 5)]
 
 
-def test_garbage_and_errors_on_the_socket_are_survived() -> None:
+def test_invalid_datagrams_and_socket_errors_do_not_stop_the_transport() -> None:
     transport, stub = connected()
     transport.datagram_received(b"GET / HTTP/1.1\r\n\r\n", ("127.0.0.1", 9))
     transport.error_received(ConnectionRefusedError())
