--- a/larchgw/control/control_processes.py
+++ b/larchgw/control/control_processes.py
@@ -1,4 +1,4 @@
-"""Which control processes this one exchanges entries with, and at which addresses."""
+"""The control processes with which this one exchanges entries, and their addresses."""
 
 from __future__ import annotations
 
--- a/larchgw/control/errors.py
+++ b/larchgw/control/errors.py
@@ -55,7 +55,7 @@
         """Creates the error; its message includes the remedy for the operator."""
         super().__init__(
             "configuration",
-            f"{size_bytes} bytes as JSON are over {max_bytes}",
-            "remove routes and services that are not used, in the same order or in one before",
+            f"{size_bytes} bytes as JSON exceed the limit of {max_bytes}",
+            "remove unused routes and services, in the same order or in an earlier one",
         )
         self.size_bytes, self.max_bytes = size_bytes, max_bytes
--- a/larchgw/control/majority_contact.py
+++ b/larchgw/control/majority_contact.py
@@ -20,7 +20,7 @@
 
 from ..replication.view import View
 
-MAX_CONTACT_AGE_S = 1.3  # two pulls between control processes wait 0.25 s each; the rest covers packet loss
+MAX_CONTACT_AGE_S = 1.3  # two pulls between control processes wait 0.25 s each; the rest is for lost packets
 
 
 class MajorityContact(Protocol):
--- a/larchgw/control/operator_calls.py
+++ b/larchgw/control/operator_calls.py
@@ -71,7 +71,7 @@
             return order_too_large_response(len(body))
         call = OperatorCall(operation, base_version, body)
         deadline = asyncio.get_running_loop().time() + _timeout_s(call)
-        return await _with_timeout(call, self._retry_until_clear(call, deadline))
+        return await _with_timeout(call, self._retry_until_definite(call, deadline))
 
     async def serve_forwarded(self, call: OperatorCall) -> OperatorAnswer:
         """Serves a call that another process forwards.
@@ -83,8 +83,8 @@
         response = await _with_timeout(call, self._serve(call))
         return OperatorAnswer(response.status, response.body, self._member.id)
 
-    async def _retry_until_clear(self, call: OperatorCall, deadline: float) -> OperatorResponse:
-        """Retries while there is no primary, as a new one is elected within a second.
+    async def _retry_until_definite(self, call: OperatorCall, deadline: float) -> OperatorResponse:
+        """Retries until a response is definite; while there is no primary, a new one is elected within 1 s.
 
         `deadline` is a time of the event loop's clock.
         """
--- a/larchgw/control/order_permits.py
+++ b/larchgw/control/order_permits.py
@@ -40,7 +40,7 @@
 
     Times are seconds on the clock of the log.
 
-    Source: `replication.lease_actions`; the rule ONE of the rules page.
+    Source: `replication.lease_actions`; rule ONE on the rules page of the documentation.
     """
 
     def __init__(self, log: LeaseActionAnnouncer) -> None:
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -125,14 +125,14 @@
         """
         return await self._call(lambda now: self.member.propose(now, record))
 
-    async def _call(self, begin: Callable[[float], tuple[PendingCall, Effects]]) -> int:
+    async def _call(self, start_call: Callable[[float], tuple[PendingCall, Effects]]) -> int:
         try:
-            call, effects = begin(self._clock())
+            call, effects = start_call(self._clock())
         except NotPrimaryError as error:
             raise ReplicationUnavailableError(str(error)) from error
         except OSError as error:
             self._pause(error)
-            raise ReplicationUnavailableError(f"the disk refuses writes: {error}") from error
+            raise ReplicationUnavailableError(f"writing to disk failed: {error}") from error
         future = self._pending_calls[call] = asyncio.get_running_loop().create_future()
         try:
             self._apply_effects(effects)
--- a/larchgw/control/restore.py
+++ b/larchgw/control/restore.py
@@ -71,7 +71,7 @@
         RestoreError: The folder is not empty, or is not a folder.
     """
     if folder.exists() and (not folder.is_dir() or any(folder.iterdir())):
-        raise RestoreError(folder, "is not empty", "move what it holds aside; it may still be needed")
+        raise RestoreError(folder, "is not empty", "move its contents elsewhere; they may still be needed")
 
 
 def write_folder(
@@ -120,7 +120,7 @@
         state.current = parse_configuration(decode_object(source.read_bytes()))
     except (OSError, ConfigurationError) as error:
         raise RestoreError(
-            source, f"is no valid configuration: {error}", "mend it or restore from another copy"
+            source, f"is not a valid configuration: {error}", "correct it or restore from another copy"
         ) from error
     return RestorableState(state, state.current, 0, 0)
 
--- a/larchgw/distribution/keys.py
+++ b/larchgw/distribution/keys.py
@@ -7,7 +7,7 @@
                      processes; major: index of its log record.
     runner/<id>      A RunnerRecord (runner_directory/records.py). Written by control processes; major: the
                      runner's `call_count`, or a number above all counts once it is gone; minor: its stage.
-    placer           JSON {"address": rpc address} (placer_entry.py). Written by the placer; major: fencing
+    placer           JSON {"address": RPC address} (placer_entry.py). Written by the placer; major: fencing
                      token.
     view             JSON of the latest accepted view (replication/view.py). Written by control processes;
                      major: its epoch.
--- a/larchgw/distribution/puller.py
+++ b/larchgw/distribution/puller.py
@@ -148,8 +148,8 @@
 
     async def step(self) -> None:
         """Chooses a source, pauses if the choice requires it, and pulls once."""
-        given = list(self._addresses())
-        source = self._selector.choose(self._clock(), self._learned_addresses or given, given)
+        initial = list(self._addresses())
+        source = self._selector.choose(self._clock(), self._learned_addresses or initial, initial)
         if source is None:
             await asyncio.sleep(NO_ADDRESS_PAUSE_S)
             return
@@ -189,7 +189,7 @@
         self._close_session()
 
     def _is_current(self, reply: PullReply, began_at: float) -> bool:
-        """Returns whether the sender was in contact with the majority, recently enough to be still valid."""
+        """Whether the sender was in contact with the majority and the reply came within the call timeout."""
         return not reply.isolated and self._clock() - began_at <= self._settings.timeout_s
 
     def _merge_from_isolated(self, session: _Session, reply: PullReply) -> None:
--- a/larchgw/distribution/version_vectors.py
+++ b/larchgw/distribution/version_vectors.py
@@ -17,8 +17,8 @@
 
 from ..identifiers import Origin
 
-CURSOR_PREFIX = "@"  # begins the key of a cursor; no origin begins with it
-INCARNATION_BITS = 32  # random part of an origin, which distinguishes the incarnations of one process
+CURSOR_PREFIX = "@"  # prefix of a cursor's key; no origin starts with it
+INCARNATION_BITS = 32  # random part of an origin, which must differ between incarnations of a process
 
 VersionVector = dict[str, int]
 
--- a/larchgw/membership/codec.py
+++ b/larchgw/membership/codec.py
@@ -147,7 +147,7 @@
 
 def _decode(data: bytes) -> Message:
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise DatagramDecodeError(f"datagram of {len(data)} bytes exceeds the limit of {MAX_DATAGRAM_BYTES}")
+        raise DatagramDecodeError(f"{len(data)} bytes exceed the datagram limit of {MAX_DATAGRAM_BYTES}")
     magic, version, kind, checksum = _FRONT.unpack_from(data)
     if magic != MAGIC or version != VERSION or checksum != crc32(data[_FRONT.size :]):
         raise DatagramDecodeError("wrong magic, version or checksum")
--- a/larchgw/membership/local_health.py
+++ b/larchgw/membership/local_health.py
@@ -32,7 +32,7 @@
         """Raises the score for a failed probe, a late answer, or a suspicion that had to be refuted."""
         self.score = min(self.score + by, self._max_score)
 
-    def record_freeze(self, now: float, recovery_s: float) -> None:
+    def record_pause(self, now: float, recovery_s: float) -> None:
         """Records that this process was paused.
 
         For `recovery_s` seconds from `now`, failed probes are no evidence against other members.
--- a/larchgw/membership/outbound_datagrams.py
+++ b/larchgw/membership/outbound_datagrams.py
@@ -47,35 +47,37 @@
     def add_ping(self, address: str, about: Member | None, sequence: int | None = None) -> None:
         """Adds a ping with the given sequence number, or with a new one."""
         number = self.next_sequence() if sequence is None else sequence
-        self._add(address, Ping(number, self._states.me, self._states.table.digest), about)
+        self._add(address, Ping(number, self._states.local_member, self._states.table.digest), about)
 
     def add_ack(self, address: str, sequence: int, about: Member | None = None) -> None:
         """Adds an answer to the ping or ping request with that sequence number."""
-        self._add(address, Ack(sequence, self._states.me, self._states.table.digest), about)
+        self._add(address, Ack(sequence, self._states.local_member, self._states.table.digest), about)
 
     def add_nack(self, address: str, sequence: int) -> None:
         """Adds a report that the target of the ping request with that number has not answered yet."""
-        self._add(address, Nack(sequence, self._states.me, self._states.table.digest))
+        self._add(address, Nack(sequence, self._states.local_member, self._states.table.digest))
 
     def add_ping_request(self, address: str, sequence: int, target: str) -> None:
         """Adds a request to ping `target`."""
-        message = PingRequest(sequence, self._states.me, self._states.table.digest, target=target)
+        message = PingRequest(sequence, self._states.local_member, self._states.table.digest, target=target)
         self._add(address, message)
 
     def add_gossip(self, address: str) -> None:
         """Adds a message that carries only updates."""
-        self._add(address, Gossip(self.next_sequence(), self._states.me, self._states.table.digest))
+        self._add(address, Gossip(self.next_sequence(), self._states.local_member, self._states.table.digest))
 
     def add_pull(self, address: str, sequence: int, cursor: Cursor) -> None:
         """Adds a request for the page after `cursor`."""
         table = self._states.table
         buckets = tuple(table.buckets)
-        self._add(address, Pull(sequence, self._states.me, table.digest, buckets=buckets, cursor=cursor))
+        self._add(
+            address, Pull(sequence, self._states.local_member, table.digest, buckets=buckets, cursor=cursor)
+        )
 
     def add_page(self, address: str, pull: Pull) -> None:
         """Adds the answer to a pull: as many differing records after its cursor as fit."""
         table = self._states.table
-        page = Page(pull.sequence, self._states.me, table.digest)
+        page = Page(pull.sequence, self._states.local_member, table.digest)
         builder = DatagramBuilder(page)
         last = pull.cursor
         for member in table.differing(pull.buckets, last):
--- a/larchgw/membership/settings.py
+++ b/larchgw/membership/settings.py
@@ -30,8 +30,8 @@
             synchronisation.
         update_bytes_per_s: Maximum rate at which a member sends updates, however many there are.
         update_burst_bytes: Maximum size of updates sent at once; four full datagrams.
-        freeze_threshold_s: A longer time between ticks (0.1 s apart) means that this process was paused.
-        freeze_recovery_s: Time after a pause in which failed probes are attributed to this process.
+        pause_threshold_s: A longer time between ticks (0.1 s apart) means that this process was paused.
+        pause_recovery_s: Time after a pause in which failed probes are attributed to this process.
         max_local_health_score: Probe times are multiplied by at most this plus one.
         page_timeout_s: Timeout for one page of a table synchronisation.
         min_pull_period_s: Time between synchronisations while they bring updates.
@@ -65,8 +65,8 @@
     update_bytes_per_s: float = 1200.0
     update_burst_bytes: float = 4800.0
 
-    freeze_threshold_s: float = 0.5
-    freeze_recovery_s: float = 2.0
+    pause_threshold_s: float = 0.5
+    pause_recovery_s: float = 2.0
     max_local_health_score: int = 8
 
     page_timeout_s: float = 1.0
--- a/larchgw/membership/swim.py
+++ b/larchgw/membership/swim.py
@@ -44,21 +44,21 @@
     a monotonic clock that continues while the process is paused.
     """
 
-    def __init__(self, me: Member, settings: SwimSettings, random_source: Random) -> None:
+    def __init__(self, local_member: Member, settings: SwimSettings, random_source: Random) -> None:
         """Starts with this process as the only known member.
 
         Args:
-            me: The member record of this process.
+            local_member: The member record of this process.
             settings: Periods and limits.
             random_source: Chooses the members to contact, and adds jitter to timers.
 
         Raises:
-            InvalidMemberError: If `me` cannot be encoded in a datagram.
+            InvalidMemberError: If `local_member` cannot be encoded in a datagram.
         """
-        check_member(me)
+        check_member(local_member)
         self._settings = settings
         self._local_health = LocalHealth(settings.max_local_health_score)
-        self._states = MemberStates(me, settings, random_source, self._local_health)
+        self._states = MemberStates(local_member, settings, random_source, self._local_health)
         self._outbound = OutboundDatagrams(self._states, first_sequence=random_source.getrandbits(32))
         self._failure_detector = FailureDetector(
             settings, random_source, self._states, self._local_health, self._outbound
@@ -70,9 +70,9 @@
         self._next_gossip_at = 0.0
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """The member record of this process, including its refutations so far."""
-        return self._states.me
+        return self._states.local_member
 
     @property
     def on_change(self) -> Callable[[Member], None] | None:
@@ -113,7 +113,7 @@
 
     def receive(self, now: float, address: str, data: bytes) -> list[Datagram]:
         """Handles a datagram from `address`. Bytes that are not a datagram of this protocol are ignored."""
-        if self.me.state is MemberState.LEFT:
+        if self.local_member.state is MemberState.LEFT:
             return []
         try:
             message = decode(data)
@@ -122,7 +122,7 @@
                 "membership.datagram_undecodable", size_bytes=len(data), address=address, error=str(error)
             )
             return []
-        self._detect_freeze(now)
+        self._detect_pause(now)
         if not self._is_from_own_address(message):
             self._receive_updates(now, message)
             self._handle(now, address, message)
@@ -130,9 +130,9 @@
 
     def tick(self, now: float) -> list[Datagram]:
         """Advances all timers."""
-        if self.me.state is MemberState.LEFT:
+        if self.local_member.state is MemberState.LEFT:
             return []
-        self._detect_freeze(now)
+        self._detect_pause(now)
         self._states.tick(now)
         self._failure_detector.tick(now)
         self._suspect_pings.tick(now)
@@ -151,8 +151,8 @@
 
     def _is_from_own_address(self, message: Message) -> bool:
         """Whether this process, or an earlier incarnation at its address, sent the message."""
-        sender, me = message.sender, self.me
-        return sender.address == me.address and sender.incarnation <= me.incarnation
+        sender, local_member = message.sender, self.local_member
+        return sender.address == local_member.address and sender.incarnation <= local_member.incarnation
 
     def _receive_updates(self, now: float, message: Message) -> None:
         source = message.sender.address
@@ -193,13 +193,13 @@
         for address in self._states.sample_peers(1):
             self._outbound.add_gossip(address)
 
-    def _detect_freeze(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         """Detects that this process was paused, so that lost answers are not blamed on other members."""
         pause_s = 0.0 if self._last_ran_at is None else now - self._last_ran_at
         self._last_ran_at = now
-        if pause_s <= self._settings.freeze_threshold_s:
+        if pause_s <= self._settings.pause_threshold_s:
             return
         log.info("membership.process_paused", pause_s=round(pause_s, 1))
         self._failure_detector.abandon_probes()
-        self._local_health.record_freeze(now, self._settings.freeze_recovery_s)
+        self._local_health.record_pause(now, self._settings.pause_recovery_s)
         self._states.suspicions.extend(pause_s)
--- a/larchgw/membership/transport.py
+++ b/larchgw/membership/transport.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, swim: Swim, host: str, port: int) -> None:
-        """Creates the transport without a socket; `host` and `port` must be the address of `swim.me`."""
+        """Creates it without a socket; `host` and `port` must be the address of the local member."""
         self.swim = swim
         self._host = host
         self._port = port
