--- a/larchgw/control/order_permits.py
+++ b/larchgw/control/order_permits.py
@@ -19,7 +19,7 @@
 
 
 class LeaseActionAnnouncer(Protocol):
-    """Announces acts under a lease; `ReplicatedLog` is the implementation."""
+    """Announces actions under a lease; `ReplicatedLog` is the implementation."""
 
     @property
     def member(self) -> Member:
@@ -29,14 +29,14 @@
         """Returns the lease while this process holds it."""
 
     async def announce(self, lease_name: str, targets: Sequence[str]) -> None:
-        """Announces an act; raises ReplicationUnavailableError if no quorum of witnesses answers."""
+        """Announces an action; raises ReplicationUnavailableError if no quorum of witnesses answers."""
 
     def action_permitted_until(self, lease_name: str, target: str) -> float:
-        """Returns the time until which an announced act may be started."""
+        """Returns the time until which an announced action may be started."""
 
 
 class LeaseOrderPermits:
-    """Permits orders as acts under the placer's lease, each announced to the witnesses before it is sent.
+    """Permits orders as actions under the placer's lease, each announced to the witnesses before it is sent.
 
     Times are seconds on the clock of the log.
 
@@ -47,7 +47,7 @@
         """Permits no order until this process holds the lease.
 
         Args:
-            log: Holds the lease and announces acts to its witnesses.
+            log: Holds the lease and announces actions to its witnesses.
         """
         self._log = log
         self._store_loads = 0
--- a/larchgw/control/replicated_log.py
+++ b/larchgw/control/replicated_log.py
@@ -85,7 +85,7 @@
         return self.member.lease(self._clock(), name)
 
     async def announce(self, lease_name: str, targets: Sequence[str]) -> None:
-        """Announces an act on `targets` under a lease; `action_permitted_until` limits when it may start.
+        """Announces an action on `targets` under a lease; `action_permitted_until` limits when it may start.
 
         Raises:
             ReplicationUnavailableError: The lease is not held, or no quorum of witnesses answers.
@@ -99,7 +99,7 @@
     async def wait_until_decided(self) -> None:
         """Waits until every record proposed by this process is decided.
 
-        The log of a backup may contain undecided records indefinitely; the log of a primary may not.
+        The log of a backup may contain undecided records indefinitely; that of a primary cannot.
 
         Raises:
             ReplicationUnavailableError: This process is not the primary.
@@ -150,7 +150,7 @@
             self._pause(error)
 
     def _pause(self, error: OSError) -> None:
-        """Suspends all steps for DISK_RETRY_S. The failed step had no effects outside this process."""
+        """Suspends all steps for DISK_RETRY_S. The failed step has acknowledged nothing."""
         log.error("replication.paused", error=str(error), pause_s=DISK_RETRY_S)
         self._paused_until = self._clock() + DISK_RETRY_S
 
