--- a/larchgw/routing/__init__.py
+++ b/larchgw/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which runner a request goes to, when it is retried, and when it is rejected: pure decisions, no I/O."""
+"""Request routing: selects a runner, permits retries and rejects requests. Decisions only, no I/O."""
--- a/larchgw/routing/affinity.py
+++ b/larchgw/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all dispatchers prefer the same runner for a prefix without talking to each other.
+"""Rendezvous hashing: all dispatchers prefer the same runner for a prompt prefix without coordination.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998).
 """
@@ -11,40 +11,40 @@
 from .interface import RequestTraits
 
 _MASK = (1 << 64) - 1
-_MULTIPLIER = 0xBF58476D1CE4E5B9  # of splitmix64: spreads any two inputs that differ in a bit
+_MIX_MULTIPLIER = 0xBF58476D1CE4E5B9  # from splitmix64; inputs that differ in one bit get unrelated outputs
 
 
 def stable_hash(*words: str) -> int:
-    """Returns 64 bits that are the same in every process."""
+    """Returns a 64-bit hash of the words that is the same in every process."""
     return int.from_bytes(blake2b("\0".join(words).encode(), digest_size=8).digest(), "big")
 
 
 def shared_prefix_hash(request: RequestTraits) -> int:
-    """Identifies what the request's prompt shares with others: all parts but the last, which is its own."""
+    """Returns a hash of the request's key and of all prompt parts but the last, which is rarely shared."""
     shared = request.parts[:-1] or request.parts
     return stable_hash(*request.key, *(part.id for part in shared))
 
 
 class Rendezvous:
-    """Weights of runners for a prefix; the highest is preferred.
+    """Ranks runners for a prefix by a hash of both; the highest weight is preferred.
 
-    A lost runner moves only its own prefixes.
+    When a runner is removed, only the prefixes that preferred it move to other runners.
     """
 
     def __init__(self) -> None:
-        """Begins with no runner's hash computed; each is kept until `forget`."""
-        self._seeds: dict[str, int] = {}
+        """Starts with an empty cache of runner hashes; each entry is kept until `forget`."""
+        self._runner_hashes: dict[str, int] = {}
 
     def weight(self, prefix: int, runner: str) -> int:
-        """The runner's weight for the prefix."""
-        seed = self._seeds.get(runner)
+        """Returns the runner's weight for the prefix."""
+        seed = self._runner_hashes.get(runner)
         if seed is None:
-            seed = self._seeds[runner] = stable_hash(runner)
-        mixed = ((prefix ^ seed) * _MULTIPLIER) & _MASK
-        return ((mixed ^ (mixed >> 31)) * _MULTIPLIER) & _MASK
+            seed = self._runner_hashes[runner] = stable_hash(runner)
+        mixed_bits = ((prefix ^ seed) * _MIX_MULTIPLIER) & _MASK
+        return ((mixed_bits ^ (mixed_bits >> 31)) * _MIX_MULTIPLIER) & _MASK
 
     def preferred(self, prefix: int, runners: Sequence[str]) -> str:
-        """The runner with the highest weight.
+        """Returns the runner with the highest weight.
 
         Raises:
             ValueError: `runners` is empty.
@@ -52,5 +52,5 @@
         return max(runners, key=lambda runner: self.weight(prefix, runner))
 
     def forget(self, runner: str) -> None:
-        """Drops what is kept of a runner that is gone."""
-        self._seeds.pop(runner, None)
+        """Removes the cached hash of a runner that no longer exists."""
+        self._runner_hashes.pop(runner, None)
--- a/larchgw/routing/interface.py
+++ b/larchgw/routing/interface.py
@@ -1,8 +1,9 @@
-"""Types and calls between the edge, which carries requests, and this package, which decides where they go.
+"""Types and calls between the edge, which forwards requests, and this package, which selects their runners.
 
-Everything here is pure: time is seconds on a monotonic clock and comes in as an argument, randomness is a
-seeded generator. The edge calls, for each request: `Selection.choose` until it gives Send, then
-`Selection.sent`, then what it observes of that attempt, and exactly one `Selection.ended` for each `sent`.
+The package does no I/O. Times are seconds on a monotonic clock and are passed as arguments; random numbers
+come from a seeded generator. For each request the edge calls `Selection.choose` until it returns Send, then
+`Selection.sent`, then the methods for what it observes of that attempt. Each `Selection.sent` is followed by
+exactly one `Selection.ended`.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from ..runner_directory.runner_record import RunnerRecord
 
 ModelKey = tuple[str, str, str]
-"""Service, model and adapter: what runners hold and requests ask for. Model and adapter may be empty."""
+"""Service, model and adapter: what a runner has loaded or a request needs. Model and adapter may be empty."""
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share, in the prompt's order."""
+    """One part of a prompt, such as a system prompt, that other requests may share."""
 
     id: str
     tokens: int
@@ -29,19 +30,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTraits:
-    """What decisions need to know of a request.
+    """The properties of a request that routing decisions depend on.
 
     Attributes:
-        number: This dispatcher's own number of the request.
-        route: The route that it came by.
+        number: Sequence number of the request in this dispatcher.
+        route: The route that the request matched.
         service: The service that serves it.
-        arrived_at: When it came, in seconds of the monotonic clock, as the other times.
-        deadline_at: When its client gives up or the route's deadline ends, whichever comes first.
-        target_at: The latency target: until then an answer (a stream's first event) earns its full value.
-        model: Empty where the route names no models.
-        adapter: Empty for the model itself.
+        arrived_at: Time of arrival. All times are in seconds on the monotonic clock.
+        deadline_at: The earlier of the client's time-out and the route's deadline.
+        target_at: Time by which the response (for a stream, its first event) must start to meet the latency
+            target.
+        model: Empty if the route has no models.
+        adapter: Empty if the request is for the model itself.
         prompt_tokens: Length of the prompt.
-        output_tokens: Most tokens that it may generate.
+        output_tokens: Maximum number of tokens to generate.
         parts: The prompt's parts, in order.
     """
 
@@ -59,28 +61,33 @@
 
     @property
     def key(self) -> ModelKey:
-        """What a runner must hold to serve the request."""
+        """Service, model and adapter that a runner must have loaded to serve the request."""
         return (self.service, self.model, self.adapter)
 
 
 class AttemptOutcome(Enum):
-    """How one attempt at a runner ended."""
-
-    DONE = auto()  # the runner's own answer came whole, whatever its status below 500
-    RUNNER_ERROR = auto()  # the runner's own 5xx without X-Not-Run: counts as run
-    FULL = auto()  # X-Not-Run with 503 or 429: never ran
-    NOT_HELD = auto()  # 421: never ran; it lacks the model or adapter, or is another runner
-    CONNECT_FAILED = auto()  # no byte was sent: never ran
-    UNSENT = auto()  # withdrawn before a byte was sent: never ran
-    RESET = auto()  # broken off before the answer's head: may have run
-    CUT = auto()  # broken off after the head: has run
-    GARBLED = auto()  # bytes that form no answer to this request: may have run
-    SILENT = auto()  # nothing in the time given to it: may have run, may run still
-    CANCELLED = auto()  # given up by the client or by us: may have run
+    """How one attempt at a runner ended.
+
+    The member names in lower case are label values of the attempt counter.
+    """
+
+    DONE = auto()  # a complete response with a status below 500
+    RUNNER_ERROR = auto()  # a 5xx response without X-Not-Run: counts as run
+    FULL = auto()  # 503 or 429 with X-Not-Run: did not run
+    NOT_HELD = (
+        auto()
+    )  # 421: did not run; the model or adapter is not loaded, or another runner has the address
+    CONNECT_FAILED = auto()  # no connection, so no byte was sent: did not run
+    UNSENT = auto()  # cancelled before a byte was sent: did not run
+    RESET = auto()  # connection lost before the response headers: may have run
+    CUT = auto()  # connection lost after the response headers: has run
+    GARBLED = auto()  # malformed response: may have run
+    SILENT = auto()  # timed out without a byte: may have run or be running
+    CANCELLED = auto()  # cancelled by the client or by this process: may have run
 
     @property
     def never_ran(self) -> bool:
-        """Whether it is certain that the runner did not run it and never will."""
+        """Whether the runner is known not to have run the request, and will not run it later."""
         return self in (
             AttemptOutcome.FULL,
             AttemptOutcome.NOT_HELD,
@@ -91,7 +98,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send it to this runner now. `priority` is the `Priority` header (0 first, 9 last)."""
+    """Send the request to this runner now.
+
+    Attributes:
+        runner: The selected runner.
+        priority: Value of the `Priority` header, from 0 (most urgent) to 9.
+    """
 
     runner: RunnerRecord
     priority: int = 5
@@ -99,21 +111,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Ask again at `until` (monotonic), or earlier when runners, placement or pending requests change."""
+    """Keep the request; call `choose` again at `until`, or earlier if runners, placement or load change."""
 
     until: float
-    reason: str  # for logs and counters: "loading", "no_holder", "holders_full", ...
+    reason: str  # for logs and counters, for example "loading", "no_holder" or "holders_full"
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """It cannot be served in time: answer 503 with Retry-After.
+    """The request cannot be served in time: respond with 503 and Retry-After.
 
     Attributes:
-        retry_after: Seconds.
+        retry_after: Value of the Retry-After header, in seconds.
         reason: For logs and counters.
-        awaits_load: Whether its client is to come back once a load has ended, so that it goes on counting
-            as one that waits for the load.
+        awaits_load: Whether the client is asked to retry after a load has completed. The request then still
+            counts as waiting for that load.
     """
 
     retry_after: float
@@ -135,7 +147,7 @@
 
 
 class Selection(Protocol):
-    """What the edge asks; `selection.Selector` is the implementation."""
+    """Runner selection as the edge uses it, implemented by `selection.Selector`."""
 
     def choose(
         self,
@@ -145,40 +157,40 @@
         tried: Sequence[str],
         expected: Mapping[str, float],
     ) -> Choice:
-        """Decides where the request goes.
+        """Selects a runner for the request, or has it wait or rejects it.
 
         Args:
-            now: Seconds of the monotonic clock.
+            now: Current time.
             request: The request.
-            runners: The runners of its service by id, in any stage.
-            tried: Runners that it was sent to already.
-            expected: Runner id -> when an ordered load of its model is expected to be done there.
+            runners: All runners of its service by id, in any stage.
+            tried: Ids of runners that the request was sent to before.
+            expected: Runner id -> time at which an ordered load of its model is expected to complete.
         """
 
     def sent(self, attempt: Attempt) -> None:
-        """The attempt is on its way; it counts as pending."""
+        """Records that the attempt was sent; it counts as pending until `ended`."""
 
     def first_byte_received(self, now: float, attempt: Attempt) -> None:
-        """The first byte of the answer (a stream: its first event) has come."""
+        """Records the first byte of the response, or the first event of a stream."""
 
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """The attempt is over; it is pending no more."""
+        """Records the outcome of the attempt, which is no longer pending."""
 
     def observe_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
-        """An `X-Runner-Load` header has come."""
+        """Records the values of an `X-Runner-Load` header."""
 
     def pending(self, service: str) -> int:
-        """Requests of this dispatcher at runners of the service."""
+        """Returns the number of this dispatcher's pending requests at runners of the service."""
 
 
 class Budget(Protocol):
     """This dispatcher's share of the retry budget; `retry_budget.RetryBudget` is the implementation."""
 
     def record_request(self, now: float, service: str) -> None:
-        """A client's request for the service has come."""
+        """Records a client's request for the service."""
 
     def may_retry(self, now: float, service: str, dispatchers: int) -> bool:
-        """Whether one more retry keeps every window's bound, among so many dispatchers."""
+        """Returns whether one more retry is within the budget, which `dispatchers` dispatchers share."""
 
     def record_retry(self, now: float, service: str) -> None:
-        """A retry was sent."""
+        """Records that a retry was sent."""
--- a/larchgw/routing/outlier_ejection.py
+++ b/larchgw/routing/outlier_ejection.py
@@ -1,12 +1,13 @@
-"""Outlier ejection: runners that are not sent to for a while because of what came of requests sent there.
+"""Outlier ejection: a runner whose requests fail receives no further ones for some time.
 
-It is passive: no health checks are sent, requests themselves show what a runner does. Two kinds of reasons:
+The checks are passive: outcomes of requests are observed, and no health checks are sent. There are two
+measures:
 
-- backoff: it said that it is full, or no connection came up. Nothing ran; it gets no requests for a short
-  time that doubles with each repetition.
-- ejection: answers were lost, truncated or wrong. Penalties add up and decay; above a limit the runner is
-  ejected for a time that doubles with each ejection, then one request at a time tries it (a half-open
-  circuit breaker).
+- Backoff, after a runner was full or a connection failed. Nothing ran. The runner gets no requests for a
+  short time, which doubles with each repetition.
+- Ejection, after responses were lost, truncated or invalid. Penalties add up and decay. Above a limit the
+  runner is ejected for a time that doubles with each ejection; then one probe request at a time is sent to
+  it (a half-open circuit breaker).
 
 Source: outlier detection of Envoy; circuit breaker (Nygard, "Release It!").
 """
@@ -22,12 +23,12 @@
 FULL_BACKOFF_S = 0.05  # about ten batch steps: a slot may have come free
 CONNECT_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-EJECTION_S = 1.0  # first ejection; a restart takes longer, a hiccup less
+EJECTION_S = 1.0  # first ejection; a restart takes longer, a short stall less
 MAX_EJECTION_S = 8.0
-MAX_DOUBLINGS = 16  # beyond both of the longest times; a float holds no more than 1,023
+MAX_DOUBLINGS = 16  # reaches both maximum times; 2.0**1024 would overflow a float
 PENALTY_LIMIT = 3.0
 PENALTY_DECAY_S = 5.0
-MAX_EJECTED_SHARE = 0.5  # at most: if more fail, the cause is not the runners
+MAX_EJECTED_SHARE = 0.5  # of the runners; if more fail, the cause is probably not the runners
 PENALTIES = {
     AttemptOutcome.CONNECT_FAILED: 1.5,
     AttemptOutcome.RESET: 1.0,
@@ -40,17 +41,17 @@
 
 @dataclass(slots=True)
 class RunnerHealth:
-    """What one runner's outcomes have come to. Times are seconds of the monotonic clock.
+    """Health of one runner, computed from outcomes. Times are seconds on the monotonic clock.
 
     Attributes:
-        penalty: Sum of decayed penalties, as of `at`.
-        at: When `penalty` was computed.
-        ejections: How often it was ejected.
+        penalty: Sum of decayed penalties at time `at`.
+        at: Time at which `penalty` was computed.
+        ejections: Number of ejections, up to MAX_DOUBLINGS.
         ejected_until: End of the ejection.
-        backoffs: Consecutive backoffs.
+        backoffs: Number of consecutive backoffs, up to MAX_DOUBLINGS.
         backoff_until: End of the backoff.
-        on_trial: It was ejected and has not answered since.
-        trial_sent: The one request that tries it is on its way.
+        is_half_open: Whether it was ejected and has completed no request since.
+        is_probe_sent: Whether the one probe request is in flight.
     """
 
     penalty: float = 0.0
@@ -59,71 +60,71 @@
     ejected_until: float = -math.inf
     backoffs: int = 0
     backoff_until: float = -math.inf
-    on_trial: bool = False
-    trial_sent: bool = False
+    is_half_open: bool = False
+    is_probe_sent: bool = False
 
     def add(self, now: float, penalty: float) -> None:
-        """Adds a penalty to what is left of the earlier ones."""
+        """Decays the sum of penalties and adds one."""
         self.penalty = self.penalty * math.exp(-(now - self.at) / PENALTY_DECAY_S) + penalty
         self.at = now
 
     def back_off(self, now: float, first_s: float) -> None:
-        """Backs off, twice as long as the last time. Outcomes during a backoff do not prolong it."""
+        """Starts a backoff twice as long as the last one. Outcomes during a backoff do not extend it."""
         if now < self.backoff_until:
             return
         self.backoff_until = now + min(MAX_BACKOFF_S, first_s * 2.0**self.backoffs)
         self.backoffs = min(self.backoffs + 1, MAX_DOUBLINGS)
 
     def eject(self, now: float) -> None:
-        """Ejects it, twice as long as the last time."""
+        """Ejects the runner for twice as long as the last time."""
         self.ejected_until = now + min(MAX_EJECTION_S, EJECTION_S * 2.0**self.ejections)
         self.ejections = min(self.ejections + 1, MAX_DOUBLINGS)
-        self.on_trial = True
-        self.trial_sent = False
+        self.is_half_open = True
+        self.is_probe_sent = False
 
     def is_ejected(self, now: float) -> bool:
-        """Whether it is ejected, or its trial is under way."""
-        return now < self.ejected_until or (self.on_trial and self.trial_sent)
+        """Whether the runner is ejected, or its probe request is in flight."""
+        return now < self.ejected_until or (self.is_half_open and self.is_probe_sent)
 
 
 class OutlierEjection:
-    """The health of all runners that requests were sent to."""
+    """Health of the runners at which an attempt has failed or was rejected."""
 
     def __init__(self) -> None:
-        """Begins with every runner healthy."""
+        """Starts with every runner healthy."""
         self._runners: dict[str, RunnerHealth] = {}
 
     @property
-    def is_clean(self) -> bool:
-        """Whether no runner has failed or rejected: all may be sent to."""
+    def is_empty(self) -> bool:
+        """Whether no runner has a record of failures or rejections, so that all may get requests."""
         return not self._runners
 
     def sent(self, now: float, runner: str) -> None:
-        """A request goes there; if the runner is on trial, it is the trial."""
+        """Records a send; if the runner is half-open, the request is its probe."""
         health = self._runners.get(runner)
-        if health and health.on_trial and now >= health.ejected_until:
-            health.trial_sent = True
+        if health and health.is_half_open and now >= health.ejected_until:
+            health.is_probe_sent = True
 
-    def answered(self, runner: str) -> None:
-        """The runner answered properly: it is no longer on trial, and backoff begins anew."""
+    def succeeded(self, runner: str) -> None:
+        """Records a completed request: the runner is no longer half-open, and its backoff is reset."""
         health = self._runners.get(runner)
         if health is None:
             return
-        if health.on_trial:
+        if health.is_half_open:
             health.penalty = 0.0
-            health.on_trial = False
+            health.is_half_open = False
             health.ejected_until = -math.inf
-        health.trial_sent = False
+        health.is_probe_sent = False
         health.backoffs = 0
         health.backoff_until = -math.inf
 
     def ended(self, now: float, runner: str, outcome: AttemptOutcome) -> None:
-        """An attempt at the runner is over."""
+        """Records the outcome of an attempt at the runner."""
         if outcome is AttemptOutcome.DONE:
-            self.answered(runner)
+            self.succeeded(runner)
             return
         health = self._runners.setdefault(runner, RunnerHealth(at=now))
-        health.trial_sent = False
+        health.is_probe_sent = False
         if outcome is AttemptOutcome.FULL:
             health.back_off(now, FULL_BACKOFF_S)
         if outcome is AttemptOutcome.CONNECT_FAILED:
@@ -132,24 +133,24 @@
         if not penalty:
             return
         health.add(now, penalty)
-        if now >= health.ejected_until and (health.on_trial or health.penalty >= PENALTY_LIMIT):
+        if now >= health.ejected_until and (health.is_half_open or health.penalty >= PENALTY_LIMIT):
             health.eject(now)
 
     def backoff_until(self, runner: str) -> float:
-        """Returns when its backoff ends; in the past if there is none."""
+        """Returns the end of the runner's backoff; minus infinity if there was none."""
         health = self._runners.get(runner)
         return health.backoff_until if health else -math.inf
 
     def is_ejected(self, now: float, runner: str) -> bool:
-        """Whether it is ejected now, whatever the bound on the ejected share."""
+        """Whether the runner is ejected now, regardless of the limit on the ejected share."""
         health = self._runners.get(runner)
         return health is not None and health.is_ejected(now)
 
     def admitted(self, now: float, runners: Sequence[str]) -> list[str]:
-        """The runners that may be sent to.
+        """Returns the runners that may get requests.
 
-        They are those that are not ejected; where more than `MAX_EJECTED_SHARE` are, also the ones whose
-        ejection ends first, as many as are above that share.
+        These are the runners that are not ejected. If the ejected share exceeds `MAX_EJECTED_SHARE`, the
+        ejected runners whose ejection ends first are included until it does not.
         """
         available = [runner for runner in runners if not self.is_ejected(now, runner)]
         min_admitted = len(runners) - int(len(runners) * MAX_EJECTED_SHARE)
@@ -160,5 +161,5 @@
         return available + ejected[: min_admitted - len(available)]
 
     def forget(self, runner: str) -> None:
-        """Drops the health of a runner that is gone."""
+        """Removes the health of a runner that no longer exists."""
         self._runners.pop(runner, None)
--- a/larchgw/routing/pending_requests.py
+++ b/larchgw/routing/pending_requests.py
@@ -1,4 +1,4 @@
-"""What this dispatcher has at each runner: requests sent and not yet ended, by key and in total."""
+"""Counts this dispatcher's pending requests (sent and not yet ended) at each runner, by key and in total."""
 
 from __future__ import annotations
 
@@ -9,89 +9,93 @@
 
 @dataclass(slots=True)
 class RunnerPending:
-    """The counts at one runner.
+    """Counts of pending requests at one runner.
 
     Attributes:
-        total: Requests pending.
-        tokens: Of their prompts and requested outputs.
-        by_key: Requests pending by what they ask for.
-        unread: (request, attempt) -> tokens to prefill and when it was sent, oldest first, until its answer
-            begins.
-        unread_tokens: The sum of those tokens.
+        total: Number of pending requests.
+        tokens: Total tokens of their prompts and maximum outputs.
+        by_key: Number of pending requests by model key.
+        awaiting_prefill: (request, attempt) -> tokens to prefill and time of the send, oldest first. An entry
+            is removed when the response starts.
+        prefill_tokens: Sum of the tokens to prefill.
     """
 
     total: int = 0
     tokens: int = 0
     by_key: dict[ModelKey, int] = field(default_factory=dict)
-    unread: dict[tuple[int, int], tuple[int, float]] = field(default_factory=dict)
-    unread_tokens: int = 0
+    awaiting_prefill: dict[tuple[int, int], tuple[int, float]] = field(default_factory=dict)
+    prefill_tokens: int = 0
 
     @property
     def waiting_since(self) -> float | None:
-        """When the oldest request was sent of those whose answers have not begun."""
-        return next((at for _, at in self.unread.values()), None)
+        """Send time of the oldest request whose response has not started; None if there is none."""
+        return next((at for _, at in self.awaiting_prefill.values()), None)
 
     @property
     def active_keys(self) -> int:
-        """Keys with at least one request pending."""
+        """Number of model keys with at least one pending request."""
         return len(self.by_key)
 
 
-_NOTHING = RunnerPending()
+_NO_REQUESTS = RunnerPending()
 
 
 class PendingRequests:
     """Pending requests of this dispatcher, by runner."""
 
     def __init__(self) -> None:
-        """Begins with nothing pending."""
+        """Starts with no pending requests."""
         self._runners: dict[str, RunnerPending] = {}
-        self._services: dict[str, int] = {}
-        self._unread: dict[str, int] = {}
+        self._requests_by_service: dict[str, int] = {}
+        self._prefill_tokens_by_service: dict[str, int] = {}
 
     def at(self, runner: str) -> RunnerPending:
-        """The counts at this runner; to be read only."""
-        return self._runners.get(runner, _NOTHING)
+        """Returns the counts at this runner; callers must not change them."""
+        return self._runners.get(runner, _NO_REQUESTS)
 
     def by_service(self, service: str) -> int:
-        """Requests at all runners of the service."""
-        return self._services.get(service, 0)
+        """Returns the number of pending requests at all runners of the service."""
+        return self._requests_by_service.get(service, 0)
 
-    def mean_unread(self, service: str) -> float:
-        """Tokens yet to be read of each pending request at the service, on average."""
-        return self._unread.get(service, 0) / max(1, self.by_service(service))
+    def mean_prefill_tokens(self, service: str) -> float:
+        """Returns the mean number of tokens still to prefill per pending request of the service."""
+        return self._prefill_tokens_by_service.get(service, 0) / max(1, self.by_service(service))
 
-    def sent(self, attempt: Attempt, unread_tokens: int) -> None:
-        """An attempt is on its way; the runner has this much of its prompt to prefill."""
+    def sent(self, attempt: Attempt, prefill_tokens: int) -> None:
+        """Records an attempt that was sent, and how many prompt tokens the runner has to prefill."""
         request = attempt.request
         counts = self._runners.setdefault(attempt.runner, RunnerPending())
         counts.total += 1
         counts.tokens += request.prompt_tokens + request.output_tokens
         counts.by_key[request.key] = counts.by_key.get(request.key, 0) + 1
-        counts.unread[request.number, attempt.number] = (unread_tokens, attempt.sent_at)
-        counts.unread_tokens += unread_tokens
-        self._services[request.service] = self._services.get(request.service, 0) + 1
-        self._unread[request.service] = self._unread.get(request.service, 0) + unread_tokens
+        counts.awaiting_prefill[request.number, attempt.number] = (prefill_tokens, attempt.sent_at)
+        counts.prefill_tokens += prefill_tokens
+        self._requests_by_service[request.service] = self._requests_by_service.get(request.service, 0) + 1
+        self._prefill_tokens_by_service[request.service] = (
+            self._prefill_tokens_by_service.get(request.service, 0) + prefill_tokens
+        )
 
     def began(self, attempt: Attempt) -> int | None:
-        """The answer has begun, so the prompt is read.
+        """Records that the response has started, so that the prefill is complete.
 
         Returns:
-            The tokens that were counted as unread for it; None if its answer had begun before.
+            The tokens to prefill that were counted for the attempt; None if its response had started before.
         """
         counts = self._runners.get(attempt.runner)
-        entry = counts.unread.pop((attempt.request.number, attempt.number), None) if counts else None
+        entry = (
+            counts.awaiting_prefill.pop((attempt.request.number, attempt.number), None) if counts else None
+        )
         if counts is None or entry is None:
             return None
-        counts.unread_tokens -= entry[0]
-        self._unread[attempt.request.service] -= entry[0]
+        counts.prefill_tokens -= entry[0]
+        self._prefill_tokens_by_service[attempt.request.service] -= entry[0]
         return entry[0]
 
     def ended(self, attempt: Attempt) -> None:
-        """The attempt is over.
+        """Records the end of an attempt.
 
         Raises:
-            ValueError: It was not sent, or has ended before: each attempt that was sent ends exactly once.
+            ValueError: The attempt was not sent, or has ended before; each attempt must end exactly once.
         """
         self.began(attempt)
         request = attempt.request
@@ -105,4 +109,4 @@
             del counts.by_key[request.key]
         if not counts.total:
             del self._runners[attempt.runner]
-        self._services[request.service] -= 1
+        self._requests_by_service[request.service] -= 1
--- a/larchgw/routing/prefill_rate.py
+++ b/larchgw/routing/prefill_rate.py
@@ -1,26 +1,26 @@
-"""How fast the runners of a service read prompts, learned from the time until answers begin."""
+"""Estimates the prefill rate of a service's runners from the time until responses start."""
 
 from __future__ import annotations
 
-PRIOR_TOKENS_PER_S = 30_000.0  # of a mid-sized engine; observations outweigh it
+INITIAL_TOKENS_PER_S = 30_000.0  # typical of a mid-sized engine; observations soon replace it
 LEARNING_RATE = 0.05  # weight of a new observation
-MIN_OBSERVED_TOKENS = 1000  # below this the time is that of the network and the batch
+MIN_OBSERVED_TOKENS = 1000  # below this, network and batching dominate the time
 
 
 class PrefillRates:
     """Exponentially weighted mean of prefill rates, in tokens a second, by service."""
 
     def __init__(self) -> None:
-        """Begins with the prior for each service."""
+        """Starts with the initial rate for each service."""
         self._rates: dict[str, float] = {}
 
     def observe(self, service: str, tokens: int, seconds: float) -> None:
-        """Takes one observation in.
+        """Updates the estimate with one observation.
 
         Args:
-            service: The service whose runner prefilled.
-            tokens: All that was to be prefilled before the answer began.
-            seconds: How long that took.
+            service: The service of the runner.
+            tokens: Tokens that were prefilled before the response started.
+            seconds: Duration of the prefill.
         """
         if tokens < MIN_OBSERVED_TOKENS or seconds <= 0.0:
             return
@@ -29,4 +29,4 @@
 
     def rate(self, service: str) -> float:
         """Returns the estimated rate in tokens a second."""
-        return self._rates.get(service, PRIOR_TOKENS_PER_S)
+        return self._rates.get(service, INITIAL_TOKENS_PER_S)
--- a/larchgw/routing/retry_budget.py
+++ b/larchgw/routing/retry_budget.py
@@ -1,21 +1,22 @@
-"""This dispatcher's share of the retry budget: attempts beyond the first of each request.
+"""This dispatcher's share of the retry budget, which limits attempts after the first one of each request.
 
-The rule, over all dispatchers: within any window of `retry_window_s`, arrivals at a service beyond the first
-of each request are at most `retry_ratio` x requests + `retry_extra`, where requests are those of that window,
-of the one before it, or of the one half a window earlier, whichever are most.
+The limit holds over all dispatchers: in any window of `retry_window_s`, a service receives at most
+`retry_ratio` x requests + `retry_extra` retries. Here "requests" is the largest of three counts: in the
+window itself, in the window before it, and in the window that ends half a window earlier.
 
-The share is kept without coordination. By its own requests: a retry at s lies in windows that end at s to
-s + W, and the ratio is taken of the fewest requests that any of these windows can count, so what has not come
-yet is not relied upon. By the number of dispatchers: `retry_extra` is divided by the most that were seen
-lately, since a dispatcher that is partitioned still spends its share.
+Each dispatcher keeps to its share without coordination. The ratio applies to its own requests: a retry at
+time s lies in all windows that end from s to s + W, and the ratio uses the lowest count that any of these
+windows can have, so that it does not rely on future requests. `retry_extra` is divided by the highest number
+of dispatchers seen recently, since a partitioned dispatcher still spends its share.
 
-Shares of `retry_extra` below one are not lost: each dispatcher rounds by a phase of its own that starts at
-random and moves slowly, so at each time the right share of the dispatchers may make one retry more, and all
-have their turn. The phase doesn't depend on demand, so that no idle time is saved up and spent by all at
-once. The sum of such roundings is random; twice its standard deviation, at most the root of the number of
-dispatchers, is set aside. Larger shares are rounded down.
+Fractional shares of `retry_extra` are not lost. Each dispatcher rounds by its own phase, which starts at
+random and advances slowly, so that at any time the right fraction of dispatchers may send one more retry,
+and each dispatcher may do so in turn. The phase does not depend on demand; otherwise dispatchers could save
+up unused retries and spend them all at once. The sum of these roundings is random, so twice its standard
+deviation, which is at most the square root of the number of dispatchers, is subtracted from the budget.
+Shares of one or more are rounded down.
 
-Source: the rule RETRY of the rules page; "Site Reliability Engineering" (Beyer et al. 2016), chapter 21.
+Source: the deployment rule RETRY; "Site Reliability Engineering" (Beyer et al. 2016), chapter 21.
 """
 
 from __future__ import annotations
@@ -27,26 +28,26 @@
 
 from ..configuration.settings import TimeLimits
 
-# Of the budget, that is spent: the rest is for dispatchers whose traffic differs, and for rounding.
-SPENT_SHARE = 0.8
-STEPS = 16  # steps of a window in which the fewest requests are looked for
-PHASE_WINDOWS = 50.0  # period of the phase, in windows
-START_S = 5.0  # until then membership may not have found the others
-START_DISPATCHERS = 32  # assumed until then
-# Of `retry_extra` until then, in retries: more dispatchers than assumed may start at once.
-MAX_START_SHARE = 1.0
-RECENT_WINDOWS = 3.0  # windows for which a higher number of dispatchers is remembered
+# Share of the budget that is used. The rest allows for uneven traffic between dispatchers and for rounding.
+USABLE_SHARE = 0.8
+STEPS = 16  # steps into which a window is divided to find the lowest request count
+PHASE_WINDOWS = 50.0  # period of the rounding phase, in windows
+STARTUP_S = 5.0  # after the start, membership may not have found the other dispatchers yet
+START_DISPATCHERS = 32  # number of dispatchers that is assumed during that time
+# Limit on the share of `retry_extra` during that time: more dispatchers than assumed may start at once.
+MAX_STARTUP_RETRIES = 1.0
+RECENT_WINDOWS = 3.0  # number of windows for which the highest number of dispatchers is remembered
 
 
 class _Traffic:
-    """Times of requests and of retries at one service, oldest first."""
+    """Times of requests and retries at one service, oldest first."""
 
     def __init__(self) -> None:
         self.requests: list[float] = []
         self.retries: deque[float] = deque()
 
     def trim(self, oldest_request: float, oldest_retry: float) -> None:
-        """Forgets what no window reaches."""
+        """Removes times that are too old for any window."""
         first = bisect_right(self.requests, oldest_request)
         if first > 64 and first * 2 > len(self.requests):
             del self.requests[:first]
@@ -54,60 +55,62 @@
             self.retries.popleft()
 
     def between(self, start: float, end: float) -> int:
-        """Requests in (start, end]."""
+        """Returns the number of requests in (start, end]."""
         return max(0, bisect_right(self.requests, end) - bisect_right(self.requests, start))
 
 
 class RetryBudget:
-    """Counts requests and retries by service, and says whether one more retry is within the share."""
+    """Counts requests and retries by service, and limits retries to this dispatcher's share."""
 
     def __init__(self, limits: TimeLimits, random: Random) -> None:
-        """Begins with nothing counted.
+        """Starts with empty counts.
 
         Args:
-            limits: The deployment's bounds: `retry_window_s`, `retry_ratio`, `retry_extra`.
-            random: Draws the phase of this dispatcher's rounding.
+            limits: Provides `retry_window_s`, `retry_ratio` and `retry_extra`.
+            random: Draws this dispatcher's initial rounding phase.
         """
         self._window = limits.retry_window_s
         self._ratio = limits.retry_ratio
         self._extra = limits.retry_extra
-        self._phase = random.random()
+        self._initial_phase = random.random()
         self._started: float | None = None
         self._services: dict[str, _Traffic] = {}
         self._peak_dispatchers = 0
         self._peak_dispatchers_until = -math.inf
 
     def record_request(self, now: float, service: str) -> None:
-        """A client's request for the service has come."""
+        """Records a client's request for the service."""
         traffic = self._traffic(now, service)
         traffic.requests.append(now)
         traffic.trim(now - 2.0 * self._window, now - self._window)
 
     def record_retry(self, now: float, service: str) -> None:
-        """A retry was sent. One whose connection never came up does not count."""
+        """Records that a retry was sent. A retry whose connection failed does not count."""
         self._traffic(now, service).retries.append(now)
 
     def may_retry(self, now: float, service: str, dispatchers: int) -> bool:
-        """Whether one more retry now is within this dispatcher's share."""
+        """Returns whether one more retry now is within this dispatcher's share."""
         return self.remaining(now, service, dispatchers) > 0
 
     def remaining(self, now: float, service: str, dispatchers: int) -> int:
-        """How many retries are within this dispatcher's share now; below 0 where the share has shrunk."""
+        """Returns the number of retries left in this dispatcher's share; negative if the share has shrunk."""
         traffic = self._traffic(now, service)
         traffic.trim(now - 2.0 * self._window, now - self._window)
         dispatchers = self._assumed_dispatchers(now, dispatchers)
-        by_ratio = SPENT_SHARE * self._ratio * self._fewest(now, traffic)
-        of_extra = SPENT_SHARE * self._extra / dispatchers
-        if self._starting(now):
-            of_extra = min(of_extra, MAX_START_SHARE)
-        allowed = math.floor(by_ratio + of_extra)
-        if of_extra < 1.0:
-            rounded = (SPENT_SHARE * self._extra - math.sqrt(dispatchers)) / dispatchers
-            allowed = math.floor(by_ratio + rounded + self._turn(now)) if rounded > 0.0 else int(by_ratio)
+        by_ratio = USABLE_SHARE * self._ratio * self._min_counted_requests(now, traffic)
+        extra_share = USABLE_SHARE * self._extra / dispatchers
+        if self._is_starting(now):
+            extra_share = min(extra_share, MAX_STARTUP_RETRIES)
+        allowed = math.floor(by_ratio + extra_share)
+        if extra_share < 1.0:
+            rounded = (USABLE_SHARE * self._extra - math.sqrt(dispatchers)) / dispatchers
+            allowed = (
+                math.floor(by_ratio + rounded + self._rounding_phase(now)) if rounded > 0.0 else int(by_ratio)
+            )
         return allowed - len(traffic.retries)
 
     def remaining_by_service(self, now: float, dispatchers: int) -> dict[str, int]:
-        """`remaining` of each service that was asked for, to be shown; changes nothing that is decided."""
+        """Returns `remaining` of each service that was requested, for status output; affects no decision."""
         return {service: self.remaining(now, service, dispatchers) for service in self._services}
 
     def _traffic(self, now: float, service: str) -> _Traffic:
@@ -115,33 +118,33 @@
             self._started = now
         return self._services.setdefault(service, _Traffic())
 
-    def _turn(self, now: float) -> float:
-        """This dispatcher's rounding, in [0, 1)."""
-        return (self._phase + now / (self._window * PHASE_WINDOWS)) % 1.0
+    def _rounding_phase(self, now: float) -> float:
+        """Returns the current rounding phase, in [0, 1)."""
+        return (self._initial_phase + now / (self._window * PHASE_WINDOWS)) % 1.0
 
     def _assumed_dispatchers(self, now: float, seen: int) -> int:
-        """The most dispatchers seen lately, and no fewer than assumed at the start."""
+        """Returns the highest recent number of dispatchers, at least START_DISPATCHERS during startup."""
         if seen >= self._peak_dispatchers or now >= self._peak_dispatchers_until:
             self._peak_dispatchers = seen
             self._peak_dispatchers_until = now + RECENT_WINDOWS * self._window
-        return max(1, self._peak_dispatchers, START_DISPATCHERS if self._starting(now) else 0)
+        return max(1, self._peak_dispatchers, START_DISPATCHERS if self._is_starting(now) else 0)
 
-    def _starting(self, now: float) -> bool:
-        """Whether membership may not have found the others yet."""
-        return self._started is None or now < self._started + START_S
+    def _is_starting(self, now: float) -> bool:
+        """Whether membership may not have found all other dispatchers yet."""
+        return self._started is None or now < self._started + STARTUP_S
 
-    def _fewest(self, now: float, traffic: _Traffic) -> int:
-        """The fewest requests that count in any window which ends in [now, now + W].
+    def _min_counted_requests(self, now: float, traffic: _Traffic) -> int:
+        """Returns the lowest request count of any window that ends in [now, now + W].
 
-        For each step of ends, counted are the requests that lie in all windows that end in it.
+        For each step of end times, only requests that lie in all windows ending in that step are counted.
         """
         window, step = self._window, self._window / STEPS
-        fewest = None
+        min_counted = None
         for index in range(STEPS):
-            early, late = now + index * step, now + (index + 1) * step
-            most = max(
-                traffic.between(late - window * (1.0 + before), early - window * before)
-                for before in (0.0, 0.5, 1.0)
+            earliest_end, latest_end = now + index * step, now + (index + 1) * step
+            counted = max(
+                traffic.between(latest_end - window * (1.0 + shift), earliest_end - window * shift)
+                for shift in (0.0, 0.5, 1.0)
             )
-            fewest = most if fewest is None else min(fewest, most)
-        return fewest or 0
+            min_counted = counted if min_counted is None else min(min_counted, counted)
+        return min_counted or 0
--- a/larchgw/routing/selection.py
+++ b/larchgw/routing/selection.py
@@ -1,9 +1,10 @@
-"""Which runner a request goes to.
+"""Selects the runner for a request.
 
-The ordinary path: a request for a model or adapter goes to the holder with the most pending of that key that
-is still under a threshold; if none is, to the holder with the fewest active keys, then the least pending.
-A request without a model goes to the least loaded runner. Ties are broken at random. The terms around it,
-each in a module of its own, say which holders may be asked at all and which are better among those with room.
+A holder is a runner that has the requested model or adapter loaded. A request for a model or adapter goes to
+the holder with the most pending requests for the same key among those below a threshold. If there is none, it
+goes to the holder with the fewest active keys, then with the fewest pending requests. A request without a
+model goes to the least loaded runner. Ties are broken at random. Other modules decide which holders are
+available, and which of those with free capacity are preferred.
 """
 
 from __future__ import annotations
@@ -23,12 +24,17 @@
 from .prefix_cache import PrefixCaches, prefix_ids
 from .priority import priority
 from .reported_load import ReportedLoads
-from .service_terms import UNKNOWN_SLOTS, ServiceTerms, all_terms
+from .service_terms import DEFAULT_SLOTS, ServiceTerms, all_terms
 from .stale_keys import StaleKeys
 from .stream_timeouts import MIN_TIMEOUT_S, LastBytes, first_byte_timeout_s
 
-ANSWERED = (AttemptOutcome.DONE, AttemptOutcome.RUNNER_ERROR, AttemptOutcome.FULL, AttemptOutcome.NOT_HELD)
-PRUNE_S = 2.0  # how often runners that are gone are forgotten
+RESPONSE_OUTCOMES = (
+    AttemptOutcome.DONE,
+    AttemptOutcome.RUNNER_ERROR,
+    AttemptOutcome.FULL,
+    AttemptOutcome.NOT_HELD,
+)
+PRUNE_INTERVAL_S = 2.0  # interval between removals of data about runners that no longer exist
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,14 +42,14 @@
     """Parameters of the selection.
 
     Attributes:
-        threshold_share: Share of a runner's slots that this dispatcher's pending requests of one key may take
+        threshold_share: Share of a runner's slots that this dispatcher's pending requests of one key may use
             before other holders are preferred.
-        prefill_share: Share of the time until its latency target that a request may wait behind prompts to
-            be read.
-        shared_tokens: A shared prefix of at least this many tokens is worth leaving the zone for.
-        shed_targets: A request that would wait longer than so many times its latency target behind other
-            prompts is shed while half of the holders' slots are taken.
-        free_share: Share of its slots up to which a runner without models counts as free.
+        prefill_share: Share of the time until its latency target that a request may wait for the prefill of
+            other prompts.
+        shared_tokens: Prefixes of at least this many shared tokens may be sent to another zone.
+        shed_targets: A request is rejected if it would wait for other prompts longer than this multiple of
+            its latency target and at least half of the holders' slots are in use.
+        free_share: A runner without models counts as free while at most this share of its slots is in use.
     """
 
     threshold_share: float = 0.125
@@ -57,12 +63,12 @@
     """The implementation of `interface.Selection` for one dispatcher."""
 
     def __init__(self, zone: str, random: Random, settings: SelectionSettings | None = None) -> None:
-        """Begins without a configuration.
+        """Starts without a configuration.
 
         Args:
             zone: This dispatcher's zone.
             random: Breaks ties.
-            settings: Parameters, if not the default ones.
+            settings: Parameters; None for the defaults.
         """
         self._zone = zone
         self._random = random
@@ -80,7 +86,7 @@
         self._pruned_at: dict[str, float] = {}
 
     def configure(self, configuration: Configuration) -> None:
-        """A configuration is in force."""
+        """Applies a new configuration."""
         self._terms = all_terms(configuration)
 
     def choose(
@@ -91,7 +97,7 @@
         tried: Sequence[str],
         expected: Mapping[str, float],
     ) -> Choice:
-        """Where the request goes; see `interface.Selection`."""
+        """See `interface.Selection`."""
         self._prune(now, request.service, runners)
         key = request.key
         holders = [
@@ -102,7 +108,7 @@
         candidates = self._candidates(holders, tried)
         if not candidates:
             return self._wait_for_load(now, request, runners, tried, expected)
-        available = self._responsive(now, request, self._admitted(now, candidates))
+        available = self._responsive_runners(now, request, self._admitted(now, candidates))
         if not available:
             return self._wait_for_backoff(now, request, candidates, expected)
         chosen = (
@@ -118,22 +124,22 @@
         return Send(chosen, priority(request.route))
 
     def sent(self, attempt: Attempt) -> None:
-        """The attempt is on its way; it counts as pending."""
+        """See `interface.Selection`."""
         request = attempt.request
         cached = self._prefix_caches.cached_tokens(attempt.runner, self._prefix_ids(request), request.parts)
         self._pending.sent(attempt, max(0, request.prompt_tokens - cached))
         self._ejection.sent(attempt.sent_at, attempt.runner)
 
     def first_byte_received(self, now: float, attempt: Attempt) -> None:
-        """The answer has begun: the prompt is read, and its parts are cached there."""
+        """Records that the prompt is prefilled and that the runner has cached its parts."""
         request = attempt.request
         self._last_bytes.observe(now, attempt.runner)
-        before = self._pending.at(attempt.runner).unread_tokens
-        unread_tokens = self._pending.began(attempt)
-        if unread_tokens is None:
+        total_prefill_tokens = self._pending.at(attempt.runner).prefill_tokens
+        prefill_tokens = self._pending.began(attempt)
+        if prefill_tokens is None:
             return
-        if unread_tokens == before:
-            self._prefill_rates.observe(request.service, unread_tokens, now - attempt.sent_at)
+        if prefill_tokens == total_prefill_tokens:
+            self._prefill_rates.observe(request.service, prefill_tokens, now - attempt.sent_at)
         if request.parts:
             self._prefix_caches.add(
                 attempt.runner,
@@ -143,11 +149,11 @@
             )
 
     def ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """The attempt is over; it is pending no more."""
-        if outcome is AttemptOutcome.CANCELLED and self._unanswered(now, attempt):
+        """Records the outcome; a cancelled attempt at an unresponsive runner counts as timed out (SILENT)."""
+        if outcome is AttemptOutcome.CANCELLED and self._is_unanswered(now, attempt):
             outcome = AttemptOutcome.SILENT
         self._pending.ended(attempt)
-        if outcome in ANSWERED:
+        if outcome in RESPONSE_OUTCOMES:
             self._last_bytes.observe(now, attempt.runner)
         self._ejection.ended(now, attempt.runner, outcome)
         record = self._records.get(attempt.runner)
@@ -155,12 +161,12 @@
             self._stale_keys.mark(record, attempt.request.key)
 
     def observe_load(self, now: float, runner: str, running: int, waiting: int, slots: int) -> None:
-        """An `X-Runner-Load` header has come."""
+        """Records the values of an `X-Runner-Load` header."""
         self._last_bytes.observe(now, runner)
         self._loads.update(now, runner, running, waiting, slots, self._pending.at(runner).total)
 
     def pending(self, service: str) -> int:
-        """Requests of this dispatcher at runners of the service."""
+        """Returns the number of this dispatcher's pending requests at runners of the service."""
         return self._pending.by_service(service)
 
     def _service(self, name: str) -> ServiceTerms:
@@ -172,14 +178,14 @@
 
     @staticmethod
     def _candidates(holders: Sequence[RunnerRecord], tried: Sequence[str]) -> list[RunnerRecord]:
-        """The holders to choose from: those ready and not tried, else those ready, else silent ones."""
+        """Returns the ready holders not tried yet, else all ready ones, else other untried ones."""
         ready = [record for record in holders if record.stage is Stage.READY]
-        fresh = [record for record in ready if record.id not in tried]
-        return fresh or ready or [record for record in holders if record.id not in tried]
+        untried = [record for record in ready if record.id not in tried]
+        return untried or ready or [record for record in holders if record.id not in tried]
 
     def _admitted(self, now: float, candidates: Sequence[RunnerRecord]) -> list[RunnerRecord]:
-        """The candidates that are neither ejected nor in backoff."""
-        if self._ejection.is_clean:
+        """Returns the candidates that are neither ejected nor in backoff."""
+        if self._ejection.is_empty:
             return list(candidates)
         admitted = set(self._ejection.admitted(now, [record.id for record in candidates]))
         return [
@@ -188,59 +194,59 @@
             if record.id in admitted and self._ejection.backoff_until(record.id) <= now
         ]
 
-    def _responsive(
+    def _responsive_runners(
         self, now: float, request: RequestTraits, runners: list[RunnerRecord]
     ) -> list[RunnerRecord]:
-        """Those that are not unresponsive; all if each one is."""
+        """Returns the runners that are not unresponsive, or all runners if each one is."""
         if len(runners) < 2:
             return runners
-        return [record for record in runners if not self._unresponsive(now, request, record.id)] or runners
+        return [record for record in runners if not self._is_unresponsive(now, request, record.id)] or runners
 
-    def _unresponsive(self, now: float, request: RequestTraits, runner: str) -> bool:
-        """Whether the runner has sent nothing for longer than the time-out while requests wait there."""
+    def _is_unresponsive(self, now: float, request: RequestTraits, runner: str) -> bool:
+        """Whether requests wait at the runner and it has sent nothing for longer than the time-out."""
         counts = self._pending.at(runner)
         waiting_since = counts.waiting_since
         if waiting_since is None or now - waiting_since <= MIN_TIMEOUT_S:
             return False
-        prefill_s = counts.unread_tokens / self._prefill_rates.rate(request.service)
+        prefill_s = counts.prefill_tokens / self._prefill_rates.rate(request.service)
         return now - self._last_bytes.silent_since(runner, waiting_since) > first_byte_timeout_s(
             request, prefill_s
         )
 
-    def _unanswered(self, now: float, attempt: Attempt) -> bool:
-        """Whether a cancelled attempt got no byte from a runner that sent nothing else either."""
+    def _is_unanswered(self, now: float, attempt: Attempt) -> bool:
+        """Whether a cancelled attempt got no byte, and its runner has sent nothing else since the send."""
         counts = self._pending.at(attempt.runner)
-        if (attempt.request.number, attempt.number) not in counts.unread:
+        if (attempt.request.number, attempt.number) not in counts.awaiting_prefill:
             return False
         return self._last_bytes.silent_since(
             attempt.runner, attempt.sent_at
-        ) == attempt.sent_at and self._unresponsive(now, attempt.request, attempt.runner)
+        ) == attempt.sent_at and self._is_unresponsive(now, attempt.request, attempt.runner)
 
     def _choose_holder(
         self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]
     ) -> RunnerRecord:
-        """The ordinary path, among the holders that the terms around it prefer."""
+        """Selects one of the available holders of the requested key."""
         if len(holders) == 1:
             return holders[0]
         warm = [record for record in holders if record.warm_up_left_ms <= 0.0] or list(holders)
-        with_room = self._with_room(now, request, warm)
-        if not with_room:
+        with_capacity = self._with_capacity(now, request, warm)
+        if not with_capacity:
             return self._least_busy(holders)
-        near = self._prefer_own_zone(request, with_room)
-        return self._busiest(request, self._prefer_cached_prefix(request, near))
+        preferred_zone = self._prefer_own_zone(request, with_capacity)
+        return self._busiest(request, self._prefer_cached_prefix(request, preferred_zone))
 
-    def _with_room(
+    def _with_capacity(
         self, now: float, request: RequestTraits, holders: Sequence[RunnerRecord]
     ) -> list[RunnerRecord]:
-        """The holders under the threshold for this key that can soon begin to read the prompt."""
+        """Returns the holders that are below the threshold for this key and can prefill the prompt soon."""
         key, share = request.key, self._settings.threshold_share
         max_prefill_s = self._settings.prefill_share * (request.target_at - request.arrived_at)
-        max_unread_tokens = max_prefill_s * self._prefill_rates.rate(request.service)
+        max_prefill_tokens = max_prefill_s * self._prefill_rates.rate(request.service)
         result = []
         for record in holders:
             counts = self._pending.at(record.id)
             slots = self._slots(record)
-            if counts.unread_tokens > max_unread_tokens or counts.by_key.get(key, 0) >= max(
+            if counts.prefill_tokens > max_prefill_tokens or counts.by_key.get(key, 0) >= max(
                 1.0, share * slots
             ):
                 continue
@@ -249,7 +255,7 @@
         return result
 
     def _least_busy(self, holders: Sequence[RunnerRecord]) -> RunnerRecord:
-        """The holder with the fewest active keys, then the least pending."""
+        """Returns the holder with the fewest active keys, then with the fewest pending requests."""
         return min(
             holders,
             key=lambda record: (
@@ -262,7 +268,10 @@
     def _prefer_own_zone(
         self, request: RequestTraits, holders: Sequence[RunnerRecord]
     ) -> Sequence[RunnerRecord]:
-        """Those in this zone, unless the prompt shares so much that one runner for all zones pays."""
+        """Returns the holders in this zone; all holders if there are none or if the shared prefix is long.
+
+        For a long shared prefix, one cached copy for all zones saves more than staying in the zone.
+        """
         if sum(part.tokens for part in request.parts[:-1]) >= self._settings.shared_tokens:
             return holders
         return [record for record in holders if record.zone == self._zone] or holders
@@ -270,7 +279,10 @@
     def _prefer_cached_prefix(
         self, request: RequestTraits, holders: Sequence[RunnerRecord]
     ) -> Sequence[RunnerRecord]:
-        """Those with the most of the prompt cached; where none has any, the one all dispatchers prefer."""
+        """Returns the holders with the most cached tokens, if these cover the shared parts of the prompt.
+
+        Otherwise returns the holder that all dispatchers prefer for the shared prefix.
+        """
         if not request.parts or len(holders) == 1:
             return holders
         prefixes = self._prefix_ids(request)
@@ -282,26 +294,29 @@
         return [record for record in holders if record.id == best]
 
     def _expected_wait_s(self, now: float, request: RequestTraits, record: RunnerRecord) -> float:
-        """How long the prompts before it will be read at the runner. Others' are taken to be like our own."""
+        """Estimates how long the runner needs to prefill the prompts that are ahead of the request.
+
+        Prompts of other dispatchers are assumed to be as long as this dispatcher's, on average.
+        """
         counts = self._pending.at(record.id)
         others = self._loads.requests(now, record.id, counts.total) - counts.total
-        unread = counts.unread_tokens + others * self._pending.mean_unread(request.service)
-        return unread / self._prefill_rates.rate(request.service)
+        tokens_ahead = counts.prefill_tokens + others * self._pending.mean_prefill_tokens(request.service)
+        return tokens_ahead / self._prefill_rates.rate(request.service)
 
     def _max_queueing_s(self, now: float, request: RequestTraits) -> float:
-        """The longest that it may wait before its answer begins: beyond it, it only delays those behind."""
+        """Returns how long the request may queue; if it waited longer, it would only delay later requests."""
         target_s = request.target_at - request.arrived_at
         return min(self._settings.shed_targets * target_s, request.deadline_at - now)
 
     def _are_half_full(self, now: float, holders: Sequence[RunnerRecord]) -> bool:
-        """Whether half of the holders' slots are taken: to shed requests before that costs too much."""
+        """Whether at least half of the holders' slots are in use; requests are shed only then."""
         requests = sum(
             self._loads.requests(now, record.id, self._pending.at(record.id).total) for record in holders
         )
         return requests >= 0.5 * sum(self._slots(record) for record in holders)
 
     def _busiest(self, request: RequestTraits, holders: Sequence[RunnerRecord]) -> RunnerRecord:
-        """The holder with the most pending of the key."""
+        """Returns the holder with the most pending requests for the key."""
         return max(
             holders,
             key=lambda record: (
@@ -311,15 +326,15 @@
         )
 
     def _choose_without_model(self, now: float, runners: Sequence[RunnerRecord]) -> RunnerRecord:
-        """The least loaded runner; one in this zone while it is free enough."""
+        """Returns the least loaded runner; one in this zone as long as its load is at most `free_share`."""
 
         def rank(record: RunnerRecord) -> tuple[bool, float, bool, float, float]:
             requests = self._loads.requests(now, record.id, self._pending.at(record.id).total)
             load = requests / self._slots(record)
-            crowded = load if load > self._settings.free_share else 0.0
+            excess_load = load if load > self._settings.free_share else 0.0
             return (
                 record.warm_up_left_ms > 0.0,
-                crowded,
+                excess_load,
                 record.zone != self._zone,
                 load,
                 self._random.random(),
@@ -328,10 +343,10 @@
         return min(runners, key=rank)
 
     def _slots(self, record: RunnerRecord) -> int:
-        """Requests that the runner handles at once."""
+        """Returns the number of requests that the runner handles concurrently."""
         report = self._loads.newest(record.id)
         return (
-            (report.slots if report else record.slots) or self._service(record.service).slots or UNKNOWN_SLOTS
+            (report.slots if report else record.slots) or self._service(record.service).slots or DEFAULT_SLOTS
         )
 
     def _wait_for_load(
@@ -342,7 +357,7 @@
         tried: Sequence[str],
         expected: Mapping[str, float],
     ) -> Choice:
-        """No runner holds the key."""
+        """Decides on a request whose model or adapter no available runner has loaded."""
         is_model_held = bool(request.adapter) and any(
             record.stage < Stage.DRAINING and record.holds(request.model, "") for record in runners.values()
         )
@@ -362,23 +377,23 @@
         candidates: Sequence[RunnerRecord],
         expected: Mapping[str, float],
     ) -> Choice:
-        """All holders are in backoff: they were full, or no connection came up."""
+        """Waits until a holder leaves backoff or an ordered load completes; rejects if that is too late."""
         admitted = self._ejection.admitted(now, [record.id for record in candidates])
-        opening = min(max(now, self._ejection.backoff_until(id)) for id in admitted)
+        available_at = min(max(now, self._ejection.backoff_until(id)) for id in admitted)
         if expected:
-            opening = min(opening, max(now, min(expected.values())))
-        if opening + MIN_SERVICE_S < request.deadline_at:
-            return Wait(min(max(opening, now + 0.01), now + RECHECK_S), "holders_full")
-        return self._reject(now, request, opening, "holders_full")
+            available_at = min(available_at, max(now, min(expected.values())))
+        if available_at + MIN_SERVICE_S < request.deadline_at:
+            return Wait(min(max(available_at, now + 0.01), now + RECHECK_S), "holders_full")
+        return self._reject(now, request, available_at, "holders_full")
 
     @staticmethod
     def _reject(now: float, request: RequestTraits, until: float, reason: str) -> Reject:
-        """Rejects with the time after which it may be worth asking again."""
+        """Returns a rejection that asks the client to retry at `until`."""
         return Reject(retry_after_s(now, request, until), reason)
 
     def _prune(self, now: float, service: str, runners: Mapping[str, RunnerRecord]) -> None:
-        """Drops what is known of runners of the service that are gone."""
-        if now - self._pruned_at.get(service, now - PRUNE_S) < PRUNE_S:
+        """Removes data about runners of the service that no longer exist."""
+        if now - self._pruned_at.get(service, now - PRUNE_INTERVAL_S) < PRUNE_INTERVAL_S:
             return
         self._pruned_at[service] = now
         gone = [
--- a/larchgw/routing/service_terms.py
+++ b/larchgw/routing/service_terms.py
@@ -1,4 +1,4 @@
-"""Terms that the selection uses, read once from the operator's configuration."""
+"""Slots, cache sizes and load times of services, read from the operator's configuration."""
 
 from __future__ import annotations
 
@@ -6,23 +6,25 @@
 
 from ..configuration.model import Configuration, Service
 
-# A model that the runner held before comes back from its own disk in about this share of its load time.
+# Share of its load time that a model takes if the runner loads it from its local disk.
 RELOAD_SHARE = 0.2
-ORDER_S = 0.3  # from the first request for a model until a runner may begin to load it
-QUICKEST_ORDER_S = 0.1  # the same at best
-QUEUED_LOADS = 2.0  # that are ahead of a load at the weight store
-UNKNOWN_SLOTS = 4  # of a service whose configuration names none, until a runner tells
+TYPICAL_ORDER_DELAY_S = (
+    0.3  # typical time from the first request for a model until a runner starts to load it
+)
+MIN_ORDER_DELAY_S = 0.1  # the minimum of that time
+QUEUED_LOADS = 2.0  # typical number of loads ahead of a new one at the weight store
+DEFAULT_SLOTS = 4  # if the configuration has none and the runner has not reported its slots
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceTerms:
-    """What one service's engines can do.
+    """Capacity and load times of one service's runners.
 
     Attributes:
-        slots: Requests that one runner decodes at a time; 0: the configuration does not tell.
-        cache_tokens: Size of one runner's KV cache.
-        load_s: Model -> how long a load from the weight store takes.
-        loads_per_s: Rate limit of the weight store; 0: none is named.
+        slots: Requests that one runner decodes concurrently; 0 if not configured.
+        cache_tokens: Capacity of one runner's KV cache, in tokens.
+        load_s: Model -> duration of a load from the weight store.
+        loads_per_s: Rate limit of the weight store; 0 if not configured.
     """
 
     slots: int = 0
@@ -30,27 +32,27 @@
     load_s: dict[str, float] = field(default_factory=dict)
     loads_per_s: float = 0.0
 
-    def least_load_s(self, model: str) -> float:
-        """The shortest time in which a runner without the model may come to hold it."""
+    def min_load_s(self, model: str) -> float:
+        """Returns the minimum time to load the model at a runner that does not have it (from local disk)."""
         return RELOAD_SHARE * self.load_s.get(model, 0.0)
 
     @property
-    def usual_order_s(self) -> float:
-        """How long it usually takes until a load begins, with its turn at the weight store."""
-        turn_s = QUEUED_LOADS / self.loads_per_s if self.loads_per_s > 0.0 else 0.0
-        return ORDER_S + turn_s
+    def typical_order_delay_s(self) -> float:
+        """Typical time until a load starts, including the queue at the weight store."""
+        queue_s = QUEUED_LOADS / self.loads_per_s if self.loads_per_s > 0.0 else 0.0
+        return TYPICAL_ORDER_DELAY_S + queue_s
 
-    def quickest_load_s(self, model: str) -> float:
-        """How long a load from the weight store takes at least that is not ordered yet."""
-        return QUICKEST_ORDER_S + self.load_s.get(model, 0.0)
+    def min_store_load_s(self, model: str) -> float:
+        """Returns the minimum time until a load from the weight store completes that is not ordered yet."""
+        return MIN_ORDER_DELAY_S + self.load_s.get(model, 0.0)
 
-    def usual_load_s(self, model: str) -> float:
-        """How long a load that is not ordered yet usually takes."""
-        return self.usual_order_s + self.load_s.get(model, 0.0)
+    def typical_load_s(self, model: str) -> float:
+        """Returns the typical time until a load completes that is not ordered yet."""
+        return self.typical_order_delay_s + self.load_s.get(model, 0.0)
 
 
 def service_terms(service: Service) -> ServiceTerms:
-    """The terms of one service."""
+    """Returns the terms of one service."""
     runtime = service.runtime
     if runtime is None:
         return ServiceTerms()
@@ -63,5 +65,5 @@
 
 
 def all_terms(configuration: Configuration) -> dict[str, ServiceTerms]:
-    """The terms of all services by name."""
+    """Returns the terms of all services by name."""
     return {service.name: service_terms(service) for service in configuration.services}
--- a/larchgw/routing/stale_keys.py
+++ b/larchgw/routing/stale_keys.py
@@ -1,4 +1,4 @@
-"""Keys that a runner's record lists and that the runner has answered 421 for."""
+"""Model keys that a runner's record lists although the runner has responded with 421 for them."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class StaleKeys:
-    """Keys marked stale by a 421, until a newer record of the runner lists them again.
+    """Keys marked as stale after a 421 response, until a newer record of the runner lists them.
 
-    A record is newer when its `call_count` is higher: the runner has checked in since.
+    A record with a higher `call_count` is newer: the runner has checked in since.
     """
 
     def __init__(self) -> None:
-        """Begins with no key marked."""
+        """Starts without stale keys."""
         self._stale: dict[str, dict[ModelKey, int]] = {}
 
     def mark(self, record: RunnerRecord, key: ModelKey) -> None:
-        """Records that the runner answered 421 for the key while `record` was in force."""
+        """Records a 421 response for the key, received while `record` was the runner's newest record."""
         self._stale.setdefault(record.id, {})[key] = record.call_count
 
     def is_held(self, record: RunnerRecord, key: ModelKey) -> bool:
-        """Whether the runner holds the key as far as is known. True for the empty model."""
+        """Returns whether the record lists the key and it is not stale; always true for the empty model."""
         _, model, adapter = key
         if model and not record.holds(model, adapter):
             return False
@@ -30,5 +30,5 @@
         return record.call_count > self._stale[record.id].get(key, -1)
 
     def forget(self, runner: str) -> None:
-        """Drops the marks of a runner that is gone."""
+        """Removes the stale keys of a runner that no longer exists."""
         self._stale.pop(runner, None)
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""OutlierEjection: failing runners are left out, tried again, and never too many at once."""
+"""OutlierEjection: failing runners are ejected and probed again, and the ejected share is limited."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 def fail(
     ejection: OutlierEjection, now: float, runner: str, outcome: AttemptOutcome = AttemptOutcome.SILENT
 ) -> None:
-    """Two sends that fail so."""
+    """Records two attempts that end with `outcome`."""
     for _ in range(2):
         ejection.sent(now, runner)
         ejection.ended(now, runner, outcome)
 
 
-def test_a_runner_that_goes_silent_is_left_out() -> None:
+def test_a_runner_that_times_out_is_ejected() -> None:
     ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     assert ejection.admitted(0.1, RUNNERS) == ["b", "c", "d"]
 
 
-def test_one_trial_at_a_time_after_the_ejection() -> None:
+def test_one_probe_request_at_a_time_after_the_ejection() -> None:
     ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     later = EJECTION_S + 0.01
@@ -46,7 +46,7 @@
     assert "a" in ejection.admitted(later, RUNNERS)
 
 
-def test_a_failed_trial_ejects_for_longer() -> None:
+def test_a_failed_probe_ejects_for_longer() -> None:
     ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     later = EJECTION_S + 0.01
@@ -56,7 +56,7 @@
     assert "a" in ejection.admitted(later + 2 * EJECTION_S + 0.01, RUNNERS)
 
 
-def test_a_cancelled_trial_does_not_close_the_runner_for_good() -> None:
+def test_a_cancelled_probe_does_not_eject_the_runner_forever() -> None:
     ejection = OutlierEjection()
     fail(ejection, 0.0, "a")
     later = EJECTION_S + 0.01
@@ -72,7 +72,7 @@
         assert "a" in ejection.admitted(float(at), RUNNERS)
 
 
-def test_what_never_ran_for_want_of_a_slot_is_no_failure() -> None:
+def test_rejections_of_requests_that_did_not_run_do_not_eject() -> None:
     ejection = OutlierEjection()
     for _ in range(50):
         ejection.ended(0.0, "a", AttemptOutcome.FULL)
@@ -80,7 +80,7 @@
     assert "a" in ejection.admitted(0.0, RUNNERS)
 
 
-def test_refusals_of_one_moment_count_once() -> None:
+def test_simultaneous_rejections_start_one_backoff() -> None:
     ejection = OutlierEjection()
     for _ in range(10):
         ejection.ended(0.0, "a", AttemptOutcome.FULL)
@@ -95,10 +95,10 @@
         (AttemptOutcome.SILENT, -math.inf, MAX_EJECTION_S),
     ],
 )
-def test_a_runner_that_fails_for_hours_is_left_out_for_the_longest_time_each_time(
+def test_a_runner_that_fails_for_hours_gets_the_maximum_time_each_time(
     outcome: AttemptOutcome, backoff: float, ejection_s: float
 ) -> None:
-    """After 1,024 doublings the time was out of a float's range: an attempt's end was lost in an error."""
+    """Guards against an OverflowError after 1,024 doublings, which lost the end of the attempt."""
     ejection, now = OutlierEjection(), 0.0
     for _ in range(2000):
         now += 10.0
@@ -113,7 +113,7 @@
         max_size=80,
     )
 )
-def test_at_most_the_share_is_ejected_and_all_come_back(
+def test_the_ejected_share_is_limited_and_all_runners_are_admitted_again(
     events: list[tuple[str, AttemptOutcome, float]],
 ) -> None:
     ejection, now = OutlierEjection(), 0.0
@@ -121,6 +121,6 @@
         now += pause
         ejection.sent(now, runner)
         ejection.ended(now, runner, outcome)
-        left = ejection.admitted(now, RUNNERS)
-        assert len(left) >= len(RUNNERS) * (1 - MAX_EJECTED_SHARE)
+        admitted = ejection.admitted(now, RUNNERS)
+        assert len(admitted) >= len(RUNNERS) * (1 - MAX_EJECTED_SHARE)
     assert ejection.admitted(now + MAX_EJECTION_S + 0.01, RUNNERS) == RUNNERS
--- a/tests/routing/test_priority.py
+++ b/tests/routing/test_priority.py
@@ -1,4 +1,4 @@
-"""The Priority header follows the latency target."""
+"""The `Priority` header, computed from the latency target and rank of a route."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     assert priority(route(800.0, rank=0)) < priority(route(800.0, rank=1)) < priority(route(800.0, rank=3))
 
 
-def test_less_valuable_kind_goes_first_where_its_target_is_shorter_by_more_than_that() -> None:
+def test_less_valuable_route_goes_first_if_its_target_is_shorter_by_more_than_the_ratio_of_values() -> None:
     assert priority(route(400.0, rank=2)) < priority(route(835.0, rank=1)) < priority(route(4000.0, rank=0))
 
 
-def test_kinds_with_as_much_time_for_their_worth_are_equals() -> None:
+def test_routes_with_equal_weighted_targets_have_equal_priority() -> None:
     assert priority(route(500.0, rank=2)) == priority(route(800.0, rank=1)) == priority(route(1500.0, rank=0))
 
 
 @pytest.mark.parametrize("target_ms", [1.0, 50.0, 100.0, 300.0, 2000.0, 5000.0, 600_000.0])
-def test_priority_is_one_that_the_header_can_carry(target_ms: float) -> None:
+def test_priority_is_within_the_range_of_the_header(target_ms: float) -> None:
     assert 0 <= priority(route(target_ms)) <= LOWEST_PRIORITY
 
 
-def test_route_without_a_target_goes_by_its_deadline() -> None:
+def test_route_without_a_target_uses_its_deadline() -> None:
     assert priority(route(0.0, deadline_ms=800.0)) == priority(route(800.0))
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: no window over all dispatchers may go beyond the bound."""
+"""The retry budget: retries of all dispatchers together must not exceed the limit in any window."""
 
 from __future__ import annotations
 
@@ -15,38 +15,41 @@
 SERVICE = "s"
 
 
-def worst_excess(limits: TimeLimits, requests: list[float], repeats: list[float]) -> float:
-    """The most by which repeats in a window go beyond what the rule allows; below 0 if none does.
+def max_excess(limits: TimeLimits, requests: list[float], retries: list[float]) -> float:
+    """Returns by how much the retries of any window exceed the limit; negative if none does.
 
-    Looked at are windows that end at every repeat, just before one leaves, at every moment at which a request
-    leaves or enters one of the counts, and every twentieth of a second.
+    The windows that are checked end at each retry, just before a retry leaves a window, whenever a request
+    enters or leaves one of the counts, and every 50 ms.
     """
     window = limits.retry_window_s
 
     def between(times: list[float], start: float, end: float) -> int:
         return bisect_right(times, end) - bisect_right(times, start)
 
-    ends = set(repeats) | {at + window - 1e-6 for at in repeats}
+    ends = set(retries) | {at + window - 1e-6 for at in retries}
     ends |= {at + shift for at in requests for shift in (0.5 * window, window, 1.5 * window, 2.0 * window)}
     ends |= {index / 20 for index in range(int(20 * (max(requests, default=0.0) + 2 * window)))}
-    worst = -float("inf")
+    max_found = -float("inf")
     for end in ends:
         counted = max(
             between(requests, end - shift - window, end - shift) for shift in (0.0, 0.5 * window, window)
         )
-        used = between(repeats, end - window, end)
-        worst = max(worst, used - limits.retry_ratio * counted - limits.retry_extra)
-    return worst
+        used = between(retries, end - window, end)
+        max_found = max(max_found, used - limits.retry_ratio * counted - limits.retry_extra)
+    return max_found
 
 
-def play(
-    dispatchers: int, rates: list[int], seed: int, seen: int, limits: TimeLimits, uneven: float = 0.0
+def simulate(
+    dispatchers: int, rates: list[int], seed: int, seen: int, limits: TimeLimits, unevenness: float = 0.0
 ) -> tuple[list[float], list[float]]:
-    """Requests a second over some seconds, each wanting a repeat; dispatchers' shares may be uneven."""
+    """Simulates `rates` requests in each second, all of which need a retry; returns the times of both.
+
+    Requests are spread over the dispatchers by random weights that differ more with `uneven`.
+    """
     random = Random(seed)
-    weights = [(1.0 + uneven) ** random.uniform(-1.0, 1.0) for _ in range(dispatchers)]
+    weights = [(1.0 + unevenness) ** random.uniform(-1.0, 1.0) for _ in range(dispatchers)]
     budgets = [RetryBudget(limits, Random(f"{seed}-{n}")) for n in range(dispatchers)]
-    requests, repeats = [], []
+    requests, retries = [], []
     for second, rate in enumerate(rates):
         for at in sorted(second + random.random() for _ in range(rate)):
             budget = random.choices(budgets, weights)[0]
@@ -54,42 +57,42 @@
             requests.append(at)
             if budget.may_retry(at, SERVICE, seen):
                 budget.record_retry(at, SERVICE)
-                repeats.append(at)
-    return requests, repeats
+                retries.append(at)
+    return requests, retries
 
 
 @settings(max_examples=60, deadline=None)
 @given(
     dispatchers=st.integers(1, 12),
     seed=st.integers(0, 10_000),
-    uneven=st.sampled_from([0.0, 1.0, 4.0]),
+    unevenness=st.sampled_from([0.0, 1.0, 4.0]),
     extra=st.sampled_from([0.0, 10.0, 56.0]),
     rates=st.lists(st.sampled_from([0, 0, 2, 10, 40, 90]), min_size=5, max_size=45),
 )
-def test_no_window_goes_beyond_the_bound(
-    dispatchers: int, seed: int, uneven: float, extra: float, rates: list[int]
+def test_no_window_exceeds_the_limit(
+    dispatchers: int, seed: int, unevenness: float, extra: float, rates: list[int]
 ) -> None:
     limits = TimeLimits(retry_ratio=0.2, retry_window_s=10.0, retry_extra=extra)
-    requests, repeats = play(dispatchers, rates, seed, dispatchers, limits, uneven)
-    assert worst_excess(limits, requests, repeats) <= 0.0
+    requests, retries = simulate(dispatchers, rates, seed, dispatchers, limits, unevenness)
+    assert max_excess(limits, requests, retries) <= 0.0
 
 
 @settings(max_examples=10, deadline=None)
 @given(seed=st.integers(0, 10_000))
-def test_shares_below_one_do_not_add_up_to_more_than_the_bound(seed: int) -> None:
+def test_fractional_shares_do_not_add_up_to_more_than_the_limit(seed: int) -> None:
     limits = TimeLimits(retry_ratio=0.0, retry_window_s=10.0, retry_extra=180.0)
     rates = [0, 0, 200, 400, 0, 0, 0, 0, 400, 400, 400, 0, 0, 300, 300]
-    requests, repeats = play(490, rates, seed, 490, limits)
-    assert worst_excess(limits, requests, repeats) <= 0.0
+    requests, retries = simulate(490, rates, seed, 490, limits)
+    assert max_excess(limits, requests, retries) <= 0.0
 
 
-def test_shares_below_one_are_used_and_not_lost() -> None:
+def test_fractional_shares_are_used_and_not_lost() -> None:
     limits = TimeLimits(retry_ratio=0.0, retry_window_s=10.0, retry_extra=20.0)
-    _, repeats = play(100, [0] * 6 + [300] * 30, 3, 100, limits)
-    assert len(repeats) >= 20
+    _, retries = simulate(100, [0] * 6 + [300] * 30, 3, 100, limits)
+    assert len(retries) >= 20
 
 
-def test_every_dispatcher_has_its_turn_of_a_share_below_one() -> None:
+def test_a_dispatcher_with_a_fractional_share_may_retry_some_of_the_time() -> None:
     budget = RetryBudget(TimeLimits(retry_ratio=0.0, retry_window_s=10.0, retry_extra=20.0), Random(5))
     allowed = [budget.may_retry(10.0 * turn, SERVICE, 100) for turn in range(60)]
     assert any(allowed)
@@ -98,12 +101,12 @@
 
 def test_steady_traffic_gets_most_of_the_ratio() -> None:
     limits = TimeLimits(retry_ratio=0.2, retry_window_s=10.0, retry_extra=0.0)
-    requests, repeats = play(4, [40] * 40, 1, 4, limits)
-    late = [at for at in repeats if at > 20]
+    requests, retries = simulate(4, [40] * 40, 1, 4, limits)
+    late = [at for at in retries if at > 20]
     assert len(late) >= 0.12 * len([at for at in requests if at > 20])
 
 
-def test_a_burst_that_ends_does_not_leave_a_ratio_behind() -> None:
+def test_requests_of_a_past_burst_do_not_permit_later_retries() -> None:
     budget = RetryBudget(TimeLimits(retry_ratio=0.2, retry_window_s=10.0, retry_extra=0.0), Random(1))
     for index in range(1000):
         budget.record_request(index * 0.001, SERVICE)
@@ -111,35 +114,35 @@
     assert not budget.may_retry(25.0, SERVICE, 1)
 
 
-def test_a_dispatcher_cut_off_from_the_others_keeps_to_its_part() -> None:
+def test_a_partitioned_dispatcher_keeps_to_its_share() -> None:
     limits = TimeLimits(retry_ratio=0.0, retry_window_s=10.0, retry_extra=60.0)
     budget = RetryBudget(limits, Random(1))
     budget.may_retry(6.0, SERVICE, 60)
-    made = 0
+    sent = 0
     while budget.may_retry(12.0, SERVICE, 1):
         budget.record_retry(12.0, SERVICE)
-        made += 1
-    assert made <= 1
+        sent += 1
+    assert sent <= 1
 
 
-def test_a_start_before_membership_is_known_takes_a_small_part() -> None:
+def test_a_dispatcher_uses_a_small_share_before_membership_is_known() -> None:
     budget = RetryBudget(LIMITS, Random(1))
-    made = 0
+    sent = 0
     while budget.may_retry(0.0, SERVICE, 1):
         budget.record_retry(0.0, SERVICE)
-        made += 1
-    assert made <= 2
+        sent += 1
+    assert sent <= 2
 
 
-def test_many_dispatchers_that_start_at_once_each_alone_stay_within_the_bound() -> None:
+def test_many_dispatchers_that_start_at_once_without_membership_stay_within_the_limit() -> None:
     limits = TimeLimits(retry_ratio=0.2, retry_window_s=10.0, retry_extra=180.0)
     budgets = [RetryBudget(limits, Random(number)) for number in range(91)]
-    made = 0
+    sent = 0
     for budget in budgets:
         while budget.may_retry(0.0, SERVICE, 1):
             budget.record_retry(0.0, SERVICE)
-            made += 1
-    assert made <= limits.retry_extra
+            sent += 1
+    assert sent <= limits.retry_extra
 
 
 def test_services_do_not_share_a_budget() -> None:
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -1,4 +1,4 @@
-"""The design's selection, told as its page tells it, and the terms around it."""
+"""Runner selection: the basic rules, and the conditions that restrict or override them."""
 
 from __future__ import annotations
 
@@ -13,25 +13,27 @@
 THRESHOLD = 2  # 16 slots x the default share
 
 
-# The design: holders only; the most pending still under the threshold; else fewest keys, then least pending.
+# Only holders; the most pending requests below the threshold; else the fewest keys, then the fewest pending.
 @pytest.mark.parametrize(
-    ("pending", "wanted"),
+    ("pending", "expected"),
     [
-        ({"a": {"m": 0}, "b": {"m": 1}}, "b"),  # the busiest under the threshold
-        ({"a": {"m": 0}, "b": {"m": THRESHOLD}}, "a"),  # at the threshold: no more
-        ({"a": {"n": 5}, "b": {"m": 1}}, "b"),  # what counts is the pending of that key
-        ({"a": {"m": 2, "n": 1}, "b": {"m": 3}}, "b"),  # all at it: the fewest active keys
-        ({"a": {"m": 3, "n": 1}, "b": {"m": 2, "n": 1}}, "b"),  # then the least pending
+        ({"a": {"m": 0}, "b": {"m": 1}}, "b"),  # the most pending below the threshold
+        ({"a": {"m": 0}, "b": {"m": THRESHOLD}}, "a"),  # a holder at the threshold is skipped
+        ({"a": {"n": 5}, "b": {"m": 1}}, "b"),  # only pending requests for the same key count
+        ({"a": {"m": 2, "n": 1}, "b": {"m": 3}}, "b"),  # all at the threshold: the fewest active keys
+        ({"a": {"m": 3, "n": 1}, "b": {"m": 2, "n": 1}}, "b"),  # then the fewest pending requests
         ({"a": {"m": 2}, "b": {"m": 2}, "c": {}}, "c"),
     ],
 )
-def test_keyed_request_goes_where_the_design_says(pending: dict[str, dict[str, int]], wanted: str) -> None:
+def test_keyed_request_goes_to_the_holder_that_the_rules_select(
+    pending: dict[str, dict[str, int]], expected: str
+) -> None:
     w = world(runner("a", "mn"), runner("b", "mn"), runner("c", "mn" if "c" in pending else "n"))
-    for where, counts in pending.items():
+    for runner_id, counts in pending.items():
         for model, times in counts.items():
             for _ in range(times):
-                w.send_to(where, w.request(model))
-    assert w.chosen(w.request("m")) == wanted
+                w.send_to(runner_id, w.request(model))
+    assert w.chosen(w.request("m")) == expected
 
 
 def test_only_holders_are_sent_to_however_busy_they_are() -> None:
@@ -67,7 +69,7 @@
     assert {w.chosen(w.request()) for _ in range(60)} == {"a", "b", "c"}
 
 
-def test_421_unmarks_the_key_until_a_newer_record_lists_it() -> None:
+def test_a_421_marks_the_key_as_stale_until_a_newer_record_lists_it() -> None:
     w = world(runner("a", calls=4))
     w.fail(w.request(), AttemptOutcome.NOT_HELD)
     assert not isinstance(w.choose(w.request()), Send)
@@ -77,12 +79,12 @@
 
 
 @pytest.mark.parametrize("stage", [Stage.DRAINING, Stage.GONE])
-def test_a_runner_that_leaves_gets_nothing_even_as_the_only_holder(stage: Stage) -> None:
+def test_a_draining_or_gone_runner_gets_no_requests_even_as_the_only_holder(stage: Stage) -> None:
     w = world(runner("a", stage=stage))
     assert not isinstance(w.choose(w.request()), Send)
 
 
-def test_a_silent_runner_gets_requests_only_when_no_other_is_there() -> None:
+def test_a_silent_runner_gets_requests_only_if_there_is_no_other() -> None:
     w = world(runner("a", stage=Stage.SILENT), runner("b"))
     assert {w.chosen(w.request()) for _ in range(30)} == {"b"}
     del w.runners["b"]
@@ -94,7 +96,7 @@
     assert {w.chosen(w.request(), ("a",)) for _ in range(10)} == {"b"}
 
 
-def test_a_full_holder_is_left_alone_longer_each_time() -> None:
+def test_the_backoff_of_a_full_holder_grows_each_time() -> None:
     w = world(runner("a"), runner("b"))
     w.end(w.send_to("a"), AttemptOutcome.FULL)
     assert {w.chosen(w.request()) for _ in range(10)} == {"b"}
@@ -111,12 +113,12 @@
     waiting = w.choose(w.request())
     assert isinstance(waiting, Wait)
     assert w.now < waiting.until <= w.now + 0.2
-    refused = w.choose(w.request(deadline_s=0.06))
-    assert isinstance(refused, Reject)
-    assert refused.retry_after > 0
+    rejected = w.choose(w.request(deadline_s=0.06))
+    assert isinstance(rejected, Reject)
+    assert rejected.retry_after > 0
 
 
-def test_a_model_under_way_is_waited_for_and_asked_again() -> None:
+def test_a_request_waits_for_an_ordered_load_and_is_rechecked() -> None:
     w = world(runner("a", "n"))
     w.expected = {"a": w.now + 0.8}
     choice = w.choose(w.request())
@@ -124,15 +126,15 @@
     assert choice.until <= w.now + 0.2
 
 
-def test_a_load_that_ends_too_late_is_refused_at_once() -> None:
+def test_a_request_is_rejected_at_once_if_its_load_ends_too_late() -> None:
     w = world(runner("a", "n"))
     w.expected = {"a": w.now + 6.0}
-    refused = w.choose(w.request(deadline_s=5.0))
-    assert isinstance(refused, Reject)
-    assert refused.retry_after <= 5.0 / 3 + 1e-9
+    rejected = w.choose(w.request(deadline_s=5.0))
+    assert isinstance(rejected, Reject)
+    assert rejected.retry_after <= 5.0 / 3 + 1e-9
 
 
-def test_a_model_nobody_loads_is_not_held_for_half_of_the_time() -> None:
+def test_a_request_for_a_model_without_a_load_waits_less_than_half_of_its_time() -> None:
     w = world(runner("a", "n"))
     request = w.request(deadline_s=4.0)
     w.now += 1.9
@@ -148,7 +150,7 @@
     assert isinstance(w.choose(request), Reject)
 
 
-def test_a_kept_prefix_draws_requests_that_share_it() -> None:
+def test_requests_go_to_the_holder_that_has_their_prefix_cached() -> None:
     w = world(runner("a"), runner("b"), runner("c"))
     prompt = parts(2000, 4000, 500)
     attempt = w.send_to("b", w.request(prompt=prompt))
@@ -158,7 +160,7 @@
     assert {w.chosen(w.request(prompt=again)) for _ in range(10)} == {"b"}
 
 
-def test_a_part_behind_another_beginning_is_not_taken_for_kept() -> None:
+def test_a_part_after_a_different_prefix_does_not_count_as_cached() -> None:
     w = world(runner("a"), runner("b"))
     prompt = parts(2000, 4000, 500)
     attempt = w.send_to("b", w.request(prompt=prompt))
@@ -178,7 +180,7 @@
     assert len(chosen) == 1
 
 
-def test_a_long_prompt_waiting_to_be_read_sends_the_next_elsewhere() -> None:
+def test_requests_avoid_a_holder_with_a_long_prefill() -> None:
     w = world(runner("a"), runner("b"))
     prompt = parts(2000, 40_000, 500)
     w.send_to("a", w.request(prompt=prompt))
@@ -190,7 +192,7 @@
     assert {w.chosen(w.request()) for _ in range(20)} == {"b"}
 
 
-def test_a_cold_runner_is_left_to_warm_up_while_others_have_it() -> None:
+def test_a_runner_that_warms_up_is_avoided_while_others_hold_the_model() -> None:
     w = world(runner("a", cold_ms=500.0), runner("b"))
     assert {w.chosen(w.request()) for _ in range(20)} == {"b"}
 
@@ -213,7 +215,7 @@
     assert w.chosen(w.request("", service="plain")) == "b"
 
 
-def test_load_told_by_a_runner_counts_others_requests_and_ages() -> None:
+def test_a_load_report_counts_requests_of_other_dispatchers_and_decays() -> None:
     w = world(*(runner(id, "", slots=6, service="plain") for id in "ab"))
     w.selector.observe_load(w.now, "a", 6, 3, 6)
     assert {w.chosen(w.request("", service="plain")) for _ in range(10)} == {"b"}
@@ -233,7 +235,7 @@
     assert run() == run()
 
 
-def test_nothing_is_remembered_of_runners_that_are_gone() -> None:
+def test_data_about_runners_that_are_gone_is_removed() -> None:
     w = world(runner("a"), runner("b"))
     w.fail(w.request(), AttemptOutcome.NOT_HELD)
     w.fail(w.request(), AttemptOutcome.RESET)
@@ -243,7 +245,7 @@
     assert set(w.selector._records) == {"c"}
 
 
-def test_a_runner_that_leaves_requests_unanswered_gets_no_more_while_others_answer() -> None:
+def test_an_unresponsive_runner_gets_no_requests_while_another_responds() -> None:
     w = world(runner("a"), runner("b"))
     w.send_to("a")
     w.now += 2.5
@@ -266,7 +268,7 @@
     assert w.chosen(w.request()) == "a"
 
 
-def test_clients_that_give_up_on_a_runner_without_a_byte_eject_it() -> None:
+def test_cancelled_requests_without_a_byte_eject_the_runner() -> None:
     w = world(*(runner(id) for id in "abcd"))
     attempts = [w.send_to("a"), w.send_to("a")]
     w.now += 3.0
@@ -275,7 +277,7 @@
     assert {w.chosen(w.request()) for _ in range(40)} == {"b", "c", "d"}
 
 
-def test_clients_that_give_up_early_do_not_harm_a_runner() -> None:
+def test_early_cancellations_do_not_eject_a_runner() -> None:
     w = world(*(runner(id) for id in "ab"))
     for _ in range(10):
         attempt = w.send_to("a")
@@ -284,23 +286,23 @@
     assert {w.chosen(w.request()) for _ in range(40)} == {"a", "b"}
 
 
-def test_a_cold_runner_takes_what_the_warm_ones_have_no_room_for() -> None:
+def test_a_runner_that_warms_up_gets_requests_when_the_others_are_at_the_threshold() -> None:
     w = world(runner("a", cold_ms=500.0), runner("b"))
     for _ in range(THRESHOLD):
         w.send_to("b")
     assert w.chosen(w.request()) == "a"
 
 
-def test_overload_is_refused_at_once_when_half_of_the_slots_are_taken_and_the_wait_is_hopeless() -> None:
+def test_a_request_is_shed_if_half_of_the_slots_are_taken_and_the_wait_is_too_long() -> None:
     w = world(runner("a"))
     for _ in range(7):
         w.send_to("a", w.request(prompt=parts(10_000, 10_000)))
     assert w.chosen(w.request()) == "a"  # less than half of 16 slots
     w.send_to("a", w.request(prompt=parts(10_000, 10_000)))
-    refused = w.choose(w.request())
-    assert isinstance(refused, Reject)
-    assert refused.reason == "overload"
-    assert 0 < refused.retry_after <= 5.0 / 3
+    rejected = w.choose(w.request())
+    assert isinstance(rejected, Reject)
+    assert rejected.reason == "overload"
+    assert 0 < rejected.retry_after <= 5.0 / 3
 
 
 def test_many_short_requests_are_no_overload() -> None:
