--- a/larchgw/placement/completion_publisher.py
+++ b/larchgw/placement/completion_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes expected load completions, each only when it changes."""
+"""Publishes the expected completion times of loads to dispatchers, only when they change."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 from ..identifiers import RunnerId
 
-UNLOADING_MS = -1.0  # published instead of a time: the model or adapter is being unloaded
+UNLOADING_MS = -1.0  # published instead of a time while the model or adapter is being unloaded
 
 
 class CompletionPublisher:
-    """Keeps what was published last of each runner."""
+    """Publishes completion times and stores what was last published for each runner."""
 
     def __init__(self, publish: Callable[[RunnerId, dict[str, float]], None]) -> None:
         """Starts with nothing published.
 
         Args:
-            publish: Gets a runner's id and the milliseconds until each model or "model/adapter" can be used
-                there.
+            publish: Called with a runner's id and, for each model or "model/adapter", the milliseconds until
+                it can be used at that runner.
         """
         self._publish = publish
         self._published: dict[RunnerId, dict[str, float]] = {}
 
     def update(self, now_s: float, completions: dict[RunnerId, dict[str, float]]) -> None:
-        """Publishes what has changed, and withdraws what is not expected any more.
+        """Publishes the runners whose completions changed, and withdraws those without any.
 
         Args:
-            now_s: The time.
-            completions: Runner id -> model or "model/adapter" -> when it can be used; infinite while it is
-                unloaded.
+            now_s: Current time.
+            completions: Runner id -> model or "model/adapter" -> time from which it can be used; infinite
+                while it is being unloaded.
         """
         for runner_id in self._published.keys() - completions.keys():
             self._publish(runner_id, {})
@@ -39,7 +39,7 @@
         self._published = completions
 
     def reset(self) -> None:
-        """Forgets what was published, as another process publishes now."""
+        """Clears the record of what was published, since another process publishes from now on."""
         self._published.clear()
 
 
--- a/larchgw/placement/demand_reports.py
+++ b/larchgw/placement/demand_reports.py
@@ -1,7 +1,7 @@
-"""What waits and runs at each dispatcher now, with totals by key and by model. Pure: time is an argument.
+"""The latest demand report of each dispatcher, with totals by key and by model.
 
-Totals are kept up with each report: summing over hundreds of dispatchers for each of many thousand keys would
-take seconds for each plan.
+The time is passed as an argument. Totals are updated with each report: summing over hundreds of dispatchers
+for each of many thousand keys would take seconds in each planning round.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyDemand:
-    """What one dispatcher reported last for one key.
+    """Demand for one key in the latest report of one dispatcher.
 
     Attributes:
-        waiting: Requests that wait for it to be loaded.
-        in_flight: Requests for it at runners.
-        deadline_s: When the first of those that wait gives up, on the tracker's clock; infinite if none
-            waits.
+        waiting: Requests that wait for the key to be loaded.
+        in_flight: Requests for the key at runners.
+        deadline_s: Earliest deadline of the waiting requests, on the tracker's clock; infinite if there are
+            none.
     """
 
     waiting: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class _DispatcherDemand:
-    """One dispatcher's newest report; after `expires_at_s` the dispatcher counts as silent."""
+    """One dispatcher's latest report; it is dropped after `expires_at_s`."""
 
     interval_s: float
     expires_at_s: float
@@ -42,37 +42,37 @@
 
 
 class DemandReports:
-    """The newest report of each dispatcher, with totals over all of them.
+    """The latest report of each dispatcher, with totals over all of them.
 
-    A dispatcher that is silent for `expiry_s`, and for `expiry_intervals` of the longer of its last two
-    intervals, counts for nothing.
+    A report expires once the dispatcher has sent nothing for `expiry_s`, and also for `expiry_intervals`
+    times the longer of its last two report intervals.
     """
 
     def __init__(self, expiry_s: float, expiry_intervals: float) -> None:
-        """Makes an empty table.
+        """Starts without reports.
 
         Args:
-            expiry_s: How long a report counts at least.
-            expiry_intervals: How many intervals between its reports a dispatcher may be silent.
+            expiry_s: Minimum time until a report expires.
+            expiry_intervals: Minimum time until a report expires, in report intervals of its dispatcher.
         """
         self._expiry_s, self._expiry_intervals = expiry_s, expiry_intervals
         self._dispatchers: dict[str, _DispatcherDemand] = {}
         self._in_flight: Counter[DemandKey] = Counter()
         self._model_in_flight: Counter[tuple[str, str]] = Counter()
-        self._waiting: dict[DemandKey, dict[str, KeyDemand]] = {}  # by dispatcher; only where something waits
-        self._reporters: Counter[DemandKey] = Counter()  # dispatchers whose report names the key
+        self._waiting: dict[DemandKey, dict[str, KeyDemand]] = {}  # by dispatcher; only with waiting requests
+        self._reporters: Counter[DemandKey] = Counter()  # number of dispatchers whose report has the key
         self._next_expiry_s = math.inf
 
     def replace(
         self, now_s: float, dispatcher: str, interval_s: float, demand: Mapping[DemandKey, KeyDemand]
     ) -> None:
-        """Puts a dispatcher's new report in the place of the one before.
+        """Replaces a dispatcher's previous report.
 
         Args:
-            now_s: The time of the report.
-            dispatcher: Who sent it.
-            interval_s: Time since its report before.
-            demand: All that waits or runs there.
+            now_s: Time of the report.
+            dispatcher: Name of the dispatcher.
+            interval_s: Time since the dispatcher's previous report.
+            demand: All waiting and running requests at the dispatcher, by key.
         """
         previous = self._dispatchers.get(dispatcher)
         longest_s = max(interval_s, previous.interval_s if previous else 0.0)
@@ -89,7 +89,7 @@
                 self._waiting.setdefault(key, {})[dispatcher] = reported
 
     def drop_expired(self, now_s: float) -> None:
-        """Removes the reports of dispatchers that have been silent for too long."""
+        """Removes expired reports."""
         if now_s <= self._next_expiry_s:
             return
         expired = [name for name, known in self._dispatchers.items() if now_s > known.expires_at_s]
@@ -100,19 +100,19 @@
         )
 
     def is_reported(self, key: DemandKey) -> bool:
-        """Whether any dispatcher's report names the key."""
+        """Returns whether any dispatcher's latest report has the key."""
         return key in self._reporters
 
     def waiting(self, key: DemandKey) -> int:
-        """Returns how many requests wait for this very key."""
+        """Returns how many requests wait for exactly this key."""
         return sum(reported.waiting for reported in self._waiting.get(key, {}).values())
 
     def in_flight(self, key: DemandKey) -> int:
-        """Returns how many requests for this very key are at runners."""
+        """Returns how many requests for exactly this key are at runners."""
         return self._in_flight.get(key, 0)
 
     def deadline_s(self, key: DemandKey) -> float:
-        """Returns when the first of those that wait gives up; infinite if none waits."""
+        """Returns the earliest deadline of the requests that wait for the key; infinite if none waits."""
         return min(
             (reported.deadline_s for reported in self._waiting.get(key, {}).values()), default=math.inf
         )
@@ -122,7 +122,7 @@
         return self._model_in_flight.get((service, model), 0)
 
     def waiting_by_model(self, service: str) -> dict[str, tuple[int, float]]:
-        """Returns how many wait for each model, with and without adapters, and when the first gives up."""
+        """Returns the number and earliest deadline of requests waiting for each model or its adapters."""
         totals: dict[str, tuple[int, float]] = {}
         for (reported_service, model, _), by_dispatcher in self._waiting.items():
             if reported_service != service:
@@ -132,8 +132,8 @@
                 totals[model] = waiting + reported.waiting, min(deadline_s, reported.deadline_s)
         return totals
 
-    def anyone_waits(self) -> bool:
-        """Whether a request waits, for any key."""
+    def has_waiting_requests(self) -> bool:
+        """Returns whether any request waits for a load."""
         return bool(self._waiting)
 
     def _remove(self, dispatcher: str) -> None:
--- a/larchgw/placement/demand_tracker.py
+++ b/larchgw/placement/demand_tracker.py
@@ -1,4 +1,4 @@
-"""Demand by service, model and adapter, from the dispatchers' reports. Pure: the clock is an argument."""
+"""Demand by service, model and adapter, from the dispatchers' reports. The clock is an argument."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from .demand_reports import DemandKey, DemandReports, KeyDemand
 from .request_rate import RequestRate
 
-EXPIRY_S = 2.0  # a dispatcher that has reported nothing for so long has nobody waiting as far as we know ...
-EXPIRY_INTERVALS = 3.0  # ... and for so many of the longer of its last two intervals
-MIN_REQUESTS_PER_S = 1e-4  # below which an idle key is forgotten
+# A report expires after both of these: a time, and a multiple of the longer of the last two report intervals.
+EXPIRY_S = 2.0
+EXPIRY_INTERVALS = 3.0
+MIN_REQUESTS_PER_S = 1e-4  # a key that is in no report is removed below this rate
 
 
 class ModelDemandLike(Protocol):
-    """The fields of thrift's ModelDemand, by their names there."""
+    """The fields of the Thrift struct ModelDemand, under their Thrift names."""
 
     service_name: str
     model: str
@@ -29,7 +30,7 @@
 
 
 class DemandReportLike(Protocol):
-    """The fields of thrift's DemandReport, by their names there."""
+    """The fields of the Thrift struct DemandReport, under their Thrift names."""
 
     node_name: str
     interval_ms: int
@@ -38,14 +39,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSummary:
-    """Demand for one model and its adapters together.
+    """Demand for one model, including its adapters.
 
     Attributes:
         requests_per_s: Expected rate.
         request_value: Mean value of a request.
         waiting: Requests that wait for a load.
         in_flight: Requests at runners.
-        deadline_s: When the first of those that wait gives up, on the clock; infinite if none waits.
+        deadline_s: Earliest deadline of the waiting requests, on the tracker's clock; infinite if there are
+            none.
     """
 
     requests_per_s: float
@@ -56,24 +58,26 @@
 
 
 class DemandTracker:
-    """Requests by key, over all dispatchers."""
+    """Demand by key, summed over all dispatchers."""
 
     def __init__(self, clock: Callable[[], float], expiry_s: float = EXPIRY_S) -> None:
         """Starts with no demand.
 
         Args:
-            clock: The time in seconds.
-            expiry_s: After how long a silence a dispatcher's report counts for nothing.
+            clock: Returns the time in seconds.
+            expiry_s: Minimum time until a dispatcher's report expires.
         """
         self._clock = clock
         self._observed_since_s: float | None = None
         self._reports = DemandReports(expiry_s, EXPIRY_INTERVALS)
         self._rates: dict[DemandKey, RequestRate] = {}
-        self._model_rates: dict[tuple[str, str], RequestRate] = {}  # sums over the adapters of each model
-        self._adapters: dict[tuple[str, str], set[str]] = {}  # asked for, by model; "" for the model itself
+        self._model_rates: dict[tuple[str, str], RequestRate] = {}  # including the adapters of each model
+        self._adapters: dict[
+            tuple[str, str], set[str]
+        ] = {}  # requested adapters by model; "" for the model itself
 
     def receive_report(self, report: DemandReportLike) -> None:
-        """Counts what a dispatcher has seen since its last report, and replaces what waits and runs there."""
+        """Adds the arrivals since a dispatcher's last report; replaces its waiting and running requests."""
         now_s = self._clock()
         interval_s = max(report.interval_ms, 0) / 1000.0
         if self._observed_since_s is None:
@@ -101,7 +105,7 @@
             self._model_rates[model_key].add(now_s, reported.arrivals, value)
 
     def requests_per_s(self, key: DemandKey) -> float:
-        """Returns the expected rate for this very key."""
+        """Returns the expected rate for exactly this key."""
         return self._expected_rate(self._rates.get(key))
 
     def model_requests_per_s(self, service: str, model: str) -> float:
@@ -109,24 +113,24 @@
         return self._expected_rate(self._model_rates.get((service, model)))
 
     def model_request_value(self, service: str, model: str) -> float:
-        """Returns the mean value of a request for the model; 1 where none came."""
+        """Returns the mean value of a request for the model; 1 if there was none."""
         rate = self._model_rates.get((service, model))
         return 1.0 if rate is None else rate.mean_value(self._clock())
 
     def waiting(self, key: DemandKey) -> int:
-        """Returns how many requests wait for this very key to be loaded."""
+        """Returns how many requests wait for exactly this key to be loaded."""
         return self._current_reports().waiting(key)
 
     def in_flight(self, key: DemandKey) -> int:
-        """Returns how many requests for this very key are at runners."""
+        """Returns how many requests for exactly this key are at runners."""
         return self._current_reports().in_flight(key)
 
     def deadline_s(self, key: DemandKey) -> float:
-        """Returns when the first of those that wait gives up, on the clock; infinite if none waits."""
+        """Returns the earliest deadline of the requests that wait for the key; infinite if none waits."""
         return self._current_reports().deadline_s(key)
 
     def by_model(self, service: str) -> dict[str, ModelSummary]:
-        """Returns the demand for each model of a service that was asked for."""
+        """Returns the demand for each requested model of a service."""
         reports = self._current_reports()
         waiting_by_model = reports.waiting_by_model(service)
         summaries = {}
@@ -144,15 +148,15 @@
         return summaries
 
     def adapters(self, service: str, model: str) -> list[str]:
-        """Returns the adapters of the model that were asked for, sorted."""
+        """Returns the requested adapters of the model, sorted."""
         return sorted(name for name in self._adapters.get((service, model), set()) if name)
 
-    def anyone_waits(self) -> bool:
-        """Whether a request waits for a load, at any dispatcher."""
-        return self._current_reports().anyone_waits()
+    def has_waiting_requests(self) -> bool:
+        """Returns whether a request waits for a load at any dispatcher."""
+        return self._current_reports().has_waiting_requests()
 
     def expire(self) -> None:
-        """Forgets dispatchers that went silent and keys that nobody has asked for in a long time."""
+        """Removes expired reports, and keys that have not been requested for a long time."""
         now_s, reports = self._clock(), self._current_reports()
         for key, rate in list(self._rates.items()):
             if not reports.is_reported(key) and rate.long_term_requests_per_s(now_s) < MIN_REQUESTS_PER_S:
--- a/larchgw/placement/errors.py
+++ b/larchgw/placement/errors.py
@@ -6,18 +6,20 @@
 
 
 class PlacementError(Exception):
-    """Any error of this package."""
+    """Base class of the errors of this package."""
 
 
 class InvalidStateError(PlacementError):
-    """What is known of a runner contradicts itself.
+    """The state of a runner violates an invariant.
 
     Attributes:
-        runner_id: The runner concerned.
-        rule: What should hold and does not.
+        runner_id: The runner.
+        rule: The invariant that is violated.
     """
 
     def __init__(self, runner_id: RunnerId, rule: str) -> None:
-        """Makes the message from the two fields."""
-        super().__init__(f"runner {runner_id}: {rule}; this is a fault of the placement code: report it")
+        """Builds the message from the two fields."""
+        super().__init__(
+            f"runner {runner_id}: {rule}; this invariant is violated by a bug in placement: report it"
+        )
         self.runner_id, self.rule = runner_id, rule
--- a/larchgw/placement/holder_value.py
+++ b/larchgw/placement/holder_value.py
@@ -1,8 +1,8 @@
-"""Value of placements over a horizon, in the unit of a request's value. Pure arithmetic on demand.
+"""Value of holding a model at runners over a time horizon, in units of a request's value.
 
-The first holder of a model saves its next request the wait for a load, and the price of that load. Further
-replicas of a busy model spread its work; their value is bounded by the model's share of all work, with
-headroom.
+The first holder of a model saves the next request the wait for a load, and saves the price of that load.
+Further replicas of a busy model spread its work. Their number is limited by the model's share of all work,
+plus headroom.
 """
 
 from __future__ import annotations
@@ -12,26 +12,27 @@
 
 from .model import PlacementSettings
 
-CROWDED_COST = 0.3  # share of their value that requests lose which a missing replica would have served
-MIN_UTILIZATION = 0.15  # part of that which is lost while runners are nearly idle
-MAX_SPARE_REPLICAS = 2.0  # of a model with little work, for the loss of a runner
+MISSING_REPLICA_COST = (
+    0.3  # share of their value that requests lose if the replica that would serve them is missing
+)
+MIN_UTILIZATION = 0.15  # lower bound of the utilization by which this loss is scaled
+MAX_SPARE_REPLICAS = 2.0  # replicas of a model with little work, in case a runner is lost
 
 
 @dataclass(slots=True)
 class ModelDemandEstimate:
-    """One model's demand now.
+    """Current demand for one model.
 
     Attributes:
         name: The model.
         requests_per_s: Expected rate.
         request_value: Mean value of a request.
         waiting: Requests that wait for a load.
-        deadline_s: When the first of them gives up.
+        deadline_s: Earliest deadline of the waiting requests.
         in_flight: Requests at runners.
-        load_s: What loading it takes.
-        increase_value_per_s: Expected value, a second, of the requests that it brings if its demand
-            increases.
-        target_replicas: Replicas by its share of all work.
+        load_s: Duration of a load.
+        increase_value_per_s: Expected value per second of the requests from a possible increase in demand.
+        target_replicas: Desired number of replicas, by its share of all work.
     """
 
     name: str
@@ -46,9 +47,9 @@
 
 
 def first_holder_value(demand: ModelDemandEstimate, settings: PlacementSettings) -> float:
-    """Returns the value of the model being held anywhere, over the horizon."""
+    """Returns the value of having one holder of the model instead of none, over the horizon."""
     request_probability = 1.0 - math.exp(-demand.requests_per_s * settings.horizon_s)
-    late_requests = 1.0 + demand.requests_per_s * demand.load_s  # that one load would make late
+    late_requests = 1.0 + demand.requests_per_s * demand.load_s  # requests that are late if a load is needed
     value = request_probability * (
         settings.load_price + late_requests * demand.request_value * settings.late_cost
     )
@@ -58,31 +59,31 @@
 def replica_value(
     demand: ModelDemandEstimate, holders: int, utilization: float, settings: PlacementSettings
 ) -> float:
-    """Returns the value of the last of so many holders, over the horizon.
+    """Returns the value of the last of `holders` holders, over the horizon.
 
     Args:
         demand: The model's demand.
-        holders: Runners that hold it, this one included.
-        utilization: How busy the service's runners are, 0 to 1.
+        holders: Number of runners that hold the model, including the last one.
+        utilization: Utilization of the service's runners, from 0 to 1.
         settings: Prices and horizon.
     """
     if holders <= 1:
         return first_holder_value(demand, settings)
     missing = min(max(demand.target_replicas - (holders - 1), 0.0), 1.0)
     served_value = demand.requests_per_s * demand.request_value * settings.horizon_s / holders
-    return missing * served_value * CROWDED_COST * max(utilization, MIN_UTILIZATION)
+    return missing * served_value * MISSING_REPLICA_COST * max(utilization, MIN_UTILIZATION)
 
 
 def target_replicas(
     work_share: float, requests_per_s: float, runners: int, settings: PlacementSettings
 ) -> float:
-    """Returns the replicas that a model should have; a busy one has two, for the loss of a runner.
+    """Returns the desired number of replicas; at least two for a busy model, in case a runner is lost.
 
     Args:
-        work_share: The model's part of the service's work, 0 to 1.
+        work_share: The model's share of the service's work, from 0 to 1.
         requests_per_s: Its expected rate.
-        runners: Runners of the service.
-        settings: Headroom, and the rate from which a model is busy.
+        runners: Number of runners of the service.
+        settings: Headroom, and the rate from which a model counts as busy.
     """
     by_share = work_share * runners * settings.headroom
     spare = min(1.0 + requests_per_s / settings.busy_requests_per_s, MAX_SPARE_REPLICAS)
--- a/larchgw/placement/lease_watch.py
+++ b/larchgw/placement/lease_watch.py
@@ -1,4 +1,4 @@
-"""Whether this process may order now, and when that changed."""
+"""Tracks whether this process holds the placement lease."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class LeaseWatch:
-    """Reads the lease, and calls back when it was acquired or lost.
+    """Reads the lease, and invokes callbacks when it is acquired or lost.
 
     Attributes:
-        fencing_token: Of the lease that was held at the last look; None if none was.
-        acquired_at_s: When it was acquired.
+        fencing_token: Fencing token of the lease at the last call of `current`; None if there was no lease.
+        acquired_at_s: Time at which the lease was acquired.
     """
 
     def __init__(
@@ -25,20 +25,20 @@
         """Starts without a lease.
 
         Args:
-            runtime: Gives the lease and the time.
+            runtime: Provides the lease and the clock.
             on_acquired: Called with the time and the fencing token of a new lease.
-            on_lost: Called with the time; before `on_acquired` where one lease follows another.
+            on_lost: Called with the time; before `on_acquired` if one lease directly follows another.
         """
         self._runtime = runtime
         self._on_acquired, self._on_lost = on_acquired, on_lost
         self.fencing_token: int | None = None
         self.acquired_at_s = math.inf
-        self._min_fencing_token = 0  # below it, runners have seen another holder
+        self._min_fencing_token = 0  # a runner has seen a higher fencing token than any below this one
 
     def current(self) -> Lease | None:
-        """Returns the lease; None if this process may not order.
+        """Returns the current lease; None if this process may not send orders.
 
-        Each order needs a permit besides (`OrderPermits`), which sees to it that it arrives in time.
+        Each order also needs a permit (`OrderPermits`), which ensures that it arrives before the lease ends.
         """
         lease, now_s = self._usable_lease(), self._runtime.clock()
         if lease is not None and lease.expires_at <= now_s:
@@ -61,5 +61,5 @@
         self.fencing_token = fencing_token
 
     def supersede(self, fencing_token: int) -> None:
-        """Notes that a runner has seen a higher fencing token than this one: it is not used any more."""
+        """Stops using leases up to this fencing token, since a runner has seen a higher one."""
         self._min_fencing_token = fencing_token + 1
--- a/larchgw/placement/load_budget.py
+++ b/larchgw/placement/load_budget.py
@@ -1,4 +1,7 @@
-"""How many loads one round of planning may order. Pure."""
+"""Limits the number of loads that one planning round may order.
+
+Loads for waiting requests are urgent; all others are speculative and get only part of the budget.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,17 @@
 from .runner_state import PlacementState, RunnerState
 from .service_capacity import ServiceCapacity
 
-RESERVE_SHARE = 0.4  # of the weight store's budget, kept for models that requests wait for
+URGENT_RESERVE_SHARE = 0.4  # share of the weight store's budget that is reserved for urgent loads
 
 
 @dataclass(slots=True)
 class StoreBudget:
-    """Loads from the weight store in one round, over all services.
+    """Budget of loads from the weight store in one planning round, for all services.
 
     Attributes:
-        available: Loads that may begin now.
-        in_progress: Loads that are in progress, with those ordered in this round.
-        reserve: Loads that are kept for models that requests wait for.
+        available: Number of loads that may start now.
+        in_progress: Number of loads in progress, including those ordered in this round.
+        reserve: Number of loads that are reserved for urgent loads.
     """
 
     available: int
@@ -29,27 +32,27 @@
     @classmethod
     def of(cls, now_s: float, state: PlacementState) -> StoreBudget:
         """Returns the budget at the start of a round."""
-        reserve = math.ceil(RESERVE_SHARE * state.load_limiter.limit)
+        reserve = math.ceil(URGENT_RESERVE_SHARE * state.load_limiter.limit)
         return cls(state.load_limiter.available(now_s), state.loads_in_progress, reserve)
 
 
 class LoadBudget:
-    """The store's budget, and how many runners of one service may load what nobody waits for."""
+    """The store's budget, and the number of runners of one service that may get speculative loads."""
 
     def __init__(self, store: StoreBudget, capacity: ServiceCapacity, runners: list[RunnerState]) -> None:
-        """Makes the budget of one service in one round; half of its runners may load what nobody waits for.
+        """Creates the budget of one service in one round; half of its runners may get speculative loads.
 
         Args:
-            store: Shared with the other services of the round.
-            capacity: Of the service.
-            runners: Of the service, that serve.
+            store: Budget of the weight store, shared by all services of the round.
+            capacity: Capacity of the service's runners.
+            runners: The ready runners of the service.
         """
         self._store, self._capacity = store, capacity
         self._speculative_runners = math.ceil(len(runners) / 2)
         self._speculative_runners -= sum(runner.order_in_progress is not None for runner in runners)
 
     def allows(self, candidate: LoadCandidate) -> bool:
-        """Whether a model may be loaded; one that nobody waits for leaves a reserve and runners idle."""
+        """Returns whether a load is within the budget; speculative loads may not use the reserve."""
         if candidate.is_urgent:
             return self._store.available > 0
         return (
@@ -59,7 +62,7 @@
         )
 
     def spend(self, candidate: LoadCandidate, runner: RunnerState) -> None:
-        """Counts a load of a model that is ordered at `runner`."""
+        """Deducts a load of a model that is ordered at `runner`."""
         if candidate.model not in runner.models_on_disk:
             self._store.available -= 1
             self._store.in_progress += 1
--- a/larchgw/placement/load_candidates.py
+++ b/larchgw/placement/load_candidates.py
@@ -1,4 +1,4 @@
-"""Which models and adapters of a service should be loaded somewhere, and the value of that. Pure."""
+"""Lists the models and adapters of a service that should be loaded, and the value of each load."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from .model import loadable_name
 from .service_demand import ServiceDemand
 
-ADAPTER_BUSY_REQUESTS_PER_S = 2.0  # that one holder of an adapter should have at most
+MAX_REQUESTS_PER_S_PER_ADAPTER_HOLDER = 2.0  # above this rate an adapter gets another holder
 
 
 @dataclass(frozen=True, slots=True)
 class LoadCandidate:
-    """A load that is wanted.
+    """A desired load.
 
     Attributes:
-        model: The model that is to be loaded, or whose adapter is.
+        model: The model to load, or the model of the adapter to load.
         adapter: The adapter; empty for the model itself.
-        value: What it brings, in the unit of a request's value.
-        waiting: Requests that wait for it.
-        deadline_s: When the first of them gives up.
-        is_in_time: Whether the load can be done by then.
+        value: Value of the load, in units of a request's value.
+        waiting: Requests that wait for the load.
+        deadline_s: Earliest deadline of the waiting requests.
+        is_in_time: Whether the load can complete by that deadline.
     """
 
     model: str
@@ -34,24 +34,24 @@
 
     @property
     def name(self) -> str:
-        """The model, or model and adapter."""
+        """The `loadable_name` of the model or adapter."""
         return loadable_name(self.model, self.adapter)
 
     @property
     def is_urgent(self) -> bool:
-        """Whether requests wait for it."""
+        """Whether requests wait for the load."""
         return self.waiting > 0
 
     @property
     def rank(self) -> tuple[int, float, float]:
-        """Sort key: loads that serve waiting requests in time, by time left, then the others by value."""
+        """Sort key: loads that serve waiting requests in time by deadline, then the others by value."""
         if self.is_urgent and self.is_in_time:
             return (0, self.deadline_s, -self.value)
         return (1, 0.0, -self.value)
 
 
 def load_candidates(demand: ServiceDemand) -> list[LoadCandidate]:
-    """Returns all loads that are wanted for a service, most pressing first."""
+    """Returns all desired loads of a service, the most urgent first."""
     inputs = demand.inputs
     candidates = [
         candidate for model in demand.models.values() for candidate in _model_candidates(demand, model)
@@ -67,7 +67,7 @@
 
 
 def _model_candidates(demand: ServiceDemand, model: ModelDemandEstimate) -> list[LoadCandidate]:
-    placed = demand.placed(model.name)
+    placed = demand.placed_replicas(model.name)
     candidates = []
     if placed == 0:
         candidates.append(_first_holder_candidate(demand, model))
@@ -86,8 +86,8 @@
 def _adapter_candidates(demand: ServiceDemand, model: str, adapter: str) -> list[LoadCandidate]:
     key = (demand.inputs.service, model, adapter)
     requests_per_s = demand.inputs.demand.requests_per_s(key)
-    placed = demand.placed(loadable_name(model, adapter))
-    target = min(requests_per_s / ADAPTER_BUSY_REQUESTS_PER_S, demand.holders.get(model, 0))
+    placed = demand.placed_replicas(loadable_name(model, adapter))
+    target = min(requests_per_s / MAX_REQUESTS_PER_S_PER_ADAPTER_HOLDER, demand.holders.get(model, 0))
     if placed > 0 and placed >= target:
         return []
     waiting = demand.inputs.demand.waiting(key) if placed == 0 else 0
--- a/larchgw/placement/load_completions.py
+++ b/larchgw/placement/load_completions.py
@@ -1,4 +1,4 @@
-"""When dispatchers may use what is being loaded. Pure: time is an argument (seconds, monotonic clock)."""
+"""Expected completion times of loads and unloads. Times are arguments, in seconds on the monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from .model import Order
 from .runner_state import RunnerState
 
-CONFIRMATION_TIMEOUT_S = 4.0  # by then check-ins show what a finished load has brought
+CONFIRMATION_TIMEOUT_S = 4.0  # by then check-ins show the result of a completed order
 
 
 def note_loaded(now_s: float, state: RunnerState, order: Order) -> None:
-    """Notes that a load is done; it stays expected until a check-in shows it."""
+    """Records a completed load; it stays unconfirmed until a check-in lists it."""
     state.loaded_at_s[order.name] = now_s
     state.unconfirmed_unloads.pop(order.name, None)
     if not state.record.holds(order.model, order.adapter):
@@ -21,7 +21,7 @@
 
 
 def note_unloaded(now_s: float, state: RunnerState, order: Order) -> None:
-    """Notes that an unload is done; it stays expected until no check-in lists it."""
+    """Records a completed unload; it stays unconfirmed until a check-in no longer lists it."""
     state.loaded_at_s.pop(order.name, None)
     state.unconfirmed_loads.pop(order.name, None)
     if state.record.holds(order.model, order.adapter):
@@ -29,7 +29,7 @@
 
 
 def confirm_by_check_in(state: RunnerState, listed: set[str]) -> None:
-    """Drops what a check-in confirms; `listed` has the `loadable_name` of all that it lists."""
+    """Removes loads and unloads that a check-in confirms; `listed` has the names that the check-in lists."""
     state.unconfirmed_loads = {name: at for name, at in state.unconfirmed_loads.items() if name not in listed}
     state.unconfirmed_unloads = {name: at for name, at in state.unconfirmed_unloads.items() if name in listed}
 
@@ -37,9 +37,9 @@
 def expected_load_completions(
     now_s: float, runners: Iterable[RunnerState]
 ) -> dict[RunnerId, dict[str, float]]:
-    """Returns, by runner id and `loadable_name`, when each model or adapter can be used there.
+    """Returns the time from which each model or adapter can be used, by runner id and `loadable_name`.
 
-    What is being unloaded has an infinite time. What check-ins show already has no entry.
+    The time is infinite during an unload. Loads and unloads that a check-in has confirmed have no entry.
     """
     completions: dict[RunnerId, dict[str, float]] = {}
     for state in runners:
@@ -54,7 +54,7 @@
 
 
 def _drop_unconfirmed(now_s: float, state: RunnerState) -> None:
-    """Drops what check-ins have had time enough to show."""
+    """Removes entries that no check-in has confirmed within CONFIRMATION_TIMEOUT_S."""
     for name, at in [*state.unconfirmed_loads.items(), *state.unconfirmed_unloads.items()]:
         if now_s - at > CONFIRMATION_TIMEOUT_S:
             state.unconfirmed_loads.pop(name, None)
--- a/larchgw/placement/model.py
+++ b/larchgw/placement/model.py
@@ -1,4 +1,4 @@
-"""Values that the modules of this package exchange: orders, their outcomes, runners' reports and settings."""
+"""Data types of this package: orders, their outcomes, runners' reports and settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OrderAction(StrEnum):
-    """What an order asks a runner to do; the value is the text of "order" in the body of POST /order."""
+    """The action of an order; the values are those of "order" in the body of POST /order."""
 
     LOADING = "loading"
     UNLOADING = "unloading"
@@ -25,14 +25,14 @@
     """One load or unload, ordered at one runner.
 
     Attributes:
-        runner_id: The incarnation of the runner that is to carry it out.
+        runner_id: Id of the runner incarnation that executes the order.
         address: `host:port` of that runner.
         action: Load or unload.
-        model: The model that is loaded or unloaded, or whose adapter is.
+        model: The model to load or unload, or the model of the adapter.
         adapter: The adapter; empty for the model itself.
-        if_revision: How many orders the runner must have taken before this one, or it refuses it; None for
-            any.
-        purpose: For an unload, the `loadable_name` of what is to be loaded into the memory that it frees.
+        if_revision: Number of orders that the runner must have accepted before; it rejects the order if the
+            number differs. None for any.
+        makes_room_for: For an unload, the `loadable_name` to be loaded into the freed memory.
     """
 
     runner_id: RunnerId
@@ -41,42 +41,45 @@
     model: str
     adapter: str = ""
     if_revision: int | None = None
-    purpose: str = ""
+    makes_room_for: str = ""
 
     @property
     def name(self) -> str:
-        """The `loadable_name` of what is loaded or unloaded."""
+        """The `loadable_name` of the model or adapter."""
         return loadable_name(self.model, self.adapter)
 
     @property
     def is_load(self) -> bool:
-        """Whether it loads a model or adapter."""
+        """Whether the order is a load."""
         return self.action == OrderAction.LOADING
 
 
 class OrderOutcome(Enum):
-    """What is known of an order after it was sent."""
+    """What the response, or its absence, shows about an order.
 
-    ACCEPTED = auto()  # 202: being carried out
+    The member names are logged.
+    """
+
+    ACCEPTED = auto()  # 202: the runner executes it
     ALREADY_HELD = auto()  # 200: nothing to do
     CONFLICT = auto()  # 409: another order is in progress, or if_revision differs
-    FENCED = auto()  # 412: a lease holder with a higher fencing token has sent an order
-    REJECTED = auto()  # 400 or another answer that says it was not taken
-    OTHER_RUNNER = auto()  # 421: the address belongs to another runner now
-    UNSENT = auto()  # no connection came up, so that no byte was sent
-    UNKNOWN = auto()  # no answer: it may have been taken
+    FENCED = auto()  # 412: the runner has seen an order with a higher fencing token
+    REJECTED = auto()  # 400 or another status that means that it was not accepted
+    OTHER_RUNNER = auto()  # 421: another runner has the address now
+    UNSENT = auto()  # no connection, so no byte was sent
+    UNKNOWN = auto()  # no usable response: it may have been accepted
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerReport:
-    """A runner's answer to GET /report, as of a few hundred milliseconds before.
+    """A runner's response to GET /report; its content is a few hundred milliseconds old.
 
     Attributes:
-        models: The adapters that are held of each model that is held.
-        is_occupied: Whether an order is in progress there.
-        order_count: Orders that this incarnation of the runner has taken ("call_count" on the wire).
+        models: Loaded models, each with its loaded adapters.
+        is_occupied: Whether an order is in progress.
+        order_count: Orders that this incarnation of the runner has accepted ("call_count" on the wire).
         queued: Requests that wait at the runner.
-        in_progress: Requests that run there.
+        in_progress: Requests that run at the runner.
     """
 
     models: dict[str, frozenset[str]]
@@ -88,21 +91,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementSettings:
-    """Limits of a deployment and constants of the planner.
+    """Limits of a deployment and parameters of the planner.
 
-    Prices and values are in one unit: a request of the lowest priority that is served in time earns 1.
+    Prices and values have the same unit: a request of the lowest priority that is served in time has the
+    value 1.
 
     Attributes:
         load_window_s: Length of the sliding window over loads from the weight store ("ceiling_window_s").
-        load_rate_factor: Loads that a window may hold, over the store's rate ("origin_rate_cap").
+        load_rate_factor: Factor by which loads in a window may exceed the store's rate ("origin_rate_cap").
         load_price: Price of one load of weights.
         order_price: Price of one order.
         late_cost: Share of its value that a request loses when it waits for a load.
-        horizon_s: For how long a placement is expected to be of use.
-        headroom: Replicas of a busy model, over its share of all work.
-        busy_requests_per_s: From this rate on a model gets a second replica.
-        order_timeout_s: An order that is not answered by then has an unknown outcome.
-        report_lag_s: How old the content of a report may be.
+        horizon_s: Time for which a placement is expected to be useful.
+        headroom: Factor on the number of replicas that a model's share of all work requires.
+        busy_requests_per_s: Rate from which a model gets a second replica.
+        order_timeout_s: An order without a response after this time has an unknown outcome.
+        report_lag_s: Maximum age of the content of a report.
     """
 
     load_window_s: float = 5.0
--- a/larchgw/placement/order_duration.py
+++ b/larchgw/placement/order_duration.py
@@ -1,4 +1,4 @@
-"""How long orders are expected to take, by what they load and from where. Pure."""
+"""Estimates the duration of orders, depending on what is loaded and from where."""
 
 from __future__ import annotations
 
@@ -8,38 +8,42 @@
 from .runner_state import RunnerState
 from .service_capacity import ServiceCapacity
 
-UNLOAD_S = 0.05  # an unload of a model that nobody uses
-ADAPTER_LOAD_S = 0.05  # a load of an adapter takes some milliseconds
-UNKNOWN_MODEL_LOAD_S = 0.15  # a load of a model that is not configured: asked for soon
-DISK_LOAD_SHARE = 0.5  # part of load_s that a load from the runner's own disk takes, before one was seen
-READY_MARGIN_S = 0.03  # added to the time at which a load is expected to be done: too early costs a rejection
+UNLOAD_S = 0.05  # unload of a model without running requests
+ADAPTER_LOAD_S = 0.05  # an adapter loads within milliseconds
+UNKNOWN_MODEL_LOAD_S = 0.15  # for a model that is not configured: short, so that the runner is polled soon
+DISK_LOAD_SHARE = 0.5  # share of load_s that a load from the runner's local disk takes, an assumption
+READY_MARGIN_S = (
+    0.03  # added to the expected duration; a request sent before the load is complete would be rejected
+)
 
 
 class OrderDurations:
-    """Expected durations; remembers which models are on the disk of each runner's machine."""
+    """Expected durations of orders, and the models on the disk of each runner's machine."""
 
     def __init__(self, count_store_loads: Callable[[], int]) -> None:
-        """Starts with nothing known of disks.
+        """Starts without knowledge of disk contents.
 
         Args:
             count_store_loads: Returns how many loads from the weight store are in progress.
         """
         self._count_store_loads = count_store_loads
-        self._models_on_disk: dict[tuple[str, str], set[str]] = {}  # by service and address
+        self._models_on_disk: dict[
+            tuple[str, str], set[str]
+        ] = {}  # by service and address, so that it outlives incarnations
 
     def remember_models(self, state: RunnerState) -> None:
-        """Notes that what a runner holds is on its disk: for this incarnation, and for later ones there."""
+        """Records that a runner's models are on its disk, also for later incarnations at its address."""
         state.models_on_disk.update(state.held)
         key = (state.record.service, state.record.address)
         self._models_on_disk.setdefault(key, set()).update(state.held)
 
     def expected_s(self, order: Order, state: RunnerState, capacity: ServiceCapacity | None) -> float:
-        """Returns the seconds that carrying out an order is expected to take.
+        """Returns the expected duration of an order, in seconds.
 
         Args:
             order: The order.
-            state: The runner that is to carry it out.
-            capacity: Of the runner's service; None if it places no models any more.
+            state: The runner that executes it.
+            capacity: Capacity of the runner's service; None if the service no longer places models.
         """
         if not order.is_load:
             return UNLOAD_S
@@ -50,6 +54,6 @@
             return UNKNOWN_MODEL_LOAD_S
         if order.model in self._models_on_disk.get((state.record.service, state.record.address), ()):
             return model.load_s * DISK_LOAD_SHARE + READY_MARGIN_S
-        parallel_loads = 1 + self._count_store_loads()  # they slow each other
+        parallel_loads = 1 + self._count_store_loads()  # concurrent loads slow each other down
         slowdown = max(parallel_loads / capacity.parallel_loads, 1.0)
         return model.load_s * slowdown + READY_MARGIN_S
--- a/larchgw/placement/order_tracker.py
+++ b/larchgw/placement/order_tracker.py
@@ -1,8 +1,8 @@
-"""What becomes of the one order that may be in progress at a runner. Pure: time is an argument.
+"""Tracks the order in progress at a runner; there is at most one. Times are passed as arguments.
 
-The answer to an order shows only in part what became of it. A report whose order count has risen and that is
-not occupied shows that it is done. Each order carries the number of orders taken before it, so that of two
-orders of which the first had no answer the runner takes one at most.
+The response to an order shows whether it was accepted, but not when it ends. It has ended once a report has a
+higher order count and is not occupied. Each order carries the number of orders that were accepted before it.
+If an order got no response and another one follows, the runner therefore accepts at most one of the two.
 """
 
 from __future__ import annotations
@@ -20,45 +20,47 @@
 
 log = structlog.get_logger()
 
-NOT_TAKEN_AFTER_S = 1.5  # after a send without an answer: by then a report would show it, had it been taken
-BACKOFF_S = 1.0  # without orders after one was rejected for no known reason, or had no effect
+NOT_ACCEPTED_TIMEOUT_S = (
+    1.5  # after a send without a response; by then a report shows the order if it was accepted
+)
+BACKOFF_S = 1.0  # pause in orders to a runner after one was not accepted or had no effect
 
 
 class OrderTracker:
-    """Moves the state of single runners on, by orders, their outcomes and reports.
+    """Updates the state of a runner from orders, their outcomes, and reports.
 
-    The phases of a runner and what moves it between them:
+    Phases of a runner and the events that change them:
 
     ============== ================ =================================================================
     from           to               by
     ============== ================ =================================================================
     UNKNOWN        IDLE             a report that is not occupied
     IDLE           ORDER_SENT       `start`
-    ORDER_SENT     ORDER_ACCEPTED   the answer 202, or a report with a higher order count
-    ORDER_SENT     UNKNOWN          an answer that says that the order was not taken
-    ORDER_SENT     IDLE             no answer, and a report that would show the order, had it been taken
+    ORDER_SENT     ORDER_ACCEPTED   the response 202, or a report with a higher order count
+    ORDER_SENT     UNKNOWN          a response that means that the order was not accepted
+    ORDER_SENT     IDLE             no response, and a late report with an unchanged order count
     ORDER_ACCEPTED IDLE             a report with a higher order count that is not occupied, or, for an
-                                    adapter, the time at which it is due
-    any            UNKNOWN          `forget`: another process may order there
+                                    adapter, its expected completion time
+    any            UNKNOWN          `forget`: another process may send orders to the runner
     ============== ================ =================================================================
     """
 
     def __init__(
         self, settings: PlacementSettings, load_limiter: LoadRateLimiter, durations: OrderDurations
     ) -> None:
-        """Makes a tracker.
+        """Creates a tracker.
 
         Args:
-            settings: How old a report may be.
-            load_limiter: Told of each load from the weight store.
-            durations: Told of what runners hold.
+            settings: Provides the maximum age of a report.
+            load_limiter: Counts loads from the weight store.
+            durations: Records the models that runners hold.
         """
         self._settings, self._load_limiter, self._durations = settings, load_limiter, durations
 
     # ---- Orders ----
 
     def start(self, now_s: float, state: RunnerState, order: Order, duration_s: float) -> None:
-        """Notes an order that is about to be sent; it counts as taken until the contrary is seen."""
+        """Records an order that is about to be sent; it counts as accepted until shown otherwise."""
         if state.loads_from_store(order):
             self._load_limiter.reserve(now_s, state.id)
         ready_at_s = now_s + duration_s
@@ -66,7 +68,7 @@
         state.order_in_progress = OrderInProgress(order, now_s, ready_at_s, next_poll_at_s)
 
     def receive_outcome(self, now_s: float, state: RunnerState, order: Order, outcome: OrderOutcome) -> None:
-        """Takes in the runner's answer to an order, or that there is none."""
+        """Processes the outcome of an order; outcomes of earlier orders are ignored."""
         in_progress = state.order_in_progress
         if in_progress is None or in_progress.order is not order:
             return
@@ -78,10 +80,10 @@
         else:
             self._reject(now_s, state, outcome)
             if outcome is OrderOutcome.OTHER_RUNNER and not order.adapter:
-                _give_up(state)
+                _stop_calls(state)
 
     def _reject(self, now_s: float, state: RunnerState, outcome: OrderOutcome) -> None:
-        """Notes that an order was not taken: what the runner holds must be read again."""
+        """Records that an order was not accepted; the runner's report must be read again."""
         self._load_limiter.release(state.id)
         state.order_in_progress, state.order_count = None, None
         state.next_poll_at_s, state.poll_count = now_s, 0
@@ -92,10 +94,10 @@
         log.info("order.rejected", runner=state.id, outcome=outcome.name)
 
     def assume_adapter_loaded(self, now_s: float, state: RunnerState) -> None:
-        """Counts an adapter whose load was accepted and is due as loaded, without a report.
+        """Counts an adapter as loaded at its expected completion time, without waiting for a report.
 
-        It is loaded within milliseconds, a report shows it a few hundred later. Were one late, the runner's
-        next order would be rejected for it, and its report read then.
+        Adapters load within milliseconds, but reports show them a few hundred milliseconds later. If a load
+        takes longer, the runner rejects the next order, and its report is read then.
         """
         in_progress = state.order_in_progress
         if in_progress is None or not in_progress.is_accepted or now_s < in_progress.ready_at_s:
@@ -111,27 +113,27 @@
     # ---- Reports ----
 
     def receive_report(self, now_s: float, state: RunnerState, report: RunnerReport) -> None:
-        """Takes in a runner's report, which is some hundred milliseconds old."""
+        """Processes a runner's report, whose content is a few hundred milliseconds old."""
         if state.order_in_progress is not None:
             self._follow_order(now_s, state, state.order_in_progress, report)
         elif not state.is_known:
             self._identify(now_s, state, report)
 
     def _identify(self, now_s: float, state: RunnerState, report: RunnerReport) -> None:
-        """Reads what a runner holds before the first order there."""
+        """Reads what a runner holds before it gets its first order."""
         self._read_held(state, report)
         if not report.is_occupied:
             state.order_count, state.poll_count = report.order_count, 0
             return
         is_counted = state.is_busy_for_predecessor or self._load_limiter.has_complete_history
         if not is_counted:
-            self._load_limiter.observe_loads(now_s)  # the order of a predecessor may be a load from the store
+            self._load_limiter.observe_loads(now_s)  # a predecessor's order may be a load from the store
         state.is_busy_for_predecessor = True
 
     def _follow_order(
         self, now_s: float, state: RunnerState, in_progress: OrderInProgress, report: RunnerReport
     ) -> None:
-        """Moves the order in progress on by a report."""
+        """Updates the order in progress from a report."""
         expected_count = in_progress.order.if_revision
         if expected_count is None or report.order_count > expected_count:
             in_progress.is_accepted = True
@@ -142,10 +144,10 @@
                 self._finish(now_s, state, in_progress.order, report)
             return
         is_undecided = report.is_occupied or in_progress.is_accepted
-        if not is_undecided and now_s - in_progress.sent_at_s >= NOT_TAKEN_AFTER_S:
-            self._drop_untaken(now_s, state, in_progress.order, report)
+        if not is_undecided and now_s - in_progress.sent_at_s >= NOT_ACCEPTED_TIMEOUT_S:
+            self._drop_unaccepted(now_s, state, in_progress.order, report)
 
-    def _drop_untaken(self, now_s: float, state: RunnerState, order: Order, report: RunnerReport) -> None:
+    def _drop_unaccepted(self, now_s: float, state: RunnerState, order: Order, report: RunnerReport) -> None:
         log.info("order.unanswered", runner=state.id, action=order.action.value, model=order.name)
         self._load_limiter.confirm(now_s, state.id)
         state.order_in_progress = None
@@ -174,7 +176,7 @@
     # ---- Changes of the lease ----
 
     def forget(self, now_s: float, state: RunnerState) -> None:
-        """Drops what is known of a runner, as another process may order there from now on."""
+        """Resets the state of a runner, since another process may send orders to it from now on."""
         self._load_limiter.confirm(now_s, state.id)
         state.order_count, state.order_in_progress = None, None
         state.next_poll_at_s, state.poll_count, state.is_busy_for_predecessor = now_s, 0, False
@@ -183,9 +185,9 @@
         state.predecessor_loads = frozenset()
 
 
-def _give_up(state: RunnerState) -> None:
-    """Stops orders and polls, as the address belongs to another runner whose report would be misread.
+def _stop_calls(state: RunnerState) -> None:
+    """Stops orders and polls: another runner has the address, and its report would be misattributed.
 
-    For an adapter the same answer may also mean that its model isn't there; then this is not done.
+    Not used for adapter orders, where the same status may mean that the model is not loaded.
     """
     state.backoff_until_s = state.next_poll_at_s = math.inf
--- a/larchgw/placement/orders.py
+++ b/larchgw/placement/orders.py
@@ -1,7 +1,7 @@
-"""POST /order and GET /report at runners, by Tornado's client over curl.
+"""HTTP client for POST /order and GET /report at runners, using Tornado's curl client.
 
-curl sends a request a second time, unasked, where a kept connection ends before a byte of its answer. The
-runner may have taken the first one: the body of an order can therefore be read only once. See docs/calls.md.
+curl repeats a request on its own if a reused connection closes before the first byte of the response. The
+runner may have accepted the first one, so the body of an order can be read only once. See docs/calls.md.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
 CONNECT_TIMEOUT_S = 0.3
 REQUEST_TIMEOUT_S = 0.8
-MAX_ORDERS = 64  # in flight at once
-MAX_REPORTS = 64  # the same; a call above these would wait inside the client, past the time it was meant for
+MAX_ORDERS = 64  # maximum number of orders in flight
+MAX_REPORTS = 64  # the same for reports; further calls would queue inside the client until they are outdated
 
 NO_HEADERS: Mapping[str, str] = MappingProxyType({})
 
@@ -39,24 +39,25 @@
 
 
 class OrderClient:
-    """Calls to runners over HTTP; needs a running event loop."""
+    """HTTP calls to runners; requires a running event loop."""
 
     def __init__(self, owner: str) -> None:
-        """Makes a client.
+        """Creates a client.
 
         Args:
-            owner: Names this process in its orders.
+            owner: Identifies this process in its orders.
         """
         self._owner = owner
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_ORDERS + MAX_REPORTS)
 
     async def order(self, order: Order, fencing_token: int, begin_by_s: float) -> OrderOutcome:
-        """Sends an order and returns what is known of it then; raises nothing.
+        """Sends an order and returns its outcome; raises no exception for failed calls.
 
         Args:
             order: The order.
-            fencing_token: Of the lease under which it was planned.
-            begin_by_s: Its body leaves this process by then, on the monotonic clock, or not at all.
+            fencing_token: Fencing token of the lease under which the order was planned.
+            begin_by_s: Deadline for starting to send the body, on the monotonic clock; after it, the order is
+                not sent.
         """
         body = _OrderBody(encode_order(order, self._owner, fencing_token), begin_by_s)
         try:
@@ -74,7 +75,7 @@
         return outcome_of(response.code)
 
     async def report(self, runner_id: RunnerId, address: str) -> RunnerReport | None:
-        """Reads a runner's report; None if it gave none."""
+        """Fetches a runner's report; None if the call failed or the response is invalid."""
         try:
             response = await self._call(runner_id, address, "/report")
         except (HTTPClientError, OSError):
@@ -82,7 +83,7 @@
         return decode_report(response.body) if response.code == 200 else None
 
     def close(self) -> None:
-        """Ends all calls."""
+        """Closes the client and its connections."""
         self._client.close()
 
     async def _call(
@@ -106,21 +107,21 @@
 
 
 class _OrderBody:
-    """The body of one order, which curl can read once and not go back in: it cannot send the order again.
+    """The body of one order, which curl can read only once, so that it cannot repeat the order.
 
-    curl reads it when the connection is up. Where that took too long, it is refused, and curl ends the
-    connection: a runner takes no order of which the body is missing.
+    curl reads the body once the connection is established. If that happens after the deadline, the read is
+    aborted and curl closes the connection. A runner does not accept an order without its body.
     """
 
     def __init__(self, content: bytes, begin_by_s: float) -> None:
         self.content = content
         self._unread = BytesIO(content)
         self._begin_by_s = begin_by_s
-        self.was_read = False  # until then no byte of it can have reached a runner
+        self.was_read = False  # while false, no byte of the body can have reached a runner
         self.was_refused = False
 
     def install(self, curl: pycurl.Curl) -> None:
-        """Makes curl read from here; for `prepare_curl_callback`."""
+        """Sets the read callbacks of a curl handle; for `prepare_curl_callback`."""
         curl.setopt(pycurl.READFUNCTION, self._read)
         curl.setopt(pycurl.SEEKFUNCTION, _refuse_to_seek)
 
@@ -137,7 +138,7 @@
 
 
 def encode_order(order: Order, owner: str, fencing_token: int) -> bytes:
-    """Returns the body of POST /order; its keys are the wire's names."""
+    """Returns the body of POST /order; the keys are part of the protocol."""
     body: dict[str, str | int] = {
         "order": order.action,
         "model": order.model,
@@ -152,14 +153,14 @@
 
 
 def outcome_of(status: int) -> OrderOutcome:
-    """Returns what an HTTP status says of an order. Tornado gives 599 where there was none."""
+    """Returns the outcome for an HTTP status; Tornado reports 599 if there was no response."""
     if status in _OUTCOME_BY_STATUS:
         return _OUTCOME_BY_STATUS[status]
     return OrderOutcome.REJECTED if 400 <= status < 500 else OrderOutcome.UNKNOWN
 
 
 def decode_report(body: bytes) -> RunnerReport | None:
-    """Reads a report from its JSON; None if the bytes are no report."""
+    """Decodes a report from JSON; None if it is invalid."""
     try:
         fields = json.loads(body)
         models = {
@@ -179,7 +180,7 @@
 
 
 def _failure(error: Exception, body: _OrderBody) -> OrderOutcome:
-    """Unsent only if no connection came up in time, and none that ended before was given the order."""
+    """Returns UNSENT only if no connection was ready in time and the body was never read."""
     has_no_connection = getattr(error, "errno", None) == pycurl.E_COULDNT_CONNECT
     is_unsent = (has_no_connection or body.was_refused) and not body.was_read
     return OrderOutcome.UNSENT if is_unsent else OrderOutcome.UNKNOWN
--- a/larchgw/placement/planner.py
+++ b/larchgw/placement/planner.py
@@ -1,10 +1,10 @@
-"""Which load or unload to order next at which runner. Pure: time is an argument.
+"""Plans the next orders: which runner loads or unloads which model. Time is passed as an argument.
 
-Every round looks at demand and at what runners hold or are ordered to, lists what should be loaded, and takes
-for each load, most pressing first, the runner where it costs least: free memory before evictions, and
-evictions of what loses least. Nothing but the popularity of models is remembered between rounds; ties break
-by a seeded generator. A load happens only where its value is above its prices and the value of what is
-evicted.
+Each round compares demand with what runners hold or were ordered to hold, and lists the desired loads. For
+each of them, the most urgent first, it selects the runner with the lowest cost: free memory is preferred to
+evictions, and evictions with a lower loss to others. Only the popularity of models is kept between rounds.
+Ties are broken by a seeded generator. A load is ordered only if its value exceeds its prices and the value of
+the evicted models.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from .service_capacity import ServiceCapacity
 from .service_demand import ServiceDemand, ServiceInputs
 
-HYSTERESIS = 1.5  # a load that nobody waits for must have so many times the value of its cost
-MAX_CANDIDATES = 32  # looked at in one round and service; the next round comes within 50 ms
+HYSTERESIS = 1.5  # a load without waiting requests must have this multiple of its cost as value
+MAX_CANDIDATES = 32  # considered per round and service; the next round is at most 50 ms later
 
 
 class Planner:
-    """Chooses orders; between rounds it keeps only how demand has moved so far."""
+    """Plans orders; the only state between rounds is how the popularity of models has changed."""
 
     def __init__(self, settings: PlacementSettings, random_source: random.Random) -> None:
-        """Makes a planner.
+        """Creates a planner.
 
         Args:
             settings: Prices and horizon.
@@ -49,13 +49,13 @@
         demand: DemandTracker,
         state: PlacementState,
     ) -> list[Order]:
-        """Returns the next orders, most pressing first within a service, at most one for each runner.
+        """Returns the next orders, at most one for each runner, and the most urgent first within a service.
 
         Args:
-            now_s: The time, on the clock of `demand`.
-            configuration: Names the services; their order decides who takes of the store's budget first.
-            capacities: By service; a service without one places no models.
-            demand: What is asked for.
+            now_s: Current time, on the clock of `demand`.
+            configuration: Lists the services; earlier ones use the store's budget first.
+            capacities: Capacities by service; a service without an entry places no models.
+            demand: Current demand.
             state: What runners hold, and the store's budget.
         """
         orders: list[Order] = []
@@ -81,37 +81,39 @@
 
 
 class ServiceRound:
-    """The choice of orders for one service in one round."""
+    """Selects the orders of one service in one planning round."""
 
     def __init__(self, demand: ServiceDemand, budget: LoadBudget, random_source: random.Random) -> None:
-        """Makes a round.
+        """Creates a round.
 
         Args:
             demand: The service's demand and runners.
-            budget: Loads that may be ordered.
+            budget: Limits the loads that may be ordered.
             random_source: Breaks ties between runners.
         """
         inputs = demand.inputs
         self._demand, self._budget, self._settings = demand, budget, inputs.settings
-        self._idle = {runner.id: runner for runner in inputs.runners if runner.can_take_order(inputs.now_s)}
-        self._selector = RunnerSelector(demand, list(self._idle.values()), random_source)
+        self._available_runners = {
+            runner.id: runner for runner in inputs.runners if runner.can_take_order(inputs.now_s)
+        }
+        self._selector = RunnerSelector(demand, list(self._available_runners.values()), random_source)
 
     def orders(self) -> list[Order]:
-        """Returns, for each candidate in turn, the next order of the cheapest runner."""
+        """Returns the next order for each candidate, at the runner with the lowest cost."""
         orders = []
         for candidate in load_candidates(self._demand)[:MAX_CANDIDATES]:
-            if not self._idle:
+            if not self._available_runners:
                 break
             order = self._order_for(candidate)
             if order is not None:
-                del self._idle[order.runner_id]
+                del self._available_runners[order.runner_id]
                 orders.append(order)
         return orders
 
     def _order_for(self, candidate: LoadCandidate) -> Order | None:
         if not candidate.adapter and not self._budget.allows(candidate):
             return None
-        option = self._selector.cheapest(candidate, self._idle.values())
+        option = self._selector.cheapest(candidate, self._available_runners.values())
         if option is None or not self._is_worthwhile(candidate, option):
             return None
         if option.evictions:
@@ -132,7 +134,7 @@
 
 
 def _unload_order(option: LoadOption, candidate: LoadCandidate) -> Order:
-    """Returns the order for the first eviction; the others and the load follow in later rounds."""
+    """Returns the order for the first eviction; the other evictions and the load follow in later rounds."""
     runner, eviction = option.runner, option.evictions[0]
     return Order(
         runner.id,
@@ -141,7 +143,7 @@
         eviction.model,
         eviction.adapter,
         if_revision=runner.order_count,
-        purpose=candidate.name,
+        makes_room_for=candidate.name,
     )
 
 
--- a/larchgw/placement/polls.py
+++ b/larchgw/placement/polls.py
@@ -1,4 +1,4 @@
-"""Which runners to ask for a report, and when again. Pure: time is an argument (seconds, monotonic clock)."""
+"""Schedules polls of runners for reports. Times are arguments, in seconds on the monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 from ..identifiers import RunnerId
 from .runner_state import RunnerState
 
-MIN_POLL_INTERVAL_S = 0.15  # between polls of a runner whose order should be done, growing to the next
+MIN_POLL_INTERVAL_S = (
+    0.15  # between polls of a runner whose order should be complete; grows up to the maximum
+)
 MAX_POLL_INTERVAL_S = 0.4
 POLL_INTERVAL_GROWTH = 1.3
-UNREACHABLE_POLL_INTERVAL_S = 1.0  # between polls of a runner that does not answer
-MAX_POLLS = 64  # at once: calls that wait for a free connection would time out there, and be made again
+UNREACHABLE_POLL_INTERVAL_S = 1.0  # between polls of a runner that does not respond
+MAX_POLLS = 64  # in flight; calls that queue for a free connection would time out and be repeated
 
 
 def due_polls(
     now_s: float, runners: Iterable[RunnerState], pending: Container[RunnerId], limit: int
 ) -> list[RunnerState]:
-    """Returns the runners whose report is wanted now, and notes when each is to be asked again.
+    """Returns the runners to poll now, and schedules the next poll of each.
 
     Args:
-        now_s: The time.
+        now_s: Current time.
         runners: All runners.
-        pending: Ids of those whose answers are awaited: they are not asked.
-        limit: How many are returned at most; those with an order in progress come first.
+        pending: Ids of runners with a poll in flight, which are skipped.
+        limit: Maximum number of runners; those with an order in progress come first.
     """
     due = [state for state in runners if state.id not in pending and _is_due(now_s, state)]
     due.sort(key=lambda state: state.order_in_progress is None)
@@ -36,7 +38,7 @@
 
 
 def postpone_poll(now_s: float, state: RunnerState) -> None:
-    """Notes that a runner gave no report: it is asked again after a longer interval."""
+    """Schedules the next poll of a runner that returned no report, after a longer interval."""
     state.next_poll_at_s = now_s + UNREACHABLE_POLL_INTERVAL_S
     if state.order_in_progress is not None:
         state.order_in_progress.next_poll_at_s = now_s + UNREACHABLE_POLL_INTERVAL_S
@@ -49,5 +51,5 @@
 
 
 def _interval_s(poll_count: int) -> float:
-    """Returns the time until the next poll of a runner that answers."""
+    """Returns the time until the next poll of a runner that responds."""
     return min(MIN_POLL_INTERVAL_S * POLL_INTERVAL_GROWTH ** (poll_count - 1), MAX_POLL_INTERVAL_S)
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -1,7 +1,8 @@
-"""The current state of all runners: check-ins, reports and outcomes of orders in; polls and completions out.
+"""Maintains the state of all runners from check-ins, reports and outcomes of orders.
 
-Pure: time is an argument (seconds, monotonic clock). The package's docstring describes the loop that this is
-a part of, `OrderTracker` the phases of one runner.
+It also provides the polls that are due and the expected completions of loads. Times are arguments, in seconds
+on the monotonic clock. The package's docstring describes the control loop, and `OrderTracker` the phases of a
+runner.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
     """State of all runners.
 
     Attributes:
-        load_limiter: The weight store's budget.
-        capacities: What the runners of each service can hold, by the service's name.
+        load_limiter: Rate limit on loads from the weight store.
+        capacities: Capacity of one runner, by the name of its service.
     """
 
     def __init__(self, settings: PlacementSettings, load_limiter: LoadRateLimiter) -> None:
@@ -35,7 +36,7 @@
 
         Args:
             settings: Limits of the deployment.
-            load_limiter: Told of each load from the weight store.
+            load_limiter: Counts loads from the weight store.
         """
         self.load_limiter = load_limiter
         self.capacities: dict[str, ServiceCapacity] = {}
@@ -43,7 +44,7 @@
         self._durations = OrderDurations(self._loads_in_progress)
         self._orders = OrderTracker(settings, load_limiter, self._durations)
 
-    # ---- What is known ----
+    # ---- State ----
 
     @property
     def runners(self) -> dict[RunnerId, RunnerState]:
@@ -55,7 +56,7 @@
         return PlacementState(self._runners, self.load_limiter, self._loads_in_progress())
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes in the capacity of the services that place models."""
+        """Reads the capacity of the services that place models."""
         self.capacities = {
             service.name: ServiceCapacity(service.runtime)
             for service in configuration.services
@@ -63,13 +64,13 @@
         }
 
     def update_runner(self, now_s: float, record: RunnerRecord, has_lease: bool = True) -> None:
-        """Takes in a runner's newer record; one that is gone is forgotten.
+        """Updates a runner from its new record, or removes it if it is gone.
 
         Args:
-            now_s: The time.
-            record: The runner's newest check-in.
-            has_lease: Whether this process places models. One that does not counts what others load, so that
-                it knows the store's budget if it becomes the holder.
+            now_s: Current time.
+            record: The runner's latest record.
+            has_lease: Whether this process holds the lease. A process without it counts the loads of others,
+                so that it knows the store's budget if it acquires the lease.
         """
         state = self._runners.get(RunnerId(record.id))
         if record.stage is Stage.GONE:
@@ -105,18 +106,18 @@
     def lease_acquired(
         self, free_at_s: Callable[[RunnerId], float], expected_loads: Callable[[RunnerId], Collection[str]]
     ) -> None:
-        """Goes on where another placer may have ended.
+        """Takes over from a possible previous lease holder.
 
         Args:
-            free_at_s: Gives, by runner, the time before which nothing is ordered there.
-            expected_loads: Gives, by runner, the `loadable_name` of loads that were expected there.
+            free_at_s: Returns the time from which a runner may get orders.
+            expected_loads: Returns the `loadable_name` of the loads that were expected at a runner.
         """
         for state in self._runners.values():
             state.backoff_until_s = max(state.backoff_until_s, free_at_s(state.id))
             state.predecessor_loads = frozenset(expected_loads(state.id))
 
     def lease_lost(self, now_s: float) -> None:
-        """Drops what is known of all runners: another process may order there from now on."""
+        """Resets the state of all runners, since another process may send orders from now on."""
         for state in self._runners.values():
             self._orders.forget(now_s, state)
 
@@ -125,17 +126,17 @@
     def due_polls(
         self, now_s: float, pending: Container[RunnerId] = (), limit: int = MAX_POLLS
     ) -> list[RunnerState]:
-        """Returns the runners whose report is wanted now; see `polls.due_polls`."""
+        """Returns the runners to poll now; see `polls.due_polls`."""
         return due_polls(now_s, self._runners.values(), pending, limit)
 
     def receive_report(self, now_s: float, runner_id: RunnerId, report: RunnerReport) -> None:
-        """Takes in a runner's report, which is some hundred milliseconds old."""
+        """Processes a runner's report, whose content is a few hundred milliseconds old."""
         state = self._runners.get(runner_id)
         if state is not None:
             self._orders.receive_report(now_s, state, report)
 
     def poll_failed(self, now_s: float, runner_id: RunnerId) -> None:
-        """Notes that a runner gave no report."""
+        """Records that a poll returned no report."""
         state = self._runners.get(runner_id)
         if state is not None:
             postpone_poll(now_s, state)
@@ -143,22 +144,22 @@
     # ---- Orders ----
 
     def start_order(self, now_s: float, order: Order) -> None:
-        """Notes an order that is about to be sent; it counts as taken until the contrary is seen."""
+        """Records an order that is about to be sent; it counts as accepted until shown otherwise."""
         self._orders.start(now_s, self._runners[order.runner_id], order, self.expected_duration_s(order))
 
     def receive_outcome(self, now_s: float, order: Order, outcome: OrderOutcome) -> None:
-        """Takes in a runner's answer to an order, or that there is none."""
+        """Processes the outcome of an order."""
         state = self._runners.get(order.runner_id)
         if state is not None:
             self._orders.receive_outcome(now_s, state, order, outcome)
 
     def assume_adapters_loaded(self, now_s: float) -> None:
-        """Counts adapters whose loads were accepted and are due as loaded, without a report."""
+        """Counts adapters as loaded at the expected end of their accepted orders, without a report."""
         for state in self._runners.values():
             self._orders.assume_adapter_loaded(now_s, state)
 
     def expected_duration_s(self, order: Order) -> float:
-        """Returns the seconds that carrying out an order is expected to take."""
+        """Returns the expected duration of an order, in seconds."""
         state = self._runners[order.runner_id]
         capacity = self.capacities.get(state.record.service)
         return self._durations.expected_s(order, state, capacity)
@@ -171,19 +172,19 @@
     def _loads_in_progress(self) -> int:
         return sum(state.is_loading_from_store for state in self._runners.values())
 
-    # ---- What is published ----
+    # ---- Published completions ----
 
     def expected_completions(self, now_s: float) -> dict[RunnerId, dict[str, float]]:
-        """Returns when what is being loaded can be used; see `load_completions.expected_load_completions`."""
+        """Returns the expected completions; see `load_completions.expected_load_completions`."""
         return expected_load_completions(now_s, self._runners.values())
 
     # ---- Invariants ----
 
     def validate_state(self) -> None:
-        """Checks what always holds between two calls; for tests.
+        """Checks the invariants that hold between two calls; for tests.
 
         Raises:
-            InvalidStateError: The state contradicts itself.
+            InvalidStateError: An invariant is violated.
         """
         for runner_id, state in self._runners.items():
             for rule, holds in self._invariants(runner_id, state).items():
@@ -203,13 +204,13 @@
         is_reserved = runner_id in self.load_limiter.reserved_runner_ids()
         unconfirmed_both = state.unconfirmed_loads.keys() & state.unconfirmed_unloads.keys()
         return {
-            "it is kept under its own id": runner_id == state.id,
-            "a runner that is gone is forgotten": state.record.stage is not Stage.GONE,
-            "its order names it": in_progress is None or in_progress.order.runner_id == runner_id,
-            "an order is in progress only where its contents are known": in_progress is None
+            "it is stored under its own id": runner_id == state.id,
+            "a runner that is gone is removed": state.record.stage is not Stage.GONE,
+            "its order is addressed to it": in_progress is None or in_progress.order.runner_id == runner_id,
+            "an order is in progress only while its loaded models are known": in_progress is None
             or state.is_known,
-            "a load is reserved exactly while it may yet begin at the store": is_reserved
+            "a load is reserved exactly while it may still start at the store": is_reserved
             == is_untaken_store_load,
-            "nothing is both loaded and unloaded without a check-in that shows it": not unconfirmed_both,
-            "what it holds is on its disk": state.held.keys() <= state.models_on_disk,
+            "nothing is an unconfirmed load and an unconfirmed unload at once": not unconfirmed_both,
+            "its loaded models are on its disk": state.held.keys() <= state.models_on_disk,
         }
--- a/larchgw/placement/runner_exchange.py
+++ b/larchgw/placement/runner_exchange.py
@@ -1,4 +1,4 @@
-"""Polls and orders at runners: each call runs beside the loop, its result is handed to the reconciler."""
+"""Sends polls and orders to runners in separate tasks, and passes the results to the reconciler."""
 
 from __future__ import annotations
 
@@ -17,30 +17,32 @@
 
 log = structlog.get_logger()
 
-MAX_ORDER_QUEUE_S = 0.3  # from planning to sending, while others are in flight; later, it is planned anew
+MAX_ORDER_QUEUE_S = (
+    0.3  # limit on the time between planning and sending; an older order is dropped and planned anew
+)
 
 
 class RunnerExchange:
-    """Calls to runners under the lease: a result that comes after the lease has changed is dropped."""
+    """Calls to runners under the lease; results that arrive after a change of the lease are dropped."""
 
     def __init__(self, runtime: PlacementRuntime, lease_watch: LeaseWatch, reconciler: Reconciler) -> None:
-        """Makes the exchange of one service.
+        """Creates the exchange of one placement service.
 
         Args:
-            runtime: Makes the calls.
-            lease_watch: Tells whether this process may order.
-            reconciler: Gets the results.
+            runtime: Provides the calls to runners.
+            lease_watch: Provides the current lease.
+            reconciler: Receives the results.
         """
         self._runtime, self._clock = runtime, runtime.clock
         self._lease_watch, self._reconciler = lease_watch, reconciler
-        self._polled: set[RunnerId] = set()  # ids of runners whose reports are awaited
+        self._pending_polls: set[RunnerId] = set()  # ids of runners with a poll in flight
         self._order_slots = asyncio.Semaphore(MAX_ORDERS)
 
     def poll_due(self, now_s: float) -> None:
-        """Asks the runners whose report is wanted now."""
-        limit = MAX_POLLS - len(self._polled)
-        for state in self._reconciler.due_polls(now_s, self._polled, limit):
-            self._polled.add(state.id)
+        """Starts the polls that are due."""
+        limit = MAX_POLLS - len(self._pending_polls)
+        for state in self._reconciler.due_polls(now_s, self._pending_polls, limit):
+            self._pending_polls.add(state.id)
             self._runtime.spawn(self._poll(state))
 
     async def _poll(self, state: RunnerState) -> None:
@@ -48,7 +50,7 @@
         try:
             report = await self._runtime.calls.report(state.id, state.record.address)
         finally:
-            self._polled.discard(state.id)
+            self._pending_polls.discard(state.id)
         if fencing_token != self._lease_watch.fencing_token:
             return
         if report is None:
@@ -57,16 +59,17 @@
             self._reconciler.receive_report(self._clock(), state.id, report)
 
     async def send_order(self, order: Order, fencing_token: int) -> None:
-        """Announces an order that the reconciler has noted, and sends it; MAX_ORDERS at a time.
+        """Announces an order that the reconciler has recorded, and sends it; at most MAX_ORDERS concurrently.
 
         Args:
             order: The order.
-            fencing_token: Of the lease under which it was planned; it is not sent under another.
+            fencing_token: Fencing token of the lease under which it was planned. It is not sent under
+                another lease.
         """
         planned_at_s = self._clock()
         async with self._order_slots:
             await self._runtime.permits.announce(order.runner_id, self._reconciler.loads_from_store(order))
-            lease = self._lease_watch.current()  # read again: it may have ended while this waited
+            lease = self._lease_watch.current()  # checked again: the lease may have ended during the wait
             if lease is None or lease.fencing_token != fencing_token:
                 return
             begin_by_s = self._runtime.permits.permitted_until_s(order.runner_id)
--- a/larchgw/placement/runner_selection.py
+++ b/larchgw/placement/runner_selection.py
@@ -1,4 +1,4 @@
-"""At which runner a load costs least. Pure."""
+"""Selects the runner at which a load has the lowest cost."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from .runner_state import RunnerState
 from .service_demand import ServiceDemand
 
-SAME_ZONE_COST = 0.1  # for a second holder in one zone
-WORK_COST = 0.1  # for a runner with as much work as all others together
-MAX_TIE_COST = 1e-3  # drawn up to this, so that equals take turns
+SAME_ZONE_COST = 0.1  # for a further holder in the same zone
+WORK_COST = 0.1  # multiplied by the runner's share of the service's work
+MAX_TIE_COST = 1e-3  # upper bound of a random cost that breaks ties
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOption:
-    """A runner for a load, with what it would give up and what the load costs there."""
+    """A runner for a load, with the required evictions and the cost of the load."""
 
     runner: RunnerState
     evictions: tuple[Eviction, ...]
@@ -27,16 +27,16 @@
 
 
 class RunnerSelector:
-    """Chooses, in one round for one service, among the runners that may get an order."""
+    """Selects among the runners that can take an order, for one service in one planning round."""
 
     def __init__(
         self, demand: ServiceDemand, idle_runners: list[RunnerState], random_source: random.Random
     ) -> None:
-        """Looks at runners as they are now.
+        """Computes the work of the runners for one round.
 
         Args:
             demand: The service's demand.
-            idle_runners: Those that may get an order.
+            idle_runners: Runners that can take an order.
             random_source: Breaks ties.
         """
         self._demand, self._random_source = demand, random_source
@@ -45,7 +45,7 @@
         self._eviction_planner = EvictionPlanner(demand, idle_runners)
 
     def cheapest(self, candidate: LoadCandidate, runners: Iterable[RunnerState]) -> LoadOption | None:
-        """Returns the runner where the load costs least; None if no runner can take it now."""
+        """Returns the runner with the lowest cost for the load; None if no runner can take it now."""
         zones = frozenset() if candidate.adapter else self._zones_holding(candidate.model)
         options = [
             option for runner in runners if (option := self._option(candidate, runner, zones)) is not None
@@ -53,7 +53,7 @@
         return min(options, key=lambda option: option.cost, default=None)
 
     def _zones_holding(self, model: str) -> frozenset[str]:
-        if not self._demand.placed(model):
+        if not self._demand.placed_replicas(model):
             return frozenset()
         return frozenset(
             runner.record.zone
@@ -80,7 +80,7 @@
 
 
 def _work_shares(demand: ServiceDemand) -> dict[RunnerId, float]:
-    """Returns each runner's part of the service's requests, were they spread evenly over holders."""
+    """Returns each runner's share of the service's requests, assuming that holders share them equally."""
     work = {}
     for runner in demand.inputs.runners:
         work[runner.id] = sum(
--- a/larchgw/placement/runner_state.py
+++ b/larchgw/placement/runner_state.py
@@ -1,7 +1,7 @@
-"""What is known of each runner: what it holds, which order is in progress there, what it may hold next.
+"""State of each runner: loaded models and adapters, the order in progress, and the remaining capacity.
 
-Memory and adapter slots are counted for the worst case: a load counts from before its order is sent, an
-unload only once a report shows that it is done.
+Memory and adapter slots are counted for the worst case: a load uses memory before its order is sent, and an
+unload frees it only when a report shows that it is complete.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 from .model import Order, loadable_name
 from .service_capacity import ServiceCapacity
 
-MEMORY_MARGIN_MB = 0.001  # against rounding at the runner
+MEMORY_MARGIN_MB = 0.001  # allows for rounding at the runner
 
 
 class RunnerPhase(Enum):
-    """How far what is known of a runner allows to order there."""
+    """What is known about a runner and the order in progress there."""
 
-    UNKNOWN = auto()  # no report that shows what it holds has come: it gets no order
-    IDLE = auto()  # known, and no order is in progress: it may get one
-    ORDER_SENT = auto()  # an order was sent; whether the runner has taken it is not known
-    ORDER_ACCEPTED = auto()  # the runner has taken the order; its end has not been seen
+    UNKNOWN = auto()  # no report has shown its loaded models: it gets no order
+    IDLE = auto()  # its loaded models are known and no order is in progress: it may get one
+    ORDER_SENT = auto()  # an order was sent; whether the runner has accepted it is not known
+    ORDER_ACCEPTED = auto()  # the runner has accepted the order; its end was not seen
 
 
 @dataclass(slots=True)
 class OrderInProgress:
-    """An order that was sent and whose end has not been seen. Times are on the monotonic clock, in seconds.
+    """An order that was sent and whose end was not seen. Times are on the monotonic clock, in seconds.
 
     Attributes:
         order: The order.
-        sent_at_s: When it was sent.
-        ready_at_s: When it is expected to be done.
-        next_poll_at_s: When the runner's report is wanted next.
-        poll_count: Reports asked for since it was sent.
-        is_accepted: A 202 came, or a report shows that it was taken.
+        sent_at_s: Send time.
+        ready_at_s: Expected completion time.
+        next_poll_at_s: Time of the next poll of the runner.
+        poll_count: Number of polls since the order was sent.
+        is_accepted: Whether a 202 response or a report has shown that the runner accepted it.
     """
 
     order: Order
@@ -54,22 +54,23 @@
     """One incarnation of a runner. Times are on the monotonic clock, in seconds.
 
     Attributes:
-        id: The incarnation's id.
-        record: Its newest check-in.
-        held: Model -> adapters that it holds, by its newest report or, before the first, by its check-ins.
-        order_count: Orders that it has taken; None until a report has shown it.
-        order_in_progress: The one order that may be in progress there.
-        loaded_at_s: `loadable_name` -> when a load that this process ordered was seen to be done.
-        models_on_disk: Models that this incarnation has held, so that loading them again spares the store.
-        next_poll_at_s: When its report is wanted next, while what it holds is not known.
-        poll_count: Reports asked for, while what it holds is not known.
-        is_busy_for_predecessor: Whether its reports show an order of another process in progress; while they
-            do, what it holds is not known.
-        predecessor_loads: `loadable_name` of what another placer had ordered to be loaded there, when this
-            process took over.
-        backoff_until_s: No order before, after a rejection or an order without effect.
-        unconfirmed_loads: `loadable_name` -> when its load was done, until a check-in shows it.
-        unconfirmed_unloads: `loadable_name` -> when its unload was done, while check-ins still list it.
+        id: Id of the incarnation.
+        record: Its latest record.
+        held: Loaded model -> loaded adapters, from its latest report or, before the first, its check-ins.
+        order_count: Number of orders that it has accepted; None until a report has shown it.
+        order_in_progress: The order that may be in progress; there is at most one.
+        loaded_at_s: `loadable_name` -> time at which a load ordered by this process was seen to be complete.
+        models_on_disk: Models that this incarnation has held; loading them again does not use the store.
+        next_poll_at_s: Time of the next poll, while its loaded models are not known.
+        poll_count: Number of polls, while its loaded models are not known.
+        is_busy_for_predecessor: Whether its reports show that an order of a previous lease holder is in
+            progress. Until that ends, its loaded models are not known.
+        predecessor_loads: `loadable_name` of loads that a previous lease holder had ordered when this process
+            acquired the lease.
+        backoff_until_s: Time before which it gets no order, after a rejection or an order without effect.
+        unconfirmed_loads: `loadable_name` -> completion time of a load that no check-in lists yet.
+        unconfirmed_unloads: `loadable_name` -> completion time of an unload whose model or adapter check-ins
+            still list.
     """
 
     record: RunnerRecord
@@ -88,12 +89,12 @@
     id: RunnerId = field(init=False)
 
     def __post_init__(self) -> None:
-        """Takes the id from the first record; later ones bear the same."""
+        """Sets the id from the first record; all later records have the same id."""
         self.id = RunnerId(self.record.id)
 
     @property
     def phase(self) -> RunnerPhase:
-        """How far what is known of it allows to order there."""
+        """Current phase."""
         if self.order_in_progress is not None:
             is_accepted = self.order_in_progress.is_accepted
             return RunnerPhase.ORDER_ACCEPTED if is_accepted else RunnerPhase.ORDER_SENT
@@ -101,31 +102,31 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether a report has shown what it holds."""
+        """Whether a report has shown its loaded models."""
         return self.order_count is not None
 
     @property
     def has_reported(self) -> bool:
-        """Whether a report has come since this process may order, of an order in progress at the least."""
+        """Whether it has reported under the current lease, even if only an order in progress."""
         return self.is_known or self.is_busy_for_predecessor
 
     @property
     def is_ready(self) -> bool:
-        """Whether it serves and is not about to leave."""
+        """Whether it is in the stage READY."""
         return self.record.stage is Stage.READY
 
     def can_take_order(self, now_s: float) -> bool:
-        """Whether it can be sent an order now."""
+        """Returns whether it may be sent an order now."""
         return self.is_ready and self.phase is RunnerPhase.IDLE and now_s >= self.backoff_until_s
 
     def holds(self, model: str, adapter: str = "") -> bool:
-        """Whether it holds this and is not giving it up."""
+        """Returns whether it has the model or adapter loaded and is not unloading it."""
         if model not in self.held or (adapter and adapter not in self.held[model]):
             return False
         return not self.is_unloading(model, adapter)
 
     def is_unloading(self, model: str, adapter: str = "") -> bool:
-        """Whether an unload of it, or of its model, is in progress."""
+        """Returns whether an unload of the model or adapter, or of the adapter's model, is in progress."""
         order = self.order_in_progress.order if self.order_in_progress else None
         return (
             order is not None
@@ -135,23 +136,23 @@
         )
 
     def is_loading(self, model: str, adapter: str = "") -> bool:
-        """Whether a load of it is in progress, or may be by order of a predecessor."""
+        """Returns whether a load of it is in progress, or may be, by order of a previous lease holder."""
         if loadable_name(model, adapter) in self.loads_of_predecessor():
             return True
         order = self.order_in_progress.order if self.order_in_progress else None
         return order is not None and order.is_load and (order.model, order.adapter) == (model, adapter)
 
     def loads_of_predecessor(self) -> Set[str]:
-        """Returns the `loadable_name` of what may be loading by order of a predecessor.
+        """Returns the `loadable_name` of loads of a previous lease holder that may be in progress.
 
-        Once a report shows what the runner holds, nothing is.
+        The set is empty once a report has shown the loaded models.
         """
         if self.is_known:
             return frozenset()
         return self.predecessor_loads - loadable_names(self.held)
 
     def loads_from_store(self, order: Order) -> bool:
-        """Whether the order loads weights that this incarnation is not known to have held."""
+        """Returns whether the order loads weights that this incarnation is not known to have held."""
         return order.is_load and not order.adapter and order.model not in self.models_on_disk
 
     @property
@@ -160,17 +161,17 @@
         return self.order_in_progress is not None and self.loads_from_store(self.order_in_progress.order)
 
     def used_mb(self, capacity: ServiceCapacity) -> float:
-        """Returns the memory for weights and adapters, with what is being loaded."""
+        """Returns the memory used by weights and adapters, including a load in progress."""
         return sum(
             capacity.model_mb(model) + len(adapters) * capacity.adapter_mb(model)
-            for model, adapters in self._held_at_worst().items()
+            for model, adapters in self._held_in_worst_case().items()
         )
 
     def used_adapter_slots(self) -> int:
-        """Returns the slots for adapters in use, with what is being loaded."""
-        return sum(len(adapters) for adapters in self._held_at_worst().values())
+        """Returns the number of adapter slots in use, including a load in progress."""
+        return sum(len(adapters) for adapters in self._held_in_worst_case().values())
 
-    def _held_at_worst(self) -> dict[str, set[str]]:
+    def _held_in_worst_case(self) -> dict[str, set[str]]:
         order = self.order_in_progress.order if self.order_in_progress else None
         if order is None or not order.is_load:
             return self.held
@@ -181,7 +182,7 @@
         return worst
 
     def has_capacity_for(self, capacity: ServiceCapacity, model: str, adapter: str = "") -> bool:
-        """Whether there is memory, and a slot for an adapter, for this load now."""
+        """Returns whether there is enough memory, and for an adapter a free slot, for this load."""
         if adapter and self.used_adapter_slots() >= capacity.runtime.adapter_slots:
             return False
         required_mb = capacity.adapter_mb(model) if adapter else capacity.model_mb(model)
@@ -190,12 +191,12 @@
 
 @dataclass(slots=True)
 class PlacementState:
-    """The current state that the planner compares with demand.
+    """The current state of the runners, which the planner compares with demand.
 
     Attributes:
         runners: All runners by id.
-        load_limiter: The weight store's budget.
-        loads_in_progress: Loads from the weight store that are in progress.
+        load_limiter: Rate limit on loads from the weight store.
+        loads_in_progress: Number of loads from the weight store in progress.
     """
 
     runners: Mapping[RunnerId, RunnerState]
@@ -203,17 +204,17 @@
     loads_in_progress: int = 0
 
     def ready_runners(self, service: str) -> list[RunnerState]:
-        """Returns the runners of a service that serve."""
+        """Returns the ready runners of a service."""
         return [
             state for state in self.runners.values() if state.record.service == service and state.is_ready
         ]
 
 
 def held_models(record: RunnerRecord) -> dict[str, set[str]]:
-    """Returns model -> adapters that a check-in lists."""
+    """Returns the models that a record lists, each with its adapters."""
     return {held.name: set(held.adapters) for held in record.models}
 
 
 def loadable_names(held: Mapping[str, Iterable[str]]) -> set[str]:
-    """Returns the names of all models and adapters in `held`, as `loadable_name` writes them."""
+    """Returns the `loadable_name` of all models and adapters in `held`."""
     return {loadable_name(model, adapter) for model, adapters in held.items() for adapter in ("", *adapters)}
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -1,4 +1,4 @@
-"""The placement service of one control process: demand, target, orders and outcomes, under the lease.
+"""The placement service of one control process, which plans and sends orders while it holds the lease.
 
     service = PlacementService(PlacementRuntime(...))
     service.configure(configuration)            on each new configuration
@@ -6,8 +6,7 @@
     service.receive_demand_report(report)       on each dispatcher's report
     task = asyncio.create_task(service.run())
 
-After the lease was acquired, every runner's report is read before its first order; until then nothing is
-ordered there.
+After this process has acquired the lease, a runner gets no order until its report has been read.
 """
 
 from __future__ import annotations
@@ -33,20 +32,20 @@
 
 BUSY_PERIOD_S = 0.05  # between rounds while an order is in progress or a request waits
 IDLE_PERIOD_S = 0.25
-MAX_PLANNING_SHARE = 0.1  # of the time is spent on planning, however large the deployment
+MAX_PLANNING_SHARE = 0.1  # upper bound on the share of time spent on planning, for any size of deployment
 REPORTS_TIMEOUT_S = (
-    0.5  # after acquiring the lease: most runners have answered by then, and load choices see them
+    0.5  # after acquiring the lease; by then most runners have responded, so that planning includes them
 )
 
 
 class PlacementService:
-    """Runs while the process lives; orders only while it holds the lease."""
+    """Runs as long as the process, but sends orders only while it holds the lease."""
 
     def __init__(self, runtime: PlacementRuntime) -> None:
-        """Makes a service that does nothing before `run` or `step`.
+        """Creates a service that is idle until `run` or `step` is called.
 
         Args:
-            runtime: What it needs of the process.
+            runtime: Dependencies that the process provides.
         """
         settings = runtime.settings
         self._clock, self._load_window_s = runtime.clock, settings.load_window_s
@@ -65,12 +64,12 @@
         self._started_at_s = runtime.clock()
         self._next_plan_at_s = 0.0
         self._is_load_history_read = False
-        self._request_waits = asyncio.Event()
+        self._request_waiting = asyncio.Event()
 
-    # ---- What other packages tell it ----
+    # ---- Inputs from other packages ----
 
     def configure(self, configuration: Configuration) -> None:
-        """Puts a new configuration in force."""
+        """Applies a new configuration."""
         self._configuration = configuration
         self._reconciler.configure(configuration)
         rates = [capacity.runtime.loads_per_s for capacity in self._reconciler.capacities.values()]
@@ -79,7 +78,7 @@
             self._update_state(record)
 
     def update_runner(self, record: RunnerRecord) -> None:
-        """Takes in a runner's record that is new or has changed."""
+        """Processes a new or changed record of a runner."""
         self._records[record.id] = record
         if record.stage is Stage.GONE:
             del self._records[record.id]
@@ -90,13 +89,13 @@
         self._reconciler.update_runner(self._clock(), record, has_lease)
 
     def receive_demand_report(self, report: DemandReportLike) -> None:
-        """Takes in a dispatcher's report of demand."""
+        """Processes a dispatcher's demand report; waiting requests start the next round early."""
         self._demand.receive_report(report)
         if any(reported.waiting > 0 for reported in report.models):
-            self._request_waits.set()
+            self._request_waiting.set()
 
     def summary(self) -> PlacementSummary | None:
-        """Returns what is held, wanted and ordered; None while another process places models."""
+        """Returns the state of placement; None while this process does not hold the lease."""
         fencing_token = self._lease_watch.fencing_token
         if fencing_token is None:
             return None
@@ -107,14 +106,16 @@
     async def run(self) -> None:
         """Runs rounds until cancelled."""
         while True:
-            self._request_waits.clear()
+            self._request_waiting.clear()
             self.step()
             await asyncio.sleep(BUSY_PERIOD_S)
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._request_waits.wait(), max(self.period_s() - BUSY_PERIOD_S, 0.0))
+                await asyncio.wait_for(
+                    self._request_waiting.wait(), max(self.period_s() - BUSY_PERIOD_S, 0.0)
+                )
 
     def step(self) -> None:
-        """Runs one round: polls that are due, then the next orders, then what dispatchers are told."""
+        """Runs one round: sends due polls, plans and sends orders, and publishes expected completions."""
         lease = self._lease_watch.current()
         if lease is None:
             return
@@ -122,12 +123,12 @@
         self._reconciler.assume_adapters_loaded(now_s)
         self._exchange.poll_due(now_s)
         if now_s >= self._next_plan_at_s and self._has_enough_reports(now_s):
-            self._order_next(now_s, lease.fencing_token)
+            self._plan_and_send_orders(now_s, lease.fencing_token)
             self._next_plan_at_s = now_s + (self._clock() - now_s) / MAX_PLANNING_SHARE
         self._publisher.update(now_s, self._reconciler.expected_completions(now_s))
 
-    def _order_next(self, now_s: float, fencing_token: int) -> None:
-        """Plans, and sends the next orders."""
+    def _plan_and_send_orders(self, now_s: float, fencing_token: int) -> None:
+        """Plans the next orders and starts to send them."""
         if self._configuration is None:
             return
         if not self._is_load_history_read:
@@ -145,14 +146,14 @@
             self._spawn(self._exchange.send_order(order, fencing_token))
 
     def _read_load_history(self, now_s: float) -> None:
-        """Counts the loads of predecessors, once more witnesses than a quorum had time to tell of them."""
+        """Counts the loads of predecessors, when more witnesses than a quorum had time to report them."""
         self._is_load_history_read = True
         history = self._permits.load_history()
         if history is not None:
             self._reconciler.load_limiter.adopt(now_s, history)
 
     def _has_enough_reports(self, now_s: float) -> bool:
-        """Whether reports of the runners have come, or those that are missing had time enough."""
+        """Returns whether all ready runners have reported, or the time for missing reports has passed."""
         runners = self._reconciler.runners.values()
         if all(state.has_reported or not state.is_ready for state in runners):
             if runners and not any(state.order_count or state.is_busy_for_predecessor for state in runners):
@@ -166,7 +167,7 @@
             state.order_in_progress is not None or (state.is_ready and not state.is_known)
             for state in self._reconciler.runners.values()
         )
-        return BUSY_PERIOD_S if is_busy or self._demand.anyone_waits() else IDLE_PERIOD_S
+        return BUSY_PERIOD_S if is_busy or self._demand.has_waiting_requests() else IDLE_PERIOD_S
 
     # ---- Changes of the lease ----
 
--- a/larchgw/placement/service_runtime.py
+++ b/larchgw/placement/service_runtime.py
@@ -1,4 +1,4 @@
-"""What the placement service needs of the process that it runs in."""
+"""Interfaces and dependencies of the placement service that its process provides."""
 
 from __future__ import annotations
 
@@ -15,48 +15,48 @@
 
 
 class Lease(Protocol):
-    """The right to order, as the replication package gives it out."""
+    """The placement lease, which permits its holder to send orders."""
 
     @property
     def fencing_token(self) -> int:
-        """The fencing token: it is higher with each holder."""
+        """Fencing token; it increases with each holder."""
 
     @property
     def expires_at(self) -> float:
-        """End of the right, on the clock of the runtime."""
+        """End of the lease, on the clock of the runtime."""
 
 
 class RunnerCalls(Protocol):
-    """Calls to runners; `orders.OrderClient` is the implementation."""
+    """Calls to runners, implemented by `orders.OrderClient`."""
 
     async def order(self, order: Order, fencing_token: int, begin_by_s: float) -> OrderOutcome:
-        """Sends an order, or not at all if it is not begun by then (monotonic clock); raises nothing."""
+        """Sends an order, unless `begin_by_s` (monotonic clock) has passed; raises no exception."""
 
     async def report(self, runner_id: RunnerId, address: str) -> RunnerReport | None:
-        """Reads a runner's report; None if it gave none."""
+        """Fetches a runner's report; None if that failed."""
 
 
 class OrderPermits(Protocol):
-    """When orders may be sent: two placers keep a term apart at each runner.
+    """Permits to send orders, which keep the orders of two lease holders to a runner at least a term apart.
 
     Times are on the runtime's clock.
     """
 
     async def announce(self, runner_id: RunnerId, is_store_load: bool) -> None:
-        """Announces an order to a runner; `permitted_until_s` tells what came of it. Raises nothing."""
+        """Announces an order to a runner; `permitted_until_s` has the result. Raises no exception."""
 
     def permitted_until_s(self, runner_id: RunnerId) -> float:
-        """Until when an announced order may be sent; minus infinity if it may not."""
+        """Returns the time until which an announced order may be sent; minus infinity if it may not."""
 
     def free_at_s(self, runner_id: RunnerId) -> float:
-        """From when on an order may be announced: another placer may have ordered there lately."""
+        """Returns the earliest time for announcing an order; another process may have sent one recently."""
 
     def load_history(self) -> LoadHistory | None:
-        """The loads that were ordered before this process held the lease; None where nobody remembers any."""
+        """Returns the loads ordered before this process got the lease; None if there is no record."""
 
 
 class UnrestrictedOrderPermits:
-    """Permits every order: for a placer that never has another beside it."""
+    """Permits every order; for a process that is the only one to place models."""
 
     async def announce(self, runner_id: RunnerId, is_store_load: bool) -> None:
         """See OrderPermits."""
@@ -74,42 +74,43 @@
         return None
 
 
-_tasks: set[asyncio.Task[None]] = set()  # the event loop itself holds its tasks weakly
+_tasks: set[asyncio.Task[None]] = set()  # strong references, since the event loop keeps only weak ones
 
 
 def spawn_task(call: Coroutine[Any, Any, None]) -> None:
-    """Runs a call on the event loop."""
+    """Runs a coroutine as a task on the event loop."""
     task = asyncio.ensure_future(call)
     _tasks.add(task)
     task.add_done_callback(_tasks.discard)
 
 
 def expect_no_loads(runner_id: RunnerId) -> Collection[str]:
-    """Stands for `PlacementRuntime.expected_loads` where no other placer publishes any."""
+    """Default of `PlacementRuntime.expected_loads`, for when no other process places models."""
     return ()
 
 
 def publish_nothing(runner_id: RunnerId, completions_ms: dict[str, float]) -> None:
-    """Stands for `PlacementRuntime.publish` where no dispatcher listens."""
+    """Default of `PlacementRuntime.publish`, for when there are no dispatchers."""
 
 
 @dataclass(slots=True)
 class PlacementRuntime:
-    """What the service needs of its process.
+    """Dependencies of the placement service.
 
     Attributes:
-        clock: The time in seconds; that of `lease` too.
-        lease: Returns the lease while this process holds it.
-        calls: Orders and reports at runners.
-        publish: Gets, for a runner whose expected load completions changed, the milliseconds until each model
-            or "model/adapter" can be used there (0: now; `completion_publisher.UNLOADING_MS`: no more),
-            without those that its check-ins show; an empty dict withdraws them.
-        spawn: Runs a call beside the loop.
+        clock: Returns the time in seconds; also the clock of `lease`.
+        lease: Returns the lease while this process holds it, else None.
+        calls: Sends orders and fetches reports.
+        publish: Called for a runner whose expected load completions have changed, with the milliseconds until
+            each model or "model/adapter" can be used at that runner. 0 means now, and
+            `completion_publisher.UNLOADING_MS` means that it is being unloaded. Entries that check-ins show
+            already are left out; an empty dict withdraws all entries.
+        spawn: Runs a coroutine in a separate task.
         settings: Limits of the deployment.
         random_source: Breaks ties between runners.
-        expected_loads: Returns the models, or "model/adapter", whose load at a runner was last published and
+        expected_loads: Returns the models, or "model/adapter", whose load at a runner was published last and
             not withdrawn.
-        permits: Says when an order may be sent to a runner.
+        permits: Determines when an order may be sent to a runner.
     """
 
     clock: Callable[[], float]
--- a/larchgw/placement/summary.py
+++ b/larchgw/placement/summary.py
@@ -1,4 +1,4 @@
-"""A snapshot of placement for people: models with their demand and holders, and the orders in progress."""
+"""A snapshot of placement for operators: models with their demand and holders, and orders in progress."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedModel:
-    """One model that the configuration names.
+    """One configured model.
 
     Attributes:
         service: The service that it belongs to.
@@ -22,7 +22,7 @@
         waiting: Requests that wait for it to be loaded.
         in_flight: Requests for it at runners.
         holders: Ids of the runners that hold it.
-        loading: Ids of the runners that are loading it.
+        loading: Ids of the runners that load it.
     """
 
     service: str
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenOrder:
-    """An order that was sent `age_s` seconds ago and whose end has not been seen.
+    """An order that was sent and whose end was not seen.
 
     Attributes:
         runner_id: The runner that it was sent to.
         action: "loading" or "unloading".
         name: The model, or "model/adapter".
         age_s: Seconds since it was sent.
-        is_accepted: Whether the runner is known to have taken it.
+        is_accepted: Whether the runner is known to have accepted it.
     """
 
     runner_id: RunnerId
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementSummary:
-    """What the process that places models knows.
+    """State of placement at the process that holds the lease.
 
     Attributes:
-        fencing_token: Of the lease under which it orders.
-        load_limit: Loads from the weight store that it begins in a window at most.
-        available_loads: How many of these may begin now.
+        fencing_token: Fencing token of the lease.
+        load_limit: Maximum number of loads from the weight store in a window.
+        available_loads: Number of loads that may start now.
         models: All models of all services, by service and name.
         orders: The orders in progress.
     """
@@ -75,7 +75,7 @@
 def summarise(
     now_s: float, fencing_token: int, demand: DemandTracker, reconciler: Reconciler
 ) -> PlacementSummary:
-    """Returns what is known at `now_s`, on the clock of `demand`."""
+    """Returns a summary of the state at `now_s`, on the clock of `demand`."""
     models = [
         model
         for service, capacity in sorted(reconciler.capacities.items())
--- a/tests/placement/builders.py
+++ b/tests/placement/builders.py
@@ -1,4 +1,4 @@
-"""Values that the placement tests are made of: models, runners, reports and orders, by short calls."""
+"""Builders of models, runners, reports and orders for the placement tests."""
 
 from collections.abc import Iterable
 
@@ -30,7 +30,7 @@
 
 
 def make_configuration(count: int = 4, load_s: float = 1.0) -> Configuration:
-    """One service whose runners hold three of its `count` models."""
+    """Returns one service whose runners have memory for three of its `count` models."""
     models = tuple(Model(f"m{n}", 70 * MB_PER_GB, load_s, 0, 66.0) for n in range(count))
     runtime = Runtime(slots=64, models=models, weights_mb=220 * MB_PER_GB, adapter_slots=8, loads_per_s=2.0)
     return Configuration(1, services=(Service(SERVICE, runtime=runtime),))
@@ -56,14 +56,14 @@
 
 
 def make_reconciler(configuration: Configuration | None = None) -> Reconciler:
-    """A reconciler that knows the service and no runner."""
+    """Returns a reconciler with the service and no runners."""
     reconciler = Reconciler(PlacementSettings(), LoadRateLimiter(2.0, WINDOW_S, RATE_FACTOR))
     reconciler.configure(configuration or make_configuration())
     return reconciler
 
 
 def make_identified(held: Iterable[str] = ("m0",), order_count: int = 0) -> Reconciler:
-    """A reconciler that has read the report of runner "r0" at time 0."""
+    """Returns a reconciler that has processed a report of runner "r0" at time 0."""
     reconciler = make_reconciler()
     reconciler.update_runner(0.0, runner_record("r0", held))
     reconciler.receive_report(0.0, R0, runner_report(held, order_count=order_count))
--- a/tests/placement/conftest.py
+++ b/tests/placement/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the placement tests: a clock that is set by hand, and what is made with it."""
+"""Fixtures of the placement tests: a manual clock, and a demand tracker that uses it."""
 
 import pytest
 
@@ -20,5 +20,5 @@
 
 @pytest.fixture
 def demand(clock: FakeClock) -> DemandTracker:
-    """A tracker without demand, on the fake clock."""
+    """A demand tracker without demand, on the fake clock."""
     return DemandTracker(clock)
--- a/tests/placement/deployments.py
+++ b/tests/placement/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments in virtual time that the placement service is played against, and what a play is judged by."""
+"""Simulated deployments in virtual time for tests of the placement service, and checks of the results."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -59,10 +59,11 @@
 
 
 def play(deployment: Deployment, seed: int = 1, calls: Callable[[World], Calls] | None = None) -> World:
-    """Plays a deployment to its end; validates the reconciler after each step under the lease.
+    """Simulates a deployment to its end; validates the reconciler after each step under the lease.
 
-    Calls end at once in virtual time, so a lease may be lost between the orders of one round; those noted
-    after that are for forgotten runners. On an event loop all are noted before the first is sent.
+    Calls complete immediately in virtual time, so the lease may be lost between two orders of one round.
+    Later orders of that round then refer to runners whose state was reset. On an event loop, all orders of a
+    round are recorded before the first is sent.
     """
     world = World(deployment, seed)
     driver = Driver(world, seed)
@@ -90,18 +91,18 @@
 
 
 class LossyCalls(Calls):
-    """Loses answers: of an order that was taken, and of one that never arrived."""
+    """Loses some orders before they arrive, and some responses to orders and reports."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
         self._random_source = random.Random(5)
 
     async def order(self, order: Order, fencing_token: int, begin_by_s: float) -> OrderOutcome:
-        fate = self._random_source.random()
-        if fate < 0.15:
+        drawn = self._random_source.random()
+        if drawn < 0.15:
             return OrderOutcome.UNKNOWN
         outcome = await super().order(order, fencing_token, begin_by_s)
-        return OrderOutcome.UNKNOWN if fate < 0.3 else outcome
+        return OrderOutcome.UNKNOWN if drawn < 0.3 else outcome
 
     async def report(self, runner_id: str, address: str) -> RunnerReport | None:
         return None if self._random_source.random() < 0.2 else await super().report(runner_id, address)
--- a/tests/placement/scripted_play.py
+++ b/tests/placement/scripted_play.py
@@ -1,7 +1,7 @@
-"""A scripted deployment in virtual time, played through the placement service; all that it does is recorded.
+"""A scripted simulation of the placement service in virtual time, which records all its actions.
 
-Demand, lost runners, lost and late answers are drawn from one seed; the lease comes and goes at fixed
-times. Two versions of the service that decide alike give the same record to the last digit.
+Demand and lost or late responses are drawn from one seed; leases and lost runners follow a fixed schedule.
+Two versions of the service that make the same decisions give identical records.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 GB = 1000.0
 RUNNERS_BY_SERVICE = {"chat": 5, "code": 3}
 LEASES = ((1, 0.5, 8.25), (2, 10.0, 14.25), (4, 15.5, 98.25))  # fencing token, from, until
-LOSSES = ((6.0, 1, 8.0), (12.0, 6, 13.5))  # at, runner, back at
+LOSSES = ((6.0, 1, 8.0), (12.0, 6, 13.5))  # lost at, index of the runner, restarted at
 
-Event = list[Any]  # what happened, when, and its values, as in the recorded JSON
-ScriptedCall = Coroutine[float, None, None]  # it yields the seconds after which it is resumed
+Event = list[Any]  # kind, time and values, as in the recorded JSON
+ScriptedCall = Coroutine[float, None, None]  # yields the seconds after which it is to be resumed
 
 
 class Delay:
-    """Awaited by a call: the player resumes it so many seconds later."""
+    """Awaited by a call to suspend it for `seconds` of virtual time."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
@@ -53,10 +53,10 @@
 
 
 class ScriptedPlay:
-    """Plays `ticks` ticks and gives what the service did in `events`.
+    """Simulates `ticks` ticks and records the actions of the service in `events`.
 
-    `loads_per_s` is the rate of the weight store, `waiting_share` the share of demand lines with waiting
-    requests: with a high rate and a low share the planner chooses by value, else by deadline.
+    `loads_per_s` is the rate of the weight store, and `waiting_share` the share of demand entries with
+    waiting requests. With a high rate and a low share, the planner selects loads by value, else by deadline.
     """
 
     def __init__(self, seed: int, ticks: int, loads_per_s: float = 1.5, waiting_share: float = 0.3) -> None:
@@ -65,7 +65,7 @@
         self.random_source = random.Random(seed)
         self.planner_random_source = random.Random(seed + 1)
         self.events: list[Event] = []
-        self.waiting_calls: list[tuple[float, int, ScriptedCall]] = []
+        self.suspended_calls: list[tuple[float, int, ScriptedCall]] = []
         self.call_number = 0
         self.configuration = make_configuration(loads_per_s)
         self.runners = make_runners(self.configuration)
@@ -83,7 +83,7 @@
             )
         )
 
-    # ---- What the service calls ----
+    # ---- Calls from the service ----
 
     def lease(self) -> ScriptedLease | None:
         return next(
@@ -102,18 +102,18 @@
         except StopIteration:
             return
         self.call_number += 1
-        heapq.heappush(self.waiting_calls, (self.now + delay_s, self.call_number, call))
+        heapq.heappush(self.suspended_calls, (self.now + delay_s, self.call_number, call))
 
     async def order(self, order: Order, fence: int, begin_by_s: float) -> OrderOutcome:
         body = encode_order(order, "control-1", fence).decode()
-        self.events.append(["order", self.now, order.runner_id, order.address, order.purpose, body])
-        fate = self.random_source.random()
-        if fate < 0.05:
+        self.events.append(["order", self.now, order.runner_id, order.address, order.makes_room_for, body])
+        drawn = self.random_source.random()
+        if drawn < 0.05:
             await Delay(0.8)
             return OrderOutcome.UNKNOWN
-        if fate < 0.09:
+        if drawn < 0.09:
             return OrderOutcome.UNSENT
-        if fate < 0.1:
+        if drawn < 0.1:
             return OrderOutcome.OTHER_RUNNER
         runner = self.find(order.runner_id)
         if runner is None:
@@ -122,8 +122,8 @@
         status = runner.order(
             self.now, order.runner_id, order.action, order.model, order.adapter, order.if_revision, fence
         )
-        await Delay(0.8 if fate < 0.15 else round(self.random_source.uniform(0.0, 0.1), 3))
-        return OrderOutcome.UNKNOWN if fate < 0.15 else outcome_of(status)
+        await Delay(0.8 if drawn < 0.15 else round(self.random_source.uniform(0.0, 0.1), 3))
+        return OrderOutcome.UNKNOWN if drawn < 0.15 else outcome_of(status)
 
     async def report(self, runner: RunnerId, address: str) -> RunnerReport | None:
         self.events.append(["report", self.now, runner])
@@ -134,7 +134,7 @@
         seen = known.report(self.now)
         return RunnerReport(seen.models, seen.occupied, seen.call_count)
 
-    # ---- What happens around it ----
+    # ---- Simulation ----
 
     def play(self) -> list[Event]:
         self.service.configure(self.configuration)
@@ -158,8 +158,8 @@
         return sort_withdrawals(self.events)
 
     def resume_due_calls(self) -> None:
-        while self.waiting_calls and self.waiting_calls[0][0] <= self.now:
-            self.resume(heapq.heappop(self.waiting_calls)[2])
+        while self.suspended_calls and self.suspended_calls[0][0] <= self.now:
+            self.resume(heapq.heappop(self.suspended_calls)[2])
 
     def lose_and_restart_runners(self) -> None:
         for lost_at, index, back_at in LOSSES:
@@ -186,16 +186,16 @@
         return RunnerRecord(RunnerId(runner.id), service, runner.address, runner.zone, stage, 64, models=held)
 
     def report_demand(self, tick: int) -> None:
-        for dispatcher, every, silent_from, silent_until in (
+        for dispatcher, interval_ticks, silent_from, silent_until in (
             ("edge-1", 2, 7.0, 11.0),
             ("edge-2", 6, 99.0, 99.0),
             ("edge-3", 50, 99.0, 99.0),
         ):
-            if tick % every or silent_from <= self.now < silent_until:
+            if tick % interval_ticks or silent_from <= self.now < silent_until:
                 continue
             lines = [line for service in ("chat", "code") for line in self.demand_lines(service)]
             self.service.receive_demand_report(
-                DemandReport(dispatcher, round(every * TICK_S * 1000.0), lines)
+                DemandReport(dispatcher, round(interval_ticks * TICK_S * 1000.0), lines)
             )
 
     def demand_lines(self, service: str) -> list[ModelDemand]:
@@ -225,7 +225,7 @@
 
 
 def sort_withdrawals(events: Iterable[Event]) -> list[Event]:
-    """Sorts what is withdrawn in one round by runner: its order comes from a set and differs by hash seed."""
+    """Sorts the withdrawals of each round by runner, since their order depends on the hash seed."""
     ordered: list[Event] = []
     for is_withdrawal, group in itertools.groupby(events, key=is_withdrawal_event):
         members = list(group)
@@ -265,7 +265,7 @@
 
 
 def describe(summary: PlacementSummary | None) -> list[Any] | None:
-    """The summary as plain values, in the order of the status on the wire."""
+    """Returns the summary as plain values, in the order of the status on the wire."""
     if summary is None:
         return None
     models = [
--- a/tests/placement/test_completion_publisher.py
+++ b/tests/placement/test_completion_publisher.py
@@ -1,4 +1,4 @@
-"""What is published of expected load completions, and when."""
+"""When expected load completions are published, and with which values."""
 
 import math
 
@@ -24,14 +24,14 @@
     )
 
 
-def test_times_are_published_in_milliseconds_from_now_and_unloads_as_such(
+def test_loads_are_published_as_remaining_milliseconds_and_unloads_by_their_own_value(
     publisher: CompletionPublisher, published: Published
 ) -> None:
     publisher.update(10.0, {R0: {"m0": 10.25, "m1": 9.0, "m2/a1": math.inf}})
     assert published == [("r0", {"m0": 250, "m1": 0, "m2/a1": UNLOADING_MS})]
 
 
-def test_what_has_not_changed_is_not_published_again(
+def test_unchanged_completions_are_not_published_again(
     publisher: CompletionPublisher, published: Published
 ) -> None:
     publisher.update(10.0, {R0: {"m0": 11.0}})
@@ -39,7 +39,7 @@
     assert published == [("r0", {"m0": 1000})]
 
 
-def test_what_is_not_expected_any_more_is_withdrawn_once(
+def test_a_runner_without_completions_is_withdrawn_once(
     publisher: CompletionPublisher, published: Published
 ) -> None:
     publisher.update(10.0, {R0: {"m0": 11.0}})
@@ -48,7 +48,7 @@
     assert published == [("r0", {"m0": 1000}), ("r0", {})]
 
 
-def test_after_a_reset_everything_is_published_anew(
+def test_all_completions_are_published_again_after_a_reset(
     publisher: CompletionPublisher, published: Published
 ) -> None:
     publisher.update(10.0, {R0: {"m0": 11.0}})
--- a/tests/placement/test_demand_reports.py
+++ b/tests/placement/test_demand_reports.py
@@ -1,4 +1,4 @@
-"""What waits and runs at dispatchers: totals that are kept up agree with sums over the newest reports."""
+"""Demand reports of dispatchers: the running totals equal sums over the latest reports."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 @given(reports)
 def test_totals_equal_sums_over_the_newest_report_of_each_dispatcher_that_is_not_silent(
-    played: list[tuple[float, str, float, dict[DemandKey, KeyDemand]]],
+    sent: list[tuple[float, str, float, dict[DemandKey, KeyDemand]]],
 ) -> None:
     table = DemandReports(EXPIRY_S, EXPIRY_INTERVALS)
     newest: dict[str, tuple[float, float, dict[DemandKey, KeyDemand]]] = {}
     now_s = 0.0
-    for pause_s, dispatcher, interval_s, demand in played:
+    for pause_s, dispatcher, interval_s, demand in sent:
         now_s += pause_s
         previous = newest.get(dispatcher)
         longest_s = max(interval_s, previous[1] if previous else 0.0)
@@ -44,7 +44,9 @@
 
 
 def assert_totals(table: DemandReports, counted: list[dict[DemandKey, KeyDemand]]) -> None:
-    assert table.anyone_waits() == any(known.waiting for demand in counted for known in demand.values())
+    assert table.has_waiting_requests() == any(
+        known.waiting for demand in counted for known in demand.values()
+    )
     for model in "mn":
         for adapter in ("", "a1"):
             key = ("llm", model, adapter)
--- a/tests/placement/test_lease_watch.py
+++ b/tests/placement/test_lease_watch.py
@@ -1,4 +1,4 @@
-"""When a process may order under the placer's lease."""
+"""When a process may send orders under the placement lease."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class UnusedCalls:
-    """Calls to runners where none is to be made."""
+    """Calls to runners that fail the test, for tests without any."""
 
     async def order(self, order: Order, fencing_token: int, begin_by_s: float) -> OrderOutcome:
         raise AssertionError("an order was sent")
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def held() -> list[HeldLease | None]:
-    """The lease that the process holds, in a list of one."""
+    """The lease that the process holds, as the only item of a list."""
     return [None]
 
 
--- a/tests/placement/test_load_rate_limit.py
+++ b/tests/placement/test_load_rate_limit.py
@@ -1,4 +1,4 @@
-"""The limit on loads from the weight store, in any window and across a change of the lease."""
+"""The limit on loads from the weight store, in any window and after a change of the lease."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,19 +8,19 @@
 
 from .builders import RATE_FACTOR, WINDOW_S, make_reconciler, runner_record
 
-sends = st.lists(st.tuples(st.floats(0.0, 0.3), st.floats(0.0, 2.0), st.floats(0.0, 1.0)), max_size=200)
+orders = st.lists(st.tuples(st.floats(0.0, 0.3), st.floats(0.0, 2.0), st.floats(0.0, 1.0)), max_size=200)
 
 
-@given(sends, st.floats(0.2, 8.0))
-def test_no_window_has_more_loads_than_the_store_allows_however_late_they_begin(
-    sends: list[tuple[float, float, float]], loads_per_s: float
+@given(orders, st.floats(0.2, 8.0))
+def test_no_window_has_more_loads_than_the_store_allows_regardless_of_delays(
+    orders: list[tuple[float, float, float]], loads_per_s: float
 ) -> None:
-    """Each load begins at some time between its send and when its outcome is seen."""
+    """Each load starts between the send of its order and the time at which its outcome is seen."""
     limiter = LoadRateLimiter(loads_per_s, WINDOW_S, RATE_FACTOR)
     now_s = 0.0
     outcomes: list[tuple[float, RunnerId]] = []
     begun_at: list[float] = []
-    for number, (gap_s, outcome_after_s, begin_share) in enumerate(sends):
+    for number, (gap_s, outcome_after_s, begin_share) in enumerate(orders):
         now_s += gap_s
         for at_s, runner_id in sorted(outcome for outcome in outcomes if outcome[0] <= now_s):
             limiter.confirm(at_s, runner_id)
@@ -36,7 +36,7 @@
         assert sum(first <= at_s <= first + WINDOW_S for at_s in begun_at) <= bound
 
 
-def test_nothing_is_available_for_one_window_while_a_predecessor_may_have_used_it() -> None:
+def test_no_load_is_available_for_one_window_that_a_predecessor_may_have_used() -> None:
     limiter = LoadRateLimiter(2.0, WINDOW_S, RATE_FACTOR)
     limiter.assume_exhausted(10.0)
     assert limiter.available(10.0 + WINDOW_S) == 0
--- a/tests/placement/test_order_encoding.py
+++ b/tests/placement/test_order_encoding.py
@@ -1,4 +1,4 @@
-"""Bodies of orders, statuses of their answers, and reports."""
+"""Encoding of orders, and decoding of response statuses and reports."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from .builders import R0
 
 
-def test_an_order_body_names_its_owner_fencing_token_and_the_orders_before_it() -> None:
+def test_an_order_body_has_the_owner_the_fencing_token_and_the_expected_order_count() -> None:
     order = Order(R0, "a:1", OrderAction.LOADING, "m", "a3", 2)
     assert encode_order(order, "node-7", 41) == (
         b'{"order":"loading","model":"m","owner":"node-7","fence":41,"adapter":"a3","if_revision":2}'
@@ -28,7 +28,7 @@
         (599, OrderOutcome.UNKNOWN),
     ],
 )
-def test_only_a_status_that_says_so_is_read_as_not_taken(status: int, outcome: OrderOutcome) -> None:
+def test_each_status_is_decoded_to_its_outcome(status: int, outcome: OrderOutcome) -> None:
     assert outcome_of(status) is outcome
 
 
@@ -42,7 +42,7 @@
         b'{"models":[],"occupied":false,"call_count":"x"}',
     ],
 )
-def test_an_unreadable_report_is_none(body: bytes) -> None:
+def test_an_invalid_report_is_none(body: bytes) -> None:
     assert decode_report(body) is None
 
 
--- a/tests/placement/test_orders.py
+++ b/tests/placement/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders and reports over real sockets: what a runner is told, and what its answer is taken for."""
+"""Orders and reports over real sockets: the requests that runners get and the outcomes of their responses."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 
 
 class RunnerStub:
-    """Answers with a status, or closes the connection without one."""
+    """Responds with a status, or closes the connection without a response if the status is None."""
 
     def __init__(self, status: int | None, body: bytes = b"") -> None:
         self.status, self.body = status, body
@@ -33,7 +33,7 @@
     async def serve(self, call: Callable[[OrderClient, str], Awaitable[T]]) -> T:
         owner = self
 
-        async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
             fields = head.decode().split("\r\n")
             headers = dict(field.lower().split(": ", 1) for field in fields[1:] if field)
@@ -47,7 +47,7 @@
                 )
             writer.close()
 
-        server = await asyncio.start_server(answer, "127.0.0.1", 0)
+        server = await asyncio.start_server(respond, "127.0.0.1", 0)
         address = "{}:{}".format(*server.sockets[0].getsockname())
         client = OrderClient("control-1")
         try:
@@ -71,7 +71,7 @@
         (None, OrderOutcome.UNKNOWN),
     ],
 )
-def test_an_order_reaches_the_runner_that_it_names_and_silence_is_no_refusal(
+def test_an_order_reaches_its_runner_and_a_missing_response_is_not_a_rejection(
     status: int | None, outcome: OrderOutcome
 ) -> None:
     runner = RunnerStub(status)
@@ -88,7 +88,7 @@
     }
 
 
-def test_an_order_that_no_connection_came_up_for_was_not_taken() -> None:
+def test_an_order_without_a_connection_was_not_sent() -> None:
     async def call() -> tuple[OrderOutcome, RunnerReport | None]:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = f"127.0.0.1:{taken.getsockname()[1]}"
@@ -103,7 +103,7 @@
     assert asyncio.run(call()) == (OrderOutcome.UNSENT, None)
 
 
-def test_a_report_comes_from_the_runner_that_was_asked_for() -> None:
+def test_a_report_request_names_the_target_runner() -> None:
     runner = RunnerStub(200, b'{"models":[],"occupied":false,"call_count":2}')
     report = asyncio.run(runner.serve(lambda client, address: client.report(RUNNER_ID, address)))
     assert report is not None
@@ -111,13 +111,16 @@
     assert runner.seen[0][:3] == ("GET", "/report", "i-7")
 
 
-def test_another_runner_at_the_address_gives_no_report() -> None:
+def test_a_421_response_gives_no_report() -> None:
     runner = RunnerStub(421, b'{"models":[],"occupied":false,"call_count":2}')
     assert asyncio.run(runner.serve(lambda client, address: client.report(RUNNER_ID, address))) is None
 
 
 class PersistentRunnerStub:
-    """Keeps its connections, and answers each call as `script` says of it: with bytes, or by a reset."""
+    """Keeps connections open and handles each call by the next step of `script`.
+
+    A step is the bytes of a response, "reset" or "close"; after the last step, connections are reset.
+    """
 
     def __init__(self, *script: bytes | str, closes: bool = False) -> None:
         self.script, self.closes = list(script), closes
@@ -125,7 +128,7 @@
         self.connections = 0
 
     async def serve(self, call: Callable[[OrderClient, str], Awaitable[T]]) -> T:
-        async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.connections += 1
             try:
                 while True:
@@ -150,7 +153,7 @@
             finally:
                 writer.close()
 
-        self.server = server = await asyncio.start_server(answer, "127.0.0.1", 0)
+        self.server = server = await asyncio.start_server(respond, "127.0.0.1", 0)
         client = OrderClient("control-1")
         try:
             return await call(client, "{}:{}".format(*server.sockets[0].getsockname()))
@@ -159,40 +162,46 @@
             server.close()
 
 
-REPORT = b'{"models":[],"occupied":false,"call_count":2}'
+REPORT_BODY = b'{"models":[],"occupied":false,"call_count":2}'
 
 
-def answered(status: int, body: bytes = b"") -> bytes:
+def http_response(status: int, body: bytes = b"") -> bytes:
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
 
 
 @pytest.mark.parametrize("end", ["reset", "close"])
-def test_an_order_whose_connection_ends_without_an_answer_is_never_sent_again_by_curl(end: str) -> None:
-    """A report has left a connection that curl may take; what ends there without a byte, curl sends anew."""
+def test_curl_does_not_repeat_an_order_whose_connection_closes_without_a_response(end: str) -> None:
+    """Guards against duplicate orders: curl repeats a request if a reused connection closes without a byte.
+
+    The report leaves a connection that curl reuses for the order.
+    """
 
     async def call(client: OrderClient, address: str) -> OrderOutcome:
         assert await client.report(RUNNER_ID, address) is not None
         return await client.order(order_at(address), 41, math.inf)
 
-    runner = PersistentRunnerStub(answered(200, REPORT), end, answered(409))
+    runner = PersistentRunnerStub(http_response(200, REPORT_BODY), end, http_response(409))
     assert asyncio.run(runner.serve(call)) is OrderOutcome.UNKNOWN
     assert [path for path, _ in runner.seen] == ["/report", "/order"]
 
 
-def test_an_order_given_to_a_kept_connection_of_a_runner_that_then_refuses_may_have_been_taken() -> None:
-    """curl would open another connection for it; that this one is refused proves nothing of the first."""
+def test_an_order_on_a_reused_connection_that_is_reset_may_have_been_accepted() -> None:
+    """Guards against the outcome UNSENT because curl's second connection is refused.
+
+    The order may have reached the runner on the first connection.
+    """
 
     async def call(client: OrderClient, address: str) -> OrderOutcome:
         assert await client.report(RUNNER_ID, address) is not None
-        runner.server.close()  # no new connection; the kept one goes on
+        runner.server.close()  # refuses new connections; the open one stays
         return await client.order(order_at(address), 41, math.inf)
 
-    runner = PersistentRunnerStub(answered(200, REPORT), "reset")
+    runner = PersistentRunnerStub(http_response(200, REPORT_BODY), "reset")
     assert asyncio.run(runner.serve(call)) is OrderOutcome.UNKNOWN
     assert [path for path, _ in runner.seen] == ["/report", "/order"]
 
 
-def test_an_order_whose_time_is_over_when_the_connection_is_up_never_leaves() -> None:
+def test_an_order_is_not_sent_if_its_deadline_passes_before_the_connection_is_ready() -> None:
     runner = RunnerStub(202)
     begin_by_s = time.monotonic() - 0.001
     got = asyncio.run(runner.serve(lambda client, address: client.order(order_at(address), 41, begin_by_s)))
@@ -200,8 +209,8 @@
     assert runner.seen == []
 
 
-def test_orders_and_reports_share_a_kept_connection() -> None:
-    """A new connection takes up a place of the runner for a moment: an order each would slow its requests."""
+def test_orders_and_reports_reuse_a_connection() -> None:
+    """A new connection uses one of the runner's slots for a moment, which would delay its requests."""
 
     async def call(client: OrderClient, address: str) -> tuple[OrderOutcome, OrderOutcome]:
         await client.report(RUNNER_ID, address)
@@ -209,49 +218,49 @@
             order_at(address), 41, math.inf
         )
 
-    runner = PersistentRunnerStub(answered(200, REPORT), answered(202), answered(409))
+    runner = PersistentRunnerStub(http_response(200, REPORT_BODY), http_response(202), http_response(409))
     assert asyncio.run(runner.serve(call)) == (OrderOutcome.ACCEPTED, OrderOutcome.CONFLICT)
     assert runner.connections == 1
 
 
-def test_a_report_is_read_again_on_a_new_connection_where_a_kept_one_ends() -> None:
+def test_a_report_is_fetched_on_a_new_connection_if_a_reused_one_closes() -> None:
     async def call(client: OrderClient, address: str) -> RunnerReport | None:
         await client.report(RUNNER_ID, address)
         return await client.report(RUNNER_ID, address)
 
-    runner = PersistentRunnerStub(answered(200, REPORT), "reset", answered(200, REPORT))
+    runner = PersistentRunnerStub(http_response(200, REPORT_BODY), "reset", http_response(200, REPORT_BODY))
     assert asyncio.run(runner.serve(call)) is not None
     assert len(runner.seen) == 3
 
 
-def test_a_surplus_answer_behind_a_report_is_not_taken_for_that_of_an_order() -> None:
+def test_a_surplus_response_after_a_report_is_not_used_for_an_order() -> None:
     async def call(client: OrderClient, address: str) -> OrderOutcome:
         await client.report(RUNNER_ID, address)
         return await client.order(order_at(address), 41, math.inf)
 
-    runner = PersistentRunnerStub(answered(200, REPORT) + answered(202), answered(409))
+    runner = PersistentRunnerStub(http_response(200, REPORT_BODY) + http_response(202), http_response(409))
     assert asyncio.run(runner.serve(call)) is OrderOutcome.CONFLICT
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 202 X\r\nContent-Length: 9\r\n\r\nhalf",
         b"\0 no answer\r\n\r\n",
         b"HTTP/1.1 202 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nha",
     ],
 )
-def test_an_order_whose_answer_is_not_whole_may_have_been_taken(answer: bytes) -> None:
+def test_an_order_with_a_truncated_or_malformed_response_may_have_been_accepted(response: bytes) -> None:
     async def call(client: OrderClient, address: str) -> OrderOutcome:
         return await client.order(order_at(address), 41, math.inf)
 
-    assert asyncio.run(PersistentRunnerStub(answer, closes=True).serve(call)) is OrderOutcome.UNKNOWN
+    assert asyncio.run(PersistentRunnerStub(response, closes=True).serve(call)) is OrderOutcome.UNKNOWN
 
 
-def test_a_machine_is_one_holder_of_orders_whatever_its_name_and_across_restarts(
+def test_the_owner_of_orders_does_not_depend_on_the_node_name_or_on_restarts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The owner that its orders name is the address of its control process."""
+    """The owner in the orders is the address of the control process."""
     owners: list[str] = []
     monkeypatch.setattr(placer_role, "OrderClient", owners.append)
     for name, incarnation in (("core-1", "a"), ("core-1", "b"), ("renamed", "c")):
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -1,11 +1,11 @@
-"""Which load or unload is ordered next, for one runner that is full."""
+"""The next planned load or unload, for one runner without free memory."""
 
 import math
 import random
 
 from larchgw.configuration.model import Configuration
 from larchgw.placement.demand_tracker import DemandTracker
-from larchgw.placement.evictions import MODEL_RESIDENCE_S
+from larchgw.placement.evictions import MIN_MODEL_RESIDENCE_S
 from larchgw.placement.model import Order, OrderAction, PlacementSettings
 from larchgw.placement.planner import Planner
 from larchgw.placement.reconciler import Reconciler
@@ -18,7 +18,7 @@
 
 
 def make_full_reconciler(clock: FakeClock, configuration: Configuration) -> Reconciler:
-    """Knows one runner, which holds three models and has no memory left."""
+    """Returns a reconciler with one runner, which holds three models and has no free memory."""
     reconciler = make_reconciler(configuration)
     reconciler.update_runner(clock.now_s, runner_record(held=HELD))
     reconciler.receive_report(clock.now_s, R0, runner_report(HELD))
@@ -26,7 +26,7 @@
 
 
 def report_waiting(demand: DemandTracker, *urgency_ms_by_model: tuple[str, int]) -> None:
-    """One request waits for each named model."""
+    """Reports one waiting request for each model, with its remaining time."""
     lines = [
         model_demand(model, arrivals=1, waiting=1, urgency_ms=urgency_ms)
         for model, urgency_ms in urgency_ms_by_model
@@ -43,14 +43,14 @@
     )
 
 
-def test_a_load_that_can_meet_its_deadline_goes_before_one_that_can_not(
+def test_a_load_that_can_meet_its_deadline_precedes_one_that_cannot(
     clock: FakeClock, demand: DemandTracker
 ) -> None:
     configuration = make_configuration(count=8, load_s=3.0)
     report_waiting(demand, ("m5", 1000), ("m6", 4000))
     reconciler = make_full_reconciler(clock, configuration)
     orders = plan(clock, demand, reconciler, configuration)
-    assert [(order.action, order.purpose) for order in orders] == [(OrderAction.UNLOADING, "m6")]
+    assert [(order.action, order.makes_room_for) for order in orders] == [(OrderAction.UNLOADING, "m6")]
 
 
 def test_a_model_that_has_just_been_loaded_is_not_evicted(clock: FakeClock, demand: DemandTracker) -> None:
@@ -58,9 +58,9 @@
     report_waiting(demand, ("m5", 4000))
     reconciler = make_full_reconciler(clock, configuration)
     loaded_at_s = reconciler.runners[R0].loaded_at_s
-    loaded_at_s.update(dict.fromkeys(HELD, clock.now_s - MODEL_RESIDENCE_S + 0.1))
+    loaded_at_s.update(dict.fromkeys(HELD, clock.now_s - MIN_MODEL_RESIDENCE_S + 0.1))
     assert plan(clock, demand, reconciler, configuration) == []
-    loaded_at_s["m1"] = clock.now_s - MODEL_RESIDENCE_S
+    loaded_at_s["m1"] = clock.now_s - MIN_MODEL_RESIDENCE_S
     assert [order.name for order in plan(clock, demand, reconciler, configuration)] == ["m1"]
 
 
@@ -80,7 +80,7 @@
     assert plan(clock, demand, reconciler, configuration) == []
     reconciler.receive_report(
         clock.now_s, R1, runner_report(("m0",), order_count=1)
-    )  # it has brought nothing
+    )  # the predecessor's order has ended without effect
     assert [order.name for order in plan(clock, demand, reconciler, configuration)] == ["m5"]
 
 
--- a/tests/placement/test_polls.py
+++ b/tests/placement/test_polls.py
@@ -1,11 +1,11 @@
-"""Which runners are asked for a report, and how often."""
+"""Which runners are polled for a report, and how often."""
 
 from larchgw.placement.polls import MAX_POLL_INTERVAL_S
 
 from .builders import load, make_identified, make_reconciler, runner_record
 
 
-def test_a_large_deployment_is_not_polled_faster_than_it_answers() -> None:
+def test_a_large_deployment_is_not_polled_faster_than_it_responds() -> None:
     reconciler = make_reconciler()
     for number in range(300):
         reconciler.update_runner(0.0, runner_record(f"r{number}"))
--- a/tests/placement/test_popularity_change.py
+++ b/tests/placement/test_popularity_change.py
@@ -15,8 +15,8 @@
     names = ("m0", "m1", "m2", "m3")
     change.observe(0.0, names, {"m0": summary(10.0), "m1": summary(0.05)})
     change.observe(10.0, names, {"m0": summary(0.01), "m1": summary(0.05), "m2": summary(8.0)})
-    previously_busy, rare, never_asked = (
+    previously_busy, rare, never_requested = (
         change.expected_value_per_s(name, 15.0) for name in ("m0", "m1", "m3")
     )
-    assert previously_busy > never_asked > rare > 0.0
-    assert change.expected_value_per_s("m2", 15.0) > never_asked
+    assert previously_busy > never_requested > rare > 0.0
+    assert change.expected_value_per_s("m2", 15.0) > never_requested
--- a/tests/placement/test_reconciler.py
+++ b/tests/placement/test_reconciler.py
@@ -1,4 +1,4 @@
-"""The current state of runners: what orders, their outcomes, reports and check-ins make of it."""
+"""The state of runners after orders, their outcomes, reports and check-ins."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from larchgw.identifiers import RunnerId
 from larchgw.placement.errors import InvalidStateError
 from larchgw.placement.model import OrderOutcome
-from larchgw.placement.order_tracker import BACKOFF_S, NOT_TAKEN_AFTER_S
+from larchgw.placement.order_tracker import BACKOFF_S, NOT_ACCEPTED_TIMEOUT_S
 from larchgw.placement.runner_state import RunnerPhase
 from larchgw.runner_directory.runner_record import Stage
 
@@ -60,27 +60,27 @@
     assert reconciler.runners[R0].order_in_progress is not None
 
 
-def test_an_order_without_an_answer_counts_as_taken_until_reports_show_otherwise() -> None:
+def test_an_order_without_a_response_counts_as_accepted_until_reports_show_otherwise() -> None:
     reconciler = make_identified(("m0", "m1"))
     order = load("m2")
     reconciler.start_order(0.0, order)
     reconciler.receive_outcome(0.8, order, OrderOutcome.UNKNOWN)
     reconciler.receive_report(1.0, R0, runner_report(("m0", "m1"), order_count=0))
     assert not reconciler.runners[R0].can_take_order(1.0)
-    reconciler.receive_report(NOT_TAKEN_AFTER_S, R0, runner_report(("m0", "m1"), order_count=0))
-    assert reconciler.runners[R0].can_take_order(NOT_TAKEN_AFTER_S)
+    reconciler.receive_report(NOT_ACCEPTED_TIMEOUT_S, R0, runner_report(("m0", "m1"), order_count=0))
+    assert reconciler.runners[R0].can_take_order(NOT_ACCEPTED_TIMEOUT_S)
     limiter = reconciler.load_limiter
-    assert limiter.available(NOT_TAKEN_AFTER_S) == limiter.limit - 1
+    assert limiter.available(NOT_ACCEPTED_TIMEOUT_S) == limiter.limit - 1
 
 
-def test_an_order_without_an_answer_that_was_taken_is_followed_to_its_end() -> None:
+def test_an_accepted_order_without_a_response_is_tracked_to_its_end() -> None:
     reconciler = make_identified(("m0",))
     order = load("m1")
     reconciler.start_order(0.0, order)
     reconciler.receive_outcome(0.8, order, OrderOutcome.UNKNOWN)
     loading = runner_report(("m0",), is_occupied=True, order_count=1)
     reconciler.receive_report(1.0, R0, loading)
-    reconciler.receive_report(NOT_TAKEN_AFTER_S, R0, loading)
+    reconciler.receive_report(NOT_ACCEPTED_TIMEOUT_S, R0, loading)
     assert reconciler.runners[R0].order_in_progress is not None
     reconciler.receive_report(2.0, R0, runner_report(("m0", "m1"), order_count=1))
     assert reconciler.runners[R0].holds("m1")
@@ -100,7 +100,7 @@
     assert reconciler.expected_completions(1.0) == {"r0": {"m0/a1": 1.0}}
 
 
-def test_after_a_conflict_the_runner_is_asked_before_it_is_ordered_again() -> None:
+def test_after_a_conflict_the_runner_is_polled_before_its_next_order() -> None:
     reconciler = make_identified()
     order = load("m1")
     reconciler.start_order(0.0, order)
@@ -123,7 +123,7 @@
     assert reconciler.runners[R0].can_take_order(BACKOFF_S + 0.1)
 
 
-def test_what_another_runner_at_a_reused_address_holds_is_not_taken_for_this_ones() -> None:
+def test_a_runner_whose_address_is_reused_is_neither_polled_nor_ordered() -> None:
     reconciler = make_identified()
     order = load("m1")
     reconciler.start_order(0.0, order)
@@ -132,7 +132,7 @@
     assert not reconciler.runners[R0].can_take_order(60.0)
 
 
-def test_a_missing_model_for_an_adapter_is_no_other_runner() -> None:
+def test_a_421_for_an_adapter_does_not_stop_polls() -> None:
     reconciler = make_identified(("m0",))
     order = load("m0", adapter="a1")
     reconciler.start_order(0.0, order)
@@ -161,7 +161,7 @@
     assert reconciler.load_limiter.available(4.0) == reconciler.load_limiter.limit - 1
 
 
-def test_a_restarted_runner_is_another_one_whose_orders_are_forgotten() -> None:
+def test_a_restarted_runner_is_a_new_runner_without_earlier_orders() -> None:
     reconciler = make_identified(("m0", "m1"), order_count=4)
     reconciler.update_runner(1.0, runner_record("r0", stage=Stage.GONE))
     reconciler.update_runner(2.0, runner_record("r1"))
@@ -182,7 +182,7 @@
     assert reconciler.load_limiter.available(1.0) == reconciler.load_limiter.limit
 
 
-def test_after_the_lease_was_lost_nothing_is_ordered_before_reports_have_come() -> None:
+def test_after_the_lease_was_lost_no_order_is_sent_before_a_report() -> None:
     reconciler = make_identified()
     reconciler.lease_lost(1.0)
     assert not reconciler.runners[R0].can_take_order(1.0)
--- a/tests/placement/test_recorded_bytes.py
+++ b/tests/placement/test_recorded_bytes.py
@@ -1,7 +1,7 @@
-"""Placement sends, reads and decides what the code of commit 0d35ed7 did.
+"""Compares the encoding, decoding and decisions of placement with recordings of commit 0d35ed7.
 
-The fixtures were made by running that code: `wire.json` by the functions below, the decisions by
-`ScriptedPlay` with the arguments that stand at the test.
+The fixtures were recorded with that commit: `wire.json` with the functions below, the decisions with
+`ScriptedPlay` and the arguments in the parameters of its test.
 """
 
 import asyncio
@@ -84,7 +84,7 @@
 
 
 def demand_values(reports: list[str]) -> list[Any]:
-    """What is known of demand a second after each report."""
+    """Returns the state of the demand tracker one second after each report."""
     now = [100.0]
     demand = DemandTracker(lambda: now[0])
     values: list[Any] = []
@@ -110,10 +110,10 @@
 
 
 async def requests_on_the_wire() -> list[str]:
-    """The bytes that a runner gets for an order and for a report, with its own address taken out."""
+    """Returns the bytes that a runner gets for an order and for a report; its address is replaced."""
     seen: list[bytes] = []
 
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         length = next(
             (int(line[16:]) for line in head.split(b"\r\n") if line.startswith(b"Content-Length")), 0
@@ -122,7 +122,7 @@
         writer.write(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
         writer.close()
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0)
     address = "{}:{}".format(*server.sockets[0].getsockname())
     client = OrderClient("control-1")
     try:
--- a/tests/placement/test_served_requests.py
+++ b/tests/placement/test_served_requests.py
@@ -1,4 +1,4 @@
-"""What demand must get from placement, and what an order may never do, in played deployments."""
+"""Requests served in time, and limits that orders must never exceed, in simulated deployments."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -17,22 +17,22 @@
 )
 
 
-def test_rare_models_that_are_nowhere_are_served_within_their_load_time() -> None:
+def test_requests_for_rare_models_without_holders_are_served_in_time() -> None:
     streams = [busy_stream(("m0", "m1")), rare_stream(model_names(2, 24))]
     world = play(make_deployment(streams, models=24))
     assert share_in_time(request for request in world.asked if request.worth == RARE_WORTH) > 0.9
     assert_no_rule_broken(world)
 
 
-def test_no_model_that_is_asked_for_repeatedly_starves() -> None:
+def test_each_model_that_is_requested_repeatedly_is_served() -> None:
     streams = [busy_stream(("m0", "m1")), rare_stream(model_names(2, 40), 0.1)]
     world = play(make_deployment(streams, models=40, seconds=40.0))
     served = {request.model for request in world.asked if request.begun_at >= 0}
-    asked_often = {
+    requested_often = {
         name for name in model_names(0, 40) if sum(request.model == name for request in world.asked) >= 4
     }
-    assert asked_often
-    assert asked_often <= served
+    assert requested_often
+    assert requested_often <= served
     assert_no_rule_broken(world)
 
 
@@ -43,7 +43,7 @@
     assert len(late) <= 1
 
 
-def test_demand_that_moves_to_other_models_is_followed() -> None:
+def test_placement_follows_demand_that_moves_to_other_models() -> None:
     streams = [
         busy_stream(("m0", "m1"), 20.0, 0.0, 15.0),
         busy_stream(("m6", "m7"), 20.0, 15.0),
@@ -87,7 +87,7 @@
 
 @settings(max_examples=15, deadline=None)
 @given(st.integers(0, 10**6), st.integers(3, 6), st.sampled_from([0.6, 3.0]), st.floats(0.5, 3.0))
-def test_no_runner_is_ever_overloaded_and_no_window_overdrawn(
+def test_no_runner_exceeds_its_memory_and_no_window_exceeds_the_load_limit(
     seed: int, runners: int, load_s: float, loads_per_s: float
 ) -> None:
     streams = [
@@ -108,7 +108,7 @@
     assert_no_rule_broken(play(deployment, seed, LossyCalls))
 
 
-def test_lost_answers_do_not_stop_placement() -> None:
+def test_lost_responses_do_not_stop_placement() -> None:
     streams = [busy_stream(("m0", "m1")), rare_stream(model_names(2, 20))]
     world = play(make_deployment(streams, models=20), calls=LossyCalls)
     assert share_in_time(request for request in world.asked if request.worth == RARE_WORTH) > 0.6
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -1,4 +1,4 @@
-"""The placement service under a lease that ends, changes hands or was never held, and what it publishes."""
+"""The placement service when its lease ends, changes or is absent, and the completions that it publishes."""
 
 import asyncio
 import math
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def make_world() -> MakeWorld:
-    """Makes a world of rare models that need loads all the time."""
+    """Returns a factory of simulated worlds with rarely requested models, which need frequent loads."""
 
     def make(seconds: float) -> World:
         return World(make_deployment([rare_stream(model_names(0, 20), 0.2)], models=20, seconds=seconds), 1)
@@ -38,7 +38,7 @@
 def make_service(
     world: World, lease: Callable[[], Lease | None], calls: Calls | None = None, **options: Any
 ) -> tuple[PlacementService, PlacementRuntime]:
-    """A service in the world's virtual time, and its runtime."""
+    """Returns a service in the world's virtual time, and its runtime."""
     runtime = PlacementRuntime(lambda: world.now, lease, calls or Calls(world), spawn=run_at_once, **options)
     service = PlacementService(runtime)
     service.configure(world.deployment.configuration())
@@ -49,7 +49,7 @@
     world.play(service.step, service.update_runner, service.receive_demand_report)
 
 
-def test_nothing_is_ordered_without_the_lease(make_world: MakeWorld) -> None:
+def test_no_order_or_poll_is_sent_without_the_lease(make_world: MakeWorld) -> None:
     world = make_world(5.0)
     service, _ = make_service(world, lambda: None)
     play_service(world, service)
@@ -57,12 +57,12 @@
 
 
 class ScriptedPermits(UnrestrictedOrderPermits):
-    """Permits orders as the test says.
+    """Order permits with results that the test sets.
 
     Attributes:
-        announced: Runners in the order of the announcements.
-        permitted_until: For every runner.
-        free_at: By runner; the others are free.
+        announced: Ids of the runners, in the order of the announcements.
+        permitted_until: Result of `permitted_until_s` for all runners.
+        free_at: Results of `free_at_s` by runner id; all other runners are free.
     """
 
     def __init__(self) -> None:
@@ -86,8 +86,8 @@
         return self.history
 
 
-class BeginTimes(Calls):
-    """Notes until when each order may be begun."""
+class RecordingCalls(Calls):
+    """Records `begin_by_s` of each order."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
@@ -110,16 +110,16 @@
     assert max(sent_at(world)) < 5.0
 
 
-def test_every_order_is_announced_first_and_sent_with_the_end_of_its_permit(make_world: MakeWorld) -> None:
+def test_each_order_is_announced_and_then_sent_with_the_end_of_its_permit(make_world: MakeWorld) -> None:
     world, permits = make_world(9.0), ScriptedPermits()
     permits.permitted_until = 6.0
-    calls = BeginTimes(world)
+    calls = RecordingCalls(world)
     service, _ = make_service(world, HeldLease, calls, permits=permits)
     play_service(world, service)
     assert sent_at(world)
     assert max(sent_at(world)) < 6.0
     assert set(calls.begin_by) == {6.0}
-    assert len(permits.announced) > len(calls.begin_by)  # those after the end were announced, and not sent
+    assert len(permits.announced) > len(calls.begin_by)  # orders after the end were announced but not sent
 
 
 def test_an_order_that_is_not_permitted_is_not_sent_and_reserves_no_load(make_world: MakeWorld) -> None:
@@ -132,7 +132,7 @@
     assert service._reconciler.load_limiter.reserved_runner_ids() == set()
 
 
-def test_a_runner_that_another_placer_ordered_at_lately_is_left_alone_and_others_are_not(
+def test_only_runners_with_recent_orders_of_another_process_wait_for_orders(
     make_world: MakeWorld,
 ) -> None:
     world, permits = make_world(9.0), ScriptedPermits()
@@ -146,7 +146,7 @@
     assert blocked not in permits.announced[: len([at for at in sent_at(world) if at < 6.0])]
 
 
-def test_a_runner_that_still_works_for_a_predecessor_does_not_hold_up_the_first_orders(
+def test_a_runner_with_an_order_of_a_predecessor_does_not_delay_the_first_orders(
     make_world: MakeWorld,
 ) -> None:
     world = make_world(6.0)
@@ -168,18 +168,18 @@
     ]
 
 
-def test_loads_wait_one_window_from_where_their_history_begins(make_world: MakeWorld) -> None:
-    """Not from the acquisition of the lease, which may come seconds later."""
+def test_loads_wait_one_window_from_the_start_of_their_history(make_world: MakeWorld) -> None:
+    """Not from the acquisition of the lease, which may be seconds later."""
     world, permits = make_world(12.0), ScriptedPermits()
     permits.history = LoadHistory(1.5, ())
     service, runtime = make_service(world, lambda: HeldLease() if world.now >= 3.0 else None, permits=permits)
-    world.runners[0].call_count = 1  # somebody has ordered there before
+    world.runners[0].call_count = 1  # the runner has accepted an order before
     world.runners[0]._note(0.0)
     play_service(world, service)
     assert 1.5 <= min(store_loads_at(world)) - runtime.settings.load_window_s < 3.0
 
 
-def test_a_holder_that_knows_all_loads_before_its_own_counts_them_and_does_not_pause(
+def test_a_lease_holder_with_a_complete_load_history_counts_it_and_does_not_pause(
     make_world: MakeWorld,
 ) -> None:
     world, permits = make_world(12.0), ScriptedPermits()
@@ -192,23 +192,26 @@
     loads_at = sorted(store_loads_at(world))
     assert loads_at[0] < 3.5
     assert loads_at[1] > 2.9 + runtime.settings.load_window_s
-    assert 0 < permits.store_loads <= len(loads_at)  # a model that was held before comes from the disk
+    assert 0 < permits.store_loads <= len(loads_at)  # a model that was held before is loaded from disk
 
 
-def test_an_order_that_was_queued_until_the_lease_was_lost_is_not_sent(make_world: MakeWorld) -> None:
-    """Runners that give no answer take up all slots; when one is free, another process may have ordered."""
+def test_an_order_that_is_queued_while_the_lease_is_lost_is_not_sent(make_world: MakeWorld) -> None:
+    """Guards against sending a queued order without the lease.
+
+    Unresponsive runners use all order slots; when one is free, another process may hold the lease.
+    """
     sent: list[Order] = []
     leases: list[HeldLease | None] = [HeldLease(1, 99.0)]
-    answered = asyncio.Event()
+    released = asyncio.Event()
 
-    class UnansweredCalls(Calls):
+    class BlockedCalls(Calls):
         async def order(self, order: Order, fencing_token: int, begin_by_s: float) -> OrderOutcome:
             sent.append(order)
-            await answered.wait()
+            await released.wait()
             return OrderOutcome.UNKNOWN
 
     async def send_orders() -> None:
-        service, _ = make_service(world, lambda: leases[0], UnansweredCalls(world))
+        service, _ = make_service(world, lambda: leases[0], BlockedCalls(world))
         tasks = [
             asyncio.ensure_future(service._exchange.send_order(load("m", f"r{number}"), 1))
             for number in range(MAX_ORDERS + 1)
@@ -217,7 +220,7 @@
         await asyncio.sleep(0)
         assert len(sent) == MAX_ORDERS
         leases[0] = None
-        answered.set()
+        released.set()
         await asyncio.gather(*tasks)
 
     world = make_world(9.0)
@@ -225,7 +228,7 @@
     assert len(sent) == MAX_ORDERS
 
 
-def test_after_an_answer_that_a_higher_fencing_token_was_seen_nothing_more_is_ordered() -> None:
+def test_no_more_orders_are_sent_after_a_fenced_response() -> None:
     sent: list[Order] = []
 
     class FencedCalls(Calls):
@@ -235,7 +238,7 @@
 
     deployment = make_deployment([rare_stream(model_names(0, 20), 0.4)], models=20, seconds=12.0)
     play(deployment, calls=FencedCalls)
-    assert 1 <= len(sent) <= 4  # those of one round
+    assert 1 <= len(sent) <= 4  # the orders of one round
 
 
 def test_a_new_holder_reads_every_report_before_its_first_order_there() -> None:
@@ -256,8 +259,8 @@
         assert seen.index(("report", runner_id)) < seen.index(("order", runner_id))
 
 
-def test_two_holders_in_turn_never_overload_a_runner() -> None:
-    """The second takes over while loads of the first are in progress."""
+def test_two_successive_lease_holders_never_overload_a_runner() -> None:
+    """The second acquires the lease while loads of the first are in progress."""
     deployment = make_deployment([rare_stream(model_names(0, 30), 0.3)], models=30, seconds=20.0, load_s=3.0)
     world = World(deployment, 3)
     services = []
