--- a/larchgw/placement/holder_value.py
+++ b/larchgw/placement/holder_value.py
@@ -12,9 +12,8 @@
 
 from .model import PlacementSettings
 
-MISSING_REPLICA_COST = (
-    0.3  # share of their value that requests lose if the replica that would serve them is missing
-)
+# Share of their value that requests lose if the replica that would serve them is missing.
+MISSING_REPLICA_COST = 0.3
 MIN_UTILIZATION = 0.15  # lower bound of the utilization by which this loss is scaled
 MAX_SPARE_REPLICAS = 2.0  # replicas of a model with little work, in case a runner is lost
 
--- a/larchgw/placement/order_tracker.py
+++ b/larchgw/placement/order_tracker.py
@@ -20,9 +20,8 @@
 
 log = structlog.get_logger()
 
-NOT_ACCEPTED_TIMEOUT_S = (
-    1.5  # after a send without a response; by then a report shows the order if it was accepted
-)
+# After a send without a response; by then a report shows the order if it was accepted.
+NOT_ACCEPTED_TIMEOUT_S = 1.5
 BACKOFF_S = 1.0  # pause in orders to a runner after one was not accepted or had no effect
 
 
--- a/larchgw/placement/polls.py
+++ b/larchgw/placement/polls.py
@@ -7,9 +7,8 @@
 from ..identifiers import RunnerId
 from .runner_state import RunnerState
 
-MIN_POLL_INTERVAL_S = (
-    0.15  # between polls of a runner whose order should be complete; grows up to the maximum
-)
+# Between polls of a runner whose order should be complete; grows up to the maximum.
+MIN_POLL_INTERVAL_S = 0.15
 MAX_POLL_INTERVAL_S = 0.4
 POLL_INTERVAL_GROWTH = 1.3
 UNREACHABLE_POLL_INTERVAL_S = 1.0  # between polls of a runner that does not respond
--- a/larchgw/placement/runner_exchange.py
+++ b/larchgw/placement/runner_exchange.py
@@ -17,9 +17,8 @@
 
 log = structlog.get_logger()
 
-MAX_ORDER_QUEUE_S = (
-    0.3  # limit on the time between planning and sending; an older order is dropped and planned anew
-)
+# Limit on the time between planning and sending; an older order is dropped and planned anew.
+MAX_ORDER_QUEUE_S = 0.3
 
 
 class RunnerExchange:
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -33,9 +33,8 @@
 BUSY_PERIOD_S = 0.05  # between rounds while an order is in progress or a request waits
 IDLE_PERIOD_S = 0.25
 MAX_PLANNING_SHARE = 0.1  # upper bound on the share of time spent on planning, for any size of deployment
-REPORTS_TIMEOUT_S = (
-    0.5  # after acquiring the lease; by then most runners have responded, so that planning includes them
-)
+# After acquiring the lease; by then most runners have responded, so that planning includes them.
+REPORTS_TIMEOUT_S = 0.5
 
 
 class PlacementService:
--- a/larchgw/routing/missing_model.py
+++ b/larchgw/routing/missing_model.py
@@ -23,9 +23,8 @@
 MAX_OVERDUE_S = 2.5  # a load is given up this long after its expected end: two check-ins would show it
 ADAPTER_LOAD_S = 0.15  # from the first request for an adapter until dispatchers see it loaded
 LOAD_NOTICE_DELAY_S = 0.1  # from the expected end of a load until dispatchers see it
-EARLY_REJECT_SHARE = (
-    0.2  # of the time until the target; clients lose little by a rejection within a quarter of it
-)
+# Of the time until the target; clients lose little by a rejection within a quarter of it.
+EARLY_REJECT_SHARE = 0.2
 FIRST_TRY_SHARE = 0.985  # of the route's deadline; a first try has at least this much time left
 MAX_WAIT_SHARE = 0.45  # of a request's total time that it may wait with no load in progress
 # A client cancels a stream that sends nothing for the longest of: a fixed time, a multiple of its latency
--- a/larchgw/routing/service_terms.py
+++ b/larchgw/routing/service_terms.py
@@ -8,9 +8,8 @@
 
 # Share of its load time that a model takes if the runner loads it from its local disk.
 RELOAD_SHARE = 0.2
-TYPICAL_ORDER_DELAY_S = (
-    0.3  # typical time from the first request for a model until a runner starts to load it
-)
+# Typical time from the first request for a model until a runner starts to load it.
+TYPICAL_ORDER_DELAY_S = 0.3
 MIN_ORDER_DELAY_S = 0.1  # the minimum of that time
 QUEUED_LOADS = 2.0  # typical number of loads ahead of a new one at the weight store
 DEFAULT_SLOTS = 4  # if the configuration has none and the runner has not reported its slots
--- a/larchgw/runner_directory/__init__.py
+++ b/larchgw/runner_directory/__init__.py
@@ -1,11 +1,12 @@
-"""What is known of runners, from their check-ins.
+"""The directory of runners, built from their check-ins.
 
 Modules:
-    check_in_parser  a check-in's JSON body, read into a RunnerRecord
-    runner_record    a runner as its check-ins describe it, its stages, and its form in the registry
-    directory        a control process's part: from check-ins to registry entries, silence, tombstones
-    runner_view      a dispatcher's index of runners by id and by service
+    check_in_parser  parses the JSON body of a check-in into a RunnerRecord
+    runner_record    record of a runner, its lifecycle stages, and its encoding in the registry
+    directory        for control processes: registry entries from check-ins, silence time-out, tombstones
+    runner_view      for dispatchers: index of runners by id and by service
 
-A runner counts for the control process that acknowledged it last; when that process is lost, the others start
-the silence time-out of its runners anew. A record is published again only when its content has changed.
+A runner is owned by the control process that last acknowledged one of its check-ins. When that process is
+lost, the others restart the silence time-out of its runners. A record is published again only when its
+content changes.
 """
--- a/larchgw/runner_directory/check_in_parser.py
+++ b/larchgw/runner_directory/check_in_parser.py
@@ -1,8 +1,8 @@
-"""A check-in's JSON body, read into a RunnerRecord.
+"""Parses the JSON body of a check-in into a RunnerRecord.
 
-Fields that are not known are ignored; missing ones get the default of RunnerRecord where the runner can be
-used without them. Only `service` and `address` must be there. The JSON names are part of the protocol between
-runners and control processes, and are written out here.
+Unknown fields are ignored. Only `service` and `address` are required; other missing fields get the defaults
+of RunnerRecord. The JSON names are part of the protocol between runners and control processes, and are
+therefore written out as string literals.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from .errors import CheckInError
 from .runner_record import HeldModel, RunnerRecord, Stage
 
-MAX_EXACT_NUMBER = 2.0**53  # above it numbers of JSON are not exact
+MAX_EXACT_NUMBER = 2.0**53  # above this, a JSON number may not be represented exactly
 MAX_PORT = 65535
 STAGES_BY_STATE = {"ready": Stage.READY, "draining": Stage.DRAINING}
 
 
 def parse_check_in(runner_id: str, body: bytes) -> RunnerRecord:
-    """Reads a check-in.
+    """Parses a check-in.
 
     Args:
-        runner_id: The id in the path of the request.
-        body: Its body.
+        runner_id: The id from the path of the request.
+        body: The body of the request.
 
     Returns:
-        The runner as it describes itself, without an owner.
+        The record of the runner, without an owner.
 
     Raises:
-        CheckInError: The check-in cannot be used.
+        CheckInError: The check-in is invalid.
     """
     if not runner_id:
         raise CheckInError("id", "is empty", "put the runner's id into the path")
--- a/larchgw/runner_directory/directory.py
+++ b/larchgw/runner_directory/directory.py
@@ -1,29 +1,28 @@
-"""A control process's part in knowing the runners: from check-ins to registry entries.
+"""The runner directory of a control process: publishes check-ins of runners as registry entries.
 
-Pure but for its clock.
+It does no I/O other than reading its clock.
 
 Stages
-    The registry orders what control processes say of one runner by the runner's own `call_count` (major),
-    then by stage (minor): whoever heard the later check-in is right, and of two that heard the same one the
-    later stage stands. DRAINING is kept on by every later check-in. GONE is published above every count, so
-    nothing brings a runner back that has said that it leaves. Only READY turns to SILENT: a draining runner
-    gets no requests whether it checks in or not.
-
-        READY <-> SILENT    no check-in for the silence time-out; the next check-in
-        READY, SILENT -> DRAINING    a check-in that says so
+    The registry orders the entries that control processes publish for one runner by the runner's own
+    `call_count` (major), then by stage (minor). The entry of the later check-in wins, and of two entries for
+    the same check-in, the one with the later stage. Later check-ins do not end DRAINING. GONE is published
+    with a major version above every count, so that a runner that has left never comes back. Only READY
+    changes to SILENT, since a draining runner gets no requests whether it checks in or not.
+
+        READY <-> SILENT    no check-in within the silence time-out; the next check-in
+        READY, SILENT -> DRAINING    a check-in with the state "draining"
         READY, SILENT, DRAINING -> GONE    Leave
 
-Who watches whom
-    A record names as its owner the process that acknowledged the runner's last check-in. The owner publishes
-    SILENT when no check-in has come for SILENCE_TIMEOUT_HEARTBEATS heartbeat intervals. A runner that takes
-    its check-ins elsewhere is published by the new owner, since its owner is part of its content, and the
-    former stops watching. Should a record of an earlier check-in than the last one heard here come in, this
-    process publishes what it heard. When an owner is lost, every other process gives its runners as long
-    again to check in elsewhere, then publishes them as SILENT.
-
-    A pause of this process itself (freeze) is no silence of the runners: clocks stand still over it. Neither
-    is a time in which it is cut off from the majority, since the runners that it turns away then are heard by
-    others.
+Ownership
+    The owner of a record is the process that acknowledged the runner's last check-in. It publishes SILENT
+    when no check-in was received for SILENCE_TIMEOUT_HEARTBEATS heartbeat intervals. If a runner checks in at
+    another process, that process publishes a record with itself as owner, and the former owner stops
+    monitoring the runner. If a process receives a record of an earlier check-in than the last one that it has
+    received itself, it publishes its own. When an owner is lost, all other processes wait for another silence
+    time-out, in which its runners can check in elsewhere, and then publish them as SILENT.
+
+    Time in which this process was paused (frozen) does not count towards the time-outs. Neither does time in
+    which it is cut off from the majority, since it then rejects check-ins, which other processes receive.
 """
 
 from __future__ import annotations
@@ -40,20 +39,21 @@
 from .runner_record import RunnerRecord, Stage
 
 log = structlog.get_logger()
-SILENCE_TIMEOUT_HEARTBEATS = 3.2  # two check-ins may be lost on their way, and the third be late
-TOMBSTONE_RETENTION_S = 300.0  # of runners that are gone or silent; longer than a process may be cut off
-EXPIRY_INTERVAL_S = 10.0  # between two looks for tombstones that have expired
+SILENCE_TIMEOUT_HEARTBEATS = 3.2  # tolerates two lost check-ins and a late third one
+TOMBSTONE_RETENTION_S = 300.0  # for runners that are not ready; longer than a process may be cut off
+EXPIRY_INTERVAL_S = 10.0  # between two searches for expired tombstones
 GONE_MAJOR = 2**62  # above every call_count
 
 
 @dataclass(frozen=True, slots=True)
 class CheckInOutcome:
-    """What a check-in or Leave changed.
+    """Result of a check-in or Leave.
 
     Attributes:
-        is_published: An entry was published for it.
-        needs_replication: The runner drains or is gone, and `RunnerDirectory.mark_replicated` has not been
-            called for that yet: a majority of the control processes must have it before it is acknowledged.
+        is_published: Whether an entry was published.
+        needs_replication: Whether a majority of the control processes must have the record before the call
+            is acknowledged. True if the runner is draining or gone, until `RunnerDirectory.mark_replicated`
+            is called for that stage.
     """
 
     is_published: bool
@@ -62,32 +62,32 @@
 
 @dataclass(slots=True)
 class _Heartbeat:
-    """The last check-in heard here of a runner that this process watches."""
+    """The last check-in that this process received from a runner that it monitors."""
 
     record: RunnerRecord
-    heard_at: float
+    received_at: float
 
 
 def has_same_content(old: RunnerRecord, new: RunnerRecord) -> bool:
-    """Returns whether the difference is nothing that others need to know.
+    """Returns whether the records differ only in values that need no publication.
 
-    That is: counts, and the times that run down by themselves until they come to an end.
+    These are the call count, and remaining times as long as they have not run out.
     """
-    alike = replace(
+    normalised = replace(
         new, call_count=old.call_count, warm_up_left_ms=old.warm_up_left_ms, time_left_ms=old.time_left_ms
     )
     return (
-        alike == old
+        normalised == old
         and (new.warm_up_left_ms > 0.0) == (old.warm_up_left_ms > 0.0)
         and (new.time_left_ms >= 0.0) == (old.time_left_ms >= 0.0)
     )
 
 
 class RunnerDirectory:
-    """The runners that this control process knows, and those that it watches.
+    """All known runners, and the heartbeats of those that this control process monitors.
 
     Attributes:
-        owner: Names this incarnation of the process in the records of the runners that it watches.
+        owner: Name of this incarnation of the process in the records of the runners that it monitors.
     """
 
     def __init__(
@@ -98,16 +98,15 @@
         owner: str,
         is_owner_alive: Callable[[str], bool] = lambda owner: True,
     ) -> None:
-        """Reads the runners that the registry knows, and follows it from now on.
+        """Reads the runners in the registry, and subscribes to its changes.
 
         Args:
-            registry: Where records are published and come from.
-            clock: Seconds, monotonic.
+            registry: The registry that records are read from and published to.
+            clock: Returns monotonic time in seconds.
             heartbeat_interval_s: Seconds between two check-ins of a runner.
-            owner: Names this incarnation of the process.
-            is_owner_alive: Whether a process still answers for the runners of the incarnation that a record
-                names as its owner. While this process is itself cut off from the majority it must say True,
-                since it cannot know.
+            owner: Name of this incarnation of the process.
+            is_owner_alive: Returns whether the owner named in a record still monitors its runners. It must
+                return True while this process is cut off from the majority, since it cannot know.
         """
         self.owner = owner
         self._registry = registry
@@ -117,7 +116,7 @@
         self._records: dict[str, RunnerRecord] = {}
         self._changed_at: dict[str, float] = {}
         self._ids_by_owner: dict[str, set[str]] = {}
-        self._heartbeats: dict[str, _Heartbeat] = {}  # the one heard longest ago first
+        self._heartbeats: dict[str, _Heartbeat] = {}  # the one received longest ago first
         self._replicated_stages: dict[str, Stage] = {}
         self._owner_lost_since: dict[str, float] = {}
         self._last_tick_at = clock()
@@ -129,15 +128,15 @@
 
     @property
     def silence_timeout_s(self) -> float:
-        """Seconds without a check-in after which a runner counts as silent."""
+        """Seconds without a check-in after which a runner is published as silent."""
         return SILENCE_TIMEOUT_HEARTBEATS * self._heartbeat_interval_s
 
     def get(self, runner_id: str) -> RunnerRecord | None:
-        """Returns the record of a runner, whatever its stage."""
+        """Returns the record of a runner in any stage; None if it is unknown."""
         return self._records.get(runner_id)
 
     def runners(self, service: str | None = None) -> list[RunnerRecord]:
-        """Returns all that are not gone, or those of one service."""
+        """Returns all runners that are not gone, optionally only those of one service."""
         return [
             record
             for record in self._records.values()
@@ -145,9 +144,9 @@
         ]
 
     def check_in(self, record: RunnerRecord) -> CheckInOutcome:
-        """Takes a check-in as `parse_check_in` read it.
+        """Processes a check-in that was parsed by `parse_check_in`.
 
-        One that is overtaken by a later one, or by the runner's Leave, changes nothing.
+        A check-in that arrives after a later one, or after the runner's Leave, changes nothing.
         """
         known = self._records.get(record.id)
         is_gone = known is not None and known.stage is Stage.GONE
@@ -160,36 +159,39 @@
         return self._outcome(record.id, self._publish(new))
 
     def leave(self, runner_id: str) -> CheckInOutcome:
-        """Takes a Leave: the runner ends.
+        """Processes a Leave: the runner shuts down.
 
-        Also published for a runner that is not known here: its record may yet come.
+        It is published for an unknown runner too, since its record may arrive later.
         """
         known = self._records.get(runner_id)
         if known is not None and known.stage is Stage.GONE:
             return self._outcome(runner_id, is_published=False)
         record = known or RunnerRecord(RunnerId(runner_id), service="", address="", zone="")
-        gone = replace(record, stage=Stage.GONE, models=(), owner=self.owner)
-        return self._outcome(runner_id, self._publish(gone))
+        tombstone = replace(record, stage=Stage.GONE, models=(), owner=self.owner)
+        return self._outcome(runner_id, self._publish(tombstone))
 
     def mark_replicated(self, runner_id: str, stage: Stage) -> None:
-        """Notes that a majority of the control processes knows that the runner has come to `stage`.
+        """Records that a majority of the control processes has the runner's record with `stage`.
 
-        Saying it again then needs no replication. A later stage may have come meanwhile, and still needs it.
+        Further calls with this stage need no replication. A later stage, which the runner may have reached in
+        the meantime, still needs it.
         """
         if runner_id in self._records:
             self._replicated_stages[runner_id] = stage
 
     def tick(self, now: float, isolated: bool = False) -> None:
-        """Publishes runners as silent and removes tombstones; call it several times a heartbeat interval.
+        """Publishes silent runners and removes expired tombstones.
+
+        To be called several times in each heartbeat interval.
 
         Args:
-            now: The time by `clock`.
-            isolated: Whether this process is cut off from the majority and turns runners away now.
+            now: Current time on `clock`.
+            isolated: Whether this process is cut off from the majority and therefore rejects check-ins.
         """
         pause_s = now - self._last_tick_at
         self._last_tick_at = now
         if isolated or pause_s > self._heartbeat_interval_s:
-            self._shift_clocks(pause_s)
+            self._extend_timeouts(pause_s)
         self._publish_silent_runners(now)
         self._publish_runners_of_lost_owners(now)
         if now - self._last_expiry_at >= EXPIRY_INTERVAL_S:
@@ -197,7 +199,7 @@
             self._remove_expired(now)
 
     def validate_state(self) -> None:
-        """Raises AssertionError if the indexes disagree with the records; for tests."""
+        """Raises AssertionError if the indexes are inconsistent with the records; for tests."""
         assert self._changed_at.keys() == self._records.keys()
         owned = {(owner, id) for owner, ids in self._ids_by_owner.items() for id in ids}
         assert owned == {(record.owner, id) for id, record in self._records.items()}
@@ -212,7 +214,7 @@
         return CheckInOutcome(is_published, needs_replication)
 
     def _highest_count(self, runner_id: str) -> int:
-        """Returns the highest call_count known of the runner; -1 if it is not known."""
+        """Returns the highest known call_count of the runner; -1 if it is unknown."""
         heartbeat, known = self._heartbeats.get(runner_id), self._records.get(runner_id)
         return max(heartbeat.record.call_count if heartbeat else -1, known.call_count if known else -1)
 
@@ -225,7 +227,7 @@
         return self._registry.put(RUNNER_PREFIX + record.id, record.encode(), major, int(record.stage))
 
     def _update(self, entry: Entry) -> None:
-        """Follows the entry of a runner that is new in the registry, made here or elsewhere."""
+        """Processes a new registry entry, which this or another process has published."""
         record = RunnerRecord.decode(entry.value)
         self._index(record)
         heartbeat = self._heartbeats.get(record.id)
@@ -252,16 +254,16 @@
         if not self._ids_by_owner[old.owner]:
             del self._ids_by_owner[old.owner]
 
-    def _shift_clocks(self, seconds: float) -> None:
-        """This process did not run, or turned runners away, for that long: their silence means nothing."""
+    def _extend_timeouts(self, seconds: float) -> None:
+        """Extends all silence time-outs by the time in which this process was paused or isolated."""
         for heartbeat in self._heartbeats.values():
-            heartbeat.heard_at += seconds
+            heartbeat.received_at += seconds
         self._owner_lost_since = {owner: at + seconds for owner, at in self._owner_lost_since.items()}
 
     def _publish_silent_runners(self, now: float) -> None:
         overdue = []
         for runner_id, heartbeat in self._heartbeats.items():
-            if now - heartbeat.heard_at < self.silence_timeout_s:
+            if now - heartbeat.received_at < self.silence_timeout_s:
                 break
             overdue.append(runner_id)
         for runner_id in overdue:
@@ -307,7 +309,7 @@
 
 
 def _later_stage(checked_in: RunnerRecord, known: RunnerRecord | None) -> Stage:
-    """Returns the stage after a check-in, which ends a silence and nothing else that was said before."""
+    """Returns the stage after a check-in, which ends SILENT but no later stage."""
     if known is None or known.stage is Stage.SILENT:
         return checked_in.stage
     return max(checked_in.stage, known.stage)
--- a/larchgw/runner_directory/errors.py
+++ b/larchgw/runner_directory/errors.py
@@ -4,22 +4,22 @@
 
 
 class RunnerDirectoryError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class CheckInError(RunnerDirectoryError):
-    """A check-in that cannot be used.
+    """An invalid check-in.
 
     Attributes:
-        field: The JSON field that is wrong, `body` or `id`; inside lists as in `models[0].adapters`.
-        problem: What is wrong with it.
+        field: The invalid JSON field, such as `models[0].adapters`; or `body` or `id`.
+        problem: Why it is invalid.
         remedy: What to send instead.
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
     """
 
     status = 400
 
     def __init__(self, field: str, problem: str, remedy: str) -> None:
-        """Makes the text of the answer out of the three."""
+        """Builds the text of the response from the three parts."""
         super().__init__(f"{field}: {problem}; {remedy}")
         self.field, self.problem, self.remedy = field, problem, remedy
--- a/larchgw/runner_directory/runner_record.py
+++ b/larchgw/runner_directory/runner_record.py
@@ -1,6 +1,6 @@
-"""A runner as its check-ins describe it, and its form in the registry.
+"""Record of a runner, built from its check-ins, and its encoding in the registry.
 
-In the registry a record is a JSON array: the order of its elements is the wire format, field names are not
+In the registry a record is a JSON array. The order of the elements is the wire format; field names are not
 part of it.
 """
 
@@ -15,15 +15,15 @@
 
 
 class Stage(IntEnum):
-    """How far a runner has come in its lifecycle; never goes back, but from SILENT to READY.
+    """Stage in the lifecycle of a runner; it never decreases, except from SILENT to READY.
 
-    The numbers are stored and sent; the names stand in statuses in lower case.
+    The numbers are stored and sent on the wire; the names in lower case appear in status output.
 
     Attributes:
-        READY: It takes requests.
-        SILENT: Its check-ins have stopped; a later one brings it back.
-        DRAINING: It takes no new requests (graceful shutdown).
-        GONE: It has left for good; its record is a tombstone.
+        READY: The runner accepts requests.
+        SILENT: Its check-ins have stopped; a later check-in makes it READY again.
+        DRAINING: It accepts no new requests (graceful shutdown).
+        GONE: It has left permanently; its record is a tombstone.
     """
 
     READY = 0
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldModel:
-    """A model that a runner holds.
+    """A model that a runner has loaded.
 
     Attributes:
-        name: Of the model.
-        config_version: Version of the configuration that its weights are from.
-        adapters: Names of the adapters that are loaded with it.
+        name: Name of the model.
+        config_version: Version of the configuration from which its weights were loaded.
+        adapters: Names of its loaded adapters.
     """
 
     name: str
@@ -49,24 +49,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerRecord:
-    """The newest that is known of one incarnation of a runner.
+    """Latest known state of one incarnation of a runner.
 
     Attributes:
-        id: Names this incarnation.
-        service: The service that it serves.
+        id: Id of the incarnation.
+        service: The service that it belongs to.
         address: Its `host:port`.
-        zone: The zone that it runs in; empty: not reported.
-        stage: How far it has come in its lifecycle.
-        slots: How many requests it works on at once.
-        config_version: As reported; passed on unchanged.
-        phase: As reported; passed on unchanged.
-        warm_up_left_ms: How long it is still slow (`cold_left_ms` of a check-in), as of the check-in that
-            brought the record.
-        time_left_ms: Time until it is terminated (`left_ms`), as of that check-in; -1 where it is not known.
-        call_count: Number of that check-in; rises with each.
-        models: What it holds.
-        owner: The control process that acknowledged its last check-in (the name of its directory), which
-            watches for its silence.
+        zone: Its zone; empty if not reported.
+        stage: Its stage in the lifecycle.
+        slots: Number of requests that it handles concurrently.
+        config_version: As reported; forwarded unchanged.
+        phase: As reported; forwarded unchanged.
+        warm_up_left_ms: Remaining time of its warm-up (`cold_left_ms` of a check-in), as of the check-in in
+            this record.
+        time_left_ms: Time until it is terminated (`left_ms`), as of that check-in; -1 if unknown.
+        call_count: Number of that check-in; increases with each check-in.
+        models: Its loaded models.
+        owner: Name of the control process that acknowledged its last check-in, which also monitors its
+            heartbeats.
     """
 
     id: RunnerId
@@ -84,14 +84,14 @@
     owner: str = ""
 
     def holds(self, model: str, adapter: str = "") -> bool:
-        """Returns whether it holds the model and, if one is named, the adapter."""
+        """Returns whether the model is loaded and, if `adapter` is not empty, the adapter."""
         for held in self.models:
             if held.name == model and (not adapter or adapter in held.adapters):
                 return True
         return False
 
     def encode(self) -> bytes:
-        """Returns the value of its registry entry."""
+        """Returns the value of the registry entry."""
         models = [[held.name, held.config_version, list(held.adapters)] for held in self.models]
         fields = [
             self.id,
@@ -112,7 +112,7 @@
 
     @classmethod
     def decode(cls, data: bytes) -> RunnerRecord:
-        """Reads the value of a registry entry."""
+        """Decodes the value of a registry entry."""
         (
             id,
             service,
@@ -128,7 +128,7 @@
             models,
             owner,
         ) = json.loads(data)
-        # Many runners hold the same models and adapters: their names are kept once.
+        # Many runners hold the same models and adapters; interning stores each name only once.
         held_models = tuple(
             HeldModel(sys.intern(name), version, tuple(map(sys.intern, adapters)))
             for name, version, adapters in models
--- a/larchgw/runner_directory/runner_view.py
+++ b/larchgw/runner_directory/runner_view.py
@@ -1,8 +1,7 @@
-"""What a dispatcher knows of runners, indexed for its choices and kept up with the registry.
+"""A dispatcher's index of runners, which follows the registry.
 
-Addresses are used again: a runner that appears at the address of an older one shows that the older is gone,
-though nobody has said so. The older one is then left out, until the one that took its place turns silent or
-is gone itself.
+Addresses are reused. A new runner at the address of an older one shows that the older one is gone, even
+without a Leave. The older runner is then not listed until the new one becomes silent or is gone.
 """
 
 from __future__ import annotations
@@ -17,67 +16,68 @@
 from .directory import TOMBSTONE_RETENTION_S
 from .runner_record import RunnerRecord, Stage
 
-Watcher = Callable[[RunnerRecord], None]
-AT_ITS_ADDRESS = (Stage.READY, Stage.DRAINING)  # stages in which a runner is known to be at its address
+RecordCallback = Callable[[RunnerRecord], None]
+ADDRESS_IN_USE_STAGES = (Stage.READY, Stage.DRAINING)  # stages in which a runner is known to use its address
 
 
 class RunnerView:
-    """The runners by id and by service. Runners that are gone, or replaced at their address, are in neither.
+    """Runners by id and by service, without those that are gone or replaced at their address.
 
-    There is no index by what they hold: with 60,000 adapters in the records of 1,400 runners it took 20 MB.
+    There is no index by model and adapter, since it used 20 MB for 60,000 adapters in the records of 1,400
+    runners.
     """
 
     def __init__(self, registry: Registry, clock: Callable[[], float] = time.monotonic) -> None:
-        """Reads the runners that the registry knows, and follows it from now on.
+        """Reads the runners in the registry, and subscribes to its changes.
 
         Args:
-            registry: The dispatcher's copy.
-            clock: Seconds, monotonic.
+            registry: The dispatcher's copy of the registry.
+            clock: Returns monotonic time in seconds.
         """
         self._registry = registry
         self._clock = clock
-        self._known: dict[str, RunnerRecord] = {}  # also those that are gone or replaced
+        self._known: dict[str, RunnerRecord] = {}  # including those that are gone or replaced
         self._changed_at: dict[str, float] = {}
         self._listed: dict[str, RunnerRecord] = {}
         self._listed_by_service: dict[str, dict[str, RunnerRecord]] = {}
-        self._ids_at_address: dict[str, list[str]] = {}  # the newest last
-        self._watchers: list[Watcher] = []
+        self._ids_at_address: dict[str, list[str]] = {}  # oldest first
+        self._callbacks: list[RecordCallback] = []
         for entry in registry.items(RUNNER_PREFIX):
             self._update(entry)
         registry.watch(RUNNER_PREFIX, self._update)
         registry.watch_removals(RUNNER_PREFIX, self._handle_removal)
 
     def __len__(self) -> int:
-        """Returns how many runners are listed."""
+        """Returns the number of listed runners."""
         return len(self._listed)
 
     def get(self, runner_id: str) -> RunnerRecord | None:
-        """Returns the runner, unless it is gone or another has its address."""
+        """Returns the runner; None if it is unknown, gone, or replaced at its address."""
         return self._listed.get(runner_id)
 
     def by_service(self, service: str) -> dict[str, RunnerRecord]:
-        """Returns the service's runners of every stage but GONE, by id; not to be changed by the caller."""
+        """Returns the service's listed runners by id; callers must not change the dict."""
         return self._listed_by_service.get(service, {})
 
     def holders(self, service: str, model: str, adapter: str = "") -> list[RunnerRecord]:
-        """Returns the ready runners that hold the model and, if one is named, the adapter."""
+        """Returns the ready runners with the model and, if `adapter` is not empty, the adapter loaded."""
         return [
             record
             for record in self.by_service(service).values()
             if record.stage is Stage.READY and record.holds(model, adapter)
         ]
 
-    def watch(self, callback: Watcher) -> None:
-        """Calls back with each record that has changed, also one that is now gone (its stage says so)."""
-        self._watchers.append(callback)
+    def watch(self, callback: RecordCallback) -> None:
+        """Registers a callback for changed records; a removed runner is passed with the stage GONE."""
+        self._callbacks.append(callback)
 
     def remove_expired(self) -> None:
-        """Drops runners that have not been ready for TOMBSTONE_RETENTION_S; to be called now and then."""
-        before = self._clock() - TOMBSTONE_RETENTION_S
+        """Removes runners that have not been ready for TOMBSTONE_RETENTION_S; to be called periodically."""
+        cutoff = self._clock() - TOMBSTONE_RETENTION_S
         expired = {
             runner_id
             for runner_id, record in self._known.items()
-            if record.stage is not Stage.READY and self._changed_at[runner_id] <= before
+            if record.stage is not Stage.READY and self._changed_at[runner_id] <= cutoff
         }
         if not expired:
             return
@@ -122,17 +122,17 @@
             self._ids_at_address.pop(record.address, None)
 
     def _is_replaced(self, record: RunnerRecord) -> bool:
-        """Returns whether a newer runner is at its address."""
+        """Returns whether a newer runner uses the address of the record."""
         ids = self._ids_at_address.get(record.address, [])
         newer_ids = ids[ids.index(record.id) + 1 :] if record.id in ids else []
-        return any(self._known[newer_id].stage in AT_ITS_ADDRESS for newer_id in newer_ids)
+        return any(self._known[newer_id].stage in ADDRESS_IN_USE_STAGES for newer_id in newer_ids)
 
     def _update_indexes(self, runner_id: str, notify: bool) -> None:
-        """Puts the runner into the indexes as it is now, or takes it out.
+        """Updates the index entries of a runner, or removes them.
 
         Args:
-            runner_id: A known runner.
-            notify: Whether watchers are called also if it is as much listed as before.
+            runner_id: Id of a known runner.
+            notify: Whether to call the callbacks even if it is neither added nor removed.
         """
         record, listed = self._known[runner_id], self._listed.get(runner_id)
         is_gone = record.stage is Stage.GONE or self._is_replaced(record)
@@ -149,12 +149,12 @@
         record = self._listed.pop(runner_id, None)
         if record is None:
             return
-        of_service = self._listed_by_service[record.service]
-        del of_service[runner_id]
-        if not of_service:
+        listed_by_id = self._listed_by_service[record.service]
+        del listed_by_id[runner_id]
+        if not listed_by_id:
             del self._listed_by_service[record.service]
 
     def _notify_watchers(self, record: RunnerRecord, is_gone: bool) -> None:
         notified = replace(record, stage=Stage.GONE) if is_gone else record
-        for callback in self._watchers:
+        for callback in self._callbacks:
             callback(notified)
--- a/tests/runner_directory/test_check_in_parser.py
+++ b/tests/runner_directory/test_check_in_parser.py
@@ -1,4 +1,4 @@
-"""Check-ins: what is read, what is rejected and how."""
+"""Parsing of check-ins: accepted fields, defaults, and the errors of invalid ones."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     ).encode()
 
 
-UNUSABLE: list[tuple[str, bytes]] = [
+INVALID: list[tuple[str, bytes]] = [
     ("body", b"{"),
     ("body", b"[]"),
     ("service", body(service="")),
@@ -40,7 +40,7 @@
 
 
 class CheckInParserTest(testtools.TestCase):
-    def test_a_complete_check_in_is_read(self) -> None:
+    def test_a_complete_check_in_is_parsed(self) -> None:
         models = [{"name": "m", "config_version": 3, "adapters": ["a1", "a2"], "more": 1}]
         got = parse_check_in(
             "i-1",
@@ -79,7 +79,7 @@
         assert (got.stage, got.slots, got.time_left_ms, got.models) == (Stage.READY, 1, -1.0, ())
 
     def test_a_rejected_check_in_names_field_and_remedy(self) -> None:
-        for field, sent in UNUSABLE:
+        for field, sent in INVALID:
             with pytest.raises(CheckInError, match="; send") as raised:
                 parse_check_in("i-1", sent)
             assert (raised.value.field, raised.value.status) == (field, 400)
@@ -96,11 +96,11 @@
             max_leaves=12,
         ).map(lambda value: json.dumps(value).encode())
     )
-    def test_no_bytes_raise_another_error(self, sent: bytes) -> None:
+    def test_no_input_raises_another_error(self, sent: bytes) -> None:
         with contextlib.suppress(CheckInError):
             parse_check_in("i-1", sent)
 
-    def test_a_record_survives_the_registry(self) -> None:
+    def test_a_record_is_unchanged_after_encoding_and_decoding(self) -> None:
         held = (HeldModel("m", 2, ("a1",)),)
         record = RunnerRecord(
             "i-1", "llm", "10.0.0.9:8080", "z1", time_left_ms=5.0, call_count=1, models=held, owner="c.1"
--- a/tests/runner_directory/test_directory.py
+++ b/tests/runner_directory/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory: late check-ins, moved runners, silence, and stages that must not go back."""
+"""The runner directory: late check-ins, changes of owner, silence time-outs, and the order of stages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from larchgw.runner_directory.directory import TOMBSTONE_RETENTION_S, RunnerDirectory
 from larchgw.runner_directory.runner_record import HeldModel, RunnerRecord, Stage
 
-BEAT = 1.0
+HEARTBEAT_S = 1.0
 
 
 def record(id: str = "i-1", count: int = 1, stage: Stage = Stage.READY, **fields: object) -> RunnerRecord:
@@ -22,7 +22,7 @@
 
 
 class Process:
-    """A control process's directory with a clock that all share, and what it published."""
+    """The directory of one control process, with a shared clock and the records that it published."""
 
     def __init__(self, name: str, clock: list[float], lost: set[str] | None = None) -> None:
         self.registry = Registry(name)
@@ -31,7 +31,7 @@
         self.directory = RunnerDirectory(
             self.registry,
             lambda: clock[0],
-            BEAT,
+            HEARTBEAT_S,
             name,
             is_owner_alive=lambda owner: owner not in (lost or set()),
         )
@@ -70,7 +70,7 @@
             assert not self.a.directory.check_in(record(count=count)).is_published
         assert len(self.a.published) == 1
 
-    def test_times_that_run_down_are_not_published_but_their_end_is(self) -> None:
+    def test_remaining_times_are_published_only_when_they_run_out(self) -> None:
         self.a.directory.check_in(record(count=1, warm_up_left_ms=900.0))
         assert not self.a.directory.check_in(record(count=2, warm_up_left_ms=400.0)).is_published
         assert self.a.directory.check_in(record(count=3, warm_up_left_ms=0.0)).is_published
@@ -80,7 +80,7 @@
         outcome = self.a.directory.check_in(record(count=2, models=(HeldModel("m"),)))
         assert (outcome.is_published, outcome.needs_replication) == (True, False)
 
-    def test_a_late_check_in_does_not_bring_back_an_unloaded_model(self) -> None:
+    def test_a_late_check_in_does_not_list_an_unloaded_model_again(self) -> None:
         self.a.directory.check_in(record(count=7))
         assert not self.a.directory.check_in(record(count=5, models=(HeldModel("m"),))).is_published
 
@@ -99,12 +99,12 @@
         assert not self.a.directory.check_in(record(count=4, stage=Stage.DRAINING)).needs_replication
         assert self.a.directory.leave("i-1").needs_replication
         assert self.a.directory.leave("i-1").needs_replication
-        self.a.directory.mark_replicated("i-1", Stage.DRAINING)  # of before the leave
+        self.a.directory.mark_replicated("i-1", Stage.DRAINING)  # from before the Leave
         assert self.a.directory.leave("i-1").needs_replication
         self.a.directory.mark_replicated("i-1", Stage.GONE)
         assert not self.a.directory.leave("i-1").needs_replication
 
-    def test_draining_sticks(self) -> None:
+    def test_a_later_check_in_does_not_end_draining(self) -> None:
         self.a.directory.check_in(record(count=2, stage=Stage.DRAINING))
         self.a.directory.check_in(record(count=4, stage=Stage.READY, models=(HeldModel("m"),)))
         assert self.a.stage() == Stage.DRAINING
@@ -114,7 +114,7 @@
         exchange(self.a, self.b)
         assert self.b.directory.check_in(record(count=3, stage=Stage.DRAINING)).needs_replication
 
-    def test_nothing_brings_back_a_runner_that_left(self) -> None:
+    def test_no_check_in_makes_a_runner_that_left_ready_again(self) -> None:
         self.a.directory.check_in(record(count=5))
         exchange(self.a, self.b)
         assert self.a.directory.leave("i-1").needs_replication
@@ -130,11 +130,11 @@
         exchange(self.a, self.b)
         assert self.a.stage() == Stage.GONE
 
-    def test_a_runner_is_silent_after_three_missed_heartbeats_and_not_before(self) -> None:
+    def test_a_runner_is_silent_after_three_missed_heartbeats_but_not_earlier(self) -> None:
         self.a.directory.check_in(record(count=1))
-        self.pass_time(3.0 * BEAT)
+        self.pass_time(3.0 * HEARTBEAT_S)
         assert self.a.stage() == Stage.READY
-        self.pass_time(0.5 * BEAT)
+        self.pass_time(0.5 * HEARTBEAT_S)
         assert self.a.stage() == Stage.SILENT
 
     def test_a_later_check_in_ends_a_silence_and_an_older_one_does_not(self) -> None:
@@ -145,36 +145,36 @@
         self.a.directory.check_in(record(count=9))
         assert self.a.stage() == Stage.READY
 
-    def test_a_draining_runner_that_falls_silent_stays_draining(self) -> None:
+    def test_a_draining_runner_without_check_ins_stays_draining(self) -> None:
         for count in range(1, 5):
             self.a.directory.check_in(record(count=count, stage=Stage.DRAINING))
         self.pass_time(10.0)
         assert self.a.stage() == Stage.DRAINING
 
-    def test_a_runner_that_checks_in_elsewhere_is_not_declared_silent_by_its_former_process(self) -> None:
+    def test_a_former_owner_does_not_publish_a_runner_as_silent(self) -> None:
         self.a.directory.check_in(record(count=1))
         exchange(self.a, self.b)
         for count in range(2, 15):
             self.b.directory.check_in(record(count=count))
             exchange(self.a, self.b)
-            self.pass_time(BEAT)
+            self.pass_time(HEARTBEAT_S)
         assert Stage.SILENT not in [seen.stage for seen in self.a.published + self.b.published]
 
-    def test_one_call_heard_by_two_processes_leaves_one_of_them_watching(self) -> None:
+    def test_a_check_in_received_by_two_processes_leaves_one_owner(self) -> None:
         self.a.directory.check_in(record(count=1))
         self.b.directory.check_in(record(count=1))
         exchange(self.a, self.b)
         for count in range(2, 8):
             self.b.directory.check_in(record(count=count))
-            self.pass_time(BEAT)
+            self.pass_time(HEARTBEAT_S)
         assert Stage.SILENT not in [seen.stage for seen in self.a.published]
 
-    def test_a_move_heard_late_wins_over_the_silence_declared_meanwhile(self) -> None:
+    def test_a_late_record_of_the_new_owner_ends_the_silence_published_meanwhile(self) -> None:
         self.a.directory.check_in(record(count=1))
         exchange(self.a, self.b)
         self.b.directory.check_in(record(count=2))
-        for count in range(3, 9):  # cut from one another
-            self.pass_time(BEAT)
+        for count in range(3, 9):  # partitioned from each other
+            self.pass_time(HEARTBEAT_S)
             self.b.directory.check_in(record(count=count))
         assert self.a.stage() == Stage.SILENT
         exchange(self.a, self.b)
@@ -190,7 +190,7 @@
             assert found is not None
             assert (found.owner, found.call_count, found.models) == ("a.1", 8, ())
 
-    def test_runners_of_a_lost_process_are_watched_by_the_others(self) -> None:
+    def test_runners_of_a_lost_process_are_monitored_by_the_others(self) -> None:
         self.a.directory.check_in(record("i-1", count=5))
         self.a.directory.check_in(record("i-2", count=5))
         exchange(self.a, self.b)
@@ -211,7 +211,7 @@
         self.pass_time(2.0, self.b)
         assert self.b.stage() == Stage.READY
 
-    def test_an_adopted_silence_yields_to_the_owner_that_still_hears_the_runner(self) -> None:
+    def test_silence_published_by_another_process_is_ended_by_an_owner_that_gets_check_ins(self) -> None:
         self.a.directory.check_in(record(count=1))
         exchange(self.a, self.b)
         for count in range(2, 9):
@@ -223,7 +223,7 @@
         exchange(self.a, self.b)
         assert [self.a.stage(), self.b.stage()] == [Stage.READY, Stage.READY]
 
-    def test_a_process_that_was_frozen_declares_nobody_silent_at_its_thaw(self) -> None:
+    def test_a_process_that_was_frozen_publishes_no_silent_runners_when_it_resumes(self) -> None:
         self.a.directory.check_in(record(count=1))
         self.pass_time(1.0)
         self.clock[0] += 20.0
@@ -232,17 +232,17 @@
         self.pass_time(2.0)
         assert self.a.stage() == Stage.SILENT
 
-    def test_a_restarted_process_takes_its_runners_over_with_their_next_check_ins(self) -> None:
+    def test_a_restarted_process_owns_its_runners_again_after_their_next_check_ins(self) -> None:
         self.a.directory.check_in(record(count=5))
         exchange(self.a, self.b)
-        again = Process("a.2", self.clock, self.lost)
+        restarted = Process("a.2", self.clock, self.lost)
         self.lost.add("a.1")
-        exchange(self.b, again)
-        assert again.directory.check_in(record(count=6)).is_published
-        exchange(self.b, again)
-        self.pass_time(2.0, self.b, again)
-        again.directory.check_in(record(count=7))
-        self.pass_time(2.0, self.b, again)
+        exchange(self.b, restarted)
+        assert restarted.directory.check_in(record(count=6)).is_published
+        exchange(self.b, restarted)
+        self.pass_time(2.0, self.b, restarted)
+        restarted.directory.check_in(record(count=7))
+        self.pass_time(2.0, self.b, restarted)
         assert self.b.stage() == Stage.READY
 
     def test_expired_tombstones_are_removed_and_ready_runners_are_not(self) -> None:
@@ -251,7 +251,7 @@
         self.a.directory.check_in(record("silent", count=1))
         for count in range(1, round(TOMBSTONE_RETENTION_S) + 30):
             self.a.directory.check_in(record("beats", count=count))
-            self.pass_time(BEAT, self.a)
+            self.pass_time(HEARTBEAT_S, self.a)
         assert [entry.key for entry in self.a.registry.items()] == ["runner/beats"]
         assert [found.id for found in self.a.directory.runners()] == ["beats"]
 
@@ -273,8 +273,8 @@
 )
 
 
-class RunnerCourse:
-    """One runner at three control processes: drawn check-ins, late ones too, a drain and a Leave."""
+class RunnerLifecycle:
+    """One runner at three control processes, with drawn check-ins (some late), a drain and a Leave."""
 
     def __init__(self) -> None:
         self.clock = [100.0]
@@ -297,7 +297,7 @@
             self.processes[first].directory.leave("i-1")
 
     def check_in(self, process: Process, calls_ago: int) -> None:
-        """The runner makes another call; the one that it made so many calls ago is delivered."""
+        """The runner sends another check-in; the one from `calls_ago` check-ins before is delivered."""
         stage = Stage.DRAINING if self.is_draining else Stage.READY
         self.sent.append(record(count=len(self.sent) + 1, stage=stage))
         late = self.sent[max(len(self.sent) - 1 - calls_ago, 0)]
@@ -310,7 +310,7 @@
             process.directory.tick(self.clock[0])
 
     def final_record(self) -> RunnerRecord | None:
-        """What all processes know once they have exchanged everything."""
+        """Returns the record that all processes have after exchanging all entries."""
         exchange(*self.processes)
         exchange(*self.processes)
         found = {process.directory.get("i-1") for process in self.processes}
@@ -320,23 +320,23 @@
 
 @settings(max_examples=200, deadline=None)
 @given(steps)
-def test_in_any_order_stages_do_not_go_back_and_all_agree_on_the_last_check_in(
-    played: list[tuple[str, int, int]],
+def test_stages_never_decrease_and_all_processes_agree_on_the_last_check_in(
+    drawn_steps: list[tuple[str, int, int]],
 ) -> None:
-    course = RunnerCourse()
-    for step in played:
-        course.play(*step)
-        for process in course.processes:
+    lifecycle = RunnerLifecycle()
+    for step in drawn_steps:
+        lifecycle.play(*step)
+        for process in lifecycle.processes:
             process.directory.validate_state()
-    for process in course.processes:
+    for process in lifecycle.processes:
         check_stages(process.published)
-    final = course.final_record()
-    if course.has_left:
+    final = lifecycle.final_record()
+    if lifecycle.has_left:
         assert final is not None
         assert final.stage is Stage.GONE
-    elif course.delivered_count:
+    elif lifecycle.delivered_count:
         assert final is not None
-        expected = course.sent[course.delivered_count - 1].stage
+        expected = lifecycle.sent[lifecycle.delivered_count - 1].stage
         assert final.stage == expected or (expected is Stage.READY and final.stage is Stage.SILENT)
 
 
--- a/tests/runner_directory/test_recorded_bytes.py
+++ b/tests/runner_directory/test_recorded_bytes.py
@@ -1,6 +1,6 @@
-"""Check-ins as they are parsed and stored, against what was recorded before names in the code were changed.
+"""Compares parsed and stored check-ins with recordings.
 
-The fixtures were made by running commit 0d35ed7.
+The fixtures were recorded with commit 0d35ed7, before names in the code were changed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from larchgw.runner_directory.runner_view import RunnerView
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "runner_directory"
-BEAT_S = 1.0
+HEARTBEAT_S = 1.0
 FULL_CHECK_IN = {
     "service": "llm",
     "address": "10.0.0.9:8080",
@@ -66,7 +66,7 @@
 
 
 def produce_check_ins() -> list[dict[str, str]]:
-    """The body of each check-in, and what is stored for it."""
+    """Returns the body of each check-in and the stored record."""
     bodies = [json.dumps(fields) for fields in CHECK_INS]
     return [
         {"body": body, "stored": parse_check_in("i-1", body.encode()).encode().decode()} for body in bodies
@@ -74,7 +74,7 @@
 
 
 def produce_rejections() -> list[dict[str, str]]:
-    """The body of each check-in that is rejected, and the text of the answer."""
+    """Returns the body of each rejected check-in and the text of the response."""
     answers = []
     for body in REJECTED:
         try:
@@ -85,14 +85,14 @@
 
 
 def produce_published_entries() -> list[str]:
-    """Entries of two runners over their whole course at two control processes, in the order published."""
+    """Returns the entries that two control processes publish over the lifecycle of two runners, in order."""
     clock = [100.0]
     published: list[str] = []
     directories = []
     registries = [Registry("a.1"), Registry("b.1")]
     for registry in registries:
         registry.watch("runner/", lambda entry: published.append(encode_struct(entry).hex()))
-        directories.append(RunnerDirectory(registry, lambda: clock[0], BEAT_S, registry.origin))
+        directories.append(RunnerDirectory(registry, lambda: clock[0], HEARTBEAT_S, registry.origin))
 
     def check_in(directory: int, runner: str, count: int, **changed: object) -> None:
         fields = {"service": "llm", "address": "10.0.0.9:8080", "call_count": count} | changed
@@ -120,7 +120,7 @@
     assert produce_check_ins() == recorded("check_ins.json")
 
 
-def test_a_recorded_check_in_is_read_to_its_fields() -> None:
+def test_a_recorded_check_in_is_parsed_to_its_fields() -> None:
     saved = recorded("check_ins.json")[0]
     expected = RunnerRecord(
         "i-1", "llm", "10.0.0.9:8080", "z1", Stage.DRAINING, 64, "v7", "both", 10.5, 900.0, 4,
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("number", range(len(CHECK_INS)))
-def test_a_recorded_record_is_written_again_with_the_same_bytes(number: int) -> None:
+def test_a_recorded_record_is_encoded_to_the_same_bytes(number: int) -> None:
     stored = recorded("check_ins.json")[number]["stored"].encode()
     assert RunnerRecord.decode(stored).encode() == stored
 
--- a/tests/runner_directory/test_runner_view.py
+++ b/tests/runner_directory/test_runner_view.py
@@ -1,6 +1,4 @@
-"""A dispatcher's view of runners: its indexes agree with the registry, and a reused address shows who is
-gone.
-"""
+"""A dispatcher's view of runners: its indexes agree with the registry, and handle reused addresses."""
 
 from __future__ import annotations
 
@@ -50,13 +48,13 @@
             assert self.holders("m") == []
             assert stage == self.view.by_service("llm")["x"].stage
 
-    def test_a_runner_that_left_is_in_no_index(self) -> None:
+    def test_a_runner_that_has_left_is_in_no_index(self) -> None:
         self.publish("x", models=(HeldModel("m"),))
         self.publish("x", Stage.GONE)
         assert (self.view.by_service("llm"), self.holders("m")) == ({}, [])
         assert (self.view.get("x"), len(self.view)) == (None, 0)
 
-    def test_a_new_runner_at_an_address_shows_that_the_older_one_is_gone(self) -> None:
+    def test_a_new_runner_replaces_the_older_one_at_its_address(self) -> None:
         notified: list[tuple[str, Stage]] = []
         self.view.watch(lambda record: notified.append((record.id, record.stage)))
         self.publish("old", models=(HeldModel("m"),))
@@ -72,19 +70,19 @@
         assert self.view.get("new") is not None
         assert self.view.get("old") is None
 
-    def test_entries_in_the_wrong_order_are_corrected_by_the_silence_of_the_older_runner(self) -> None:
+    def test_entries_in_the_wrong_order_are_corrected_when_the_older_runner_is_silent(self) -> None:
         self.publish("new")
         self.publish("old")
         assert self.view.get("new") is None
         self.publish("old", Stage.SILENT)
         assert self.view.get("new") is not None
 
-    def test_an_older_one_at_another_address_is_left_alone(self) -> None:
+    def test_a_runner_at_another_address_is_not_replaced(self) -> None:
         self.publish("old", address="h:1")
         self.publish("new", address="h:2")
         assert self.view.get("old") is not None
 
-    def test_runners_that_the_registry_held_before_are_listed(self) -> None:
+    def test_runners_that_are_already_in_the_registry_are_listed(self) -> None:
         self.publish("x")
         assert RunnerView(self.registry).get("x") is not None
 
@@ -97,7 +95,7 @@
         assert [entry.key for entry in self.registry.items()] == ["runner/x"]
         assert len(self.view) == 1
 
-    def test_a_runner_dropped_from_the_registry_is_notified_as_gone(self) -> None:
+    def test_a_runner_removed_from_the_registry_is_notified_as_gone(self) -> None:
         notified: list[tuple[str, Stage]] = []
         self.publish("x", models=(HeldModel("m"),))
         self.view.watch(lambda record: notified.append((record.id, record.stage)))
