--- a/larchgw/placement/load_completions.py
+++ b/larchgw/placement/load_completions.py
@@ -12,7 +12,7 @@
 CONFIRMATION_TIMEOUT_S = 4.0  # by then check-ins show the result of a completed order
 
 
-def note_loaded(now_s: float, state: RunnerState, order: Order) -> None:
+def record_loaded(now_s: float, state: RunnerState, order: Order) -> None:
     """Records a completed load; it stays unconfirmed until a check-in lists it."""
     state.loaded_at_s[order.name] = now_s
     state.unconfirmed_unloads.pop(order.name, None)
@@ -20,7 +20,7 @@
         state.unconfirmed_loads[order.name] = now_s
 
 
-def note_unloaded(now_s: float, state: RunnerState, order: Order) -> None:
+def record_unloaded(now_s: float, state: RunnerState, order: Order) -> None:
     """Records a completed unload; it stays unconfirmed until a check-in no longer lists it."""
     state.loaded_at_s.pop(order.name, None)
     state.unconfirmed_loads.pop(order.name, None)
--- a/larchgw/placement/order_duration.py
+++ b/larchgw/placement/order_duration.py
@@ -11,7 +11,7 @@
 UNLOAD_S = 0.05  # unload of a model without running requests
 ADAPTER_LOAD_S = 0.05  # an adapter loads within milliseconds
 UNKNOWN_MODEL_LOAD_S = 0.15  # for a model that is not configured: short, so that the runner is polled soon
-DISK_LOAD_SHARE = 0.5  # share of load_s that a load from the runner's local disk takes, an assumption
+DISK_LOAD_SHARE = 0.5  # assumed share of load_s that a load from the runner's local disk takes
 # Added to the expected duration; a request sent before the load is complete would be rejected.
 READY_MARGIN_S = 0.03
 
--- a/larchgw/placement/order_tracker.py
+++ b/larchgw/placement/order_tracker.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from .load_completions import note_loaded, note_unloaded
+from .load_completions import record_loaded, record_unloaded
 from .load_rate_limit import LoadRateLimiter
 from .model import Order, OrderOutcome, PlacementSettings, RunnerReport
 from .order_duration import OrderDurations
@@ -107,15 +107,15 @@
         state.order_in_progress = None
         state.order_count = order.if_revision + 1
         state.held.setdefault(order.model, set()).add(order.adapter)
-        note_loaded(now_s, state, order)
+        record_loaded(now_s, state, order)
 
     # ---- Reports ----
 
     def receive_report(self, now_s: float, state: RunnerState, report: RunnerReport) -> None:
         """Processes a runner's report, whose content is a few hundred milliseconds old."""
         if state.order_in_progress is not None:
-            self._follow_order(now_s, state, state.order_in_progress, report)
-        elif not state.is_known:
+            self._track_order(now_s, state, state.order_in_progress, report)
+        elif not state.is_identified:
             self._identify(now_s, state, report)
 
     def _identify(self, now_s: float, state: RunnerState, report: RunnerReport) -> None:
@@ -129,7 +129,7 @@
             self._load_limiter.observe_loads(now_s)  # a predecessor's order may be a load from the store
         state.is_busy_for_predecessor = True
 
-    def _follow_order(
+    def _track_order(
         self, now_s: float, state: RunnerState, in_progress: OrderInProgress, report: RunnerReport
     ) -> None:
         """Updates the order in progress from a report."""
@@ -160,9 +160,9 @@
             log.warning("order.without_effect", runner=state.id, action=order.action.value, model=order.name)
             state.backoff_until_s = now_s + BACKOFF_S
         elif is_held:
-            note_loaded(now_s, state, order)
+            record_loaded(now_s, state, order)
         else:
-            note_unloaded(now_s, state, order)
+            record_unloaded(now_s, state, order)
 
     def _read_held(self, state: RunnerState, report: RunnerReport) -> None:
         state.held = {model: set(adapters) for model, adapters in report.models.items()}
--- a/larchgw/placement/polls.py
+++ b/larchgw/placement/polls.py
@@ -46,7 +46,7 @@
 def _is_due(now_s: float, state: RunnerState) -> bool:
     if state.order_in_progress is not None:
         return now_s >= state.order_in_progress.next_poll_at_s
-    return not state.is_known and state.is_ready and now_s >= state.next_poll_at_s
+    return not state.is_identified and state.is_ready and now_s >= state.next_poll_at_s
 
 
 def _interval_s(poll_count: int) -> float:
--- a/larchgw/placement/reconciler.py
+++ b/larchgw/placement/reconciler.py
@@ -92,7 +92,7 @@
         state.record = record
         held = held_models(record)
         confirm_by_check_in(state, loadable_names(held))
-        if state.is_known:
+        if state.is_identified:
             return
         if not has_lease:
             self.load_limiter.observe_loads(now_s, len(held.keys() - state.held.keys()))
@@ -208,7 +208,7 @@
             "a runner that is gone is removed": state.record.stage is not Stage.GONE,
             "its order is addressed to it": in_progress is None or in_progress.order.runner_id == runner_id,
             "an order is in progress only while its loaded models are known": in_progress is None
-            or state.is_known,
+            or state.is_identified,
             "a load is reserved exactly while it may still start at the store": is_reserved
             == is_untaken_store_load,
             "nothing is an unconfirmed load and an unconfirmed unload at once": not unconfirmed_both,
--- a/larchgw/placement/runner_state.py
+++ b/larchgw/placement/runner_state.py
@@ -101,14 +101,14 @@
         return RunnerPhase.UNKNOWN if self.order_count is None else RunnerPhase.IDLE
 
     @property
-    def is_known(self) -> bool:
+    def is_identified(self) -> bool:
         """Whether a report has shown its loaded models."""
         return self.order_count is not None
 
     @property
     def has_reported(self) -> bool:
         """Whether it has reported under the current lease, even if only an order in progress."""
-        return self.is_known or self.is_busy_for_predecessor
+        return self.is_identified or self.is_busy_for_predecessor
 
     @property
     def is_ready(self) -> bool:
@@ -147,7 +147,7 @@
 
         The set is empty once a report has shown the loaded models.
         """
-        if self.is_known:
+        if self.is_identified:
             return frozenset()
         return self.predecessor_loads - loadable_names(self.held)
 
--- a/larchgw/placement/service.py
+++ b/larchgw/placement/service.py
@@ -163,7 +163,7 @@
     def period_s(self) -> float:
         """Returns the seconds until the next round."""
         is_busy = any(
-            state.order_in_progress is not None or (state.is_ready and not state.is_known)
+            state.order_in_progress is not None or (state.is_ready and not state.is_identified)
             for state in self._reconciler.runners.values()
         )
         return BUSY_PERIOD_S if is_busy or self._demand.has_waiting_requests() else IDLE_PERIOD_S
--- a/larchgw/placement/service_runtime.py
+++ b/larchgw/placement/service_runtime.py
@@ -37,7 +37,7 @@
 
 
 class OrderPermits(Protocol):
-    """Permits to send orders, which keep the orders of two lease holders to a runner at least a term apart.
+    """Permits to send orders. They keep orders of two lease holders to one runner at least a term apart.
 
     Times are on the runtime's clock.
     """
--- a/larchgw/routing/missing_model.py
+++ b/larchgw/routing/missing_model.py
@@ -20,10 +20,10 @@
 RECHECK_S = 0.2  # maximum interval between two decisions on a waiting request
 MIN_RETRY_AFTER_S = 0.05  # minimum Retry-After
 RETRY_AFTER_SHARE = 1.0 / 3.0  # share of the remaining time; clients honour a Retry-After up to this
-MAX_OVERDUE_S = 2.5  # a load is given up this long after its expected end: two check-ins would show it
+MAX_OVERDUE_S = 2.5  # time after its expected end until a load is ignored; two check-ins would have shown it
 ADAPTER_LOAD_S = 0.15  # from the first request for an adapter until dispatchers see it loaded
 LOAD_NOTICE_DELAY_S = 0.1  # from the expected end of a load until dispatchers see it
-# Of the time until the target; clients lose little by a rejection within a quarter of it.
+# Share of the time until the target that counts as early; a rejection within a quarter costs clients little.
 EARLY_REJECT_SHARE = 0.2
 FIRST_TRY_SHARE = 0.985  # of the route's deadline; a first try has at least this much time left
 MAX_WAIT_SHARE = 0.45  # of a request's total time that it may wait with no load in progress
--- a/larchgw/routing/outlier_ejection.py
+++ b/larchgw/routing/outlier_ejection.py
@@ -20,12 +20,12 @@
 
 from .interface import AttemptOutcome
 
-FULL_BACKOFF_S = 0.05  # about ten batch steps: a slot may have come free
+FULL_BACKOFF_S = 0.05  # about ten batch steps; a slot may be free by then
 CONNECT_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
 EJECTION_S = 1.0  # first ejection; a restart takes longer, a short stall less
 MAX_EJECTION_S = 8.0
-MAX_DOUBLINGS = 16  # reaches both maximum times; 2.0**1024 would overflow a float
+MAX_DOUBLINGS = 16  # enough to reach both maximum times; 2.0**1024 would overflow a float
 PENALTY_LIMIT = 3.0
 PENALTY_DECAY_S = 5.0
 MAX_EJECTED_SHARE = 0.5  # of the runners; if more fail, the cause is probably not the runners
--- a/larchgw/routing/service_terms.py
+++ b/larchgw/routing/service_terms.py
@@ -6,7 +6,8 @@
 
 from ..configuration.model import Configuration, Service
 
-# Share of its load time that a model takes if the runner loads it from its local disk.
+# Approximate share of its load time that a model takes if the runner has held it before and reloads it from
+# its local disk.
 RELOAD_SHARE = 0.2
 # Typical time from the first request for a model until a runner starts to load it.
 TYPICAL_ORDER_DELAY_S = 0.3
--- a/larchgw/runner_directory/runner_view.py
+++ b/larchgw/runner_directory/runner_view.py
@@ -90,7 +90,7 @@
         old = self._known.get(record.id)
         has_moved = old is not None and old.address != record.address
         if old is not None and has_moved:
-            self._leave_address(old)
+            self._release_address(old)
         self._known[record.id] = record
         self._changed_at[record.id] = self._clock()
         if record.address:
@@ -108,13 +108,13 @@
         del self._changed_at[record.id]
         was_listed = record.id in self._listed
         self._remove_from_indexes(record.id)
-        self._leave_address(record)
+        self._release_address(record)
         if was_listed:
             self._notify_watchers(record, is_gone=True)
         for runner_id in self._ids_at_address.get(record.address, []):
             self._update_indexes(runner_id, notify=False)
 
-    def _leave_address(self, record: RunnerRecord) -> None:
+    def _release_address(self, record: RunnerRecord) -> None:
         ids = self._ids_at_address.get(record.address, [])
         if record.id in ids:
             ids.remove(record.id)
--- a/tests/placement/test_demand_reports.py
+++ b/tests/placement/test_demand_reports.py
@@ -23,7 +23,7 @@
 
 
 @given(reports)
-def test_totals_equal_sums_over_the_newest_report_of_each_dispatcher_that_is_not_silent(
+def test_totals_equal_sums_over_the_latest_unexpired_report_of_each_dispatcher(
     sent: list[tuple[float, str, float, dict[DemandKey, KeyDemand]]],
 ) -> None:
     table = DemandReports(EXPIRY_S, EXPIRY_INTERVALS)
--- a/tests/placement/test_polls.py
+++ b/tests/placement/test_polls.py
@@ -15,7 +15,7 @@
     assert not pending & {state.id for state in reconciler.due_polls(10.0, pending, limit=300)}
 
 
-def test_a_runner_with_an_order_in_progress_is_polled_before_those_that_are_not_known() -> None:
+def test_a_runner_with_an_order_in_progress_is_polled_before_unidentified_ones() -> None:
     reconciler = make_identified()
     for number in range(1, 100):
         reconciler.update_runner(0.0, runner_record(f"r{number}"))
@@ -23,7 +23,7 @@
     assert [state.id for state in reconciler.due_polls(10.0, limit=1)] == ["r0"]
 
 
-def test_polls_of_a_late_order_are_spaced_by_the_longest_interval() -> None:
+def test_polls_of_a_late_order_are_spaced_by_the_maximum_interval() -> None:
     reconciler = make_identified()
     reconciler.start_order(0.0, load("m1"))
     polled_at = [now_s for tick in range(200) if reconciler.due_polls(now_s := tick * 0.05)]
--- a/tests/placement/test_reconciler.py
+++ b/tests/placement/test_reconciler.py
@@ -240,7 +240,7 @@
     ]
 
 
-def test_a_load_that_may_yet_begin_without_a_reservation_is_an_invalid_state() -> None:
+def test_a_load_that_may_still_start_without_a_reservation_is_an_invalid_state() -> None:
     reconciler = make_identified()
     reconciler.start_order(0.0, load("m1"))
     reconciler.validate_state()
--- a/tests/placement/test_service.py
+++ b/tests/placement/test_service.py
@@ -241,7 +241,7 @@
     assert 1 <= len(sent) <= 4  # the orders of one round
 
 
-def test_a_new_holder_reads_every_report_before_its_first_order_there() -> None:
+def test_a_new_lease_holder_reads_the_report_of_a_runner_before_its_first_order() -> None:
     seen: list[tuple[str, str]] = []
 
     class ObservedCalls(Calls):
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -121,6 +121,6 @@
         now += pause
         ejection.sent(now, runner)
         ejection.ended(now, runner, outcome)
-        admitted = ejection.admitted(now, RUNNERS)
-        assert len(admitted) >= len(RUNNERS) * (1 - MAX_EJECTED_SHARE)
+        available = ejection.admitted(now, RUNNERS)
+        assert len(available) >= len(RUNNERS) * (1 - MAX_EJECTED_SHARE)
     assert ejection.admitted(now + MAX_EJECTION_S + 0.01, RUNNERS) == RUNNERS
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -44,7 +44,7 @@
 ) -> tuple[list[float], list[float]]:
     """Simulates `rates` requests in each second, all of which need a retry; returns the times of both.
 
-    Requests are spread over the dispatchers by random weights that differ more with `uneven`.
+    Requests are spread over the dispatchers by random weights that differ more with a higher `unevenness`.
     """
     random = Random(seed)
     weights = [(1.0 + unevenness) ** random.uniform(-1.0, 1.0) for _ in range(dispatchers)]
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -15,7 +15,7 @@
 
 # Only holders; the most pending requests below the threshold; else the fewest keys, then the fewest pending.
 @pytest.mark.parametrize(
-    ("pending", "expected"),
+    ("pending", "expected_id"),
     [
         ({"a": {"m": 0}, "b": {"m": 1}}, "b"),  # the most pending below the threshold
         ({"a": {"m": 0}, "b": {"m": THRESHOLD}}, "a"),  # a holder at the threshold is skipped
@@ -26,17 +26,17 @@
     ],
 )
 def test_keyed_request_goes_to_the_holder_that_the_rules_select(
-    pending: dict[str, dict[str, int]], expected: str
+    pending: dict[str, dict[str, int]], expected_id: str
 ) -> None:
     w = world(runner("a", "mn"), runner("b", "mn"), runner("c", "mn" if "c" in pending else "n"))
     for runner_id, counts in pending.items():
         for model, times in counts.items():
             for _ in range(times):
                 w.send_to(runner_id, w.request(model))
-    assert w.chosen(w.request("m")) == expected
+    assert w.chosen(w.request("m")) == expected_id
 
 
-def test_only_holders_are_sent_to_however_busy_they_are() -> None:
+def test_requests_go_only_to_holders_however_busy_they_are() -> None:
     w = world(runner("a", "m"), runner("b", "n"))
     for _ in range(20):
         w.send_to("a")
@@ -141,7 +141,7 @@
     assert isinstance(w.choose(request), Reject)
 
 
-def test_a_load_long_overdue_is_not_waited_for_until_the_deadline() -> None:
+def test_a_request_does_not_wait_until_its_deadline_for_an_overdue_load() -> None:
     w = world(runner("a", "n"))
     request = w.request(deadline_s=10.0)
     w.expected = {"a": w.now + 0.5}
@@ -252,7 +252,7 @@
     assert {w.chosen(w.request()) for _ in range(10)} == {"b"}
 
 
-def test_a_runner_that_answers_others_is_not_unresponsive() -> None:
+def test_a_runner_that_has_sent_other_bytes_is_not_unresponsive() -> None:
     w = world(runner("a"), runner("b"))
     w.send_to("a")
     w.now += 2.4
@@ -261,7 +261,7 @@
     assert w.chosen(w.request()) == "a"
 
 
-def test_the_only_holder_is_asked_even_if_it_has_not_answered() -> None:
+def test_the_only_holder_gets_requests_even_if_it_is_unresponsive() -> None:
     w = world(runner("a"))
     w.send_to("a")
     w.now += 2.5
