--- a/larchgw/placement/demand_tracker.py
+++ b/larchgw/placement/demand_tracker.py
@@ -72,9 +72,8 @@
         self._reports = DemandReports(expiry_s, EXPIRY_INTERVALS)
         self._rates: dict[DemandKey, RequestRate] = {}
         self._model_rates: dict[tuple[str, str], RequestRate] = {}  # including the adapters of each model
-        self._adapters: dict[
-            tuple[str, str], set[str]
-        ] = {}  # requested adapters by model; "" for the model itself
+        # Requested adapters by model; "" for the model itself.
+        self._adapters: dict[tuple[str, str], set[str]] = {}
 
     def receive_report(self, report: DemandReportLike) -> None:
         """Adds the arrivals since a dispatcher's last report; replaces its waiting and running requests."""
--- a/larchgw/placement/service_demand.py
+++ b/larchgw/placement/service_demand.py
@@ -57,9 +57,8 @@
         """Counts holders and estimates demand, for one round."""
         self.inputs = inputs
         self.holders: dict[str, int] = {}
-        self._pending: dict[
-            str, int
-        ] = {}  # loadable_name -> number of runners that load it or make room for it
+        # Loadable_name -> number of runners that load it or make room for it.
+        self._pending: dict[str, int] = {}
         self._count_holders()
         summaries = inputs.demand.by_model(inputs.service)
         self.models = {
