--- a/larchgw/placement/order_duration.py
+++ b/larchgw/placement/order_duration.py
@@ -26,9 +26,8 @@
             count_store_loads: Returns how many loads from the weight store are in progress.
         """
         self._count_store_loads = count_store_loads
-        self._models_on_disk: dict[
-            tuple[str, str], set[str]
-        ] = {}  # by service and address, so that it outlives incarnations
+        # Model names by service and address. The entries outlive incarnations of runners.
+        self._models_on_disk: dict[tuple[str, str], set[str]] = {}
 
     def remember_models(self, state: RunnerState) -> None:
         """Records that a runner's models are on its disk, also for later incarnations at its address."""
--- a/larchgw/placement/popularity_change.py
+++ b/larchgw/placement/popularity_change.py
@@ -12,16 +12,11 @@
 
 from .demand_tracker import ModelSummary
 
-INITIAL_INCREASES, INITIAL_PERIOD_S = (
-    1.0,
-    30.0,
-)  # assumed before any observation: one model becomes busy in 30 s
+# Before any observation, one model is assumed to become busy in 30 s.
+INITIAL_INCREASES, INITIAL_PERIOD_S = 1.0, 30.0
 NEWEST_SHARE = 0.25  # weight of the latest value in the average value of a busy model's requests
-PREVIOUSLY_BUSY_WEIGHT, NEVER_REQUESTED_WEIGHT, RARE_WEIGHT = (
-    1.0,
-    0.5,
-    0.02,
-)  # relative probabilities of becoming busy next
+# Relative probabilities of becoming busy next.
+PREVIOUSLY_BUSY_WEIGHT, NEVER_REQUESTED_WEIGHT, RARE_WEIGHT = 1.0, 0.5, 0.02
 BUSY_MULTIPLE_OF_MEAN = 2.0  # the rate of a busy model is at least this multiple of the mean rate
 IDLE_SHARE = 0.2  # a busy model becomes idle below this share of the minimum busy rate
 
--- a/larchgw/placement/service_demand.py
+++ b/larchgw/placement/service_demand.py
@@ -57,7 +57,7 @@
         """Counts holders and estimates demand, for one round."""
         self.inputs = inputs
         self.holders: dict[str, int] = {}
-        # Loadable_name -> number of runners that load it or make room for it.
+        # `loadable_name` -> number of runners that load it or make room for it.
         self._pending: dict[str, int] = {}
         self._count_holders()
         summaries = inputs.demand.by_model(inputs.service)
--- a/larchgw/routing/interface.py
+++ b/larchgw/routing/interface.py
@@ -74,9 +74,7 @@
     DONE = auto()  # a complete response with a status below 500
     RUNNER_ERROR = auto()  # a 5xx response without X-Not-Run: counts as run
     FULL = auto()  # 503 or 429 with X-Not-Run: did not run
-    NOT_HELD = (
-        auto()
-    )  # 421: did not run; the model or adapter is not loaded, or another runner has the address
+    NOT_HELD = auto()  # 421: did not run; the model or adapter is missing, or it is another runner
     CONNECT_FAILED = auto()  # no connection, so no byte was sent: did not run
     UNSENT = auto()  # cancelled before a byte was sent: did not run
     RESET = auto()  # connection lost before the response headers: may have run
