--- a/larchgw/net/connection_outcome.py
+++ b/larchgw/net/connection_outcome.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, or what it carries, can end."""
+"""The outcomes of connections and of the attempts they carry."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class ConnectionOutcome(Enum):
-    """How a connection ended, or the attempt that it carried."""
+    """How a connection, or the attempt it carried, ended. Names and values are written to logs."""
 
-    DONE = "the box served it"
-    FAILED = "the box failed it"
-    TURNED_AWAY = "the box turned it away or handed it back unstarted"
-    KILLED = "the box says that the job was lost"
+    DONE = "the worker completed the job"
+    FAILED = "the worker failed the job"
+    TURNED_AWAY = "the worker rejected the job or returned it unstarted"
+    KILLED = "the worker reported the job as lost"
     REFUSED = "the connection was refused"
-    NEVER_UP = "the connection never came up"
-    NEVER_GRABBED = "no worker of the box grabbed the job"
-    NO_SOCKET = "no descriptor was left for a connection"
-    NO_WAY = "nothing that the box speaks carries this job"
-    BROKE_UNSENT = "it broke before the request's last byte was written"
-    BROKE = "it broke after the request's last byte was written"
-    CUT_SHORT = "it was closed in order, but before the last line"
-    GARBLED = "what came is not of the protocol"
-    STRANGER = "what came names another request"
-    SILENT = "nothing came in time"
-    GIVEN_UP = "we cancelled it"
-    WITHDRAWN = "its connection came up when it was no longer to be sent"
-    # Ends of connections that carry no attempt
-    CLOSED = "the other side closed it between requests"
-    IDLE = "it stood idle for too long"
-    SLOW = "the other side was too slow with a message"
-    CLOGGED = "the other side does not read"
-    STOPPED = "we stop"
+    NEVER_UP = "the connection could not be established"
+    NEVER_GRABBED = "no Gearman worker grabbed the job"
+    NO_SOCKET = "no file descriptor was left for a connection"
+    NO_WAY = "the worker supports no protocol that can carry this job"
+    BROKE_UNSENT = "the connection broke before the request was completely written"
+    BROKE = "the connection broke after the request was completely written"
+    CUT_SHORT = "the connection was closed before the end of the response"
+    GARBLED = "the received data violates the protocol"
+    STRANGER = "the received data names another request"
+    SILENT = "nothing was received in time"
+    GIVEN_UP = "this process cancelled it"
+    WITHDRAWN = "the connection was established after the attempt was withdrawn"
+    # Outcomes of connections without an attempt
+    CLOSED = "the peer closed the connection between requests"
+    IDLE = "the connection was idle for too long"
+    SLOW = "the peer was too slow to send a message"
+    CLOGGED = "the peer does not read"
+    STOPPED = "this process is stopping"
