--- a/larchgw/edge/runner_pool.py
+++ b/larchgw/edge/runner_pool.py
@@ -18,7 +18,7 @@
 
 MIN_CONNECTIONS = 4  # per runner, however many dispatchers share its limit
 MAX_OVERSUBSCRIPTION = 2  # times its share; a dispatcher may exceed it for a while, as load is uneven
-SWEEP_S = 1.0  # between checks for connections that have been idle too long
+EXPIRY_CHECK_INTERVAL_S = 1.0  # between checks for connections that have been idle too long
 log = structlog.get_logger()
 
 
@@ -49,7 +49,7 @@
         self._by_runner: dict[str, _RunnerConnections] = {}
         self._runner_ids: dict[RunnerConnection, str] = {}
         self._keep_alive_limits: dict[str, KeepAliveLimit] = {}  # by service
-        self._sweep: Deadline | None = None
+        self._expiry_timer: Deadline | None = None
 
     def acquire(self, runner: RunnerRecord, idempotent: bool) -> RunnerConnection | None:
         """Returns a connection that can carry a request to the runner; None if there is none.
@@ -82,7 +82,7 @@
 
     def close(self) -> None:
         """Closes all connections, including those with a request in progress."""
-        self.loop.deadlines.cancel(self._sweep)
+        self.loop.deadlines.cancel(self._expiry_timer)
         for connection in list(self._runner_ids):
             connection.close()
 
@@ -106,8 +106,10 @@
             connection.close()
             return
         connections.idle.append(connection)
-        if self._sweep is None:
-            self._sweep = self.loop.deadlines.add(self.loop.clock.now() + SWEEP_S, self._close_expired)
+        if self._expiry_timer is None:
+            self._expiry_timer = self.loop.deadlines.add(
+                self.loop.clock.now() + EXPIRY_CHECK_INTERVAL_S, self._close_expired
+            )
 
     def on_closed(self, connection: RunnerConnection) -> None:
         """Removes the connection from the pool; see `ConnectionOwner`."""
@@ -184,4 +186,6 @@
             while connections.idle and now - connections.idle[0].idle_since > limit_s:
                 connections.idle[0].close()
             has_idle = has_idle or bool(connections.idle)
-        self._sweep = self.loop.deadlines.add(now + SWEEP_S, self._close_expired) if has_idle else None
+        self._expiry_timer = (
+            self.loop.deadlines.add(now + EXPIRY_CHECK_INTERVAL_S, self._close_expired) if has_idle else None
+        )
--- a/larchgw/edge/stream_relay.py
+++ b/larchgw/edge/stream_relay.py
@@ -115,7 +115,7 @@
             return
         increases = number is not None and (last is None or number > last)
         if self._is_resumed and last is not None and not self._follows(last, number):
-            raise StreamMismatchError(f"event {number} cannot follow event {last} in a resumed stream")
+            raise StreamMismatchError(f"event {number} does not continue from event {last}")
         if event.version:
             self.version = event.version
         if number is None or not increases:
--- a/larchgw/net/connection.py
+++ b/larchgw/net/connection.py
@@ -136,9 +136,9 @@
         self.sock.close()
 
     def _on_connection_end(self, ending: ConnectionOutcome) -> None:
-        finishing = self._closing
+        was_closing = self._closing
         self.close()
-        if not finishing:
+        if not was_closing:
             self.owner.on_end(ending)
 
     def _shut_down_writing(self) -> None:
--- a/larchgw/net/limits.py
+++ b/larchgw/net/limits.py
@@ -21,7 +21,7 @@
     # For a complete request, from its first byte; for the first request, from the start of the connection.
     request_timeout_s: float = 2.6
     chunk_timeout_s: float = 1.0  # after `request_timeout_s`, for each next piece of a request
-    max_request_s: float = 10.0  # for a request of which pieces still arrive
+    max_request_s: float = 10.0  # for a complete request, even while pieces keep arriving
     idle_timeout_s: float = 300.0  # between requests
 
     @property
