--- a/larchgw/edge/answer_parser.py
+++ b/larchgw/edge/answer_parser.py
@@ -121,10 +121,8 @@
         if head.status >= 200 and head.headers.get(ATTEMPT_ID) == self._attempt_id:
             self.has_head = True
             if self._head_only:
-                self.is_complete, self.keep_alive = (
-                    True,
-                    False,
-                )  # the parser waits for a body that never comes
+                # The parser would wait for a body that is never sent.
+                self.is_complete, self.keep_alive = True, False
 
     def on_body(self, data: bytes) -> None:
         """Stores body bytes of this request's response."""
--- a/larchgw/edge/demand.py
+++ b/larchgw/edge/demand.py
@@ -9,8 +9,7 @@
 from ..rpc.generated.ttypes import ModelDemand
 from .expected_returns import AwaitedLoad
 
-# Lines of a report. Beyond it, adapters that were not requested are summed up by model; the report may still
-# be longer.
+# Lines of a report, where possible: beyond it, adapters that were not requested are summed up by model.
 MAX_LINES = 100
 
 
