--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ...configuration.settings import SETTINGS_FILE_VARIABLE, TimeLimits
-from ...fault_injection.switchboard import Switchboard
+from ...fault_injection.link_controller import Switchboard
 from .network import CONTROL_OFFSET, FRONT_OFFSET, READY_OFFSET, Network
 from .records import Records, Trouble
 from .site import ZONE_NAMES, ZONES
--- a/tests/fault_injection/test_switchboard.py
+++ b/tests/fault_injection/test_link_controller.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from larchgw.fault_injection.link_controller import Switchboard
 from larchgw.fault_injection.links import Links
 from larchgw.fault_injection.loop import LinkedLoop
 from larchgw.fault_injection.orders import Link, Order
-from larchgw.fault_injection.switchboard import Switchboard
 from tests.fault_injection.stand_ins import ANSWERS_HELD, HOST, OTHER, SENT_HELD, Peer
 from tests.support.asyncio_tests import PATIENCE, TEST_TIME
 
