--- a/larchgw/emulator/system/rig.py
+++ b/larchgw/emulator/system/rig.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ...configuration.settings import SETTINGS_FILE_VARIABLE, TimeLimits
-from ...fault_injection.link_controller import Switchboard
+from ...fault_injection.link_controller import LinkController
 from .network import CONTROL_OFFSET, FRONT_OFFSET, READY_OFFSET, Network
 from .records import Records, Trouble
 from .site import ZONE_NAMES, ZONES
@@ -45,9 +45,9 @@
     """One process of the system and the machine that it stands for."""
 
     def __init__(
-        self, place: Place, network: Network, folder: Path, switchboard: Switchboard | None = None
+        self, place: Place, network: Network, folder: Path, link_controller: LinkController | None = None
     ) -> None:
-        self.place, self.network, self._switchboard = place, network, switchboard
+        self.place, self.network, self._link_controller = place, network, link_controller
         self.folder = folder / place.name
         self.folder.mkdir()
         self.process: asyncio.subprocess.Process | None = None
@@ -132,8 +132,8 @@
         environment = os.environ | {SETTINGS_FILE_VARIABLE: str(file), "PYTHONPATH": os.pathsep.join(paths)}
         with self.log.open("ab") as log, ExitStack() as inherited:
             program, descriptors = ["larchgw"], []
-            if self._switchboard is not None:
-                orders = inherited.enter_context(self._switchboard.attach(self.ip))
+            if self._link_controller is not None:
+                orders = inherited.enter_context(self._link_controller.attach(self.ip))
                 descriptors = [orders.fileno()]
                 program = [LINKED, str(orders.fileno())]
             # A session of its own: a ctrl-C at the terminal is the trial's to pass on.
@@ -208,8 +208,8 @@
     ) -> None:
         self._network, self._folder, self._records, self._limits = network, folder, records, limits
         self._now = now
-        self.links = Switchboard()
-        self._switchboard = self.links if linked else None
+        self.links = LinkController()
+        self._link_controller = self.links if linked else None
         self._survive = max((controls - 1) // 2, 1)
         self.controls = [self._machine(CONTROL, number, FIRST_CONTROL + number) for number in range(controls)]
         self.edges = [self._machine(EDGE, number, FIRST_EDGE + number) for number in range(edges)]
@@ -333,7 +333,7 @@
         await machine.kill()
         place = replace(machine.place, name=f"control-{self._next_number}", number=self._next_number)
         self._next_number += 1
-        successor = Machine(place, self._network, self._folder, self._switchboard)
+        successor = Machine(place, self._network, self._folder, self._link_controller)
         self.controls[self.controls.index(machine)] = successor
         self._seeds = [one.control for one in self.controls[:SEEDS]]
         await self._start(successor)
@@ -344,7 +344,7 @@
 
     def _machine(self, role: str, index: int, number: int) -> Machine:
         place = Place(f"{role}-{index + 1}", role, number, ZONE_NAMES[index % len(ZONE_NAMES)])
-        return Machine(place, self._network, self._folder, self._switchboard)
+        return Machine(place, self._network, self._folder, self._link_controller)
 
     async def _start(self, machine: Machine, first_boot: bool = False) -> None:
         await machine.start(machine.settings(self._seeds, self._limits, first_boot, self._survive))
--- a/larchgw/fault_injection/link_controller.py
+++ b/larchgw/fault_injection/link_controller.py
@@ -14,7 +14,7 @@
 ACKNOWLEDGE_TIMEOUT_S = 30.0  # that a busy process may take to carry an order out
 
 
-class Switchboard:
+class LinkController:
     """Gives orders to the processes of some hosts. A process is attached at each of its starts."""
 
     def __init__(self) -> None:
--- a/tests/fault_injection/test_link_controller.py
+++ b/tests/fault_injection/test_link_controller.py
@@ -1,4 +1,4 @@
-"""Orders of the switchboard as processes under it see them: cuts, resets and bad links."""
+"""Orders of the link controller as processes under it see them: cuts, resets and bad links."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from larchgw.fault_injection.link_controller import Switchboard
+from larchgw.fault_injection.link_controller import LinkController
 from larchgw.fault_injection.links import Links
 from larchgw.fault_injection.loop import LinkedLoop
 from larchgw.fault_injection.orders import Link, Order
@@ -15,16 +15,16 @@
 from tests.support.asyncio_tests import PATIENCE, TEST_TIME
 
 
-def on_linked_loop(scenario: Callable[[Switchboard], Coroutine[Any, Any, None]]) -> None:
-    """Runs it in a process that is under the switchboard's links as host OTHER."""
-    switchboard, links = Switchboard(), Links(random.Random(1))
-    with switchboard.attach(OTHER) as orders:
+def on_linked_loop(scenario: Callable[[LinkController], Coroutine[Any, Any, None]]) -> None:
+    """Runs it in a process that is under the link controller's links as host OTHER."""
+    link_controller, links = LinkController(), Links(random.Random(1))
+    with link_controller.attach(OTHER) as orders:
         links.apply(Order.decode(orders.recv(65536)))
         loop = LinkedLoop(links, orders, lambda: None)
         try:
-            loop.run_until_complete(asyncio.wait_for(scenario(switchboard), TEST_TIME))
+            loop.run_until_complete(asyncio.wait_for(scenario(link_controller), TEST_TIME))
         finally:
-            switchboard.close()
+            link_controller.close()
             loop.close()
 
 
@@ -41,7 +41,7 @@
 
 
 def test_a_cut_is_silent_at_both_ends_and_what_was_held_comes_after_it() -> None:
-    async def scenario(switchboard: Switchboard) -> None:
+    async def scenario(link_controller: LinkController) -> None:
         server, port, peers = await serve()
         loop = asyncio.get_running_loop()
         transport, program = await loop.create_connection(Peer, HOST, port)
@@ -51,7 +51,7 @@
                 await asyncio.sleep(0)
         (peer,) = peers
         await peer.until(lambda: peer.received == b"before")
-        await switchboard.isolate([OTHER], [HOST, OTHER])
+        await link_controller.isolate([OTHER], [HOST, OTHER])
         transport.write(b" during")
         assert peer.transport is not None
         peer.transport.write(b"answer")
@@ -61,7 +61,7 @@
         assert (peer.received, program.received, connecting.done()) == (b"before", b"", False)
         assert not peer.lost
         assert not program.lost
-        await switchboard.rejoin([OTHER], [HOST, OTHER])
+        await link_controller.rejoin([OTHER], [HOST, OTHER])
         await peer.until(lambda: peer.received == b"before during")
         await program.until(lambda: program.received == b"answer")
         second, _ = await connecting
@@ -73,10 +73,10 @@
 
 
 def test_a_cut_of_one_direction_lets_the_other_one_through() -> None:
-    async def scenario(switchboard: Switchboard) -> None:
+    async def scenario(link_controller: LinkController) -> None:
         server, port, peers = await serve()
         transport, program = await asyncio.get_running_loop().create_connection(Peer, HOST, port)
-        await switchboard.cut([HOST], [OTHER])
+        await link_controller.cut([HOST], [OTHER])
         transport.write(b"sent")
         async with asyncio.timeout(PATIENCE):
             while not peers:
@@ -88,7 +88,7 @@
         for _ in range(50):
             await asyncio.sleep(0)
         assert program.received == b""
-        await switchboard.heal([HOST], [OTHER])
+        await link_controller.heal([HOST], [OTHER])
         await program.until(lambda: program.received == b"answer")
         transport.close()
         server.close()
@@ -97,13 +97,13 @@
 
 
 def test_a_reset_is_seen_at_both_ends() -> None:
-    async def scenario(switchboard: Switchboard) -> None:
+    async def scenario(link_controller: LinkController) -> None:
         server, port, peers = await serve()
         _, program = await asyncio.get_running_loop().create_connection(Peer, HOST, port)
         async with asyncio.timeout(PATIENCE):
             while not peers:
                 await asyncio.sleep(0)
-        await switchboard.reset(OTHER, [HOST])
+        await link_controller.reset(OTHER, [HOST])
         await peers[0].until(lambda: peers[0].lost)
         assert isinstance(peers[0].lost[0], ConnectionResetError)
         assert isinstance(program.lost[0], ConnectionResetError)
@@ -116,16 +116,16 @@
     """What two processes of a group and one outside are told when the group is cut off."""
 
     async def scenario() -> list[dict[str, Link]]:
-        switchboard = Switchboard()
-        await switchboard.isolate(["a", "b"], ["a", "b", "c"], hold_outgoing, hold_incoming)
+        link_controller = LinkController()
+        await link_controller.isolate(["a", "b"], ["a", "b", "c"], hold_outgoing, hold_incoming)
         told = []
         for host in "abc":
-            with switchboard.attach(host) as orders:
+            with link_controller.attach(host) as orders:
                 told.append(dict(Order.decode(orders.recv(65536)).links))
-        await switchboard.rejoin(["a", "b"], ["a", "b", "c"])
-        with switchboard.attach("c") as orders:
+        await link_controller.rejoin(["a", "b"], ["a", "b", "c"])
+        with link_controller.attach("c") as orders:
             assert Order.decode(orders.recv(65536)).links == {}
-        switchboard.close()
+        link_controller.close()
         return told
 
     return asyncio.run(asyncio.wait_for(scenario(), TEST_TIME))
@@ -158,39 +158,39 @@
 
 def test_a_bad_link_is_healthy_again_when_it_is_told_so() -> None:
     async def scenario() -> None:
-        switchboard = Switchboard()
-        await switchboard.impair(OTHER, [HOST], delay_ms=5.0, loss=0.5)
-        with switchboard.attach(OTHER) as orders:
+        link_controller = LinkController()
+        await link_controller.impair(OTHER, [HOST], delay_ms=5.0, loss=0.5)
+        with link_controller.attach(OTHER) as orders:
             assert Order.decode(orders.recv(65536)).links == {HOST: Link(delay_ms=5.0, loss=0.5)}
-        switchboard.detach(OTHER)
-        await switchboard.impair(OTHER, [HOST], delay_ms=0.0, loss=0.0)
-        with switchboard.attach(OTHER) as orders:
+        link_controller.detach(OTHER)
+        await link_controller.impair(OTHER, [HOST], delay_ms=0.0, loss=0.0)
+        with link_controller.attach(OTHER) as orders:
             assert Order.decode(orders.recv(65536)).links == {}
-        switchboard.close()
+        link_controller.close()
 
     asyncio.run(asyncio.wait_for(scenario(), TEST_TIME))
 
 
 def test_a_process_that_starts_anew_is_under_the_links_of_before() -> None:
     async def scenario() -> None:
-        switchboard = Switchboard()
-        await switchboard.isolate([OTHER], [HOST])
-        with switchboard.attach(OTHER) as orders:
+        link_controller = LinkController()
+        await link_controller.isolate([OTHER], [HOST])
+        with link_controller.attach(OTHER) as orders:
             order = Order.decode(orders.recv(65536))
         assert order.links == {HOST: Link(hold_sent=True, hold_received=True)}
-        await switchboard.rejoin([OTHER], [HOST])  # its process has ended meanwhile: nobody is waited for
-        switchboard.close()
+        await link_controller.rejoin([OTHER], [HOST])  # its process has ended meanwhile: nobody is waited for
+        link_controller.close()
 
     asyncio.run(asyncio.wait_for(scenario(), TEST_TIME))
 
 
 def test_a_process_whose_test_has_ended_is_told_so() -> None:
     left: list[bool] = []
-    switchboard = Switchboard()
-    with switchboard.attach(OTHER) as orders:
+    link_controller = LinkController()
+    with link_controller.attach(OTHER) as orders:
         orders.recv(65536)
         loop = LinkedLoop(Links(random.Random(1)), orders, lambda: (left.append(True), loop.stop())[0])
-        switchboard.close()
+        link_controller.close()
         loop.call_later(TEST_TIME, loop.stop)
         loop.run_forever()
         loop.close()
