--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -33,7 +33,7 @@
 LEASE_NAME = "placer"
 LEASE_TERM_S = 3.0
 ACT_TARGETS = ("runner-1", "runner-2", "runner-3")
-ACT_RATE = 0.1  # share of the ticks at which a holder announces an act
+ACTION_RATE = 0.1  # share of the ticks at which a holder announces an act
 CHUNK_BYTES = 16  # so that a snapshot goes in several chunks
 DELIVER_BYTES = 600  # so that records are handed out one to three at a time
 
@@ -364,7 +364,7 @@
         member, clock = machine.member, self.clock(machine)
         if member is None or machine.announcements or not self.has_leases:
             return
-        if member.lease(clock, LEASE_NAME) is None or self.random.random() >= ACT_RATE:
+        if member.lease(clock, LEASE_NAME) is None or self.random.random() >= ACTION_RATE:
             return
         target = self.random.choice(ACT_TARGETS)
         if member.target_free_at(LEASE_NAME, target) > clock:
--- a/tests/replication/test_lease.py
+++ b/tests/replication/test_lease.py
@@ -146,7 +146,7 @@
 @pytest.fixture
 def idle_cluster(monkeypatch: pytest.MonkeyPatch) -> SimulatedCluster:
     """A cluster whose holder announces no actions by itself."""
-    monkeypatch.setattr(cluster_module, "ACT_RATE", 0.0)
+    monkeypatch.setattr(cluster_module, "ACTION_RATE", 0.0)
     return started()
 
 
