--- a/larchgw/model_checking/check_ins/invariants.py
+++ b/larchgw/model_checking/check_ins/invariants.py
@@ -70,11 +70,11 @@
             self._violations.append(f"{control_process} acknowledged {call.runner} without a majority")
         if call.stage is Stage.READY:
             return
-        informed = [process for process in self._control if _is_informed(process, call)]
-        if not self._is_majority(len(informed)):
+        processes_that_know = [process for process in self._control if _is_informed(process, call)]
+        if not self._is_majority(len(processes_that_know)):
             self._violations.append(
                 f"{control_process} acknowledged that {call.runner} is {call.stage.name}, which "
-                f"{len(informed)} of {len(self._control)} know"
+                f"{len(processes_that_know)} of {len(self._control)} know"
             )
         self.acknowledged.append(Acknowledgement(call.runner, call.stage, now()))
 
--- a/larchgw/model_checking/check_ins/mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -11,7 +11,7 @@
 from ...rpc.generated.ttypes import PullReply
 from ...runner_directory.directory import CheckInOutcome
 from ..mutants import Mutant, Patch
-from ..replication.mutants import one_less_is_enough
+from ..replication.mutants import counts_one_vote_less_as_majority
 from .runs import play_faults
 
 Accept = Callable[[Puller, _Session, PullReply, float], None]
@@ -27,7 +27,7 @@
     return acknowledge
 
 
-def _ignores_the_result(original: Replicate) -> Replicate:
+def _ignores_replication_result(original: Replicate) -> Replicate:
     async def replicate(self: RunnerCheckIns, runner: str) -> bool:
         await original(self, runner)
         return True
@@ -35,7 +35,7 @@
     return replicate
 
 
-def _counts_a_start_as_contact(
+def _treats_start_as_contact(
     original: Callable[[PullContact, str], bool],
 ) -> Callable[[PullContact, str], bool]:
     def is_proven(self: PullContact, address: str) -> bool:
@@ -44,14 +44,14 @@
     return is_proven
 
 
-def _counts_by_arrival(original: Accept) -> Accept:
+def _dates_contact_by_reply_arrival(original: Accept) -> Accept:
     def accept(self: Puller, session: _Session, reply: PullReply, began: float) -> None:
         original(self, session, reply, self._clock())
 
     return accept
 
 
-def _counts_a_partial_reply(original: Accept) -> Accept:
+def _treats_partial_reply_as_complete(original: Accept) -> Accept:
     def accept(self: Puller, session: _Session, reply: PullReply, began: float) -> None:
         original(self, session, reply, began)
         self.contact_proven_at = began
@@ -59,7 +59,7 @@
     return accept
 
 
-def _believes_the_isolated(
+def _trusts_isolated_processes(
     original: Callable[[Puller, PullReply, float], bool],
 ) -> Callable[[Puller, PullReply, float], bool]:
     def is_current(self: Puller, reply: PullReply, began: float) -> bool:
@@ -68,7 +68,7 @@
     return is_current
 
 
-def _claims_what_it_left_out(original: MergeFromIsolated) -> MergeFromIsolated:
+def _advances_past_omitted_entries(original: MergeFromIsolated) -> MergeFromIsolated:
     def merge_from_isolated(self: Puller, session: _Session, reply: PullReply) -> None:
         original(self, session, reply)
         self.registry.advance(reply.upto or {})
@@ -87,42 +87,42 @@
         "acknowledges a drain whatever the handoff came to",
         play_faults,
         0,
-        (Patch(RunnerCheckIns, "_replicate", _ignores_the_result),),
+        (Patch(RunnerCheckIns, "_replicate", _ignores_replication_result),),
     ),
     Mutant(
         "takes a start for contact",
         play_faults,
         4,
-        (Patch(PullContact, "_is_proven", _counts_a_start_as_contact),),
+        (Patch(PullContact, "_is_proven", _treats_start_as_contact),),
     ),
     Mutant(
         "counts contact from the arrival of answers",
         play_faults,
         8,
-        (Patch(Puller, "_accept", _counts_by_arrival),),
+        (Patch(Puller, "_accept", _dates_contact_by_reply_arrival),),
     ),
     Mutant(
         "takes a part of an answer for the whole",
         play_faults,
         0,
-        (Patch(Puller, "_accept", _counts_a_partial_reply),),
+        (Patch(Puller, "_accept", _treats_partial_reply_as_complete),),
     ),
     Mutant(
         "takes a configuration from a process that is cut off",
         play_faults,
         11,
-        (Patch(Puller, "_is_current", _believes_the_isolated),),
+        (Patch(Puller, "_is_current", _trusts_isolated_processes),),
     ),
     Mutant(
         "claims what it left out of a cut-off process's answer",
         play_faults,
         19,
-        (Patch(Puller, "_merge_from_isolated", _claims_what_it_left_out),),
+        (Patch(Puller, "_merge_from_isolated", _advances_past_omitted_entries),),
     ),
     Mutant(
         "counts one less than a majority as one",
         play_faults,
         0,
-        (Patch(view, "majority_of", one_less_is_enough),),
+        (Patch(view, "majority_of", counts_one_vote_less_as_majority),),
     ),
 )
--- a/larchgw/model_checking/check_ins/network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -115,15 +115,15 @@
     async def _exchange(self, sender: str, receiver: str, argument: Argument) -> Reply:
         service = self._services[receiver]
         incarnation = service.incarnation
-        await self._travel(sender, receiver)
+        await self._transfer(sender, receiver)
         self._check_incarnation(service, incarnation, receiver)
         # The called process goes on though its caller gives up, as over sockets.
         reply = await asyncio.shield(asyncio.ensure_future(service.serve(argument)))
-        await self._travel(receiver, sender)
+        await self._transfer(receiver, sender)
         self._check_incarnation(service, incarnation, receiver)
         return reply
 
-    async def _travel(self, sender: str, receiver: str) -> None:
+    async def _transfer(self, sender: str, receiver: str) -> None:
         await asyncio.sleep(self._random_source.uniform(*DELAY_RANGE_S))
         while not self.is_open(sender, receiver):
             await self._changed.wait()
--- a/larchgw/model_checking/links.py
+++ b/larchgw/model_checking/links.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-CALM_DELAY_S = (0.0005, 0.004)
+RELIABLE_DELAY_S = (0.0005, 0.004)
 LOSS_AND_DUPLICATION_RATES = ((0.05, 0.05), (0.3, 0.1), (0.0, 0.5))
-FAULTY_DELAYS_S = (CALM_DELAY_S, (0.001, 0.2), (0.0, 0.03))
+FAULTY_DELAYS_S = (RELIABLE_DELAY_S, (0.001, 0.2), (0.0, 0.03))
 
 IsCut = Callable[[str, str], bool]
 """Whether messages from the first address to the second are lost."""
@@ -42,7 +42,7 @@
 
     loss_rate: float = 0.0
     duplication_rate: float = 0.0
-    delay_range_s: tuple[float, float] = CALM_DELAY_S
+    delay_range_s: tuple[float, float] = RELIABLE_DELAY_S
     is_cut: IsCut = field(default=no_link_is_cut)
 
     def become_unreliable(self, random_source: Random) -> None:
@@ -53,4 +53,4 @@
     def become_reliable(self) -> None:
         """Ends all faults but a partition."""
         self.loss_rate = self.duplication_rate = 0.0
-        self.delay_range_s = CALM_DELAY_S
+        self.delay_range_s = RELIABLE_DELAY_S
--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -25,7 +25,7 @@
 from ...rpc.structs import Argument, Reply
 from ...runtime.rpc_clients import RpcClients
 from ..errors import SimulatedCrashError
-from ..links import CALM_DELAY_S, Links
+from ..links import RELIABLE_DELAY_S, Links
 from ..simulated_disk import SimulatedDisk
 from .invariants import InvariantChecker
 
@@ -43,7 +43,7 @@
     Attributes:
         is_alive: False from its end on.
         is_frozen: Whether it stands still, while its timers go on.
-        held: What came, or should go out, while it was frozen.
+        deferred: What came, or should go out, while it was frozen.
         tasks: Calls that it serves.
     """
 
@@ -54,7 +54,7 @@
         self.cluster, self.address, self.disk = cluster, address, disk
         self.is_alive = True
         self.is_frozen = False
-        self.held: list[Callable[[], None]] = []
+        self.deferred: list[Callable[[], None]] = []
         self.tasks: list[asyncio.Task[None]] = []
         self._offset = cluster.random.uniform(0.0, MAX_CLOCK_OFFSET_S)
         self.state = ConfigurationState()
@@ -70,34 +70,34 @@
         )
         self.member = Member(settings, disk.ports(), self.state.snapshot, cluster.random)
         clients = SimulatedClients(self)
-        self.log = ReplicatedLog(self.member, self.state, clients, self._changed, self._clock)
+        self.log = ReplicatedLog(self.member, self.state, clients, self._on_state_changed, self._clock)
         self.calls = OperatorCallRouter(self.member, OperatorService(self.state, self.log), clients)
 
     def _clock(self) -> float:
         return self.cluster.loop.time() + self._offset
 
-    def _changed(self) -> None:
+    def _on_state_changed(self) -> None:
         self.cluster.checks.in_force(self.address, self.state)
 
     def start(self) -> None:
         """Begins to tick and to take part."""
         self.member.set_contacts(self.cluster.addresses)
         self.log.start()
-        self._changed()
+        self._on_state_changed()
         self._tick()
 
     def _tick(self) -> None:
         if self.is_alive:
             self.cluster.loop.call_later(TICK_S, self._tick)
             if not self.is_frozen:
-                self.do(self.log.tick)
+                self.run_step(self.log.tick)
 
-    def do(self, step: Callable[[], None]) -> None:
+    def run_step(self, step: Callable[[], None]) -> None:
         """Carries out one step of this process, in which it may crash; a frozen one does so later."""
         if not self.is_alive:
             return
         if self.is_frozen:
-            self.held.append(partial(self.do, step))
+            self.deferred.append(partial(self.run_step, step))
             return
         try:
             step()
@@ -107,19 +107,19 @@
 
     def serve(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
         """Begins to serve a call from outside."""
-        self.do(lambda: self._spawn(call))
+        self.run_step(lambda: self._spawn(call))
 
     def _spawn(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        task = self.cluster.loop.create_task(self._guarded(call))
+        task = self.cluster.loop.create_task(self._run_until_crash(call))
         self.tasks.append(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.remove(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.cluster.fail(error)
 
-    async def _guarded(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    async def _run_until_crash(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
         try:
             await call()
         except SimulatedCrashError:
@@ -314,8 +314,8 @@
         process = self.processes.get(address)
         if process is not None and process.is_frozen:
             process.is_frozen = False
-            held, process.held = process.held, []
-            for step in held:
+            deferred, process.deferred = process.deferred, []
+            for step in deferred:
                 step()
 
     @property
@@ -330,7 +330,7 @@
         if not sender.is_alive:
             return
         if sender.is_frozen:
-            sender.held.append(partial(self.transmit, sender, address, step))
+            sender.deferred.append(partial(self.transmit, sender, address, step))
             return
         if self.links.is_cut(sender.address, address) or self.random.random() < self.links.loss_rate:
             return
@@ -339,7 +339,7 @@
     def _arrive(self, address: str, step: Callable[[Process], None]) -> None:
         process = self.processes.get(address)
         if process is not None:
-            process.do(partial(step, process))
+            process.run_step(partial(step, process))
 
     async def call(
         self, address: str, operation: str, base_version: int, body: bytes, timeout_s: float
@@ -350,7 +350,7 @@
         async def serve(process: Process) -> None:
             answer = await process.calls.operator_call(operation, base_version, body)
             if process.is_frozen:
-                process.held.append(partial(self._reply, future, answer))
+                process.deferred.append(partial(self._reply, future, answer))
             else:
                 self._reply(future, answer)
 
@@ -359,7 +359,7 @@
             if process is not None:
                 process.serve(lambda: serve(process))
 
-        self.loop.call_later(self.random.uniform(*CALM_DELAY_S), arrive)
+        self.loop.call_later(self.random.uniform(*RELIABLE_DELAY_S), arrive)
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
@@ -368,7 +368,7 @@
 
     def _reply(self, future: asyncio.Future[OperatorResponse], answer: OperatorResponse) -> None:
         if self.random.random() >= self.links.answer_loss_rate:
-            self.loop.call_later(self.random.uniform(*CALM_DELAY_S), _settle, future, answer)
+            self.loop.call_later(self.random.uniform(*RELIABLE_DELAY_S), _settle, future, answer)
 
     # ---- observations ----
 
--- a/larchgw/model_checking/operator_calls/fault_injection.py
+++ b/larchgw/model_checking/operator_calls/fault_injection.py
@@ -13,7 +13,12 @@
 from .operators import Operators
 
 CONVERGENCE_S = 8.0  # after the last fault, until everything is served again
-FAULT_INTERVALS_S = (0.1, 0.3, 0.8, 2.0)  # between two faults, on average; which one is drawn for each run
+FAULT_INTERVALS_S = (
+    0.1,
+    0.3,
+    0.8,
+    2.0,
+)  # mean, between two faults; drawn once per run
 FIRST_BOOT_S = 0.2
 POLL_INTERVAL_S = 0.001  # how often it is looked for a proposal that is not decided
 MAX_FAULT_S = 6.0  # when all of them have ended
@@ -57,11 +62,11 @@
                 self._random.uniform(0.0, FIRST_BOOT_S), partial(self._cluster.start, address, True)
             )
         end = self._cluster.loop.time() + seconds
-        between = self._random.choice(FAULT_INTERVALS_S)
+        mean_interval_s = self._random.choice(FAULT_INTERVALS_S)
         await asyncio.sleep(1.0)
         while self._cluster.loop.time() < end:
             self._random.choice(self._faults)()
-            await asyncio.sleep(self._random.expovariate(1.0 / between))
+            await asyncio.sleep(self._random.expovariate(1.0 / mean_interval_s))
 
     async def recover(self, operators: Operators) -> None:
         """Ends all faults; what was acknowledged must be there, and acknowledged again."""
@@ -163,7 +168,7 @@
         """A planned end: by agreement with the others, or cut short."""
         process = self._cluster.processes.get(self._pick_address())
         if process is not None:
-            process.do(process.log.leave)
+            process.run_step(process.log.leave)
             latest = self._cluster.loop.time() + self._random.choice(LEAVE_LIMITS_S)
             self._restart_once_left(process, latest)
 
@@ -186,9 +191,9 @@
 
         Mostly that is while a record is undecided, which it is for some ms only.
         """
-        self._cancel_at_a_proposal(self._cluster.loop.time() + self._random.choice((0.0, 0.5, 0.5)))
+        self._cancel_when_undecided(self._cluster.loop.time() + self._random.choice((0.0, 0.5, 0.5)))
 
-    def _cancel_at_a_proposal(self, latest: float) -> None:
+    def _cancel_when_undecided(self, latest: float) -> None:
         is_due = self._cluster.loop.time() >= latest
         for process in list(self._cluster.processes.values()):
             if is_due or process.has_undecided:
@@ -197,4 +202,4 @@
                         task.cancel()
                 is_due = True
         if not is_due:
-            self._schedule(POLL_INTERVAL_S, lambda: self._cancel_at_a_proposal(latest))
+            self._schedule(POLL_INTERVAL_S, lambda: self._cancel_when_undecided(latest))
--- a/larchgw/model_checking/operator_calls/invariants.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -10,11 +10,11 @@
 from ...control.operator_order import OperatorOrder
 from ..errors import InvariantError
 
-DONE = 200
+HTTP_OK = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentOrder:
     """One order, however often it is sent.
 
     Attributes:
@@ -43,36 +43,38 @@
 
     def __init__(self) -> None:
         """Begins before any order is sent."""
-        self._sent: dict[int, list[Sent]] = {}  # by the version asked for
-        self._acknowledged: dict[str, Sent] = {}  # by digest, in the order of the first acknowledgement
-        self._refused: set[str] = set()
-        self._won: dict[int, Sent] = {}  # base version -> what is, or was, in force on top of it
-        self._in_force: dict[int, Sent] = {}  # by version
+        self._sent: dict[int, list[SentOrder]] = {}  # by the version asked for
+        self._acknowledged: dict[str, SentOrder] = {}  # by digest, in the order of the first acknowledgement
+        self._rejected_digests: set[str] = set()
+        self._applied_by_base: dict[
+            int, SentOrder
+        ] = {}  # base version -> what is, or was, in force on top of it
+        self._in_force: dict[int, SentOrder] = {}  # by version
         self.answers: Counter[int] = Counter()
         self.newest_acknowledged = 0
 
     @property
-    def acknowledged(self) -> list[Sent]:
+    def acknowledged(self) -> list[SentOrder]:
         """All acknowledged orders, the oldest first."""
         return list(self._acknowledged.values())
 
-    def sends(self, sent: Sent) -> None:
+    def sends(self, sent: SentOrder) -> None:
         """Observes that an operator is about to send this order for the first time."""
         self._sent.setdefault(sent.version, []).append(sent)
 
-    def answered(self, sent: Sent, status: int) -> None:
+    def answered(self, sent: SentOrder, status: int) -> None:
         """Observes an answer to an order."""
         self.answers[status] += 1
-        if status == DONE:
-            self._accepted(sent)
+        if status == HTTP_OK:
+            self._check_acknowledgement(sent)
         elif 400 <= status < 500:
-            self._denied(sent, status)
+            self._check_rejection(sent, status)
 
-    def _accepted(self, sent: Sent) -> None:
+    def _check_acknowledgement(self, sent: SentOrder) -> None:
         digest = sent.order.digest()
         if not sent.is_valid:
             raise InvariantError(f"{sent} is invalid and was acknowledged")
-        if digest in self._refused:
+        if digest in self._rejected_digests:
             raise InvariantError(f"{sent} was refused, and acknowledged later")
         for other in self._acknowledged.values():
             if other.order.base_version == sent.order.base_version and other != sent:
@@ -80,17 +82,17 @@
         self._acknowledged.setdefault(digest, sent)
         self.newest_acknowledged = max(self.newest_acknowledged, sent.version)
 
-    def _denied(self, sent: Sent, status: int) -> None:
+    def _check_rejection(self, sent: SentOrder, status: int) -> None:
         digest = sent.order.digest()
         if digest in self._acknowledged:
             raise InvariantError(f"{sent} was acknowledged, and got {status} when sent again")
         if self._in_force.get(sent.version) == sent:
             raise InvariantError(f"{sent} is or was in force, and got {status}")
-        self._refused.add(digest)
+        self._rejected_digests.add(digest)
 
     def read(self, acknowledged_before: int, version: int) -> None:
         """Observes that a read gave `version`, 0 for none; it began after `acknowledged_before` was."""
-        self.answers[DONE] += 1
+        self.answers[HTTP_OK] += 1
         if version < acknowledged_before:
             raise InvariantError(
                 f"a read gave {version}; {acknowledged_before} was acknowledged before it began"
@@ -102,16 +104,16 @@
         """Observes that a process has applied records."""
         for sent in self._sent.get(state.version, []):
             if state.is_accepted(sent.order):
-                self._comes_into_force(process, sent)
+                self._check_in_force(process, sent)
 
-    def _comes_into_force(self, process: str, sent: Sent) -> None:
+    def _check_in_force(self, process: str, sent: SentOrder) -> None:
         other = self._in_force.setdefault(sent.version, sent)
         if other != sent:
             raise InvariantError(f"{sent} is in force at {process}, {other} elsewhere")
-        winner = self._won.setdefault(sent.order.base_version, sent)
+        winner = self._applied_by_base.setdefault(sent.order.base_version, sent)
         if winner != sent:
             raise InvariantError(f"{sent} is in force at {process}, and so was {winner}")
         if not sent.is_valid:
             raise InvariantError(f"{sent} is invalid and in force at {process}")
-        if sent.order.digest() in self._refused:
+        if sent.order.digest() in self._rejected_digests:
             raise InvariantError(f"{sent} was refused, and is in force at {process}")
--- a/larchgw/model_checking/operator_calls/mutants.py
+++ b/larchgw/model_checking/operator_calls/mutants.py
@@ -38,7 +38,7 @@
     return property(lambda self: True)
 
 
-def _forgets_at_restore(
+def _drops_accepted_orders_on_restore(
     original: Callable[[ConfigurationState, bytes], None],
 ) -> Callable[[ConfigurationState, bytes], None]:
     def restore(self: ConfigurationState, data: bytes) -> None:
@@ -47,25 +47,25 @@
     return restore
 
 
-def _remembers_one(original: int) -> int:
+def _one_remembered_order(original: int) -> int:
     return 1
 
 
-def _by_operation_and_base(original: Digest) -> Digest:
+def _digest_without_body(original: Digest) -> Digest:
     def digest(operation: str, base_version: int, body: bytes) -> str:
         return original(operation, base_version, b"")
 
     return digest
 
 
-def _by_text(original: Digest) -> Digest:
+def _digest_without_base(original: Digest) -> Digest:
     def digest(operation: str, base_version: int, body: bytes) -> str:
         return original(operation, NO_BASE_VERSION, body)
 
     return digest
 
 
-def _without_looking_back(propose: Propose) -> Callable[[Submit], Submit]:
+def _submit_without_outcome_check(propose: Propose) -> Callable[[Submit], Submit]:
     """OperatorService._submit, but without its look at what came of the proposal."""
 
     async def submit(self: OperatorService, order: OperatorOrder) -> OperatorResponse:
@@ -73,9 +73,9 @@
         await self.replication.confirm_primary()
         if self.state.is_accepted(order):
             return self._accepted()
-        fits = self.state.evaluate(order)
-        if fits.is_error():
-            return self._rejected(fits.error)
+        evaluated = self.state.evaluate(order)
+        if evaluated.is_error():
+            return self._rejected(evaluated.error)
         await propose(self, order.encode())
         return self._accepted()
 
@@ -85,11 +85,11 @@
     return make
 
 
-async def _and_waits(service: OperatorService, record: bytes) -> None:
+async def _propose_and_wait(service: OperatorService, record: bytes) -> None:
     await service.replication.propose(record)
 
 
-async def _without_copies(service: OperatorService, record: bytes) -> None:
+async def _propose_without_replication(service: OperatorService, record: bytes) -> None:
     with suppress(TimeoutError):
         await asyncio.wait_for(service.replication.propose(record), 0.0)
 
@@ -97,15 +97,15 @@
 def _evaluates_first(original: Submit) -> Submit:
     async def submit(self: OperatorService, order: OperatorOrder) -> OperatorResponse:
         await self.replication.confirm_primary()
-        fits = self.state.evaluate(order)
-        if fits.is_error():
-            return self._rejected(fits.error)
+        evaluated = self.state.evaluate(order)
+        if evaluated.is_error():
+            return self._rejected(evaluated.error)
         return await original(self, order)
 
     return submit
 
 
-def _refuses_what_fails(original: Submit) -> Submit:
+def _rejects_on_failure(original: Submit) -> Submit:
     async def submit(self: OperatorService, order: OperatorOrder) -> OperatorResponse:
         answer = await original(self, order)
         return OperatorResponse(409, answer.body) if answer.status == 503 else answer
@@ -113,7 +113,7 @@
     return submit
 
 
-def _without_regard_to_the_base(original: Evaluate) -> Evaluate:
+def _ignores_base_version(original: Evaluate) -> Evaluate:
     def evaluate(
         current: Configuration | None, operation: str, base_version: int, body: bytes
     ) -> Configuration:
@@ -122,7 +122,7 @@
     return evaluate
 
 
-def _takes_anything_committed(
+def _accepts_every_committed_record(
     original: Callable[[ConfigurationState, int, bytes], None],
 ) -> Callable[[ConfigurationState, int, bytes], None]:
     def apply(self: ConfigurationState, index: int, record: bytes) -> None:
@@ -144,32 +144,32 @@
         "forgets taken orders at a snapshot",
         play_faults,
         1,
-        (Patch(ConfigurationState, "restore", _forgets_at_restore),),
+        (Patch(ConfigurationState, "restore", _drops_accepted_orders_on_restore),),
     ),
     Mutant(
         "remembers one taken order",
         play_faults,
         1,
-        (Patch(state_module, "MAX_REMEMBERED_ORDERS", _remembers_one),),
+        (Patch(state_module, "MAX_REMEMBERED_ORDERS", _one_remembered_order),),
     ),
     Mutant(
         "recognises an order by what it builds on",
         play_faults,
         1,
-        (Patch(order_module, "order_digest", _by_operation_and_base),),
+        (Patch(order_module, "order_digest", _digest_without_body),),
     ),
     Mutant(
         "recognises an order by its text alone",
         play_faults,
         1,
-        (Patch(order_module, "order_digest", _by_text),),
+        (Patch(order_module, "order_digest", _digest_without_base),),
     ),
     Mutant(
         "acknowledges what it proposed behind an undecided order",
         play_faults,
         15,
         (
-            Patch(OperatorService, "_submit", _without_looking_back(_and_waits)),
+            Patch(OperatorService, "_submit", _submit_without_outcome_check(_propose_and_wait)),
             Patch(ReplicatedLog, "wait_until_decided", _does_nothing),
         ),
     ),
@@ -177,7 +177,7 @@
         "acknowledges before there are copies",
         play_faults,
         0,
-        (Patch(OperatorService, "_submit", _without_looking_back(_without_copies)),),
+        (Patch(OperatorService, "_submit", _submit_without_outcome_check(_propose_without_replication)),),
     ),
     Mutant(
         "judges an order before it looks whether it was taken",
@@ -189,13 +189,13 @@
         "refuses what it could not get acknowledged",
         play_faults,
         2,
-        (Patch(OperatorService, "submit", _refuses_what_fails),),
+        (Patch(OperatorService, "submit", _rejects_on_failure),),
     ),
     Mutant(
         "takes an order on any version",
         play_faults,
         1,
-        (Patch(state_module, "evaluate_order", _without_regard_to_the_base),),
+        (Patch(state_module, "evaluate_order", _ignores_base_version),),
     ),
     Mutant(
         "judges before what it took over is committed",
@@ -208,7 +208,7 @@
         play_faults,
         7,
         (
-            Patch(ConfigurationState, "apply", _takes_anything_committed),
+            Patch(ConfigurationState, "apply", _accepts_every_committed_record),
             Patch(ReplicatedLog, "wait_until_decided", _does_nothing),
         ),
     ),
--- a/larchgw/model_checking/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -10,7 +10,7 @@
 from ...control.operator_order import OperatorOrder
 from ...control.operator_service import OperatorResponse
 from .cluster import SimulatedCluster
-from .invariants import Sent
+from .invariants import SentOrder
 
 CALL_TIMEOUT_S = 1.0  # then another process is called
 MAX_CONCURRENT_ORDERS = 8
@@ -58,7 +58,7 @@
         self._checks.read(before, version)
         return int(version)
 
-    async def send(self, sent: Sent) -> int | None:
+    async def send(self, sent: SentOrder) -> int | None:
         """Sends an order until there is a clear answer, and returns its status; None if there is none."""
         for _ in range(MAX_ATTEMPTS):
             if not self.is_working:
@@ -71,7 +71,7 @@
             await asyncio.sleep(self._random.uniform(*RETRY_PAUSE_S))
         return None
 
-    async def _attempt(self, sent: Sent) -> int | None:
+    async def _attempt(self, sent: SentOrder) -> int | None:
         order = sent.order
         answer = await self._call(order.operation, order.base_version, order.body)
         if answer is None:
@@ -85,18 +85,18 @@
 
     # ---- orders ----
 
-    def _orders(self, base: int) -> list[Sent]:
+    def _orders(self, base: int) -> list[SentOrder]:
         count = self._random.choice((1, 1, 2, 3, MAX_CONCURRENT_ORDERS))
         orders = [self._order(base) for _ in range(count)]
         if self._random.random() < OTHER_BASE_SHARE and base > 1:
             order = orders[0].order
-            elsewhere = OperatorOrder(order.operation, base - 1, order.body)
-            orders.append(Sent(elsewhere, orders[0].version, orders[0].is_valid))
+            on_other_base = OperatorOrder(order.operation, base - 1, order.body)
+            orders.append(SentOrder(on_other_base, orders[0].version, orders[0].is_valid))
         for sent in orders:
             self._checks.sends(sent)
         return orders
 
-    def _order(self, base: int) -> Sent:
+    def _order(self, base: int) -> SentOrder:
         """Makes a whole configuration or a change; different ones may ask for the same version number."""
         version = base + self._random.randint(1, 2)
         self._serial += 1
@@ -108,7 +108,7 @@
         text, is_valid = json.dumps(body), True
         if self._random.random() < INVALID_SHARE:
             text, is_valid = self._make_invalid(body, base), False
-        return Sent(OperatorOrder(operation, base, text.encode()), version, is_valid)
+        return SentOrder(OperatorOrder(operation, base, text.encode()), version, is_valid)
 
     def _make_invalid(self, body: dict[str, Any], base: int) -> str:
         """Returns the text of the same order, but invalid."""
--- a/larchgw/model_checking/placement_lease/cluster.py
+++ b/larchgw/model_checking/placement_lease/cluster.py
@@ -42,7 +42,7 @@
 CHECK_IN_INTERVAL_S = 1.0
 LATE_ORDER_RATE = 0.1  # share of the orders that take as long as an order may
 LOST_ANSWER_RATE = 0.05
-NO_MACHINE = "runners"  # where orders arrive
+RUNNERS_ADDRESS = "runners"  # where orders arrive
 
 Call = Coroutine["Suspended", None, None]
 
@@ -172,7 +172,7 @@
         if machine.member is None:
             return
         self._services[address] = self._make_service(machine, machine.member)
-        self._later(machine, self.random.uniform(0.0, ROUND_S), partial(self._play_round, machine))
+        self._schedule(machine, self.random.uniform(0.0, ROUND_S), partial(self._play_round, machine))
 
     def _make_service(self, machine: Machine, member: Member) -> PlacementService:
         log = SimulatedLog(self, machine, member)
@@ -220,9 +220,9 @@
 
     def _play_round(self, machine: Machine) -> None:
         self._services[machine.address].step()
-        self._later(machine, ROUND_S, partial(self._play_round, machine))
+        self._schedule(machine, ROUND_S, partial(self._play_round, machine))
 
-    def _later(self, machine: Machine, seconds: float, resume: Callable[[], None]) -> None:
+    def _schedule(self, machine: Machine, seconds: float, resume: Callable[[], None]) -> None:
         self._push(seconds, machine.address, Wakeup(machine.incarnation, resume))
 
     def _resume(self, machine: Machine, call: Coroutine[Any, Any, None], result: bool | None = None) -> None:
@@ -232,7 +232,7 @@
         except StopIteration:
             return
         if suspended.call is None:
-            self._later(machine, suspended.seconds, partial(self._resume, machine, call, True))
+            self._schedule(machine, suspended.seconds, partial(self._resume, machine, call, True))
             return
         key = (machine.address, suspended.call.number)
         if key in self._ended_calls:
@@ -276,12 +276,12 @@
         delay_s = ACTION_DELIVERY_S if is_late else self.random.uniform(0.0005, 0.01)
         answer = OrderAnswer(delay_s + 0.001, self.random.random() < LOST_ANSWER_RATE)
         arrival = _Arrival(self, machine.address, order, fencing_token, answer)
-        self._arrivals_later(delay_s, arrival)
+        self._schedule_arrival(delay_s, arrival)
         return answer
 
-    def _arrivals_later(self, seconds: float, arrival: _Arrival) -> None:
+    def _schedule_arrival(self, seconds: float, arrival: _Arrival) -> None:
         """Orders arrive at an address that no machine has, so that no machine's fate concerns them."""
-        self._push(seconds, NO_MACHINE, Wakeup(0, arrival.arrive))
+        self._push(seconds, RUNNERS_ADDRESS, Wakeup(0, arrival.arrive))
 
     def receive_order(self, holder: str, order: Order, fencing_token: int) -> int:
         """A runner receives an order; returns its status."""
@@ -294,7 +294,7 @@
         if len(runner.store.begun) > loads_before:
             self.order_checks.began_store_load(self.now)
         if runner.fallen:
-            self.order_checks.fell(order.runner_id)
+            self.order_checks.overfilled(order.runner_id)
         return status
 
 
--- a/larchgw/model_checking/placement_lease/invariants.py
+++ b/larchgw/model_checking/placement_lease/invariants.py
@@ -77,6 +77,6 @@
                 f"{self._max_loads} are allowed"
             )
 
-    def fell(self, runner: str) -> None:
+    def overfilled(self, runner: str) -> None:
         """A runner was ordered to load more than it holds."""
         raise InvariantError(f"{runner} was ordered to load more than it holds")
--- a/larchgw/model_checking/placement_lease/mutants.py
+++ b/larchgw/model_checking/placement_lease/mutants.py
@@ -10,7 +10,7 @@
 from ...replication.lease import LeaseHolder
 from ...replication.lease_acceptor import LeaseAcceptor
 from ..mutants import Mutant, Patch, always
-from ..replication.lease_mistakes import TELLS_NO_TARGETS
+from ..replication.lease_mistakes import OMITS_ANNOUNCED_TARGETS
 from .runs import play_faults
 
 
@@ -28,7 +28,7 @@
         "does not tell which runners were announced",
         play_faults,
         1,
-        (TELLS_NO_TARGETS,),
+        (OMITS_ANNOUNCED_TARGETS,),
     ),
     Mutant(
         "orders without a permit",
--- a/larchgw/model_checking/placement_lease/runs.py
+++ b/larchgw/model_checking/placement_lease/runs.py
@@ -63,11 +63,11 @@
     lost_at, how = cluster.now, LOSSES[(seed // len(SHAPES)) % len(LOSSES)]
     _lose(cluster, placer, how)
 
-    def is_succeeded() -> bool:
+    def has_successor() -> bool:
         last = cluster.order_checks.orders[-1]
         return last.at > lost_at and last.holder != placer.address
 
-    if not cluster.run_until(is_succeeded, MAX_VACANCY_S):
+    if not cluster.run_until(has_successor, MAX_VACANCY_S):
         raise InvariantError(f"nobody orders {MAX_VACANCY_S} s after the placer was lost ({how})")
     return PlacerLoss(how, cluster.order_checks.orders[-1].at - lost_at)
 
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -32,7 +32,7 @@
 MAX_CLOCK_OFFSET_S = 50.0
 LEASE_NAME = "placer"
 LEASE_TERM_S = 3.0
-ACT_TARGETS = ("runner-1", "runner-2", "runner-3")
+ACTION_TARGETS = ("runner-1", "runner-2", "runner-3")
 ACTION_RATE = 0.1  # share of the ticks at which a holder announces an act
 CHUNK_BYTES = 16  # so that a snapshot goes in several chunks
 DELIVER_BYTES = 600  # so that records are handed out one to three at a time
@@ -182,7 +182,7 @@
         machine = self.machines[address]
         machine.is_frozen = False
         if machine.member is not None:
-            self._act_under_lease(machine, machine.member)
+            self._start_permitted_actions(machine, machine.member)
         inbox, machine.inbox = machine.inbox, []
         for message in inbox:
             self._push(0.0, address, message)
@@ -267,7 +267,7 @@
         elif message is None:
             self._push(TICK_S, machine.address, None)
             self._call(machine, lambda member, clock: member.tick(clock))
-            self._announce_act(machine)
+            self._announce_action(machine)
         else:
             self._call(machine, lambda member, clock: member.receive(clock, message))
 
@@ -338,35 +338,35 @@
         if member.acting_epoch is not None:
             self.checks.acts(machine.name, member.acting_epoch)
             if member.acting_epoch not in machine.digest[2:3]:
-                self.checks.begins_to_act(member.id, member.acting_epoch)
+                self.checks.becomes_primary(member.id, member.acting_epoch)
             if self.latest_view is None or member.acting_epoch > self.latest_view.epoch:
                 self.latest_view = member.view
-        self._act_under_lease(machine, member)
+        self._start_permitted_actions(machine, member)
         if member.discarded_snapshots and not self.links.corrupted_messages:
             raise InvariantError(f"{machine.name} has put a snapshot together wrongly")
         epoch = 0 if member.view is None else member.view.epoch
         machine.digest = (member.id, epoch, member.acting_epoch, member.committed_index, member.last_index)
         self.states.add(hash(tuple(other.digest for other in self.machines.values())))
 
-    def _act_under_lease(self, machine: Machine, member: Member) -> None:
+    def _start_permitted_actions(self, machine: Machine, member: Member) -> None:
         """Begins every act that the lease permits now."""
         clock = self.clock(machine)
         lease = member.lease(clock, LEASE_NAME) if self.has_leases else None
         if lease is None:
             return
         self.checks.holds_lease(member.id, lease.fencing_token)
-        for target in ACT_TARGETS:
+        for target in ACTION_TARGETS:
             if member.action_permitted_until(clock, LEASE_NAME, target) > clock:
-                self.checks.acts_under_lease(self.now, member.id, target)
+                self.checks.starts_action_under_lease(self.now, member.id, target)
 
-    def _announce_act(self, machine: Machine) -> None:
+    def _announce_action(self, machine: Machine) -> None:
         """Now and then, announces an act on one of the targets that are free."""
         member, clock = machine.member, self.clock(machine)
         if member is None or machine.announcements or not self.has_leases:
             return
         if member.lease(clock, LEASE_NAME) is None or self.random.random() >= ACTION_RATE:
             return
-        target = self.random.choice(ACT_TARGETS)
+        target = self.random.choice(ACTION_TARGETS)
         if member.target_free_at(LEASE_NAME, target) > clock:
             return
         try:
@@ -388,7 +388,7 @@
             return
         copies = 2 if self.random.random() < links.duplication_rate else 1
         for _ in range(copies):
-            message = self._altered(outgoing.message)
+            message = self._corrupted_at_random(outgoing.message)
             sent = written + len(message.body) / links.bytes_per_s
             self._push(sent + self.random.uniform(*links.delay_range_s), outgoing.address, message)
 
@@ -401,7 +401,7 @@
         elif isinstance(vote, Accepted) and vote.granted:
             self.checks.accepted(message.sender, vote.epoch)
 
-    def _altered(self, message: PeerMessage) -> PeerMessage:
+    def _corrupted_at_random(self, message: PeerMessage) -> PeerMessage:
         """Returns the message as it arrives: a chunk of a snapshot may be damaged on its way."""
         rate = self.links.corruption_rate
         if message.kind != "install" or not rate or self.random.random() >= rate:
--- a/larchgw/model_checking/replication/exhaustive_search.py
+++ b/larchgw/model_checking/replication/exhaustive_search.py
@@ -77,13 +77,13 @@
         if cluster.pending:
             cluster.deliver(0)
     for choice in path:
-        _take(cluster, choice)
+        _apply(cluster, choice)
         for address in cluster.machines:
             cluster.end_if_left(address)
     return cluster
 
 
-def _take(cluster: RandomWalk, choice: Choice) -> None:
+def _apply(cluster: RandomWalk, choice: Choice) -> None:
     if choice.action is Action.DELIVER:
         cluster.deliver(choice.number)
         return
@@ -126,5 +126,11 @@
 def _state_of(machine: Machine) -> tuple[object, ...]:
     disk = machine.disk
     stored = (tuple(sorted(disk.cells.items())), disk.stored_snapshot, tuple(disk.records), disk.synced_count)
-    kept = None if machine.member is None else machine.member.volatile_state()
-    return (stored, kept, machine.clock_offset, machine.incarnation, tuple(sorted(machine.proposals.items())))
+    volatile = None if machine.member is None else machine.member.volatile_state()
+    return (
+        stored,
+        volatile,
+        machine.clock_offset,
+        machine.incarnation,
+        tuple(sorted(machine.proposals.items())),
+    )
--- a/larchgw/model_checking/replication/fault_injection.py
+++ b/larchgw/model_checking/replication/fault_injection.py
@@ -20,7 +20,7 @@
 UNRELIABLE_S = 2.0
 SLOW_DISKS_S = 2.0
 DISK_FULL_RANGE_S = (0.2, 2.0)
-CALM_WRITE_S = 0.001
+NORMAL_WRITE_S = 0.001
 SLOW_WRITES_S = (0.02, 0.1)
 
 
@@ -70,10 +70,10 @@
         self._check_recovery()
 
     def _first_boot(self) -> None:
-        late_left = min(self._cluster.survive, (len(self._cluster.seeds) - 1) // 2)
+        late_starts_left = min(self._cluster.survive, (len(self._cluster.seeds) - 1) // 2)
         for address in list(self._cluster.machines):
-            late = self._random.random() < 0.1 and late_left > 0
-            late_left -= late
+            late = self._random.random() < 0.1 and late_starts_left > 0
+            late_starts_left -= late
             if not late:
                 self._schedule(self._random.uniform(0.0, 0.3), partial(self._start, address, True))
             else:  # killed before it had said anything: its next start is not a first boot
@@ -175,9 +175,9 @@
 
     def _remove_gracefully(self, address: str) -> None:
         if address not in self._cluster.removed_addresses and self._cluster.may_lose_a_disk():
-            self._leave_gracefully(address, partial(self._remove, address))
+            self._leave_gracefully(address, partial(self._destroy_or_restart, address))
 
-    def _remove(self, address: str) -> None:
+    def _destroy_or_restart(self, address: str) -> None:
         """Its disk goes too, unless others were lost meanwhile."""
         if self._cluster.may_lose_a_disk(address):
             self._cluster.destroy(address)
@@ -208,7 +208,7 @@
         self._schedule(SLOW_DISKS_S, self._make_disks_fast)
 
     def _make_disks_fast(self) -> None:
-        self._cluster.write_s = CALM_WRITE_S
+        self._cluster.write_s = NORMAL_WRITE_S
 
     def _kill_all(self) -> None:
         for address in self._cluster.machines:
--- a/larchgw/model_checking/replication/invariants.py
+++ b/larchgw/model_checking/replication/invariants.py
@@ -12,7 +12,7 @@
     Each method is called when what it is named after happens; it raises InvariantError if that must not be.
 
     Attributes:
-        lease_acts: How many acts under leases were seen.
+        lease_action_count: How many acts under leases were seen.
     """
 
     def __init__(self, lease_term_s: float) -> None:
@@ -20,14 +20,14 @@
         self._lease_term_s = lease_term_s
         self._committed: dict[int, bytes] = {}  # index -> the record that some replica handed out
         self._acknowledged: dict[int, bytes] = {}
-        self._built_on: dict[int, bytes] = {}  # version -> the acknowledged change of it
+        self._acknowledged_by_base: dict[int, bytes] = {}  # version -> the acknowledged change of it
         self._primaries: dict[int, str] = {}  # epoch -> who acted in it
         self._highest_fencing_token = 0
         self._holder_of: dict[int, str] = {}  # fencing token -> holder
         self._promised: dict[str, int] = {}  # identity -> the highest epoch it promised to another
         self._snapshots: dict[bytes, int] = {}  # content -> version
-        self._acted: dict[str, dict[str, float]] = {}  # target -> holder -> when it last began to act
-        self.lease_acts = 0
+        self._action_starts: dict[str, dict[str, float]] = {}  # target -> holder -> when it last began to act
+        self.lease_action_count = 0
 
     @property
     def newest_acknowledged(self) -> int:
@@ -47,7 +47,7 @@
         there = self._committed.get(index)
         if there != record:
             raise InvariantError(f"{record!r} was acknowledged at {index}, where there is {there!r}")
-        other = self._built_on.setdefault(version, record)
+        other = self._acknowledged_by_base.setdefault(version, record)
         if other != record:
             raise InvariantError(
                 f"{record!r} and {other!r} were both acknowledged on top of version {version}"
@@ -87,7 +87,7 @@
                 f"{member} has accepted view {epoch} after it promised {self._promised[member]}"
             )
 
-    def begins_to_act(self, member: str, epoch: int) -> None:
+    def becomes_primary(self, member: str, epoch: int) -> None:
         """A member becomes primary of `epoch`."""
         if epoch < self._promised.get(member, 0):
             raise InvariantError(f"{member} leads view {epoch} after it promised {self._promised[member]}")
@@ -110,12 +110,12 @@
             )
         self._highest_fencing_token = fencing_token
 
-    def acts_under_lease(self, now: float, holder: str, target: str) -> None:
+    def starts_action_under_lease(self, now: float, holder: str, target: str) -> None:
         """A member begins an act on `target` under a lease.
 
         It may arrive as late as `ACTION_DELIVERY_S` from now.
         """
-        acted_by = self._acted.setdefault(target, {})
+        acted_by = self._action_starts.setdefault(target, {})
         for other, at in acted_by.items():
             if other != holder and now - at < self._lease_term_s + ACTION_DELIVERY_S:
                 raise InvariantError(
@@ -123,4 +123,4 @@
                     f"{self._lease_term_s} s, an act may arrive {ACTION_DELIVERY_S} s later"
                 )
         acted_by[holder] = now
-        self.lease_acts += 1
+        self.lease_action_count += 1
--- a/larchgw/model_checking/replication/lease_mistakes.py
+++ b/larchgw/model_checking/replication/lease_mistakes.py
@@ -17,7 +17,7 @@
 Announce = Callable[[LeaseHolder, float, Sequence[str], view.View | None], PendingCall]
 
 
-def _tells_no_targets(original: KnownTo) -> KnownTo:
+def _omits_announced_targets(original: KnownTo) -> KnownTo:
     def known_to(
         self: ActionMemory, now: float, sender: str, complete_since: float, remembered_since: float
     ) -> KnownActions:
@@ -26,11 +26,11 @@
     return known_to
 
 
-def _all_free_from_the_start(original: property) -> property:
+def _reports_all_targets_free(original: property) -> property:
     return property(lambda self: -inf)
 
 
-def _permits_whatever_was_announced(
+def _permits_without_time_limit(
     original: Callable[[LeaseHolder, float, str], float],
 ) -> Callable[[LeaseHolder, float, str], float]:
     def action_permitted_until(self: LeaseHolder, now: float, target: str) -> float:
@@ -39,7 +39,7 @@
     return action_permitted_until
 
 
-def _permits_at_once(original: Announce) -> Announce:
+def _permits_before_quorum(original: Announce) -> Announce:
     def announce(
         self: LeaseHolder, now: float, targets: Sequence[str], accepted_view: view.View | None
     ) -> PendingCall:
@@ -50,8 +50,8 @@
     return announce
 
 
-TELLS_NO_TARGETS = Patch(ActionMemory, "known_to", _tells_no_targets)
+OMITS_ANNOUNCED_TARGETS = Patch(ActionMemory, "known_to", _omits_announced_targets)
 HIDES_A_RESTART = Patch(LeaseAcceptor, "_complete_since", always(-inf))
-CLAIMS_TO_ACT_ALONE = Patch(PredecessorActions, "all_targets_free_at", _all_free_from_the_start)
-PERMITS_FOR_EVER = Patch(LeaseHolder, "action_permitted_until", _permits_whatever_was_announced)
-PERMITS_AT_ONCE = Patch(LeaseHolder, "announce", _permits_at_once)
+REPORTS_ALL_TARGETS_FREE = Patch(PredecessorActions, "all_targets_free_at", _reports_all_targets_free)
+PERMITS_WITHOUT_TIME_LIMIT = Patch(LeaseHolder, "action_permitted_until", _permits_without_time_limit)
+PERMITS_BEFORE_QUORUM = Patch(LeaseHolder, "announce", _permits_before_quorum)
--- a/larchgw/model_checking/replication/mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -19,17 +19,17 @@
 from ...replication.witness import Witness, WitnessState
 from ..mutants import Mutant, Patch, always
 from .lease_mistakes import (
-    CLAIMS_TO_ACT_ALONE,
     HIDES_A_RESTART,
-    PERMITS_AT_ONCE,
-    PERMITS_FOR_EVER,
-    TELLS_NO_TARGETS,
+    OMITS_ANNOUNCED_TARGETS,
+    PERMITS_BEFORE_QUORUM,
+    PERMITS_WITHOUT_TIME_LIMIT,
+    REPORTS_ALL_TARGETS_FREE,
 )
 from .runs import play_faults, play_random_walk
 
-FollowResult = tuple[bool, int]
-Establish = Callable[[Cell, MemberSettings, Witness, LeaseAcceptor], identity.Identity]
-Follow = Callable[[Replica, int, int, Sequence[int], Sequence[bytes]], FollowResult]
+AppendResult = tuple[bool, int]
+LoadIdentity = Callable[[Cell, MemberSettings, Witness, LeaseAcceptor], identity.Identity]
+AppendFromPrimary = Callable[[Replica, int, int, Sequence[int], Sequence[bytes]], AppendResult]
 
 
 def _always_ready(original: property) -> property:
@@ -52,7 +52,7 @@
     return promise
 
 
-def _promises_anything(
+def _always_promises(
     original: Callable[[Witness, int, str], bool],
 ) -> Callable[[Witness, int, str], bool]:
     def promise(self: Witness, epoch: int, candidate: str) -> bool:
@@ -62,7 +62,7 @@
     return promise
 
 
-def _accepts_anything(
+def _always_accepts(
     original: Callable[[Witness, view.View], bool],
 ) -> Callable[[Witness, view.View], bool]:
     def accept(self: Witness, proposed: view.View) -> bool:
@@ -81,7 +81,7 @@
     return store
 
 
-def _leads_after_a_restart(original: Establish) -> Establish:
+def _stays_primary_after_restart(original: LoadIdentity) -> LoadIdentity:
     def load_or_create_identity(
         cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseAcceptor
     ) -> identity.Identity:
@@ -90,7 +90,7 @@
     return load_or_create_identity
 
 
-def _names_a_wiped_disk_as_before(original: Establish) -> Establish:
+def _reuses_identity_after_disk_loss(original: LoadIdentity) -> LoadIdentity:
     def load_or_create_identity(
         cell: Cell, settings: MemberSettings, witness: Witness, leases: LeaseAcceptor
     ) -> identity.Identity:
@@ -99,14 +99,14 @@
     return load_or_create_identity
 
 
-def _ignores_divergence(original: Follow) -> Follow:
+def _ignores_divergence(original: AppendFromPrimary) -> AppendFromPrimary:
     def append_from_primary(
         self: Replica,
         previous_index: int,
         previous_epoch: int,
         epochs: Sequence[int],
         records: Sequence[bytes],
-    ) -> FollowResult:
+    ) -> AppendResult:
         known = min(previous_index, self.last_index)
         if previous_index <= self.last_index and known >= self._base_index:
             previous_epoch = self.epoch_at(known)
@@ -115,7 +115,7 @@
     return append_from_primary
 
 
-def _proves_without_a_quorum(
+def _confirms_without_quorum(
     original: Callable[[Leadership, bool], int],
 ) -> Callable[[Leadership, bool], int]:
     def proven_round(self: Leadership, self_granted: bool) -> int:
@@ -124,16 +124,16 @@
     return proven_round
 
 
-def _lets_anyone_in(
+def _admits_any_replica(
     original: Callable[[Leadership, float, str, frozenset[str]], bool],
 ) -> Callable[[Leadership, float, str, frozenset[str]], bool]:
-    def may_enter(self: Leadership, now: float, candidate: str, leaving: frozenset[str]) -> bool:
+    def may_join_in_sync_set(self: Leadership, now: float, candidate: str, leaving: frozenset[str]) -> bool:
         return candidate not in self.view.in_sync and self._peers[candidate].replicating
 
-    return may_enter
+    return may_join_in_sync_set
 
 
-def one_less_is_enough(
+def counts_one_vote_less_as_majority(
     original: Callable[[Collection[str], Collection[str]], bool],
 ) -> Callable[[Collection[str], Collection[str]], bool]:
     """A majority that counts one vote less as enough."""
@@ -144,7 +144,7 @@
     return majority_of
 
 
-def _leads_by_a_late_vote(
+def _leads_after_late_vote(
     original: Callable[[ViewChanges, float, int, view.View], None],
 ) -> Callable[[ViewChanges, float, int, view.View], None]:
     def chosen(self: ViewChanges, now: float, epoch: int, chosen_view: view.View) -> None:
@@ -156,13 +156,13 @@
 def _ends_without_agreement(
     original: Callable[[GracefulLeave, view.View | None], bool],
 ) -> Callable[[GracefulLeave, view.View | None], bool]:
-    def is_over(self: GracefulLeave, accepted: view.View | None) -> bool:
+    def is_complete(self: GracefulLeave, accepted: view.View | None) -> bool:
         return self.has_begun
 
-    return is_over
+    return is_complete
 
 
-def _sends_on_whatever_is_answered(
+def _ignores_acknowledged_offset(
     original: Callable[[OutgoingSnapshot, int, int], bool],
 ) -> Callable[[OutgoingSnapshot, int, int], bool]:
     def acknowledge(self: OutgoingSnapshot, index: int, offset: int) -> bool:
@@ -173,7 +173,7 @@
     return acknowledge
 
 
-def _all_one_transfer(
+def _treats_all_snapshots_as_one_transfer(
     original: Callable[[InstallSnapshot], tuple[object, ...]],
 ) -> Callable[[InstallSnapshot], tuple[object, ...]]:
     def transfer_of(install: InstallSnapshot) -> tuple[object, ...]:
@@ -193,7 +193,7 @@
         "takes a replica in that lacks records",
         play_random_walk,
         24,
-        (Patch(Leadership, "_may_join_in_sync_set", _lets_anyone_in),),
+        (Patch(Leadership, "_may_join_in_sync_set", _admits_any_replica),),
     ),
     Mutant(
         "is ready before what it took over is acknowledged",
@@ -205,7 +205,7 @@
         "confirms reads without a quorum",
         play_random_walk,
         31,
-        (Patch(Leadership, "proven_round", _proves_without_a_quorum),),
+        (Patch(Leadership, "proven_round", _confirms_without_quorum),),
     ),
     Mutant(
         "ignores the views that promises report",
@@ -213,12 +213,12 @@
         55,
         (Patch(ViewChangeRound, "promise", _ignores_reported_views),),
     ),
-    Mutant("promises an epoch again", play_faults, 10, (Patch(Witness, "promise", _promises_anything),)),
+    Mutant("promises an epoch again", play_faults, 10, (Patch(Witness, "promise", _always_promises),)),
     Mutant(
         "accepts a view below its promise",
         play_random_walk,
         4,
-        (Patch(Witness, "accept", _accepts_anything),),
+        (Patch(Witness, "accept", _always_accepts),),
     ),
     Mutant(
         "keeps promises in memory only", play_faults, 0, (Patch(Witness, "_store", _keeps_state_in_memory),)
@@ -227,13 +227,13 @@
         "goes on as primary after a restart",
         play_random_walk,
         0,
-        (Patch(member_parts, "load_or_create_identity", _leads_after_a_restart),),
+        (Patch(member_parts, "load_or_create_identity", _stays_primary_after_restart),),
     ),
     Mutant(
         "keeps its vote after the loss of its disk",
         play_random_walk,
         15,
-        (Patch(member_parts, "load_or_create_identity", _names_a_wiped_disk_as_before),),
+        (Patch(member_parts, "load_or_create_identity", _reuses_identity_after_disk_loss),),
     ),
     Mutant(
         "answers before its records are synced", play_random_walk, 0, (Patch(Replica, "sync", always(None)),)
@@ -260,25 +260,25 @@
         "keeps the pieces of one snapshot for another",
         play_faults,
         23,
-        (Patch(snapshot_transfer, "_transfer_of", _all_one_transfer),),
+        (Patch(snapshot_transfer, "_transfer_of", _treats_all_snapshots_as_one_transfer),),
     ),
     Mutant(
         "leaves out what of a snapshot was lost",
         play_faults,
         0,
-        (Patch(OutgoingSnapshot, "acknowledge", _sends_on_whatever_is_answered),),
+        (Patch(OutgoingSnapshot, "acknowledge", _ignores_acknowledged_offset),),
     ),
     Mutant(
         "counts one less than a majority as one",
         play_random_walk,
         0,
-        (Patch(view, "majority_of", one_less_is_enough),),
+        (Patch(view, "majority_of", counts_one_vote_less_as_majority),),
     ),
     Mutant(
         "does not tell which acts were announced",
         play_faults,
         2,
-        (TELLS_NO_TARGETS,),
+        (OMITS_ANNOUNCED_TARGETS,),
     ),
     Mutant(
         "does not say that a restart forgot announcements",
@@ -290,19 +290,19 @@
         "says that it has waited out the acts of others before it has",
         play_faults,
         23,
-        (CLAIMS_TO_ACT_ALONE,),
+        (REPORTS_ALL_TARGETS_FREE,),
     ),
     Mutant(
         "acts long after it announced to",
         play_faults,
         59,
-        (PERMITS_FOR_EVER,),
+        (PERMITS_WITHOUT_TIME_LIMIT,),
     ),
     Mutant(
         "acts before a quorum remembers that it will",
         play_faults,
         59,
-        (PERMITS_AT_ONCE,),
+        (PERMITS_BEFORE_QUORUM,),
     ),
     Mutant(
         "grants a lease that another holds",
@@ -314,7 +314,7 @@
         "leads by a vote that came too late",
         play_random_walk,
         98,
-        (Patch(ViewChanges, "_chosen", _leads_by_a_late_vote),),
+        (Patch(ViewChanges, "_chosen", _leads_after_late_vote),),
     ),
     Mutant(
         "ends before the others have agreed",
--- a/larchgw/model_checking/replication/random_walk.py
+++ b/larchgw/model_checking/replication/random_walk.py
@@ -75,10 +75,10 @@
         if self.random.random() < 0.6:
             number = min(number, 2)
         address, message = self.pending[number]
-        fate = self.random.random()
-        if fate < 0.97:
+        drawn = self.random.random()
+        if drawn < 0.97:
             del self.pending[number]
-        if fate > 0.04:
+        if drawn > 0.04:
             self._event(self.machines[address], message)
 
     def _tick(self) -> None:
@@ -102,16 +102,16 @@
             self._stop(machine)
 
     def _stop(self, machine: Machine) -> None:
-        fate = self.random.randrange(6)
-        if fate == 0:
+        drawn = self.random.randrange(6)
+        if drawn == 0:
             self.kill(machine.address)
-        elif fate == 1:
+        elif drawn == 1:
             self.lose_power(machine.address)
-        elif fate == 2:
+        elif drawn == 2:
             machine.disk.writes_until_crash = self.random.randrange(4)
-        elif fate == 3:
+        elif drawn == 3:
             self.step_down(machine)
-        elif fate == 4:
+        elif drawn == 4:
             self.leave(machine.address)
         else:
             self.kill(machine.address)
--- a/larchgw/model_checking/replication/redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -75,12 +75,12 @@
     return cluster.now - began
 
 
-def _victim(cluster: SimulatedCluster) -> Machine:
+def _pick_running_machine(cluster: SimulatedCluster) -> Machine:
     return cluster.random.choice(cluster.running)
 
 
-def _restart_in_order(cluster: SimulatedCluster) -> None:
-    address = _victim(cluster).address
+def _restart_gracefully(cluster: SimulatedCluster) -> None:
+    address = _pick_running_machine(cluster).address
     cluster.leave(address)
     while not cluster.end_if_left(address):
         run_with_changes(cluster, CHANGE_INTERVAL_S)
@@ -89,27 +89,27 @@
 
 
 def _kill(cluster: SimulatedCluster) -> None:
-    address = _victim(cluster).address
+    address = _pick_running_machine(cluster).address
     cluster.kill(address)
     run_with_changes(cluster, cluster.random.uniform(0.3, 2.0))
     cluster.start(address)
 
 
 def _wipe(cluster: SimulatedCluster) -> None:
-    address = _victim(cluster).address
+    address = _pick_running_machine(cluster).address
     cluster.wipe(address)
     run_with_changes(cluster, cluster.random.uniform(0.3, 2.0))
     cluster.start(address)
 
 
 def _replace(cluster: SimulatedCluster) -> None:
-    cluster.destroy(_victim(cluster).address)
+    cluster.destroy(_pick_running_machine(cluster).address)
     run_with_changes(cluster, 1.0)
     cluster.start(cluster.new_machine().address)
 
 
-def _replace_in_order(cluster: SimulatedCluster) -> None:
-    old = _victim(cluster).address
+def _replace_gracefully(cluster: SimulatedCluster) -> None:
+    old = _pick_running_machine(cluster).address
     cluster.start(cluster.new_machine().address)
     run_with_changes(cluster, 1.0)
     cluster.leave(old)
@@ -121,11 +121,11 @@
 FIRST_START = "first start"
 CASES = (
     Case(FIRST_START, lambda cluster: None),
-    Case("restart in order", _restart_in_order),
+    Case("restart in order", _restart_gracefully),
     Case("killed and back", _kill),
     Case("back with an empty disk", _wipe),
     Case("replaced", _replace),
-    Case("replaced in order", _replace_in_order),
+    Case("replaced in order", _replace_gracefully),
 )
 
 
--- a/tests/model_checking/test_operator_calls.py
+++ b/tests/model_checking/test_operator_calls.py
@@ -11,7 +11,7 @@
 from larchgw.model_checking.errors import InvariantError
 from larchgw.model_checking.mutants import Mutant
 from larchgw.model_checking.operator_calls import main as explore
-from larchgw.model_checking.operator_calls.invariants import InvariantChecker, Sent
+from larchgw.model_checking.operator_calls.invariants import InvariantChecker, SentOrder
 from larchgw.model_checking.operator_calls.mutants import MUTANTS
 from larchgw.model_checking.operator_calls.runs import play_faults
 
@@ -33,12 +33,12 @@
     assert len(first.states) == len(second.states)
 
 
-def sent(version: int, base_version: int, mark: str = "a", is_valid: bool = True) -> Sent:
+def sent(version: int, base_version: int, mark: str = "a", is_valid: bool = True) -> SentOrder:
     body = {"config_version": version, "routes": [], "services": [{"name": mark}]}
-    return Sent(OperatorOrder("replace", base_version, json.dumps(body).encode()), version, is_valid)
+    return SentOrder(OperatorOrder("replace", base_version, json.dumps(body).encode()), version, is_valid)
 
 
-def in_force(*orders: Sent) -> ConfigurationState:
+def in_force(*orders: SentOrder) -> ConfigurationState:
     state = ConfigurationState()
     for index, order in enumerate(orders):
         state.apply(index + 1, order.order.encode())
--- a/tests/model_checking/test_placement_lease.py
+++ b/tests/model_checking/test_placement_lease.py
@@ -47,7 +47,7 @@
         lambda: checks.received("r1", ReceivedOrder(9.0, "b", 4)),
         lambda: checks.received("r2", ReceivedOrder(3.4, "a", 8)),
         lambda: checks.began_store_load(4.9),
-        lambda: checks.fell("r1"),
+        lambda: checks.overfilled("r1"),
     )
     for broken in violations:
         with pytest.raises(InvariantError):
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -54,22 +54,22 @@
     checks.promised("a", 5)
     checks.made_snapshot(7, b"state of 7")
     checks.holds_lease("a", 2)
-    checks.acts_under_lease(0.0, "a", "runner-1")
-    checks.acts_under_lease(0.5, "b", "runner-2")
+    checks.starts_action_under_lease(0.0, "a", "runner-1")
+    checks.starts_action_under_lease(0.5, "b", "runner-2")
     for broken in (
         lambda: checks.committed("b", 1, b"other"),
         lambda: checks.acknowledged(2, 1, b"never handed out"),
         lambda: checks.read("b", checks.newest_acknowledged, 0),
         lambda: checks.acts("b/1", 4),
         lambda: checks.accepted("a", 4),
-        lambda: checks.begins_to_act("a", 4),
+        lambda: checks.becomes_primary("a", 4),
         lambda: checks.installed("b", 7, b"state of 8"),
         lambda: checks.installed("b", 8, b"state of 7"),
         lambda: checks.holds_lease("b", 1),
         lambda: checks.holds_lease("b", 2),
-        lambda: checks.acts_under_lease(2.9, "b", "runner-1"),
-        lambda: checks.acts_under_lease(3.0 + ACTION_DELIVERY_S - 0.01, "b", "runner-1"),
-        lambda: checks.acts_under_lease(0.6, "a", "runner-2"),
+        lambda: checks.starts_action_under_lease(2.9, "b", "runner-1"),
+        lambda: checks.starts_action_under_lease(3.0 + ACTION_DELIVERY_S - 0.01, "b", "runner-1"),
+        lambda: checks.starts_action_under_lease(0.6, "a", "runner-2"),
     ):
         with pytest.raises(InvariantError):
             broken()
