--- a/larchgw/model_checking/check_ins/cluster.py
+++ b/larchgw/model_checking/check_ins/cluster.py
@@ -13,15 +13,15 @@
 
 
 class SimulatedCluster:
-    """The processes of one run; all random choices come from the seed.
+    """The processes of one run; all random choices derive from the seed.
 
     Attributes:
-        survive: How many control processes may be lost at a time.
-        checks: The invariants of the run.
+        survive: Number of control processes whose simultaneous loss is tolerated.
+        checks: Checks the invariants of the run.
     """
 
     def __init__(self, seed: int, control_processes: int) -> None:
-        """Prepares a cluster of which nothing runs yet."""
+        """Creates the processes without starting them."""
         self.random = Random(seed)
         self.network = Network(self.random)
         self.survive = (control_processes - 1) // 2
@@ -49,7 +49,7 @@
         self._running = [asyncio.ensure_future(runner.run()) for runner in self.runners]
 
     async def end(self) -> None:
-        """Ends all processes and runners."""
+        """Stops all processes and runners."""
         for task in self._running:
             task.cancel()
         await asyncio.gather(*self._running, return_exceptions=True)
@@ -57,7 +57,7 @@
             await process.end()
 
     def configure(self) -> None:
-        """Brings a new version of the configuration to a control process in contact, if there is one."""
+        """Publishes a new configuration version at a control process that is not isolated, if any."""
         able = [
             process
             for process in self.control
@@ -69,13 +69,13 @@
         self.random.choice(able).configure(self._version)
 
     def observe(self) -> None:
-        """Stores what control processes have received, and notes the state of all."""
+        """Persists the configurations that control processes received, and records the cluster's state."""
         for process in self.control:
             process.store_published_configuration()
         self.checks.observe()
 
     def acknowledged_calls(self) -> int:
-        """Returns how many calls of runners were acknowledged."""
+        """Returns the number of acknowledged runner calls."""
         return sum(runner.acknowledged for runner in self.runners)
 
     def _on_acknowledged(self, control_process: str, call: RunnerCall) -> None:
--- a/larchgw/model_checking/check_ins/fault_injection.py
+++ b/larchgw/model_checking/check_ins/fault_injection.py
@@ -1,7 +1,7 @@
-"""Random faults of processes and links, and what must hold once they are over.
+"""Injects random faults into processes and links, and checks that the cluster recovers.
 
-Restarts forget what is in memory only, so they come while no more control processes are in a fault than the
-deployment survives; partitions and freezes come in any number.
+A restart loses the state that is in memory only. It is therefore injected only while the number of faulty
+control processes stays within what the deployment tolerates. Partitions and freezes are not limited.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 CONFIGURATION_INTERVAL_S = 1.0  # on average
 FAULT_DURATION_S = (0.3, 6.0)
 EDGE_PARTITION_S = (0.5, 6.0)
-RECOVERY_S = 3.0  # after its fault a process counts as in a fault for so long
-CONVERGENCE_S = 6.0  # after the last fault, until everything must work again
+RECOVERY_S = 3.0  # for which a process still counts as faulty after its fault
+CONVERGENCE_S = 6.0  # from the last fault until the cluster must have recovered
 SYMMETRIC_SHARE = 0.6  # of the partitions
-CUT_EDGE_SHARE = 0.6  # of the edges that restart, those that reach one control process only
+CUT_EDGE_SHARE = 0.6  # of the edge restarts after which the edge reaches one control process only
 
 
 class FaultInjector:
-    """Plays faults on a cluster. All choices come from the cluster's random generator."""
+    """Injects faults into a cluster. All choices come from the cluster's random generator."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
-        """Takes a cluster that is started before `play`."""
+        """The cluster must be started before `play` is called."""
         self._cluster = cluster
         self._network = cluster.network
         self._random = cluster.random
@@ -37,7 +37,7 @@
         self._scheduled: list[tuple[float, Callable[[], None]]] = []  # ends of faults
 
     async def play(self, seconds: float) -> None:
-        """Plays faults and changes of the configuration; raises InvariantError."""
+        """Injects faults and changes the configuration for `seconds`; raises InvariantError."""
         end = now() + seconds
         while now() < end:
             await self._step()
@@ -49,7 +49,7 @@
                 )()
 
     async def recover(self) -> None:
-        """Ends all faults; raises InvariantError if not everything works again after a while."""
+        """Ends all faults; raises InvariantError if the cluster has not recovered after CONVERGENCE_S."""
         for _, heal in self._scheduled:
             heal()
         self._scheduled = []
@@ -62,7 +62,7 @@
             await self._step()
         self._cluster.checks.check_converged()
         if self._cluster.acknowledged_calls() == acknowledged_before:
-            raise InvariantError("no runner is acknowledged any more")
+            raise InvariantError("no runner call was acknowledged after the last fault")
 
     async def _step(self) -> None:
         await asyncio.sleep(OBSERVATION_INTERVAL_S)
@@ -78,7 +78,7 @@
     # ---- faults ----
 
     async def _partition(self) -> None:
-        """Cuts some control processes off from the others, or only what they send or receive."""
+        """Partitions some control processes from the others, in both directions or in one."""
         names = {process.name for process in self._cluster.control}
         count = self._random.randrange(1, self._cluster.survive + 1)
         cut_off = set(self._random.sample(sorted(names), count))
@@ -104,7 +104,7 @@
         self._in_fault_until[process.name] = now() + RECOVERY_S
 
     async def _restart_edge(self) -> None:
-        """Restarts an edge, most of the time as one that reaches one control process only for a while."""
+        """Restarts an edge. With CUT_EDGE_SHARE it can reach only one control process for a while."""
         edge = self._random.choice(self._cluster.edges)
         await edge.end()
         if self._random.random() < CUT_EDGE_SHARE:
--- a/larchgw/model_checking/check_ins/invariants.py
+++ b/larchgw/model_checking/check_ins/invariants.py
@@ -1,12 +1,14 @@
-"""What must hold in every explored run of check-ins, whatever happens to processes and links.
+"""Invariants of every explored run of check-ins, under any faults of processes and links.
 
-- A control process that is not isolated knows of every drain and Leave that was acknowledged more than
-  MAX_CONTACT_AGE_S ago, by whichever process.
+- A control process that is not isolated knows of every drain and Leave that any process acknowledged more
+  than MAX_CONTACT_AGE_S ago.
 - An edge knows of those that were acknowledged MAX_CONTACT_AGE_S before its last pull from a process in
   contact began, and its configuration is no older than the one that a majority held then.
 - When a drain or Leave is acknowledged, a majority knows of it.
-- Whoever acknowledges anything could exchange messages with a majority within MAX_CONTACT_AGE_S before.
-- After the faults all are in contact and have the newest configuration, and runners are acknowledged.
+- A process that acknowledges a call could exchange messages with a majority within the last
+  MAX_CONTACT_AGE_S.
+- After the faults all processes are in contact and have the newest configuration, and runner calls are
+  acknowledged.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """A control process has acknowledged that a runner drains or has left, at this virtual time."""
+    """The acknowledgement of a drain or Leave of a runner, at the virtual time `at_s`."""
 
     runner: RunnerId
     stage: Stage
@@ -35,28 +37,30 @@
 
 @dataclass(frozen=True, slots=True)
 class MajorityVersion:
-    """Since this virtual time a majority has the configuration of this version, or a later one."""
+    """A majority has had this configuration version, or a later one, since the virtual time `since_s`."""
 
     since_s: float
     version: int
 
 
 class InvariantChecker:
-    """Watches a run from outside.
+    """Checks the invariants of a run by observing its processes.
 
     Attributes:
-        acknowledged: Drains and Leaves that were acknowledged, the oldest first.
-        states: Different states of the cluster that were observed.
+        acknowledged: Acknowledged drains and Leaves, oldest first.
+        states: Distinct observed states of the cluster.
     """
 
     def __init__(self, control: Sequence[ControlProcess], edges: Sequence[Edge], network: Network) -> None:
-        """Takes the processes to watch."""
+        """Takes the processes to observe."""
         self._control, self._edges, self._network = control, edges, network
         self.acknowledged: list[Acknowledgement] = []
         self.states: set[object] = set()
         self._connected_at: dict[tuple[str, str], float] = {}
         self._majority_versions = [MajorityVersion(0.0, 0)]
-        self._violations: list[str] = []  # raised by `check`, outside of the process that caused them
+        self._violations: list[
+            str
+        ] = []  # collected here and raised by `check`, outside the process under test
 
     @property
     def newest_majority_version(self) -> int:
@@ -64,7 +68,7 @@
         return self._majority_versions[-1].version
 
     def observe_acknowledgement(self, control_process: str, call: RunnerCall) -> None:
-        """A control process has just acknowledged a call of a runner."""
+        """Checks an acknowledgement that a control process has just given to a runner."""
         in_contact = sum(self._was_connected_lately(control_process, peer.name) for peer in self._control)
         if not self._is_majority(in_contact):
             self._violations.append(f"{control_process} acknowledged {call.runner} without a majority")
@@ -79,7 +83,7 @@
         self.acknowledged.append(Acknowledgement(call.runner, call.stage, now()))
 
     def observe(self) -> None:
-        """Notes who is connected, what a majority has, and the state of the cluster."""
+        """Records the connections, the configuration version of the majority, and the cluster's state."""
         self._observe_connections()
         self._observe_majority_version()
         self.states.add(
@@ -91,7 +95,7 @@
         )
 
     def check(self) -> None:
-        """Raises InvariantError if an invariant does not hold now, or did not at an acknowledgement."""
+        """Raises InvariantError if an invariant is violated now or was at an acknowledgement."""
         for process in self._control:
             if not process.contact.is_isolated() and not self._network.is_frozen(process.name):
                 self._check_knows(process.name, process.stage_of, now() - MAX_CONTACT_AGE_S)
@@ -101,14 +105,16 @@
             raise InvariantError(self._violations[0])
 
     def check_converged(self) -> None:
-        """Raises InvariantError if, some time after the last fault, not all are in contact and current."""
+        """Raises InvariantError if a process is isolated or an edge has an old configuration."""
         for process in self._control:
             if process.contact.is_isolated():
                 raise InvariantError(f"{process.name} is still isolated")
         newest = self.newest_majority_version
         for edge in self._edges:
             if edge.configuration_version() != newest:
-                raise InvariantError(f"{edge.name} has {edge.configuration_version()}, all have {newest}")
+                raise InvariantError(
+                    f"{edge.name} has version {edge.configuration_version()}, the majority has {newest}"
+                )
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self._control)
@@ -127,14 +133,14 @@
 
     def _observe_majority_version(self) -> None:
         versions = sorted(process.stored.version if process.stored else 0 for process in self._control)
-        version = versions[(len(versions) - 1) // 2]  # a majority has it or a later one
+        version = versions[(len(versions) - 1) // 2]  # the newest version that a majority has
         if version > self.newest_majority_version:
             self._majority_versions.append(MajorityVersion(now(), version))
 
     def _check_edge(self, edge: Edge) -> None:
         version = edge.configuration_version()
         if version and edge.puller.last_heard_at is None:
-            raise InvariantError(f"{edge.name} serves without a source in contact")
+            raise InvariantError(f"{edge.name} serves a configuration, but has heard from no source")
         contact_proven_at = edge.puller.contact_proven_at
         if contact_proven_at is None:
             return
@@ -144,17 +150,17 @@
             held.version for held in self._majority_versions if held.since_s <= max(known_by, 0.0)
         )
         if 0 < version < oldest_allowed:
-            raise InvariantError(f"{edge.name} serves with {version}, a majority had {oldest_allowed}")
+            raise InvariantError(f"{edge.name} serves version {version}, but a majority had {oldest_allowed}")
 
     def _check_knows(self, name: str, stage_of: Callable[[RunnerId], Stage | None], until_s: float) -> None:
-        """Checks that the process of this name knows all that was acknowledged before `until_s`."""
+        """Checks that process `name` knows of all drains and Leaves acknowledged before `until_s`."""
         for acknowledgement in self.acknowledged:
             if acknowledgement.at_s >= until_s:
                 return
             known = stage_of(acknowledgement.runner)
             if known is None or known < acknowledgement.stage:
                 raise InvariantError(
-                    f"{name} has {acknowledgement.runner} as {known}, acknowledged as "
+                    f"{name} has {acknowledgement.runner} in stage {known}, acknowledged as "
                     f"{acknowledgement.stage.name} {now() - acknowledgement.at_s:.2f} s ago"
                 )
 
--- a/larchgw/model_checking/check_ins/main.py
+++ b/larchgw/model_checking/check_ins/main.py
@@ -1,6 +1,6 @@
-"""`larchgw explore check-ins`: runs of faults over the code that acknowledges runners, and mutants.
+"""`larchgw explore check-ins`: fault injection runs of the code that acknowledges runners, and mutants.
 
-How many runs there are depends on the time given.
+The number of runs depends on the time limit.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def explore(seconds: float, seed: int) -> CheckInReport:
-    """Explores for about so many seconds of real time."""
+    """Explores for about `seconds` of real time."""
     report = CheckInReport()
     runs = (PlannedRun(f"faults {run_seed}", partial(play_faults, run_seed)) for run_seed in run_seeds(seed))
     report.play_until(time.monotonic() + seconds, runs)
--- a/larchgw/model_checking/check_ins/mutants.py
+++ b/larchgw/model_checking/check_ins/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes about contact with the majority, each with a run that catches it."""
+"""Mutants of the code that tracks contact with a majority, each with the seed of a run that catches it."""
 
 from __future__ import annotations
 
--- a/larchgw/model_checking/check_ins/network.py
+++ b/larchgw/model_checking/check_ins/network.py
@@ -1,7 +1,7 @@
 """The network between simulated processes: calls in virtual time, without sockets.
 
-A call is delayed both ways, held up by partitions and frozen processes, or lost with the process that was to
-reply.
+A call and its reply are delayed. Partitions and frozen processes block them until the fault ends. A call
+fails if the called process ends.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerCall:
-    """A check-in of a runner, or its Leave.
+    """A check-in or a Leave of a runner.
 
     Attributes:
         runner: The caller.
-        body: Of the check-in, JSON.
-        stage: What the runner reports itself to be; GONE makes the call a Leave.
+        body: Body of the check-in, in JSON.
+        stage: Stage that the runner reports; GONE makes the call a Leave.
     """
 
     runner: RunnerId
@@ -37,14 +37,14 @@
 
 Argument: TypeAlias = PullRequest | PushRequest | RunnerCall
 Reply: TypeAlias = PullReply | PushReply | bool
-"""Of a RunnerCall: whether it is acknowledged."""
+"""The reply to a RunnerCall is a bool: whether the call is acknowledged."""
 
 
 class Service(Protocol):
-    """A process that replies to calls.
+    """A process that serves calls.
 
     Attributes:
-        incarnation: Another one with each start.
+        incarnation: Changes with each start.
         is_running: Whether the process runs.
     """
 
@@ -56,10 +56,10 @@
 
 
 class Network:
-    """Links between named processes. What a partition or a freeze holds up arrives once that is over."""
+    """Links between named processes. Messages blocked by a partition or a freeze arrive after its end."""
 
     def __init__(self, random_source: random.Random) -> None:
-        """Takes the source of delays."""
+        """Delays are drawn from `random_source`."""
         self._random_source = random_source
         self._services: dict[str, Service] = {}
         self._cut_links: set[tuple[str, str]] = set()  # sender and receiver
@@ -67,16 +67,16 @@
         self._changed = asyncio.Event()
 
     def add(self, name: str, service: Service) -> None:
-        """Adds the process that replies under this name."""
+        """Registers the process that serves calls under this name."""
         self._services[name] = service
 
     def cut(self, senders: Collection[str], receivers: Collection[str]) -> None:
-        """Holds up all that these senders send to these receivers from now on."""
+        """Blocks messages from these senders to these receivers from now on."""
         links = ((sender, receiver) for sender in senders for receiver in receivers)
         self._cut_links.update(link for link in links if link[0] != link[1])
 
     def freeze(self, name: str) -> None:
-        """Lets the process neither receive nor send anything."""
+        """Blocks all messages to and from the process."""
         self._frozen.add(name)
 
     def heal(self, name: str) -> None:
@@ -87,15 +87,15 @@
         self._changed = asyncio.Event()
 
     def is_frozen(self, name: str) -> bool:
-        """Returns whether the process stands still."""
+        """Returns whether the process is frozen."""
         return name in self._frozen
 
     def is_open(self, sender: str, receiver: str) -> bool:
-        """Returns whether a message would arrive now."""
+        """Returns whether a message can be delivered now."""
         return (sender, receiver) not in self._cut_links and not {sender, receiver} & self._frozen
 
     def is_connected(self, process: str, peer: str) -> bool:
-        """Returns whether both run and messages pass both ways."""
+        """Returns whether both processes run and messages pass in both directions."""
         are_running = self._services[process].is_running and self._services[peer].is_running
         return are_running and self.is_open(process, peer) and self.is_open(peer, process)
 
@@ -104,7 +104,7 @@
 
         Raises:
             RpcTimeoutError: No reply came in time.
-            RpcConnectionError: The called process has ended meanwhile.
+            RpcConnectionError: The called process ended during the call.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -117,7 +117,7 @@
         incarnation = service.incarnation
         await self._transfer(sender, receiver)
         self._check_incarnation(service, incarnation, receiver)
-        # The called process goes on though its caller gives up, as over sockets.
+        # As over sockets, the called process finishes its work even if the caller has timed out.
         reply = await asyncio.shield(asyncio.ensure_future(service.serve(argument)))
         await self._transfer(receiver, sender)
         self._check_incarnation(service, incarnation, receiver)
@@ -130,7 +130,7 @@
 
     def _check_incarnation(self, service: Service, incarnation: int, name: str) -> None:
         if not service.is_running or service.incarnation != incarnation:
-            raise RpcConnectionError(f"{name} ended")
+            raise RpcConnectionError(f"{name} ended during the call")
 
 
 class SimulatedConnection:
@@ -141,8 +141,8 @@
         self._network, self._sender, self._receiver = network, sender, receiver
 
     async def call(self, method: str, argument: Argument, timeout_s: float) -> Reply:
-        """Calls the process; the type of the argument says which method."""
+        """Calls the process; the argument's type determines the method."""
         return await self._network.call(self._sender, self._receiver, argument, timeout_s)
 
     def close(self) -> None:
-        """Does nothing: no connection is kept open."""
+        """Does nothing: there is no open connection."""
--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -1,6 +1,6 @@
-"""Simulated control processes and edges, and runners.
+"""Simulated control processes, edges and runners.
 
-Of control processes and edges, the parts that have to do with check-ins are the real ones, without sockets.
+Control processes and edges run the production code of check-ins, without sockets.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 HEARTBEAT_S = 0.5
 DIRECTORY_TICK_S = 0.25
-RUNNER_TIMEOUT_S = 1.0  # PROTOCOL: an acknowledgement counts if it comes within a second
-MAX_REPLY_BYTES = 600  # so that replies are cut
+RUNNER_TIMEOUT_S = 1.0  # PROTOCOL: a runner waits one second for an acknowledgement
+MAX_REPLY_BYTES = 600  # small, so that replies are split
 DRAIN_SHARE = 0.7  # of the runners that leave
 
 OnAcknowledged = Callable[[str, RunnerCall], None]
-"""Observes that the control process of this name acknowledges this call."""
+"""Called with a control process's name and the call that it acknowledges."""
 
-CONFIGURATION = b"configuration"  # its content plays no part, only its version
+CONFIGURATION = b"configuration"  # only the version is checked, not the content
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     """One control process.
 
     Attributes:
-        stored: What is on its disk; a start publishes it.
+        stored: The configuration on its disk, published at each start.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
         random_source: random.Random,
         on_acknowledged: OnAcknowledged,
     ) -> None:
-        """Prepares a process that does not run yet.
+        """Creates a process without starting it.
 
         Args:
             name: Its name and address.
-            names: Of all control processes, itself included; all are witnesses.
-            network: Where it is called.
-            random_source: Of its pauses.
-            on_acknowledged: Is called whenever it acknowledges a runner.
+            names: Names of all control processes, including this one; all are witnesses.
+            network: Network on which the process is called.
+            random_source: Source of its random pauses.
+            on_acknowledged: Called whenever the process acknowledges a runner call.
         """
         self.name, self.incarnation, self.is_running = name, 0, False
         self._names, self._network, self._random_source = list(names), network, random_source
@@ -87,7 +87,7 @@
         network.add(name, self)
 
     def start(self) -> None:
-        """Starts a new incarnation; of the one before only the disk is left."""
+        """Starts a new incarnation, which has only the disk of the previous one."""
         self.incarnation += 1
         self.is_running = True
         self.registry = Registry(f"{self.name}.{self.incarnation}")
@@ -123,13 +123,13 @@
         self.registry.put(CONFIGURATION_KEY, CONFIGURATION, version)
 
     def store_published_configuration(self) -> None:
-        """Keeps the configuration that its registry has, its own or another process's, on the disk."""
+        """Writes the registry's configuration to the disk, whichever process published it."""
         entry = self.registry.get(CONFIGURATION_KEY)
         if entry is not None:
             self.stored = StoredConfiguration(entry.major, entry.value)
 
     def stage_of(self, runner: RunnerId) -> Stage | None:
-        """Returns what it knows of a runner; None if nothing."""
+        """Returns the known stage of a runner, or None if the runner is unknown."""
         record = self.directory.get(runner)
         return record.stage if record is not None else None
 
@@ -160,19 +160,19 @@
 
 
 class Edge:
-    """One edge dispatcher: what it knows, and since when."""
+    """One edge dispatcher, reduced to its registry and its puller."""
 
     def __init__(
         self, name: str, sources: Sequence[str], network: Network, random_source: random.Random
     ) -> None:
-        """Prepares an edge that does not run yet and pulls from the control processes `sources`."""
+        """Creates an edge that pulls from the control processes `sources`, without starting it."""
         self.name, self.incarnation, self.is_running = name, 0, False
         self._sources, self._network, self._random_source = list(sources), network, random_source
         self._task: asyncio.Task[None] | None = None
         network.add(name, self)
 
     def start(self) -> None:
-        """Starts a new incarnation that knows nothing."""
+        """Starts a new incarnation with an empty registry."""
         self.incarnation += 1
         self.is_running = True
         self.registry = Registry(f"{self.name}.{self.incarnation}")
@@ -194,25 +194,25 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     def configuration_version(self) -> int:
-        """Returns the version in force; 0 for none, and every request gets 503."""
+        """Returns the version in force; 0 if there is none, when an edge answers every request with 503."""
         entry = self.registry.get(CONFIGURATION_KEY)
         return entry.major if entry is not None else 0
 
     def stage_of(self, runner: RunnerId) -> Stage | None:
-        """Returns what it knows of a runner; None if nothing."""
+        """Returns the known stage of a runner, or None if the runner is unknown."""
         entry = self.registry.get(RUNNER_PREFIX + runner)
         return RunnerRecord.decode(entry.value).stage if entry is not None else None
 
     async def serve(self, argument: Argument) -> Reply:
-        """Fails: nobody calls an edge here."""
-        raise AssertionError(f"{argument} at an edge")
+        """Always fails: no process calls an edge in this simulation."""
+        raise AssertionError(f"unexpected call to an edge: {argument}")
 
 
 class Runner:
-    """One runner after another: each checks in, drains after a while most of the time, and leaves.
+    """A sequence of runners: each checks in, drains in most cases, and leaves.
 
     Attributes:
-        acknowledged: How many calls were acknowledged.
+        acknowledged: Number of acknowledged calls.
     """
 
     def __init__(
@@ -240,7 +240,7 @@
         await self._report(runner, Stage.GONE)
 
     async def _report(self, runner: RunnerId, stage: Stage) -> None:
-        """Calls one control process after another until one acknowledges; gives up after a round."""
+        """Calls each control process once until one acknowledges."""
         in_any_order = self._random_source.sample(self._control, len(self._control))
         for address in dict.fromkeys([self._preferred or in_any_order[0], *in_any_order]):
             if await self._call(address, runner, stage):
--- a/larchgw/model_checking/check_ins/runs.py
+++ b/larchgw/model_checking/check_ins/runs.py
@@ -1,4 +1,4 @@
-"""A run of faults over check-ins, for a seed."""
+"""A fault injection run of check-ins, determined by its seed."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from .cluster import SimulatedCluster
 from .fault_injection import FaultInjector
 
-CONTROL_PROCESSES = (3, 5)  # by turns
+CONTROL_PROCESSES = (3, 5)  # alternates with the seed
 FAULTS_S = 15.0
 
 
 def play_faults(seed: int) -> SimulatedCluster:
-    """Plays a run of faults and the recovery from them.
+    """Executes a run with faults and the recovery from them.
 
     Raises:
-        InvariantError: A property of check-ins does not hold.
+        InvariantError: An invariant of check-ins is violated.
     """
     return virtual_loop.run(_play(seed))
 
--- a/larchgw/model_checking/errors.py
+++ b/larchgw/model_checking/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the explorations, and the simulated crash that ends a process within a write."""
+"""Errors of the explorations, and the simulated crash of a process during a write."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 class InvariantError(ModelCheckingError):
-    """A property that must hold in every run does not; the message says which, at whom and when."""
+    """An invariant is violated; the message says which one, by which process and when."""
 
 
 class SimulatedCrashError(ModelCheckingError):
     """The machine has lost power, or the process was killed, in the middle of a write.
 
-    Raised from the disk through the code under test up to the simulated machine, which ends the process.
+    Raised by the simulated disk. Propagates through the code under test to the simulated machine, which
+    ends the process.
     """
--- a/larchgw/model_checking/exploration.py
+++ b/larchgw/model_checking/exploration.py
@@ -1,4 +1,4 @@
-"""What all explorations share: runs until a deadline, a report of them, and the verdict that is printed."""
+"""Common code of all explorations: runs until a deadline, their report, and the printed verdict."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def run_seeds(seed: int) -> Iterator[int]:
-    """Seeds of the runs of an exploration, far enough from those of the next that none is played twice."""
+    """Seeds of the runs of an exploration. Explorations with different seeds share no run."""
     return count(seed * SEEDS_PER_EXPLORATION)
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRun(Generic[RunT]):
-    """One run that has not been played yet.
+    """A run that has not been executed yet.
 
     Attributes:
-        name: Says how to repeat it: its kind and its seed.
-        play: Plays it; raises InvariantError if a property does not hold in it.
+        name: Kind and seed of the run, by which it can be repeated.
+        play: Executes the run; raises InvariantError if it violates an invariant.
     """
 
     name: str
@@ -37,13 +37,13 @@
 
 @dataclass
 class ExplorationReport(Generic[RunT]):
-    """What the runs of one exploration came to.
+    """Results of the runs of one exploration.
 
     Attributes:
-        runs: How many were played.
-        states: Different states seen, added up over the runs.
-        acknowledged: Calls that were acknowledged in them.
-        violations: One line for each run that violated an invariant: its name and the property.
+        runs: Number of runs that were executed.
+        states: Number of distinct states seen, summed over the runs.
+        acknowledged: Number of acknowledged calls in all runs.
+        violations: One line for each run that violated an invariant: its name and the error.
     """
 
     runs: int = 0
@@ -56,11 +56,11 @@
         raise NotImplementedError
 
     def counts_line(self) -> str:
-        """The counts beside states and violations, as printed."""
+        """The printed counts other than states and violations."""
         return f"runs={self.runs} acknowledged={self.acknowledged}"
 
     def check(self, name: str, play: Callable[[], CheckedT]) -> CheckedT | None:
-        """Counts a run; returns its result, or None where it violated an invariant."""
+        """Executes and counts a run; returns its result, or None if it violated an invariant."""
         self.runs += 1
         try:
             return play()
@@ -69,13 +69,13 @@
             return None
 
     def play(self, planned: PlannedRun[RunT]) -> None:
-        """Plays a run and adds its counts or its violation."""
+        """Executes a run and adds its counts or its violation."""
         finished = self.check(planned.name, planned.play)
         if finished is not None:
             self.add(finished)
 
     def play_until(self, deadline: float, runs: Iterable[PlannedRun[RunT]]) -> None:
-        """Plays runs until the deadline, which is a time of `time.monotonic`."""
+        """Executes runs until the deadline, a value of `time.monotonic`."""
         for planned in runs:
             if time.monotonic() >= deadline:
                 return
@@ -87,10 +87,10 @@
     mutants: Iterable[Mutant],
     is_caught: Callable[[Mutant], bool],
 ) -> int:
-    """Explores, tries the mutants and prints what came of both. Nothing is logged meanwhile.
+    """Explores, tries the mutants and prints the results of both. Logging is muted meanwhile.
 
     Returns:
-        0 if no invariant was violated and every mutant was caught, otherwise 1.
+        The exit status: 0 if no invariant was violated and every mutant was caught, otherwise 1.
     """
     tried = list(mutants)
     with muted():
--- a/larchgw/model_checking/links.py
+++ b/larchgw/model_checking/links.py
@@ -1,4 +1,4 @@
-"""The links between simulated machines: what they do to messages at present, and how they fail."""
+"""The links between simulated machines, and their faults."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 FAULTY_DELAYS_S = (RELIABLE_DELAY_S, (0.001, 0.2), (0.0, 0.03))
 
 IsCut = Callable[[str, str], bool]
-"""Whether messages from the first address to the second are lost."""
+"""Whether messages from the first address to the second are dropped."""
 
 
 def no_link_is_cut(sender: str, receiver: str) -> bool:
-    """The state of links without a network partition."""
+    """The predicate of a network without a partition."""
     return False
 
 
 def cut_off(side: Collection[str]) -> IsCut:
-    """A network partition: nothing passes between this side and the other machines."""
+    """A network partition: no message passes between `side` and the other machines."""
     return lambda sender, receiver: (sender in side) != (receiver in side)
 
 
 def cut_off_one_way(side: Collection[str]) -> IsCut:
-    """An asymmetric partition: this side receives, but nothing that it sends arrives at the others."""
+    """An asymmetric partition: `side` receives messages, but none that it sends arrives at the others."""
     return lambda sender, receiver: sender in side and receiver not in side
 
 
 @dataclass
 class Links:
-    """What the links do to each message.
+    """The present faults of the links, which apply to each message.
 
     Attributes:
         loss_rate: Share of messages that are lost.
         duplication_rate: Share that arrive twice.
-        delay_range_s: Each is delayed by a time drawn from this range, so that they overtake one another.
+        delay_range_s: Range from which the delay of each message is drawn, so that messages are reordered.
         is_cut: The network partition in force.
     """
 
@@ -46,11 +46,11 @@
     is_cut: IsCut = field(default=no_link_is_cut)
 
     def become_unreliable(self, random_source: Random) -> None:
-        """Draws how many messages are lost, doubled and late from now on."""
+        """Draws new rates of loss and duplication, and a new range of delays."""
         self.loss_rate, self.duplication_rate = random_source.choice(LOSS_AND_DUPLICATION_RATES)
         self.delay_range_s = random_source.choice(FAULTY_DELAYS_S)
 
     def become_reliable(self) -> None:
-        """Ends all faults but a partition."""
+        """Ends all faults except a partition."""
         self.loss_rate = self.duplication_rate = 0.0
         self.delay_range_s = RELIABLE_DELAY_S
--- a/larchgw/model_checking/mutants.py
+++ b/larchgw/model_checking/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes: an exploration must catch each of its mutants, or it proves nothing.
+"""Mutation testing: deliberate mistakes that show whether an exploration detects faults of this kind.
 
 Source: DeMillo, Lipton, Sayward, "Hints on test data selection" (mutation testing), 1978.
 """
@@ -18,7 +18,7 @@
 
 
 def always(value: ReturnT) -> Callable[[Callable[..., ReturnT]], Callable[..., ReturnT]]:
-    """A mistake for a `Patch`: the function returns `value`, whatever it is given."""
+    """Makes a replacement for a `Patch`: a function that returns `value` for any arguments."""
 
     def make(original: Callable[..., ReturnT]) -> Callable[..., ReturnT]:
         return lambda *arguments, **options: value
@@ -31,8 +31,8 @@
     """Replaces one attribute of the code under test.
 
     Attributes:
-        owner: The class or module that has the attribute itself, not by inheritance.
-        attribute: Its name.
+        owner: The class or module that defines the attribute itself, without inheritance.
+        attribute: Name of the attribute.
         make_replacement: Builds the replacement from the original.
     """
 
@@ -42,7 +42,7 @@
 
     @contextmanager
     def active(self) -> Iterator[None]:
-        """The replacement is in place while this context lasts."""
+        """Context manager that installs the replacement and restores the original."""
         original: OriginalT = self.owner.__dict__[self.attribute]
         setattr(self.owner, self.attribute, self.make_replacement(original))
         try:
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """One mistake, and a run that catches it.
+    """A deliberate mistake, and a run that catches it.
 
     Attributes:
-        name: What the mistaken code does.
-        play: Plays the run for a seed; raises InvariantError if a property does not hold in it.
-        seed: The first seed for which it does, once the mistake is in the code.
-        patches: Where one line alone is not enough for the mistake, several.
+        name: Describes the mistake; printed if it is not caught.
+        play: Executes the run of a seed; raises InvariantError if it violates an invariant.
+        seed: The first seed whose run catches the mistake.
+        patches: The changes that make up the mistake; several if one attribute is not enough.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
     @contextmanager
     def active(self) -> Iterator[None]:
-        """The mistake is in the code while this context lasts."""
+        """Context manager that applies all patches of the mutant."""
         with ExitStack() as stack:
             for patch in self.patches:
                 stack.enter_context(patch.active())
@@ -77,11 +77,11 @@
 
 
 def is_caught(mutant: Mutant, max_runs: int = 1) -> bool:
-    """Plays the mutant's run, and runs of the seeds that follow, until one of them violates an invariant.
+    """Whether the mutant's run, or a run of one of the next seeds, violates an invariant.
 
     Args:
-        mutant: The mistake to bring into the code meanwhile.
-        max_runs: How many seeds are tried.
+        mutant: The mistake that is active during the runs.
+        max_runs: Maximum number of seeds to try.
     """
     with mutant.active():
         return any(_violates(mutant, seed) for seed in range(mutant.seed, mutant.seed + max_runs))
--- a/larchgw/model_checking/simulated_disk.py
+++ b/larchgw/model_checking/simulated_disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: what was not synced may be lost, and its process may crash at any write."""
+"""A simulated disk that may lose unsynced records, and may crash its process at any write."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class SimulatedDisk:
-    """All that one machine has on its disk.
+    """The content of one machine's disk.
 
-    Cells, snapshots and truncations are durable at once, appended records once they are synced.
+    Cells, snapshots and truncations are durable at once, appended records only after a sync.
 
     Attributes:
-        cells: The values of the cells by their names.
-        stored_snapshot: The snapshot before the records, and the index up to which it stands for records.
-        records: The records after it, the unsynced ones included.
+        cells: Values of the cells, by name.
+        stored_snapshot: Index of the last record that the snapshot covers, and its content.
+        records: The records after the snapshot, including unsynced ones.
         synced_count: How many of the records are durable.
-        is_full: Every write is refused with ENOSPC.
-        writes_until_crash: So many more writes succeed; None where no crash is ahead.
-        write_count: Writes so far.
+        is_full: Every write fails with ENOSPC.
+        writes_until_crash: Number of writes that succeed before a crash; None if no crash is planned.
+        write_count: Number of writes so far.
     """
 
-    __slots__ = (  # so that a test which sets a fault by a wrong name fails
+    __slots__ = (  # a test that misspells the name of a fault gets an AttributeError
         "cells",
         "is_full",
         "records",
@@ -38,7 +38,7 @@
     )
 
     def __init__(self) -> None:
-        """Makes an empty disk."""
+        """Creates an empty disk."""
         self.cells: dict[str, bytes] = {}
         self.stored_snapshot: tuple[int, bytes] | None = None
         self.records: list[bytes] = []
@@ -48,17 +48,17 @@
         self.write_count = 0
 
     def lose_power(self, random: Random) -> None:
-        """Drops unsynced records, but for a drawn number of the first, which have reached the disk."""
+        """Drops unsynced records, except a random number of the oldest, which count as written."""
         surviving_count = random.randint(self.synced_count, len(self.records))
         del self.records[surviving_count:]
         self.synced_count = len(self.records)
 
     def before_write(self) -> None:
-        """Counts a write that is about to happen.
+        """Must be called before each write: counts it and applies the disk's faults.
 
         Raises:
             OSError: The disk is full.
-            SimulatedCrashError: The process ends here.
+            SimulatedCrashError: The process crashes at this write.
         """
         if self.is_full:
             raise OSError(errno.ENOSPC, "the simulated disk is full")
@@ -71,12 +71,12 @@
 
     @property
     def member_id(self) -> MemberId:
-        """The identity of the replicated state's member; empty if none is stored."""
+        """The stored identity of the replication member; empty if there is none."""
         stored = self.cells.get("identity")
         return MemberId("" if stored is None else str(json.loads(stored)["id"]))
 
     def ports(self) -> Ports:
-        """Returns the ports of a process that starts on this disk."""
+        """Returns the storage ports for a process that starts on this disk."""
         return Ports(
             SimulatedCell(self, "identity"),
             SimulatedCell(self, "witness"),
@@ -86,10 +86,10 @@
 
 
 class SimulatedCell:
-    """A replication.ports.Cell: one value, replaced as a whole or not at all."""
+    """Implements replication.ports.Cell: a single value that is replaced atomically."""
 
     def __init__(self, disk: SimulatedDisk, name: str) -> None:
-        """Takes the disk and the cell's name on it."""
+        """Opens the cell of this name on the disk."""
         self._disk = disk
         self._name = name
 
@@ -104,10 +104,10 @@
 
 
 class SimulatedJournal:
-    """A replication.ports.Journal: a list of records after a snapshot."""
+    """Implements replication.ports.Journal: a snapshot and the records after it."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
-        """Takes the disk with the records."""
+        """Opens the journal on the disk."""
         self._disk = disk
 
     @property
