--- a/larchgw/model_checking/check_ins/processes.py
+++ b/larchgw/model_checking/check_ins/processes.py
@@ -205,7 +205,7 @@
 
     async def serve(self, argument: Argument) -> Reply:
         """Always fails: no process calls an edge in this simulation."""
-        raise AssertionError(f"unexpected call to an edge: {argument}")
+        raise AssertionError(f"{argument} was sent to an edge, which serves no calls")
 
 
 class Runner:
--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -1,6 +1,6 @@
-"""Control processes on simulated disks and links; their members, logs and operator calls are the real ones.
+"""Control processes on simulated disks and links, with production code for members, logs and operator calls.
 
-Everything follows from one seed. A frozen process takes nothing in and sends nothing; its timers go on.
+A run is determined by its seed. A frozen process neither receives nor sends anything; its timers go on.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from ..simulated_disk import SimulatedDisk
 from .invariants import InvariantChecker
 
-COMPACT_RECORDS = 6  # so that snapshots are taken and sent all the time
+COMPACT_RECORDS = 6  # small, so that snapshots are taken and sent frequently
 LEASE_TERM_S = 3.0
 MAX_CLOCK_OFFSET_S = 50.0  # clocks of different machines differ by at most this
 
@@ -41,16 +41,16 @@
     """One incarnation of a control process.
 
     Attributes:
-        is_alive: False from its end on.
-        is_frozen: Whether it stands still, while its timers go on.
-        deferred: What came, or should go out, while it was frozen.
-        tasks: Calls that it serves.
+        is_alive: False once the process has ended.
+        is_frozen: Whether steps are deferred; timers go on.
+        deferred: Steps and messages to run or send once it is thawed.
+        tasks: Tasks of the calls that it serves.
     """
 
     def __init__(
         self, cluster: SimulatedCluster, address: str, disk: SimulatedDisk, first_boot: bool
     ) -> None:
-        """Takes up the disk; `start` brings the process to work."""
+        """Creates the process on the disk; `start` starts it."""
         self.cluster, self.address, self.disk = cluster, address, disk
         self.is_alive = True
         self.is_frozen = False
@@ -80,7 +80,7 @@
         self.cluster.checks.in_force(self.address, self.state)
 
     def start(self) -> None:
-        """Begins to tick and to take part."""
+        """Starts the log and the periodic tick."""
         self.member.set_contacts(self.cluster.addresses)
         self.log.start()
         self._on_state_changed()
@@ -93,7 +93,7 @@
                 self.run_step(self.log.tick)
 
     def run_step(self, step: Callable[[], None]) -> None:
-        """Carries out one step of this process, in which it may crash; a frozen one does so later."""
+        """Runs one step, which may crash the process; defers it while the process is frozen."""
         if not self.is_alive:
             return
         if self.is_frozen:
@@ -106,7 +106,7 @@
         self.cluster.observe(self)
 
     def serve(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Begins to serve a call from outside."""
+        """Starts a task that serves an incoming call."""
         self.run_step(lambda: self._spawn(call))
 
     def _spawn(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -127,11 +127,11 @@
 
     @property
     def has_undecided(self) -> bool:
-        """Whether it is primary and has proposed records that are not committed yet."""
+        """Whether the process is primary and has proposed records that are not committed yet."""
         return self.member.is_primary and self.member.last_index > self.member.committed_index
 
     def digest(self) -> tuple[object, ...]:
-        """Returns what its state comes to, seen from outside."""
+        """Returns a summary of the observable state."""
         member = self.member
         return (
             self.address,
@@ -143,14 +143,14 @@
         )
 
     def end(self) -> None:
-        """Ends the process, and whatever it serves with it."""
+        """Ends the process and cancels the calls that it serves."""
         self.is_alive = False
         for task in list(self.tasks):
             task.cancel()
 
 
 class SimulatedClients(RpcClients):
-    """The rpc clients of one process."""
+    """The RPC clients of one process."""
 
     def __init__(self, process: Process) -> None:
         """Takes the process that calls."""
@@ -171,7 +171,7 @@
         self._caller, self._cluster = caller, caller.cluster
 
     def post(self, method: str, argument: Argument) -> None:
-        """Sends a message of the replication protocol; it may be lost or doubled."""
+        """Sends a message of the replication protocol, which may be lost or duplicated."""
         assert isinstance(argument, PeerMessage)
         message = argument
         copies = 2 if self._cluster.random.random() < self._cluster.links.duplication_rate else 1
@@ -182,8 +182,8 @@
         """Forwards an operator's call.
 
         Raises:
-            RpcTimeoutError: There was no answer in time.
-            RpcConnectionError: The called process ended as it served the call.
+            RpcTimeoutError: No answer came in time.
+            RpcConnectionError: The called process ended while it served the call.
         """
         assert isinstance(argument, OperatorCall)
         call = argument
@@ -197,7 +197,7 @@
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise RpcTimeoutError(f"{self.address}: no answer in {timeout_s:.2f} s") from error
+            raise RpcTimeoutError(f"{self.address}: no answer within {timeout_s:.2f} s") from error
 
     async def _answer(
         self, receiver: Process, call: OperatorCall, future: asyncio.Future[OperatorAnswer]
@@ -205,7 +205,7 @@
         try:
             answer = await receiver.calls.serve_forwarded(call)
         except asyncio.CancelledError:
-            _settle(future, RpcConnectionError("the connection ended"))
+            _settle(future, RpcConnectionError("the called process ended while it served the call"))
             raise
         if self._caller.is_alive:
             self._cluster.transmit(receiver, self._caller.address, lambda caller: _settle(future, answer))
@@ -222,7 +222,7 @@
 
 @dataclass
 class OperatorLinks(Links):
-    """Links between machines, and those to operators, who are never cut off.
+    """Links between machines, and links to operators, which are never partitioned.
 
     Attributes:
         answer_loss_rate: Share of the answers to operators that are lost.
@@ -235,15 +235,15 @@
     """The machines of one run, each with a disk and at most one process.
 
     Attributes:
-        loop: The loop it belongs to, whose time is virtual.
-        survive: How many machines may be lost at a time.
-        processes: Those that run, by their address.
-        states: Different states of the cluster that were seen, as hashes.
-        failed: Done with the first error of a call that is served; ends the run.
+        loop: The event loop, which runs in virtual time.
+        survive: Number of machines whose simultaneous loss is tolerated.
+        processes: Running processes by address.
+        states: Hashes of the distinct states of the cluster.
+        failed: Receives the first error of a served call or of an operator, which ends the run.
     """
 
     def __init__(self, seed: int, machines: int) -> None:
-        """Makes empty machines in the running loop; nothing runs on them yet."""
+        """Creates machines with empty disks and no process in the running loop."""
         self.random = Random(seed)
         self.loop = asyncio.get_running_loop()
         self.checks = InvariantChecker()
@@ -253,13 +253,13 @@
         self.disks = {address: SimulatedDisk() for address in self.addresses}
         self.processes: dict[str, Process] = {}
         self.states: set[int] = set()
-        self._latest_view: View | None = None  # in which a member acted as primary
+        self._latest_view: View | None = None  # the latest in which a member acted as primary
         self.failed: asyncio.Future[None] = self.loop.create_future()
 
     # ---- machines ----
 
     def start(self, address: str, first_boot: bool = False) -> None:
-        """Starts the machine's process, if none runs there."""
+        """Starts the machine's process unless it is running."""
         if address in self.processes:
             return
         try:
@@ -271,7 +271,7 @@
             self.disks[address].lose_power(self.random)
 
     def kill(self, address: str, power: bool = False) -> None:
-        """Ends the process; if the machine loses power, unsynced writes may be lost too."""
+        """Ends the process; with `power`, the machine loses power and unsynced writes may be lost."""
         process = self.processes.pop(address, None)
         if process is not None:
             process.end()
@@ -284,9 +284,9 @@
         self.disks[address] = SimulatedDisk()
 
     def may_lose_a_disk(self) -> bool:
-        """Returns whether one more disk may be lost within what the system survives.
+        """Returns whether the loss of one more disk is tolerated now.
 
-        Those whose successors are not in sync and witnesses yet count as lost.
+        A disk counts as lost until its member is in sync and a witness.
         """
         view = self._latest_view
         if view is None:
@@ -300,17 +300,17 @@
         return len(members) - len(replaced) < self.survive
 
     def crash(self, process: Process) -> None:
-        """Ends a process that has crashed in the middle of a write."""
+        """Ends a process that crashed during a write, half of the time with a power loss."""
         if self.processes.get(process.address) is process:
             self.kill(process.address, power=self.random.random() < 0.5)
 
     def freeze(self, address: str) -> None:
-        """Lets the process stand still."""
+        """Freezes the process, if it is running."""
         if address in self.processes:
             self.processes[address].is_frozen = True
 
     def thaw(self, address: str) -> None:
-        """Lets the process go on with what came meanwhile."""
+        """Thaws the process and runs the deferred steps."""
         process = self.processes.get(address)
         if process is not None and process.is_frozen:
             process.is_frozen = False
@@ -320,13 +320,13 @@
 
     @property
     def primaries(self) -> list[str]:
-        """Machines whose process believes to be primary."""
+        """Addresses of the processes that consider themselves primary."""
         return [address for address, process in self.processes.items() if process.member.is_primary]
 
     # ---- links ----
 
     def transmit(self, sender: Process, address: str, step: Callable[[Process], None]) -> None:
-        """Has the process at `address` carry out `step` after a while, unless it is lost on the way."""
+        """Runs `step` in the process at `address` after the link's delay, unless the message is lost."""
         if not sender.is_alive:
             return
         if sender.is_frozen:
@@ -344,7 +344,7 @@
     async def call(
         self, address: str, operation: str, base_version: int, body: bytes, timeout_s: float
     ) -> OperatorResponse | None:
-        """Makes an operator's call to a machine; returns None where no answer came."""
+        """Makes an operator's call to a machine; returns None if no answer came in time."""
         future: asyncio.Future[OperatorResponse] = self.loop.create_future()
 
         async def serve(process: Process) -> None:
@@ -373,7 +373,7 @@
     # ---- observations ----
 
     def observe(self, process: Process) -> None:
-        """Counts the state that all processes are in, and notes the view in which this one acts."""
+        """Records the state of all processes, and the view if this process acts as primary."""
         view, newest = process.member.view, self._latest_view
         is_acting = process.member.acting_epoch is not None
         if is_acting and view is not None and (newest is None or view.epoch > newest.epoch):
@@ -381,6 +381,6 @@
         self.states.add(hash(tuple(process.digest() for process in self.processes.values())))
 
     def fail(self, error: BaseException) -> None:
-        """Ends the run with the error of a call that was served, or of an operator."""
+        """Ends the run with the error of a served call or of an operator."""
         if not self.failed.done():
             self.failed.set_exception(error)
--- a/larchgw/model_checking/operator_calls/fault_injection.py
+++ b/larchgw/model_checking/operator_calls/fault_injection.py
@@ -1,4 +1,4 @@
-"""Random faults of control processes, disks and links, and what must hold once they are over."""
+"""Injects random faults into control processes, disks and links, and checks that the cluster recovers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .cluster import Process, SimulatedCluster
 from .operators import Operators
 
-CONVERGENCE_S = 8.0  # after the last fault, until everything is served again
+CONVERGENCE_S = 8.0  # from the last fault until all calls must be served again
 FAULT_INTERVALS_S = (
     0.1,
     0.3,
@@ -20,8 +20,8 @@
     2.0,
 )  # mean, between two faults; drawn once per run
 FIRST_BOOT_S = 0.2
-POLL_INTERVAL_S = 0.001  # how often it is looked for a proposal that is not decided
-MAX_FAULT_S = 6.0  # when all of them have ended
+POLL_INTERVAL_S = 0.001  # between checks for an undecided proposal
+MAX_FAULT_S = 6.0  # after which every fault has ended
 RESTART_DELAYS_S = (0.05, 0.3, 1.0, 3.0)
 FREEZE_DURATIONS_S = (0.3, 0.8, 2.0, 4.0)
 PARTITION_DURATIONS_S = (0.3, 1.0, 2.0, 4.0)
@@ -31,10 +31,10 @@
 
 
 class FaultInjector:
-    """Plays faults on a cluster. All choices come from its random generator."""
+    """Injects faults into a cluster. All choices come from the cluster's random generator."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
-        """Takes a cluster of which nothing runs yet, and draws which kinds of fault this run has."""
+        """Takes a cluster that is not started, and draws the kinds of fault of this run."""
         self._cluster = cluster
         self._random = cluster.random
         faults: list[Callable[[], None]] = [
@@ -51,12 +51,12 @@
             self._wipe,
             self._wipe,
         ]
-        # A few kinds only, so that a run may have many of the same and of what goes together.
+        # With few kinds of fault, a run repeats and combines the same ones more often.
         drawn = self._random.sample(faults, self._random.choice((1, 2, 4, len(faults))))
         self._faults = [self._partition_primary, self._cancel_calls, *drawn]
 
     async def play(self, seconds: float) -> None:
-        """Starts all processes, and has faults for so long."""
+        """Starts all processes and injects faults for `seconds`."""
         for address in self._cluster.addresses:
             self._schedule(
                 self._random.uniform(0.0, FIRST_BOOT_S), partial(self._cluster.start, address, True)
@@ -69,7 +69,7 @@
             await asyncio.sleep(self._random.expovariate(1.0 / mean_interval_s))
 
     async def recover(self, operators: Operators) -> None:
-        """Ends all faults; what was acknowledged must be there, and acknowledged again."""
+        """Ends all faults; acknowledged orders must be acknowledged when they are sent again."""
         await asyncio.sleep(MAX_FAULT_S)
         self._cluster.links.is_cut = no_link_is_cut
         self._cluster.links.become_reliable()
@@ -85,14 +85,14 @@
         for sent in checks.acknowledged[-3:]:
             if await operators.send(sent) != 200:
                 raise InvariantError(
-                    f"{sent} was acknowledged, and is not {CONVERGENCE_S} s after the last fault"
+                    f"{sent} was acknowledged, but not when sent again {CONVERGENCE_S} s after the last fault"
                 )
 
     def _schedule(self, seconds: float, step: Callable[[], None]) -> None:
         self._cluster.loop.call_later(seconds, step)
 
     def _pick_address(self) -> str:
-        """A machine; the primary's half of the time."""
+        """Picks a machine; half of the time that of the primary."""
         primaries = self._cluster.primaries
         if primaries and self._random.random() < 0.5:
             return self._random.choice(primaries)
@@ -143,7 +143,7 @@
         self._apply_partition(cut_off(self._draw_side()))
 
     def _partition_primary(self) -> None:
-        """Operators still reach it, and it does not know yet."""
+        """Cuts the primary off; operators still reach it, and it has not noticed the partition yet."""
         self._apply_partition(cut_off(self._cluster.primaries))
 
     def _partition_one_way(self) -> None:
@@ -155,7 +155,7 @@
         self._schedule(self._random.choice(PARTITION_DURATIONS_S), lambda: self._heal_partition(partition))
 
     def _heal_partition(self, partition: IsCut) -> None:
-        """Ends this cut, if it has not given way to another."""
+        """Ends this partition unless another one has replaced it."""
         if self._cluster.links.is_cut is partition:
             self._cluster.links.is_cut = no_link_is_cut
 
@@ -165,7 +165,7 @@
         self._schedule(UNRELIABLE_S, links.become_reliable)
 
     def _restart_gracefully(self) -> None:
-        """A planned end: by agreement with the others, or cut short."""
+        """Asks the process to leave and restarts it; after a time limit it is killed."""
         process = self._cluster.processes.get(self._pick_address())
         if process is not None:
             process.run_step(process.log.leave)
@@ -187,9 +187,9 @@
         self._schedule(self._random.uniform(*DISK_FULL_RANGE_S), lambda: setattr(disk, "is_full", False))
 
     def _cancel_calls(self) -> None:
-        """Connections over which calls were passed on end: what serves them is cancelled where it stands.
+        """Cancels calls in progress, as when the connections over which they were forwarded end.
 
-        Mostly that is while a record is undecided, which it is for some ms only.
+        In most cases this waits for an undecided record, a state that lasts only a few milliseconds.
         """
         self._cancel_when_undecided(self._cluster.loop.time() + self._random.choice((0.0, 0.5, 0.5)))
 
--- a/larchgw/model_checking/operator_calls/main.py
+++ b/larchgw/model_checking/operator_calls/main.py
@@ -1,6 +1,6 @@
-"""`larchgw explore operator-calls`: runs of faults while operators work, and mutants.
+"""`larchgw explore operator-calls`: fault injection runs with concurrent operators, and mutants.
 
-How many runs there are depends on the time given; one is played at least.
+The number of runs depends on the time limit; there is at least one.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from .mutants import MUTANTS
 from .runs import play_faults
 
-MAX_RUNS_PER_MUTANT = 60  # every change to the code plays other runs under the same seed
+MAX_RUNS_PER_MUTANT = 60  # a change to the code changes the runs of a seed, so one seed is not enough
 
 
 @dataclass
 class OperatorCallReport(ExplorationReport[SimulatedCluster]):
-    """The counts of an exploration of operator calls; `answers` counts what operators got, by status."""
+    """The counts of an exploration of operator calls; `answers` counts the answers to operators by status."""
 
     answers: Counter[int] = field(default_factory=Counter)
 
@@ -39,7 +39,7 @@
 
 
 def explore(seconds: float, seed: int) -> OperatorCallReport:
-    """Explores for about so many seconds of real time."""
+    """Explores for about `seconds` of real time."""
     report = OperatorCallReport()
     deadline = time.monotonic() + seconds
     runs = (PlannedRun(f"seed {run_seed}", partial(play_faults, run_seed)) for run_seed in run_seeds(seed))
@@ -49,7 +49,7 @@
 
 
 def is_caught(mutant: Mutant) -> bool:
-    """Whether one of the runs from the mutant's seed on catches it."""
+    """Whether one of MAX_RUNS_PER_MUTANT runs, beginning with the mutant's seed, catches it."""
     return is_caught_within(mutant, MAX_RUNS_PER_MUTANT)
 
 
--- a/larchgw/model_checking/operator_calls/mutants.py
+++ b/larchgw/model_checking/operator_calls/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes in how operator calls are answered, each with the seed from which on it is caught."""
+"""Mutants of the code that answers operator calls, each with the first seed at which it is caught."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def _submit_without_outcome_check(propose: Propose) -> Callable[[Submit], Submit]:
-    """OperatorService._submit, but without its look at what came of the proposal."""
+    """Replaces OperatorService._submit by a copy that does not check the outcome of the proposal."""
 
     async def submit(self: OperatorService, order: OperatorOrder) -> OperatorResponse:
         await self.replication.wait_until_decided()
--- a/larchgw/model_checking/operator_calls/operators.py
+++ b/larchgw/model_checking/operator_calls/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they race, lose answers, and send an order again until its outcome is clear."""
+"""Simulated operators, who work concurrently, lose answers and retry orders until the outcome is known."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from .cluster import SimulatedCluster
 from .invariants import SentOrder
 
-CALL_TIMEOUT_S = 1.0  # then another process is called
+CALL_TIMEOUT_S = 1.0  # after which another process is called
 MAX_CONCURRENT_ORDERS = 8
-MAX_ATTEMPTS = 25  # to send one order, before its operator gives up
-INVALID_SHARE = 0.1  # of orders
-RESEND_SHARE = 0.4  # of rounds in which an acknowledged order is sent again
-DUPLICATE_SHARE = 0.2  # of attempts that go to two processes at once
-OTHER_BASE_SHARE = 0.1  # of orders whose very text is sent on top of another version as well
+MAX_ATTEMPTS = 25  # to send one order
+INVALID_SHARE = 0.1  # of the orders
+RESEND_SHARE = 0.4  # of the rounds in which an acknowledged order is sent again
+DUPLICATE_SHARE = 0.2  # of the attempts that go to two processes concurrently
+OTHER_BASE_SHARE = 0.1  # of the rounds in which the same text is also sent with another base version
 ROUND_PAUSE_S = (0.0, 0.3)
 RETRY_PAUSE_S = (0.02, 0.4)
 
 
 class Operators:
-    """A few operators who know nothing of each other.
+    """Operators who work independently of each other.
 
     Attributes:
-        is_working: False once they should come to an end.
+        is_working: Set to False to stop all operators.
     """
 
     def __init__(self, cluster: SimulatedCluster) -> None:
-        """Takes the cluster that they call."""
+        """Takes the cluster that the operators call."""
         self._cluster = cluster
         self._checks = cluster.checks
         self._random = cluster.random
@@ -39,7 +39,7 @@
         self.is_working = True
 
     async def work(self) -> None:
-        """Works as one operator until `is_working` is False."""
+        """Acts as one operator until `is_working` is False."""
         while self.is_working:
             base = await self.read()
             if base is not None:
@@ -49,7 +49,7 @@
             await asyncio.sleep(self._random.uniform(*ROUND_PAUSE_S))
 
     async def read(self) -> int | None:
-        """Reads the current version from any process; returns None where there was no clear answer."""
+        """Reads the current version from a random process; returns None if there was no definite answer."""
         before = self._checks.newest_acknowledged
         answer = await self._call("read", -1, b"")
         if answer is None or answer.status not in (200, 404):
@@ -59,7 +59,7 @@
         return int(version)
 
     async def send(self, sent: SentOrder) -> int | None:
-        """Sends an order until there is a clear answer, and returns its status; None if there is none."""
+        """Sends an order until there is a definite answer; returns its status, or None without one."""
         for _ in range(MAX_ATTEMPTS):
             if not self.is_working:
                 return None
@@ -97,7 +97,7 @@
         return orders
 
     def _order(self, base: int) -> SentOrder:
-        """Makes a whole configuration or a change; different ones may ask for the same version number."""
+        """Makes an order with a whole configuration or a change; orders may compete for a version."""
         version = base + self._random.randint(1, 2)
         self._serial += 1
         service = {"name": "s", "health_path": f"/{self._serial}"}
@@ -111,7 +111,7 @@
         return SentOrder(OperatorOrder(operation, base, text.encode()), version, is_valid)
 
     def _make_invalid(self, body: dict[str, Any], base: int) -> str:
-        """Returns the text of the same order, but invalid."""
+        """Returns an invalid variant of the order's text."""
         route = {
             "name": "r",
             "hostname": "h.example",
--- a/larchgw/model_checking/operator_calls/runs.py
+++ b/larchgw/model_checking/operator_calls/runs.py
@@ -1,4 +1,4 @@
-"""A run of faults over the operator's calls, for a seed."""
+"""A fault injection run of operator calls, determined by its seed."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from .fault_injection import FaultInjector
 from .operators import Operators
 
-CONTROL_PROCESSES = (3, 5)  # by turns
+CONTROL_PROCESSES = (3, 5)  # alternates with the seed
 FAULTS_S = 20.0
 OPERATORS = 4
 
 
 def play_faults(seed: int) -> SimulatedCluster:
-    """Plays a run of faults and the recovery from them, while operators work.
+    """Executes a run with faults and the recovery from them, while operators work.
 
     Raises:
-        InvariantError: Something that operators may rely on does not hold.
+        InvariantError: An invariant of operator calls is violated.
     """
     return virtual_loop.run(_play(seed))
 
--- a/larchgw/model_checking/placement_lease/__init__.py
+++ b/larchgw/model_checking/placement_lease/__init__.py
@@ -1,1 +1,1 @@
-"""Exploration of the placer: orders of one lease holder after the other, on the real code of both sides."""
+"""Exploration of placement across changes of the lease holder, with production code on both sides."""
--- a/larchgw/model_checking/placement_lease/cluster.py
+++ b/larchgw/model_checking/placement_lease/cluster.py
@@ -1,7 +1,7 @@
-"""Control processes with the real placement service over the real lease, and runners that they order at.
+"""Control processes with the production placement service and lease, and the runners that they control.
 
-Time is virtual. A process that stands still goes on with what came meanwhile; its clock counts on. Clocks run
-up to one per cent apart.
+Time is virtual. The clock of a frozen process goes on, and once thawed it handles what arrived meanwhile. The
+rates of two clocks differ by up to one per cent.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
     record_of,
 )
 
-MAX_CLOCK_RATE_ERROR = 0.005  # each way, so that two clocks run up to one per cent apart
+MAX_CLOCK_RATE_ERROR = 0.005  # in each direction, so that two clocks differ by up to one per cent
 ROUND_S = 0.05  # between two rounds of a placement service
 CHECK_IN_INTERVAL_S = 1.0
-LATE_ORDER_RATE = 0.1  # share of the orders that take as long as an order may
+LATE_ORDER_RATE = 0.1  # share of the orders with the longest permitted delay
 LOST_ANSWER_RATE = 0.05
-RUNNERS_ADDRESS = "runners"  # where orders arrive
+RUNNERS_ADDRESS = "runners"  # the address of events at runners, which no machine has
 
 Call = Coroutine["Suspended", None, None]
 
@@ -52,23 +52,23 @@
     """What a simulated coroutine waits for.
 
     Attributes:
-        seconds: A time, or
-        call: the end of this call of the replication member.
+        seconds: Time to wait, if `call` is None.
+        call: Call of the replication member whose end is awaited.
     """
 
     seconds: float = 0.0
     call: PendingCall | None = None
 
     def __await__(self) -> Generator[Suspended, bool, bool]:
-        """Gives way to the simulation; the result tells whether the call has ended well."""
+        """Suspends the coroutine; the result tells whether the call has succeeded."""
         return (yield self)
 
 
 class SimulatedLog:
-    """Stands for the ReplicatedLog of one process: announces acts, and answers about the lease."""
+    """Replaces the ReplicatedLog of one process: announces actions and reports the lease."""
 
     def __init__(self, cluster: PlacementCluster, machine: Machine, member: Member) -> None:
-        """Serves the process of `member`."""
+        """Creates the log of the process of `member`."""
         self._cluster, self._machine = cluster, machine
         self.member = member
 
@@ -80,7 +80,7 @@
         """See ReplicatedLog."""
         call = self._cluster.announce(self._machine, self.member, lease_name, targets)
         if call is None or not await Suspended(call=call):
-            raise ReplicationUnavailableError("the act is not announced")
+            raise ReplicationUnavailableError("the action could not be announced")
 
     def action_permitted_until(self, lease_name: str, target: str) -> float:
         """See ReplicatedLog."""
@@ -88,14 +88,14 @@
 
 
 class SimulatedCalls:
-    """Orders and reports of one process at the simulated runners."""
+    """The calls of one process to the simulated runners."""
 
     def __init__(self, cluster: PlacementCluster, machine: Machine) -> None:
-        """Sends for `machine`."""
+        """Creates the calls of the process on `machine`."""
         self._cluster, self._machine = cluster, machine
 
     async def order(self, order: Order, fencing_token: int, begin_by_s: float) -> OrderOutcome:
-        """See RunnerCalls: from this call on, the order arrives whatever becomes of its sender."""
+        """See RunnerCalls; once sent, an order arrives even if its sender ends."""
         if self._cluster.clock(self._machine) >= begin_by_s:
             return OrderOutcome.UNSENT
         answer = self._cluster.send_order(self._machine, order, fencing_token)
@@ -113,12 +113,12 @@
 
 @dataclass(slots=True)
 class OrderAnswer:
-    """The answer to an order that is on its way.
+    """The answer to an order in transit.
 
     Attributes:
-        after_s: Seconds from the sending of the order until its sender has the answer, or gives up.
-        status: Of the runner, once the order has arrived.
-        is_lost: Whether the answer does not come.
+        after_s: Seconds from sending the order until its sender has the answer or times out.
+        status: The runner's status code, once the order has arrived.
+        is_lost: Whether the answer is lost.
     """
 
     after_s: float
@@ -126,7 +126,7 @@
     status: int = 0
 
     def outcome(self) -> OrderOutcome:
-        """What the sender knows."""
+        """The outcome as the sender sees it."""
         return OrderOutcome.UNKNOWN if self.is_lost else outcome_of(self.status)
 
 
@@ -134,23 +134,23 @@
     """A cluster whose processes place models.
 
     Attributes:
-        runners: By id; their orders arrive whatever the links between control processes do.
-        order_checks: Watches the orders that they receive.
-        published: Runner -> expected loads, as the registry holds them everywhere.
+        runners: By id; faults of links between control processes do not affect their orders.
+        order_checks: Checks the orders that runners receive.
+        published: Expected loads by runner, as in the registry of every process.
     """
 
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
-        """Makes a cluster of which nothing runs yet; see SimulatedCluster."""
+        """Creates a cluster that is not started; see SimulatedCluster."""
         super().__init__(seed, machines, seeds, survive)
-        self.has_leases = False  # acts are checked at the runners
+        self.has_leases = False  # actions are checked at the runners instead
         self.action_retention_s = LOAD_WINDOW_S + 1.0
         self.configuration = make_configuration()
         self.runners = make_runners(self.configuration)
         self.order_checks = OrderChecker(LEASE_TERM_S, MAX_LOADS, LOAD_WINDOW_S)
         self.published: dict[RunnerId, dict[str, float]] = {}
-        self._services: dict[str, PlacementService] = {}  # by address of a running process
-        self._calls: dict[tuple[str, int], Call] = {}  # address and number of the call that they wait for
-        self._ended_calls: dict[tuple[str, int], bool] = {}  # whose results nobody has asked for yet
+        self._services: dict[str, PlacementService] = {}  # by address of the running process
+        self._calls: dict[tuple[str, int], Call] = {}  # by address and number of the awaited call
+        self._ended_calls: dict[tuple[str, int], bool] = {}  # results that are not awaited yet
         self._next_report_at = self._next_check_in_at = self.now
 
     def new_machine(self) -> Machine:
@@ -163,7 +163,7 @@
         machine.clock_rate = 1.0 + self.random.uniform(-MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR)
 
     def start(self, address: str, first_boot: bool = False) -> None:
-        """See SimulatedCluster; the process places models from now on."""
+        """See SimulatedCluster; also starts the placement service."""
         for calls in (self._calls, self._ended_calls):
             for key in [key for key in calls if key[0] == address]:
                 del calls[key]
@@ -226,7 +226,7 @@
         self._push(seconds, machine.address, Wakeup(machine.incarnation, resume))
 
     def _resume(self, machine: Machine, call: Coroutine[Any, Any, None], result: bool | None = None) -> None:
-        """Lets a coroutine of a process go on until it waits again."""
+        """Runs a coroutine of a process until it suspends again."""
         try:
             suspended = call.send(result)
         except StopIteration:
@@ -245,7 +245,7 @@
     def announce(
         self, machine: Machine, member: Member, lease_name: str, targets: Sequence[str]
     ) -> PendingCall | None:
-        """Announces an act of a process; None where its disk refuses, or it ends."""
+        """Announces an action of a process; returns None if its disk fails or it crashes."""
         try:
             call, effects = member.announce(self.clock(machine), lease_name, targets)
         except OSError:
@@ -271,7 +271,7 @@
     # ---- orders ----
 
     def send_order(self, machine: Machine, order: Order, fencing_token: int) -> OrderAnswer:
-        """Puts an order on its way; it arrives within `ACTION_DELIVERY_S`, whatever becomes of its sender."""
+        """Sends an order, which arrives within `ACTION_DELIVERY_S` even if its sender ends."""
         is_late = self.random.random() < LATE_ORDER_RATE
         delay_s = ACTION_DELIVERY_S if is_late else self.random.uniform(0.0005, 0.01)
         answer = OrderAnswer(delay_s + 0.001, self.random.random() < LOST_ANSWER_RATE)
@@ -280,11 +280,11 @@
         return answer
 
     def _schedule_arrival(self, seconds: float, arrival: _Arrival) -> None:
-        """Orders arrive at an address that no machine has, so that no machine's fate concerns them."""
+        """Schedules an arrival at an address without a machine, which faults of machines do not affect."""
         self._push(seconds, RUNNERS_ADDRESS, Wakeup(0, arrival.arrive))
 
     def receive_order(self, holder: str, order: Order, fencing_token: int) -> int:
-        """A runner receives an order; returns its status."""
+        """Lets a runner execute an order; returns the status code."""
         runner = self.runners[order.runner_id]
         self.order_checks.received(order.runner_id, ReceivedOrder(self.now, holder, fencing_token))
         loads_before = len(runner.store.begun)
--- a/larchgw/model_checking/placement_lease/invariants.py
+++ b/larchgw/model_checking/placement_lease/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of the orders that runners receive, whoever places and whatever fails."""
+"""Invariants of the orders that runners receive, under any faults and changes of the placer."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     """An order as a runner receives it.
 
     Attributes:
-        at: When, in seconds of the simulation.
-        holder: The machine that sent it.
-        fencing_token: What it carries.
+        at: Simulated time in seconds.
+        holder: Machine that sent the order.
+        fencing_token: Fencing token of the order.
     """
 
     at: float
@@ -23,19 +23,19 @@
 
 
 class OrderChecker:
-    """Watches orders at the runners; each method raises InvariantError where a property does not hold.
+    """Checks orders at the runners; each method raises InvariantError if an invariant is violated.
 
     Attributes:
-        orders: Orders received so far, the oldest first.
+        orders: Received orders, oldest first.
     """
 
     def __init__(self, lease_term_s: float, max_loads: int, load_window_s: float) -> None:
-        """Begins with no order.
+        """Starts without any order.
 
         Args:
-            lease_term_s: Between orders of two holders at one runner.
-            max_loads: Loads from the weight store that may begin in one window.
-            load_window_s: Its length.
+            lease_term_s: Minimum time between orders of two lease holders to one runner.
+            max_loads: Maximum number of loads from the weight store that begin in one window.
+            load_window_s: Length of the window.
         """
         self._lease_term_s = lease_term_s
         self._max_loads, self._load_window_s = max_loads, load_window_s
@@ -45,10 +45,10 @@
         self._store_loads: list[float] = []
 
     def received(self, runner: str, order: ReceivedOrder) -> None:
-        """A runner receives an order, whatever it answers."""
+        """Checks an order that a runner receives, whether or not it accepts it."""
         if self._holder_of.setdefault(order.fencing_token, order.holder) != order.holder:
             raise InvariantError(
-                f"{order.holder} orders with token {order.fencing_token}, which is "
+                f"{order.holder} sends token {order.fencing_token}, which is "
                 f"{self._holder_of[order.fencing_token]}'s"
             )
         last = self._last_by_runner.get(runner)
@@ -68,7 +68,7 @@
             )
 
     def began_store_load(self, now: float) -> None:
-        """A load from the weight store begins."""
+        """Checks the rate when a load from the weight store begins."""
         self._store_loads = [at for at in self._store_loads if now - at < self._load_window_s]
         self._store_loads.append(now)
         if len(self._store_loads) > self._max_loads:
@@ -78,5 +78,5 @@
             )
 
     def overfilled(self, runner: str) -> None:
-        """A runner was ordered to load more than it holds."""
-        raise InvariantError(f"{runner} was ordered to load more than it holds")
+        """Reports that a runner was ordered to load more than its capacity."""
+        raise InvariantError(f"{runner} was ordered to load more than its capacity")
--- a/larchgw/model_checking/placement_lease/main.py
+++ b/larchgw/model_checking/placement_lease/main.py
@@ -1,6 +1,6 @@
-"""`larchgw explore placement-lease`: runs of faults over placers, forced losses of the placer, and mutants.
+"""`larchgw explore placement-lease`: fault injection runs, forced losses of the placer, and mutants.
 
-How many runs there are depends on the time given.
+The number of runs depends on the time limit.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
     """The counts of an exploration of the placer's lease.
 
     Attributes:
-        orders: Orders that runners received in the runs of faults.
-        vacancies_s: Seconds without a placer's order, one for each forced loss.
+        orders: Number of orders that runners received in fault injection runs.
+        vacancies_s: Seconds from each forced loss to the next placer's first order.
     """
 
     orders: int = 0
@@ -50,7 +50,7 @@
 
 
 def explore(seconds: float, seed: int) -> PlacementLeaseReport:
-    """Explores for about so many seconds of real time."""
+    """Explores for about `seconds` of real time."""
     report = PlacementLeaseReport()
     report.play_until(time.monotonic() + seconds, _planned_runs(seed))
     return report
--- a/larchgw/model_checking/placement_lease/mutants.py
+++ b/larchgw/model_checking/placement_lease/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes around the placer's lease, each with a run that catches it."""
+"""Mutants of the code around the placer's lease, each with the seed of a run that catches it."""
 
 from __future__ import annotations
 
--- a/larchgw/model_checking/placement_lease/runners.py
+++ b/larchgw/model_checking/placement_lease/runners.py
@@ -13,7 +13,7 @@
 
 SERVICE = "chat"
 RUNNERS = 5
-MODELS = 40  # more than all runners hold together, so that there is always something to order
+MODELS = 40  # more than all runners can hold, so that there is always an order to send
 MODEL_MB = 70_000.0
 RUNNER_MB = 220_000.0  # three models
 LOAD_S = 0.8
@@ -21,20 +21,20 @@
 LOAD_WINDOW_S = 5.0
 LOAD_RATE_FACTOR = 1.1
 MAX_LOADS = int(LOADS_PER_S * LOAD_WINDOW_S * LOAD_RATE_FACTOR + EXTRA_LOADS)
-REPORT_INTERVAL_S = 0.25  # of demand
-REQUESTED_MODELS = 4  # in one report
-SHIFT_INTERVAL_S = 1.0  # after which other models are asked for
+REPORT_INTERVAL_S = 0.25  # between demand reports
+REQUESTED_MODELS = 4  # number of models in one report
+SHIFT_INTERVAL_S = 1.0  # after which the demand moves to other models
 
 
 def make_configuration() -> Configuration:
-    """One service whose runners hold three of its models each."""
+    """Makes a configuration with one service, whose runners hold up to three models each."""
     models = tuple(Model(f"m{number}", MODEL_MB, LOAD_S, 0, 66.0) for number in range(MODELS))
     runtime = Runtime(slots=64, models=models, weights_mb=RUNNER_MB, adapter_slots=4, loads_per_s=LOADS_PER_S)
     return Configuration(1, services=(Service(SERVICE, runtime=runtime),))
 
 
 def make_runners(configuration: Configuration) -> dict[RunnerId, ModelRunner]:
-    """Runners that hold two models each at the start."""
+    """Makes runners that hold two models each at the start."""
     runtime = configuration.services[0].runtime
     assert runtime is not None
     models = {model.name: model for model in runtime.models}
@@ -51,7 +51,7 @@
 
 
 def record_of(runner: ModelRunner) -> RunnerRecord:
-    """The runner's check-in, as every control process knows it."""
+    """The runner's record, as known to every control process."""
     models = tuple(HeldModel(name, 1, tuple(adapters)) for name, adapters in runner.held.items())
     return RunnerRecord(
         RunnerId(runner.id), SERVICE, runner.address, runner.zone, Stage.READY, 64, models=models
@@ -59,7 +59,7 @@
 
 
 def draw_demand(random_source: Random, now: float) -> DemandReport:
-    """What dispatchers are asked for: a few models that change every few seconds, with requests that wait."""
+    """Draws a demand report: a few models, which change every second, with waiting requests."""
     first = int(now / SHIFT_INTERVAL_S) * REQUESTED_MODELS
     lines = [
         ModelDemand(
--- a/larchgw/model_checking/placement_lease/runs.py
+++ b/larchgw/model_checking/placement_lease/runs.py
@@ -1,4 +1,4 @@
-"""Runs over placers: faults of every kind, and single losses of the one that orders, by seed."""
+"""Fault injection runs, and runs with a single loss of the placer, each determined by its seed."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 SHAPES = ((3, 3, 1), (5, 3, 2), (3, 3, 1), (5, 5, 2))  # machines, seeds among them, machines that may be lost
 FAULT_INTERVALS_S = (0.6, 1.5, 3.0)
 FAULTS_S = 12.0
-RECOVERED_WITHIN_S = 6.0  # after the faults: until a placer orders again
+RECOVERED_WITHIN_S = 6.0  # from the end of the faults to the next order
 LOSSES = ("killed", "power lost", "frozen", "cut off")
-WARM_UP_S = 8.0  # before the loss, so that orders are under way
+WARM_UP_S = 8.0  # before the loss, so that orders are in transit
 MAX_VACANCY_S = 30.0
 
 
@@ -34,10 +34,10 @@
 
 
 def play_faults(seed: int) -> PlacementCluster:
-    """Plays a run of faults and the recovery from them.
+    """Executes a run with faults and the recovery from them.
 
     Raises:
-        InvariantError: A property of the orders, or of replication, does not hold.
+        InvariantError: An invariant of orders or of replication is violated.
     """
     cluster = PlacementCluster(seed, *SHAPES[seed % len(SHAPES)])
     injector = FaultInjector(cluster)
@@ -45,15 +45,15 @@
     injector.recover()
     orders = len(cluster.order_checks.orders)
     if not cluster.run_until(lambda: len(cluster.order_checks.orders) > orders, RECOVERED_WITHIN_S):
-        raise InvariantError(f"nobody orders {RECOVERED_WITHIN_S} s after all faults have ended")
+        raise InvariantError(f"no placer sends orders {RECOVERED_WITHIN_S} s after the end of all faults")
     return cluster
 
 
 def play_loss(seed: int) -> PlacerLoss:
-    """Plays the loss of the placer while demand moves on, and nothing else.
+    """Executes a run with a single fault, the loss of the placer, while the demand changes.
 
     Raises:
-        InvariantError: A property of the orders does not hold, or nobody takes the placer's place.
+        InvariantError: An invariant of orders is violated, or no other process becomes the placer.
     """
     cluster = PlacementCluster(seed, *SHAPES[seed % len(SHAPES)])
     for address in cluster.machines:
@@ -68,7 +68,7 @@
         return last.at > lost_at and last.holder != placer.address
 
     if not cluster.run_until(has_successor, MAX_VACANCY_S):
-        raise InvariantError(f"nobody orders {MAX_VACANCY_S} s after the placer was lost ({how})")
+        raise InvariantError(f"no placer sends orders {MAX_VACANCY_S} s after the placer was lost ({how})")
     return PlacerLoss(how, cluster.order_checks.orders[-1].at - lost_at)
 
 
