--- a/larchgw/model_checking/operator_calls/invariants.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -114,6 +114,6 @@
         if winner != sent:
             raise InvariantError(f"{sent} is in force at {process}, on the same base version as {winner}")
         if not sent.is_valid:
-            raise InvariantError(f"{sent} is in force at {process}, but is invalid")
+            raise InvariantError(f"{sent} is invalid, but in force at {process}")
         if sent.order.digest() in self._rejected_digests:
             raise InvariantError(f"{sent} was rejected, but is in force at {process}")
--- a/larchgw/model_checking/replication/__init__.py
+++ b/larchgw/model_checking/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Exploration of the replication protocol: every interleaving of a small cluster, and random walks."""
+"""Exploration of the replication protocol: exhaustive search of a small cluster, random walks and faults."""
--- a/larchgw/model_checking/replication/cluster.py
+++ b/larchgw/model_checking/replication/cluster.py
@@ -1,6 +1,6 @@
-"""A simulated set of machines in virtual time: the real members, a network and disks that misbehave as told.
+"""A cluster of replication members in virtual time, on a simulated network and disks with injected faults.
 
-Everything follows from one seed: a run that broke a property is repeated by its seed.
+A run is determined by its seed, so a run that violated an invariant can be repeated.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 LEASE_NAME = "placer"
 LEASE_TERM_S = 3.0
 ACTION_TARGETS = ("runner-1", "runner-2", "runner-3")
-ACTION_RATE = 0.1  # share of the ticks at which a holder announces an act
-CHUNK_BYTES = 16  # so that a snapshot goes in several chunks
-DELIVER_BYTES = 600  # so that records are handed out one to three at a time
+ACTION_RATE = 0.1  # share of the ticks at which the lease holder announces an action
+CHUNK_BYTES = 16  # small, so that a snapshot is sent in several chunks
+DELIVER_BYTES = 600  # small, so that records are delivered one to three at a time
 
 
 @dataclass
 class ReplicationLinks(Links):
-    """Links that also limit and damage messages.
+    """Links that also limit the size and rate of messages and corrupt snapshots.
 
     Attributes:
-        corruption_rate: Share of the chunks of snapshots that arrive altered.
-        corrupted_messages: How many did so far.
-        bytes_per_s: Throughput of each link.
-        max_body_bytes: Longer messages are dropped.
+        corruption_rate: Share of the snapshot chunks that arrive corrupted.
+        corrupted_messages: Number of messages corrupted so far.
+        bytes_per_s: Bandwidth of each link.
+        max_body_bytes: Messages with a longer body are dropped.
     """
 
     corruption_rate: float = 0.0
@@ -61,33 +61,33 @@
 
 
 class SimulatedCluster:
-    """The machines of one run, with links and disks that misbehave as set.
+    """The machines of one run, with their links and disks.
 
     Attributes:
-        now: Seconds of the simulation; the clocks of machines differ from it and from one another.
+        now: Simulated time in seconds; the clocks of machines differ from it and from one another.
         survive: How many disks may be lost at a time.
-        seeds: Addresses of the seeds of the first boot.
-        events: How many messages and ticks were played.
-        states: Different states of the cluster that were seen, as hashes.
-        acknowledged: How many changes were.
-        confirmed: How many reads were.
-        removed_addresses: Of machines that were taken away for good.
-        latest_view: The latest in which a member acted as primary.
-        write_s: How long a write to a disk takes.
-        has_leases: Whether leases are checked; they depend on a common time.
-        snapshot_padding_bytes: Of a snapshot, besides its state.
-        chunk_bytes: A snapshot is sent in messages of so many bytes.
-        action_retention_s: For how long witnesses remember announced acts at least.
-        compact_records: A log is compacted once it has so many records.
+        seeds: Addresses of the seed members of the first boot.
+        events: Number of processed messages and ticks.
+        states: Hashes of the distinct states of the cluster.
+        acknowledged: Number of acknowledged changes.
+        confirmed: Number of confirmed reads.
+        removed_addresses: Addresses of machines that were permanently removed.
+        latest_view: The latest view in which a member acted as primary.
+        write_s: Duration of a disk write.
+        has_leases: Whether leases are checked; this requires a common time base.
+        snapshot_padding_bytes: Padding added to the state in a snapshot.
+        chunk_bytes: Size of the chunks in which a snapshot is sent.
+        action_retention_s: Minimum time for which witnesses remember announced actions.
+        compact_records: Number of records at which a log is compacted.
     """
 
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
-        """Makes a cluster of which nothing runs yet.
+        """Creates the machines without starting them.
 
         Args:
-            seed: Of the random generator from which everything is drawn.
-            machines: How many there are at the start.
-            seeds: How many of them are seeds of the first boot.
+            seed: Seed of the random generator that makes all choices.
+            machines: Initial number of machines.
+            seeds: Number of machines that are seed members of the first boot.
             survive: How many disks may be lost at a time.
         """
         self.random = Random(seed)
@@ -123,7 +123,7 @@
         return self.machines[address]
 
     def start(self, address: str, first_boot: bool = False) -> None:
-        """Starts the machine's process on its disk as it is."""
+        """Starts the machine's process on its present disk."""
         machine = self.machines[address]
         machine.incarnation += 1
         settings = MemberSettings(
@@ -153,7 +153,7 @@
         self._push(self.random.uniform(0.0, TICK_S), address, None)
 
     def kill(self, address: str) -> None:
-        """Ends the process; its files stay as they are."""
+        """Ends the process; its disk is unchanged."""
         self.machines[address].member = None
 
     def lose_power(self, address: str) -> None:
@@ -163,7 +163,7 @@
         machine.disk.lose_power(self.random)
 
     def destroy(self, address: str) -> None:
-        """Takes the machine and its disk away for good."""
+        """Permanently removes the machine and its disk."""
         self.wipe(address)
         self.removed_addresses.add(address)
 
@@ -174,11 +174,11 @@
         machine.disk = SimulatedDisk()
 
     def freeze(self, address: str) -> None:
-        """Lets the process stand still while its clock goes on."""
+        """Freezes the process; its clock goes on."""
         self.machines[address].is_frozen = True
 
     def thaw(self, address: str) -> None:
-        """Lets the process go on; it receives what came meanwhile."""
+        """Thaws the process and delivers the messages that arrived meanwhile."""
         machine = self.machines[address]
         machine.is_frozen = False
         if machine.member is not None:
@@ -188,14 +188,14 @@
             self._push(0.0, address, message)
 
     def may_lose_a_disk(self, at: str = "") -> bool:
-        """Returns whether one more disk, the one at this address, may be lost and the system survive it.
+        """Returns whether the loss of one more disk, the one at `at` if given, is tolerated now.
 
-        A member of the view whose disk is gone counts as lost until another has its place, and so does a
+        A member of the view without a disk counts as lost until it is replaced in the view, and so does a
         witness that is not in sync.
         """
         view = self.latest_view
         if view is None or min(len(view.witnesses), len(view.former_witnesses)) < 2 * self.survive + 1:
-            return False  # machines have been added just now, and count as lost until all is settled
+            return False  # machines were added, and count as lost until they are witnesses
         disks = {machine.id for machine in self.machines.values()}
         lost = [
             member
@@ -207,7 +207,7 @@
 
     @property
     def running(self) -> list[Machine]:
-        """Machines whose process runs and is not frozen."""
+        """Machines with a running process that is not frozen."""
         return [
             machine
             for machine in self.machines.values()
@@ -215,7 +215,7 @@
         ]
 
     def primaries(self) -> list[Machine]:
-        """Machines that believe to be primary."""
+        """Machines whose member considers itself primary."""
         return [
             machine for machine in self.running if machine.member is not None and machine.member.is_primary
         ]
@@ -223,17 +223,17 @@
     # ---- time ----
 
     def run(self, seconds: float) -> None:
-        """Plays all events of the next seconds."""
+        """Processes all events of the next `seconds`."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self._play_next_event()
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit_s: float) -> bool:
-        """Plays events until right after the one that makes the condition true.
+        """Processes events up to and including the one that makes the condition true.
 
         Returns:
-            Whether it is true; if not, `limit_s` seconds have passed.
+            Whether the condition became true within `limit_s` seconds.
         """
         end = self.now + limit_s
         while not condition():
@@ -247,7 +247,7 @@
         at, _, address, message = heapq.heappop(self._queue)
         self.now = max(self.now, at)
         if isinstance(message, Wakeup) and address not in self.machines:
-            message.resume()  # of the world outside the machines
+            message.resume()  # an event outside the machines
         else:
             self._event(self.machines[address], message)
 
@@ -289,7 +289,7 @@
             self.kill(machine.address)
 
     def clock(self, machine: Machine) -> float:
-        """Returns what the machine's monotonic clock shows."""
+        """Returns the time of the machine's monotonic clock."""
         return self.now * machine.clock_rate + machine.clock_offset
 
     def _snapshot(self, machine: Machine) -> bytes:
@@ -297,7 +297,7 @@
         self.checks.made_snapshot(machine.version, content)
         return content
 
-    # ---- what members hand out ----
+    # ---- effects of members ----
 
     def _carry_out(self, machine: Machine, effects: Effects, written: float = 0.0) -> None:
         if effects.installed is not None:
@@ -308,13 +308,13 @@
             self.checks.committed(machine.name, committed.index, committed.record)
             if committed.index != machine.version + 1:
                 raise InvariantError(
-                    f"{machine.name} was handed record {committed.index} after {machine.version}"
+                    f"{machine.name} was given record {committed.index} after {machine.version}"
                 )
             machine.version = committed.index
         for done in effects.done:
             if done.index > machine.version:
                 raise InvariantError(
-                    f"{machine.name} ends a call as of {done.index}, but has {machine.version}"
+                    f"{machine.name} completes a call at {done.index}, but has applied {machine.version}"
                 )
             if done.call.number in machine.proposals:
                 proposal = machine.proposals.pop(done.call.number)
@@ -343,13 +343,13 @@
                 self.latest_view = member.view
         self._start_permitted_actions(machine, member)
         if member.discarded_snapshots and not self.links.corrupted_messages:
-            raise InvariantError(f"{machine.name} has put a snapshot together wrongly")
+            raise InvariantError(f"{machine.name} discarded a snapshot, though no message was corrupted")
         epoch = 0 if member.view is None else member.view.epoch
         machine.digest = (member.id, epoch, member.acting_epoch, member.committed_index, member.last_index)
         self.states.add(hash(tuple(other.digest for other in self.machines.values())))
 
     def _start_permitted_actions(self, machine: Machine, member: Member) -> None:
-        """Begins every act that the lease permits now."""
+        """Starts every action that the lease permits now."""
         clock = self.clock(machine)
         lease = member.lease(clock, LEASE_NAME) if self.has_leases else None
         if lease is None:
@@ -360,7 +360,7 @@
                 self.checks.starts_action_under_lease(self.now, member.id, target)
 
     def _announce_action(self, machine: Machine) -> None:
-        """Now and then, announces an act on one of the targets that are free."""
+        """Announces an action on a free target at a share ACTION_RATE of the calls."""
         member, clock = machine.member, self.clock(machine)
         if member is None or machine.announcements or not self.has_leases:
             return
@@ -402,7 +402,7 @@
             self.checks.accepted(message.sender, vote.epoch)
 
     def _corrupted_at_random(self, message: PeerMessage) -> PeerMessage:
-        """Returns the message as it arrives: a chunk of a snapshot may be damaged on its way."""
+        """Returns the message as received: a snapshot chunk may be corrupted."""
         rate = self.links.corruption_rate
         if message.kind != "install" or not rate or self.random.random() >= rate:
             return message
@@ -417,10 +417,10 @@
     # ---- the operator ----
 
     def change(self, machine: Machine) -> bool:
-        """Submits an operator's change on top of the newest version that the machine knows.
+        """Submits an operator's change, based on the newest version that the machine knows.
 
         Returns:
-            False if it accepts none now.
+            Whether the machine accepted the proposal.
         """
         member = machine.member
         if member is None or machine.is_frozen or not member.is_primary:
@@ -453,20 +453,20 @@
         return True
 
     def step_down(self, machine: Machine) -> None:
-        """Asks the process to be primary no longer, as an operator or a failing disk does."""
+        """Makes the member give up the primary role, as an operator or a failing disk does."""
         self._call(machine, lambda member, clock: member.step_down(clock))
 
     def leave(self, address: str) -> None:
-        """Requests a graceful leave."""
+        """Asks the process to leave gracefully."""
         machine = self.machines[address]
         if machine.member is not None and not machine.is_frozen:
             self._call(machine, lambda member, clock: member.leave(clock))
 
     def end_if_left(self, address: str) -> bool:
-        """Ends the process if it has left; then no view may need it. Returns whether it does not run now."""
+        """Ends a process that has left, which no view may need; returns whether no process runs."""
         machine = self.machines[address]
         if machine.member is not None and not machine.is_frozen and machine.member.has_left:
             if self.latest_view is not None and machine.id in self.latest_view.in_sync:
-                raise InvariantError(f"{machine.name} has left, but is in sync in {self.latest_view}")
+                raise InvariantError(f"{machine.name} has left, but is still in sync in {self.latest_view}")
             self.kill(address)
         return machine.member is None
--- a/larchgw/model_checking/replication/exhaustive_search.py
+++ b/larchgw/model_checking/replication/exhaustive_search.py
@@ -1,6 +1,6 @@
-"""All interleavings of a few steps: breadth first over every choice, states that were seen before left out.
+"""Breadth-first search over all interleavings of a few steps, which skips known states.
 
-A state is reached by playing its choices again from the start, so that nothing needs to be copied.
+A state is reached by replaying its choices from the start, so that no state needs to be copied.
 """
 
 from __future__ import annotations
@@ -13,47 +13,47 @@
 from .machine import Machine
 from .random_walk import RandomWalk
 
-SUSPICION_S = 0.75  # without the primary: enough for a backup to act
+SUSPICION_S = 0.75  # time without the primary after which a backup suspects it
 MAX_TIMEOUTS = 3
 MAX_RESTARTS = 1
 MAX_CHANGES = 2
 MAX_LEAVES = 1
-BOOT_STEPS = 60  # messages after which the first view is at work
+BOOT_STEPS = 60  # messages after which the first view is established
 
 
 class Action(Enum):
-    """What may happen next."""
+    """A kind of step."""
 
-    DELIVER = auto()  # the message with the choice's number in `pending`
-    TIME_OUT = auto()  # the machine with this number suspects the primary
+    DELIVER = auto()  # deliver the message at this index of `pending`
+    TIME_OUT = auto()  # let the machine with this index suspect the primary
     RESTART = auto()
     LEAVE = auto()
-    CHANGE = auto()  # the operator sends a change to it
+    CHANGE = auto()  # submit an operator's change to the machine
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One step, with the number of the message or machine that it is about."""
+    """One step, with the index of its message or machine."""
 
     action: Action
     number: int
 
 
 class ExhaustiveSearch:
-    """Three machines, one of which may be lost; a few changes, time-outs, restarts and leaves at any point.
+    """Search over three machines that tolerate one loss, with a few changes, time-outs, restarts and leaves.
 
     Attributes:
-        states: Different states that were found, as hashes.
-        max_depth: Choices on the longest path to one of them.
+        states: Hashes of the distinct states found.
+        max_depth: Length of the longest path to a state.
     """
 
     def __init__(self) -> None:
-        """Begins without any state."""
+        """Starts without any state."""
         self.states: set[int] = set()
         self.max_depth = 0
 
     def explore(self, max_states: int, until: float) -> None:
-        """Plays every choice from every state found, up to a number of states or a time (time.monotonic)."""
+        """Tries every choice in every state, up to `max_states` or to the time.monotonic value `until`."""
         queue: deque[tuple[Choice, ...]] = deque([()])
         while queue and len(self.states) < max_states and time.monotonic() < until:
             path = queue.popleft()
@@ -71,7 +71,7 @@
 
 
 def play(path: tuple[Choice, ...]) -> RandomWalk:
-    """The cluster after these choices; raises InvariantError if a property does not hold on the way."""
+    """Returns the cluster after these choices; raises InvariantError if an invariant is violated."""
     cluster = RandomWalk(0, 3, 3, 1)
     for _ in range(BOOT_STEPS):
         if cluster.pending:
--- a/larchgw/model_checking/replication/fault_injection.py
+++ b/larchgw/model_checking/replication/fault_injection.py
@@ -1,4 +1,4 @@
-"""Random faults within what the system promises to survive, and what must hold once they are over."""
+"""Injects random faults that the system tolerates, and checks that the cluster recovers."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from .cluster import LEASE_NAME, LEASE_TERM_S, SimulatedCluster
 from .machine import Machine
 
-STEP_S = 0.05  # between two decisions, on average
-FIRST_BOOT_S = 0.35  # in which the machines start for the first time
-GRACE_S = 1.5  # from the request of a graceful leave to the end by force
-CONVERGENCE_S = 2 * LEASE_TERM_S + 4.0  # after the last fault, until everything must work again
+STEP_S = 0.05  # mean, between two decisions
+FIRST_BOOT_S = 0.35  # during which the machines are started
+GRACE_S = 1.5  # from the request of a graceful leave to a kill
+CONVERGENCE_S = 2 * LEASE_TERM_S + 4.0  # from the last fault until the cluster must have recovered
 RESTART_DELAYS_S = (0.05, 0.3, 1.0, 3.0)
 FREEZE_DURATIONS_S = (0.3, 0.8, 2.0, 5.0)
 PARTITION_DURATIONS_S = (0.3, 1.0, 4.0)
@@ -25,14 +25,14 @@
 
 
 class FaultInjector:
-    """Starts the cluster and plays faults on it. All choices come from the cluster's random generator."""
+    """Starts the cluster and injects faults. All choices come from the cluster's random generator."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
-        """Takes a cluster of which nothing runs yet."""
+        """Takes a cluster that is not started."""
         self._cluster = cluster
         self._random = cluster.random
         self._scheduled: list[tuple[float, Callable[[], None]]] = []  # ends of faults
-        self._after_leave: dict[str, Callable[[], None]] = {}  # address -> what follows its end
+        self._after_leave: dict[str, Callable[[], None]] = {}  # address -> called once the process has ended
         self._faults: list[Callable[[], None]] = [
             self._kill,
             self._lose_power,
@@ -54,7 +54,7 @@
         ]
 
     def play(self, seconds: float, mean_interval_s: float) -> None:
-        """Plays faults, on average one in `mean_interval_s` seconds."""
+        """Injects faults for `seconds`, on average one every `mean_interval_s`."""
         self._first_boot()
         end = self._cluster.now + seconds
         while self._cluster.now < end - seconds + FIRST_BOOT_S:
@@ -65,7 +65,7 @@
                 self._random.choice(self._faults)()
 
     def recover(self) -> None:
-        """Ends all faults and checks that everything works again."""
+        """Ends all faults and checks that the cluster recovers."""
         self._end_faults()
         self._check_recovery()
 
@@ -76,11 +76,11 @@
             late_starts_left -= late
             if not late:
                 self._schedule(self._random.uniform(0.0, 0.3), partial(self._start, address, True))
-            else:  # killed before it had said anything: its next start is not a first boot
+            else:  # killed before it sent a message; its next start is not a first boot
                 self._schedule(self._random.uniform(0.5, 3.0), partial(self._start, address))
 
     def _step(self) -> None:
-        """Time passes, faults end, and the operator sends a few calls to whoever may be primary."""
+        """Advances time, ends faults that are due, and sends operator calls to possible primaries."""
         cluster = self._cluster
         cluster.run(self._random.uniform(0.1, 1.9) * STEP_S)
         ended = [end for at, end in self._scheduled if at <= cluster.now]
@@ -106,7 +106,7 @@
         self._schedule(self._random.choice(RESTART_DELAYS_S), partial(self._start, address))
 
     def _pick_machine(self) -> Machine | None:
-        """A running machine; the primary half of the time."""
+        """Picks a running machine; a primary half of the time."""
         candidates = self._cluster.primaries() if self._random.random() < 0.5 else []
         candidates = candidates or self._cluster.running
         return self._random.choice(candidates) if candidates else None
@@ -139,7 +139,7 @@
         self._schedule(self._random.choice(PARTITION_DURATIONS_S), self._heal_partition)
 
     def _draw_side(self) -> set[str]:
-        """One machine alone, or about half of them."""
+        """Draws one side of a partition: a single machine or about half of them."""
         if self._random.random() < 0.5 and (machine := self._pick_machine()) is not None:
             return {machine.address}
         return {address for address in self._cluster.machines if self._random.random() < 0.5}
@@ -166,7 +166,7 @@
             self._leave_gracefully(machine.address, partial(self._restart_later, machine.address))
 
     def _replace_gracefully(self) -> None:
-        """The new machine first, then the end of the old."""
+        """Adds a new machine first, and then removes the old one."""
         machine = self._pick_machine()
         if machine is not None and self._cluster.may_lose_a_disk():
             self._start(self._cluster.new_machine().address)
@@ -178,14 +178,14 @@
             self._leave_gracefully(address, partial(self._destroy_or_restart, address))
 
     def _destroy_or_restart(self, address: str) -> None:
-        """Its disk goes too, unless others were lost meanwhile."""
+        """Destroys the machine, or restarts it if others were lost meanwhile."""
         if self._cluster.may_lose_a_disk(address):
             self._cluster.destroy(address)
         else:
             self._restart_later(address)
 
     def _leave_gracefully(self, address: str, after: Callable[[], None]) -> None:
-        """Asks the process to end, and ends it by force after GRACE_S."""
+        """Asks the process to leave, and kills it after GRACE_S."""
         if address not in self._after_leave:
             self._cluster.leave(address)
             self._after_leave[address] = after
@@ -220,7 +220,7 @@
             self._cluster.lose_power(address)
             self._restart_later(address)
 
-    # ---- losses of disks, no more than the system promises to survive ----
+    # ---- losses of disks, only as many as are tolerated ----
 
     def _wipe(self) -> None:
         machine = self._pick_machine()
@@ -240,7 +240,7 @@
             self._cluster.destroy(machine.address)
             self._restart_later(self._cluster.new_machine().address)
 
-    # ---- afterwards ----
+    # ---- recovery ----
 
     def _end_faults(self) -> None:
         for address, after in self._after_leave.items():
@@ -267,7 +267,7 @@
         for _ in range(20):
             self._step()
         if cluster.acknowledged == before[0] or cluster.confirmed == before[1]:
-            raise InvariantError(f"no change or no read is taken {CONVERGENCE_S} s after the last fault")
+            raise InvariantError(f"no change or no read is accepted {CONVERGENCE_S} s after the last fault")
         self._check_members()
 
     def _check_members(self) -> None:
@@ -282,4 +282,4 @@
             machine.member is not None and machine.member.lease(cluster.clock(machine), LEASE_NAME)
             for machine in cluster.running
         ):
-            raise InvariantError(f"nobody holds the lease {CONVERGENCE_S} s after the last fault")
+            raise InvariantError(f"no member holds the lease {CONVERGENCE_S} s after the last fault")
--- a/larchgw/model_checking/replication/lease_mistakes.py
+++ b/larchgw/model_checking/replication/lease_mistakes.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes in announced acts, for the mutants of every exploration that plays leases."""
+"""Patches of the code for announced actions, for the mutants of all explorations with leases."""
 
 from __future__ import annotations
 
--- a/larchgw/model_checking/replication/machine.py
+++ b/larchgw/model_checking/replication/machine.py
@@ -1,4 +1,4 @@
-"""One simulated machine: its disk, its process, and what the process has built from records."""
+"""A simulated machine with its disk, its process, and the state that its process has built from records."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change that its caller waits for.
+    """A proposed change whose caller waits for its outcome.
 
     Attributes:
-        base_version: The version on top of which it was made.
-        record: What it adds to the log.
+        base_version: Version that the change is based on.
+        record: Record that it appends to the log.
     """
 
     base_version: int
@@ -26,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Wakeup:
-    """Something that a process waits for in its own code; it ends with the process.
+    """A scheduled resumption of a process's code; dropped if the process has ended.
 
     Attributes:
-        incarnation: Of the process that waits.
-        resume: Goes on.
+        incarnation: Incarnation of the waiting process.
+        resume: Resumes the code.
     """
 
     incarnation: int
@@ -42,19 +42,19 @@
     """One machine of the simulated cluster.
 
     Attributes:
-        address: Its rpc address; never given to another machine.
-        disk: All that is left of it once its process ends.
-        clock_offset: Seconds by which its monotonic clock was ahead of the simulation's time at its begin.
-        clock_rate: Seconds of that clock to one of the simulation.
-        member: Its process, None while that does not run.
-        incarnation: Counts the starts of its process.
-        is_frozen: Whether the process stands still while its clock goes on.
-        inbox: What came while it was frozen.
+        address: RPC address, never reused for another machine.
+        disk: The only state that survives the process.
+        clock_offset: Seconds by which the monotonic clock is ahead of simulated time, besides its rate.
+        clock_rate: Seconds of the monotonic clock per second of simulated time.
+        member: The running process; None if there is none.
+        incarnation: Number of starts of the process.
+        is_frozen: Whether the process is suspended; its clock goes on.
+        inbox: Messages that arrived while the process was frozen.
         version: Index of the newest record that the process has applied.
-        proposals: Its own proposals that are not decided, by the number of their call.
-        reads: By the number of the call, the newest acknowledged index when the read began.
-        announcements: Numbers of its calls that announce acts and have not ended.
-        digest: What its state comes to, seen from outside.
+        proposals: Undecided proposals of this process, by call number.
+        reads: Newest acknowledged index at the start of each pending read, by call number.
+        announcements: Numbers of the pending calls that announce actions.
+        digest: Summary of the observable state.
     """
 
     address: str
@@ -73,16 +73,16 @@
 
     @property
     def id(self) -> MemberId:
-        """The identity on its disk; empty if there is none."""
+        """The member identity on the disk; empty if there is none."""
         return self.disk.member_id
 
     @property
     def name(self) -> str:
-        """Names this incarnation of the process."""
+        """Name of this incarnation of the process."""
         return f"{self.address}/{self.incarnation}"
 
     def forget_process(self) -> None:
-        """Drops what the process before held in memory only."""
+        """Drops the in-memory state of the previous process."""
         self.version = 0
         self.proposals.clear()
         self.reads.clear()
--- a/larchgw/model_checking/replication/main.py
+++ b/larchgw/model_checking/replication/main.py
@@ -1,6 +1,6 @@
-"""`larchgw explore replication`: all interleavings of a few steps, random walks, runs of faults, and mutants.
+"""`larchgw explore replication`: exhaustive search, random walks, fault injection runs, and mutants.
 
-How many walks and runs there are depends on the time given.
+The number of walks and runs depends on the time limit.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from .mutants import MUTANTS
 from .runs import play_faults, play_random_walk
 
-EXHAUSTIVE_SHARE = 0.25  # of the time
+EXHAUSTIVE_SHARE = 0.25  # of the time limit
 MAX_EXHAUSTIVE_STATES = 200_000
 
 
 @dataclass
 class ReplicationReport(ExplorationReport[SimulatedCluster]):
-    """The counts of an exploration of replication; `confirmed` counts reads."""
+    """The counts of an exploration of replication; `confirmed` counts confirmed reads."""
 
     confirmed: int = 0
 
@@ -39,7 +39,7 @@
 
 
 def explore(seconds: float, seed: int) -> ReplicationReport:
-    """Explores for about so many seconds of real time."""
+    """Explores for about `seconds` of real time."""
     report = ReplicationReport()
     began = time.monotonic()
     search = ExhaustiveSearch()
--- a/larchgw/model_checking/replication/mutants.py
+++ b/larchgw/model_checking/replication/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes in the replication protocol, each with a run that catches it."""
+"""Mutants of the replication protocol, each with the seed of a run that catches it."""
 
 from __future__ import annotations
 
@@ -136,7 +136,7 @@
 def counts_one_vote_less_as_majority(
     original: Callable[[Collection[str], Collection[str]], bool],
 ) -> Callable[[Collection[str], Collection[str]], bool]:
-    """A majority that counts one vote less as enough."""
+    """Makes a majority test that needs one vote less than a majority."""
 
     def majority_of(voters: Collection[str], members: Collection[str]) -> bool:
         return 2 * sum(member in voters for member in members) >= len(members) - 1
--- a/larchgw/model_checking/replication/random_walk.py
+++ b/larchgw/model_checking/replication/random_walk.py
@@ -1,7 +1,7 @@
-"""Random walks over single steps, without regard to time.
+"""Random walks over single steps, without a common time.
 
-Any message may come next, late, twice or never; any clock may run ahead; any process may end between two
-steps or within a write. Leases depend on timing, so they are left to the runs of faults.
+Any message may be delivered next, late, twice or never; any clock may jump ahead; any process may end between
+two steps or during a write. Leases depend on timing, so only the fault injection runs check them.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from .cluster import SimulatedCluster
 from .machine import Machine, Wakeup
 
-CLOCK_LEAPS_S = (0.02, 0.02, 0.05, 0.12, 0.12, 0.55, 0.7)  # by which a clock runs ahead of a tick
-MAX_PENDING = 60  # messages under way; beyond this the oldest are lost
+CLOCK_LEAPS_S = (0.02, 0.02, 0.05, 0.12, 0.12, 0.55, 0.7)  # by which a clock jumps before a tick
+MAX_PENDING = 60  # messages in transit; when there are more, the oldest is lost
 
 
 class RandomWalk(SimulatedCluster):
-    """A cluster without a common time: every machine's clock goes on only when the walk says so.
+    """A cluster without a common time: a machine's clock advances only when the walk selects it.
 
     Attributes:
-        pending: Addresses and messages that are on their way, the oldest first.
+        pending: Messages in transit with their destination addresses, oldest first.
     """
 
     def __init__(self, seed: int, machines: int, seeds: int, survive: int) -> None:
@@ -39,7 +39,7 @@
             del self.pending[0]
 
     def walk(self, steps: int) -> None:
-        """Takes so many random steps."""
+        """Executes `steps` random steps."""
         for _ in range(steps):
             self._step()
 
@@ -61,12 +61,12 @@
             self.end_if_left(machine.address)
 
     def deliver(self, number: int) -> None:
-        """Lets the message with this number in `pending` arrive."""
+        """Delivers the message at index `number` of `pending`."""
         address, message = self.pending.pop(number)
         self._event(self.machines[address], message)
 
     def tick(self, machine: Machine, leap_s: float) -> None:
-        """The machine's clock goes on by `leap_s` seconds, and its process looks at it."""
+        """Advances the machine's clock by `leap_s` seconds and lets its process tick."""
         machine.clock_offset += leap_s
         self._event(machine, None)
 
@@ -118,7 +118,7 @@
             self.start(machine.address)
 
     def _partition_or_heal(self) -> None:
-        """Cuts one machine off, the primary most of the time, or ends all cuts."""
+        """Partitions one machine, preferably a primary, from the others, or ends all partitions."""
         candidates = self.primaries() or self.running
         if self.random.random() < 0.5 or not candidates:
             self.links.is_cut = no_link_is_cut
--- a/larchgw/model_checking/replication/redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -1,8 +1,8 @@
-"""How long it takes from a machine's return or replacement until the next loss may come.
+"""Measures the time from a machine's return or replacement to full redundancy.
 
-Full redundancy: every machine that is there is in sync, and 2 * survive + 1 of them decide, with no change of
-the witnesses under way. Virtual time, links of 1.5 ms and 1 Gbit/s, 5 ms a write, a change every 20 ms; the
-processes' own start is not in it.
+With full redundancy the next loss is tolerated: every running machine is in sync, 2 * survive + 1 of them are
+witnesses, and no change of the witnesses is in progress. The simulation has links of 1.5 ms and 1 Gbit/s, writes of 5 ms, and a change every
+20 ms. The start-up time of processes is not included.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 LINK_S = 0.0015
 WRITE_S = 0.005
-LINK_BYTES_PER_S = 125e6  # a second
+LINK_BYTES_PER_S = 125e6
 CHANGE_INTERVAL_S = 0.02
 COMPACT_RECORDS = 100
 CHUNK_BYTES = 256 << 10
-WARM_UP_S = 2.5  # enough for a snapshot to be needed
+WARM_UP_S = 2.5  # long enough for a snapshot to be needed
 LARGE_STATE_BYTES = 5_000_000
 LIMIT_S = 15.0
 RUNS = 200
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What is measured: `begin` plays the loss, and returns once the machine is back."""
+    """A kind of loss; `begin` simulates it and returns once the machine is back."""
 
     name: str
     begin: Callable[[SimulatedCluster], None]
 
 
 def run_with_changes(cluster: SimulatedCluster, seconds: float) -> None:
-    """Time passes, and the operator goes on changing the configuration."""
+    """Advances time while the operator keeps changing the configuration."""
     end = cluster.now + seconds
     while cluster.now < end:
         cluster.run(CHANGE_INTERVAL_S)
@@ -47,7 +47,7 @@
 
 
 def is_redundant(cluster: SimulatedCluster) -> bool:
-    """Whether the next loss may come."""
+    """Whether the cluster has full redundancy, so that the next loss is tolerated."""
     view = cluster.latest_view
     present = {machine.id for machine in cluster.running}
     if view is None or view.is_joint or set(view.in_sync) != present:
@@ -56,7 +56,7 @@
 
 
 def seconds_to_redundancy(case: Case, shape: tuple[int, int, int], seed: int, state_bytes: int) -> float:
-    """Plays one case; LIMIT_S if it takes longer than that."""
+    """Simulates one case; returns the seconds to full redundancy, or about LIMIT_S on a time-out."""
     cluster = SimulatedCluster(seed, *shape)
     cluster.links.delay_range_s = (LINK_S, LINK_S)
     cluster.write_s = WRITE_S
@@ -130,7 +130,7 @@
 
 
 def main(seconds: float, seed: int) -> int:
-    """Prints a line for each case; the time is shared out among them. 0 if every run came to redundancy."""
+    """Prints a line per case, with equal time for each; returns 0 if every run reached redundancy."""
     with muted():
         late = _print_cases(seconds, seed)
     print(f"redundancy: late={late}")
@@ -138,7 +138,7 @@
 
 
 def _print_cases(seconds: float, seed: int) -> int:
-    """Prints a line for each case; returns how many runs came to redundancy too late."""
+    """Prints a line per case; returns the number of runs that did not reach redundancy within LIMIT_S."""
     late = 0
     lines = [(case, shape, size) for size in (0, LARGE_STATE_BYTES) for shape in SHAPES for case in CASES]
     print(f"{'case':24} machines survive state MB runs median s worst s")
--- a/larchgw/model_checking/replication/runs.py
+++ b/larchgw/model_checking/replication/runs.py
@@ -1,4 +1,4 @@
-"""The two kinds of random run over a simulated cluster: faults in virtual time, and walks over steps."""
+"""The two kinds of random runs of a simulated cluster: fault injection in virtual time, and random walks."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 # machines, seeds among them, machines that may be lost
 FAULT_SHAPES = ((3, 3, 1), (5, 3, 2), (4, 3, 1), (5, 5, 2))
 WALK_SHAPES = ((3, 3, 1), (5, 3, 2), (4, 3, 1), (3, 3, 1))
-FAULT_INTERVALS_S = (0.4, 1.0, 2.5)  # between two faults, on average
+FAULT_INTERVALS_S = (0.4, 1.0, 2.5)  # mean, between two faults
 FAULTS_S = 10.0
 WALK_STEPS = 2000
 
 
 def play_faults(seed: int) -> SimulatedCluster:
-    """Plays a run of faults and the recovery from them.
+    """Executes a run with faults and the recovery from them.
 
     Raises:
-        InvariantError: A property of the protocol does not hold.
+        InvariantError: An invariant of the protocol is violated.
     """
     cluster = SimulatedCluster(seed, *FAULT_SHAPES[seed % len(FAULT_SHAPES)])
     injector = FaultInjector(cluster)
@@ -28,10 +28,10 @@
 
 
 def play_random_walk(seed: int) -> SimulatedCluster:
-    """Plays a random walk.
+    """Executes a random walk.
 
     Raises:
-        InvariantError: A property of the protocol does not hold.
+        InvariantError: An invariant of the protocol is violated.
     """
     cluster = RandomWalk(seed, *WALK_SHAPES[seed % len(WALK_SHAPES)])
     cluster.walk(WALK_STEPS)
