--- a/larchgw/cli/check.py
+++ b/larchgw/cli/check.py
@@ -11,7 +11,7 @@
 from ..configuration.errors import ConfigurationError, SettingsError
 from ..configuration.json_decoding import decode_object
 from ..configuration.settings_check import settings_faults
-from ..configuration.validation import examine_configuration
+from ..configuration.validation import check_configuration
 from ..dispatcher.config import startup
 from ..dispatcher.config.settings_file import Fault, read
 from .command import WRONG_CALL, Command, textual
@@ -56,7 +56,7 @@
 
 def _configuration_faults(path: Path) -> list[Fault]:
     try:
-        faults = examine_configuration(decode_object(path.read_bytes())).faults
+        faults = check_configuration(decode_object(path.read_bytes())).faults
     except OSError as error:
         return [Fault(str(path), "", f"cannot read it: {error.strerror}")]
     except ConfigurationError as error:
--- a/larchgw/configuration/change.py
+++ b/larchgw/configuration/change.py
@@ -1,4 +1,4 @@
-"""Applies an operator's "replace" or "change" order to the current configuration."""
+"""Applies an operator's "replace" or "change" request to the current configuration."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 REPLACE = "replace"
 CHANGE = "change"
 NO_BASE_VERSION = -1
-"""`base_version` of an order that names no version."""
+"""`base_version` of a request that names no version and applies to any."""
 _BASE_VERSION_HEADER = "X-Built-On"
 _EMPTY_CONFIGURATION: dict[str, Any] = {"config_version": 0, "routes": [], "services": []}
 
 
 def canonical_json(raw: Mapping[str, Any]) -> bytes:
-    """Returns the same bytes for the same JSON object, whatever the order of its fields and its spaces."""
+    """Serialises a JSON object independently of its field order and whitespace."""
     return json.dumps(raw, sort_keys=True, separators=(",", ":"), allow_nan=False).encode()
 
 
 def order_digest(operation: str, base_version: int, body: bytes) -> str:
-    """Returns a key that recognises a repeated order: the same operation, base version and bytes."""
+    """Returns a hash of operation, base version and body, by which a repeated request is recognised."""
     head = f"{operation} {base_version}\n".encode()
     return hashlib.sha256(head + body).hexdigest()
 
@@ -35,17 +35,17 @@
 def evaluate_order(
     current: Configuration | None, operation: str, base_version: int, body: bytes
 ) -> Configuration:
-    """Returns the configuration that an operator's order asks for.
+    """Returns the configuration that results from an operator's request.
 
     Args:
         current: The configuration in force; None if there is none yet.
         operation: REPLACE or CHANGE.
-        base_version: The version that the order builds on: 0 for none yet, NO_BASE_VERSION for any.
-        body: A whole configuration, or a change as `apply_change` takes it, as JSON.
+        base_version: The version that the request is based on: 0 for none yet, NO_BASE_VERSION for any.
+        body: JSON: a complete configuration, or a change in the form that `apply_change` expects.
 
     Raises:
-        StaleConfigurationError: The order builds on another version than the current one.
-        MalformedConfigurationError, InvalidConfigurationError: It cannot be accepted at all.
+        StaleConfigurationError: The request is based on a version other than the current one.
+        MalformedConfigurationError, InvalidConfigurationError: The body or its result is not valid.
     """
     current_version = current.config_version if current else 0
     if base_version not in (NO_BASE_VERSION, current_version):
@@ -73,17 +73,17 @@
 def apply_change(current: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
     """Returns the raw configuration after a change.
 
-    Items named under `remove` go first, and names that are not there are ignored. Those under `add` take the
-    place of the item of their name, or stand at the end. `limits` replace the fields they name.
+    Items named under `remove` are removed first; names that do not exist are ignored. Each item under `add`
+    replaces the existing item of the same name, or is appended. `limits` replaces only the fields it names.
 
     Args:
-        current: The raw configuration. It stays as it is, and the result shares its unchanged items.
+        current: The raw configuration. It is not modified; the result shares its unchanged items.
         change: The JSON object of the change.
 
     Raises:
         MalformedConfigurationError: A part of the change, or of the configuration it applies to, has the
             wrong type.
-        InvalidConfigurationError: The change adds an item twice.
+        InvalidConfigurationError: The change adds two items of the same name.
     """
     removals = _require_object(_field_or_empty(change, "remove"), "remove")
     additions = _require_object(_field_or_empty(change, "add"), "add")
@@ -118,7 +118,7 @@
 
 
 def _item_list(raw: Mapping[str, Any], field: str) -> list[Any]:
-    """The named items that a field of the configuration holds."""
+    """Returns the list of named items in a field of the configuration; empty if the field is absent."""
     value = raw.get(field)
     if value is not None and not isinstance(value, list):
         problem = "is no list of named items"
@@ -147,7 +147,7 @@
 
 
 def _add_items(items: list[Any], additions: object, path: str) -> list[Any]:
-    """Puts each addition in the place of the item of its name, or at the end."""
+    """Replaces the items that have the name of an addition, and appends the other additions."""
     position_by_name = {_item_name(item): position for position, item in enumerate(items)}
     result = list(items)
     added_names: set[str] = set()
--- a/larchgw/configuration/errors.py
+++ b/larchgw/configuration/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a configuration or a settings file. Every message names the field and the remedy."""
+"""Errors in a configuration or a settings file. Every message names the field and the remedy."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class ConfigurationError(Exception):
-    """Something that the operator must correct.
+    """Base class of errors in input that the operator must correct.
 
     Attributes:
-        status: The HTTP status that the operator is answered with.
+        status: The HTTP status of the response to the operator.
         field: Path of the field, such as "routes[2].deadline_ms".
         problem: What is wrong with it.
-        remedy: What to give instead.
+        remedy: How to correct it.
     """
 
     status = HTTP_BAD_REQUEST
 
     def __init__(self, field: str, problem: str, remedy: str) -> None:
-        """Makes the message from the three fields."""
+        """Builds the message from the three fields."""
         super().__init__(f"{field}: {problem}; {remedy}")
         self.field = field
         self.problem = problem
@@ -27,15 +27,15 @@
 
 
 class MalformedConfigurationError(ConfigurationError):
-    """It cannot be read: not JSON, a field missing or of another type."""
+    """The input cannot be parsed: not JSON, or a field is missing or has the wrong type."""
 
 
 class InvalidConfigurationError(ConfigurationError):
-    """It can be read, but contradicts itself or the rules for configurations."""
+    """The input can be parsed, but contradicts itself or violates a rule for configurations."""
 
 
 class StaleConfigurationError(ConfigurationError):
-    """It builds on another version than the current one."""
+    """The request is based on a version other than the current one."""
 
     status = HTTP_PRECONDITION_FAILED
 
--- a/larchgw/configuration/json_decoding.py
+++ b/larchgw/configuration/json_decoding.py
@@ -1,7 +1,7 @@
 """Decodes the body of a request into a JSON object, more strictly than the standard library.
 
-All replicas must agree on which bodies are valid, and a value must be read back as it was sent. So a field
-given twice, a number that is not finite, half of a surrogate pair and deep nesting are rejected.
+All replicas must agree on which bodies are valid, and a value must be read back as it was sent. Duplicate
+fields, non-finite numbers, unpaired surrogates and deep nesting are therefore rejected.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from .json_values import abbreviate
 
 ROOT_PATH = "configuration"
-"""The path that errors name where no single field is at fault."""
+"""The path in errors that concern no single field."""
 MAX_NESTING = 64
-"""Levels of JSON. Python's own limit depends on how deep the caller is."""
+"""Maximum depth of nested JSON. Python's recursion limit would depend on the caller's stack depth."""
 _SURROGATE_ESCAPE = b"\\ud"
 
 
@@ -25,7 +25,7 @@
     """Returns the JSON object in a body.
 
     Raises:
-        MalformedConfigurationError: The body is not one whole JSON object.
+        MalformedConfigurationError: The body is not exactly one JSON object.
     """
     try:
         raw = json.loads(
@@ -34,27 +34,27 @@
             parse_constant=_reject_constant,
             parse_float=_parse_finite,
         )
-        if _SURROGATE_ESCAPE in body.lower():  # half of a pair would fail later, wherever text is sent on
+        if _SURROGATE_ESCAPE in body.lower():  # an unpaired surrogate would fail later, on encoding
             json.dumps(raw, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
-        raise not_json(error) from None
+        raise not_json_error(error) from None
     if _is_too_deep(raw):
         problem = f"is nested over {MAX_NESTING} levels deep"
         raise MalformedConfigurationError(ROOT_PATH, problem, "send it flatter")
     return require_object(raw)
 
 
-def not_json(error: Exception) -> MalformedConfigurationError:
+def not_json_error(error: Exception) -> MalformedConfigurationError:
     """Returns the error for a body that cannot be decoded."""
     problem = f"is not JSON ({error})"
     return MalformedConfigurationError(ROOT_PATH, problem, "send one whole JSON object")
 
 
 def require_object(value: object) -> dict[str, Any]:
-    """Returns a decoded body that is a JSON object.
+    """Returns the decoded body if it is a JSON object.
 
     Raises:
-        MalformedConfigurationError: It is something else.
+        MalformedConfigurationError: It is of another type.
     """
     if not isinstance(value, dict):
         problem = f"{abbreviate(value)} is no JSON object"
@@ -72,7 +72,7 @@
 
 
 def _containers_in(value: object) -> list[object]:
-    """The objects and lists directly in a decoded one."""
+    """Returns the objects and lists that are direct children of a decoded value."""
     items: Iterable[object] = ()
     if isinstance(value, dict):
         items = value.values()
@@ -82,7 +82,7 @@
 
 
 def _reject_repeated_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Makes a JSON object; which of two fields of one name counts would be a guess."""
+    """Builds a JSON object; rejects duplicate fields, as it is ambiguous which of them applies."""
     fields = dict(pairs)
     if len(fields) < len(pairs):
         names = [name for name, _ in pairs]
--- a/larchgw/configuration/model.py
+++ b/larchgw/configuration/model.py
@@ -1,7 +1,7 @@
-"""The operator's configuration as frozen dataclasses, which `validation` makes from JSON.
+"""The operator's configuration as frozen dataclasses, which `validation` builds from JSON.
 
-The names of fields are those of the JSON: dacite reads them from the dataclasses, and they are the operator's
-interface. Where the field's own term differs, the attribute's text gives it.
+Field names are those of the JSON, which dacite reads from the dataclasses; they are part of the operator's
+interface. Where the usual technical term differs, the description of the attribute gives it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A part of a split route: requests go to `service` in proportion to `weight`."""
+    """One target of a route with weighted services: it gets requests in proportion to `weight`."""
 
     service: str
     weight: float
@@ -24,22 +24,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests for one host whose path begins with one prefix. Times are milliseconds.
+    """Routing rule for requests with a given host and path prefix. Times are in milliseconds.
 
     Attributes:
         name: Unique among the routes.
         hostname: The host, as in the `Host` header.
         path_start: The path prefix; begins and ends with a slash.
         kind: One of ROUTE_KINDS.
-        deadline_ms: How long a request may be held.
+        deadline_ms: Deadline of a request, from its arrival.
         target_ms: Latency target; 0 for none.
         rank: Priority class; 0 is the most important.
-        service: Where requests go, unless the route is split.
-        shares: Where requests of a split route go.
-        tries: Most attempts of one request, the first included.
-        pinned: Whether requests of one client go to the same runner (affinity).
+        service: The target service, unless `shares` is set.
+        shares: The target services with their weights, if requests are divided among several.
+        tries: Maximum number of attempts of one request, including the first.
+        pinned: Whether requests of one client are sent to the same runner (session affinity).
         can_resume: Whether a broken stream may be resumed on another runner.
-        gap_aim_ms: Latency target between two parts of a stream; 0 for none.
+        gap_aim_ms: Target for the interval between two parts of a stream; 0 for none.
     """
 
     name: str
@@ -57,7 +57,7 @@
     gap_aim_ms: float = 0.0
 
     def split(self) -> tuple[Share, ...]:
-        """Returns its services with their weights; one of weight 1 where it is not split."""
+        """Returns the target services with their weights; `service` with weight 1 if there are no shares."""
         return self.shares or (Share(self.service, 1.0),)
 
     @property
@@ -68,13 +68,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model that a service can serve.
+    """An inference model that a service can serve.
 
     Attributes:
         name: Unique among the models of its service.
         weights_mb: Size of its weights.
-        load_s: How long a runner takes to load them.
-        adapters: How many adapters it has; they are named a1, a2, ...
+        load_s: Seconds that a runner takes to load the weights.
+        adapters: Number of adapters, which are named a1, a2, ...
         adapter_mb: Size of one adapter.
     """
 
@@ -90,13 +90,13 @@
     """The inference engine of a service's runners.
 
     Attributes:
-        slots: How many requests one runner decodes at a time.
+        slots: Number of requests that one runner decodes concurrently.
         cache_tokens: Size of one runner's KV cache, in tokens.
         token_bytes, link_mbps, stride: Not used by this program.
-        models: What the service can serve.
-        weights_mb: Memory for weights on one runner.
-        adapter_slots: How many adapters one runner holds.
-        loads_per_s: Rate limit of loads from the weight store.
+        models: The models that the service can serve.
+        weights_mb: Memory for model weights on one runner.
+        adapter_slots: Number of adapters that one runner can hold.
+        loads_per_s: Rate limit for loading models from the weight store.
     """
 
     slots: int = 1
@@ -110,18 +110,18 @@
     loads_per_s: float = 0.0
 
     def model(self, name: str) -> Model | None:
-        """Returns the model of this name."""
+        """Returns the model with this name, or None."""
         return next((model for model in self.models if model.name == name), None)
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of runners that are alike.
+    """A group of interchangeable runners.
 
     Attributes:
         name: Unique among the services.
-        max_conns: Most connections to one runner, shared by all edges; 0 for no limit.
-        runtime: Its inference engine; None where it serves no models.
+        max_conns: Maximum number of connections to one runner, shared by all edges; 0 for no limit.
+        runtime: The inference engine; None if the service serves no models.
         health_path, protocol, uses_tls: Not used by this program.
     """
 
@@ -135,13 +135,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take.
+    """Limits on the size and duration of clients' requests.
 
     Attributes:
-        header_bytes: Most bytes of a request's head.
-        body_bytes: Most bytes of a request's body.
-        header_ms: How long the head may take to arrive.
-        idle_ms: How long a connection may be idle.
+        header_bytes: Maximum size of the request head.
+        body_bytes: Maximum size of the request body.
+        header_ms: Time limit for receiving the request head.
+        idle_ms: Idle time-out of a connection.
     """
 
     header_bytes: int = 16384
@@ -152,14 +152,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole version.
+    """One version of the complete configuration.
 
     Attributes:
-        config_version: From 1; a new version is above the one before.
+        config_version: Version number, from 1; each new version has a higher one.
         routes: In the operator's order.
         services: In the operator's order.
-        limits: For all clients.
-        raw: The JSON object as the operator would read it back.
+        limits: Apply to all clients.
+        raw: The JSON object from which this version was built, including unknown fields.
     """
 
     config_version: int
@@ -169,5 +169,5 @@
     raw: dict[str, object] = field(default_factory=dict, compare=False, hash=False, repr=False)
 
     def service(self, name: str) -> Service | None:
-        """Returns the service of this name."""
+        """Returns the service with this name, or None."""
         return next((service for service in self.services if service.name == name), None)
--- a/larchgw/configuration/packing.py
+++ b/larchgw/configuration/packing.py
@@ -1,6 +1,6 @@
-"""The form in which a configuration goes between processes.
+"""Serialises a configuration for transfer between processes.
 
-It is compressed JSON: every process receives every version.
+The JSON is compressed, because every process receives every version.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from typing import Any
 
 COMPRESSION_LEVEL = 6
-"""Names and numbers repeat: about a tenth of the size; higher levels cost more than they save."""
+"""Reduces configurations, which are repetitive, to about a tenth; higher levels cost more than they save."""
 
 
 def pack(raw: Mapping[str, Any]) -> bytes:
-    """Returns the packed form of a configuration's JSON object."""
+    """Returns a configuration's JSON object as compressed JSON."""
     return zlib.compress(json.dumps(raw, separators=(",", ":")).encode(), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> bytes:
-    """Returns the JSON text in a packed form.
+    """Returns the JSON text of a compressed configuration.
 
     Raises:
-        zlib.error: The data is not in that form.
+        zlib.error: The data is not valid compressed data.
     """
     return zlib.decompress(data)
--- a/larchgw/configuration/route_reader.py
+++ b/larchgw/configuration/route_reader.py
@@ -1,4 +1,4 @@
-"""Reads one route. An operator may send ten thousand, so those without a fault avoid dacite's reflection."""
+"""Reads one route. A configuration may have ten thousand, so valid ones bypass dacite's slow reflection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .json_values import MAX_NUMBER
 from .model import ROUTE_KINDS, Route, Share
 
-# Field, default, and JSON types that need no closer look. The order is that of `Route`.
+# Field, default, and JSON types that the fast path accepts, in the order of the fields of `Route`.
 _FIELDS: tuple[tuple[str, object, tuple[type, ...]], ...] = (
     ("name", None, (str,)),
     ("hostname", None, (str,)),
@@ -32,7 +32,7 @@
 
 
 def read_route(value: object, path: str, reader: JsonReader) -> Route | None:
-    """Returns the route in this JSON object, checked by itself; None, and faults, where it cannot be read."""
+    """Returns the route in this JSON object, without cross-checks; None after adding errors if invalid."""
     raw = reader.read_object(value, path)
     if raw is None:
         return None
@@ -40,7 +40,7 @@
 
 
 def read_plain_route(raw: Mapping[str, Any]) -> Route | None:
-    """Returns what `read_route_by_dacite` would, sooner; None where anything is unusual and it must look."""
+    """Fast path of `read_route_by_dacite`; None for any input that is not plainly valid."""
     values = tuple(map(raw.get, _NAMES, _DEFAULTS))
     if tuple(map(type, values)) not in _PLAIN_TYPES:
         return None
@@ -70,7 +70,7 @@
 
 
 def _read_plain_shares(values: list[Any]) -> tuple[Share, ...] | None:
-    """Returns the shares of a split route; None where `read_route_by_dacite` must look."""
+    """Returns the shares of a route; None if they are not plainly valid."""
     shares = []
     total = 0.0
     for value in values:
@@ -86,7 +86,7 @@
 
 
 def read_route_by_dacite(raw: Mapping[str, Any], path: str, reader: JsonReader) -> Route | None:
-    """Returns the route by way of dacite, which names what is wrong; None, and faults, if anything is."""
+    """Returns the route, converted by dacite; None after adding an error for each invalid field."""
     faults_before = len(reader.faults)
     shares = _read_shares(raw.get("shares"), f"{path}.shares", reader)
     route = reader.read_record(Route, {**raw, "shares": shares}, path)
@@ -107,7 +107,7 @@
 
 
 def _check_route(route: Route, path: str, reader: JsonReader) -> None:
-    """Adds the faults that types cannot say."""
+    """Adds an error for each value that has the right type but is not allowed."""
     require = reader.require
     require(route.name != "", f"{path}.name", "is empty", "name the route")
     require(route.hostname != "", f"{path}.hostname", "is empty", "name the host that the route serves")
--- a/larchgw/configuration/service_reader.py
+++ b/larchgw/configuration/service_reader.py
@@ -1,4 +1,4 @@
-"""Reads one service of the operator's configuration, with its runtime and models."""
+"""Reads one service of a configuration, with its runtime and models."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def read_service(value: object, path: str, reader: JsonReader) -> Service | None:
-    """Returns the service in this JSON object; None, and faults, where it cannot be read."""
+    """Returns the service in this JSON object; None after adding errors if it is invalid."""
     raw = reader.read_object(value, path)
     if raw is None:
         return None
--- a/larchgw/configuration/settings.py
+++ b/larchgw/configuration/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process, from the JSON file that LARCHGW_NODE_FILE names."""
+"""Reads the settings of one process from the JSON file that LARCHGW_NODE_FILE names."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 SETTINGS_FILE_VARIABLE = "LARCHGW_NODE_FILE"
 
-# The names of the fields below are those of the settings file: dacite reads them from the dataclasses.
+# Field names below are those of the settings file, which dacite reads from the dataclasses.
 
 
 @dataclass(frozen=True, slots=True)
 class Listen:
-    """Where the role listens, each "host:port"; empty if it does not serve that.
+    """Listen addresses of the role, each "host:port"; empty if the role does not serve that interface.
 
     Attributes:
-        front: Clients' requests (edge).
-        ready: Readiness (edge).
-        control: Operator's calls and runners' check-ins (control).
+        front: For clients' requests (edge).
+        ready: For readiness probes (edge).
+        control: For operators' calls and runners' check-ins (control).
     """
 
     front: str = ""
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the machine gives this process.
+    """Resources of the machine that this process may use.
 
     Attributes:
-        open_files: Most open file descriptors.
+        open_files: Maximum number of open file descriptors.
         memory_mb: Memory in MiB.
         cpu_share, cpus, link_mbps, disk_mb: Not used by the process itself.
     """
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Survive:
-    """How many failures are tolerated at once while all guarantees hold.
+    """Number of simultaneous failures that are tolerated while all guarantees hold.
 
     Attributes:
-        computers: Machines: a change is acknowledged with one replica more than this.
-        zones, regions: Above 0, every in-sync member has a vote.
+        computers: Failed machines; a change is acknowledged once one more replica than this stores it.
+        zones, regions: Failed zones and regions; if one is above 0, every in-sync member has a vote.
     """
 
     computers: int = 0
@@ -68,19 +68,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeLimits:
-    """The bounds of the deployment; names ending in _ms are milliseconds, in _s seconds.
+    """Time limits and rates of the deployment; _ms stands for milliseconds, _s for seconds.
 
-    Those that are not listed are not used by the process itself.
+    Fields that are not listed are not used by the process itself.
 
     Attributes:
-        grace_period_s: How long a process may take to stop after SIGTERM.
-        retry_ratio, retry_window_s, retry_extra: The retry budget: in any window, so many retries for each
-            request, and so many besides.
-        lease_term_ms: Term of a lease.
-        ceiling_window_s: Window of the load rate limit.
-        origin_rate_cap: Factor on `loads_per_s` in the load rate limit.
-        apply_ms: In which an edge must use a new configuration.
-        drain_end_ms: In which an edge must learn that a runner is draining.
+        grace_period_s: Time limit for a process to stop after SIGTERM.
+        retry_ratio, retry_window_s, retry_extra: The retry budget: in any window, `retry_ratio` retries per
+            request plus `retry_extra` retries.
+        lease_term_ms: Duration of a lease.
+        ceiling_window_s: Window of the rate limit for loading models.
+        origin_rate_cap: Factor applied to `loads_per_s` in that rate limit.
+        apply_ms: Time limit for an edge to apply a new configuration.
+        drain_end_ms: Time limit for an edge to learn that a runner is draining.
     """
 
     seed_lag_s: float = 3.0
@@ -109,25 +109,25 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """All settings of a process, read at its start and again at SIGHUP.
+    """All settings of a process, read at start, reloaded on SIGHUP and periodically.
 
     Attributes:
-        node_name: Unique among all processes; stands in each log line.
-        ip: Address of this machine, for the rpc and membership ports.
+        node_name: Unique among all processes; included in each log line.
+        ip: Address of this machine for RPC and membership.
         zone: Failure domain of this machine.
         role, machine_class, region, promises: Not used by the process itself.
-        serves: What the process serves, "edge" or "control"; for `settings_check`.
-        zones: Region of each zone; for `settings_check`.
+        serves: Roles of the process, "edge" or "control"; used only by `settings_check`.
+        zones: Region of each zone; used only by `settings_check`.
         listen: Addresses for clients, runners and operators.
-        spare_ports: First and last port for rpc and membership; see `port`.
-        seed_list: `listen.control` addresses of some control processes, through which all others are found.
-        first_boot: Whether this is the first start of the whole system: the seeds then form the first view.
-        counts_for_quorum: Whether the machine counts for the quorum; for `settings_check`.
-        limits: What the machine gives this process.
-        data_dir: Folder for durable state (control).
-        beat_ms: Period of a runner's check-ins, in milliseconds.
-        survive: How many failures are tolerated.
-        time_limits: The bounds of the deployment.
+        spare_ports: First and last port for RPC and membership; see `port`.
+        seed_list: `listen.control` addresses of some control processes, used to discover the others.
+        first_boot: Whether this is the first start of the whole system; the seeds then form the first view.
+        counts_for_quorum: Whether the machine counts for the quorum; used only by `settings_check`.
+        limits: Resources that this process may use.
+        data_dir: Directory of the durable state (control).
+        beat_ms: Interval between a runner's check-ins, in milliseconds.
+        survive: Number of failures that are tolerated.
+        time_limits: Time limits and rates of the deployment.
     """
 
     node_name: str
@@ -154,7 +154,7 @@
         """Returns the spare port at this offset from the first one.
 
         Raises:
-            SettingsError: There are not that many.
+            SettingsError: The port is beyond the range of spare ports.
         """
         first, last = self.spare_ports
         if first + offset > last:
@@ -165,11 +165,11 @@
 def parse_settings(raw: Mapping[str, Any]) -> NodeSettings:
     """Returns the settings in a decoded file.
 
-    Unknown fields are ignored, and those that are null or empty text count as left out. It is lenient about
-    numbers, as a process that does not start helps nobody; `settings_check` finds fault.
+    Unknown fields are ignored; null and empty strings count as absent. Numbers in strings are accepted and
+    ranges are not checked, so that an imprecise file does not prevent a start; `settings_check` is strict.
 
     Raises:
-        SettingsError: A field that is needed is missing, or one has a type that cannot be used.
+        SettingsError: A required field is missing, or a field has a type that cannot be converted.
     """
     try:
         settings = dacite.from_dict(NodeSettings, _without_empty_fields(raw), _LENIENT)
@@ -189,10 +189,10 @@
 
 
 def load_settings(path: str | None = None) -> NodeSettings:
-    """Reads the file at `path`, or the one that the environment names.
+    """Reads the file at `path`; by default, the one that LARCHGW_NODE_FILE names.
 
     Raises:
-        SettingsError: There is no such file, or it cannot be used.
+        SettingsError: The file does not exist or is not usable.
     """
     file_name = path or os.environ.get(SETTINGS_FILE_VARIABLE, "")
     if not file_name:
@@ -224,7 +224,7 @@
 
 
 def _without_empty_fields(fields: Mapping[str, Any]) -> dict[str, Any]:
-    """Leaves out the fields that are null or empty text, at any depth."""
+    """Removes fields that are null or an empty string, at any depth of nested objects."""
     return {
         name: _without_empty_fields(value) if isinstance(value, dict) else value
         for name, value in fields.items()
--- a/larchgw/configuration/settings_check.py
+++ b/larchgw/configuration/settings_check.py
@@ -1,4 +1,4 @@
-"""Finds what is wrong with the settings of a process although they can be read; for `larchgw settings`."""
+"""Finds errors in settings that can be parsed; used by `larchgw settings`."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from .settings import NodeSettings
 
 MIN_SPARE_PORTS = 3
-"""rpc, membership of control processes, membership of edges."""
+"""One port each for RPC, membership of control processes and membership of edges."""
 MAX_PORT = 65535
 _REQUIRED_ADDRESSES = {"edge": ("front", "ready"), "control": ("control",)}
-"""Fields of `listen`, by what the process serves."""
+"""Required fields of `listen`, by role."""
 _POSITIVE_TIME_LIMITS = (
     "contact_ms",
     "lease_term_ms",
@@ -23,7 +23,7 @@
 
 
 def settings_faults(settings: NodeSettings) -> list[SettingsError]:
-    """Returns every fault, in the order of the fields."""
+    """Returns all errors: addresses, ports, machine, then numbers."""
     return [
         *_address_faults(settings),
         *_port_faults(settings),
@@ -33,7 +33,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Whether it reads as host:port."""
+    """Whether the text has the form host:port."""
     host, _, port = text.rpartition(":")
     return host != "" and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
 
@@ -47,15 +47,15 @@
     for field in fields(settings.listen):
         address = getattr(settings.listen, field.name)
         if address and not is_address(address):
-            yield _not_an_address(f"listen.{field.name}", address)
+            yield _address_fault(f"listen.{field.name}", address)
     if not settings.seed_list:
         yield SettingsError("seed_list", "is empty", "name the control address of at least one machine")
     for index, address in enumerate(settings.seed_list):
         if not is_address(address):
-            yield _not_an_address(f"seed_list[{index}]", address)
+            yield _address_fault(f"seed_list[{index}]", address)
 
 
-def _not_an_address(field: str, address: str) -> SettingsError:
+def _address_fault(field: str, address: str) -> SettingsError:
     return SettingsError(field, f"{address!r} is no address", "write it as host:port")
 
 
--- a/larchgw/configuration/validation.py
+++ b/larchgw/configuration/validation.py
@@ -1,7 +1,7 @@
-"""Reads and checks a whole configuration of the operator.
+"""Parses and validates a complete configuration.
 
-A configuration that contradicts itself is rejected, and so is one whose fields have no meaning as given.
-Unknown fields are kept in `Configuration.raw` and otherwise ignored.
+A configuration with contradictory or meaningless values is rejected. Unknown fields are kept in
+`Configuration.raw` and otherwise ignored.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from .errors import ConfigurationError
-from .json_decoding import not_json, require_object
+from .json_decoding import not_json_error, require_object
 from .json_reader import JsonReader
 from .model import Configuration, Limits, Route, Service
 from .route_reader import read_route
@@ -21,16 +21,16 @@
 
 Item = TypeVar("Item", Route, Service)
 ReadItem = Callable[[object, str, JsonReader], Item | None]
-"""Reads one item at a path; None, and faults, where it cannot be read."""
+"""Reads one item at a path; returns None after adding errors if it is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
-class Examination:
-    """What a reading of a configuration came to.
+class ValidationResult:
+    """Result of validating a configuration.
 
     Attributes:
-        configuration: The configuration; None if there is any fault.
-        faults: All that is wrong.
+        configuration: The configuration; None if there is any error.
+        faults: All errors found.
     """
 
     configuration: Configuration | None
@@ -42,15 +42,15 @@
 
     Args:
         raw: The JSON object.
-        previous: A configuration that was parsed before. Its routes and services whose JSON objects are the
-            very ones in `raw`, as after `change.apply_change`, are not read again.
+        previous: A configuration that was parsed before. Its routes and services are reused where `raw`
+            contains the identical JSON objects, as after `change.apply_change`.
 
     Raises:
-        MalformedConfigurationError: A field is missing or of another type.
-        InvalidConfigurationError: It contradicts itself or a rule.
+        MalformedConfigurationError: A field is missing or has the wrong type.
+        InvalidConfigurationError: The values contradict each other or violate a rule.
     """
     return _require_valid(
-        _examine(
+        _validate(
             raw,
             _reuse_identical(previous, "routes", read_route),
             _reuse_identical(previous, "services", read_service),
@@ -59,20 +59,20 @@
 
 
 def parse_committed(body: bytes, previous: Configuration | None) -> Configuration:
-    """Returns a configuration that a control process has checked already, as other processes receive it.
+    """Returns a configuration that was received from a control process, which has validated it.
 
-    Routes and services that are equal in `previous` are not read again. That would not do for an operator's
-    order: JSON's true equals 1 here.
+    Routes and services that are equal in `previous` are reused. This is not safe for an operator's request,
+    because JSON's true compares equal to 1.
 
     Raises:
-        MalformedConfigurationError, InvalidConfigurationError: It is damaged.
+        MalformedConfigurationError, InvalidConfigurationError: The body is corrupt.
     """
     try:
         raw = json.loads(body)
     except ValueError as error:
-        raise not_json(error) from None
+        raise not_json_error(error) from None
     return _require_valid(
-        _examine(
+        _validate(
             require_object(raw),
             _reuse_equal(previous, "routes", read_route),
             _reuse_equal(previous, "services", read_service),
@@ -80,24 +80,24 @@
     )
 
 
-def examine_configuration(raw: Mapping[str, Any]) -> Examination:
-    """Reads the configuration in a decoded body, and finds every fault in it."""
-    return _examine(raw, read_route, read_service)
+def check_configuration(raw: Mapping[str, Any]) -> ValidationResult:
+    """Validates the configuration in a decoded body, and finds all errors in it."""
+    return _validate(raw, read_route, read_service)
 
 
-def _require_valid(examination: Examination) -> Configuration:
-    if examination.configuration is None:
-        raise examination.faults[0]
-    return examination.configuration
+def _require_valid(result: ValidationResult) -> Configuration:
+    if result.configuration is None:
+        raise result.faults[0]
+    return result.configuration
 
 
-def _examine(
+def _validate(
     raw: Mapping[str, Any], read_one_route: ReadItem[Route], read_one_service: ReadItem[Service]
-) -> Examination:
+) -> ValidationResult:
     reader = JsonReader()
     version = _read_version(raw.get("config_version"), reader)
     services = _read_required_list(raw, "services", read_one_service, reader)
-    are_services_known = not reader.faults  # only then are unknown ones in routes a fault of the routes
+    are_services_known = not reader.faults  # else unread services would be reported as unknown
     routes = _read_required_list(raw, "routes", read_one_route, reader)
     limits = _read_limits(raw.get("limits"), reader)
     reader.require_unique_names("services", services)
@@ -106,7 +106,7 @@
     if are_services_known:
         _check_services_exist(routes, {service.name for _, service in services}, reader)
     if reader.faults or version is None or limits is None:
-        return Examination(None, reader.faults)
+        return ValidationResult(None, reader.faults)
     configuration = Configuration(
         version,
         tuple(route for _, route in routes),
@@ -114,11 +114,11 @@
         limits,
         dict(raw),
     )
-    return Examination(configuration, [])
+    return ValidationResult(configuration, [])
 
 
 def _items_with_json(previous: Configuration | None, field: str) -> list[tuple[dict[str, Any], Any]]:
-    """The routes or services of a configuration, each with the JSON object that it was read from."""
+    """Returns a configuration's routes or services, each with the JSON object that it was read from."""
     values = previous.raw.get(field) if previous else None
     if previous is None or not isinstance(values, list):
         return []
@@ -126,14 +126,14 @@
 
 
 def _reuse_identical(previous: Configuration | None, field: str, read: ReadItem[Item]) -> ReadItem[Item]:
-    """Reads routes or services, but for those whose very JSON objects are in `previous`."""
-    # `previous` keeps its objects alive, so no other one can have the id of one of them.
+    """Wraps `read` to reuse the items of `previous` whose JSON objects are identical (`is`)."""
+    # `previous` keeps its objects alive, so that no other object can have the same id.
     item_by_id: dict[int, Item] = {id(value): item for value, item in _items_with_json(previous, field)}
     return lambda value, path, reader: item_by_id.get(id(value)) or read(value, path, reader)
 
 
 def _reuse_equal(previous: Configuration | None, field: str, read: ReadItem[Item]) -> ReadItem[Item]:
-    """Reads routes or services, but for those whose JSON objects equal the one of that name in `previous`."""
+    """Wraps `read` to reuse the items of `previous` that have the same name and an equal JSON object."""
     item_by_name: dict[str, tuple[dict[str, Any], Item]] = {
         item.name: (value, item) for value, item in _items_with_json(previous, field)
     }
@@ -180,7 +180,7 @@
 
 
 def _check_unique_prefixes(routes: Iterable[tuple[str, Route]], reader: JsonReader) -> None:
-    """Adds a fault for each route with the host and prefix of an earlier one."""
+    """Adds an error for each route with the same host and prefix as an earlier one."""
     paths: dict[tuple[str, str], str] = {}
     for path, route in routes:
         first = paths.setdefault((normalised_host(route.hostname), route.path_start), path)
@@ -195,7 +195,7 @@
 def _check_services_exist(
     routes: Iterable[tuple[str, Route]], service_names: set[str], reader: JsonReader
 ) -> None:
-    """Adds a fault for each service that a route names and nobody defines."""
+    """Adds an error for each reference from a route to a service that does not exist."""
     for path, route in routes:
         if (route.service in service_names or not route.service) and all(
             share.service in service_names for share in route.shares
--- a/tests/configuration/test_recorded_bytes.py
+++ b/tests/configuration/test_recorded_bytes.py
@@ -22,7 +22,7 @@
 from larchgw.configuration.settings import parse_settings
 from larchgw.configuration.settings_check import settings_faults
 from larchgw.configuration.validation import (
-    examine_configuration,
+    check_configuration,
     parse_committed,
     parse_configuration,
 )
@@ -64,11 +64,11 @@
 
 
 def read_configuration(raw: dict[str, Any]) -> dict[str, Any]:
-    examination = examine_configuration(raw)
-    configuration = examination.configuration
+    result = check_configuration(raw)
+    configuration = result.configuration
     return {
         "values": None if configuration is None else values_of(configuration),
-        "faults": [describe_error(fault) for fault in examination.faults],
+        "faults": [describe_error(fault) for fault in result.faults],
     }
 
 
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -14,7 +14,7 @@
 from larchgw.configuration.json_reader import JsonReader
 from larchgw.configuration.route_reader import read_plain_route, read_route_by_dacite
 from larchgw.configuration.validation import (
-    examine_configuration,
+    check_configuration,
     parse_committed,
     parse_configuration,
 )
@@ -205,9 +205,9 @@
     raw = with_value(with_value(EXAMPLE, "routes.0.kind", "batch"), "routes.2.deadline_ms", 0)
     raw = with_value(with_value(raw, "routes.1.shares.1.service", "nobody"), "routes.0.tries", 0)
     raw = with_value(with_value(raw, "routes.2.name", 3), "routes.2.hostname", ...)
-    examination = examine_configuration(raw)
-    assert examination.configuration is None
-    assert [fault.field for fault in examination.faults] == [
+    result = check_configuration(raw)
+    assert result.configuration is None
+    assert [fault.field for fault in result.faults] == [
         "routes[0].kind",
         "routes[0].tries",
         "routes[2].name",
@@ -217,7 +217,7 @@
 
 
 def test_services_of_routes_are_not_checked_while_services_cannot_be_read() -> None:
-    faults = examine_configuration(with_value(EXAMPLE, "services.0.max_conns", "many")).faults
+    faults = check_configuration(with_value(EXAMPLE, "services.0.max_conns", "many")).faults
     assert [fault.field for fault in faults] == ["services[0].max_conns"]
 
 
