--- a/larchgw/rpc/client_connection.py
+++ b/larchgw/rpc/client_connection.py
@@ -1,4 +1,4 @@
-"""The calling side of one connection: which reply belongs to which call."""
+"""Client side of one connection: matches replies to pending calls."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Bytes of the messages of one client since its start.
+    """Byte counters of one client.
 
     Attributes:
-        sent: Bytes of the frames that it made.
-        received: Bytes that came.
+        sent: Size of all frames that were encoded for sending.
+        received: Number of bytes received.
     """
 
     sent: int = 0
@@ -33,51 +33,51 @@
 
 @dataclass(slots=True)
 class _PendingCall:
-    """A call without its reply."""
+    """A call that waits for its reply."""
 
     method: str
     body: asyncio.Future[Any]
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection and the calls that wait on it, by their sequence numbers.
+    """A connection and its pending calls, by sequence number.
 
-    A client uses each number once: a reply that comes after its call was given up finds no other.
+    Sequence numbers are not reused, so a reply to an abandoned call cannot be matched to another call.
 
     Attributes:
-        transport: None before the connection is up and after it ended.
+        transport: None before the connection is established and after it was lost.
     """
 
     def __init__(self, traffic: Traffic) -> None:
-        """Counts received bytes in `traffic`."""
+        """Adds the number of received bytes to `traffic`."""
         self.transport: asyncio.Transport | None = None
         self._traffic = traffic
         self._pending: dict[int, _PendingCall] = {}
         self._frames = FrameReader()
 
     def add_call(self, sequence: int, method: str) -> asyncio.Future[Any]:
-        """Registers a call; returns the future of the body of its reply."""
+        """Registers a pending call; returns the future for the body of the reply."""
         body: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._pending[sequence] = _PendingCall(method, body)
         return body
 
     def remove_call(self, sequence: int) -> None:
-        """Forgets a call that has ended or was given up."""
+        """Removes a call that has completed or was abandoned."""
         self._pending.pop(sequence, None)
 
     def close(self) -> None:
-        """Ends the connection; calls that wait on it fail."""
+        """Closes the connection; pending calls fail."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport (asyncio's callback)."""
+        """Stores the transport (asyncio callback)."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         set_socket_options(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Receives replies; what is none ends the connection (asyncio's callback)."""
+        """Receives replies; closes the connection on invalid data (asyncio callback)."""
         self._traffic.received += len(data)
         try:
             for frame in self._frames.feed(data):
@@ -87,28 +87,29 @@
             self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fails the calls that wait (asyncio's callback)."""
+        """Fails all pending calls (asyncio callback)."""
         self.transport = None
         pending, self._pending = self._pending, {}
         for call in pending.values():
             if not call.body.done():
-                message = f"the connection ended: {error or 'closed'}"
+                message = f"the connection was lost: {error or 'closed'}"
                 call.body.set_exception(RpcConnectionError(message))
 
     def _receive_reply(self, message: Message) -> None:
-        """Ends the call of the message's number.
+        """Completes the pending call with the sequence number of the message.
 
-        An address may belong to another program by now, or the connection lead back to this process.
+        The message is checked, because the address may now belong to another program, or TCP may have
+        connected the port to itself.
 
         Raises:
-            FrameDecodeError: If the message is no reply, or one of another method.
+            FrameDecodeError: If the message is not a reply, or is a reply to another method.
         """
         if message.kind not in REPLY_KINDS:
-            raise FrameDecodeError(f"a call of {message.method} where an answer is due")
+            raise FrameDecodeError(f"expected a reply, got a call of {message.method}")
         call = self._pending.get(message.sequence)
         if call is None:
             return
         if message.method != call.method:
-            raise FrameDecodeError(f"an answer of {message.method} to a call of {call.method}")
+            raise FrameDecodeError(f"got a reply of {message.method} to a call of {call.method}")
         if not call.body.done():
             call.body.set_result(message.body)
--- a/larchgw/rpc/codec.py
+++ b/larchgw/rpc/codec.py
@@ -1,6 +1,6 @@
-"""Thrift messages and structs as bytes, and the frames that carry them; knows no socket.
+"""Encodes and decodes Thrift messages and structs, and the frames that carry them; performs no I/O.
 
-A frame is the length of its message (four bytes, big-endian) and the message in thrift's binary protocol.
+A frame is the length of its message (four bytes, big-endian) and the message in Thrift's binary protocol.
 
 Source: Apache Thrift, "Thrift Binary protocol encoding" and "Framed transport".
 """
@@ -28,10 +28,10 @@
     """One decoded message.
 
     Attributes:
-        method: Name of the method of the service.
-        kind: One of thrift's `TMessageType`.
-        sequence: Number of the call.
-        body: The generated struct of its arguments or result, or thrift's `TApplicationException`.
+        method: Name of the service method.
+        kind: Message type, one of Thrift's `TMessageType`.
+        sequence: Sequence number of the call.
+        body: The generated struct of arguments or result, or Thrift's `TApplicationException`.
     """
 
     method: str
@@ -46,17 +46,17 @@
 
 
 def encode_struct(struct: ThriftStruct) -> bytes:
-    """Returns the bytes of one thrift struct."""
+    """Returns the encoded form of one Thrift struct."""
     buffer, protocol = _new_protocol()
     struct.write(protocol)
     return bytes(buffer.getvalue())
 
 
 def decode_struct(struct_type: type[Struct], data: bytes) -> Struct:
-    """Returns the struct of this type in `data`.
+    """Returns the struct of this type that is encoded in `data`.
 
     Raises:
-        FrameDecodeError: If there is none.
+        FrameDecodeError: If `data` does not hold such a struct.
     """
     _, protocol = _new_protocol(data)
     struct = struct_type()
@@ -68,7 +68,7 @@
 
 
 def encode_message(method: str, kind: int, sequence: int, body: ThriftStruct) -> bytes:
-    """Returns the frame of one message; the arguments are as the attributes of `Message`."""
+    """Returns the frame of one message; for the arguments, see the attributes of `Message`."""
     buffer, protocol = _new_protocol()
     protocol.writeMessageBegin(method, kind, sequence)
     body.write(protocol)
@@ -78,10 +78,10 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """Returns the message in one frame, given without its length.
+    """Returns the message in one frame, which is passed without the length prefix.
 
     Raises:
-        FrameDecodeError: If it is no message of the service.
+        FrameDecodeError: If the frame does not hold a message of the service.
     """
     _, protocol = _new_protocol(data)
     try:
@@ -101,14 +101,14 @@
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
-        """Begins with an empty buffer."""
+        """Starts with an empty buffer."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the frames, without their lengths, that `data` completes.
+        """Returns the frames that `data` completes, without their length prefixes.
 
         Raises:
             FrameDecodeError: If a frame is longer than `MAX_FRAME_BYTES`.
@@ -118,7 +118,7 @@
         while len(self._buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if length > MAX_FRAME_BYTES:
-                raise FrameDecodeError(f"a frame of {length} bytes is over {MAX_FRAME_BYTES}")
+                raise FrameDecodeError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
             end = LENGTH_BYTES + length
             if len(self._buffer) < end:
                 break
--- a/larchgw/rpc/server.py
+++ b/larchgw/rpc/server.py
@@ -1,4 +1,4 @@
-"""The called side: serves an object whose coroutines have the names of the thrift methods."""
+"""RPC server: dispatches calls to an object with one coroutine per Thrift method."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class _Session(asyncio.Protocol):
-    """One caller's connection; its calls are served at the same time, each in a task."""
+    """Connection of one client; its calls are served concurrently, each in its own task."""
 
     def __init__(self, server: RpcServer) -> None:
         self.transport: asyncio.Transport | None = None
@@ -55,7 +55,7 @@
 
     def _receive_call(self, message: Message) -> None:
         if message.kind not in CALL_KINDS:
-            raise FrameDecodeError(f"an answer of {message.method} where a call is due")
+            raise FrameDecodeError(f"expected a call, got a reply of {message.method}")
         task = asyncio.ensure_future(self._serve(message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -74,7 +74,9 @@
                 body.success = reply
         except Unavailable as unavailable:
             body.unavailable = unavailable
-        except Exception as error:  # a fault in one call must not end the connection of all others
+        except (
+            Exception
+        ) as error:  # an error in one call must not close the connection that other calls share
             log.exception("rpc.call_failed", method=message.method)
             kind = TMessageType.EXCEPTION
             body = TApplicationException(TApplicationException.INTERNAL_ERROR, repr(error))
@@ -83,22 +85,22 @@
 
 
 class RpcServer:
-    """Listens at one address for calls. Belongs to the running asyncio loop.
+    """Serves calls at one address. Must be used on the running asyncio loop.
 
     Attributes:
-        handler: Serves the calls: one coroutine a method, named like it, which may raise the generated
-            `Unavailable`.
-        sessions: The connections of callers.
+        handler: Serves the calls: has one coroutine per method, of the same name, which may raise the
+            generated `Unavailable`.
+        sessions: The open connections of clients.
     """
 
     def __init__(self, handler: object) -> None:
-        """Listens nowhere yet."""
+        """Does not listen yet."""
         self.handler = handler
         self.sessions: set[_Session] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listens and returns the port.
+        """Starts listening and returns the port.
 
         Raises:
             OSError: If the address cannot be used.
@@ -108,7 +110,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
-        """Closes the listening socket and all callers' connections."""
+        """Closes the listening socket and all client connections."""
         if self._server is not None:
             self._server.close()
         for session in list(self.sessions):
--- a/larchgw/rpc/socket_options.py
+++ b/larchgw/rpc/socket_options.py
@@ -1,15 +1,15 @@
-"""Options of the sockets of both sides of a call."""
+"""Socket options for RPC connections, on client and server."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 
-USER_TIMEOUT_MS = 1500  # unacknowledged bytes end a connection after this
+USER_TIMEOUT_MS = 1500  # a connection is dropped if data stays unacknowledged for this long
 
 
 def set_socket_options(transport: asyncio.Transport) -> None:
-    """Sends small frames without delay, and notices a peer that no longer acknowledges.
+    """Disables delays for small frames, and makes the kernel detect a peer that stopped acknowledging.
 
     Source: RFC 896 (Nagle's algorithm, switched off); RFC 5482 (TCP user timeout).
     """
--- a/larchgw/rpc/structs.py
+++ b/larchgw/rpc/structs.py
@@ -1,6 +1,7 @@
-"""The generated thrift structs by the methods that they belong to, and types for them.
+"""Creates the generated Thrift structs of a method, and declares types for them.
 
-The type checker sees none of the generated code: the unions below are for readers, `ThriftStruct` for both.
+The type checker does not see the generated code: the unions below are documentation only, while
+`ThriftStruct` is also checked.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 )
 
 Argument: TypeAlias = PullRequest | PushRequest | DemandReport | OperatorCall | PeerMessage | StatusRequest
-"""What the methods of the service take."""
+"""Argument types of the service's methods."""
 
 Reply: TypeAlias = PullReply | PushReply | OperatorAnswer | ControlStatus
-"""What the methods of the service return. `demand` returns nothing: its reply is None."""
+"""Reply types of the service's methods. `demand` returns nothing: its reply is None."""
 
 
 class ThriftStruct(Protocol):
@@ -41,7 +42,7 @@
 
 
 def new_arguments(method: str, argument: Argument | None = None) -> ThriftStruct:
-    """Returns the struct of a method's arguments, of which each method has one.
+    """Returns the arguments struct of a method; every method has exactly one argument.
 
     Raises:
         AttributeError: If the service has no such method.
@@ -51,7 +52,7 @@
 
 
 def new_result(method: str) -> ThriftStruct:
-    """Returns the empty struct of a method's result: its reply, or the exception that it declares.
+    """Returns an empty result struct of a method, for its reply or its declared exception.
 
     Raises:
         AttributeError: If the service has no such method.
--- a/larchgw/runtime/__init__.py
+++ b/larchgw/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What both roles of the system share: a process from start to SIGTERM, logs, rpc clients, status pages."""
+"""Code that both roles share: process lifecycle, logging, RPC clients and status pages."""
--- a/larchgw/runtime/addresses.py
+++ b/larchgw/runtime/addresses.py
@@ -1,6 +1,6 @@
-"""Addresses between processes. Ports are the same on all machines of a deployment.
+"""Addresses for communication between processes. All machines of a deployment use the same ports.
 
-A port constant is an offset into the machine's spare ports.
+The port constants are offsets into the range of spare ports.
 """
 
 from __future__ import annotations
@@ -8,23 +8,23 @@
 from ..configuration.settings import NodeSettings
 from ..identifiers import RpcAddress
 
-RPC_PORT = 0  # TCP, a control process
+RPC_PORT = 0  # TCP, RPC of a control process
 CONTROL_GOSSIP_PORT = 1  # UDP, membership of a control process
 EDGE_GOSSIP_PORT = 2  # UDP, membership of an edge
 
 
 def rpc_address(settings: NodeSettings) -> RpcAddress:
-    """Returns where this machine's control process serves rpc."""
+    """Returns the RPC address of this machine's control process."""
     return RpcAddress(f"{settings.ip}:{settings.port(RPC_PORT)}")
 
 
 def seed_hosts(settings: NodeSettings) -> list[str]:
-    """Returns the machines of the seed list, in its order."""
+    """Returns the hosts of the seed list, in its order."""
     return [seed.rpartition(":")[0] for seed in settings.seed_list]
 
 
 def seed_rpc_addresses(settings: NodeSettings) -> list[RpcAddress]:
-    """Returns the seeds' rpc addresses, in the order of the seed list."""
+    """Returns the seeds' RPC addresses, in the order of the seed list."""
     return [RpcAddress(f"{host}:{settings.port(RPC_PORT)}") for host in seed_hosts(settings)]
 
 
--- a/larchgw/runtime/background_tasks.py
+++ b/larchgw/runtime/background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a process: started by name, run again after a failure."""
+"""Named background tasks of a process, which are restarted after a failure."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     """Runs coroutines on the running asyncio loop until `stop`."""
 
     def __init__(self) -> None:
-        """Begins without any."""
+        """Starts without tasks."""
         self._running: set[asyncio.Task[None]] = set()
 
     def start(self, name: str, job: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
-        """Runs `job` until it returns or `stop` is called; after an exception it is run again."""
+        """Runs `job` until it returns or `stop` is called; restarts it after an exception."""
         task = asyncio.get_running_loop().create_task(self._run(name, job), name=name)
         self._running.add(task)
         task.add_done_callback(self._running.discard)
         return task
 
     def every(self, name: str, period_s: float, action: Callable[[], None]) -> asyncio.Task[None]:
-        """Calls `action` at once and again after pauses of `period_s` until `stop` is called."""
+        """Calls `action` immediately, then every `period_s` seconds, until `stop` is called."""
 
         async def repeat() -> None:
             while True:
--- a/larchgw/runtime/http_status.py
+++ b/larchgw/runtime/http_status.py
@@ -1,4 +1,4 @@
-"""`GET /status` and `GET /metrics`, which both roles serve beside their own requests."""
+"""`GET /status` and `GET /metrics`, which both roles serve in addition to their own endpoints."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import tornado.web
 
 StatusSource: TypeAlias = Callable[[], dict[str, Any]]
-"""Returns the object that is served as JSON."""
+"""Returns the status object, which is served as JSON."""
 
 MetricsSource: TypeAlias = Callable[[], bytes]
 """Returns the metrics in Prometheus's text format."""
@@ -32,7 +32,7 @@
         self.metrics = metrics
 
     def get(self) -> None:
-        # Here, so that a role that nobody asks goes without the library.
+        # Imported on demand, so that a role whose metrics are not read does not load the library.
         from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
         self.set_header("Content-Type", CONTENT_TYPE_LATEST)
@@ -40,7 +40,7 @@
 
 
 def rules(status: StatusSource, metrics: MetricsSource) -> list[Rule]:
-    """Returns the rules for a Tornado application; both sources are called anew for each request."""
+    """Returns the rules for a Tornado application; both sources are called for each request."""
     return [
         (r"/status", _StatusHandler, {"status": status}),
         (r"/metrics", _MetricsHandler, {"metrics": metrics}),
--- a/larchgw/runtime/logs.py
+++ b/larchgw/runtime/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs of the system's processes: one event a line on standard error, as `key=value` pairs.
+"""Structured logging: one event per line on standard error, as `key=value` pairs.
 
-A line begins with `timestamp` (UTC), `level`, `node` and `event`; the event's own fields follow. Modules log
-through `structlog.get_logger()`; `docs/oncall.md` lists the events.
+A line starts with `timestamp` (UTC), `level`, `node` and `event`, followed by the fields of the event.
+Modules log through `structlog.get_logger()`; `docs/oncall.md` lists the events.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from structlog.typing import Processor
 
 LEVEL_VARIABLE = "LARCHGW_LOG"
-"""Environment variable that holds the lowest level to write."""
+"""Environment variable with the lowest level to log."""
 
-DEFAULT_LEVEL = "INFO"  # at WARNING, a start and the settings that it runs by would not be seen
+DEFAULT_LEVEL = "INFO"  # at WARNING, starts and the settings in effect would not be logged
 
 
 def configure(node_name: str) -> None:
-    """Writes events of level INFO and above to standard error; LARCHGW_LOG names another level.
+    """Logs events of level INFO and above to standard error; LARCHGW_LOG sets another level.
 
     Args:
-        node_name: The process's name, which every line carries as `node`.
+        node_name: Name of the process, included in every line as `node`.
     """
     level = _level()
 
@@ -51,7 +51,7 @@
 
 
 def configure_command() -> None:
-    """For commands that are no role: warnings and errors only, on standard error."""
+    """Configures logging for commands other than roles: only warnings and errors, on standard error."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
@@ -60,7 +60,7 @@
 
 @contextmanager
 def muted() -> Iterator[None]:
-    """Writes nothing below CRITICAL inside the block: simulations bring faults about by the thousand."""
+    """Disables logging inside the block, because simulations cause thousands of failures."""
     before = structlog.get_config()["wrapper_class"]
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     logging.disable(logging.CRITICAL)
@@ -78,7 +78,7 @@
 
 
 def _configure_libraries(level: int, fields: list[Processor], renderer: Processor) -> None:
-    """Gives lines of libraries (asyncio, Tornado), which log by the standard library, the same form."""
+    """Applies the same format to libraries (asyncio, Tornado) that use the standard library's logging."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
--- a/larchgw/runtime/membership.py
+++ b/larchgw/runtime/membership.py
@@ -1,4 +1,4 @@
-"""This process as a member, as its settings say."""
+"""Builds the membership protocol of this process from its settings."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     random_source: Random,
     address_rpc: RpcAddress = NO_RPC_ADDRESS,
 ) -> Swim:
-    """Returns the membership protocol of this process, which asks the seeds of the settings.
+    """Returns the membership protocol of this process, which joins through the seeds in the settings.
 
     Args:
         settings: Name, addresses, zone and seeds.
-        role: What the process is.
-        process_start_ms: Wall-clock time of its start in milliseconds, its first SWIM incarnation.
-        random_source: Draws whom to probe and ask.
-        address_rpc: Where the process serves rpc, empty if it does not.
+        role: Role of the process.
+        process_start_ms: Wall-clock time of the process start in milliseconds, its first SWIM incarnation.
+        random_source: Selects the members to probe and to query.
+        address_rpc: RPC address of the process; empty if it serves no RPC.
     """
     address = f"{settings.ip}:{settings.port(GOSSIP_PORTS[role])}"
     me = Member(settings.node_name, address, role, process_start_ms, settings.zone, address_rpc)
--- a/larchgw/runtime/process.py
+++ b/larchgw/runtime/process.py
@@ -1,4 +1,4 @@
-"""Runs one role from its start to SIGTERM."""
+"""Runs one role until it receives SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 EXIT_OK = 0
 EXIT_FAILURE = 1
 EXIT_USAGE = 2
-SETTINGS_CHECK_PERIOD_S = 5.0  # the file may change without a signal; only seeds do, and are needed seldom
+SETTINGS_CHECK_PERIOD_S = 5.0  # only seeds change without SIGHUP, and they are rarely needed
 
 
 class RoleProcess(Reloadable, Protocol):
-    """One role of the system, edge or control, as `run` drives it."""
+    """Interface through which `run` controls a role, edge or control."""
 
     async def start(self) -> None:
-        """Listens and begins its work.
+        """Opens the listening sockets and starts serving.
 
         Raises:
             OSError: If an address cannot be used.
-            StorageError: If the data folder cannot be used.
+            StorageError: If the data directory cannot be used.
         """
 
     async def stop(self) -> None:
@@ -41,16 +41,18 @@
 
 
 def run(new_role: Callable[[NodeSettings], RoleProcess]) -> int:
-    """Runs a role until SIGTERM or SIGINT. SIGHUP reads the settings file again.
+    """Runs a role until SIGTERM or SIGINT. SIGHUP reloads the settings file.
 
     Args:
-        new_role: Makes the role from the process's settings.
+        new_role: Creates the role from the settings of the process.
 
     Returns:
-        The exit status: 0 after a signal, 2 for settings that cannot be used, 1 for an address in use or a
-        data folder that cannot be read.
+        The exit status: 0 after a signal, 2 for unusable settings, 1 for an address in use or an
+        unreadable data directory.
     """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens to it, it would end the process
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # its default action would terminate the process before the loop handles it
     try:
         settings = load_settings()
     except SettingsError as error:
--- a/larchgw/runtime/rpc_clients.py
+++ b/larchgw/runtime/rpc_clients.py
@@ -1,4 +1,4 @@
-"""One rpc client for each address that this process calls."""
+"""Keeps one RPC client per address that this process calls."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RpcClients:
-    """Clients by address ("host:port"), made when first asked for."""
+    """RPC clients by address ("host:port"), created on first use."""
 
     def __init__(self) -> None:
-        """Begins without any."""
+        """Starts without clients."""
         self._clients: dict[str, RpcClient] = {}
 
     def get(self, address: str) -> RpcClient:
@@ -20,11 +20,11 @@
         return client
 
     def all(self) -> list[RpcClient]:
-        """Returns the clients that were asked for."""
+        """Returns all clients created so far."""
         return list(self._clients.values())
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         for client in self._clients.values():
             client.close()
         self._clients.clear()
--- a/larchgw/runtime/settings_watch.py
+++ b/larchgw/runtime/settings_watch.py
@@ -1,4 +1,4 @@
-"""The settings file, read again while a role runs."""
+"""Reloads the settings file while a role runs."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class Reloadable(Protocol):
-    """What can go on with other settings."""
+    """A component that can apply new settings at run time."""
 
     def reload(self, settings: NodeSettings) -> None:
-        """Goes on with these settings."""
+        """Applies these settings."""
 
 
 class SettingsWatch:
-    """Hands changed settings to a role."""
+    """Passes changed settings to a role."""
 
     def __init__(
         self, role: Reloadable, settings: NodeSettings, read: Callable[[], NodeSettings] = load_settings
     ) -> None:
-        """Reads nothing yet.
+        """Does not read the file yet.
 
         Args:
-            role: Is given the settings when they change.
-            settings: Those that it began with.
+            role: Receives the settings when they change.
+            settings: The settings with which the role was started.
             read: Reads the file; may raise `SettingsError`.
         """
         self._role = role
@@ -38,7 +38,7 @@
         self._read = read
 
     def check(self) -> None:
-        """Reads the file again. One that cannot be used changes nothing."""
+        """Reads the file again. An unusable file is logged and otherwise ignored."""
         try:
             settings = self._read()
         except SettingsError as error:
