--- a/tests/cli/test_curl_transport.py
+++ b/tests/cli/test_curl_transport.py
@@ -1,4 +1,4 @@
-"""The operator client's transport on real sockets: curl may send a call again, unasked; what that means."""
+"""The operator client's transport on real sockets, including automatic retransmission by curl."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Process:
-    """A control process that runs `script`, which accepts connections and answers on them."""
+    """A stand-in for a control process: runs `script`, which accepts connections and responds."""
 
     def __init__(self, script: Callable[[socket.socket], None]) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
@@ -40,15 +40,15 @@
         self._socket.close()
 
 
-def test_a_call_on_a_kept_connection_that_ends_is_sent_again_unchanged_if_at_all() -> None:
-    """So that the state's memory of orders that were taken answers it as the first one."""
+def test_a_call_on_a_closed_persistent_connection_is_only_repeated_unchanged() -> None:
+    """A call that curl repeats must be identical, so that the control state recognises it as a duplicate."""
     calls = []
 
     def script(listening: socket.socket) -> None:
         with listening.accept()[0] as first:
             calls.append(read_call(first))
             answer(first)
-            calls.append(read_call(first))  # and no byte of an answer
+            calls.append(read_call(first))  # closes without a response
         with listening.accept()[0] as second:
             calls.append(read_call(second))
             answer(second)
@@ -62,13 +62,13 @@
 
 
 @pytest.mark.parametrize(
-    "half", [b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{", b"HTTP/1.1 20", b"\0\r\n\r\n"]
+    "incomplete", [b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{", b"HTTP/1.1 20", b"\0\r\n\r\n"]
 )
-def test_an_answer_that_is_not_whole_is_none(half: bytes) -> None:
+def test_an_incomplete_response_counts_as_no_response(incomplete: bytes) -> None:
     def script(listening: socket.socket) -> None:
         with listening.accept()[0] as connection:
             read_call(connection)
-            answer(connection, half)
+            answer(connection, incomplete)
 
     process = Process(script)
     with pytest.raises(NoAnswerError):
@@ -76,7 +76,7 @@
     process.close()
 
 
-def test_a_surplus_answer_is_not_taken_for_that_of_the_next_call() -> None:
+def test_a_surplus_response_is_not_matched_to_the_next_call() -> None:
     def script(listening: socket.socket) -> None:
         with listening.accept()[0] as first:
             read_call(first)
--- a/tests/cli/test_operator_client.py
+++ b/tests/cli/test_operator_client.py
@@ -1,4 +1,4 @@
-"""The operator's client: a call is sent unchanged until it has a clear answer, and never again after one."""
+"""The operator client sends a call unchanged until it gets a definite response, and not again after it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScriptedTransport:
-    """Answers in turn; after the last one no process answers. Time passes only while the client sleeps."""
+    """Returns the answers in turn, then raises NoAnswerError. Time passes only while the client sleeps."""
 
     def __init__(self, *answers: Reply | None) -> None:
         self.answers = list(answers)
@@ -46,7 +46,7 @@
     return Reply(307, b"", location)
 
 
-def test_a_call_without_a_clear_answer_is_sent_unchanged_to_the_other_processes() -> None:
+def test_a_call_without_a_definite_response_is_sent_unchanged_to_the_other_processes() -> None:
     transport = ScriptedTransport(None, Reply(503), Reply(429), Reply(408), Reply(200, b"{}"))
     assert transport.client().call(CALL) == Reply(200, b"{}")
     assert transport.asked == [*ADDRESSES, *ADDRESSES[:2]]
@@ -54,7 +54,7 @@
     assert all(call == CALL for _, call in transport.sent)
 
 
-def test_pauses_grow_so_that_an_overloaded_system_is_not_pressed() -> None:
+def test_pauses_grow_to_avoid_overloading_the_system() -> None:
     transport = ScriptedTransport()
     with pytest.raises(UnclearOutcomeError):
         transport.client().call(CALL)
@@ -90,14 +90,14 @@
     assert all(call == CALL for _, call in transport.sent)
 
 
-def test_processes_that_redirect_in_a_circle_are_left_for_another() -> None:
+def test_a_redirect_loop_is_abandoned_for_another_process() -> None:
     there, back = redirect("http://10.0.0.8:8146/x"), redirect(f"http://{ADDRESSES[0]}/x")
     transport = ScriptedTransport(there, back, there, Reply(200))
     assert transport.client().call(CALL).status == 200
     assert transport.asked[-1] == ADDRESSES[1]
 
 
-def test_a_redirect_to_no_address_is_no_answer() -> None:
+def test_a_redirect_without_an_address_is_retried_like_a_missing_response() -> None:
     transport = ScriptedTransport(redirect("/elsewhere"), Reply(200))
     assert transport.client().call(CALL).status == 200
 
--- a/tests/cli/test_role_commands.py
+++ b/tests/cli/test_role_commands.py
@@ -1,4 +1,4 @@
-"""The command line of the system: roles start light, wrong calls do no work, faulty files are named."""
+"""Commands for roles: minimal imports at start, no work after usage errors, and checks of files."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     "later": "",
 }
 
-# Runs a role whose module is a stand-in that tells what is loaded and whether a SIGHUP would end the process.
+# Runs a role with a stub module that reports the loaded modules and whether SIGHUP is ignored.
 ROLE = """
 import importlib.abc, json, runpy, signal, sys, types
 role = sys.argv[1]
@@ -61,14 +61,14 @@
 
 
 @pytest.mark.parametrize("role", ["edge", "control"])
-def test_a_role_starts_without_the_command_line_and_a_sighup_cannot_end_it(role: str) -> None:
+def test_a_role_starts_without_loading_the_command_line_and_ignores_sighup(role: str) -> None:
     done = subprocess.run(
         [sys.executable, "-c", ROLE, role], cwd=ROOT, text=True, capture_output=True, timeout=3 * PATIENCE
     )
     report = json.loads(done.stdout)
     assert done.returncode == 7
     assert report["ignored"]
-    heavy = {
+    excluded = {
         "click",
         "fire",
         "rich",
@@ -79,11 +79,11 @@
         "larchgw.dispatcher.scheduling.scheduler",
         "larchgw.dispatcher.daemon",
     }
-    assert not heavy & set(report["loaded"])
+    assert not excluded & set(report["loaded"])
     assert set(report["before"]) - {"runpy", "pkgutil"} == {"larchgw", "larchgw.__main__"}
 
 
-def test_a_role_that_is_called_through_the_command_line_runs_too(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_role_can_be_run_through_the_command_line(monkeypatch: pytest.MonkeyPatch) -> None:
     called: list[str] = []
     monkeypatch.setattr(main, "run_role", lambda role: called.append(role) or 3)
     assert (call(["edge"]), call(["control"]), called) == (3, 3, ["edge", "control"])
@@ -116,7 +116,7 @@
         (["--room", "check", "check", "x"], "check"),
     ],
 )
-def test_a_wrong_call_does_no_work(arguments: list[str], word: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_usage_error_does_no_work(arguments: list[str], word: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def work(*_: object) -> int:
         raise AssertionError("it has begun")
 
@@ -130,7 +130,7 @@
     assert "\n" not in str(caught.value)
 
 
-def test_options_without_a_sub_command_are_those_of_serve(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_options_without_a_sub_command_are_passed_to_serve(monkeypatch: pytest.MonkeyPatch) -> None:
     seen: list[tuple[object, object]] = []
     monkeypatch.setattr(daemon, "serve", lambda fronts, room: seen.append((fronts, room)) or 5)
     room = str(ROOT / "deploy/room.toml")
@@ -140,7 +140,9 @@
     assert [held is None for _, held in seen] == [False, False, False, True]
 
 
-def test_options_reach_an_experiment_and_its_broken_rules_the_status(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_options_are_passed_to_an_experiment_and_broken_rules_set_the_exit_status(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     from larchgw.experiments.results import Options, Result
 
     seen: list[Options] = []
@@ -159,7 +161,7 @@
     assert "FIRE" not in printed
 
 
-def test_check_names_faulty_items_of_an_operators_configuration(
+def test_check_reports_invalid_items_of_an_operators_configuration(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     raw = with_value(with_value(EXAMPLE, "routes.0.kind", "batch"), "routes.2.deadline_ms", 0)
@@ -176,7 +178,7 @@
 @pytest.mark.parametrize(
     "order", [["--configuration", "FILE"], ["FILE", "--configuration"], ["--configuration=FILE"]]
 )
-def test_a_file_without_a_known_field_is_a_configuration_if_the_call_says_so(
+def test_a_file_without_known_fields_is_checked_as_a_configuration_on_request(
     order: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = write(tmp_path / "anything", {})
@@ -184,7 +186,7 @@
     assert f"{path}: config_version: is missing" in capsys.readouterr().out
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path: Path) -> None:
+def test_an_unreadable_file_is_reported(tmp_path: Path) -> None:
     missing = tmp_path / "none.json"
     assert [str(fault) for fault in faults_of(missing, True)] == [
         f"{missing}: cannot read it: No such file or directory"
@@ -202,7 +204,7 @@
     assert call(["settings", str(tmp_path / "none")]) == 2
 
 
-def test_a_file_whose_name_reads_like_a_number_is_still_a_file(
+def test_a_file_name_that_looks_like_a_number_is_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -210,13 +212,13 @@
     assert capsys.readouterr().out.startswith("1e3: ")
 
 
-def test_an_unknown_part_to_explore_is_named_with_those_there_are():
+def test_an_unknown_exploration_is_rejected_with_the_list_of_known_ones():
     with pytest.raises(UsageError, match="no part 'nothing'; there are replication"):
         call(["explore", "nothing"])
 
 
 @pytest.mark.parametrize("part", EXPLORATIONS)
-def test_an_exploration_that_finds_a_fault_ends_with_a_status_that_says_so(monkeypatch, part):
+def test_an_exploration_that_finds_an_error_exits_with_status_1(monkeypatch, part):
     asked = []
     monkeypatch.setattr(f"{EXPLORATIONS[part]}.main", lambda *called: asked.append(called) or 1)
     assert call(["explore", part, "--seconds", "5", "--seed", "7"]) == 1
--- a/tests/cli/test_serve_commands.py
+++ b/tests/cli/test_serve_commands.py
@@ -1,4 +1,4 @@
-"""The command line: what runs, what it refuses, and in how many words."""
+"""The command line: accepted and rejected arguments, and the form of error messages."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     )
 
 
-def test_check_names_every_fault_of_a_file_and_the_nearest_known_name(tmp_path: Path) -> None:
+def test_check_reports_every_error_of_a_file_and_the_closest_known_name(tmp_path: Path) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(
         '[gearman]\nlistn = "127.0.0.1:1"\nremember_s = "long"\n[rom]\n[room]\nbox_share = 0.5\n'
@@ -45,7 +45,7 @@
         assert any(f": {field}: " in line and word in line for line in lines), field
 
 
-def test_check_takes_the_files_that_we_ship_and_the_platforms(tmp_path: Path) -> None:
+def test_check_accepts_the_shipped_files_and_those_of_the_platform(tmp_path: Path) -> None:
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()}
     (tmp_path / "c.json").write_text(json.dumps(config))
     done = larchgw("check", "deploy/fronts.toml", "deploy/room.toml", str(tmp_path / "c.json"))
@@ -68,7 +68,7 @@
         ("replan = 0", "replan"),
     ],
 )
-def test_a_figure_out_of_range_is_named(tmp_path: Path, text: str, field: str) -> None:
+def test_a_number_out_of_range_is_reported(tmp_path: Path, text: str, field: str) -> None:
     path = tmp_path / "room.toml"
     path.write_text(f"[room]\n{text}\n")
     found, faults = read(path)
@@ -87,7 +87,7 @@
         (["--room", "x.toml", "check", "x.toml"], "--room"),
     ],
 )
-def test_a_wrong_call_is_one_line_and_status_2(arguments: list[str], word: str) -> None:
+def test_a_usage_error_prints_one_line_and_exits_with_status_2(arguments: list[str], word: str) -> None:
     done = larchgw(*arguments)
     assert done.returncode == 2
     assert done.stderr.count("\n") == 1
@@ -95,13 +95,13 @@
 
 
 def test_without_arguments_nothing_of_the_command_line_is_loaded() -> None:
-    heavy = ("click", "fire", "msgspec", "larchgw.cli", "larchgw.emulator")
-    script = f"import sys, larchgw.dispatcher.daemon; print([m for m in {heavy} if m in sys.modules])"
+    excluded = ("click", "fire", "msgspec", "larchgw.cli", "larchgw.emulator")
+    script = f"import sys, larchgw.dispatcher.daemon; print([m for m in {excluded} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", script], cwd=ROOT, text=True, capture_output=True)
     assert done.stdout.strip() == "[]", done.stderr
 
 
-def test_the_room_experiment_ends_with_its_line_of_figures(tmp_path: Path) -> None:
+def test_the_room_experiment_ends_with_a_line_of_metrics(tmp_path: Path) -> None:
     done = larchgw(
         "lab", "room", "--seeds", "1", "--seconds", "2", "--jobs", "2", "--json", str(tmp_path / "r.json")
     )
--- a/tests/cli/test_system_commands.py
+++ b/tests/cli/test_system_commands.py
@@ -1,4 +1,4 @@
-"""`larchgw system`: exit statuses and lines that people and scripts rely on."""
+"""`larchgw system`: exit statuses and output that operators and scripts rely on."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
     assert capsys.readouterr().err == f"larchgw: refused with 412: {error} (the current version is 7)\n"
 
 
-def test_an_answer_that_is_no_json_is_shown_as_it_is(
+def test_a_response_that_is_not_json_is_shown_unchanged(
     peer: Peer, source: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     peer.answers = [Reply(413, b"too large")]
@@ -99,14 +99,14 @@
     assert "413: too large" in capsys.readouterr().err
 
 
-def test_a_change_that_may_have_been_taken_is_told_apart_from_one_that_was_refused(
+def test_an_unknown_outcome_is_distinguished_from_a_refusal(
     peer: Peer, source: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert call(["system", "config", "replace", source, "--built-on", "0", "--seconds", "0.1"]) == 3
     assert "may have been taken: send the same file again" in capsys.readouterr().err
 
 
-def test_the_configuration_is_printed_whole_and_can_be_sent_again(
+def test_the_complete_configuration_is_printed_and_can_be_submitted_again(
     peer: Peer, capsys: pytest.CaptureFixture[str]
 ) -> None:
     peer.answers = [Reply(200, json.dumps(example()).encode())]
@@ -133,7 +133,7 @@
         (["system", "restore", "x", "--data-dir", "y", "--yes=1"], "--yes"),
     ],
 )
-def test_a_wrong_call_asks_nobody(arguments: list[str], word: str, peer: Peer, source: str) -> None:
+def test_a_usage_error_sends_no_request(arguments: list[str], word: str, peer: Peer, source: str) -> None:
     with pytest.raises(UsageError) as caught:
         call([source if argument == "FILE" else argument for argument in arguments])
     assert word in str(caught.value)
@@ -169,7 +169,7 @@
 
 
 @pytest.fixture
-def nobody_runs(monkeypatch: pytest.MonkeyPatch) -> list[str]:
+def running_processes(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     running: list[str] = []
 
     async def answering(asked: object) -> list[str]:
@@ -179,8 +179,8 @@
     return running
 
 
-def test_a_restore_without_consent_writes_nothing(
-    peer: Peer, source: str, nobody_runs: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_a_restore_without_confirmation_writes_nothing(
+    peer: Peer, source: str, running_processes: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     target = tmp_path / "data"
     assert call(["system", "restore", source, "--data-dir", str(target)]) == 1
@@ -188,18 +188,18 @@
     assert "--yes" in capsys.readouterr().err
 
 
-def test_a_restore_beside_a_running_process_is_refused(
-    peer: Peer, source: str, nobody_runs: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_a_restore_with_a_running_process_is_refused(
+    peer: Peer, source: str, running_processes: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    nobody_runs.append("127.0.0.2:7660")
+    running_processes.append("127.0.0.2:7660")
     target = tmp_path / "data"
     assert call(["system", "restore", source, "--data-dir", str(target), "--yes"]) == 1
     assert not target.exists()
     assert "127.0.0.2:7660" in capsys.readouterr().err
 
 
-def test_a_restore_into_a_folder_that_holds_something_is_refused(
-    peer: Peer, source: str, nobody_runs: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_a_restore_into_a_directory_that_is_not_empty_is_refused(
+    peer: Peer, source: str, running_processes: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     target = tmp_path / "data"
     target.mkdir()
@@ -209,7 +209,7 @@
     assert [path.name for path in target.iterdir()] == ["witness-a"]
 
 
-def test_a_restore_is_refused_while_the_others_would_begin_a_system_of_their_own(
+def test_a_restore_with_first_boot_in_the_settings_is_refused(
     peer: Peer, source: str, tmp_path: Path
 ) -> None:
     settings = tmp_path / "first.json"
@@ -218,8 +218,8 @@
         call(["system", "restore", source, "--data-dir", str(tmp_path / "d"), "--settings", str(settings)])
 
 
-def test_a_restore_writes_a_folder_and_says_how_to_go_on(
-    peer: Peer, source: str, nobody_runs: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_a_restore_writes_a_directory_and_prints_the_next_steps(
+    peer: Peer, source: str, running_processes: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     target = tmp_path / "data"
     assert call(["system", "restore", source, "--data-dir", str(target), "--yes"]) == 0
@@ -227,7 +227,7 @@
     assert "start this control process, then the others with empty data folders" in capsys.readouterr().out
 
 
-def test_a_table_puts_numbers_to_the_right() -> None:
+def test_numeric_columns_are_right_aligned() -> None:
     assert columns(("name", "n"), [("a", 1), ("long-name", 22)]) == [
         "name        n",
         "a           1",
@@ -235,7 +235,7 @@
     ]
 
 
-def test_a_view_tells_who_is_primary_and_who_is_suspect() -> None:
+def test_a_view_shows_the_primary_and_suspected_processes() -> None:
     status = ControlStatus(
         "core-2",
         "b#1",
@@ -251,7 +251,7 @@
         DiskStatus(100, 1, 12, 12, -1, False),
     )
     text = "\n".join(view_lines("10.0.0.2:7660", status))
-    for words in (
+    for fragment in (
         "core-2 at 10.0.0.2:7660: backup, cut off from the majority",
         "epoch 4, primary a",
         "configuration  7, record 12 committed",
@@ -260,7 +260,7 @@
         "free space not told",
         "core-1  control  10.0.0.1:7661  z     suspect",
     ):
-        assert words in text
+        assert fragment in text
 
 
 def test_a_process_without_view_and_configuration_is_shown_as_such() -> None:
@@ -268,16 +268,16 @@
         "c", "c#1", "learner", None, 0, 0, False, [], "", 0, {}, DiskStatus(0, 1, 0, 0, 3 << 20, True)
     )
     text = "\n".join(view_lines("a:1", status))
-    for words in (
+    for fragment in (
         "view           none yet",
         "configuration  none",
         "nobody known",
         "3 MiB free, with reserve",
     ):
-        assert words in text
+        assert fragment in text
 
 
-def test_runners_are_listed_with_what_they_hold_and_what_comes() -> None:
+def test_runners_are_listed_with_held_and_expected_models() -> None:
     record = RunnerRecord(
         "i-1", "s", "10.0.0.5:1", "z", Stage.DRAINING, models=(HeldModel("m", 1, ("a1",)), HeldModel("n"))
     )
--- a/tests/configuration/test_process_settings.py
+++ b/tests/configuration/test_process_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a process: a start that fails over a field nobody needs, and faults that pass unseen."""
+"""Process settings: unneeded or unknown fields must not prevent a start, and errors must be reported."""
 
 from __future__ import annotations
 
--- a/tests/configuration/test_recorded_bytes.py
+++ b/tests/configuration/test_recorded_bytes.py
@@ -1,7 +1,7 @@
-"""Settings files, configurations and orders recorded with an earlier release, read as that release read them.
+"""Compatibility with settings files, configurations and requests recorded with an earlier release.
 
-The names of fields, the packed and canonical_json bytes, the digests that recognise a repeated order and the
-messages for operators are all part of the interface: each must come out as it was recorded.
+Field names, packed and canonical JSON, the digests that identify repeated requests, and the messages for
+operators are part of the interface, and must equal the recorded ones.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def values_of(configuration: Configuration) -> dict[str, Any]:
-    """All fields but `raw`, in their order, as JSON holds them."""
+    """Returns all fields except `raw`, in their order, as JSON values."""
     fields = asdict(configuration)
     del fields["raw"]
     values: dict[str, Any] = json.loads(json.dumps(fields))
@@ -88,7 +88,7 @@
 
 
 def assert_same_json(found: object, expected: object) -> None:
-    """Compares as text: the order of fields and the kinds of numbers count as well."""
+    """Compares as text, so that the order of fields and the types of numbers matter."""
     assert json.dumps(found, indent=1) == json.dumps(expected, indent=1)
 
 
--- a/tests/configuration/test_route_table.py
+++ b/tests/configuration/test_route_table.py
@@ -1,4 +1,4 @@
-"""The route that a request takes: a wrong one is a request run by another service."""
+"""Route look-up: a wrong result would send a request to another service."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def find_linearly(configuration: Configuration, host: str, path: str) -> Route | None:
-    """The definition of what a route table finds."""
+    """Reference implementation of `RouteTable.find`."""
     path = path.split("?")[0]
     matching = [
         route
@@ -66,7 +66,9 @@
     st.sampled_from(["a.example", "b.example", "c.example"]),
     st.lists(st.sampled_from(["", "a", "b", "aa", "a-b", "?"])),
 )
-def test_table_finds_what_a_linear_search_finds(raw: dict[str, Any], host: str, steps: list[str]) -> None:
+def test_table_finds_the_same_route_as_a_linear_search(
+    raw: dict[str, Any], host: str, steps: list[str]
+) -> None:
     configuration = parse_configuration(raw)
     path = "/" + "/".join(steps)
     for asked in (host, host.upper() + ":8144"):
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""What is accepted as a configuration, and that nothing else is."""
+"""Validation of configurations: which ones are accepted, and that all others are rejected."""
 
 from __future__ import annotations
 
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(("path", "value"), WRONG)
-def test_one_wrong_field_is_rejected_and_named(path: str, value: object) -> None:
+def test_an_invalid_field_is_rejected_and_reported(path: str, value: object) -> None:
     with pytest.raises(ConfigurationError) as caught:
         parse_configuration(decode_object(body(with_value(EXAMPLE, path, value))))
     named, wrong = caught.value.field, path.replace(".0", "[0]").replace(".1", "[1]")
@@ -245,7 +245,7 @@
 
 
 @given(configurations(), configurations())
-def test_previous_configuration_does_not_change_what_a_committed_one_says(
+def test_previous_configuration_does_not_affect_a_committed_one(
     before: dict[str, Any], raw: dict[str, Any]
 ) -> None:
     assert (
@@ -286,7 +286,7 @@
 
 @settings(max_examples=60)
 @given(configurations(), st.data())
-def test_body_cut_short_anywhere_is_rejected(raw: dict[str, Any], data: st.DataObject) -> None:
+def test_truncated_body_is_rejected(raw: dict[str, Any], data: st.DataObject) -> None:
     complete = body(raw)
     with pytest.raises(MalformedConfigurationError):
         parse_configuration(decode_object(complete[: data.draw(st.integers(0, len(complete) - 1))]))
@@ -331,7 +331,7 @@
 
 
 @given(configurations())
-def test_plain_reading_of_a_route_gives_what_dacite_gives(raw: dict[str, Any]) -> None:
+def test_fast_path_for_routes_gives_the_same_result_as_dacite(raw: dict[str, Any]) -> None:
     plain = [read_plain_route(route) for route in raw["routes"]]
     by_dacite = [read_route_by_dacite(route, "r", JsonReader()) for route in raw["routes"]]
     assert plain == by_dacite
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -1,6 +1,7 @@
-"""Calls between processes on real sockets: which reply belongs to which call, and what the lack of one says.
+"""RPC calls on real sockets: matching replies to calls, and errors when a reply is missing.
 
-The peer is scripted frame by frame, so that each moment is forced. The rows are those of docs/calls.md.
+The peer is scripted frame by frame, so that the order of events is deterministic. The cases are those of
+docs/calls.md.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 from tests.support.asyncio_tests import on_loop
 from tests.support.edge_stand_ins import soon
 
-LONG_S = 20.0  # that no test waits for
+LONG_S = 20.0  # never reached in a test
 
 
 class PeerConnection:
-    """The called side of one connection: the calls that came, and the replies that the test writes."""
+    """Server side of one connection: received calls, and replies written by the test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self.writer = reader, writer
@@ -55,7 +56,7 @@
 
 
 class ScriptedServer:
-    """Connections that a client has opened."""
+    """Accepts connections and queues them for the test."""
 
     def __init__(self) -> None:
         self._connections: asyncio.Queue[PeerConnection] = asyncio.Queue()
@@ -88,7 +89,7 @@
 
 
 @on_loop
-async def test_replies_in_another_order_reach_their_own_callers() -> None:
+async def test_replies_out_of_order_reach_the_right_callers() -> None:
     async with connected() as (client, peer):
         calls = [start_status_call(client), start_status_call(client), start_status_call(client)]
         connection = await peer.connection()
@@ -99,12 +100,12 @@
 
 
 @on_loop
-async def test_reply_after_its_call_was_given_up_is_dropped() -> None:
+async def test_reply_to_an_abandoned_call_is_dropped() -> None:
     async with connected() as (client, peer):
-        given_up = start_status_call(client)
+        abandoned = start_status_call(client)
         connection = await peer.connection()
         first = await connection.receive_call()
-        given_up.cancel()
+        abandoned.cancel()
         second = start_status_call(client)
         later = await connection.receive_call()
         assert later.sequence != first.sequence
@@ -116,10 +117,10 @@
 
 @pytest.mark.parametrize(("method", "kind"), [("pull", TMessageType.REPLY), ("status", TMessageType.CALL)])
 @on_loop
-async def test_message_that_is_no_reply_to_the_call_of_its_number_ends_the_connection(
+async def test_message_that_does_not_match_the_pending_call_closes_the_connection(
     method: str, kind: int
 ) -> None:
-    """An answer of another method, or our own call come back: TCP may connect a port to itself."""
+    """A reply to another method, or the client's own call echoed: TCP may connect a port to itself."""
     async with connected() as (client, peer):
         call = start_status_call(client)
         connection = await peer.connection()
@@ -154,7 +155,7 @@
 
 
 @on_loop
-async def test_reset_leaves_open_whether_the_call_was_executed_and_nothing_is_sent_again() -> None:
+async def test_reset_leaves_the_outcome_unknown_and_the_call_is_not_retried() -> None:
     async with connected() as (client, peer):
         kept = start_status_call(client)
         connection = await peer.connection()
@@ -174,7 +175,7 @@
 
 
 @on_loop
-async def test_connection_that_the_peer_has_reset_is_opened_anew_for_the_next_call() -> None:
+async def test_client_reconnects_for_the_next_call_after_a_reset_by_the_peer() -> None:
     async with connected() as (client, peer):
         call = start_status_call(client)
         connection = await peer.connection()
@@ -191,7 +192,7 @@
 
 
 @on_loop
-async def test_timeout_leaves_open_whether_the_call_was_executed() -> None:
+async def test_timeout_leaves_the_outcome_unknown() -> None:
     async with connected() as (client, _):
         with pytest.raises(RpcTimeoutError) as timed_out:
             await soon(start_status_call(client, 0.0))
@@ -200,7 +201,7 @@
 
 @on_loop
 async def test_call_whose_client_is_closed_while_it_connects_fails_and_is_not_cancelled() -> None:
-    """A loop that saw itself cancelled would end."""
+    """A caller that received CancelledError would stop, as if it had been cancelled itself."""
     async with connected() as (client, _):
         call = start_status_call(client)
         await asyncio.sleep(0)
--- a/tests/rpc/test_recorded_bytes.py
+++ b/tests/rpc/test_recorded_bytes.py
@@ -1,4 +1,4 @@
-"""Recorded frames of every call and reply: they are read and written as when they were recorded."""
+"""Frames of every call and reply must be encoded to, and decoded from, the recorded bytes."""
 
 from __future__ import annotations
 
--- a/tests/runtime/test_background_tasks.py
+++ b/tests/runtime/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks: run again after a failure, ended by `stop`."""
+"""Background tasks: restart after a failure, and cancellation by `stop`."""
 
 from __future__ import annotations
 
--- a/tests/runtime/test_recorded_bytes.py
+++ b/tests/runtime/test_recorded_bytes.py
@@ -1,4 +1,4 @@
-"""Recorded responses to GET /status and GET /metrics: they stay as when they were recorded."""
+"""Responses to GET /status and GET /metrics must equal the recorded ones."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "runtime"
 STATUS = {"node_name": "core-1", "view": {"epoch": 9, "backups": ["core-2"]}, "isolated": False, "zone": "é"}
 METRICS = b"# HELP larchgw_requests_total Requests\nlarchgw_requests_total 1.0\n"
-PER_RUN_HEADERS = (b"Date:", b"Server:")  # the time, and the version of Tornado
+PER_RUN_HEADERS = (b"Date:", b"Server:")  # current time and Tornado version
 
 
 async def response_to(method: bytes, path: bytes) -> bytes:
-    """The whole response of a server with these two handlers, without the headers that differ by run."""
+    """Returns the full response of a server with these handlers, without headers that vary between runs."""
     application = tornado.web.Application(http_status.rules(lambda: STATUS, lambda: METRICS))
     server = tornado.httpserver.HTTPServer(application)
     sockets = tornado.netutil.bind_sockets(0, "127.0.0.1")
--- a/tests/runtime/test_settings_watch.py
+++ b/tests/runtime/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change while a role runs."""
+"""Reloading settings that change while a role runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RoleStub:
-    """Records the settings that it is given."""
+    """Records the settings passed to `reload`."""
 
     def __init__(self) -> None:
         self.reloaded: list[NodeSettings] = []
@@ -23,14 +23,14 @@
 
 
 class SettingsFile:
-    """A settings file that can be written and broken."""
+    """A settings file that can be changed, or made unreadable with None."""
 
     def __init__(self, settings: NodeSettings | None) -> None:
         self.settings = settings
 
     def read(self) -> NodeSettings:
         if self.settings is None:
-            raise SettingsError("file", "is cut short", "write it whole")
+            raise SettingsError("file", "is truncated", "write the complete file")
         return self.settings
 
 
