--- a/larchgw/rpc/client_connection.py
+++ b/larchgw/rpc/client_connection.py
@@ -105,7 +105,7 @@
             FrameDecodeError: If the message is not a reply, or is a reply to another method.
         """
         if message.kind not in REPLY_KINDS:
-            raise FrameDecodeError(f"expected a reply, got a call of {message.method}")
+            raise FrameDecodeError(f"got a call of {message.method} where a reply was expected")
         call = self._pending.get(message.sequence)
         if call is None:
             return
--- a/larchgw/rpc/server.py
+++ b/larchgw/rpc/server.py
@@ -55,7 +55,7 @@
 
     def _receive_call(self, message: Message) -> None:
         if message.kind not in CALL_KINDS:
-            raise FrameDecodeError(f"expected a call, got a reply of {message.method}")
+            raise FrameDecodeError(f"got a reply of {message.method} where a call was expected")
         task = asyncio.ensure_future(self._serve(message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
