--- a/larchgw/cli/lab.py
+++ b/larchgw/cli/lab.py
@@ -92,7 +92,7 @@
         json: Keeps the result in this file.
     """
     if name not in EXPERIMENTS:
-        raise UsageError(f"lab: no experiment {name!r}; there are {', '.join(sorted(EXPERIMENTS))}")
+        raise UsageError(f"lab: unknown experiment {name!r}; choose one of {', '.join(sorted(EXPERIMENTS))}")
     options = Options(integer("seed", seed), integer("seeds", seeds, 1), decimal("seconds", seconds, 1.0))
     if jobs is not None:
         options.jobs = integer("jobs", jobs, 1)
--- a/larchgw/cli/losses.py
+++ b/larchgw/cli/losses.py
@@ -21,11 +21,11 @@
         files: Output of dispatchers that ran with LARCHGW_LOG=DEBUG; other lines in it are passed over.
     """
     if not files:
-        raise UsageError("losses: name one log at least")
+        raise UsageError("losses: name at least one log file")
     paths = [Path(name) for name in files]
     missing = [path for path in paths if not path.is_file()]
     if missing:
-        raise UsageError(f"losses: no file {missing[0]}")
+        raise UsageError(f"losses: no such file: {missing[0]}")
     return Command(lambda: _print_losses(paths))
 
 
@@ -33,7 +33,7 @@
     counted = count(_requests(paths))
     total = counted.total
     if not total.requests:
-        print("no line request.ended: did the dispatchers run with LARCHGW_LOG=DEBUG?")
+        print("no request.ended events found: were the dispatchers run with LARCHGW_LOG=DEBUG?")
         return 1
     for line in table(_cause_rows(total)):
         print(line)
--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -72,7 +72,7 @@
     while position < len(arguments) and arguments[position].startswith("--"):
         position += 1 if "=" in arguments[position] else 2
     if position < len(arguments):
-        raise UsageError(f"--fronts and --room belong behind serve, not before {arguments[position]}")
+        raise UsageError(f"--fronts and --room must follow serve, not precede {arguments[position]}")
     return ["serve", *arguments]
 
 
--- a/larchgw/cli/system_config.py
+++ b/larchgw/cli/system_config.py
@@ -65,8 +65,8 @@
 def _change_command(path: str, name: str, built_on: str | None, at: str | None, seconds: str) -> Command:
     if built_on is None:
         raise UsageError(
-            "--built-on: give the version that this builds on; `larchgw system config read` "
-            "prints the current one as config_version, 0 is for the first"
+            "--built-on: give the version that this change is based on; `larchgw system config read` "
+            "prints the current one as config_version; use 0 for the first configuration"
         )
     version = integer("built-on", built_on, 0)
     source = file("file", name, exists=True)
--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -58,15 +58,15 @@
         yes: Writes it.
     """
     if data_dir is None:
-        raise UsageError("--data-dir: name the empty data_dir of the process that begins anew")
+        raise UsageError("--data-dir: give the empty data_dir of the process to restore")
     try:
         node_settings = process_settings.load_settings(settings)
     except SettingsError as error:
         raise UsageError(f"--settings: {error}") from None
     if node_settings.first_boot:
         raise UsageError(
-            "first_boot is true in the settings: set it to false on every machine, or the "
-            "others begin a system of their own"
+            "first_boot is true in the settings: set it to false on every machine; otherwise, the "
+            "other processes would start a separate system"
         )
     is_confirmed = flag("yes", yes)
     return Command(lambda: _restore(Path(source), Path(data_dir), node_settings, is_confirmed))
@@ -118,7 +118,7 @@
     print(f"found {restore_module.describe(found)}")
     if not is_confirmed:
         return fail(
-            "nothing was written; add --yes once every control process is stopped for good",
+            "nothing was written; add --yes once all control processes are stopped permanently",
             ExitStatus.REFUSED,
         )
     new_view = plan_forced_view(
--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -92,7 +92,7 @@
         else:
             raise reply
     return (
-        ExitStatus.DONE if answered else fail("no process answered; check the addresses", ExitStatus.UNCLEAR)
+        ExitStatus.DONE if answered else fail("no process responded; check the addresses", ExitStatus.UNCLEAR)
     )
 
 
@@ -104,7 +104,7 @@
             return await show(address)
         except RpcError as error:
             problem = str(error)
-    return fail(f"no process answered: {problem}; check the addresses", ExitStatus.UNCLEAR)
+    return fail(f"no process responded: {problem}; check the addresses", ExitStatus.UNCLEAR)
 
 
 async def _runners(address: str) -> int:
@@ -117,7 +117,7 @@
     if status.placement is None and status.placer:
         status = await status_of(status.placer, placement=True)
     if status.placement is None:
-        return fail("no process places models now; ask again after a lease term", ExitStatus.UNCLEAR)
+        return fail("no process is the placer now; retry after a lease term", ExitStatus.UNCLEAR)
     print("\n".join(placement_lines(status.node_name, status.placement)))
     return ExitStatus.DONE
 
--- a/larchgw/cli/system_trial.py
+++ b/larchgw/cli/system_trial.py
@@ -63,7 +63,7 @@
     if sizes.fault not in FAULTS:
         raise UsageError(f"--fault: name one of {', '.join(FAULTS)}, not {sizes.fault!r}")
     if spec.faults:
-        raise UsageError("--fault: plays one fault; leave --faults out")
+        raise UsageError("--fault: cannot be combined with --faults")
     lengths = Lengths(hold_s=decimal("hold", sizes.hold, 1.0, 300.0))
     site = replace(spec.site, controls=FAULT_CONTROL_PROCESSES)
     return replace(spec, site=site, fault=sizes.fault, lengths=lengths)
