--- a/larchgw/cli/losses.py
+++ b/larchgw/cli/losses.py
@@ -1,4 +1,4 @@
-"""`larchgw losses FILE...`: where the value of requests is lost, from dispatchers' debug lines."""
+"""`larchgw losses FILE...`: attributes lost request value to causes, from dispatchers' debug logs."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from ..experiments.losses import EndedRequest, Group, count, read_requests
 from ..experiments.results import table
-from .command import Command, textual
+from .command import Command, string_arguments
 from .errors import UsageError
 
-MAX_CAUSES = 4  # named in a row of a route, a zone or a window
+MAX_CAUSES = 4  # listed per row of a route, zone or time window
 
 
-@textual
+@string_arguments
 def losses(*files: str) -> Command:
     """Prints which causes cost how much value, in all and by route, zone and window of two seconds.
 
@@ -21,19 +21,19 @@
         files: Output of dispatchers that ran with LARCHGW_LOG=DEBUG; other lines in it are passed over.
     """
     if not files:
-        raise UsageError("losses: name one log at least")
+        raise UsageError("losses: name at least one log file")
     paths = [Path(name) for name in files]
     missing = [path for path in paths if not path.is_file()]
     if missing:
-        raise UsageError(f"losses: no file {missing[0]}")
-    return Command(lambda: _losses(paths))
+        raise UsageError(f"losses: no such file: {missing[0]}")
+    return Command(lambda: _print_losses(paths))
 
 
-def _losses(paths: Sequence[Path]) -> int:
+def _print_losses(paths: Sequence[Path]) -> int:
     counted = count(_requests(paths))
     total = counted.total
     if not total.requests:
-        print("no line request.ended: did the dispatchers run with LARCHGW_LOG=DEBUG?")
+        print("no request.ended events found: were the dispatchers run with LARCHGW_LOG=DEBUG?")
         return 1
     for line in table(_cause_rows(total)):
         print(line)
