--- a/larchgw/fault_injection/__init__.py
+++ b/larchgw/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Links between processes under test: held, cut, delayed, lossy or reset, as a test orders it."""
+"""Faults of the links between processes under test: blocked, delayed, lossy and reset links."""
--- a/larchgw/fault_injection/datagrams.py
+++ b/larchgw/fault_injection/datagrams.py
@@ -1,4 +1,4 @@
-"""A datagram socket whose datagrams are lost or late as their links are."""
+"""A datagram socket that drops and delays datagrams according to the state of their links."""
 
 from __future__ import annotations
 
@@ -10,61 +10,63 @@
 
 
 class LinkedDatagrams(asyncio.DatagramProtocol):
-    """Stands between the socket and the protocol that the program gave it."""
+    """Wraps the program's datagram protocol."""
 
     def __init__(self, inner: asyncio.DatagramProtocol, links: Links) -> None:
-        """`inner` is the program's protocol."""
+        """`inner` is the wrapped protocol."""
         self._inner, self._links = inner, links
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is bound (asyncio's call)."""
+        """See asyncio.DatagramProtocol; passes a wrapped transport on."""
         real = cast(asyncio.DatagramTransport, transport)
         self._inner.connection_made(LinkedDatagramTransport(real, self._links))
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """A datagram has come (asyncio's call)."""
+        """See asyncio.DatagramProtocol."""
         self._inner.datagram_received(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram could not be sent (asyncio's call)."""
+        """See asyncio.DatagramProtocol."""
         self._inner.error_received(exc)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The socket is closed (asyncio's call)."""
+        """See asyncio.DatagramProtocol."""
         self._inner.connection_lost(exc)
 
 
 class LinkedDatagramTransport(asyncio.DatagramTransport):
-    """What the program sends datagrams by."""
+    """Transport that applies the state of a link to each datagram sent."""
 
     def __init__(self, real: asyncio.DatagramTransport, links: Links) -> None:
-        """`real` is the socket's own transport."""
+        """`real` is the transport of the socket."""
         super().__init__()
-        self._real, self._links = real, links
+        self._socket_transport, self._links = real, links
 
     def sendto(self, data: bytes | bytearray | memoryview, addr: Any = None) -> None:
-        """Sends a datagram, late or not at all where the link is so."""
+        """Sends a datagram; delays or drops it according to the link."""
         host = str(addr[0])
-        if self._links.loses(host):
+        if self._links.drops_datagram(host):
             return
-        delay_ms = self._links.of(host).delay_ms
+        delay_ms = self._links.link_to(host).delay_ms
         if delay_ms:
-            asyncio.get_running_loop().call_later(delay_ms * MILLISECOND_S, self._real.sendto, data, addr)
+            asyncio.get_running_loop().call_later(
+                delay_ms * MILLISECOND_S, self._socket_transport.sendto, data, addr
+            )
         else:
-            self._real.sendto(data, addr)
+            self._socket_transport.sendto(data, addr)
 
     def close(self) -> None:
         """Closes the socket."""
-        self._real.close()
+        self._socket_transport.close()
 
     def abort(self) -> None:
         """Closes the socket at once."""
-        self._real.abort()
+        self._socket_transport.abort()
 
     def is_closing(self) -> bool:
-        """Whether it is closing."""
-        return self._real.is_closing()
+        """Whether the socket is closing."""
+        return self._socket_transport.is_closing()
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """See asyncio's, of the socket's own transport."""
-        return self._real.get_extra_info(name, default)
+        """See asyncio.BaseTransport; the answer is that of the socket's transport."""
+        return self._socket_transport.get_extra_info(name, default)
--- a/larchgw/fault_injection/link_controller.py
+++ b/larchgw/fault_injection/link_controller.py
@@ -1,4 +1,4 @@
-"""The test's side: which links between which hosts are held, and the orders that follow from it."""
+"""The test's side of link faults: keeps the state of all links and sends orders to the processes."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 from .loop import ACKNOWLEDGEMENT
 from .orders import HEALTHY, MAX_MESSAGE_BYTES, Link, Order
 
-ACKNOWLEDGE_TIMEOUT_S = 30.0  # that a busy process may take to carry an order out
+ACKNOWLEDGE_TIMEOUT_S = 30.0  # long enough for a busy process to apply an order
 
 
 class LinkController:
-    """Gives orders to the processes of some hosts. A process is attached at each of its starts."""
+    """Controls the links of the processes under test, one per host. `attach` is called at each start."""
 
     def __init__(self) -> None:
-        """No process is attached, and all links are healthy."""
-        self._links: dict[str, dict[str, Link]] = {}  # by the host of the process, then by the other host
+        """Starts without attached processes and with healthy links."""
+        self._links: dict[str, dict[str, Link]] = {}  # by host of the process, then by remote host
         self._sockets: dict[str, socket.socket] = {}
-        self._locks: dict[str, asyncio.Lock] = {}  # one order at a time for each process
+        self._locks: dict[str, asyncio.Lock] = {}  # serialise the orders of each process
 
     def attach(self, host: str) -> socket.socket:
-        """The socket that the process of this host is to inherit; close it here once it has started."""
+        """Returns the socket that the host's process inherits; the caller closes it after the start."""
         self.detach(host)
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         ours.setblocking(False)
         self._sockets[host] = ours
-        ours.send(self._current_order(host).encode())  # read before anything else; there is no answer
+        ours.send(self._current_order(host).encode())  # read before the program starts; not acknowledged
         return theirs
 
     def detach(self, host: str) -> None:
-        """The process of this host has ended."""
+        """Drops the socket to the host's process, which has ended."""
         old = self._sockets.pop(host, None)
         if old is not None:
             old.close()
 
     def close(self) -> None:
-        """Gives no more orders; links stay as they are."""
+        """Closes the sockets of all processes."""
         for host in list(self._sockets):
             self.detach(host)
 
     async def cut(self, senders: Iterable[str], receivers: Iterable[str]) -> None:
-        """Holds all that these processes send to those hosts, in this direction only."""
+        """Holds data from `senders` to `receivers`, in this direction only."""
         await self._order_all(self._hold(senders, receivers, True))
 
     async def heal(self, senders: Iterable[str], receivers: Iterable[str]) -> None:
-        """Lets through again what `cut` holds."""
+        """Ends `cut` for these hosts and delivers the held data."""
         await self._order_all(self._hold(senders, receivers, False))
 
     async def isolate(
@@ -58,21 +58,21 @@
         hold_outgoing: bool = True,
         hold_incoming: bool = True,
     ) -> None:
-        """Cuts a group of hosts from the others: what it sends to them, what they send to it, or both."""
+        """Holds data between a group and the other hosts: from the group, to the group, or both."""
         await self._order_all(self._hold_group(group, others, hold_outgoing, hold_incoming, True))
 
     async def rejoin(self, group: Collection[str], others: Iterable[str]) -> None:
-        """Ends what `isolate` began."""
+        """Ends `isolate` in both directions."""
         await self._order_all(self._hold_group(group, others, True, True, False))
 
     async def impair(self, host: str, others: Iterable[str], delay_ms: float, loss: float) -> None:
-        """Makes what this process sends to those hosts late and its datagrams lossy; zeros end it."""
+        """Sets delay and datagram loss from one host to the others; zeros end both."""
         for other in others:
             self._change_link(host, other, lambda link: replace(link, delay_ms=delay_ms, loss=loss))
         await self._send_order(host)
 
     async def reset(self, host: str, others: Iterable[str]) -> None:
-        """Resets the connections that this process has opened to those hosts."""
+        """Resets the connections that the host's process has opened to the others."""
         await self._send_order(host, tuple(others))
 
     def _hold_group(
@@ -92,9 +92,9 @@
         return changed_hosts
 
     def _hold(self, senders: Iterable[str], receivers: Iterable[str], held: bool) -> set[str]:
-        """Holds or lets through one direction; returns the hosts whose processes need a new order.
+        """Sets the state of one direction; returns the hosts whose processes need a new order.
 
-        What a host sends goes by connections that it opened, and by those that the other one opened.
+        Both ends change, because a host sends on connections opened by itself and by the other host.
         """
         changed_hosts: set[str] = set()
         for sender, receiver in product(senders, list(receivers)):
@@ -115,7 +115,7 @@
         await asyncio.gather(*(self._send_order(host) for host in hosts))
 
     async def _send_order(self, host: str, reset: Iterable[str] = ()) -> None:
-        """Returns once the process has carried the order out, or does not run. Raises TimeoutError."""
+        """Sends the current order; returns once it is applied or if no process runs. Raises TimeoutError."""
         async with self._locks.setdefault(host, asyncio.Lock()):
             sock = self._sockets.get(host)
             if sock is None:
@@ -125,7 +125,10 @@
                 sock.send(self._current_order(host, reset).encode())
                 async with asyncio.timeout(ACKNOWLEDGE_TIMEOUT_S):
                     answer = await loop.sock_recv(sock, MAX_MESSAGE_BYTES)
-            except (BrokenPipeError, ConnectionResetError):  # it has ended; a new one gets it at its start
+            except (
+                BrokenPipeError,
+                ConnectionResetError,
+            ):  # it has ended; its successor gets the order in `attach`
                 return
         if answer not in (ACKNOWLEDGEMENT, b""):
             raise ValueError(f"{host} answered an order with {answer!r}")
--- a/larchgw/fault_injection/links.py
+++ b/larchgw/fault_injection/links.py
@@ -1,4 +1,4 @@
-"""The links of this process, by host, and the listeners to their changes."""
+"""The state of this process's links, and listeners for changes."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class Links:
-    """The links as the last order has set them."""
+    """The links by host, as set by the last order."""
 
     def __init__(self, random_source: random.Random) -> None:
-        """All links are healthy; `random_source` decides which datagrams of a lossy link are lost."""
+        """Starts with healthy links; `random_source` selects the datagrams that lossy links drop."""
         self._random = random_source
         self._links: dict[str, Link] = {}
         self._listeners: set[Callable[[frozenset[str]], None]] = set()
 
-    def of(self, host: str) -> Link:
-        """The link to this host."""
+    def link_to(self, host: str) -> Link:
+        """Returns the link to this host."""
         return self._links.get(host, HEALTHY)
 
     def apply(self, order: Order) -> None:
-        """Carries an order out."""
+        """Applies an order and calls the listeners."""
         self._links = dict(order.links)
         reset = frozenset(order.reset)
         for listener in list(self._listeners):
             listener(reset)
 
-    def listen(self, listener: Callable[[frozenset[str]], None]) -> None:
-        """Calls the listener after each order, with the hosts whose connections are reset."""
+    def add_listener(self, listener: Callable[[frozenset[str]], None]) -> None:
+        """Registers a listener, called after each order with the hosts whose connections are reset."""
         self._listeners.add(listener)
 
-    def forget(self, listener: Callable[[frozenset[str]], None]) -> None:
-        """Calls it no longer."""
+    def remove_listener(self, listener: Callable[[frozenset[str]], None]) -> None:
+        """Unregisters a listener."""
         self._listeners.discard(listener)
 
-    def loses(self, host: str) -> bool:
-        """Whether a datagram that is sent to this host now is lost."""
-        link = self.of(host)
+    def drops_datagram(self, host: str) -> bool:
+        """Decides whether to drop a datagram to this host; may draw a random number."""
+        link = self.link_to(host)
         return link.hold_sent or (link.loss > 0.0 and self._random.random() < link.loss)
--- a/larchgw/fault_injection/loop.py
+++ b/larchgw/fault_injection/loop.py
@@ -1,4 +1,4 @@
-"""An asyncio loop whose connections and datagrams obey links, on orders that come by a socket."""
+"""An asyncio event loop that applies link faults, which a test sets through a socket."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 from .orders import MAX_MESSAGE_BYTES, Order
 from .streams import LinkedProtocol
 
-ACKNOWLEDGEMENT = b"done"  # the answer to an order that has been carried out
+ACKNOWLEDGEMENT = b"done"  # answer to an order that has been applied
 
 
 class LinkedLoop(asyncio.SelectorEventLoop):
-    """Only connections that this process opens are touched: the two ends of a link each obey for their own.
+    """Applies link faults to datagrams and to the connections that this process opens.
 
-    Tornado's streams and curl open sockets of their own and are not seen here.
+    Accepted connections are not affected; the process that opened them applies its own links. Sockets that
+    Tornado's streams and curl open themselves are not affected either.
     """
 
     def __init__(self, links: Links, orders: socket.socket, on_closed: Callable[[], None]) -> None:
-        """Obeys the orders on this socket; `on_closed` is called once its other end is closed."""
+        """Receives orders from `orders`; `on_closed` is called once its other end is closed."""
         super().__init__()
         self._links, self._orders, self._on_closed = links, orders, on_closed
         orders.setblocking(False)
-        self.add_reader(orders.fileno(), self._obey)
+        self.add_reader(orders.fileno(), self._receive_order)
 
     async def create_connection(
         self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **options: Any
     ) -> tuple[Any, Any]:
-        """As asyncio's; it waits for as long as the link is held, and the connection obeys the link."""
+        """See asyncio; waits while the link is held, and applies the link to the connection."""
         if host is None:
             return await super().create_connection(protocol_factory, host, port, **options)
-        await self._until_connects(host)
+        await self._wait_until_connectable(host)
         _, linked = await super().create_connection(
             lambda: LinkedProtocol(protocol_factory(), self._links, host), host, port, **options
         )
@@ -43,27 +44,27 @@
     async def create_datagram_endpoint(
         self, protocol_factory: Callable[[], Any], *args: Any, **options: Any
     ) -> tuple[Any, Any]:
-        """As asyncio's, with datagrams that obey their links."""
+        """See asyncio; applies the links to datagrams."""
         return await super().create_datagram_endpoint(
             lambda: LinkedDatagrams(protocol_factory(), self._links), *args, **options
         )
 
-    async def _until_connects(self, host: str) -> None:
+    async def _wait_until_connectable(self, host: str) -> None:
         changed = asyncio.Event()
 
         def on_change(reset: frozenset[str]) -> None:
             changed.set()
 
-        self._links.listen(on_change)
+        self._links.add_listener(on_change)
         try:
-            while not self._links.of(host).connects:
+            while not self._links.link_to(host).is_connectable:
                 changed.clear()
                 await changed.wait()
         finally:
-            self._links.forget(on_change)
+            self._links.remove_listener(on_change)
 
-    def _obey(self) -> None:
-        """Carries out the order that has come."""
+    def _receive_order(self) -> None:
+        """Receives, applies and acknowledges one order."""
         try:
             message = self._orders.recv(MAX_MESSAGE_BYTES)
         except BlockingIOError:
@@ -85,5 +86,5 @@
         self._links, self._orders, self._on_closed = links, orders, on_closed
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
-        """A loop under these links."""
+        """Returns a loop with these links."""
         return LinkedLoop(self._links, self._orders, self._on_closed)
--- a/larchgw/fault_injection/orders.py
+++ b/larchgw/fault_injection/orders.py
@@ -1,4 +1,4 @@
-"""What a test orders the links of one process to do, and the wire form of such an order (JSON)."""
+"""Orders that set the state of one process's links, and their JSON encoding."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import asdict, dataclass, field
 
-MAX_MESSAGE_BYTES = 65536  # of one message on the wire
+MAX_MESSAGE_BYTES = 65536  # of one encoded order
 
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """How one process reaches one host. The default is a link without faults.
+    """State of the link from one process to one host; by default without faults.
 
-    What is held is kept and delivered later, as with a network that loses packets and retransmits them.
+    Held data is delivered later, as by a network that loses packets and retransmits them.
 
     Attributes:
-        hold_sent: Holds what this process writes; its datagrams are lost.
-        hold_received: Holds what the host answers on connections of this process.
-        delay_ms: Of what this process sends.
-        loss: Share of the datagrams that this process sends.
+        hold_sent: Whether data that this process sends is held; its datagrams are dropped.
+        hold_received: Whether data from the host on connections opened by this process is held.
+        delay_ms: Delay of data that this process sends.
+        loss: Share of the sent datagrams that are dropped.
     """
 
     hold_sent: bool = False
@@ -28,8 +28,8 @@
     loss: float = 0.0
 
     @property
-    def connects(self) -> bool:
-        """Whether a connection can be opened: that takes both directions."""
+    def is_connectable(self) -> bool:
+        """Whether a connection can be opened, which requires both directions."""
         return not (self.hold_sent or self.hold_received)
 
 
@@ -41,26 +41,26 @@
     """The state of all links of one process.
 
     Attributes:
-        links: The links by host; all others are healthy.
-        reset: Hosts whose connections are reset now.
+        links: The links by host; all other links are healthy.
+        reset: Hosts whose connections are reset once, when the order is applied.
     """
 
     links: Mapping[str, Link] = field(default_factory=dict)
     reset: Iterable[str] = ()
 
     def encode(self) -> bytes:
-        """Its form on the wire."""
+        """Returns the order as JSON."""
         links = {host: asdict(link) for host, link in self.links.items()}
         return json.dumps({"links": links, "reset": list(self.reset)}).encode()
 
     @classmethod
     def decode(cls, message: bytes) -> Order:
-        """Reads what `encode` has made.
+        """Decodes the result of `encode`.
 
         Raises:
-            ValueError: It is not JSON.
-            KeyError: A member is missing.
-            TypeError: A member is of another type, or a link has unknown members.
+            ValueError: The message is not JSON.
+            KeyError: A JSON member is missing.
+            TypeError: A JSON member has a wrong type, or a link has unknown members.
         """
         raw = json.loads(message)
         return cls({host: Link(**link) for host, link in raw["links"].items()}, tuple(raw["reset"]))
--- a/larchgw/model_checking/replication/redundancy.py
+++ b/larchgw/model_checking/replication/redundancy.py
@@ -1,8 +1,8 @@
 """Measures the time from a machine's return or replacement to full redundancy.
 
 With full redundancy the next loss is tolerated: every running machine is in sync, 2 * survive + 1 of them are
-witnesses, and no change of the witnesses is in progress. The simulation has links of 1.5 ms and 1 Gbit/s, writes of 5 ms, and a change every
-20 ms. The start-up time of processes is not included.
+witnesses, and no change of the witnesses is in progress. The simulation has links of 1.5 ms and 1 Gbit/s,
+writes of 5 ms, and a change every 20 ms. The start-up time of processes is not included.
 """
 
 from __future__ import annotations
--- a/tests/fault_injection/stand_ins.py
+++ b/tests/fault_injection/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for both ends of a connection under fault injection, and its hosts."""
+"""Test protocol for both ends of a connection under fault injection, with its hosts and links."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Peer(asyncio.Protocol):
-    """Keeps what comes, and how the connection ended."""
+    """Records received data and the loss of the connection."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -35,8 +35,8 @@
         self.lost.append(exc)
         self.changed.set()
 
-    async def until(self, condition: Callable[[], Any]) -> None:
-        """Returns once it holds."""
+    async def wait_until(self, condition: Callable[[], Any]) -> None:
+        """Waits until the condition is true."""
         async with asyncio.timeout(PATIENCE):
             while not condition():
                 self.changed.clear()
@@ -44,5 +44,5 @@
 
 
 def hold(links: Links, link: Link, reset: Iterable[str] = ()) -> None:
-    """Orders this of the link to HOST."""
+    """Sets the link to HOST."""
     links.apply(Order({HOST: link}, reset))
--- a/tests/fault_injection/test_link_controller.py
+++ b/tests/fault_injection/test_link_controller.py
@@ -1,4 +1,4 @@
-"""Orders of the link controller as processes under it see them: cuts, resets and bad links."""
+"""Orders of the link controller and their effect in processes: cuts, resets and impaired links."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def on_linked_loop(scenario: Callable[[LinkController], Coroutine[Any, Any, None]]) -> None:
-    """Runs it in a process that is under the link controller's links as host OTHER."""
+    """Runs a scenario on an event loop whose links are those of host OTHER."""
     link_controller, links = LinkController(), Links(random.Random(1))
     with link_controller.attach(OTHER) as orders:
         links.apply(Order.decode(orders.recv(65536)))
@@ -29,14 +29,14 @@
 
 
 async def serve() -> tuple[asyncio.Server, int, list[Peer]]:
-    """A server, its port and the connections that it took."""
+    """Starts a server; returns it, its port and its accepted connections."""
     peers: list[Peer] = []
 
-    def take() -> Peer:
+    def make_peer() -> Peer:
         peers.append(Peer())
         return peers[-1]
 
-    server = await asyncio.get_running_loop().create_server(take, HOST, 0)
+    server = await asyncio.get_running_loop().create_server(make_peer, HOST, 0)
     return server, server.sockets[0].getsockname()[1], peers
 
 
@@ -50,20 +50,20 @@
             while not peers:
                 await asyncio.sleep(0)
         (peer,) = peers
-        await peer.until(lambda: peer.received == b"before")
+        await peer.wait_until(lambda: peer.received == b"before")
         await link_controller.isolate([OTHER], [HOST, OTHER])
         transport.write(b" during")
         assert peer.transport is not None
         peer.transport.write(b"answer")
         connecting = asyncio.ensure_future(loop.create_connection(Peer, HOST, port))
-        for _ in range(50):  # turns of the loop, in which bytes would come
+        for _ in range(50):  # iterations of the event loop in which data would arrive
             await asyncio.sleep(0)
         assert (peer.received, program.received, connecting.done()) == (b"before", b"", False)
         assert not peer.lost
         assert not program.lost
         await link_controller.rejoin([OTHER], [HOST, OTHER])
-        await peer.until(lambda: peer.received == b"before during")
-        await program.until(lambda: program.received == b"answer")
+        await peer.wait_until(lambda: peer.received == b"before during")
+        await program.wait_until(lambda: program.received == b"answer")
         second, _ = await connecting
         second.close()
         transport.close()
@@ -82,14 +82,14 @@
             while not peers:
                 await asyncio.sleep(0)
         (peer,) = peers
-        await peer.until(lambda: peer.received == b"sent")
+        await peer.wait_until(lambda: peer.received == b"sent")
         assert peer.transport is not None
         peer.transport.write(b"answer")
         for _ in range(50):
             await asyncio.sleep(0)
         assert program.received == b""
         await link_controller.heal([HOST], [OTHER])
-        await program.until(lambda: program.received == b"answer")
+        await program.wait_until(lambda: program.received == b"answer")
         transport.close()
         server.close()
 
@@ -104,7 +104,7 @@
             while not peers:
                 await asyncio.sleep(0)
         await link_controller.reset(OTHER, [HOST])
-        await peers[0].until(lambda: peers[0].lost)
+        await peers[0].wait_until(lambda: peers[0].lost)
         assert isinstance(peers[0].lost[0], ConnectionResetError)
         assert isinstance(program.lost[0], ConnectionResetError)
         server.close()
@@ -113,20 +113,20 @@
 
 
 def orders_of(hold_outgoing: bool, hold_incoming: bool) -> list[dict[str, Link]]:
-    """What two processes of a group and one outside are told when the group is cut off."""
+    """Returns the links sent to a and b, which are isolated as a group, and to c."""
 
     async def scenario() -> list[dict[str, Link]]:
         link_controller = LinkController()
         await link_controller.isolate(["a", "b"], ["a", "b", "c"], hold_outgoing, hold_incoming)
-        told = []
+        link_states = []
         for host in "abc":
             with link_controller.attach(host) as orders:
-                told.append(dict(Order.decode(orders.recv(65536)).links))
+                link_states.append(dict(Order.decode(orders.recv(65536)).links))
         await link_controller.rejoin(["a", "b"], ["a", "b", "c"])
         with link_controller.attach("c") as orders:
             assert Order.decode(orders.recv(65536)).links == {}
         link_controller.close()
-        return told
+        return link_states
 
     return asyncio.run(asyncio.wait_for(scenario(), TEST_TIME))
 
@@ -178,20 +178,24 @@
         with link_controller.attach(OTHER) as orders:
             order = Order.decode(orders.recv(65536))
         assert order.links == {HOST: Link(hold_sent=True, hold_received=True)}
-        await link_controller.rejoin([OTHER], [HOST])  # its process has ended meanwhile: nobody is waited for
+        await link_controller.rejoin(
+            [OTHER], [HOST]
+        )  # its process has ended, so no acknowledgement is awaited
         link_controller.close()
 
     asyncio.run(asyncio.wait_for(scenario(), TEST_TIME))
 
 
 def test_a_process_whose_test_has_ended_is_told_so() -> None:
-    left: list[bool] = []
+    closed_calls: list[bool] = []
     link_controller = LinkController()
     with link_controller.attach(OTHER) as orders:
         orders.recv(65536)
-        loop = LinkedLoop(Links(random.Random(1)), orders, lambda: (left.append(True), loop.stop())[0])
+        loop = LinkedLoop(
+            Links(random.Random(1)), orders, lambda: (closed_calls.append(True), loop.stop())[0]
+        )
         link_controller.close()
         loop.call_later(TEST_TIME, loop.stop)
         loop.run_forever()
         loop.close()
-    assert left == [True]
+    assert closed_calls == [True]
--- a/tests/fault_injection/test_linked_connections.py
+++ b/tests/fault_injection/test_linked_connections.py
@@ -1,4 +1,4 @@
-"""Connections on a faulty link: what is held stays unseen by the peer, and comes later and whole."""
+"""Connections on a faulty link: held data is not visible to the peer, and is delivered later and complete."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class FakeSocket:
-    """A socket that tells its TCP_USER_TIMEOUT."""
+    """A socket with a TCP_USER_TIMEOUT that records the options set."""
 
-    def __init__(self, bound_ms: int) -> None:
-        self._bound_ms = bound_ms
+    def __init__(self, timeout_ms: int) -> None:
+        self._timeout_ms = timeout_ms
         self.options: list[tuple[object, ...]] = []
 
     def getsockopt(self, *option: int) -> int:
-        return self._bound_ms
+        return self._timeout_ms
 
     def setsockopt(self, *option: object) -> None:
         self.options.append(option)
 
 
 class FakeTransport:
-    """What a connection does with its socket."""
+    """Records the calls of a connection to its socket's transport."""
 
-    def __init__(self, bound_ms: int = 0) -> None:
-        self.socket = FakeSocket(bound_ms)
+    def __init__(self, timeout_ms: int = 0) -> None:
+        self.socket = FakeSocket(timeout_ms)
         self.written: list[bytes] = []
         self.reading, self.closed, self.aborted = True, False, False
 
@@ -58,9 +58,9 @@
         return self.socket
 
 
-def connected(bound_ms: int = 0) -> tuple[Links, FakeTransport, Peer, LinkedProtocol]:
-    """A connection to HOST, its socket and the program at its end."""
-    links, real, program = Links(random.Random(1)), FakeTransport(bound_ms), Peer()
+def connected(timeout_ms: int = 0) -> tuple[Links, FakeTransport, Peer, LinkedProtocol]:
+    """Returns the links, the transport, the program and the wrapper of a connection to HOST."""
+    links, real, program = Links(random.Random(1)), FakeTransport(timeout_ms), Peer()
     linked = LinkedProtocol(program, links, HOST)
     linked.connection_made(real)  # type: ignore[arg-type]
     return links, real, program, linked
@@ -117,7 +117,7 @@
     assert program.transport is not None
     hold(links, SENT_HELD)
     program.transport.abort()
-    await program.until(lambda: program.lost)
+    await program.wait_until(lambda: program.lost)
     assert not real.closed
     assert not real.aborted
     linked.data_received(b"late")
@@ -130,11 +130,11 @@
 
 @on_loop
 async def test_bytes_that_stay_unacknowledged_end_the_connection_as_a_kernel_would() -> None:
-    links, real, program, _ = connected(bound_ms=1)
+    links, real, program, _ = connected(timeout_ms=1)
     assert program.transport is not None
     hold(links, SENT_HELD)
     program.transport.write(b"a")
-    await program.until(lambda: program.lost)
+    await program.wait_until(lambda: program.lost)
     (error,) = program.lost
     assert isinstance(error, OSError)
     assert error.errno == errno.ETIMEDOUT
--- a/tests/fault_injection/test_linked_datagrams.py
+++ b/tests/fault_injection/test_linked_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams on a faulty link are lost by its state and by the seed; orders are read as they were written."""
+"""Datagrams on faulty links are dropped by state and seed; orders survive encoding and decoding."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Keeps the transport that it is given."""
+    """Records its transport."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
 
 class FakeDatagramSocket:
-    """Keeps what is sent."""
+    """Records sent datagrams."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[bytes, object]] = []
@@ -46,7 +46,7 @@
     def lost() -> list[bool]:
         links = Links(random.Random(4))
         hold(links, Link(loss=0.5))
-        return [links.loses(HOST) for _ in range(40)]
+        return [links.drops_datagram(HOST) for _ in range(40)]
 
     assert lost() == lost()
     assert 0 < sum(lost()) < 40
