--- a/larchgw/model_checking/operator_calls/fault_injection.py
+++ b/larchgw/model_checking/operator_calls/fault_injection.py
@@ -13,12 +13,7 @@
 from .operators import Operators
 
 CONVERGENCE_S = 8.0  # from the last fault until all calls must be served again
-FAULT_INTERVALS_S = (
-    0.1,
-    0.3,
-    0.8,
-    2.0,
-)  # mean, between two faults; drawn once per run
+FAULT_INTERVALS_S = (0.1, 0.3, 0.8, 2.0)  # mean, between two faults; one is drawn per run
 FIRST_BOOT_S = 0.2
 POLL_INTERVAL_S = 0.001  # between checks for an undecided proposal
 MAX_FAULT_S = 6.0  # after which every fault has ended
--- a/tests/model_checking/test_check_ins.py
+++ b/tests/model_checking/test_check_ins.py
@@ -1,4 +1,4 @@
-"""The exploration of check-ins: bounded runs violate no invariant; every mutant is caught."""
+"""Exploration of check-ins: short runs violate no invariant, and every mutant is caught."""
 
 from __future__ import annotations
 
--- a/tests/model_checking/test_operator_calls.py
+++ b/tests/model_checking/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""The exploration of operator calls: runs violate no invariant; every mutant is caught."""
+"""Exploration of operator calls: runs violate no invariant, and every mutant is caught."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     assert len(first.states) == len(second.states)
 
 
-def sent(version: int, base_version: int, mark: str = "a", is_valid: bool = True) -> SentOrder:
-    body = {"config_version": version, "routes": [], "services": [{"name": mark}]}
+def sent(version: int, base_version: int, service_name: str = "a", is_valid: bool = True) -> SentOrder:
+    body = {"config_version": version, "routes": [], "services": [{"name": service_name}]}
     return SentOrder(OperatorOrder("replace", base_version, json.dumps(body).encode()), version, is_valid)
 
 
@@ -47,30 +47,30 @@
 
 def test_checker_detects_each_kind_of_violation() -> None:
     first, rival, second = sent(1, 0), sent(1, 0, "rival"), sent(3, 1)
-    refused, bad, unknown = sent(5, 3), sent(6, 3, is_valid=False), sent(2, 1, "unseen")
+    rejected, invalid, never_sent = sent(5, 3), sent(6, 3, is_valid=False), sent(2, 1, "unseen")
     checks = InvariantChecker()
-    for order in (first, rival, second, refused, bad):
+    for order in (first, rival, second, rejected, invalid):
         checks.sends(order)
     checks.in_force("a", in_force(first))
     checks.answered(first, 200)
     checks.in_force("a", in_force(first, second))
-    checks.answered(refused, 412)
+    checks.answered(rejected, 412)
     checks.answered(rival, 503)
     checks.read(1, 3)
-    for broken in (
+    for violate in (
         lambda: checks.answered(rival, 200),
         lambda: checks.answered(first, 412),
-        lambda: checks.answered(second, 409),  # in force, though not acknowledged yet
-        lambda: checks.answered(refused, 200),
-        lambda: checks.answered(bad, 200),
+        lambda: checks.answered(second, 409),  # in force, but not acknowledged yet
+        lambda: checks.answered(rejected, 200),
+        lambda: checks.answered(invalid, 200),
         lambda: checks.read(1, 0),
-        lambda: checks.read(1, unknown.version),
+        lambda: checks.read(1, never_sent.version),
         lambda: checks.in_force("b", in_force(rival)),
-        lambda: checks.in_force("b", in_force(first, second, refused)),
-        lambda: checks.in_force("b", in_force(first, second, bad)),
+        lambda: checks.in_force("b", in_force(first, second, rejected)),
+        lambda: checks.in_force("b", in_force(first, second, invalid)),
     ):
         with pytest.raises(InvariantError):
-            broken()
+            violate()
 
 
 def test_last_line_counts_what_was_explored(
--- a/tests/model_checking/test_placement_lease.py
+++ b/tests/model_checking/test_placement_lease.py
@@ -1,4 +1,4 @@
-"""The exploration of the placer's lease: no run violates an invariant, every mutant is caught."""
+"""Exploration of the placer's lease: no run violates an invariant, and every mutant is caught."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 def test_checker_of_orders_detects_each_kind_of_violation() -> None:
     checks = OrderChecker(lease_term_s=3.0, max_loads=2, load_window_s=5.0)
     checks.received("r1", ReceivedOrder(0.0, "a", 5))
-    checks.received("r2", ReceivedOrder(0.5, "b", 7))  # another runner: no turn
+    checks.received("r2", ReceivedOrder(0.5, "b", 7))  # another runner, so the lease term does not apply
     checks.began_store_load(0.0)
     checks.began_store_load(1.0)
     violations: tuple[Callable[[], None], ...] = (
@@ -49,9 +49,9 @@
         lambda: checks.began_store_load(4.9),
         lambda: checks.overfilled("r1"),
     )
-    for broken in violations:
+    for violate in violations:
         with pytest.raises(InvariantError):
-            broken()
+            violate()
 
 
 def test_last_line_counts_orders_and_vacancies(
--- a/tests/model_checking/test_power_loss_after_acknowledgement.py
+++ b/tests/model_checking/test_power_loss_after_acknowledgement.py
@@ -1,7 +1,7 @@
-"""Disks are lost and all other machines lose power, in the moment after a record was acknowledged.
+"""Some disks are lost and all other machines lose power immediately after a record was acknowledged.
 
-As many disks go as the deployment survives. Everything comes back; no acknowledged record may be missing, and
-the members must converge to full redundancy.
+The number of lost disks is the largest that the deployment tolerates. After a restart of all machines no
+acknowledged record may be missing, and the members must return to full redundancy.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 SEEDS = range(4)
 
 FAULTS_S = 4.0
-FAULT_EVERY_S = 0.6
+MEAN_FAULT_INTERVAL_S = 0.6
 CONVERGENCE_LIMIT_S = 4.0  # catch_up_s of the larger deployments is 6 s, of the smaller ones 4 s
 ACKNOWLEDGEMENT_LIMIT_S = 5.0
 MAX_CONCURRENT_CHANGES = 4
 
 
 def run_steadily(cluster: SimulatedCluster) -> None:
-    """First boot, then two to three seconds of changes."""
+    """First boot, and two to three seconds of changes without faults."""
     for address in cluster.machines:
         cluster.start(address, first_boot=True)
     run_with_changes(cluster, cluster.random.uniform(2.0, 3.0))
 
 
 def run_through_faults(cluster: SimulatedCluster) -> None:
-    """A day of faults, after which members, witnesses and addresses differ from those of the first boot."""
-    day = FaultInjector(cluster)
-    day.play(FAULTS_S, FAULT_EVERY_S)
-    day.recover()
+    """Injects faults, after which members, witnesses and addresses differ from those of the first boot."""
+    injector = FaultInjector(cluster)
+    injector.play(FAULTS_S, MEAN_FAULT_INTERVAL_S)
+    injector.recover()
 
 
 def converge(cluster: SimulatedCluster) -> None:
@@ -47,7 +47,7 @@
 
 
 def run_until_acknowledged(cluster: SimulatedCluster) -> int:
-    """Submits changes, some at once, and stops right after an acknowledgement; returns its index."""
+    """Submits concurrent changes until right after an acknowledgement; returns its index."""
     cluster.links.delay_range_s = cluster.random.choice(((0.0005, 0.004), (0.0005, 0.03)))
     cluster.write_s = cluster.random.choice((0.001, 0.01))
     began, acknowledged = cluster.now, cluster.acknowledged
@@ -67,7 +67,7 @@
         cluster.wipe(addresses[number])
 
 
-def start_in_any_order(cluster: SimulatedCluster, addresses: list[str]) -> None:
+def start_in_random_order(cluster: SimulatedCluster, addresses: list[str]) -> None:
     cluster.links.delay_range_s, cluster.write_s = (0.0005, 0.004), 0.001
     for address in cluster.random.sample(addresses, len(addresses)):
         cluster.run(cluster.random.choice((0.0, 0.0, 0.05, 0.5)))
@@ -86,7 +86,7 @@
     addresses = [address for address in cluster.machines if address not in cluster.removed_addresses]
 
     lose_disks_and_power(cluster, addresses, lost)
-    start_in_any_order(cluster, addresses)
+    start_in_random_order(cluster, addresses)
     converge(cluster)
 
     assert len(cluster.running) == len(addresses)
--- a/tests/model_checking/test_redundancy.py
+++ b/tests/model_checking/test_redundancy.py
@@ -1,4 +1,4 @@
-"""From a machine's return or replacement until the next loss may come: well within catch_up_s (4 or 6 s)."""
+"""Full redundancy returns well within catch_up_s (4 or 6 s) after a machine is back or replaced."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     seconds_to_redundancy,
 )
 
-MAX_REDUNDANCY_S = 2.0  # `larchgw explore redundancy` has the distribution
+MAX_REDUNDANCY_S = 2.0  # `larchgw explore redundancy` prints median and worst values
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -1,4 +1,4 @@
-"""The exploration of replication: bounded runs violate no invariant; every mutant is caught."""
+"""Exploration of replication: short runs violate no invariant, and every mutant is caught."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 def test_no_interleaving_of_a_few_steps_violates_an_invariant() -> None:
-    exhaustive = ExhaustiveSearch()
-    exhaustive.explore(max_states=400, until=time.monotonic() + 60.0)
-    assert len(exhaustive.states) >= 400
+    search = ExhaustiveSearch()
+    search.explore(max_states=400, until=time.monotonic() + 60.0)
+    assert len(search.states) >= 400
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_every_mutant_is_caught(mutant: Mutant) -> None:
-    mutant.play(mutant.seed)  # no invariant is violated without the mistake
+    mutant.play(mutant.seed)  # without the mistake no invariant is violated
     assert is_caught(mutant)
 
 
@@ -56,7 +56,7 @@
     checks.holds_lease("a", 2)
     checks.starts_action_under_lease(0.0, "a", "runner-1")
     checks.starts_action_under_lease(0.5, "b", "runner-2")
-    for broken in (
+    for violate in (
         lambda: checks.committed("b", 1, b"other"),
         lambda: checks.acknowledged(2, 1, b"never handed out"),
         lambda: checks.read("b", checks.newest_acknowledged, 0),
@@ -72,7 +72,7 @@
         lambda: checks.starts_action_under_lease(0.6, "a", "runner-2"),
     ):
         with pytest.raises(InvariantError):
-            broken()
+            violate()
 
 
 def test_last_line_counts_what_was_explored(
