--- a/larchgw/model_checking/operator_calls/cluster.py
+++ b/larchgw/model_checking/operator_calls/cluster.py
@@ -1,6 +1,6 @@
-"""Control processes on simulated disks and links; their members, logs and operator calls are the real ones.
+"""Control processes on simulated disks and links, with production code for members, logs and operator calls.
 
-Everything follows from one seed. A frozen process takes nothing in and sends nothing; its timers go on.
+A run is determined by its seed. A frozen process neither receives nor sends anything; its timers go on.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from ...rpc.structs import Argument, Reply
 from ...runtime.rpc_clients import RpcClients
 from ..errors import SimulatedCrashError
-from ..links import CALM_DELAY_S, Links
+from ..links import RELIABLE_DELAY_S, Links
 from ..simulated_disk import SimulatedDisk
 from .invariants import InvariantChecker
 
-COMPACT_RECORDS = 6  # so that snapshots are taken and sent all the time
+COMPACT_RECORDS = 6  # small, so that snapshots are taken and sent frequently
 LEASE_TERM_S = 3.0
 MAX_CLOCK_OFFSET_S = 50.0  # clocks of different machines differ by at most this
 
@@ -41,20 +41,20 @@
     """One incarnation of a control process.
 
     Attributes:
-        is_alive: False from its end on.
-        is_frozen: Whether it stands still, while its timers go on.
-        held: What came, or should go out, while it was frozen.
-        tasks: Calls that it serves.
+        is_alive: False once the process has ended.
+        is_frozen: Whether steps are deferred; timers go on.
+        deferred: Steps and messages to run or send once it is thawed.
+        tasks: Tasks of the calls that it serves.
     """
 
     def __init__(
         self, cluster: SimulatedCluster, address: str, disk: SimulatedDisk, first_boot: bool
     ) -> None:
-        """Takes up the disk; `start` brings the process to work."""
+        """Creates the process on the disk; `start` starts it."""
         self.cluster, self.address, self.disk = cluster, address, disk
         self.is_alive = True
         self.is_frozen = False
-        self.held: list[Callable[[], None]] = []
+        self.deferred: list[Callable[[], None]] = []
         self.tasks: list[asyncio.Task[None]] = []
         self._offset = cluster.random.uniform(0.0, MAX_CLOCK_OFFSET_S)
         self.state = ConfigurationState()
@@ -70,34 +70,34 @@
         )
         self.member = Member(settings, disk.ports(), self.state.snapshot, cluster.random)
         clients = SimulatedClients(self)
-        self.log = ReplicatedLog(self.member, self.state, clients, self._changed, self._clock)
+        self.log = ReplicatedLog(self.member, self.state, clients, self._on_state_changed, self._clock)
         self.calls = OperatorCallRouter(self.member, OperatorService(self.state, self.log), clients)
 
     def _clock(self) -> float:
         return self.cluster.loop.time() + self._offset
 
-    def _changed(self) -> None:
+    def _on_state_changed(self) -> None:
         self.cluster.checks.in_force(self.address, self.state)
 
     def start(self) -> None:
-        """Begins to tick and to take part."""
+        """Starts the log and the periodic tick."""
         self.member.set_contacts(self.cluster.addresses)
         self.log.start()
-        self._changed()
+        self._on_state_changed()
         self._tick()
 
     def _tick(self) -> None:
         if self.is_alive:
             self.cluster.loop.call_later(TICK_S, self._tick)
             if not self.is_frozen:
-                self.do(self.log.tick)
+                self.run_step(self.log.tick)
 
-    def do(self, step: Callable[[], None]) -> None:
-        """Carries out one step of this process, in which it may crash; a frozen one does so later."""
+    def run_step(self, step: Callable[[], None]) -> None:
+        """Runs one step, which may crash the process; defers it while the process is frozen."""
         if not self.is_alive:
             return
         if self.is_frozen:
-            self.held.append(partial(self.do, step))
+            self.deferred.append(partial(self.run_step, step))
             return
         try:
             step()
@@ -106,20 +106,20 @@
         self.cluster.observe(self)
 
     def serve(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Begins to serve a call from outside."""
-        self.do(lambda: self._spawn(call))
+        """Starts a task that serves an incoming call."""
+        self.run_step(lambda: self._spawn(call))
 
     def _spawn(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        task = self.cluster.loop.create_task(self._guarded(call))
+        task = self.cluster.loop.create_task(self._run_until_crash(call))
         self.tasks.append(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.remove(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.cluster.fail(error)
 
-    async def _guarded(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    async def _run_until_crash(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
         try:
             await call()
         except SimulatedCrashError:
@@ -127,11 +127,11 @@
 
     @property
     def has_undecided(self) -> bool:
-        """Whether it is primary and has proposed records that are not committed yet."""
+        """Whether the process is primary and has proposed records that are not committed yet."""
         return self.member.is_primary and self.member.last_index > self.member.committed_index
 
     def digest(self) -> tuple[object, ...]:
-        """Returns what its state comes to, seen from outside."""
+        """Returns a summary of the observable state."""
         member = self.member
         return (
             self.address,
@@ -143,14 +143,14 @@
         )
 
     def end(self) -> None:
-        """Ends the process, and whatever it serves with it."""
+        """Ends the process and cancels the calls that it serves."""
         self.is_alive = False
         for task in list(self.tasks):
             task.cancel()
 
 
 class SimulatedClients(RpcClients):
-    """The rpc clients of one process."""
+    """The RPC clients of one process."""
 
     def __init__(self, process: Process) -> None:
         """Takes the process that calls."""
@@ -171,7 +171,7 @@
         self._caller, self._cluster = caller, caller.cluster
 
     def post(self, method: str, argument: Argument) -> None:
-        """Sends a message of the replication protocol; it may be lost or doubled."""
+        """Sends a message of the replication protocol, which may be lost or duplicated."""
         assert isinstance(argument, PeerMessage)
         message = argument
         copies = 2 if self._cluster.random.random() < self._cluster.links.duplication_rate else 1
@@ -182,8 +182,8 @@
         """Forwards an operator's call.
 
         Raises:
-            RpcTimeoutError: There was no answer in time.
-            RpcConnectionError: The called process ended as it served the call.
+            RpcTimeoutError: No answer came in time.
+            RpcConnectionError: The called process ended while it served the call.
         """
         assert isinstance(argument, OperatorCall)
         call = argument
@@ -197,7 +197,7 @@
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise RpcTimeoutError(f"{self.address}: no answer in {timeout_s:.2f} s") from error
+            raise RpcTimeoutError(f"{self.address}: no answer within {timeout_s:.2f} s") from error
 
     async def _answer(
         self, receiver: Process, call: OperatorCall, future: asyncio.Future[OperatorAnswer]
@@ -205,7 +205,7 @@
         try:
             answer = await receiver.calls.serve_forwarded(call)
         except asyncio.CancelledError:
-            _settle(future, RpcConnectionError("the connection ended"))
+            _settle(future, RpcConnectionError("the called process ended while it served the call"))
             raise
         if self._caller.is_alive:
             self._cluster.transmit(receiver, self._caller.address, lambda caller: _settle(future, answer))
@@ -222,7 +222,7 @@
 
 @dataclass
 class OperatorLinks(Links):
-    """Links between machines, and those to operators, who are never cut off.
+    """Links between machines, and links to operators, which are never partitioned.
 
     Attributes:
         answer_loss_rate: Share of the answers to operators that are lost.
@@ -235,15 +235,15 @@
     """The machines of one run, each with a disk and at most one process.
 
     Attributes:
-        loop: The loop it belongs to, whose time is virtual.
-        survive: How many machines may be lost at a time.
-        processes: Those that run, by their address.
-        states: Different states of the cluster that were seen, as hashes.
-        failed: Done with the first error of a call that is served; ends the run.
+        loop: The event loop, which runs in virtual time.
+        survive: Number of machines whose simultaneous loss is tolerated.
+        processes: Running processes by address.
+        states: Hashes of the distinct states of the cluster.
+        failed: Receives the first error of a served call or of an operator, which ends the run.
     """
 
     def __init__(self, seed: int, machines: int) -> None:
-        """Makes empty machines in the running loop; nothing runs on them yet."""
+        """Creates machines with empty disks and no process in the running loop."""
         self.random = Random(seed)
         self.loop = asyncio.get_running_loop()
         self.checks = InvariantChecker()
@@ -253,13 +253,13 @@
         self.disks = {address: SimulatedDisk() for address in self.addresses}
         self.processes: dict[str, Process] = {}
         self.states: set[int] = set()
-        self._latest_view: View | None = None  # in which a member acted as primary
+        self._latest_view: View | None = None  # the latest in which a member acted as primary
         self.failed: asyncio.Future[None] = self.loop.create_future()
 
     # ---- machines ----
 
     def start(self, address: str, first_boot: bool = False) -> None:
-        """Starts the machine's process, if none runs there."""
+        """Starts the machine's process unless it is running."""
         if address in self.processes:
             return
         try:
@@ -271,7 +271,7 @@
             self.disks[address].lose_power(self.random)
 
     def kill(self, address: str, power: bool = False) -> None:
-        """Ends the process; if the machine loses power, unsynced writes may be lost too."""
+        """Ends the process; with `power`, the machine loses power and unsynced writes may be lost."""
         process = self.processes.pop(address, None)
         if process is not None:
             process.end()
@@ -284,9 +284,9 @@
         self.disks[address] = SimulatedDisk()
 
     def may_lose_a_disk(self) -> bool:
-        """Returns whether one more disk may be lost within what the system survives.
+        """Returns whether the loss of one more disk is tolerated now.
 
-        Those whose successors are not in sync and witnesses yet count as lost.
+        A disk counts as lost until its member is in sync and a witness.
         """
         view = self._latest_view
         if view is None:
@@ -300,37 +300,37 @@
         return len(members) - len(replaced) < self.survive
 
     def crash(self, process: Process) -> None:
-        """Ends a process that has crashed in the middle of a write."""
+        """Ends a process that crashed during a write, half of the time with a power loss."""
         if self.processes.get(process.address) is process:
             self.kill(process.address, power=self.random.random() < 0.5)
 
     def freeze(self, address: str) -> None:
-        """Lets the process stand still."""
+        """Freezes the process, if it is running."""
         if address in self.processes:
             self.processes[address].is_frozen = True
 
     def thaw(self, address: str) -> None:
-        """Lets the process go on with what came meanwhile."""
+        """Thaws the process and runs the deferred steps."""
         process = self.processes.get(address)
         if process is not None and process.is_frozen:
             process.is_frozen = False
-            held, process.held = process.held, []
-            for step in held:
+            deferred, process.deferred = process.deferred, []
+            for step in deferred:
                 step()
 
     @property
     def primaries(self) -> list[str]:
-        """Machines whose process believes to be primary."""
+        """Addresses of the processes that consider themselves primary."""
         return [address for address, process in self.processes.items() if process.member.is_primary]
 
     # ---- links ----
 
     def transmit(self, sender: Process, address: str, step: Callable[[Process], None]) -> None:
-        """Has the process at `address` carry out `step` after a while, unless it is lost on the way."""
+        """Runs `step` in the process at `address` after the link's delay, unless the message is lost."""
         if not sender.is_alive:
             return
         if sender.is_frozen:
-            sender.held.append(partial(self.transmit, sender, address, step))
+            sender.deferred.append(partial(self.transmit, sender, address, step))
             return
         if self.links.is_cut(sender.address, address) or self.random.random() < self.links.loss_rate:
             return
@@ -339,18 +339,18 @@
     def _arrive(self, address: str, step: Callable[[Process], None]) -> None:
         process = self.processes.get(address)
         if process is not None:
-            process.do(partial(step, process))
+            process.run_step(partial(step, process))
 
     async def call(
         self, address: str, operation: str, base_version: int, body: bytes, timeout_s: float
     ) -> OperatorResponse | None:
-        """Makes an operator's call to a machine; returns None where no answer came."""
+        """Makes an operator's call to a machine; returns None if no answer came in time."""
         future: asyncio.Future[OperatorResponse] = self.loop.create_future()
 
         async def serve(process: Process) -> None:
             answer = await process.calls.operator_call(operation, base_version, body)
             if process.is_frozen:
-                process.held.append(partial(self._reply, future, answer))
+                process.deferred.append(partial(self._reply, future, answer))
             else:
                 self._reply(future, answer)
 
@@ -359,7 +359,7 @@
             if process is not None:
                 process.serve(lambda: serve(process))
 
-        self.loop.call_later(self.random.uniform(*CALM_DELAY_S), arrive)
+        self.loop.call_later(self.random.uniform(*RELIABLE_DELAY_S), arrive)
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
@@ -368,12 +368,12 @@
 
     def _reply(self, future: asyncio.Future[OperatorResponse], answer: OperatorResponse) -> None:
         if self.random.random() >= self.links.answer_loss_rate:
-            self.loop.call_later(self.random.uniform(*CALM_DELAY_S), _settle, future, answer)
+            self.loop.call_later(self.random.uniform(*RELIABLE_DELAY_S), _settle, future, answer)
 
     # ---- observations ----
 
     def observe(self, process: Process) -> None:
-        """Counts the state that all processes are in, and notes the view in which this one acts."""
+        """Records the state of all processes, and the view if this process acts as primary."""
         view, newest = process.member.view, self._latest_view
         is_acting = process.member.acting_epoch is not None
         if is_acting and view is not None and (newest is None or view.epoch > newest.epoch):
@@ -381,6 +381,6 @@
         self.states.add(hash(tuple(process.digest() for process in self.processes.values())))
 
     def fail(self, error: BaseException) -> None:
-        """Ends the run with the error of a call that was served, or of an operator."""
+        """Ends the run with the error of a served call or of an operator."""
         if not self.failed.done():
             self.failed.set_exception(error)
--- a/tests/model_checking/test_replication.py
+++ b/tests/model_checking/test_replication.py
@@ -1,4 +1,4 @@
-"""The exploration of replication: bounded runs violate no invariant; every mutant is caught."""
+"""Exploration of replication: short runs violate no invariant, and every mutant is caught."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 def test_no_interleaving_of_a_few_steps_violates_an_invariant() -> None:
-    exhaustive = ExhaustiveSearch()
-    exhaustive.explore(max_states=400, until=time.monotonic() + 60.0)
-    assert len(exhaustive.states) >= 400
+    search = ExhaustiveSearch()
+    search.explore(max_states=400, until=time.monotonic() + 60.0)
+    assert len(search.states) >= 400
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_every_mutant_is_caught(mutant: Mutant) -> None:
-    mutant.play(mutant.seed)  # no invariant is violated without the mistake
+    mutant.play(mutant.seed)  # without the mistake no invariant is violated
     assert is_caught(mutant)
 
 
@@ -54,25 +54,25 @@
     checks.promised("a", 5)
     checks.made_snapshot(7, b"state of 7")
     checks.holds_lease("a", 2)
-    checks.acts_under_lease(0.0, "a", "runner-1")
-    checks.acts_under_lease(0.5, "b", "runner-2")
-    for broken in (
+    checks.starts_action_under_lease(0.0, "a", "runner-1")
+    checks.starts_action_under_lease(0.5, "b", "runner-2")
+    for violate in (
         lambda: checks.committed("b", 1, b"other"),
         lambda: checks.acknowledged(2, 1, b"never handed out"),
         lambda: checks.read("b", checks.newest_acknowledged, 0),
         lambda: checks.acts("b/1", 4),
         lambda: checks.accepted("a", 4),
-        lambda: checks.begins_to_act("a", 4),
+        lambda: checks.becomes_primary("a", 4),
         lambda: checks.installed("b", 7, b"state of 8"),
         lambda: checks.installed("b", 8, b"state of 7"),
         lambda: checks.holds_lease("b", 1),
         lambda: checks.holds_lease("b", 2),
-        lambda: checks.acts_under_lease(2.9, "b", "runner-1"),
-        lambda: checks.acts_under_lease(3.0 + ACTION_DELIVERY_S - 0.01, "b", "runner-1"),
-        lambda: checks.acts_under_lease(0.6, "a", "runner-2"),
+        lambda: checks.starts_action_under_lease(2.9, "b", "runner-1"),
+        lambda: checks.starts_action_under_lease(3.0 + ACTION_DELIVERY_S - 0.01, "b", "runner-1"),
+        lambda: checks.starts_action_under_lease(0.6, "a", "runner-2"),
     ):
         with pytest.raises(InvariantError):
-            broken()
+            violate()
 
 
 def test_last_line_counts_what_was_explored(
