--- a/larchgw/fault_injection/link_controller.py
+++ b/larchgw/fault_injection/link_controller.py
@@ -39,7 +39,7 @@
             old.close()
 
     def close(self) -> None:
-        """Closes the sockets of all processes."""
+        """Stops sending orders: closes the sockets of all processes."""
         for host in list(self._sockets):
             self.detach(host)
 
@@ -128,7 +128,7 @@
             except (
                 BrokenPipeError,
                 ConnectionResetError,
-            ):  # it has ended; its successor gets the order in `attach`
+            ):  # it has ended; `attach` sends the order to the next
                 return
         if answer not in (ACKNOWLEDGEMENT, b""):
             raise ValueError(f"{host} answered an order with {answer!r}")
--- a/larchgw/model_checking/check_ins/invariants.py
+++ b/larchgw/model_checking/check_ins/invariants.py
@@ -58,9 +58,7 @@
         self.states: set[object] = set()
         self._connected_at: dict[tuple[str, str], float] = {}
         self._majority_versions = [MajorityVersion(0.0, 0)]
-        self._violations: list[
-            str
-        ] = []  # collected here and raised by `check`, outside the process under test
+        self._violations: list[str] = []  # raised by `check`, not within the process under test
 
     @property
     def newest_majority_version(self) -> int:
--- a/larchgw/model_checking/operator_calls/invariants.py
+++ b/larchgw/model_checking/operator_calls/invariants.py
@@ -46,9 +46,7 @@
         self._sent: dict[int, list[SentOrder]] = {}  # by requested version
         self._acknowledged: dict[str, SentOrder] = {}  # by digest, in order of first acknowledgement
         self._rejected_digests: set[str] = set()
-        self._applied_by_base: dict[
-            int, SentOrder
-        ] = {}  # base version -> the order in force on top of it, now or earlier
+        self._applied_by_base: dict[int, SentOrder] = {}  # base version -> order put in force on it
         self._in_force: dict[int, SentOrder] = {}  # by version
         self.answers: Counter[int] = Counter()
         self.newest_acknowledged = 0
--- a/larchgw/model_checking/replication/invariants.py
+++ b/larchgw/model_checking/replication/invariants.py
@@ -45,10 +45,10 @@
 
     def acknowledged(self, index: int, version: int, record: bytes) -> None:
         """A proposal based on `version` is acknowledged."""
-        there = self._committed.get(index)
-        if there != record:
+        committed_record = self._committed.get(index)
+        if committed_record != record:
             raise InvariantError(
-                f"{record!r} was acknowledged at index {index}; the committed record is {there!r}"
+                f"{record!r} was acknowledged at index {index}; the committed record is {committed_record!r}"
             )
         other = self._acknowledged_by_base.setdefault(version, record)
         if other != record:
