--- a/larchgw/cli/check.py
+++ b/larchgw/cli/check.py
@@ -85,11 +85,12 @@
 
 @string_arguments
 def check(*files: str, configuration: str = "False") -> Command:
-    """Names every fault of these files as `file: field: what is wrong`; status 2 if there is one.
+    """Prints the errors in the given files as `file: field: problem`; exits with status 2 if there are any.
 
     Args:
-        files: TOML files of ours, PROXY_CONFIG's, configurations of the operator's, settings of a process.
-        configuration: Reads the files as configurations of the operator's, whatever they look like.
+        files: TOML files of this program, files for PROXY_CONFIG, configurations of an operator, or settings
+            files of edge or control processes.
+        configuration: Checks all files as configurations of an operator, regardless of their content.
     """
     forced = configuration != "False"
     # Fire takes the word after the option as its value, so that it may be a file name.
@@ -102,9 +103,9 @@
 
 @string_arguments
 def settings(file: str) -> Command:
-    """Checks the settings file of an edge or control process; status 2 if it cannot be used.
+    """Checks the settings file of an edge or control process; exits with status 2 if it is invalid.
 
     Args:
-        file: What LARCHGW_NODE_FILE names there (JSON).
+        file: Path of the settings file (JSON), the one that LARCHGW_NODE_FILE names for that process.
     """
     return Command(lambda: _report(_settings_faults(Path(file))))
--- a/larchgw/cli/errors.py
+++ b/larchgw/cli/errors.py
@@ -34,6 +34,6 @@
     """
 
     def __init__(self, tried_s: float, last_problem: str) -> None:
-        """Builds the message from both."""
+        """Builds the message from the time and the problem."""
         super().__init__(f"no definite response within {tried_s:g} s; last attempt: {last_problem}")
         self.tried_s, self.last_problem = tried_s, last_problem
--- a/larchgw/cli/explore.py
+++ b/larchgw/cli/explore.py
@@ -18,14 +18,17 @@
 
 @string_arguments
 def explore(name: str, *, seconds: str = "60", seed: str = "1") -> Command:
-    """Explores orders of messages, losses, crashes and power losses; the last line counts states and faults.
+    """Checks a component under varied message orders, message losses, crashes and power failures.
+
+    The last line of the output gives the numbers of states and faults.
 
     Args:
-        name: The part: replication, redundancy (how soon the next loss may come), operator-calls, check-ins
-            (which calls of runners are acknowledged, and who knows), or placement-lease (orders of one placer
-            after the other, and how soon the next one orders).
-        seconds: How long to explore, in real time.
-        seed: Of the random runs.
+        name: Component or property: replication, redundancy (time until another loss is tolerated),
+            operator-calls, check-ins (which calls of runners are acknowledged, and which processes know of
+            them), or placement-lease (orders of successive placers, and the time until the next one issues
+            orders).
+        seconds: Time limit in seconds of real time.
+        seed: Seed of the random runs.
     """
     if name not in EXPLORATIONS:
         raise UsageError(f"explore: no part {name!r}; there are {', '.join(EXPLORATIONS)}")
--- a/larchgw/cli/lab.py
+++ b/larchgw/cli/lab.py
@@ -81,15 +81,15 @@
     jobs: str | None = None,
     json: str | None = None,
 ) -> Command:
-    """Runs an experiment against models; the last line printed is NAME: figure=value ...
+    """Runs an experiment, in most cases a simulation; the last line of the output is NAME: figure=value ...
 
     Args:
         name: The experiment: distribution, mass, membership, place, recovery, room, room-cost or route.
-        seed: The first seed.
-        seeds: Runs of each kind.
-        seconds: Length of a run, in the time that it plays in.
-        jobs: Processes at a time; all cores but one if left out.
-        json: Keeps the result in this file.
+        seed: First of the consecutive seeds.
+        seeds: Number of seeds; each variant runs once per seed.
+        seconds: Duration of a run, in simulated time.
+        jobs: Number of parallel processes; by default, one less than the number of cores.
+        json: File to which the result is written.
     """
     if name not in EXPERIMENTS:
         raise UsageError(f"lab: unknown experiment {name!r}; choose one of {', '.join(sorted(EXPERIMENTS))}")
--- a/larchgw/cli/losses.py
+++ b/larchgw/cli/losses.py
@@ -15,10 +15,10 @@
 
 @string_arguments
 def losses(*files: str) -> Command:
-    """Prints which causes cost how much value, in all and by route, zone and window of two seconds.
+    """Prints the request value lost to each cause, in total and by route, zone and two-second window.
 
     Args:
-        files: Output of dispatchers that ran with LARCHGW_LOG=DEBUG; other lines in it are passed over.
+        files: Logs of dispatchers that ran with LARCHGW_LOG=DEBUG; lines of other kinds are ignored.
     """
     if not files:
         raise UsageError("losses: name at least one log file")
--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -1,4 +1,7 @@
-"""The command line, based on Fire: `larchgw [serve|edge|control|check|settings|try|lab|system]`."""
+"""The command line, based on Fire.
+
+Sub-commands: `larchgw [serve|edge|control|check|settings|losses|try|lab|explore|system]`.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +26,11 @@
 
 @string_arguments
 def serve(*, fronts: str | None = None, room: str | None = None) -> Command:
-    """Serves, as PROXY_CONFIG's file says, until SIGTERM; also what is done without a sub-command.
+    """Runs a dispatcher with the file that PROXY_CONFIG names, until SIGTERM; the default sub-command.
 
     Args:
-        fronts: Where the fronts beside the platform's listen (TOML).
-        room: How room is held for large jobs (TOML); off without it.
+        fronts: Settings file of the optional fronts (TOML); without it, only the platform's front runs.
+        room: File with the settings for reserving capacity for large jobs (TOML); no reservations without it.
     """
     fronts_file, room_file = file("fronts", fronts), file("room", room)
     return Command(lambda: _serve(fronts_file, room_file))
@@ -42,13 +45,13 @@
 
 @string_arguments
 def edge() -> Command:
-    """Carries clients' requests to runners, as the file in LARCHGW_NODE_FILE says, until SIGTERM."""
+    """Forwards clients' requests to runners until SIGTERM; LARCHGW_NODE_FILE names the settings file."""
     return Command(lambda: run_role("edge"))
 
 
 @string_arguments
 def control() -> Command:
-    """Keeps the configuration and the runners, as the file in LARCHGW_NODE_FILE says, until SIGTERM."""
+    """Manages the configuration and the runners until SIGTERM; LARCHGW_NODE_FILE names the settings file."""
     return Command(lambda: run_role("control"))
 
 
--- a/larchgw/cli/system_config.py
+++ b/larchgw/cli/system_config.py
@@ -21,12 +21,12 @@
 
 @string_arguments
 def read(*, at: str | None = None, seconds: str = DEFAULT_RETRY_S) -> Command:
-    """Prints the newest configuration that was acknowledged, as JSON.
+    """Prints the latest acknowledged configuration as JSON.
 
     Args:
-        at: Control processes to ask, HOST:PORT of their control ports, separated by commas; the seeds in
-            LARCHGW_NODE_FILE if left out.
-        seconds: How long to try.
+        at: Control processes to query, as HOST:PORT of their control ports, separated by commas; by default,
+            the seeds in the settings file that LARCHGW_NODE_FILE names.
+        seconds: Time limit for attempts, in seconds.
     """
     client = _client(at, seconds)
     return Command(lambda: _read(client()))
@@ -36,13 +36,15 @@
 def replace(
     file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_RETRY_S
 ) -> Command:
-    """Replaces the configuration by a whole one; status 1 if it was refused, 3 if no clear answer came.
+    """Replaces the whole configuration.
+
+    Exits with status 1 if the system refused it, and 3 if there was no definite response.
 
     Args:
         file: The configuration (JSON).
-        built_on: The version that it builds on; 0 for the first.
+        built_on: Configuration version that it is based on; 0 for the first configuration.
         at: As for read.
-        seconds: How long to try; the same call is sent again until there is a clear answer.
+        seconds: Time limit for attempts, in seconds; the same call is repeated until a definite response.
     """
     return _change_command("/Config.Replace", file, built_on, at, seconds)
 
@@ -51,11 +53,11 @@
 def change(
     file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_RETRY_S
 ) -> Command:
-    """Adds, replaces and removes named items; ends as replace does.
+    """Adds, replaces and removes named items of the configuration; exit statuses as for replace.
 
     Args:
         file: The change (JSON): config_version, add, remove.
-        built_on: The version that it builds on.
+        built_on: Configuration version that it is based on.
         at: As for read.
         seconds: As for replace.
     """
--- a/larchgw/cli/system_disk.py
+++ b/larchgw/cli/system_disk.py
@@ -21,10 +21,10 @@
 
 @string_arguments
 def verify(folder: str) -> Command:
-    """Reads the whole log of a control process; status 1 if what was synced cannot be read back.
+    """Reads the whole log of a control process; exits with status 1 if synced data cannot be read back.
 
     Args:
-        folder: The folder `log` in a data_dir. It is only read; the process may run.
+        folder: The folder `log` in a data_dir. It is not modified; the process may be running.
     """
     path = _folder(folder)
     return Command(lambda: _verify(path))
@@ -32,7 +32,7 @@
 
 @string_arguments
 def dump(folder: str) -> Command:
-    """Prints a line for the snapshot and one for each record of a log.
+    """Prints one line for the snapshot and one for each record of a log.
 
     Args:
         folder: As for verify.
@@ -45,17 +45,18 @@
 def restore(
     source: str, *, data_dir: str | None = None, settings: str | None = None, yes: str = "False"
 ) -> Command:
-    """Writes a data folder with which one control process begins anew, after more was lost than is survived.
+    """Restores one control process after the loss of more control processes than `survive` tolerates.
 
-    Every control process must be stopped, and the data folders of the others empty; see
-    docs/operators-system.md. Without --yes it only tells what it would do.
+    Writes a data folder from which that process bootstraps the system again. All control processes must
+    be stopped, and the data folders of the others must be empty; see docs/operators-system.md. Without
+    --yes, only reports what was found in the source.
 
     Args:
-        source: What is left: a data_dir, its log, a snapshot's file, or a configuration that
+        source: Remaining copy of the data: a data_dir, its log, a snapshot file, or a configuration that
             `larchgw system config read` printed (.json).
-        data_dir: The folder to write, empty or not there: the data_dir of the process that begins anew.
-        settings: The settings file of that process; the one in LARCHGW_NODE_FILE if left out.
-        yes: Writes it.
+        data_dir: Folder to write, which must be empty or absent: the data_dir of the process to restore.
+        settings: Settings file of that process; by default, the one that LARCHGW_NODE_FILE names.
+        yes: Writes the folder.
     """
     if data_dir is None:
         raise UsageError("--data-dir: give the empty data_dir of the process to restore")
--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -22,11 +22,11 @@
 
 @string_arguments
 def view(*, at: str | None = None) -> Command:
-    """Shows what each control process knows: view, configuration, processes, placer, runners, disk.
+    """Shows the status of each control process: view, configuration, processes, placer, runners and disk.
 
     Args:
-        at: Control processes to ask, HOST:PORT of their rpc (the first spare port), separated by commas; the
-            seeds in LARCHGW_NODE_FILE if left out.
+        at: Control processes to query, as HOST:PORT of their RPC port (the first spare port), separated by
+            commas; by default, the seeds in the settings file that LARCHGW_NODE_FILE names.
     """
     rpc_addresses = addresses(at, seed_rpc_addresses)
     return Command(lambda: asyncio.run(_view(rpc_addresses)))
@@ -34,10 +34,10 @@
 
 @string_arguments
 def runners(*, at: str | None = None) -> Command:
-    """Lists the runners with what they hold and what is expected there.
+    """Lists the runners with their loaded models and the loads expected there.
 
     Args:
-        at: As for view; the first that answers is taken.
+        at: As for view; the first process that responds is used.
     """
     rpc_addresses = addresses(at, seed_rpc_addresses)
     return Command(lambda: asyncio.run(_first(rpc_addresses, _runners)))
@@ -45,10 +45,12 @@
 
 @string_arguments
 def placement(*, at: str | None = None) -> Command:
-    """Shows models with demand and holders, orders under way, and how many loads may begin; asks the placer.
+    """Shows models with demand and holders, pending orders, and the number of loads that may start now.
+
+    The status comes from the placer.
 
     Args:
-        at: As for view; the first that answers names the placer.
+        at: As for view; the first process that responds gives the address of the placer.
     """
     rpc_addresses = addresses(at, seed_rpc_addresses)
     return Command(lambda: asyncio.run(_first(rpc_addresses, _placement)))
--- a/larchgw/cli/trial.py
+++ b/larchgw/cli/trial.py
@@ -91,28 +91,29 @@
     fault: str | None = None,
     hold: str = "20",
 ) -> Command:
-    """Starts an emulated fleet, one dispatcher and a mixed load on loopback, and shows what comes of it.
+    """Runs an emulated fleet and one dispatcher under mixed load on loopback, and shows the results.
 
-    With --system: control processes, edges, model runners, clients and an operator instead.
+    With --system, runs control processes, edges, model runners, clients and an operator instead.
 
     Args:
-        seconds: How long.
-        load: Share of what all cores can do.
-        boxes: Boxes in the fleet, 200 at most.
-        seed: Of all that is drawn.
-        faults: A slow box and a restart; with --system (off there unless given), a script of troubles.
-        no_faults: None of these.
-        room: Hold room for large jobs, as this file says.
-        plain: No live table.
-        system: The whole system, judged by its rules.
-        edges: Edges (with --system).
-        runners: Runners of all services (with --system).
-        models: Models (with --system).
-        rate: Requests a second (with --system).
-        folder: Keeps settings, disks and logs of the processes there (with --system).
-        fault: Plays one fault of the control side instead (with --system): cut-off, one-way, race,
-            second-loss, many-changes or answers. Requests come until it is over, whatever --seconds says.
-        hold: Seconds that a process is cut off, or that answers are spoilt (with --fault).
+        seconds: Duration of the load, in seconds.
+        load: Offered load as a fraction of the capacity of all cores in the fleet.
+        boxes: Number of boxes (worker machines) in the fleet, at most 200.
+        seed: Seed of all random choices.
+        faults: Injects faults: a slow box and the restart of another; with --system, a seeded script of
+            faults, which is off by default.
+        no_faults: Injects no faults.
+        room: File with the settings for reserving capacity for large jobs (TOML).
+        plain: Shows no live table.
+        system: Runs the whole system and checks its rules.
+        edges: Number of edges (with --system).
+        runners: Number of runners of all services together (with --system).
+        models: Number of models (with --system).
+        rate: Requests per second (with --system).
+        folder: New folder in which settings, disks and logs of the processes are kept (with --system).
+        fault: Injects one fault scenario instead (with --system): cut-off, one-way, race, second-loss,
+            many-changes or answers. Requests are sent until it is over, regardless of --seconds.
+        hold: Seconds for which a process is cut off, or responses of runners are disturbed (with --fault).
     """
     length = decimal("seconds", seconds, 1.0)
     quiet = flag("no-faults", no_faults)
