--- a/larchgw/dispatcher/assembly.py
+++ b/larchgw/dispatcher/assembly.py
@@ -14,7 +14,7 @@
 from .core import Core
 from .scheduling.interface import ListKind
 from .workers.discovery import Discovery, ListReader
-from .workers.pool import Runners
+from .workers.pool import RunnerPool
 
 RESERVED = 64  # descriptors for the loop, listeners, discovery, logs and what closes slowly
 RUNNER_SHARE = 0.4  # of the descriptors left; the clients' connections have the rest
@@ -49,11 +49,11 @@
         if self.planner:
             self.core.counters.registry.register(RoomFigures(self.planner))
             self.planner.on_bound = self._room_bound
-        self.runners = Runners(self.loop, self.core, config.raw, runner_cap)
+        self.runners = RunnerPool(self.loop, self.core, config.raw, runner_cap)
         self.stopping, self._started = False, clock.now()
         reader = ListReader(config.raw)
         self.discovery = Discovery(
-            self.loop, self.core, config.discovery, reader, self.runners.locate, config.seed
+            self.loop, self.core, config.discovery, reader, self.runners.set_address, config.seed
         )
         if config.known is not None:
             try:
@@ -79,7 +79,7 @@
         self.config = config
         self.share(self.parts)
         self.core.reload(config.settings)
-        self.discovery.move(config.discovery, ListReader(config.raw))
+        self.discovery.reconfigure(config.discovery, ListReader(config.raw))
 
     def share(self, parts: int) -> None:
         """Keeps to its part of the limits."""
--- a/larchgw/dispatcher/hot_restart/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -15,8 +15,8 @@
 from ..core import Attempt, Core, Request
 from ..fronts.platform import PlatformFront
 from ..scheduling.interface import Status
-from ..workers.connection import RunnerLink
-from ..workers.pool import Runners
+from ..workers.connection import RunnerConnection
+from ..workers.pool import RunnerPool
 
 MAX_PACKET = 192 << 10
 MAX_FDS = 2
@@ -51,7 +51,7 @@
     fds = [exchange.channel.descriptor()]
     if out:
         link = out[0].carrier
-        if out != request.attempts[-1:] or not isinstance(link, RunnerLink) or not link.movable():
+        if out != request.attempts[-1:] or not isinstance(link, RunnerConnection) or not link.movable():
             return None
         told |= {"address": link.address, "answer": _text(link.answer_so_far())}
         fds.append(link.connection.sock.fileno())  # type: ignore[union-attr]
@@ -60,7 +60,7 @@
 
 
 def unpack(
-    packet: bytes, socks: list[socket.socket], core: Core, platform: PlatformFront, runners: Runners
+    packet: bytes, socks: list[socket.socket], core: Core, platform: PlatformFront, runners: RunnerPool
 ) -> None:
     """Goes on with a job. KeyError, TypeError, ValueError or IndexError if the packet is not one of `pack`.
 
--- a/larchgw/dispatcher/workers/__init__.py
+++ b/larchgw/dispatcher/workers/__init__.py
@@ -1,1 +1,1 @@
-"""The workers that the dispatcher sends jobs to: discovery, connections, answers, load reports."""
+"""Communication with workers: discovery, connections, responses and load reports."""
--- a/larchgw/dispatcher/workers/attempt_status.py
+++ b/larchgw/dispatcher/workers/attempt_status.py
@@ -1,4 +1,4 @@
-"""What the end of a connection means for the attempt that it carried."""
+"""Maps the outcome of a connection to the status of the attempt that it carried."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ConnectionOutcome.SILENT: Status.TIMEOUT,
     ConnectionOutcome.GIVEN_UP: Status.CANCELLED,
     ConnectionOutcome.WITHDRAWN: Status.MOOT,
-    # Should one of these meet an attempt all the same, it may have run.
+    # Not expected for a connection with an attempt; if one occurs all the same, the attempt may have run.
     ConnectionOutcome.CLOSED: Status.RESET,
     ConnectionOutcome.IDLE: Status.RESET,
     ConnectionOutcome.SLOW: Status.TIMEOUT,
@@ -33,15 +33,15 @@
 
 
 def status_of(ending: ConnectionOutcome, written: bool = True) -> Status:
-    """The scheduler's status of an attempt.
+    """Returns the scheduler's status for an attempt.
 
     Args:
-        ending: How the connection, or the attempt on it, ended.
-        written: Whether the request's last byte had been written.
+        ending: Outcome of the connection, or of the attempt on it.
+        written: Whether the last byte of the request had been written.
     """
     status = _STATUS[ending]
     if not written and status in (Status.RESET, Status.TIMEOUT):
-        return Status.CONNECT_FAILED  # a worker begins with the last byte: without it, the job never ran
+        return Status.CONNECT_FAILED  # workers start only after the last byte, so the job never ran
     if not written and status == Status.CANCELLED:
-        return Status.MOOT  # nor was it the worker's fault
+        return Status.MOOT  # the job never ran, and the worker is not at fault
     return status
--- a/larchgw/dispatcher/workers/connection.py
+++ b/larchgw/dispatcher/workers/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a runner that speaks HTTP: one job or one probe at a time."""
+"""An HTTP connection to a runner, which carries one job or one probe at a time."""
 
 from __future__ import annotations
 
@@ -17,43 +17,47 @@
 from .attempt_status import status_of
 from .load_report import ReportReader
 
-PROBE_TIME = 0.3
-LAST_CHUNK_TIME = 0.5  # after the line that ends an attempt
-# Without a byte of an answer: it had been closed before the request.
-DEAD = (ConnectionOutcome.BROKE, ConnectionOutcome.CUT_SHORT)
-UNUSUAL = (ConnectionOutcome.GARBLED, ConnectionOutcome.STRANGER, ConnectionOutcome.NO_SOCKET)
+PROBE_TIMEOUT_S = 0.3
+LAST_CHUNK_TIMEOUT_S = 0.5  # to receive the end of the response after its final line
+# If no byte of the response was received, the connection had been closed before the request was sent.
+STALE_OUTCOMES = (ConnectionOutcome.BROKE, ConnectionOutcome.CUT_SHORT)
+LOGGED_OUTCOMES = (ConnectionOutcome.GARBLED, ConnectionOutcome.STRANGER, ConnectionOutcome.NO_SOCKET)
 log = structlog.get_logger()
 
 
-class LinkPool(Protocol):
-    """What a connection needs of the pool that it belongs to, and what it tells it."""
+class ConnectionPool(Protocol):
+    """The pool that owns a connection: its shared parts and the notifications that it receives."""
 
     loop: Loop
     core: Core
     reports: ReportReader
 
-    def keep(self, link: RunnerLink) -> None:
-        """It rests, and may be used again."""
+    def release(self, link: RunnerConnection) -> None:
+        """Takes a connection back that is idle and can be reused."""
 
-    def forget(self, link: RunnerLink) -> None:
-        """It is over."""
+    def remove(self, link: RunnerConnection) -> None:
+        """Removes a connection that has been closed."""
 
-    def distrust(self, worker: WorkerId, stood: float) -> None:
-        """A connection that had stood so long was dead, and nobody had told us."""
+    def on_stale_connection(self, worker: WorkerId, idle_s: float) -> None:
+        """Handles that a connection idle for `idle_s` had been closed without notice."""
 
 
-class RunnerLink:
-    """One connection to a runner."""
+class RunnerConnection:
+    """A connection to a runner, and the attempt or probe that it carries."""
 
     def __init__(
-        self, pool: LinkPool, worker: WorkerId, address: tuple[str, int], sock: socket.socket | None = None
+        self,
+        pool: ConnectionPool,
+        worker: WorkerId,
+        address: tuple[str, int],
+        sock: socket.socket | None = None,
     ) -> None:
         self.pool, self.worker, self.address = pool, worker, address
         self.attempt: Attempt | None = None
-        self.probe_at = 0.0  # when a probe was sent; 0: none
+        self.probe_at = 0.0  # time at which the pending probe was sent; 0 if there is none
         self.timer: Deadline | None = None
         self.idle_since = 0.0
-        self.stood = 0.0  # how long it had stood idle before its present request; 0: it is new
+        self.idle_s = 0.0  # idle time before the current request; 0 for a new connection
         self._answer = AnswerReader(self, pool.reports)
         self.connection: Connection | ConnectionOutcome = (
             connect(pool.loop, address, self, WORKERS)
@@ -61,62 +65,62 @@
             else Connection(pool.loop, sock, self, rank=WORKERS)
         )
 
-    # What it carries
+    # Requests
 
     def begin(self, attempt: Attempt) -> None:
         """Sends an attempt."""
-        self._carry(attempt)
-        self._write(self._head(attempt.request) + attempt.request.body)
+        self._set_attempt(attempt)
+        self._write(self._request_head(attempt.request) + attempt.request.body)
 
     def begin_probe(self) -> None:
-        """Asks for a load report."""
+        """Requests a load report."""
         self.probe_at = self.pool.loop.clock.now()
-        self.time(PROBE_TIME, ConnectionOutcome.SILENT)
+        self.set_timeout(PROBE_TIMEOUT_S, ConnectionOutcome.SILENT)
         self._answer.expect(None)
         self._write(
             b"GET /-/load HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (self.address[0].encode(), self.address[1])
         )
 
     def resume(self, attempt: Attempt, answer: bytes) -> None:
-        """Goes on with an attempt that another process wrote, of whose answer it had read so much."""
-        self._carry(attempt)
+        """Continues an attempt that another process sent; `answer` is what it has read of the response."""
+        self._set_attempt(attempt)
         if answer:
             self.on_data(answer)
 
     def answer_so_far(self) -> bytes:
-        """The present answer as it came; whole where `movable`."""
+        """Returns the raw bytes of the current response; complete if `movable`."""
         return bytes(self._answer.raw)
 
     def movable(self) -> bool:
-        """Whether its attempt has been written whole and all of the answer so far is at hand."""
+        """Whether the request is fully written and all response bytes received so far are available."""
         return (
             self.attempt is not None
             and self.attempt.written
             and self._answer.ending is None
-            and self._answer.came <= MAX_RAW
+            and self._answer.received_bytes <= MAX_RAW
             and isinstance(self.connection, Connection)
             and not self.connection.busy()
         )
 
     def written(self) -> bool:
-        """Whether the last byte of the request has gone to the kernel."""
+        """Whether the last byte of the request has been passed to the kernel."""
         return isinstance(self.connection, Connection) and not self.connection.unsent
 
     def unsent(self) -> bool:
-        """Whether it carries an attempt of which no byte is out."""
+        """Whether it carries an attempt of which no byte has been sent."""
         connection = self.connection
         return self.attempt is not None and isinstance(connection, Connection) and connection.connecting
 
-    def _carry(self, attempt: Attempt) -> None:
+    def _set_attempt(self, attempt: Attempt) -> None:
         self.attempt = attempt
         attempt.carrier = self
         self._answer.expect(attempt.request.name)
 
-    def _head(self, request: Request) -> bytes:
+    def _request_head(self, request: Request) -> bytes:
         host = f"{self.address[0]}:{self.address[1]}".encode()
         left = max(int(1000 * (request.give_up_at - self.pool.loop.clock.now())), 1)
         key = b"X-Key: %016x\r\n" % request.key if request.key else b""
-        # Workers drop a repeat by this key alone; where clients give none, the job's own name serves.
+        # Workers detect repeats by this key alone. Without a key from the client, the job's name is used.
         deduplicated = self.pool.core.settings.classes[request.job_class].effect == "deduplicated"
         once = request.once or (request.unique or request.name if deduplicated else b"")
         key += b"Idempotency-Key: %b\r\n" % once if once else b""
@@ -129,53 +133,53 @@
         assert isinstance(self.connection, Connection)
         self.connection.write(data)
 
-    # Its end
+    # Closing
 
-    def time(self, seconds: float, ending: ConnectionOutcome) -> None:
-        """After so many seconds it is over, for this reason."""
+    def set_timeout(self, seconds: float, ending: ConnectionOutcome) -> None:
+        """Ends the connection with this outcome after `seconds`, in place of an earlier timeout."""
         self.pool.loop.deadlines.cancel(self.timer)
         self.timer = self.pool.loop.deadlines.add(
-            self.pool.loop.clock.now() + seconds, lambda: self._over(ending)
+            self.pool.loop.clock.now() + seconds, lambda: self._end(ending)
         )
 
     def close(self) -> None:
-        """It is of no more use. What it carries is not told of it."""
+        """Closes the connection without reporting an outcome for what it carries."""
         self.pool.loop.deadlines.cancel(self.timer)
-        self.pool.forget(self)
+        self.pool.remove(self)
         if isinstance(self.connection, Connection):
             self.connection.close()
 
     def cancel(self) -> bool:
-        """Closes it under its attempt, of which nothing more is heard. Returns whether that was written."""
+        """Closes the connection and drops its attempt without a report. Returns whether it was written."""
         written = self.written()
         self.attempt = None
-        self._answer.disregard()
+        self._answer.ignore_rest()
         self.close()
         return written
 
     def withdraw(self) -> None:
-        """No byte of its attempt is out, and none shall be: it never ran, and the module decides anew."""
+        """Ends an attempt before its first byte is sent: it never ran, and the scheduler decides again."""
         self.pool.core.counters.withdrawn.inc()
-        self._over(ConnectionOutcome.WITHDRAWN)
+        self._end(ConnectionOutcome.WITHDRAWN)
 
-    def _over(self, ending: ConnectionOutcome) -> None:
-        """The connection is of no more use, for this reason."""
+    def _end(self, ending: ConnectionOutcome) -> None:
+        """Closes the connection and reports the outcome of what it carried."""
         written = self.written()
-        if self.stood and self._answer.busy and not self._answer.came and ending in DEAD:
-            self.pool.distrust(self.worker, self.stood)
+        if self.idle_s and self._answer.busy and not self._answer.received_bytes and ending in STALE_OUTCOMES:
+            self.pool.on_stale_connection(self.worker, self.idle_s)
         self.close()
-        self._settle(ending, written)
+        self._report_outcome(ending, written)
 
-    def _settle(self, ending: ConnectionOutcome, written: bool = True) -> None:
-        """Tells the core how the attempt or the probe ended."""
+    def _report_outcome(self, ending: ConnectionOutcome, written: bool = True) -> None:
+        """Reports to the core how the attempt or the probe ended."""
         attempt, self.attempt = self.attempt, None
         answer, status = self._answer, status_of(ending, written)
-        answer.disregard()
+        answer.ignore_rest()
         if self.probe_at:
             latency, self.probe_at = self.pool.loop.clock.now() - self.probe_at, 0.0
             self.pool.core.probed(self.worker, status, latency, answer.report)
         elif attempt is not None:
-            if ending in UNUSUAL:
+            if ending in LOGGED_OUTCOMES:
                 log.warning(
                     "runner.ending",
                     box=self.worker.decode("latin-1"),
@@ -184,7 +188,7 @@
                 )
             self.pool.core.ended(attempt, End(status, answer.result, answer.report, ending.value))
 
-    # From the answer
+    # Callbacks of the answer reader
 
     def on_started(self) -> None:
         if self.attempt is not None:
@@ -194,35 +198,36 @@
         if self.attempt is not None:
             self.pool.core.progress(self.attempt, share)
 
-    # From the connection
+    # Callbacks of the connection
 
     def on_open(self) -> None:
         self.pool.loop.deadlines.cancel(self.timer)
         self.timer = None
-        # It has taken its time: since the decision its worker may drain, its client or its window be gone.
+        # While the connection was being opened, the worker may have begun to drain, the client may have left,
+        # or the time window of the attempt may have passed.
         if self.attempt is not None and not self.pool.core.may_begin(self.attempt):
             self.withdraw()
 
     def on_data(self, data: bytes) -> None:
         answer = self._answer
         if not answer.busy:
-            self._over(ConnectionOutcome.GARBLED)  # an answer that nobody asked for
+            self._end(ConnectionOutcome.GARBLED)  # response without a request
             return
         if not answer.feed(data):
-            self._over(answer.ending or ConnectionOutcome.GARBLED)
+            self._end(answer.ending or ConnectionOutcome.GARBLED)
             return
         ending = answer.ending
         if ending is None:
-            return  # the answer goes on
+            return  # the response is incomplete
         lost = ending in (ConnectionOutcome.GARBLED, ConnectionOutcome.STRANGER) or not self.written()
-        if lost or not (answer.busy or answer.keep):
-            self._over(ending)
+        if lost or not (answer.busy or answer.keep_alive):
+            self._end(ending)
         elif not answer.busy:
-            self.pool.keep(self)  # before the end is told: the next send may want it
-            self._settle(ending)
+            self.pool.release(self)  # first, because reporting the end may start a send that can reuse it
+            self._report_outcome(ending)
         elif self.attempt is not None:
-            self._settle(ending)  # nobody need wait for the last chunk
-            self.time(LAST_CHUNK_TIME, ConnectionOutcome.SLOW)
+            self._report_outcome(ending)  # no need to wait for the last chunk
+            self.set_timeout(LAST_CHUNK_TIMEOUT_S, ConnectionOutcome.SLOW)
 
     def on_written(self) -> None:
         if self.attempt is not None:
@@ -230,8 +235,8 @@
 
     def on_end(self, ending: ConnectionOutcome) -> None:
         if isinstance(self.connection, Connection) and self.connection.connecting:
-            self._over(ending)
+            self._end(ending)
         elif ending is ConnectionOutcome.CLOSED:
-            self._over(ConnectionOutcome.CUT_SHORT)
+            self._end(ConnectionOutcome.CUT_SHORT)
         else:
-            self._over(ending)
+            self._end(ending)
--- a/tests/dispatcher/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -23,7 +23,7 @@
 from larchgw.dispatcher.fronts.platform import PlatformFront
 from larchgw.dispatcher.scheduling.interface import JobClass, Settings, Tenant
 from larchgw.dispatcher.workers import discovery as net_discovery
-from larchgw.dispatcher.workers.pool import Runners
+from larchgw.dispatcher.workers.pool import RunnerPool
 from larchgw.net.loop import Loop
 from larchgw.net.timers import Clock, Deadlines
 from tests.support.stand_ins import (
@@ -94,10 +94,10 @@
     [b"util=0.25,qps=3.1,x0=5.5", b"busy=0.25, rate=3.1, x0=5.5\n", b'{"util": 0.25, "qps": 3.1, "x0": 5.5}'],
 )
 def test_a_report_is_read_from_the_body_that_answers_a_probe(tmp_path: Path, text: bytes) -> None:
-    runners = Runners(None, SimpleNamespace(on_list=[]), {"report": PULLED}, 8)  # type: ignore[arg-type]
-    assert tuple(runners.reports.in_body(text)) == (0.25, 3.1, 5.5)
+    runners = RunnerPool(None, SimpleNamespace(on_list=[]), {"report": PULLED}, 8)  # type: ignore[arg-type]
+    assert tuple(runners.reports.parse_body(text)) == (0.25, 3.1, 5.5)
     for bad in (b"", b"x", b"[1]", b"util=much", b'{"util": {}}', b"\xff\x00", b"7"):
-        assert not any(runners.reports.in_body(bad)), bad
+        assert not any(runners.reports.parse_body(bad)), bad
 
 
 PULLED = {"via": "pull", "fields": ["busy", "rate", "x0"]}
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -24,8 +24,8 @@
 from larchgw.dispatcher.hot_restart import learned, moving
 from larchgw.dispatcher.hot_restart.handover import Handover
 from larchgw.dispatcher.scheduling.interface import Status
-from larchgw.dispatcher.workers.connection import RunnerLink
-from larchgw.dispatcher.workers.pool import Runners
+from larchgw.dispatcher.workers.connection import RunnerConnection
+from larchgw.dispatcher.workers.pool import RunnerPool
 from larchgw.net.exchange import Exchange, ResponseChannel
 from larchgw.net.loop import Loop
 from tests.dispatcher.test_core import RELEASE, SAFE, Desk
@@ -74,7 +74,7 @@
         return 11
 
 
-class StartedLink(RunnerLink):
+class StartedLink(RunnerConnection):
     """A worker's connection with the begin of an answer."""
 
     def __init__(self) -> None:
@@ -299,7 +299,7 @@
             [client, at_worker],
             desk.core,
             cast(PlatformFront, adopted),
-            cast(Runners, adopted),
+            cast(RunnerPool, adopted),
         )
     (request,) = desk.core.receive.open.values()
     assert adopted.client == (client, b"POST", b"/release?x=1", True)
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -15,8 +15,8 @@
 from larchgw.dispatcher.core import Core
 from larchgw.dispatcher.scheduling.interface import JobClass, Settings, Status
 from larchgw.dispatcher.workers import discovery as net_discovery
-from larchgw.dispatcher.workers.connection import RunnerLink
-from larchgw.dispatcher.workers.pool import Runners
+from larchgw.dispatcher.workers.connection import RunnerConnection
+from larchgw.dispatcher.workers.pool import RunnerPool
 from larchgw.net import client_connection
 from larchgw.net.connection_outcome import ConnectionOutcome
 from larchgw.net.http_server import Exchange, HttpServer
@@ -277,9 +277,9 @@
     core = SimpleNamespace(on_list=[], probed=lambda *told: probed.append(told))
     told = {"report": {"via": "pull", "fields": ["busy", "x0"]}, "allowed": {}}
     loop = Loop(Clock(), Deadlines())
-    pool = Runners(loop, core, told, 8)  # type: ignore[arg-type]
+    pool = RunnerPool(loop, core, told, 8)  # type: ignore[arg-type]
     ours, theirs = socket.socketpair()
-    link = RunnerLink(pool, b"s-1", ("127.0.0.1", 1), ours)
+    link = RunnerConnection(pool, b"s-1", ("127.0.0.1", 1), ours)
     pool.links.add(link)
     link.begin_probe()
     link.on_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
--- a/tests/dispatcher/test_worker_answer.py
+++ b/tests/dispatcher/test_worker_answer.py
@@ -70,9 +70,20 @@
     assert feed(answer, data, piece)
     assert told.signs == ["started", 0.25, 0.0]
     assert (answer.ending, answer.result, answer.report) == (ConnectionOutcome.DONE, b"made", [0.75, 1.0])
-    assert (answer.busy, answer.keep, bytes(answer.raw), answer.came) == (False, True, data, len(data))
+    assert (answer.busy, answer.keep_alive, bytes(answer.raw), answer.received_bytes) == (
+        False,
+        True,
+        data,
+        len(data),
+    )
     answer.expect(b"j")
-    assert (answer.busy, answer.ending, answer.result, answer.report, answer.came) == (True, None, b"", (), 0)
+    assert (answer.busy, answer.ending, answer.result, answer.report, answer.received_bytes) == (
+        True,
+        None,
+        b"",
+        (),
+        0,
+    )
     assert feed(answer, whole(503, more=b"X-Not-Run: 1\r\n"), piece)
     assert answer.ending is ConnectionOutcome.TURNED_AWAY
     assert not answer.busy
@@ -113,7 +124,7 @@
     assert answer.feed(chunked(line("done", result="first"), line("failed"), last=b""))
     assert answer.busy
     assert answer.ending is ConnectionOutcome.DONE
-    answer.disregard()
+    answer.ignore_rest()
     assert answer.feed(b"%x\r\n%b\r\n0\r\n\r\n" % (len(line("started")), line("started")))
     assert (answer.busy, answer.ending, answer.result, told.signs) == (
         False,
@@ -165,7 +176,7 @@
     assert answer.feed(data[:100])
     assert answer.raw == data[:100]
     assert answer.feed(data[100:])
-    assert answer.came == len(data) > MAX_RAW > len(answer.raw)
+    assert answer.received_bytes == len(data) > MAX_RAW > len(answer.raw)
 
 
 def test_a_connection_is_trusted_for_less_after_one_that_stood_as_long_was_dead_and_regains_it() -> None:
