--- a/larchgw/dispatcher/assembly.py
+++ b/larchgw/dispatcher/assembly.py
@@ -1,4 +1,4 @@
-"""Puts a dispatcher's parts together, for the daemon and for the middleware alike."""
+"""Assembles the components of a dispatcher, for the daemon and for the WSGI middleware."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 from .workers.discovery import Discovery, ListReader
 from .workers.pool import RunnerPool
 
-RESERVED = 64  # descriptors for the loop, listeners, discovery, logs and what closes slowly
-RUNNER_SHARE = 0.4  # of the descriptors left; the clients' connections have the rest
-OWN_MB = 24  # memory of the program with no request in it, and a little
-BODY_SHARE = 0.2  # of the memory left
-ASK_FIRST = 1.0  # seconds that discovery has at a start before the list from before the start is used
+RESERVED = 64  # descriptors for the loop, listeners, discovery, logs and lingering connections
+RUNNER_SHARE = 0.4  # of the remaining descriptors; client connections get the rest
+OWN_MB = 24  # memory of the program without requests, plus a small margin
+BODY_SHARE = 0.2  # of the remaining memory
+DISCOVERY_HEAD_START_S = (
+    1.0  # seconds for discovery to answer at start-up before the list from the configuration is used
+)
 log = structlog.get_logger()
 
 
 class Node:
-    """Loop, core, discovery and the transport to HTTP runners."""
+    """The event loop, the core, discovery and the transport to HTTP runners."""
 
     def __init__(self, config: Config, room: RoomSettings | None = None) -> None:
         self.config = config
         self.planner = Planner(config.settings, room) if room else None
         clock, deadlines = Clock(), Deadlines()
         self.loop = Loop(clock, deadlines)
-        self.parts = 1  # processes that share the limits
-        self.client_cap, runner_cap = _caps(config)
+        self.parts = 1  # number of processes that share the limits
+        self.client_cap, runner_cap = _connection_limits(config)
         self.body_cap = _body_cap(config)
         self.core = Core(
             config.settings,
@@ -45,7 +47,7 @@
             self.planner or NOTHING_HELD,
         )
         self.loop.counters = self.core.counters
-        self._bitten: set[str] = set()
+        self._logged_bounds: set[str] = set()
         if self.planner:
             self.core.counters.registry.register(RoomFigures(self.planner))
             self.planner.on_bound = self._room_bound
@@ -63,18 +65,24 @@
             self.discovery.apply(known, ListKind.CACHED)
 
     def start(self) -> None:
-        """Call it once all transports are added."""
-        self.core.add_transport(self.runners)  # last: it also tells of boxes that nothing speaks to
+        """Starts discovery. Call it after all other transports have been added."""
+        self.core.add_transport(
+            self.runners
+        )  # last, because it also reports workers that no transport reaches
         self.discovery.start()
 
     def _room_bound(self, name: str) -> None:
-        """Once for each bound: the counter tells how often."""
-        if name not in self._bitten:
-            self._bitten.add(name)
+        """Logs the first time that each bound takes effect; a counter has the number of times."""
+        if name not in self._logged_bounds:
+            self._logged_bounds.add(name)
             log.warning("cap.room", setting=name)
 
     def reload(self, config: Config) -> None:
-        """Takes another configuration, or changes nothing: ConfigError for what only a start can change."""
+        """Applies a new configuration.
+
+        Raises:
+            ConfigError: It changes something that needs a restart; nothing has been applied.
+        """
         check_reload(self.config, config)
         self.config = config
         self.share(self.parts)
@@ -82,26 +90,27 @@
         self.discovery.reconfigure(config.discovery, ListReader(config.raw))
 
     def share(self, parts: int) -> None:
-        """Keeps to its part of the limits."""
+        """Divides the limits by the number of processes that share them."""
         self.parts = parts
-        self.client_cap, runner_cap = _caps(self.config, parts)
+        self.client_cap, runner_cap = _connection_limits(self.config, parts)
         self.body_cap = _body_cap(self.config, parts)
         self.core.admit.max_open, self.core.admit.max_body_bytes = 2 * self.client_cap, self.body_cap
         self.runners.configure(self.config.raw, runner_cap)
 
     def ready(self) -> bool:
-        """Whether new requests are welcome."""
+        """Whether new requests are accepted."""
         return not self.stopping and self._known() and bool(self.core.boxes.listed or self.core.boxes.joined)
 
     def _known(self) -> bool:
-        """Whether the list may be used.
+        """Whether the list of workers may be used.
 
-        What the agent of pushed lists holds counts as told from our first moment, and the list that we start
-        from may be older: it serves only once the agent has been silent for a while.
+        If lists are pushed, what the local agent holds counts as known to us from our start, and the list in
+        the configuration may be older. So that list is used only if the agent has not answered within
+        DISCOVERY_HEAD_START_S.
         """
         if self.core.settings.must_subscribe or self.discovery.asked:
             return True
-        return self.loop.clock.now() - self._started > ASK_FIRST
+        return self.loop.clock.now() - self._started > DISCOVERY_HEAD_START_S
 
     def close(self) -> None:
         self.discovery.stop()
@@ -109,26 +118,26 @@
         self.loop.close()
 
 
-def _caps(config: Config, parts: int = 1) -> tuple[int, int]:
-    """How many connections clients and runners may have."""
+def _connection_limits(config: Config, parts: int = 1) -> tuple[int, int]:
+    """Returns the connection limits for clients and for runners."""
     sockets = config.sockets // parts
     free = sockets - min(RESERVED, sockets // 4)
     return int((1 - RUNNER_SHARE) * free), int(RUNNER_SHARE * free)
 
 
 def _body_cap(config: Config, parts: int = 1) -> int:
-    """Bytes of bodies that may be held: one such share for what is still coming in, one for open requests.
+    """Returns the limit in bytes for request bodies; it applies separately to incoming and to open requests.
 
-    Those of an open one are held a second time while they are written to a box; answers need as much again.
+    The body of an open request is held twice while it is written to a worker; answers need as much again.
     """
     return int(max(config.memory_mb / parts - OWN_MB, 4) * BODY_SHARE * (1 << 20))
 
 
 def wake_on_signals(loop: Loop) -> None:
-    """Lets signals end the loop's wait; `Loop.on_signal` gets their numbers."""
+    """Makes signals wake the loop, which passes their numbers to `Loop.on_signal`."""
 
     def nothing(number: int, frame: object) -> None:
-        """The number comes through the pipe."""
+        """Does nothing: the signal's number arrives through the wake-up descriptor."""
 
     signal.set_wakeup_fd(loop.wakeup_socket.fileno(), warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
--- a/larchgw/dispatcher/cordon_file.py
+++ b/larchgw/dispatcher/cordon_file.py
@@ -1,4 +1,4 @@
-"""Workers taken out by hand, kept in a file: they stay out when this process does not."""
+"""Stores the workers that operators have taken out of service, so that they stay out after a restart."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class BanFile:
-    """Worker ids and when each was taken out. Without a folder nothing is kept."""
+    """A file of worker ids and the time at which each was taken out. Without a folder nothing is stored."""
 
     def __init__(self, folder: str | None, name: str) -> None:
         self._path = Path(folder) / f"larchgw-{name.encode().hex()}.bans" if folder else None
@@ -32,7 +32,11 @@
             return {}
 
     def save(self, bans: dict[WorkerId, float]) -> None:
-        """Whole or not at all; OSError if it cannot be."""
+        """Replaces the file atomically.
+
+        Raises:
+            OSError: The file cannot be written.
+        """
         if self._path is None:
             return
         fresh = self._path.with_suffix(f".{os.getpid()}")
--- a/larchgw/dispatcher/daemon.py
+++ b/larchgw/dispatcher/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one node behind its fronts, with its signals, its start and its end in good order."""
+"""The daemon: a node with its fronts, signal handling, start-up and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
 from .hot_restart.handover import Handover
 from .scheduling.interface import WorkerId
 
-# After SIGTERM clients still come for a while, and use the connections that they have: the other dispatchers
-# may be down just then. Whoever is let in must be answered before SIGKILL. That comes no sooner than the
-# longest deadline (LONGEST_GRACE at most) and 0.7 s more, so jobs taken from then on have until END_MARGIN
-# before it; the decision module refuses at once what cannot be done by then.
+# After SIGTERM the daemon accepts connections and requests for a while, because the other dispatchers may be
+# down at that moment. Every accepted job must be answered before SIGKILL, which comes no earlier than the
+# longest deadline (at most LONGEST_GRACE) plus GRACE_MORE after SIGTERM. So jobs accepted after SIGTERM must
+# end END_MARGIN before that; the scheduler refuses at once those that cannot.
 ACCEPT_AT_LEAST, ACCEPT_QUIET, ACCEPT_AT_MOST = 0.5, 0.3, 2.0
 LONGEST_GRACE, GRACE_MORE, END_MARGIN = 3.0, 0.7, 0.3
 STEP = 0.05
-GEARMAN_SHARE = 0.4  # of the connections from clients, where that front is on
+GEARMAN_SHARE = 0.4  # of the client connections, if the Gearman front is enabled
 log = structlog.get_logger()
 
 
 class Daemon:
-    """One node behind its fronts."""
+    """A node with its fronts, signal handling and shutdown."""
 
     def __init__(
         self, settings: startup.Config, fronts: startup.Fronts, room: RoomSettings | None = None
     ) -> None:
         self.node = node = Node(settings, room)
         loop, core = node.loop, node.core
-        wake_on_signals(loop)  # before anybody can learn that we are here: unhandled, SIGHUP would end us
+        wake_on_signals(loop)  # first of all: an unhandled SIGHUP would end the process
         loop.on_signal = self.on_signal
         assert settings.listen is not None
         self._gearman_share = GEARMAN_SHARE if fronts.gearman else 0.0
         loop.reuse_port = settings.accept_fd is not None
-        cap, gearman_cap = self._caps()
+        cap, gearman_cap = self._connection_limits()
         self.platform = PlatformFront(
             loop, core, settings.listen, cap, node.body_cap, self._serves, settings.accept_fd
         )
         self._listening(self.platform.name, self.platform.server.listener)
-        self._beside: list[Listener] = []  # of the fronts beside the platform's
+        self._beside: list[Listener] = []  # of all fronts but the platform's
         self.gearman: GearmanFront | None = None
         if fronts.gearman:
             self.gearman = GearmanFront(
@@ -81,7 +81,9 @@
         for worker, at in self._bans.load().items():
             core.take_out(worker, at)
         self._stop_at = 0.0
-        shared = settings.accept_fd is not None  # else an upgrade cannot be: the address is taken
+        shared = (
+            settings.accept_fd is not None
+        )  # without it no hot restart is possible, as the address is in use
         self.handover = Handover(
             loop, core, os.environ.get("TMPDIR") if shared else None, settings.name, self._changed, node.ready
         )
@@ -95,7 +97,10 @@
         self.handover.begin()
 
     def take_out(self, worker: WorkerId) -> None:
-        """By hand, until it is put back: saved first, so that a restart cannot break the promise."""
+        """Takes a worker out of service until it is put back.
+
+        The file is written first, so that a confirmed change survives a restart.
+        """
         bans = self.node.core.boxes.banned
         at = bans.get(worker) or self.node.loop.clock.now()
         self._bans.save({**bans, worker: at})
@@ -110,13 +115,13 @@
         self.handover.put_back(worker)
         log.info("hand.up", box=worker.decode("latin-1"), out=len(bans))
 
-    def _caps(self) -> tuple[int, int]:
-        """The connections that the platform's clients may have, and Gearman's."""
+    def _connection_limits(self) -> tuple[int, int]:
+        """Returns the connection limits of the platform front and of the Gearman front."""
         gearman = int(self._gearman_share * self.node.client_cap)
         return self.node.client_cap - gearman, gearman
 
     def _reload(self) -> None:
-        """Takes the configuration file as it is now. One that is wrong changes nothing."""
+        """Reloads the configuration file. An invalid file changes nothing."""
         try:
             self.node.reload(startup.load(os.environ))
         except startup.ConfigError as error:
@@ -127,13 +132,13 @@
         log.info("reload.done", discovery=f"{host}:{port}", open=self.node.core.open_requests())
 
     def _resize(self) -> None:
-        cap, gearman_cap = self._caps()
+        cap, gearman_cap = self._connection_limits()
         self.platform.server.resize(cap, self.node.body_cap)
         if self.gearman:
             self.gearman.listener.max_connections = gearman_cap
 
     def _changed(self) -> None:
-        """Another process of this dispatcher came, began to serve, or ended."""
+        """Handles that another process of this dispatcher has started, begun to serve, or ended."""
         self.node.share(1 + len(self.handover.peers))
         self._resize()
         accepting, succeeded = self.handover.accepting(), self.handover.succeeded()
@@ -142,11 +147,11 @@
             listener.pause(not accepting)
 
     def _serves(self) -> bool:
-        """Whether this dispatcher takes new jobs, in whichever process."""
+        """Whether this dispatcher accepts new jobs, in this process or in its successor."""
         return self.node.ready() or self.handover.succeeded()
 
     def _takes_clients(self) -> bool:
-        """Whether this process does."""
+        """Whether this process accepts new jobs."""
         return self.node.ready() and self.handover.accepting()
 
     def _listening(self, front: str, listener: Listener) -> None:
@@ -172,13 +177,13 @@
             self._stop_at = self.node.loop.clock.now()
             longest = max(c.deadline for c in self.node.config.settings.classes)
             grace = min(longest, LONGEST_GRACE) + GRACE_MORE
-            if not self.handover.succeeded():  # else open jobs are moved, and have their whole time
+            if not self.handover.succeeded():  # otherwise open jobs are moved and keep their deadlines
                 self.node.core.receive.until = self._stop_at + grace - END_MARGIN
             log.info("stop.begin", open=self.node.core.open_requests())
             self._stopping()
 
     def _stopping(self) -> None:
-        """Lets the last clients in, then answers what is open, then ends."""
+        """Runs the shutdown: accepts the last clients, answers the open jobs, then stops the loop."""
         now, server, gearman = self.node.loop.clock.now(), self.platform.server, self.gearman
         quiet = now - max(server.listener.last_accept, self.node.core.receive.last, self._stop_at)
         succeeded = self.handover.succeeded()
@@ -210,7 +215,7 @@
         self.node.loop.deadlines.add(now + STEP, self._stopping)
 
     def _move(self) -> None:
-        """Gives the open jobs to the process that has taken over: they may run longer than we live."""
+        """Moves open jobs to the process that has taken over, as they may outlast this process."""
         core, moved = self.node.core, 0
         for request in list(core.receive.open.values()):
             packed = moving.pack(request, core)
@@ -223,7 +228,7 @@
 
 
 def serve(fronts: startup.Fronts | None = None, room: RoomSettings | None = None) -> int:
-    """Runs until SIGTERM and returns the exit status; a mistake in what it is told is one line and 2."""
+    """Runs until SIGTERM. Returns the exit status: 2, with one line on stderr, for a bad configuration."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -235,7 +240,7 @@
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=True,
     )
-    missed: list[int] = []  # a SIGHUP between reading the configuration and being ready to read it again
+    missed: list[int] = []  # SIGHUPs received during start-up, after the configuration was read
     signal.signal(signal.SIGHUP, lambda number, frame: missed.append(number))
     try:
         daemon = Daemon(startup.load(os.environ), fronts or startup.Fronts(), room)
--- a/larchgw/dispatcher/fronts/gearman_jobs.py
+++ b/larchgw/dispatcher/fronts/gearman_jobs.py
@@ -64,7 +64,7 @@
         self._classes = [c.name for c in settings.classes]
         # In an upgrade: jobs alive in the other process, which must not run here, and what tells it of ours.
         self._elsewhere: dict[Name, object] = {}
-        self.tell: Callable[[dict[str, Any]], None] = lambda item: None
+        self.publish: Callable[[dict[str, Any]], None] = lambda item: None
 
     def find(self, unique: bytes) -> Job | None:
         return next((job for (_, name), job in self._by_name.items() if name == unique), None)
@@ -95,7 +95,7 @@
         if unique:
             self._by_name[job_class, unique] = job
             if (job_class, unique) not in self._elsewhere and not self._safe(job_class):
-                self.tell(self._alive(job))
+                self.publish(self._alive(job))
         return job
 
     def elsewhere(self, job_class: int, unique: bytes) -> bool:
@@ -112,7 +112,7 @@
         if self._safe(job.job_class):
             return
         if job.request is not None:
-            self.tell(self._end(name, job.handle, answer, self._remember))
+            self.publish(self._end(name, job.handle, answer, self._remember))
         self._keep(name, job.handle, answer, self._remember)
 
     def _keep(self, name: Name, handle: bytes, answer: Answer, left: float) -> None:
@@ -129,7 +129,7 @@
 
     # With the other process of an upgrade
 
-    def known(self) -> Iterator[dict[str, Any]]:
+    def snapshot(self) -> Iterator[dict[str, Any]]:
         now = self._clock.now()
         for name, (until, handle, answer) in list(self._ended.items()):
             yield self._end(name, handle, answer, until - now)
@@ -152,7 +152,7 @@
     def _named(self, name: Name, handle: bytes) -> dict[str, Any]:
         return {"class": self._classes[name[0]], "unique": _text(name[1]), "handle": _text(handle)}
 
-    def heard(self, source: object, item: dict[str, Any]) -> None:
+    def on_item(self, source: object, item: dict[str, Any]) -> None:
         """A job is alive there, or has ended; ValueError and its like for what is neither."""
         name = self._classes.index(item["class"]), b64decode(item["unique"])
         if "kind" not in item:
@@ -166,7 +166,7 @@
         )
         self._ended_elsewhere(name, b64decode(item["handle"]), answer, float(item["left"]))
 
-    def lost(self, source: object) -> None:
+    def on_peer_lost(self, source: object) -> None:
         """What was alive there may have run, and nobody will say how it ended."""
         for name in [n for n, owner in self._elsewhere.items() if owner is source]:
             self._ended_elsewhere(name, b"H:larchgw:0", UNTOLD, self._remember)
--- a/larchgw/dispatcher/hot_restart/__init__.py
+++ b/larchgw/dispatcher/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""An upgrade: two processes that serve as one dispatcher, and what the old one hands to the new one."""
+"""Hot restart: the old process of a dispatcher hands its state and open jobs over to the new one."""
--- a/larchgw/dispatcher/hot_restart/handover.py
+++ b/larchgw/dispatcher/hot_restart/handover.py
@@ -1,8 +1,8 @@
-"""An upgrade: two processes that serve as one dispatcher, and what each tells the other.
+"""Hot restart: the message exchange between the old and the new process of one dispatcher.
 
-The newcomer finds the process that serves by a Unix socket in the folder that both share. They tell each
-other lines of JSON; the connection's end is the other's end, however it came about. Of a process that died
-only the socket's name is left, which refuses connections and is no peer.
+The new process finds the serving one through a Unix socket in a folder that both share. They exchange JSON
+lines. The end of the connection, for whatever reason, counts as the end of the other process. A process that
+died leaves only the file of its socket behind, which refuses connections.
 """
 
 from __future__ import annotations
@@ -26,87 +26,87 @@
 from . import learned
 from .moving import MAX_FDS, MAX_PACKET
 
-HELLO_TIME = 3.0  # for the other process to say what it knows; it may be stuck
-STEP = 0.02  # between looks whether we can serve
-PENDING_EVERY = 0.1  # seconds between two tellings of what is pending where
-MAX_LINE = 8 << 20
+HELLO_TIMEOUT_S = 3.0  # to receive the other process's state; it may hang
+POLL_S = 0.02  # between two checks whether this process can serve
+PENDING_INTERVAL_S = 0.1  # between two broadcasts of the pending slots at each worker
+MAX_MESSAGE_BYTES = 8 << 20
 log = structlog.get_logger()
 
 
 class Topic(Protocol):
-    """What a part of the program shares with its like in the other process, in items of JSON."""
+    """State that a component shares with its counterpart in the other process, as JSON objects."""
 
-    tell: Callable[[dict[str, Any]], None]
+    publish: Callable[[dict[str, Any]], None]
 
-    def known(self) -> Iterator[dict[str, Any]]:
-        """All that a newcomer has to know."""
+    def snapshot(self) -> Iterator[dict[str, Any]]:
+        """Returns the items that a new process needs."""
 
-    def heard(self, source: object, item: dict[str, Any]) -> None:
-        """The other process says this."""
+    def on_item(self, source: object, item: dict[str, Any]) -> None:
+        """Handles an item from the other process."""
 
-    def lost(self, source: object) -> None:
-        """It says nothing more: it has ended."""
+    def on_peer_lost(self, source: object) -> None:
+        """Handles the end of the other process."""
 
 
 class Peer:
-    """The other process, over one connection."""
+    """Another process of this dispatcher, and the connection to it."""
 
     def __init__(self, handover: Handover, sock: socket.socket, younger: bool) -> None:
         self.handover, self.younger = handover, younger
-        self.serving = not younger  # whoever was there first serves already
+        self.serving = not younger  # an older process serves already
         self.greeted = False
-        self.open: set[bytes] = set()  # ids of its open jobs
+        self.open: set[bytes] = set()  # names of its open jobs
         self.pending: dict[WorkerId, float] = {}
-        self.moves = ""  # the socket that takes jobs moved to it
-        self.later: Iterator[dict[str, Any]] = iter(())  # what it is still to be told, a message at a time
-        self._telling = False
+        self.moves = ""  # name of the socket on which it receives jobs
+        self.unsent_items: Iterator[dict[str, Any]] = iter(())  # messages still to be sent
+        self._sending = False
         self._buffer = bytearray()
         self._connection = Connection(handover.loop, sock, self)
 
-    def tell(self, **message: Any) -> None:
+    def send(self, **message: Any) -> None:
         self._connection.write(json.dumps(message).encode() + b"\n")
 
     def close(self) -> None:
         self._connection.close()
 
-    # From the connection
+    # Callbacks of the connection
 
     def on_open(self) -> None: ...
 
     def on_written(self) -> None:
-        if self._telling:  # from within the loop below
+        if self._sending:  # called from within the loop below
             return
-        self._telling = True
-        while not self._connection.unsent and (message := next(self.later, None)) is not None:
-            self.tell(**message)
-        self._telling = False
+        self._sending = True
+        while not self._connection.unsent and (message := next(self.unsent_items, None)) is not None:
+            self.send(**message)
+        self._sending = False
 
     def on_data(self, data: bytes) -> None:
         self._buffer += data
         *lines, rest = self._buffer.split(b"\n")
         self._buffer = bytearray(rest)
-        if len(rest) > MAX_LINE:
-            self._drop("a message without end")
+        if len(rest) > MAX_MESSAGE_BYTES:
+            self._drop("message is too long")
             return
         for line in lines:
             try:
-                self.handover.heard(self, json.loads(line))
+                self.handover.on_message(self, json.loads(line))
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 self._drop(f"{type(error).__name__}: {error}")
                 return
 
     def on_end(self, ending: ConnectionOutcome) -> None:
-        self.handover.ended(self)
+        self.handover.on_peer_end(self)
 
     def _drop(self, why: str) -> None:
-        """What it says cannot be read: it is of no use to us as a peer."""
+        """Closes the connection because the peer's messages cannot be parsed."""
         log.error("upgrade.garbled", why=why)
         self.close()
-        self.handover.ended(self)
+        self.handover.on_peer_end(self)
 
 
 class Handover:
-    """Knows the other processes of this dispatcher, and whether we take clients."""
+    """Keeps track of the other processes of this dispatcher, and decides which process accepts clients."""
 
     def __init__(
         self,
@@ -115,56 +115,57 @@
         folder: str | None,
         name: str,
         changed: Callable[[], None],
-        can_serve: Callable[[], bool],
+        is_ready: Callable[[], bool],
     ) -> None:
         self.loop, self.core = loop, core
-        self._changed, self._can_serve = changed, can_serve
-        # A name in the folder that can be reached whatever the folder's length: such names hold 107 bytes.
+        self._changed, self._is_ready = changed, is_ready
+        # Socket paths hold 107 bytes at most. Through the folder's descriptor a socket can be reached however
+        # long the folder's path is.
         self._folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY) if folder else -1
         self._moves_name = ""
-        self._name = f"larchgw-{name.encode().hex()}.sock"[-60:]
+        self._socket_name = f"larchgw-{name.encode().hex()}.sock"[-60:]
         self._listening: socket.socket | None = None
-        self._moves: socket.socket | None = None  # where jobs come in that are moved to us
+        self._moves: socket.socket | None = None  # receives the jobs moved to this process
         self._topics: dict[str, Topic] = {}
         self.on_move: Callable[[bytes, list[socket.socket]], None] = lambda packet, socks: None
         self.peers: list[Peer] = []
         self.serving = False
-        self._until = 0.0
+        self._greeting_deadline = 0.0
         self._timer: Deadline | None = None
-        core.receive.watch = self._job
+        core.receive.watch = self._broadcast_job
 
     def share(self, name: str, topic: Topic) -> None:
-        """Something that a part of the program tells its like in the other process."""
+        """Registers the state that a component shares with its counterpart in the other process."""
         self._topics[name] = topic
-        topic.tell = lambda item: self._tell(topic=name, item=item)
+        topic.publish = lambda item: self._broadcast(topic=name, item=item)
 
     def begin(self) -> None:
-        """Finds the process that serves, if there is one, and takes clients once we know what it knows."""
-        elder = self._find()
-        if elder is not None:
+        """Connects to the serving process, if there is one, and serves once its state has been received."""
+        predecessor = self._connect_to_predecessor()
+        if predecessor is not None:
             self._open_moves()
-            self.peers.append(Peer(self, elder, younger=False))
-            self._greet(self.peers[0])
+            self.peers.append(Peer(self, predecessor, younger=False))
+            self._send_hello(self.peers[0])
             log.info("upgrade.elder", pid=os.getpid())
-        self._until = self.loop.clock.now() + HELLO_TIME
+        self._greeting_deadline = self.loop.clock.now() + HELLO_TIMEOUT_S
         self._changed()
         self._try_to_serve()
 
     def succeeded(self) -> bool:
-        """Whether a newer process takes the clients."""
+        """Whether a newer process has taken over the clients."""
         return any(peer.younger and peer.serving for peer in self.peers)
 
     def accepting(self) -> bool:
         return self.serving and not self.succeeded()
 
     def taken_out(self, worker: WorkerId, at: float) -> None:
-        self._tell(down=worker.decode("latin-1"), at=at)
+        self._broadcast(down=worker.decode("latin-1"), at=at)
 
     def put_back(self, worker: WorkerId) -> None:
-        self._tell(up=worker.decode("latin-1"))
+        self._broadcast(up=worker.decode("latin-1"))
 
     def move(self, packet: bytes, fds: list[int]) -> bool:
-        """Sends a job with its sockets to the process that takes the clients; whether it has gone."""
+        """Sends a job with its sockets to the process that has taken over. Returns whether it was sent."""
         for peer in self.peers:
             if peer.younger and peer.serving and peer.moves:
                 try:
@@ -174,7 +175,7 @@
                         socket.send_fds(sock, [packet], fds)
                     return True
                 except BlockingIOError:
-                    pass  # its queue is full: the caller comes again
+                    pass  # its queue is full: the caller retries
                 except OSError as error:
                     log.error("upgrade.unmoved", error=str(error))
                     peer.moves = ""
@@ -183,7 +184,7 @@
     def close(self) -> None:
         for peer in self.peers:
             peer.close()
-        self._deafen()
+        self._stop_listening()
         if self._moves is not None:
             self._moves.close()
             self._moves = None
@@ -191,89 +192,101 @@
             os.close(self._folder)
             self._folder = -1
 
-    # From peers
+    # Callbacks of peers
 
-    def heard(self, peer: Peer, said: dict[str, Any]) -> None:
-        """ValueError and its like if it makes no sense."""
+    def on_message(self, peer: Peer, message: dict[str, Any]) -> None:
+        """Applies a message of a peer.
+
+        Raises:
+            ValueError, KeyError, TypeError, AttributeError: The message is malformed.
+        """
         boxes = self.core.boxes
-        if "hello" in said:
-            peer.moves = str(said["moves"])
-            boxes.ever.update(worker.encode("latin-1") for worker in said["listed"])
-            for name, at in said["out"].items():
+        if "hello" in message:
+            peer.moves = str(message["moves"])
+            boxes.ever.update(worker.encode("latin-1") for worker in message["listed"])
+            for name, at in message["out"].items():
                 self.core.take_out(name.encode("latin-1"), float(at))
-            if said.get("learned") and not self.serving:
-                learned.take(self.core.dispatcher, said["learned"])
-        if "topic" in said and said["topic"] in self._topics:
-            self._topics[said["topic"]].heard(peer, said["item"])
-        if "told" in said:
+            if message.get("learned") and not self.serving:
+                learned.restore(self.core.dispatcher, message["learned"])
+        if "topic" in message and message["topic"] in self._topics:
+            self._topics[message["topic"]].on_item(peer, message["item"])
+        if "told" in message:
             peer.greeted = True
-        if "down" in said:
-            self.core.take_out(said["down"].encode("latin-1"), float(said["at"]))
-        if "up" in said:
-            self.core.put_back(said["up"].encode("latin-1"))
-        peer.open.update(name.encode("latin-1") for name in said.get("open", ()))
-        peer.open.difference_update(name.encode("latin-1") for name in said.get("over", ()))
-        if "pending" in said:
-            peer.pending = {w.encode("latin-1"): float(slots) for w, slots in said["pending"].items()}
-            self._weigh()
-        if "serving" in said:
+        if "down" in message:
+            self.core.take_out(message["down"].encode("latin-1"), float(message["at"]))
+        if "up" in message:
+            self.core.put_back(message["up"].encode("latin-1"))
+        peer.open.update(name.encode("latin-1") for name in message.get("open", ()))
+        peer.open.difference_update(name.encode("latin-1") for name in message.get("over", ()))
+        if "pending" in message:
+            peer.pending = {w.encode("latin-1"): float(slots) for w, slots in message["pending"].items()}
+            self._update_pending()
+        if "serving" in message:
             peer.serving = True
             log.info("upgrade.successor", open=self.core.open_requests())
             self._changed()
 
-    def ended(self, peer: Peer) -> None:
-        """The other process is over."""
+    def on_peer_end(self, peer: Peer) -> None:
+        """Handles the end of another process."""
         if peer not in self.peers:
             return
         self.peers.remove(peer)
         log.info("upgrade.over", younger=peer.younger, serving=peer.serving, left_open=len(peer.open))
         if peer.younger and self.serving and not self.succeeded():
-            self._listen()  # by its name we are found again
+            self._listen()  # the new process had taken over the socket's name
         for topic in self._topics.values():
-            topic.lost(peer)
-        self._weigh()
+            topic.on_peer_lost(peer)
+        self._update_pending()
         self._changed()
 
     # Within
 
-    def _greet(self, peer: Peer) -> None:
+    def _send_hello(self, peer: Peer) -> None:
         boxes = self.core.boxes
         if self._timer is None:
-            self._timer = self.loop.deadlines.add(self.loop.clock.now() + PENDING_EVERY, self._tell_pending)
-        peer.tell(
+            self._timer = self.loop.deadlines.add(
+                self.loop.clock.now() + PENDING_INTERVAL_S, self._broadcast_pending
+            )
+        peer.send(
             hello=os.getpid(),
             moves=self._moves_name if self._moves else "",
             listed=[w.decode("latin-1") for w in boxes.ever],
             out={w.decode("latin-1"): at for w, at in boxes.banned.items()},
             open=[name.decode("latin-1") for name in self.core.receive.names],
             pending=learned.pending(self.core.dispatcher),
-            learned=learned.tell(self.core.dispatcher) if self.serving else None,
+            learned=learned.snapshot(self.core.dispatcher) if self.serving else None,
         )
-        peer.later = chain(
-            ({"topic": name, "item": item} for name, topic in self._topics.items() for item in topic.known()),
+        peer.unsent_items = chain(
+            (
+                {"topic": name, "item": item}
+                for name, topic in self._topics.items()
+                for item in topic.snapshot()
+            ),
             [{"told": True}],
         )
         peer.on_written()
 
-    def _tell(self, **message: Any) -> None:
+    def _broadcast(self, **message: Any) -> None:
         for peer in list(self.peers):
-            peer.tell(**message)
+            peer.send(**message)
 
-    def _job(self, name: bytes, opened: bool) -> None:
+    def _broadcast_job(self, name: bytes, opened: bool) -> None:
         if self.peers:
-            self._tell(**{"open" if opened else "over": [name.decode("latin-1")]})
+            self._broadcast(**{"open" if opened else "over": [name.decode("latin-1")]})
 
     def open_elsewhere(self, name: bytes) -> bool:
         return any(name in peer.open for peer in self.peers)
 
-    def _tell_pending(self) -> None:
+    def _broadcast_pending(self) -> None:
         self._timer = None
         if self.peers:
-            self._tell(pending=learned.pending(self.core.dispatcher))
-            self._timer = self.loop.deadlines.add(self.loop.clock.now() + PENDING_EVERY, self._tell_pending)
+            self._broadcast(pending=learned.pending(self.core.dispatcher))
+            self._timer = self.loop.deadlines.add(
+                self.loop.clock.now() + PENDING_INTERVAL_S, self._broadcast_pending
+            )
 
-    def _weigh(self) -> None:
-        """The module counts what others have pending at a worker as if it stood before its own."""
+    def _update_pending(self) -> None:
+        """Passes the other processes' pending slots to the scheduler, which queues its own behind them."""
         pending: dict[WorkerId, float] = {}
         for peer in self.peers:
             for worker, slots in peer.pending.items():
@@ -282,50 +295,50 @@
 
     def _try_to_serve(self) -> None:
         now = self.loop.clock.now()
-        greeted = all(peer.greeted for peer in self.peers) or now >= self._until
-        if self.peers and not (greeted and self._can_serve()):
-            self.loop.deadlines.add(now + STEP, self._try_to_serve)
+        greeted = all(peer.greeted for peer in self.peers) or now >= self._greeting_deadline
+        if self.peers and not (greeted and self._is_ready()):
+            self.loop.deadlines.add(now + POLL_S, self._try_to_serve)
             return
         self.serving = True
         self._listen()
-        self._tell(serving=True)
+        self._broadcast(serving=True)
         self._changed()
 
     def _path(self, name: str) -> str:
         return f"/proc/self/fd/{self._folder}/{name}"
 
-    def _find(self) -> socket.socket | None:
+    def _connect_to_predecessor(self) -> socket.socket | None:
         if self._folder < 0:
             return None
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         except OSError:
-            return None  # a system that refuses such sockets has no process that we could find
+            return None  # Unix sockets are not permitted, so there is no process to be found
         try:
             sock.setblocking(False)
-            sock.connect(self._path(self._name))
+            sock.connect(self._path(self._socket_name))
             return sock
         except OSError:
             sock.close()
             return None
 
     def _listen(self) -> None:
-        """From now on a newcomer finds us. The name is taken over in one step: it is never missing."""
-        self._deafen()
+        """Listens for new processes. The socket's name is taken over atomically, so it is never missing."""
+        self._stop_listening()
         if self._folder < 0:
             return
-        fresh = f"{self._name}.{os.getpid()}"
-        sock = self._bound(socket.SOCK_STREAM, fresh, self._name)
+        temporary_name = f"{self._socket_name}.{os.getpid()}"
+        sock = self._bind(socket.SOCK_STREAM, temporary_name, self._socket_name)
         if sock is None:
             return
         sock.setblocking(False)
         self._listening = sock
-        self.loop.watch(sock, READ, self._met)
+        self.loop.watch(sock, READ, self._on_connection)
 
-    def _bound(self, kind: int, name: str, takes: str = "") -> socket.socket | None:
-        """A socket under this name in the folder, listening if it then takes another one.
+    def _bind(self, kind: int, name: str, takes: str = "") -> socket.socket | None:
+        """Binds a socket to this name in the folder; if `takes` is given, listens and renames it to that.
 
-        Where none can be had no upgrade finds us, and we serve.
+        Returns None if that fails: this process then serves, but no later process can find it.
         """
         sock = None
         try:
@@ -343,15 +356,15 @@
         return sock
 
     def _open_moves(self) -> None:
-        self._moves_name = f"{self._name}.{os.getpid()}.moves"
-        sock = self._bound(socket.SOCK_DGRAM, self._moves_name)
+        self._moves_name = f"{self._socket_name}.{os.getpid()}.moves"
+        sock = self._bind(socket.SOCK_DGRAM, self._moves_name)
         if sock is None:
             return
         sock.setblocking(False)
         self._moves = sock
-        self.loop.watch(sock, READ, self._moved)
+        self.loop.watch(sock, READ, self._on_packet)
 
-    def _moved(self, mask: int) -> None:
+    def _on_packet(self, mask: int) -> None:
         if self._moves is None:
             return
         try:
@@ -366,13 +379,13 @@
             for sock in socks:
                 sock.close()
 
-    def _deafen(self) -> None:
+    def _stop_listening(self) -> None:
         if self._listening is not None:
             self.loop.unwatch(self._listening)
             self._listening.close()
             self._listening = None
 
-    def _met(self, mask: int) -> None:
+    def _on_connection(self, mask: int) -> None:
         if self._listening is None:
             return
         try:
@@ -382,5 +395,5 @@
         peer = Peer(self, sock, younger=True)
         self.peers.append(peer)
         log.info("upgrade.newcomer", open=self.core.open_requests())
-        self._greet(peer)
+        self._send_hello(peer)
         self._changed()
--- a/larchgw/dispatcher/hot_restart/learned.py
+++ b/larchgw/dispatcher/hot_restart/learned.py
@@ -1,4 +1,4 @@
-"""What a decision module has learned of the fleet, for the process that takes over from it. No decisions."""
+"""Saves and restores what a scheduler has learned about the workers, for the process that takes over."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from ..scheduling.records import Mean, Pair, Worker
 from ..scheduling.scheduler import Dispatcher
 
-MEANS = ("fetch", "wait")
-FIGURES = ("window", "crowd")
-WORKER = ("limit", "off_until", "pace", "pace_at", "sign_at", "bad", "bad_at")
+MEAN_FIELDS = ("fetch", "wait")
+NUMBER_FIELDS = ("window", "crowd")
+WORKER_FIELDS = ("limit", "off_until", "pace", "pace_at", "sign_at", "bad", "bad_at")
 
 
-def tell(module: Dispatcher) -> dict[str, Any]:
-    """In figures and lists only."""
+def snapshot(module: Dispatcher) -> dict[str, Any]:
+    """Returns the learned state as JSON-compatible values."""
     return {
-        "runs": {c.name: _mean(m) for c, m in zip(module.s.classes, module.runs, strict=True)},
-        "means": {name: _mean(getattr(module, name)) for name in MEANS},
+        "runs": {c.name: _mean_values(m) for c, m in zip(module.s.classes, module.runs, strict=True)},
+        "means": {name: _mean_values(getattr(module, name)) for name in MEAN_FIELDS},
         "figures": {"warm_load": module.fleet.taken.value}
-        | {name: getattr(module, name) for name in FIGURES},
+        | {name: getattr(module, name) for name in NUMBER_FIELDS},
         "workers": {
             w.id.decode("latin-1"): {
                 "up_since": w.up_since,
-                "figures": {name: getattr(w, name) for name in WORKER},
+                "figures": {name: getattr(w, name) for name in WORKER_FIELDS},
                 "doubts": w.doubts if w.id in module.silent else 0,
                 "keys": [[p.key, p.used, p.uses] for p in w.keys.values()],
             }
@@ -32,31 +32,32 @@
 
 
 def pending(module: Dispatcher) -> dict[str, float]:
-    """Slots out at each worker."""
+    """Returns the pending slots at each worker that has any."""
     return {w.id.decode("latin-1"): w.pending for w in module.workers.values() if w.pending}
 
 
-def take(module: Dispatcher, told: dict[str, Any]) -> None:
-    """KeyError, TypeError or ValueError if it is not what `tell` gives.
+def restore(module: Dispatcher, state: dict[str, Any]) -> None:
+    """Restores the state from a snapshot, except for workers that have restarted since.
 
-    Nothing of it holds for a worker that has restarted.
+    Raises:
+        KeyError, TypeError, ValueError: It is not a result of `snapshot`.
     """
     for cls, mean in zip(module.s.classes, module.runs, strict=True):
-        if cls.name in told["runs"]:
-            _set(mean, told["runs"][cls.name])
-    for name in MEANS:
-        _set(getattr(module, name), told["means"][name])
-    for name in FIGURES:
-        setattr(module, name, float(told["figures"][name]))
-    module.fleet.taken.value = float(told["figures"]["warm_load"])  # the name that 0.5 gave it
+        if cls.name in state["runs"]:
+            _set_mean(mean, state["runs"][cls.name])
+    for name in MEAN_FIELDS:
+        _set_mean(getattr(module, name), state["means"][name])
+    for name in NUMBER_FIELDS:
+        setattr(module, name, float(state["figures"][name]))
+    module.fleet.taken.value = float(state["figures"]["warm_load"])  # version 0.5 used this key
     for worker in module.workers.values():
-        known = told["workers"].get(worker.id.decode("latin-1"))
+        known = state["workers"].get(worker.id.decode("latin-1"))
         if known is not None and float(known["up_since"]) == worker.up_since:
-            _take_worker(module, worker, known)
+            _restore_worker(module, worker, known)
 
 
-def _take_worker(module: Dispatcher, worker: Worker, known: dict[str, Any]) -> None:
-    for name in WORKER:
+def _restore_worker(module: Dispatcher, worker: Worker, known: dict[str, Any]) -> None:
+    for name in WORKER_FIELDS:
         setattr(worker, name, float(known["figures"][name]))
     worker.doubts = int(known["doubts"])
     if worker.doubts and worker.ready:
@@ -68,10 +69,10 @@
             module.holders.setdefault(int(key), []).append(pair)
 
 
-def _mean(mean: Mean) -> list[float]:
+def _mean_values(mean: Mean) -> list[float]:
     return [mean.value, mean.dev, mean.count]
 
 
-def _set(mean: Mean, figures: list[float]) -> None:
+def _set_mean(mean: Mean, figures: list[float]) -> None:
     value, dev, count = figures
     mean.value, mean.dev, mean.count = float(value), float(dev), int(count)
--- a/larchgw/dispatcher/hot_restart/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -1,7 +1,7 @@
-"""One open job as a packet with its two sockets, from a process that ends to the one that has taken over.
+"""Moves open jobs from a process that stops to the one that has taken over: a packet with up to two sockets.
 
-What does not fit that form is not moved: jobs of other fronts or transports, and requests or answers in the
-midst of being written.
+Some jobs cannot be moved: those of other fronts or transports, and those whose request or answer is partly
+written.
 """
 
 from __future__ import annotations
@@ -23,15 +23,19 @@
 
 
 def pack(request: Request, core: Core) -> tuple[bytes, list[int]] | None:
-    """The packet and its descriptors: the client's, and the worker's if an attempt is out. None if it stays.
+    """Serializes a job.
 
-    Times go without the clock's `offset`, which is each process's own.
+    Times are sent without the clock's `offset`, which differs between processes.
+
+    Returns:
+        The packet and its descriptors: the client's, and the worker's if an attempt is in flight. None if the
+        job cannot be moved.
     """
     exchange, out = request.extra, [a for a in request.attempts if not a.ended]
     offset, job_class = core.clock.offset, core.settings.classes[request.job_class].name
     if not isinstance(exchange, Exchange) or not exchange.channel.is_movable(exchange) or request.over():
         return None
-    told: dict[str, Any] = {
+    message: dict[str, Any] = {
         "name": _text(request.name),
         "class": job_class,
         "target": _text(request.target),
@@ -53,45 +57,50 @@
         link = out[0].carrier
         if out != request.attempts[-1:] or not isinstance(link, RunnerConnection) or not link.movable():
             return None
-        told |= {"address": link.address, "answer": _text(link.answer_so_far())}
+        message |= {"address": link.address, "answer": _text(link.answer_so_far())}
         fds.append(link.connection.sock.fileno())  # type: ignore[union-attr]
-    packet = json.dumps(told).encode()
+    packet = json.dumps(message).encode()
     return (packet, fds) if len(packet) <= MAX_PACKET else None
 
 
 def unpack(
     packet: bytes, socks: list[socket.socket], core: Core, platform: PlatformFront, runners: RunnerPool
 ) -> None:
-    """Goes on with a job. KeyError, TypeError, ValueError or IndexError if the packet is not one of `pack`.
+    """Takes over a job from a packet. The packet is fully checked before a socket is used.
 
-    Whatever may be wrong is found before a socket is used.
+    Raises:
+        KeyError, TypeError, ValueError, IndexError: The packet is not a result of `pack`.
     """
-    told, offset = json.loads(packet), core.clock.offset
-    wait, key, slots, memory, hint, repeat = told["figures"]
-    job_class = [c.name for c in core.settings.classes].index(told["class"])
-    tries = [
+    message, offset = json.loads(packet), core.clock.offset
+    wait, key, slots, memory, hint, repeat = message["figures"]
+    job_class = [c.name for c in core.settings.classes].index(message["class"])
+    attempts = [
         (_bytes(worker), sent + offset, begun and begun + offset, None if status is None else Status(status))
-        for worker, sent, begun, status in told["attempts"]
+        for worker, sent, begun, status in message["attempts"]
     ]
-    answer, until, taken = _bytes(told.get("answer", "")), told["until"] + offset, told["taken"] + offset
+    answer, until, taken = (
+        _bytes(message.get("answer", "")),
+        message["until"] + offset,
+        message["taken"] + offset,
+    )
     request = Request(
         platform,
-        _bytes(told["name"]),
+        _bytes(message["name"]),
         job_class,
-        _bytes(told["target"]),
-        _bytes(told["body"]),
+        _bytes(message["target"]),
+        _bytes(message["body"]),
         wait,
         key,
         slots,
         memory,
         hint,
         repeat,
-        told.get("tenant", core.tenant(b"")),
-        _bytes(told.get("once", "")),
+        message.get("tenant", core.tenant(b"")),
+        _bytes(message.get("once", "")),
     )
-    out = socks[1] if tries and tries[-1][3] is None else None
-    host, port = told["address"] if out else ("", 0)
-    method, keep = _bytes(told["method"]), bool(told["keep"])
+    out = socks[1] if attempts and attempts[-1][3] is None else None
+    host, port = message["address"] if out else ("", 0)
+    method, keep = _bytes(message["method"]), bool(message["keep"])
     request.attempts = [
         Attempt(
             request,
@@ -104,7 +113,7 @@
             ended=status is not None,
             started_at=begun,
         )
-        for index, (worker, sent, begun, status) in enumerate(tries)
+        for index, (worker, sent, begun, status) in enumerate(attempts)
     ]
     request.extra = platform.server.adopt(socks[0], method, request.target, keep)
     request.extra.handler_data = request
--- a/tests/dispatcher/test_hot_restart.py
+++ b/tests/dispatcher/test_hot_restart.py
@@ -246,20 +246,20 @@
         old.core.ended(old.sent[-1], End(Status.OK))
     failed = old.take(b"bad").attempts[0]
     old.core.ended(failed, End(Status.ERROR))
-    told = json.loads(json.dumps(learned.tell(old.core.dispatcher)))
+    told = json.loads(json.dumps(learned.snapshot(old.core.dispatcher)))
     holder = next(w for w in old.core.dispatcher.workers.values() if 7 in w.keys)
     new.clock.time = old.clock.time
     restarted = next(w for w in old.core.dispatcher.workers if w not in (holder.id, failed.worker))
     new.core.listed(ListKind.DELTA, [Member(restarted, up_since=900.0)])
-    learned.take(new.core.dispatcher, told)
-    assert learned.tell(new.core.dispatcher)["runs"] == told["runs"]
+    learned.restore(new.core.dispatcher, told)
+    assert learned.snapshot(new.core.dispatcher)["runs"] == told["runs"]
     bad = old.core.dispatcher.workers[failed.worker].bad
     assert new.core.dispatcher.workers[failed.worker].bad == bad > 0
     assert new.core.dispatcher.workers[restarted].limit == new.core.dispatcher.fair
     new.core.take(Request(new, b"next", 0, b"/p", b"", 5.0, key=7))
     assert new.sent[-1].worker == holder.id  # it knows who holds the key
     with pytest.raises((KeyError, TypeError, ValueError)):
-        learned.take(new.core.dispatcher, {"runs": {}})
+        learned.restore(new.core.dispatcher, {"runs": {}})
 
 
 def test_what_the_other_process_has_at_a_box_counts_against_its_limit() -> None:
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -252,7 +252,7 @@
     busy.take(b"1")
     busy.take(b"2")
     return {
-        "learned_state.json": json.dumps(learned.tell(desk.core.dispatcher)),
+        "learned_state.json": json.dumps(learned.snapshot(desk.core.dispatcher)),
         "pending.json": json.dumps(learned.pending(busy.core.dispatcher)),
         "job_at_worker.json": job_packet(has_attempt=True),
         "job_waiting.json": job_packet(has_attempt=False),
@@ -278,8 +278,8 @@
     old = experienced_dispatcher()
     new = new_dispatcher(old)
     state = json.loads(recorded("learned_state.json"))
-    learned.take(new.core.dispatcher, state)
-    assert learned.tell(new.core.dispatcher) == state
+    learned.restore(new.core.dispatcher, state)
+    assert learned.snapshot(new.core.dispatcher) == state
     holders = {
         name for name, worker in state["workers"].items() if KEY in [key for key, *_ in worker["keys"]]
     }
@@ -344,7 +344,7 @@
             assert jobs.ended(1, b"u-2") == (b"H:larchgw:2", Answer(AnswerKind.FAILED, b"", 1.5, "it broke"))
             assert jobs.elsewhere(1, b"u-3")
             assert jobs.elsewhere(1, b"u-4")
-            state = learned.tell(new.core.dispatcher)
+            state = learned.snapshot(new.core.dispatcher)
             hello = json.loads(lines_only(recorded("elder_lines.txt")).splitlines()[0])
             assert state["runs"] == hello["learned"]["runs"]
 
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from larchgw.dispatcher.assembly import ASK_FIRST, Node
+from larchgw.dispatcher.assembly import DISCOVERY_HEAD_START_S, Node
 from larchgw.dispatcher.config.startup import Config, read
 from larchgw.dispatcher.core import Core
 from larchgw.dispatcher.scheduling.interface import JobClass, Settings, Status
@@ -151,7 +151,7 @@
     begun = node.loop.clock.now()
     node.loop.clock.now = lambda: begun + 0.01  # type: ignore[method-assign]
     assert node.ready() is not pushed
-    node.loop.clock.now = lambda: begun + ASK_FIRST + 0.1  # type: ignore[method-assign]
+    node.loop.clock.now = lambda: begun + DISCOVERY_HEAD_START_S + 0.1  # type: ignore[method-assign]
     assert node.ready()
     node.loop.clock.now = lambda: begun + 0.01  # type: ignore[method-assign]
     node.discovery.asked = True
