--- a/larchgw/dispatcher/fronts/__init__.py
+++ b/larchgw/dispatcher/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests come in: the platform's HTTP, Gearman; and what balancers ask of us."""
+"""The servers of the dispatcher: the platform's HTTP front, Gearman, load balancer checks and operations."""
--- a/larchgw/dispatcher/fronts/admin.py
+++ b/larchgw/dispatcher/fronts/admin.py
@@ -1,4 +1,4 @@
-"""The second address, for those who run us: are we ready, the figures, and boxes out and back by hand."""
+"""The admin address for operators: readiness, statistics, and taking workers out of service and back."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from ..core import Core
 from ..scheduling.interface import WorkerId
 
-CAP = 16  # connections, out of the descriptors that no client can reach
-MAX_BODY = 4096  # of a call, and of all that come in at a time: none needs one
+CAP = 16  # connections, from the descriptors that are reserved for internal use
+MAX_BODY = 4096  # of a call, and of all concurrent calls together; no call needs a body
 DOWN, UP = b"/ops/runners/down/", b"/ops/runners/up/"
 
 
 class Admin:
-    """One call a connection; 2xx is a yes, 4xx and 5xx are a no."""
+    """Serves one call per connection; 2xx means success, 4xx and 5xx mean failure."""
 
     name = "admin"
 
@@ -55,7 +55,7 @@
             )
 
     def on_client_gone(self, exchange: Exchange) -> None:
-        """Every answer here is given at once."""
+        """Does nothing: every call is answered at once."""
 
     def _allowed(self, exchange: Exchange, *methods: bytes) -> bool:
         if exchange.method in methods:
@@ -73,7 +73,7 @@
             return
         try:
             act(worker)
-        except OSError as error:  # what a restart would forget must not be promised
+        except OSError as error:  # a change that a restart would lose must not be confirmed
             exchange.reply(500, f"cannot be saved: {error.strerror}\n".encode())
         else:
             exchange.reply(200, b"done\n")
--- a/larchgw/dispatcher/fronts/agentcheck.py
+++ b/larchgw/dispatcher/fronts/agentcheck.py
@@ -1,4 +1,4 @@
-"""What balancers ask of us: the agent-check over TCP, and health and counters over HTTP."""
+"""Servers for load balancers and monitoring: the agent check over TCP, and health and metrics over HTTP."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class AgentCheck:
-    """Says one line to whoever connects, then closes.
+    """Sends one line to each client and closes the connection (HAProxy's agent check).
 
-    `drain` while we stop, `down` while we know no worker, else `up ready` with the share of the known workers
-    that take new work: HAProxy makes that the weight. `up` and `ready` undo an earlier `down` and `drain`.
+    The line is `drain` during shutdown and `down` if no worker accepts work. Otherwise it is `up ready` with
+    the percentage of the known workers that accept new work, which HAProxy uses as the weight. `up` and
+    `ready` cancel an earlier `down` and `drain`.
     """
 
     name = "agent_check"
@@ -57,7 +58,7 @@
         connection.close_after_write()
         self._open.append(connection)
 
-    # From its connections: what the other side may send is of no account.
+    # Callbacks of the connections; anything that the client sends is ignored
 
     def on_open(self) -> None: ...
 
@@ -69,7 +70,7 @@
 
 
 class Ops:
-    """`/ready`, `/alive`, `/metrics`, and `/room`: what room is held."""
+    """Serves `/ready`, `/alive`, `/metrics` and, with a planner, `/room`: the capacity that is reserved."""
 
     name = "ops"
 
@@ -106,4 +107,4 @@
             exchange.reply(404, b"/ready, /alive and /metrics are here, and /room where room is held\n")
 
     def on_client_gone(self, exchange: Exchange) -> None:
-        """Every answer here is given at once."""
+        """Does nothing: every request is answered at once."""
--- a/larchgw/dispatcher/fronts/gearman.py
+++ b/larchgw/dispatcher/fronts/gearman.py
@@ -1,4 +1,4 @@
-"""The Gearman front: a job server whose clients are ours and whose workers are render boxes."""
+"""The Gearman front: a job server for the dispatcher's clients and for render boxes as workers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from .gearman_workers import GearmanWorkers, Slot
 
 MAX_WORKLOAD = 65536
-MESSAGE_TIME = 10.0  # for one packet to come in whole
+MESSAGE_TIMEOUT_S = 10.0  # to receive a complete packet
 PRIORITY = {
     Type.SUBMIT_JOB: 0,
     Type.SUBMIT_JOB_BG: 0,
@@ -37,14 +37,14 @@
 log = structlog.get_logger()
 
 
-class GearmanLink:
-    """One connection; it may be a client's, a worker's or an operator's, or all of these."""
+class GearmanConnection:
+    """One connection, which may serve as a client, a worker and an admin connection at the same time."""
 
     def __init__(self, front: GearmanFront, sock: socket.socket, peer: str) -> None:
         self.front, self.peer = front, peer
         self.number = sock.fileno()
         self.slot = Slot(self)
-        self.jobs: list[Job] = []  # that this connection waits for, one entry for each submit
+        self.jobs: list[Job] = []  # jobs that this connection waits for, one entry per submit
         self.wants_exceptions = False
         self._reader = PacketReader()
         self._timer: Deadline | None = None
@@ -52,10 +52,10 @@
         self.connection = Connection(front.loop, sock, self)
 
     def idle(self) -> bool:
-        """Whether it can be closed with nobody missing anything."""
+        """Whether it has no job, task or partial message, so that it can be closed safely."""
         return not self.jobs and self.slot.task is None and not self._reader.partial()
 
-    # As a worker's wire
+    # As the connection of a slot
 
     def write(self, data: bytes) -> None:
         self.connection.write(data)
@@ -63,12 +63,12 @@
     def written(self) -> bool:
         return not self.connection.unsent
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         if not self._ended:
             self.connection.close()
             self.on_end(ConnectionOutcome.GIVEN_UP)
 
-    # From the connection
+    # Callbacks of the connection
 
     def on_open(self) -> None:
         pass
@@ -93,7 +93,7 @@
             deadlines.cancel(self._timer)
             self._timer = None
         elif self._timer is None:
-            self._timer = deadlines.add(self.front.loop.clock.now() + MESSAGE_TIME, self._too_slow)
+            self._timer = deadlines.add(self.front.loop.clock.now() + MESSAGE_TIMEOUT_S, self._on_timeout)
 
     def on_end(self, ending: ConnectionOutcome) -> None:
         if self._ended:
@@ -107,17 +107,17 @@
         for job in jobs:
             self.front.left(job, self)
 
-    def _too_slow(self) -> None:
+    def _on_timeout(self) -> None:
         self._refuse(BadPacket("TOO_SLOW", "a packet did not come in whole"))
 
     def _refuse(self, bad: BadPacket) -> None:
-        """The framing is in doubt: says why, then closes."""
+        """Sends the error and closes the connection, because the packet boundaries are no longer known."""
         self.front.core.counters.bad.labels(self.front.name, bad.code.lower()).inc()
         self.write(encode(Type.ERROR, bad.code.encode(), bad.text.encode()))
         self.connection.close_after_write()
         self.on_end(ConnectionOutcome.GARBLED)
 
-    # As a waiter
+    # As a waiter for a job
 
     def finish(self, job: Job, answer: Answer) -> None:
         self.jobs.remove(job)
@@ -133,7 +133,7 @@
 
 
 class GearmanFront:
-    """Submits become requests of the core; its answers become WORK_COMPLETE or WORK_FAIL."""
+    """Converts submits to requests of the core, and its answers to WORK_COMPLETE or WORK_FAIL."""
 
     name = "gearman"
 
@@ -143,7 +143,7 @@
         self.loop, self.core = loop, core
         self.workers = GearmanWorkers(loop, core, grab_wait)
         self.jobs = Jobs(core.settings, core.clock, core.counters, remember)
-        self.links: set[GearmanLink] = set()
+        self.links: set[GearmanConnection] = set()
         self.stopping = False
         self._classes = {c.name.encode(): index for index, c in enumerate(core.settings.classes)}
         self.listener = Listener(
@@ -156,24 +156,24 @@
         except OSError:
             sock.close()
             return
-        self.links.add(GearmanLink(self, sock, peer))
+        self.links.add(GearmanConnection(self, sock, peer))
 
     def clients(self) -> int:
-        """Connections that are still owed an end."""
+        """Returns the number of connections that still wait for something."""
         return sum(not link.idle() for link in self.links)
 
     def close_idle(self) -> None:
-        """Closes what neither waits for an end nor is a box; boxes go last."""
+        """Closes idle client connections. Those of boxes stay open until the last job has ended."""
         for link in [x for x in self.links if x.idle() and x.slot.box is None]:
             link.connection.close_after_write()
             link.on_end(ConnectionOutcome.STOPPED)
 
-    # From connections
+    # Called by connections
 
-    def on_packet(self, link: GearmanLink, packet: Packet) -> None:
+    def on_packet(self, link: GearmanConnection, packet: Packet) -> None:
         kind, args = packet.type, packet.args
         if kind in PRIORITY and kind not in BACKGROUND and link.connection.peer_ended:
-            return  # its client left right behind it
+            return  # the client disconnected right after the submit
         if kind in PRIORITY:
             self._submit(link, kind, *args)
         elif kind is Type.ECHO_REQ:
@@ -197,7 +197,9 @@
                 raise BadPacket("INVALID_ARGUMENTS", "a time limit is a whole number of seconds")
             self.workers.on_packet(link.slot, packet)
 
-    def _submit(self, link: GearmanLink, kind: Type, function: bytes, unique: bytes, body: bytes) -> None:
+    def _submit(
+        self, link: GearmanConnection, kind: Type, function: bytes, unique: bytes, body: bytes
+    ) -> None:
         job_class = self._classes.get(function)
         if len(body) > MAX_WORKLOAD:
             raise BadPacket("WORKLOAD_TOO_LARGE", "a workload holds 64 KiB at most")
@@ -248,8 +250,8 @@
         )
         self.core.take(job.request)
 
-    def left(self, job: Job, link: GearmanLink) -> None:
-        """A client left a job; when nobody waits for it any more, it is given up."""
+    def left(self, job: Job, link: GearmanConnection) -> None:
+        """Handles that a client has left a job; cancels the job if nobody else waits for it."""
         job.waiters.remove(link)
         request = job.request
         if job.waiters or job.background or request is None or request.over():
@@ -269,7 +271,7 @@
             return b"0", b"0", b"0", b"0"
         return b"1", b"1" if job.running() else b"0", *job.status
 
-    # From the core
+    # Called by the core
 
     def answer(self, request: Request, answer: Answer) -> None:
         job: Job = request.extra
@@ -281,7 +283,7 @@
     def news(self, request: Request, kind: News, data: bytes) -> None:
         job: Job = request.extra
         if kind is News.EXCEPTION:
-            job.exception = data  # told with the end: another attempt may still serve the job
+            job.exception = data  # sent with the final answer, as another attempt may still succeed
             return
         if kind is News.STATUS:
             done, _, total = data.partition(b"\0")
@@ -289,7 +291,7 @@
         for waiter in list(job.waiters):
             waiter.write(encode(FROM_NEWS[kind], job.handle, data))
 
-    # For operators
+    # Admin commands
 
     def admin(self, line: bytes) -> bytes:
         command = line.split()[:1]
@@ -314,7 +316,7 @@
         return b"ERR UNKNOWN_COMMAND Unknown+server+command\n"
 
     def _function_lines(self) -> list[bytes]:
-        """Function, jobs not ended, jobs at work, connections that can do it."""
+        """Returns a line per function: its name, open jobs, running jobs, and connections that can run it."""
         requests = self.core.receive.open.values()
         lines = []
         for function, number in self._classes.items():
--- a/larchgw/dispatcher/fronts/gearman_jobs.py
+++ b/larchgw/dispatcher/fronts/gearman_jobs.py
@@ -1,4 +1,7 @@
-"""Gearman jobs: which are alive, who waits for them, and how releases ended."""
+"""Gearman jobs: open jobs, the connections that wait for them, and the answers of completed releases.
+
+A release is a job that is not idempotent: if it is submitted again after its end, it must not run again.
+"""
 
 from __future__ import annotations
 
@@ -17,21 +20,21 @@
 from ..scheduling.interface import Settings
 
 MAX_REMEMBERED = 50_000
-MAX_RESULT_BYTES = 16 << 20  # of remembered releases
-LOST = Answer(AnswerKind.FAILED, reason="it was done before, but its result is not kept any more")
-UNTOLD = Answer(AnswerKind.FAILED, reason="the process that had it ended, and it may have run")
+MAX_RESULT_BYTES = 16 << 20  # total of the remembered results
+RESULT_DROPPED = Answer(AnswerKind.FAILED, reason="it was done before, but its result is not kept any more")
+OUTCOME_UNKNOWN = Answer(AnswerKind.FAILED, reason="the process that had it ended, and it may have run")
 log = structlog.get_logger()
 Name = tuple[int, bytes]  # class and unique
 
 
 class Waiter(Protocol):
-    """A client's connection that waits for a job's end."""
+    """A client connection that waits for the end of a job."""
 
     def write(self, data: bytes) -> None:
-        """A packet on the way there."""
+        """Sends a packet, such as progress, before the end of the job."""
 
     def finish(self, job: Job, answer: Answer) -> None:
-        """Its one final answer."""
+        """Sends the final answer; called once."""
 
 
 @dataclass(slots=True, eq=False)
@@ -40,7 +43,7 @@
     unique: bytes
     job_class: int
     background: bool
-    waiters: list[Waiter] = field(default_factory=list)  # one for each foreground submit
+    waiters: list[Waiter] = field(default_factory=list)  # one per foreground submit
     request: Request | None = None
     status: tuple[bytes, bytes] = (b"0", b"0")
     exception: bytes = b""
@@ -50,7 +53,7 @@
 
 
 class Jobs:
-    """Jobs by handle, and by class and unique."""
+    """Open jobs by handle and by class and unique, and the answers of recently ended releases."""
 
     def __init__(self, settings: Settings, clock: Clock, counters: Counters, remember: float) -> None:
         self._settings, self._clock, self._counters = settings, clock, counters
@@ -58,11 +61,12 @@
         self._serial = 0
         self.by_handle: dict[bytes, Job] = {}
         self._by_name: dict[Name, Job] = {}
-        # Oldest first. What a client submits again after the end must not run again.
+        # Oldest first. A release that is submitted again after its end must not run again.
         self._ended: OrderedDict[Name, tuple[float, bytes, Answer]] = OrderedDict()
         self._result_bytes = 0
         self._classes = [c.name for c in settings.classes]
-        # In an upgrade: jobs alive in the other process, which must not run here, and what tells it of ours.
+        # During a hot restart: jobs open in the other process, which must not run here; `publish` sends it
+        # ours.
         self._elsewhere: dict[Name, object] = {}
         self.publish: Callable[[dict[str, Any]], None] = lambda item: None
 
@@ -73,19 +77,22 @@
         return self._by_name.get((job_class, unique)) if unique else None
 
     def ended(self, job_class: int, unique: bytes) -> tuple[bytes, Answer] | None:
-        """The handle and the end of a release that is still remembered."""
+        """Returns the handle and the answer of an ended release, if it is still remembered."""
         self._expire()
         found = self._ended.get((job_class, unique)) if unique else None
         return found[1:] if found else None
 
     def full(self, job_class: int, unique: bytes) -> bool:
-        """Whether there is no room to remember this job's end; to forget another could run that twice."""
-        if not unique or self._safe(job_class):
+        """Whether the answer of this job could not be remembered.
+
+        Forgetting another release early could let that one run twice.
+        """
+        if not unique or self._is_idempotent(job_class):
             return False
         self._expire()
         full = len(self._ended) >= MAX_REMEMBERED
         if full:
-            self._cap("remembered")
+            self._count_cap("remembered")
         return full
 
     def create(self, job_class: int, unique: bytes, background: bool) -> Job:
@@ -94,54 +101,54 @@
         self.by_handle[job.handle] = job
         if unique:
             self._by_name[job_class, unique] = job
-            if (job_class, unique) not in self._elsewhere and not self._safe(job_class):
-                self.publish(self._alive(job))
+            if (job_class, unique) not in self._elsewhere and not self._is_idempotent(job_class):
+                self.publish(self._open_item(job))
         return job
 
     def elsewhere(self, job_class: int, unique: bytes) -> bool:
-        """Whether the other process of an upgrade has this job; its end will be this one's."""
+        """Whether the other process of a hot restart has this job, whose answer then applies here as well."""
         return (job_class, unique) in self._elsewhere
 
     def end(self, job: Job, answer: Answer) -> None:
-        """The job is over. Kept is what says that a release ran, or may have run."""
+        """Removes an ended job, and remembers its answer if it is a release that ran or may have run."""
         self.by_handle.pop(job.handle, None)
         if not job.unique:
             return
         name = (job.job_class, job.unique)
         self._by_name.pop(name, None)
-        if self._safe(job.job_class):
+        if self._is_idempotent(job.job_class):
             return
         if job.request is not None:
-            self.publish(self._end(name, job.handle, answer, self._remember))
-        self._keep(name, job.handle, answer, self._remember)
+            self.publish(self._end_item(name, job.handle, answer, self._remember))
+        self._remember_end(name, job.handle, answer, self._remember)
 
-    def _keep(self, name: Name, handle: bytes, answer: Answer, left: float) -> None:
+    def _remember_end(self, name: Name, handle: bytes, answer: Answer, left: float) -> None:
         if answer.kind is AnswerKind.REFUSED:
             return
         self._expire()
         self._result_bytes += len(answer.result)
         self._ended[name] = (self._clock.now() + left, handle, answer)
         if self._result_bytes > MAX_RESULT_BYTES:
-            self._shed_results()
+            self._drop_results()
 
-    def _safe(self, job_class: int) -> bool:
+    def _is_idempotent(self, job_class: int) -> bool:
         return self._settings.classes[job_class].effect == "idempotent"
 
-    # With the other process of an upgrade
+    # Exchange with the other process of a hot restart
 
     def snapshot(self) -> Iterator[dict[str, Any]]:
         now = self._clock.now()
         for name, (until, handle, answer) in list(self._ended.items()):
-            yield self._end(name, handle, answer, until - now)
+            yield self._end_item(name, handle, answer, until - now)
         for job in list(self._by_name.values()):
-            if job.request is not None and not self._safe(job.job_class):
-                yield self._alive(job)
+            if job.request is not None and not self._is_idempotent(job.job_class):
+                yield self._open_item(job)
 
-    def _alive(self, job: Job) -> dict[str, Any]:
-        return self._named((job.job_class, job.unique), job.handle)
+    def _open_item(self, job: Job) -> dict[str, Any]:
+        return self._item((job.job_class, job.unique), job.handle)
 
-    def _end(self, name: Name, handle: bytes, answer: Answer, left: float) -> dict[str, Any]:
-        return self._named(name, handle) | {
+    def _end_item(self, name: Name, handle: bytes, answer: Answer, left: float) -> dict[str, Any]:
+        return self._item(name, handle) | {
             "left": left,
             "kind": answer.kind.value,
             "result": _text(answer.result),
@@ -149,11 +156,15 @@
             "retry_after": answer.retry_after,
         }
 
-    def _named(self, name: Name, handle: bytes) -> dict[str, Any]:
+    def _item(self, name: Name, handle: bytes) -> dict[str, Any]:
         return {"class": self._classes[name[0]], "unique": _text(name[1]), "handle": _text(handle)}
 
     def on_item(self, source: object, item: dict[str, Any]) -> None:
-        """A job is alive there, or has ended; ValueError and its like for what is neither."""
+        """Handles that a job is open in the other process, or has ended there.
+
+        Raises:
+            ValueError, KeyError, TypeError: The item is malformed.
+        """
         name = self._classes.index(item["class"]), b64decode(item["unique"])
         if "kind" not in item:
             self._elsewhere[name] = source
@@ -167,13 +178,13 @@
         self._ended_elsewhere(name, b64decode(item["handle"]), answer, float(item["left"]))
 
     def on_peer_lost(self, source: object) -> None:
-        """What was alive there may have run, and nobody will say how it ended."""
+        """Ends the jobs that were open in the other process: they may have run, with an unknown outcome."""
         for name in [n for n, owner in self._elsewhere.items() if owner is source]:
-            self._ended_elsewhere(name, b"H:larchgw:0", UNTOLD, self._remember)
+            self._ended_elsewhere(name, b"H:larchgw:0", OUTCOME_UNKNOWN, self._remember)
 
     def _ended_elsewhere(self, name: Name, handle: bytes, answer: Answer, left: float) -> None:
         self._elsewhere.pop(name, None)
-        self._keep(name, handle, answer, left)
+        self._remember_end(name, handle, answer, left)
         job = self._by_name.get(name)
         if job is not None and job.request is None:
             del self._by_name[name]
@@ -191,17 +202,17 @@
         _, (_, _, answer) = self._ended.popitem(last=False)
         self._result_bytes -= len(answer.result)
 
-    def _shed_results(self) -> None:
-        """Lets the oldest results go, but not that they ran."""
-        self._cap("remembered_results")
+    def _drop_results(self) -> None:
+        """Drops the oldest results, but still remembers that those jobs ran."""
+        self._count_cap("remembered_results")
         for name, (until, handle, answer) in self._ended.items():
             if self._result_bytes <= MAX_RESULT_BYTES // 2:
                 return
             if answer.result:
                 self._result_bytes -= len(answer.result)
-                self._ended[name] = (until, handle, LOST)
+                self._ended[name] = (until, handle, RESULT_DROPPED)
 
-    def _cap(self, cap: str) -> None:
+    def _count_cap(self, cap: str) -> None:
         self._counters.caps.labels(cap).inc()
         log.warning("cap." + cap, kept=len(self._ended), bytes=self._result_bytes)
 
@@ -211,5 +222,5 @@
 
 
 def full_unique(unique: bytes, workload: bytes) -> bytes:
-    """As with other job servers, the unique "-" stands for the workload itself."""
+    """Replaces the unique "-", which stands for the workload as with other job servers, by a hash of it."""
     return blake2b(workload, digest_size=16).hexdigest().encode() if unique == b"-" else unique
--- a/larchgw/dispatcher/fronts/gearman_packets.py
+++ b/larchgw/dispatcher/fronts/gearman_packets.py
@@ -1,4 +1,4 @@
-"""Gearman's packets and admin lines, read and written. What they mean is decided elsewhere."""
+"""Codec for Gearman packets and admin lines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 HEAD = struct.Struct(">4sII")
 REQ, RES = b"\0REQ", b"\0RES"
-MAX_PACKET = (256 << 10) + 4096  # what a connection may make us hold before it is understood
+MAX_PACKET = (256 << 10) + 4096  # bounds the data buffered per connection
 MAX_LINE = 1024
 
 
@@ -55,7 +55,7 @@
     STATUS_RES_UNIQUE = 42
 
 
-# What may come in, and how many arguments it has; the last one holds whatever is left, NULs included.
+# Accepted packet types and their numbers of arguments; the last argument may contain NUL bytes.
 ARGUMENTS = {
     Type.CAN_DO: 1,
     Type.CANT_DO: 1,
@@ -87,7 +87,7 @@
 
 
 class BadPacket(ValueError):
-    """Nothing after this can be told apart: it is answered with ERROR, then the connection is closed."""
+    """An invalid packet. It is answered with ERROR and the connection is closed, as the framing is lost."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -101,19 +101,19 @@
 
 
 def encode(kind: Type, *args: bytes) -> bytes:
-    """A packet of the job server."""
+    """Encodes a packet from the job server."""
     data = b"\0".join(args)
     return HEAD.pack(RES, kind, len(data)) + data
 
 
 class PacketReader:
-    """Cuts a stream into packets and admin lines, which may follow each other on one connection."""
+    """Splits a byte stream into packets and admin lines, which may alternate on one connection."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def partial(self) -> bool:
-        """Whether a message has come in part."""
+        """Whether an incomplete message is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Packet | bytes]:
--- a/larchgw/dispatcher/fronts/gearman_workers.py
+++ b/larchgw/dispatcher/fronts/gearman_workers.py
@@ -1,4 +1,4 @@
-"""The transport to boxes that work through Gearman: each of a box's connections is one slot."""
+"""Transport to workers (boxes) that use the Gearman protocol: each connection of a box is one slot."""
 
 from __future__ import annotations
 
@@ -29,48 +29,48 @@
 log = structlog.get_logger()
 
 
-class Wire(Protocol):
-    """A connection, as far as a worker needs it."""
+class SlotConnection(Protocol):
+    """The connection of a slot."""
 
     def write(self, data: bytes) -> None: ...
 
     def written(self) -> bool: ...
 
-    def hang_up(self) -> None: ...
+    def disconnect(self) -> None: ...
 
 
 class Slot:
-    """One worker connection."""
+    """One worker connection, which runs one task at a time."""
 
-    def __init__(self, wire: Wire) -> None:
-        self.wire = wire
+    def __init__(self, connection: SlotConnection) -> None:
+        self.connection = connection
         self.box: Box | None = None
         self.client_id = b""
-        self.abilities: dict[bytes, float] = {}  # function to the worker's own time limit, 0 for none
+        self.abilities: dict[bytes, float] = {}  # time limit set by the worker, by function; 0 for none
         self.asleep = False
         self.task: Task | None = None
-        self.lent: Task | None = None  # a job of several slots that runs on another connection of the box
+        self.reserved_for: Task | None = None  # job of several slots that runs on another connection
 
     def free(self) -> bool:
-        return self.task is None and self.lent is None
+        return self.task is None and self.reserved_for is None
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """An attempt at a box: waiting there, or on one of its slots."""
+    """An attempt at a box, which waits there or runs on one of its slots."""
 
     attempt: Attempt
     box: Box
     function: bytes
     handle: bytes
-    slots: int = 1  # connections that it takes: it runs on one, the others get nothing meanwhile
+    slots: int = 1  # connections that it occupies: it runs on one, and the others stay idle meanwhile
     slot: Slot | None = None
-    excepted: bool = False
+    has_exception: bool = False
     timer: Deadline | None = None
 
 
 class Box:
-    """A box's slots, and the tasks that wait for one, urgent ones first."""
+    """The slots of a box, and the tasks that wait for one, in order of priority."""
 
     def __init__(self, name: WorkerId) -> None:
         self.name = name
@@ -83,25 +83,25 @@
         return [s for s in self.slots if function in s.abilities]
 
     def free(self, function: bytes) -> int:
-        """Connections that may be given such a job now."""
+        """Returns the number of connections that can take a job of this function now."""
         return sum(s.free() for s in self.able(function))
 
 
 class GearmanWorkers:
-    """Tells a box's sleeping slots of work, and gives it to those that ask."""
+    """Wakes sleeping slots when there is work, and assigns tasks to the slots that request them."""
 
     name = "gearman"
 
     def __init__(self, loop: Loop, core: Core, grab_wait: float) -> None:
         self.loop, self.core, self.grab_wait = loop, core, grab_wait
         self.boxes: dict[WorkerId, Box] = {}
-        self._hung_up: set[WorkerId] = set()
-        # Told how many slots a box has, or None once it has left.
+        self._disconnected: set[WorkerId] = set()
+        # Called with the number of slots of a box, or None once it has left.
         self.on_slots: Callable[[WorkerId, float | None], None] = lambda worker, slots: None
         self._names = [c.name.encode() for c in core.settings.classes]
-        core.on_list.append(self._return_drained)
+        core.on_list.append(self._withdraw_from_draining)
 
-    # From the core
+    # Called by the core
 
     def reach(self, worker: WorkerId, job_class: int) -> Reach:
         box = self.boxes.get(worker)
@@ -122,15 +122,15 @@
         )
         attempt.carrier = task
         if task.slots > len(box.able(function)):
-            # It would wait for connections that the box does not have.
+            # It would wait for more connections than the box has.
             outcome = ConnectionOutcome.NO_WAY
             self.core.ended(attempt, End(status_of(outcome), why=outcome.value))
             return
         box.waiting.add(task)
         task.timer = self.loop.deadlines.add(
-            self.loop.clock.now() + self.grab_wait, lambda: self._not_grabbed(task)
+            self.loop.clock.now() + self.grab_wait, lambda: self._on_grab_timeout(task)
         )
-        for slot in box.able(function):  # all that sleep: the first of them may be dead, and nobody told us
+        for slot in box.able(function):  # wakes all of them, because any may be dead without notice
             self._wake(slot)
 
     def give_up(self, attempt: Attempt, late: bool) -> Status:
@@ -140,76 +140,76 @@
         if slot is None:
             task.box.waiting.discard(task)
             return status_of(ConnectionOutcome.NEVER_GRABBED if late else ConnectionOutcome.GIVEN_UP)
-        # A worker cannot be told to stop; that its connection closes tells it.
-        written, slot.task = slot.wire.written(), None
-        self._give_back(task)
-        self._hung_up.add(task.box.name)
+        # The protocol cannot cancel a job at a worker; closing the connection does.
+        written, slot.task = slot.connection.written(), None
+        self._release_reserved(task)
+        self._disconnected.add(task.box.name)
         log.warning(
             "gearman.hang_up",
             box=task.box.name.decode("latin-1"),
             late=late,
             request=attempt.request.name.decode("latin-1"),
         )
-        slot.wire.hang_up()
+        slot.connection.disconnect()
         return status_of(ConnectionOutcome.SILENT if late else ConnectionOutcome.GIVEN_UP, written)
 
     def probe(self, worker: WorkerId) -> None:
-        """The protocol has no probe; a box that is connected is there."""
+        """Reports whether the box is connected, as the protocol has no probe."""
         there = worker in self.boxes
         self.core.probed(worker, Status.OK if there else Status.CONNECT_FAILED, 0.0, ())
 
-    # From worker connections
+    # Called by worker connections
 
     def on_packet(self, slot: Slot, packet: Packet) -> None:
         kind, args = packet.type, packet.args
         if kind in ASSIGN:
-            self._grab(slot, kind)
+            self._on_grab(slot, kind)
         elif kind is Type.PRE_SLEEP:
             slot.asleep = True
-            if self._next(slot) is not None:
-                self._wake(slot)  # work came between its NO_JOB and its sleep
+            if self._next_task(slot) is not None:
+                self._wake(slot)  # a task arrived between NO_JOB and PRE_SLEEP
         elif kind in (Type.CAN_DO, Type.CAN_DO_TIMEOUT):
             slot.abilities[args[0]] = float(args[1]) if kind is Type.CAN_DO_TIMEOUT else 0.0
-            self._settle(slot)
+            self._register(slot)
         elif kind is Type.CANT_DO:
             slot.abilities.pop(args[0], None)
-            self._settle(slot)
+            self._register(slot)
         elif kind is Type.RESET_ABILITIES:
             slot.abilities.clear()
-            self._settle(slot)
+            self._register(slot)
         elif kind is Type.SET_CLIENT_ID:
             if slot.client_id != args[0]:
-                self._unsettle(slot)
+                self._unregister(slot)
                 slot.client_id = args[0]
-                self._settle(slot)
+                self._register(slot)
         elif kind is not Type.ALL_YOURS:
-            self._work(slot, kind, args)
+            self._on_work_packet(slot, kind, args)
 
     def on_written(self, slot: Slot) -> None:
-        """Everything for this connection has gone out, its job too."""
+        """Handles that everything queued for this connection has been written, including its job."""
         if slot.task is not None:
             self.core.written(slot.task.attempt)
 
     def on_end(self, slot: Slot, ending: ConnectionOutcome, written: bool) -> None:
-        """The connection has closed."""
+        """Handles the end of the connection."""
         task, slot.task = slot.task, None
-        self._unsettle(slot)
+        self._unregister(slot)
         if task is not None:
             closed = ending is ConnectionOutcome.CLOSED
-            self._over(task, ConnectionOutcome.CUT_SHORT if closed else ending, written)
+            self._end_task(task, ConnectionOutcome.CUT_SHORT if closed else ending, written)
 
     def close(self) -> None:
         for box in list(self.boxes.values()):
             for slot in list(box.slots):
-                slot.wire.hang_up()
+                slot.connection.disconnect()
 
-    # Within
+    # Internal
 
-    def _settle(self, slot: Slot) -> None:
-        """A slot counts once it has said who it is and what it can do."""
+    def _register(self, slot: Slot) -> None:
+        """Adds the slot to its box once it has sent its client id and at least one function."""
         if slot.box is not None:
             if not slot.abilities:
-                self._unsettle(slot)
+                self._unregister(slot)
             return
         if not slot.abilities or not slot.client_id:
             return
@@ -219,15 +219,15 @@
         self.on_slots(name, float(len(slot.box.slots)))
         if len(slot.box.slots) == 1:
             log.info("gearman.box_joined", box=name.decode("latin-1"))
-            self.core.joined(name, restarted=name not in self._hung_up)
-            self._hung_up.discard(name)
+            self.core.joined(name, restarted=name not in self._disconnected)
+            self._disconnected.discard(name)
 
-    def _unsettle(self, slot: Slot) -> None:
+    def _unregister(self, slot: Slot) -> None:
         box, slot.box = slot.box, None
         if box is None:
             return
         box.slots.remove(slot)
-        slot.lent = None
+        slot.reserved_for = None
         self.on_slots(box.name, float(len(box.slots)) if box.slots else None)
         if not box.slots:
             del self.boxes[box.name]
@@ -235,33 +235,34 @@
             self.core.left(box.name)
         for task in [t for t in box.waiting if len(box.able(t.function)) < t.slots]:
             able = box.able(task.function)
-            self._over(task, ConnectionOutcome.NO_WAY if able else ConnectionOutcome.NEVER_GRABBED)
+            self._end_task(task, ConnectionOutcome.NO_WAY if able else ConnectionOutcome.NEVER_GRABBED)
 
-    def _next(self, slot: Slot) -> Task | None:
-        """What this slot may be given now."""
+    def _next_task(self, slot: Slot) -> Task | None:
+        """Returns the task that this slot can be given now, if any."""
         box = slot.box
         if box is None or not slot.free() or not self.core.boxes.open_to_work(box.name):
-            return None  # a drained box gets nothing new, whatever waits for it
+            return None  # a draining box gets no new tasks, even if some wait for it
         found = next((t for t in box.waiting if t.function in slot.abilities), None)
         if found is not None and box.free(found.function) < found.slots:
-            # The first in turn keeps its room: let past it, jobs of one slot would take each that comes free.
+            # The first task waits until enough slots are free. If later tasks could overtake it, jobs of one
+            # slot would take every slot that becomes free.
             return None
         return found
 
-    def _grab(self, slot: Slot, kind: Type) -> None:
+    def _on_grab(self, slot: Slot, kind: Type) -> None:
         slot.asleep = False
-        if slot.task is not None and slot.task.excepted:
+        if slot.task is not None and slot.task.has_exception:
             task, slot.task = slot.task, None
-            self._over(task, ConnectionOutcome.FAILED)  # an exception was its last word on that job
-        found = self._next(slot)
+            self._end_task(task, ConnectionOutcome.FAILED)  # WORK_EXCEPTION was its final packet for that job
+        found = self._next_task(slot)
         if found is None:
-            slot.wire.write(encode(Type.NO_JOB))
+            slot.connection.write(encode(Type.NO_JOB))
             return
         found.box.waiting.discard(found)
         found.slot, slot.task = slot, found
         others = (s for s in found.box.able(found.function) if s.free())
-        for lent in islice(others, found.slots - 1):
-            lent.lent = found
+        for other in islice(others, found.slots - 1):
+            other.reserved_for = found
         self.loop.deadlines.cancel(found.timer)
         limit = slot.abilities[found.function]
         found.timer = None
@@ -274,59 +275,64 @@
         if kind is not Type.GRAB_JOB:
             args.append(request.unique or request.name)
         if kind is Type.GRAB_JOB_ALL:
-            args.append(b"")  # the reducer, which is for map and reduce jobs
-        slot.wire.write(encode(ASSIGN[kind], *args, request.body))
+            args.append(b"")  # the reducer, only used by map-reduce jobs
+        slot.connection.write(encode(ASSIGN[kind], *args, request.body))
         if slot.task is found:
             self.core.started(found.attempt)
 
-    def _work(self, slot: Slot, kind: Type, args: list[bytes]) -> None:
-        """What a worker says of its job."""
+    def _on_work_packet(self, slot: Slot, kind: Type, args: list[bytes]) -> None:
+        """Handles a progress or result packet of a worker."""
         task = slot.task
         if task is None or task.handle != args[0]:
             self.core.counters.late.labels(kind.name.lower()).inc()
-            slot.wire.write(encode(Type.ERROR, b"JOB_NOT_FOUND", b"this connection has no such job"))
+            slot.connection.write(encode(Type.ERROR, b"JOB_NOT_FOUND", b"this connection has no such job"))
             return
         if kind is Type.WORK_COMPLETE or kind is Type.WORK_FAIL:
             slot.task = None
             done = kind is Type.WORK_COMPLETE
             outcome = ConnectionOutcome.DONE if done else ConnectionOutcome.FAILED
-            self._over(task, outcome, result=args[1] if done else b"")
+            self._end_task(task, outcome, result=args[1] if done else b"")
         elif kind is Type.WORK_STATUS:
             self.core.news(task.attempt, News.STATUS, args[1] + b"\0" + args[2])
             try:
                 self.core.progress(task.attempt, float(args[1]) / float(args[2]))
             except (ValueError, ZeroDivisionError):
-                pass  # a worker may count in what it likes; the client has been told
+                pass  # workers may send any values; the client has received them unchanged
         else:
-            task.excepted = task.excepted or kind is Type.WORK_EXCEPTION
+            task.has_exception = task.has_exception or kind is Type.WORK_EXCEPTION
             self.core.news(task.attempt, NEWS[kind], args[1])
 
     def _wake(self, slot: Slot) -> None:
         if slot.asleep and slot.free():
             slot.asleep = False
-            slot.wire.write(encode(Type.NOOP))
+            slot.connection.write(encode(Type.NOOP))
 
-    def _give_back(self, task: Task) -> None:
-        """The connections that a job of several slots kept from others may have work again."""
+    def _release_reserved(self, task: Task) -> None:
+        """Frees the other connections that a job of several slots has occupied."""
         for slot in task.box.slots:
-            if slot.lent is task:
-                slot.lent = None
+            if slot.reserved_for is task:
+                slot.reserved_for = None
                 if task.box.waiting:
                     self._wake(slot)
 
-    def _not_grabbed(self, task: Task) -> None:
-        """Nobody came for it. A box with all slots at work is full; one with free slots is not there."""
+    def _on_grab_timeout(self, task: Task) -> None:
+        """Ends a task that no slot has grabbed in time.
+
+        If the box has enough free slots it counts as unreachable, otherwise as full.
+        """
         free = task.box.free(task.function) >= task.slots
-        self._over(task, ConnectionOutcome.NEVER_GRABBED if free else ConnectionOutcome.TURNED_AWAY)
+        self._end_task(task, ConnectionOutcome.NEVER_GRABBED if free else ConnectionOutcome.TURNED_AWAY)
 
-    def _return_drained(self) -> None:
+    def _withdraw_from_draining(self) -> None:
         for box in list(self.boxes.values()):
             if not self.core.boxes.open_to_work(box.name):
                 for task in list(box.waiting):
-                    self._over(task, ConnectionOutcome.TURNED_AWAY)
+                    self._end_task(task, ConnectionOutcome.TURNED_AWAY)
 
-    def _over(self, task: Task, ending: ConnectionOutcome, written: bool = True, result: bytes = b"") -> None:
+    def _end_task(
+        self, task: Task, ending: ConnectionOutcome, written: bool = True, result: bytes = b""
+    ) -> None:
         task.box.waiting.discard(task)
         self.loop.deadlines.cancel(task.timer)
-        self._give_back(task)
+        self._release_reserved(task)
         self.core.ended(task.attempt, End(status_of(ending, written), result, why=ending.value))
--- a/larchgw/dispatcher/fronts/jobheaders.py
+++ b/larchgw/dispatcher/fronts/jobheaders.py
@@ -1,4 +1,4 @@
-"""What HTTP says of a job, in headers; and what an answer looks like in HTTP."""
+"""Parses the HTTP headers of a job, and converts answers to HTTP responses."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from ..core import Answer, AnswerKind
 
-NAME = re.compile(rb"[!-~]{1,128}")
-ONCE = re.compile(rb"[ -~]{1,256}")
-LONGEST_WAIT_MS = 3_600_000
-MICRO = 1e-6  # seconds; the unit of X-Cost-Hint (PROTOCOL, "Clients to dispatchers")
+JOB_NAME = re.compile(rb"[!-~]{1,128}")
+IDEMPOTENCY_KEY = re.compile(rb"[ -~]{1,256}")
+MAX_DEADLINE_MS = 3_600_000
+HINT_UNIT_S = 1e-6  # seconds per unit of X-Cost-Hint (PROTOCOL, "Clients to dispatchers")
 Headers = tuple[tuple[str, str], ...]
 
 
@@ -23,33 +23,38 @@
     key: int
     slots: float
     memory: float
-    hint: float  # seconds of work; 0: not told
+    hint: float  # seconds of work; 0 if not given
     repeat: bool
-    once: bytes = b""  # Idempotency-Key: passed on unchanged
+    once: bytes = b""  # Idempotency-Key, passed on unchanged
     tenant: bytes = b""
 
 
 def read_job(headers: Mapping[bytes, bytes], deduplicated: bool = False) -> JobHeaders:
-    """From headers by their names in small letters; ValueError names the one that is wrong.
+    """Parses the headers of a job.
 
-    `deduplicated`: its class's workers drop repeats by Idempotency-Key: a job without one cannot be sent on.
+    Args:
+        headers: Values by lower-case name.
+        deduplicated: Whether workers drop repeats of this class by Idempotency-Key, which is required then.
+
+    Raises:
+        ValueError: A header is missing or invalid; the message names it.
     """
-    twice = next((n for n, value in headers.items() if b"\n" in value), None)
-    if twice is not None:
-        raise ValueError(f"{twice.decode('latin-1')} is given twice")
+    repeated = next((n for n, value in headers.items() if b"\n" in value), None)
+    if repeated is not None:
+        raise ValueError(f"{repeated.decode('latin-1')} is given twice")
     name, wait = headers.get(b"x-request-id", b""), headers.get(b"x-deadline-ms", b"")
-    if not NAME.fullmatch(name):
+    if not JOB_NAME.fullmatch(name):
         raise ValueError("X-Request-Id is missing or bad")
-    if not wait.isdigit() or not 0 < int(wait[:12]) <= LONGEST_WAIT_MS:
+    if not wait.isdigit() or not 0 < int(wait[:12]) <= MAX_DEADLINE_MS:
         raise ValueError("X-Deadline-Ms is missing or bad")
     once = headers.get(b"idempotency-key", b"")
-    if not ONCE.fullmatch(once) and (deduplicated or b"idempotency-key" in headers):
+    if not IDEMPOTENCY_KEY.fullmatch(once) and (deduplicated or b"idempotency-key" in headers):
         raise ValueError("Idempotency-Key is missing or bad")
     parts = headers.get(b"x-extras", b"").decode("latin-1").split(",")
     pairs = [part.partition("=") for part in parts if part.strip()]
     try:
         extras = {n.strip(): float(value) for n, _, value in pairs}
-        hint = float(headers.get(b"x-cost-hint", b"0")) * MICRO
+        hint = float(headers.get(b"x-cost-hint", b"0")) * HINT_UNIT_S
     except ValueError:
         raise ValueError("X-Extras or X-Cost-Hint is no figure") from None
     slots, memory = extras.get("slots", 1.0), extras.get("memory", 0.0)
@@ -69,7 +74,7 @@
 
 
 def key_number(text: bytes) -> int:
-    """A key as the module wants it: 64 bits, and 0 for none."""
+    """Converts an affinity key to the scheduler's form: 64 bits, 0 for none."""
     if not text:
         return 0
     if re.fullmatch(rb"[0-9a-fA-F]{1,16}", text):
@@ -78,7 +83,7 @@
 
 
 def http_answer(answer: Answer) -> tuple[int, bytes, Headers]:
-    """Status, body and headers."""
+    """Returns the status, body and headers of the response."""
     if answer.kind is AnswerKind.SERVED:
         return 200, answer.result, ()
     reason = answer.reason.encode() + b"\n"
--- a/larchgw/dispatcher/fronts/platform.py
+++ b/larchgw/dispatcher/fronts/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: `POST /CLASS` over HTTP/1.1."""
+"""The platform's front: HTTP/1.1 server that accepts jobs as `POST /CLASS`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlatformFront:
-    """Answers the platform's clients, and says whether we are ready and alive."""
+    """Serves the platform's clients, and the readiness and health checks."""
 
     name = "platform"
 
@@ -30,7 +30,7 @@
         self._classes = {c.name.encode(): index for index, c in enumerate(core.settings.classes)}
         self.server = HttpServer(loop, core.counters, address, self, cap, max_held, inherited=inherited)
 
-    # From clients
+    # Called by the HTTP server
 
     def on_exchange(self, exchange: Exchange) -> None:
         job_class = self._classes.get(exchange.path[1:].partition(b"/")[0])
@@ -57,7 +57,7 @@
         except ValueError as error:
             self._bad(exchange, 400, str(error))
             return
-        waited = self._core.clock.now() - exchange.received_at  # behind others on its connection
+        waited = self._core.clock.now() - exchange.received_at  # behind earlier requests on its connection
         request = exchange.handler_data = Request(
             self,
             job.name,
@@ -82,11 +82,11 @@
         self._core.counters.bad.labels(self.name, str(status)).inc()
         exchange.reply(status, reason.encode() + b"\n", headers)
 
-    # From the core
+    # Called by the core
 
     def answer(self, request: Request, answer: Answer) -> None:
         exchange: Exchange = request.extra
         exchange.reply(*http_answer(answer))
 
     def news(self, request: Request, kind: News, data: bytes) -> None:
-        """HTTP clients of the platform hear of the end only."""
+        """Ignores progress: HTTP clients of the platform receive only the final answer."""
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -21,7 +21,7 @@
 from .dispatcher.config.startup import read
 from .dispatcher.core import Answer, AnswerKind, Request
 from .dispatcher.core.requests import News
-from .dispatcher.fronts.jobheaders import ONCE, http_answer, key_number, read_job
+from .dispatcher.fronts.jobheaders import IDEMPOTENCY_KEY, http_answer, key_number, read_job
 from .net.http_server import MAX_BODY_BYTES
 
 GRACE_S = 0.5  # beyond a job's time, for its answer to cross threads
@@ -133,7 +133,7 @@
         class_index = self._classes[job_class]
         if len(body) > MAX_BODY_BYTES:
             raise ValueError("a body holds 64 KiB at most")
-        if once and not ONCE.fullmatch(once.encode()):
+        if once and not IDEMPOTENCY_KEY.fullmatch(once.encode()):
             raise ValueError("once: must be 1 to 256 printable characters of ASCII")
         future: Future[Answer] = Future()
         name, target = name or secrets.token_hex(8), target or "/" + job_class
--- a/tests/dispatcher/test_gearman.py
+++ b/tests/dispatcher/test_gearman.py
@@ -246,7 +246,10 @@
     assert jobs.full(0, b"b")
     assert not jobs.full(0, b"")
     assert not jobs.full(1, b"b")
-    assert jobs.ended(0, b"a") == (b"H:larchgw:1", gearman_jobs.LOST)  # the result went, not that it ran
+    assert jobs.ended(0, b"a") == (
+        b"H:larchgw:1",
+        gearman_jobs.RESULT_DROPPED,
+    )  # the result went, not that it ran
 
 
 def test_a_silent_worker_times_out_and_its_connection_is_closed(tmp_path: Path) -> None:
