--- a/larchgw/dispatcher/config/settings_file.py
+++ b/larchgw/dispatcher/config/settings_file.py
@@ -1,7 +1,7 @@
-"""Our own TOML files under `deploy/`: one table a subsystem, checked against a schema, every fault named.
+"""Reads the TOML files under `deploy/`, which have one table per subsystem, and lists all errors.
 
-The schema is the dataclass of the subsystem; msgspec converts and checks types. A dataclass may have `check`,
-which raises ValueError (`field: what is wrong`) for what types cannot say.
+The schema of a table is a dataclass; msgspec checks the types. A dataclass may have a method `check` for
+conditions that types cannot express; it raises ValueError with the text `field: what is wrong`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One mistake; `field` is dotted from the top of the file and empty for the file as a whole."""
+    """An error in a file; `field` is the dotted path of the setting, empty for the file as a whole."""
 
     file: str
     field: str
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GearmanTable:
-    """Where the Gearman job server listens."""
+    """Settings of the Gearman front."""
 
     listen: str
     grab_wait_s: float = 2.0
@@ -51,12 +51,12 @@
         _check_listen(self.listen)
         for name in ("grab_wait_s", "remember_s"):
             if not getattr(self, name) > 0:
-                raise ValueError(f"{name}: must be a figure above 0")
+                raise ValueError(f"{name}: must be a number above 0")
 
 
 @dataclass(slots=True, frozen=True)
 class ListenTable:
-    """A front that has an address and nothing else to set."""
+    """Settings of a front that has only an address."""
 
     listen: str
 
@@ -70,7 +70,7 @@
 
 
 def read(path: Path, tables: Mapping[str, type] = TABLES) -> tuple[dict[str, Any], list[Fault]]:
-    """The tables that are right, and every fault of the file."""
+    """Returns the valid tables and all errors of a file."""
     file = str(path)
     try:
         top = tomllib.loads(path.read_text())
@@ -94,7 +94,11 @@
 
 
 def load(path: Path, tables: Mapping[str, type]) -> dict[str, Any]:
-    """The tables of a file; ConfigError names the first fault."""
+    """Returns the tables of a file.
+
+    Raises:
+        ConfigError: The file has an error; the message describes the first one.
+    """
     found, faults = read(path, tables)
     if faults:
         first = faults[0]
@@ -103,13 +107,13 @@
 
 
 def load_room(path: Path) -> RoomSettings:
-    """From a file like deploy/room.toml; a file without the table holds room as the defaults say."""
+    """Reads a file like deploy/room.toml; without the table the defaults apply."""
     room: RoomSettings = load(path, ROOM).get("room") or RoomSettings()
     return room
 
 
 def load_fronts(path: Path) -> Fronts:
-    """From a file like deploy/fronts.toml."""
+    """Reads a file like deploy/fronts.toml."""
     found = load(path, FRONTS)
     fronts = Fronts()
     for name, table in found.items():
@@ -121,7 +125,7 @@
 
 
 def _faults(schema: type, table: dict[str, Any]) -> Iterator[tuple[str, str]]:
-    """Field and fault, for each field that is wrong."""
+    """Yields the name and the error of each invalid field."""
     known = {field.name: field for field in fields(schema)}
     hints = get_type_hints(schema)
     clean = True
--- a/larchgw/dispatcher/config/startup.py
+++ b/larchgw/dispatcher/config/startup.py
@@ -1,4 +1,4 @@
-"""What a dispatcher is told at its start; whatever is wrong is named in one line."""
+"""Reads and checks the JSON configuration of a dispatcher; an error is described in one line."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from ..simulator_protocol.wire import EFFECTS, WireError, read_settings
 
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 128
-FIGURES = {
+NUMERIC_FIELDS = {
     "allowed": ("idleClose", "dialTimeout", "maxAttempts", "maxRetryAfter"),
     "obligations": ("askWithin", "drainGrace", "coldFrom", "warmUp", "tipMultiple", "fall"),
     "familyInfo": ("progress",),
     "charges": ("crossZone", "origin", "probe", "waste", "lateFail"),
 }
-ONE_OF = {  # words that settings may hold; another would be taken for the first of them
+ALLOWED_WORDS = {  # for these settings; the first is the default, and any other word would act like it
     "registryMode": ("automatic", "subscribe"),
     "weightSource": ("silent", "nominal", "rough", "live"),
     "worthBy": ("request", "work"),
     "report.via": ("silent", "piggyback", "pull"),
     "familyInfo.queueOrder": ("fifo", "backfill", "priority"),
 }
-OF_CLASS = ("points", "lateWorth", "memorySpan", "aimStretch")
+NUMERIC_CLASS_FIELDS = ("points", "lateWorth", "memorySpan", "aimStretch")
 
 
 class ConfigError(ValueError):
-    """`field: what is wrong with it`."""
+    """An error in the configuration, as `field: what is wrong`."""
 
 
-class Noted(dict[str, Any]):
-    """An object of the settings that notes which of its fields were read."""
+class TrackedDict(dict[str, Any]):
+    """A JSON object of the settings that records which of its fields have been read."""
 
     def __init__(self, *fields: Any) -> None:
         super().__init__(*fields)
@@ -52,10 +52,10 @@
 
 
 def unread(value: Any, path: str = "") -> list[str]:
-    """The fields that nobody has read, by their paths; of alike objects in a list, each but once."""
+    """Returns the paths of fields that were never read; fields of list items are listed once per list."""
     if isinstance(value, list):
         return list(dict.fromkeys(name for one in value for name in unread(one, path + "[]")))
-    if not isinstance(value, Noted):
+    if not isinstance(value, TrackedDict):
         return []
     found: list[str] = []
     for name, field_ in value.items():
@@ -80,7 +80,7 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """From `PROXY_CONFIG`'s file; the other variables fill in what it leaves out."""
+    """Reads the file that `PROXY_CONFIG` names; other variables supply fields that it leaves out."""
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG: is not set")
@@ -94,18 +94,18 @@
 
 
 def read(top: Any, environ: Mapping[str, str] | None = None, need_listen: bool = True) -> Config:
-    """From the parsed JSON. What is embedded listens nowhere."""
+    """Reads a parsed configuration. An embedded dispatcher does not need a `listen` address."""
     environ = environ or {}
     if not isinstance(top, dict):
         raise ConfigError("PROXY_CONFIG: must hold a JSON object")
-    raw = json.loads(json.dumps(_part(top, "settings", dict)), object_hook=Noted)
-    limits = _part(top, "limits", dict, {})
+    raw = json.loads(json.dumps(_typed_field(top, "settings", dict)), object_hook=TrackedDict)
+    limits = _typed_field(top, "limits", dict, {})
     sockets = limits.get("sockets", DEFAULT_SOCKETS)
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < 64:
         raise ConfigError("limits.sockets: must be a whole number, 64 or more")
     memory_mb = limits.get("memory_mb", DEFAULT_MEMORY_MB)
     if not isinstance(memory_mb, int | float) or isinstance(memory_mb, bool) or not memory_mb > 0:
-        raise ConfigError("limits.memory_mb: must be a figure above 0")
+        raise ConfigError("limits.memory_mb: must be a number above 0")
     _check_types(raw)
     try:
         settings = read_settings(raw)
@@ -138,10 +138,13 @@
 
 
 def check_reload(old: Config, new: Config) -> None:
-    """Raises ConfigError for what only a start can change.
+    """Checks that a reload changes only settings that can change without a restart.
 
-    Open jobs know their class by its number, and what may be sent again hangs on its effect: a list of other
-    classes would read them as something else in mid-flight.
+    Open jobs refer to their class by its index, and the effect of a class decides whether a job may be sent
+    again. With another list of classes, open jobs would be treated as jobs of the wrong class.
+
+    Raises:
+        ConfigError: A changed setting needs a restart.
     """
     for name in ("listen", "admin"):
         if getattr(new, name) != getattr(old, name):
@@ -153,59 +156,61 @@
 
 @dataclass(slots=True)
 class Fronts:
-    """The fronts beside the platform's; None for one that is off."""
+    """Addresses and settings of the optional fronts; None for a front that is disabled."""
 
     gearman: tuple[str, int] | None = None
     agent_check: tuple[str, int] | None = None
     ops: tuple[str, int] | None = None
-    grab_wait: float = 2.0  # seconds that a job waits at a box for a worker to grab it
-    remember: float = 900.0  # seconds that the end of a release is kept for those who submit it again
+    grab_wait: float = 2.0  # seconds that a job waits at a box until a slot grabs it
+    remember: float = 900.0  # seconds that the answer of a release is kept for repeated submits
 
 
 def _check_types(raw: dict[str, Any]) -> None:
-    """What is of the wrong type would otherwise be met in the middle of a start, or of a job."""
+    """Checks types up front; a wrong type would otherwise fail during start-up or while a job is handled."""
     for part in ("allowed", "familyInfo", "obligations", "charges", "report"):
-        table = _part(raw, part, dict, {}, "settings.")
-        for name in FIGURES.get(part, ()):
-            _figure(table.get(name, 0), f"settings.{part}.{name}")
+        table = _typed_field(raw, part, dict, {}, "settings.")
+        for name in NUMERIC_FIELDS.get(part, ()):
+            _check_number(table.get(name, 0), f"settings.{part}.{name}")
     for name in ("nInstances", "overShareWorth", "rank"):
-        _figure(raw.get(name, 1), f"settings.{name}")
-    for path, words in ONE_OF.items():
+        _check_number(raw.get(name, 1), f"settings.{name}")
+    for path, words in ALLOWED_WORDS.items():
         table, _, name = path.rpartition(".")
         found = (raw.get(table, {}) if table else raw).get(name, words[0])
         if found not in words:
-            raise ConfigError(f"settings.{path}: is none of {', '.join(words)}")
+            raise ConfigError(f"settings.{path}: must be one of {', '.join(words)}")
     fields = raw.get("report", {}).get("fields", [])
     if not isinstance(fields, list) or not all(isinstance(f, str) for f in fields):
         raise ConfigError("settings.report.fields: must be a list of names")
     for part in ("areas", "shapes", "requestClasses"):
-        _part(raw, part, list, [], "settings.")
-    for index, one in enumerate(_part(raw, "tenants", list, [], "settings.") if raw.get("tenants") else []):
+        _typed_field(raw, part, list, [], "settings.")
+    for index, one in enumerate(
+        _typed_field(raw, "tenants", list, [], "settings.") if raw.get("tenants") else []
+    ):
         where = f"settings.tenants[{index}]"
         if not isinstance(one, dict) or not isinstance(one.get("name"), str):
             raise ConfigError(f"{where}.name: is missing")
-        _figure(one.get("quotaPerS", 0.0), f"{where}.quotaPerS")
+        _check_number(one.get("quotaPerS", 0.0), f"{where}.quotaPerS")
     for index, one in enumerate(raw.get("requestClasses", [])):
         where = f"settings.requestClasses[{index}]"
         if not isinstance(one, dict) or not isinstance(one.get("name"), str):
             raise ConfigError(f"{where}.name: is missing")
         for name in ("aim", "deadline"):
-            _figure(one.get(name), f"{where}.{name}")
-        for name in OF_CLASS:
-            _figure(one.get(name, 0.0), f"{where}.{name}")
+            _check_number(one.get(name), f"{where}.{name}")
+        for name in NUMERIC_CLASS_FIELDS:
+            _check_number(one.get(name, 0.0), f"{where}.{name}")
         if one.get("effect") not in EFFECTS:
-            raise ConfigError(f"{where}.effect: is none of {', '.join(EFFECTS)}")
+            raise ConfigError(f"{where}.effect: must be one of {', '.join(EFFECTS)}")
 
 
-def _figure(value: Any, where: str) -> None:
+def _check_number(value: Any, where: str) -> None:
     if not isinstance(value, int | float) or isinstance(value, bool):
-        raise ConfigError(f"{where}: must be a figure")
+        raise ConfigError(f"{where}: must be a number")
 
 
-def _part(top: dict[str, Any], name: str, kind: type, default: Any = None, where: str = "") -> Any:
+def _typed_field(top: dict[str, Any], name: str, kind: type, default: Any = None, where: str = "") -> Any:
     value = top.get(name, default)
     if not isinstance(value, kind):
-        raise ConfigError(f"{where}{name}: is missing or no JSON {'object' if kind is dict else 'list'}")
+        raise ConfigError(f"{where}{name}: is missing or not a JSON {'object' if kind is dict else 'list'}")
     return value
 
 
@@ -214,7 +219,7 @@
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
-        raise ConfigError("PROXY_ACCEPT_FD: must be the number of a descriptor")
+        raise ConfigError("PROXY_ACCEPT_FD: must be a file descriptor number")
     return int(text)
 
 
--- a/larchgw/dispatcher/simulator_protocol/__init__.py
+++ b/larchgw/dispatcher/simulator_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: codec, host process, and the check of the settings it gives."""
+"""Runs the scheduler under the simulator: codec of its protocol, host process, and check of its settings."""
--- a/larchgw/dispatcher/simulator_protocol/checks.py
+++ b/larchgw/dispatcher/simulator_protocol/checks.py
@@ -1,4 +1,4 @@
-"""Says which start-up setting cannot be."""
+"""Checks the scheduler settings."""
 
 from typing import get_args
 
@@ -6,7 +6,11 @@
 
 
 def check_settings(s: Settings) -> None:
-    """Raises ValueError naming the setting that cannot be."""
+    """Checks the settings.
+
+    Raises:
+        ValueError: A setting is invalid; the message names it.
+    """
     if not s.classes:
         raise ValueError("classes: at least one is needed")
     for c in s.classes:
--- a/larchgw/dispatcher/simulator_protocol/wire.py
+++ b/larchgw/dispatcher/simulator_protocol/wire.py
@@ -1,4 +1,4 @@
-"""Binary codec of the simulator's wire: frames, records, JSON settings. It decides nothing."""
+"""Binary codec of the simulator's protocol: frames, records and JSON settings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class WireError(ValueError):
-    """The other side sent something that is not a frame of this wire."""
+    """The simulator sent data that violates the protocol."""
 
 
 SPAWN, SYNC, ORDER, HEADERS, RESOLVED, CANCELLED, FIRED, PINGED, INBOX, EXIT, LEDGER, UPDATE = range(12)
@@ -54,13 +54,15 @@
     306: Status.CANCELLED,
     307: Status.MOOT,
 }
-EFFECTS: dict[str, Effect] = {effect: effect for effect in get_args(Effect)}  # the wire has the same words
+EFFECTS: dict[str, Effect] = {
+    effect: effect for effect in get_args(Effect)
+}  # the protocol uses the same names
 
 Event = tuple[int, int, Any]  # code, instance (or list number), content
 
 
 def read_frame(stream: Any) -> bytes | None:
-    """The next frame's content; None at the end of input."""
+    """Reads the next frame and returns its content; None at the end of input."""
     head = stream.read(4)
     if not head:
         return None
@@ -76,7 +78,7 @@
 
 
 def decode(frame: bytes) -> tuple[float, Iterator[Event]]:
-    """The batch's clock and its events, in order."""
+    """Returns the time of a batch and its events, in order."""
     now, count = _BATCH.unpack_from(frame)
     return now, _records(frame, count)
 
@@ -144,7 +146,7 @@
 
 
 def decode_settings(text: bytes) -> Settings:
-    """Settings from the JSON of a SPAWN; unknown keys are skipped."""
+    """Parses the JSON settings of a SPAWN event; unknown keys are ignored."""
     try:
         top = json.loads(text)
     except ValueError as error:
@@ -153,7 +155,11 @@
 
 
 def read_settings(top: Any) -> Settings:
-    """Settings from their object. WireError if it cannot be read."""
+    """Converts a parsed JSON object to settings.
+
+    Raises:
+        WireError: A required key is missing or a value has the wrong type.
+    """
     try:
         family, allowed, rules = top.get("familyInfo", {}), top.get("allowed", {}), top.get("obligations", {})
         prices, report = top.get("charges", {}), top.get("report", {})
@@ -242,7 +248,7 @@
 
 
 class WireActions:
-    """Writes one instance's actions as records into a list shared by the batch."""
+    """Encodes the actions of one instance as records and appends them to the batch's shared list."""
 
     __slots__ = ("out", "instance")
 
@@ -272,12 +278,12 @@
         self.out.append(_SUBSCRIBE.pack(10, 3, self.instance, 1))
 
     def log(self, text: str, code: int = 8) -> None:
-        """A line for the report; with code 9, the fault that ends the run."""
+        """Writes a line to the simulator's report; with code 9, an error that ends the run."""
         body = text.encode()[:2000]
         self.out.append(_TEXT.pack(code, 4 + len(body), self.instance, len(body)) + body)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """The reply frame that holds these records."""
+    """Encodes a reply frame with these records."""
     body = b"".join(records)
     return struct.pack("<II", len(body) + 4, len(records)) + body
--- a/larchgw/dispatcher/simulator_protocol/wirehost.py
+++ b/larchgw/dispatcher/simulator_protocol/wirehost.py
@@ -1,4 +1,4 @@
-"""Dispatchers on the simulator's wire, over stdin and stdout.
+"""Hosts dispatchers for the simulator, with its protocol on stdin and stdout.
 
 Run as `python -m larchgw.dispatcher.simulator_protocol.wirehost`.
 """
@@ -15,7 +15,7 @@
 
 
 class Host:
-    """One dispatcher per SPAWN; they share nothing but decoded lists, which none of them changes."""
+    """Runs one dispatcher per SPAWN event. They share only the decoded worker lists, which are immutable."""
 
     def __init__(self) -> None:
         self.out: list[bytes] = []
@@ -46,13 +46,15 @@
                     dispatchers[instance] = Dispatcher(settings, content[0], wire.WireActions(out, instance))
                 else:
                     self.deliver(now, code, instance, content)
-            except Exception as error:  # our own fault: say so on the wire, it ends the run
+            except (
+                Exception
+            ) as error:  # a bug in the dispatcher: report it to the simulator, which ends the run
                 wire.WireActions(out, instance).log(f"{type(error).__name__}: {error}", 9)
                 print(f"instance {instance}: {type(error).__name__}: {error}", file=sys.stderr)
         return wire.encode_reply(out)
 
     def deliver(self, now: float, code: int, instance: int, content: Any) -> None:
-        """Calls the method that belongs to an event."""
+        """Passes an event to the matching method of its dispatcher."""
         d = self.dispatchers[instance]
         if code == wire.RESOLVED:
             d.on_outcome(now, content)
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -1,11 +1,11 @@
-"""A dispatcher inside a WSGI program (Flask, say), on a thread of its own.
+"""A dispatcher embedded in a WSGI program (for example Flask), on its own thread.
 
     dispatcher = EmbeddedDispatcher(json.load(open("dispatcher.json")))
     dispatcher.start()
     app.wsgi_app = DispatchMiddleware(app.wsgi_app, dispatcher, {"/jobs/proof": "proof"})
 
-`POST`s to the paths named become jobs, with the headers of the platform's protocol; everything else goes to
-the wrapped application. `EmbeddedDispatcher.submit` hands a job in from any thread without HTTP.
+`POST` requests to the given paths become jobs, with the headers of the platform's protocol. All other
+paths go to the wrapped application. `EmbeddedDispatcher.submit` submits a job from any thread without HTTP.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from .dispatcher.fronts.jobheaders import IDEMPOTENCY_KEY, http_answer, key_number, read_job
 from .net.http_server import MAX_BODY_BYTES
 
-GRACE_S = 0.5  # beyond a job's time, for its answer to cross threads
-DRAIN_POLL_S = 0.05  # between two looks whether all jobs are answered
+GRACE_S = 0.5  # beyond a job's deadline, to pass its answer between threads
+DRAIN_POLL_S = 0.05  # between two checks whether all jobs have been answered
 REFUSED_RETRY_AFTER_S = 1.0
 StartResponse = Callable[..., Any]
 WsgiApp = Callable[[dict[str, Any], StartResponse], Iterable[bytes]]
 
 
 class EmbeddedDispatcher:
-    """The daemon's dispatcher, run on a thread of its own.
+    """The daemon's dispatcher on its own thread.
 
-    `start`, `stop` and `submit` may be called from any thread; `answer` and `news` are called by the
-    dispatcher on its thread, where this object stands as the front of its jobs.
+    `start`, `stop` and `submit` may be called from any thread. `answer` and `news` are called by the
+    dispatcher on its thread, because this object is the front of its jobs.
     """
 
     name = "wsgi"
@@ -44,13 +44,13 @@
         """Reads the configuration and starts nothing yet.
 
         Args:
-            config: Of the form of PROXY_CONFIG's file, without `listen`.
+            config: The content of a PROXY_CONFIG file; `listen` is not needed.
         """
         self._node = Node(read(dict(config), need_listen=False))
         self._classes = {c.name: index for index, c in enumerate(self._node.config.settings.classes)}
         self._thread = threading.Thread(target=self._run, name="larchgw", daemon=True)
         self._running = False
-        self._lock = threading.Lock()  # a job submitted before the stop reaches the loop before it, too
+        self._lock = threading.Lock()  # a job submitted before `stop` must also reach the loop before it
 
     def start(self) -> None:
         """Begins to follow discovery and to accept jobs."""
@@ -58,7 +58,7 @@
         self._thread.start()
 
     def stop(self, timeout: float = 30.0) -> None:
-        """Accepts no more jobs, answers what is open, and ends the thread.
+        """Stops accepting jobs, waits until open jobs have been answered, and ends the thread.
 
         Args:
             timeout: Seconds to wait for the thread.
@@ -71,11 +71,11 @@
             self._thread.join(timeout)
 
     def figures(self) -> dict[str, float]:
-        """The counters that are not 0."""
+        """Returns the counters that are not 0."""
         return self._node.core.counters.nonzero_values()
 
     def deadline(self, job_class: str) -> float:
-        """How long a client of this class waits, in seconds.
+        """Returns the deadline of a job class in seconds.
 
         Raises:
             KeyError: There is no such class.
@@ -83,7 +83,7 @@
         return self._node.config.settings.classes[self._classes[job_class]].deadline
 
     def keyed(self, job_class: str) -> bool:
-        """Whether workers drop repeats of this class by key.
+        """Returns whether workers detect repeated jobs of this class by their key.
 
         Raises:
             KeyError: There is no such class.
@@ -110,25 +110,25 @@
 
         Args:
             job_class: The name of its class.
-            body: What workers get.
-            target: The request target at workers; "/" and the class where left out.
-            name: The job's name; drawn where left out.
-            wait: Seconds that its client waits; its class's deadline where left out.
-            key: The affinity key, as X-Key has it; none where empty.
+            body: The request body for the worker.
+            target: The request target at the worker; by default "/" and the class.
+            name: The job's name; random by default.
+            wait: Seconds that its client waits; by default the deadline of its class.
+            key: The affinity key, in the format of X-Key; empty for none.
             slots: Slots that it takes at a worker.
             memory: Memory that it takes at a worker, in the unit of the workers' capacity.
-            hint: Seconds of work by its client's estimate; 0 if unknown.
-            repeat: Whether its client has sent it before.
-            tenant: Whose quota it counts against.
-            once: The key by which workers know a repeat of a deduplicated job; its name where left out.
+            hint: The client's estimate of the work in seconds; 0 if unknown.
+            repeat: Whether the client has sent it before.
+            tenant: The tenant whose quota it counts against.
+            once: The key by which workers detect a repeat of a deduplicated job; by default the job's name.
 
         Returns:
-            A future of its one final answer. Cancelling it gives the job up.
+            A future with the final answer. Cancelling the future cancels the job.
 
         Raises:
             KeyError: There is no such class.
-            RuntimeError: The dispatcher does not run.
-            ValueError: The body is too large, or `once` cannot be carried by a header.
+            RuntimeError: The dispatcher is not running.
+            ValueError: The body is too large, or `once` is not valid in a header.
         """
         class_index = self._classes[job_class]
         if len(body) > MAX_BODY_BYTES:
@@ -157,23 +157,23 @@
         with self._lock:
             if not self._running:
                 raise RuntimeError("the dispatcher is not running")
-            # One that is cancelled before the loop comes to it is never sent.
+            # A job that is cancelled before the loop handles it is never sent.
             self._node.loop.call_soon(lambda: None if future.cancelled() else self._node.core.take(request))
         return future
 
-    # As a front of the core, on the dispatcher's thread
+    # Called by the core on the dispatcher's thread
 
     def answer(self, request: Request, answer: Answer) -> None:
-        """Gives the job's final answer to its future."""
+        """Sets the final answer of a job as the result of its future."""
         future: Future[Answer] = request.extra
         if future.set_running_or_notify_cancel():
             future.set_result(answer)
 
     def news(self, request: Request, kind: News, data: bytes) -> None:
-        """Ignores progress: a future has the final answer only."""
+        """Ignores progress, as a future carries only the final answer."""
 
     def _cancel(self, request: Request) -> None:
-        # An id of 0: not begun.
+        # Id 0 means that the core has not accepted the request yet.
         self._node.loop.call_soon(lambda: self._node.core.gone(request) if request.id else None)
 
     def _run(self) -> None:
@@ -190,7 +190,7 @@
 
 
 class DispatchMiddleware:
-    """WSGI middleware: requests to some paths become jobs; all others go to the application.
+    """WSGI middleware that turns requests to certain paths into jobs and passes on all others.
 
     Source: PEP 3333.
     """
@@ -256,6 +256,6 @@
         except TimeoutError:
             future.cancel()
             answer = Answer(AnswerKind.FAILED, reason="its time is over")
-        except RuntimeError as error:  # it has been stopped: nothing has run
+        except RuntimeError as error:  # the dispatcher has been stopped, so nothing has run
             answer = Answer(AnswerKind.REFUSED, retry_after=REFUSED_RETRY_AFTER_S, reason=str(error))
         return http_answer(answer)
