--- a/tests/dispatcher/test_admin_address.py
+++ b/tests/dispatcher/test_admin_address.py
@@ -1,4 +1,4 @@
-"""The second address of the real program: readiness, figures, and boxes out and back by hand."""
+"""The admin address of the real program: readiness, statistics, and taking workers out and back."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
     desk.take()
     box = desk.sent[0].worker
     desk.core.ended(desk.sent[0], End(Status.ERROR))
-    assert desk.core.avoided() == 1  # by choice
+    assert desk.core.avoided() == 1  # taken out by an operator
     desk.core.take_out(box, desk.clock.now())
     worker = desk.core.dispatcher.workers[box]
     for kind in (ListKind.FULL, ListKind.DELTA, ListKind.CACHED):
@@ -128,7 +128,7 @@
     assert worker.ready
     assert worker.bad == 0
     assert worker.up_since == desk.clock.now()
-    # A list with its old start time changes nothing.
+    # A list with the old start time changes nothing.
     desk.core.listed(ListKind.FULL, [Member(b"w%d" % n) for n in range(4)])
     assert worker.up_since == desk.clock.now()
     assert desk.core.avoided() == 0
--- a/tests/dispatcher/test_failures.py
+++ b/tests/dispatcher/test_failures.py
@@ -1,4 +1,4 @@
-"""A small test for each failure found: the module alone, no bench."""
+"""Regression tests for failures of the scheduler, without the other parts of the dispatcher."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def end_after(rig: Rig, request: int, run: float) -> None:
-    """Starts a job at once and ends it after `run` seconds."""
+    """Reports that a job started at once and ended after `run` seconds."""
     worker = rig.where(request)
     rig.d.on_note(rig.now, Note(request, 0, worker))
     rig.now += run
@@ -23,7 +23,7 @@
     worker = rig.where(slow)
     end_after(rig, slow, 2.0)
     assert rig.d.workers[worker].pace > 1.5
-    rig.d.workers[worker].pace = 5.0  # as after a few more
+    rig.d.workers[worker].pace = 5.0  # as after a few more slow runs
     assert all(rig.where(rig.request(key=200 + n)) != worker for n in range(4))
     rig.now += 60.0
     assert worker in {rig.where(rig.request(key=300 + n)) for n in range(8) if rig.d.active < 8}
@@ -71,13 +71,13 @@
     for _ in range(4):
         if job in rig.actions.sends and rig.d.jobs[job].out():
             rig.end(job, Status.FULL)
-    assert len(rig.actions.sends[job]) < rig.settings.max_attempts  # some are kept for later
+    assert len(rig.actions.sends[job]) < rig.settings.max_attempts  # some attempts are left for later
 
 
 def test_an_old_outcome_does_not_unhold_a_key_learned_anew() -> None:
     rig = Rig(1)
     job = rig.request(key=4)
-    rig.members(Member(rig.ids[0], up_since=rig.now))  # restarted: its keys are forgotten
+    rig.members(Member(rig.ids[0], up_since=rig.now))  # restarted, so its keys are discarded
     rig.d.workers[rig.ids[0]].warm_at = 0.0
     again = rig.request(key=4)
     rig.end(job, Status.RESET)
@@ -96,7 +96,7 @@
 
 def test_a_repeat_that_can_only_come_late_is_refused_at_once() -> None:
     rig = Rig(2)
-    late = Request(999, rig.now + 1.0, repeat=True)  # four of its five seconds are gone
+    late = Request(999, rig.now + 1.0, repeat=True)  # four of its five seconds have passed
     rig.d.on_request(rig.now, late)
     assert rig.answers(999) == ["refuse"]
     assert 999 not in rig.actions.sends
@@ -107,7 +107,7 @@
     first = rig.request()
     bad = rig.where(first)
     rig.end(first, Status.ERROR)
-    rig.wait(8.0)  # past the step off: a trial would be open to a job that may be repeated
+    rig.wait(8.0)  # after the back-off, when a job that may be repeated could be sent as a trial
     jobs = [rig.request() for _ in range(9)]
     assert bad not in {rig.where(j) for j in jobs}
     for job in jobs:
@@ -184,7 +184,9 @@
     worker = rig.where(lost)
     for _ in range(8):
         rig.wait(0.2)
-        end_after(rig, rig.request(key=7), 0.01)  # the worker lives, so silence alone says nothing
+        end_after(
+            rig, rig.request(key=7), 0.01
+        )  # the worker responds, so the lack of an answer alone proves nothing
         assert rig.where(rig.next) == worker
     rig.wait(1.0)
     assert len(rig.actions.sends[lost]) == 2
@@ -196,14 +198,16 @@
     for _ in range(8):
         end_after(rig, rig.request(), 2.0)
     rig.next += 1
-    rig.d.on_request(rig.now, Request(rig.next, rig.now + 1.0))  # the dispatcher ends then, say
+    rig.d.on_request(
+        rig.now, Request(rig.next, rig.now + 1.0)
+    )  # for example because the dispatcher stops then
     assert rig.next not in rig.actions.sends
     assert rig.answers(rig.next) == ["refuse"]
     assert rig.request() in rig.actions.sends
 
 
 def probing(**changes: Any) -> Rig:
-    """Boxes that tell of their slots only when asked, and of no start."""
+    """Sets up boxes that report their slots only to probes, and do not report starts."""
     return Rig(can_probe=True, pull=True, slot_reports=0, tells_start=False, **changes)
 
 
@@ -227,11 +231,11 @@
     later = rig.request(key=3)
     assert rig.where(later) != silent
     rig.d.on_probed(rig.now, silent, Status.OK, 0.01, (6.0,))
-    assert not rig.d.workers[silent].doubts  # one answer brings it back
+    assert not rig.d.workers[silent].doubts  # one answer makes it usable again
 
 
 def test_a_class_that_nobody_has_seen_end_is_tried_however_long_its_wanted_time_says_it_runs() -> None:
-    """Without a stretch the first guess at a run is the wanted time: every job would be hopeless for ever."""
+    """Guards against refusing a class for ever: without a stretch, the first run time estimate is the aim."""
     rig = Rig(2)
     rig.settings.classes[0].stretch = 0.0
     assert rig.request() in rig.actions.sends
--- a/tests/dispatcher/test_gearman.py
+++ b/tests/dispatcher/test_gearman.py
@@ -1,4 +1,4 @@
-"""The Gearman front: stand-in clients and workers against the real program."""
+"""The Gearman front of the real program, with simulated clients and workers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Peer:
-    """One Gearman connection, as a client or as a worker has it."""
+    """A Gearman connection of a client or a worker."""
 
     def __init__(self, program: Program) -> None:
         self.sock = socket.create_connection(program.address("gearman"), timeout=PATIENCE)
@@ -47,7 +47,7 @@
         self.sock.sendall(b"\0REQ" + struct.pack(">II", kind, len(data)) + data)
 
     def read(self) -> tuple[int, list[bytes]]:
-        """The next packet; ConnectionError once it is closed."""
+        """Reads the next packet; raises ConnectionError once the connection is closed."""
         head = self.file.read(12)
         if len(head) < 12:
             raise ConnectionError("closed")
@@ -83,7 +83,7 @@
 
 
 class Worker(Peer):
-    """A worker connection of a box: one slot."""
+    """A worker connection of a box, which is one slot."""
 
     def __init__(self, program: Program, box: bytes, *functions: bytes) -> None:
         super().__init__(program)
@@ -93,7 +93,7 @@
         self.send(PRE_SLEEP)
 
     def grab(self) -> list[bytes]:
-        """Sleeps until there is a job, and takes it: handle, function, unique, workload."""
+        """Sleeps until a job is available and grabs it. Returns handle, function, unique and workload."""
         while True:
             self.send(GRAB_UNIQ)
             kind, args = self.read()
@@ -111,7 +111,7 @@
 
 
 def settled(program: Program) -> dict[str, float]:
-    """The counters once every request has its answer; taken and answered or left must agree."""
+    """Returns the counters once every accepted request has been answered or cancelled by its client."""
     until(lambda: program.counters()["larchgw_open_requests"] == 0, "the last answer")
     counted = program.counters()
     taken, answered, gone = (
@@ -130,7 +130,7 @@
 
 
 def serve_all(worker: Worker, runs: Counter[bytes]) -> None:
-    """Works until the connection closes."""
+    """Runs jobs until the connection closes."""
     try:
         while True:
             served(worker, runs)
@@ -183,7 +183,7 @@
         worker.grab()
         client.close()
         assert worker.closed()
-        again = Peer(program)  # it may have run: it must not run again
+        again = Peer(program)  # the job may have run, so it must not run again
         again.submit(b"release", b"u", b"art")
         again.expect(FAIL)
         assert settled(program)['larchgw_sent_total{transport="gearman"}'] == 1
@@ -193,7 +193,7 @@
     runner = Runner("s-1")
     with running(tmp_path, runner) as (program, _):
         assert program.job("warm")[0] == 200
-        time.sleep(0.1)  # a kept connection to the worker, on which a job goes out at once
+        time.sleep(0.1)  # an idle connection to the worker, on which the next job is sent at once
         with frozen(program):
             left = [Peer(program) for _ in range(4)]
             for peer in left:
@@ -202,7 +202,7 @@
                 until(partial(delivered, peer.sock))
             stays = Peer(program)
             stays.send(SUBMIT_BG, b"proof", b"", b"background")
-            stays.sock.shutdown(socket.SHUT_WR)  # nobody need wait for this one
+            stays.sock.shutdown(socket.SHUT_WR)  # this client stops waiting
         until(lambda: runner.runs[b"background"])
         assert [body for _, _, body in runner.seen] == [b"", b"background"]
         for peer in (*left, stays):
@@ -249,7 +249,7 @@
     assert jobs.ended(0, b"a") == (
         b"H:larchgw:1",
         gearman_jobs.RESULT_DROPPED,
-    )  # the result went, not that it ran
+    )  # the result has been dropped, but not the fact that it ran
 
 
 def test_a_silent_worker_times_out_and_its_connection_is_closed(tmp_path: Path) -> None:
@@ -333,7 +333,7 @@
         polite, plain = Peer(program), Peer(program)
         polite.send(OPTION, b"exceptions")
         polite.expect(OPTION_RES)
-        handles = [peer.submit(b"release", b"", b"art") for peer in (polite, plain)]  # there is no box
+        handles = [peer.submit(b"release", b"", b"art") for peer in (polite, plain)]  # no box is connected
         handle, reason = polite.expect(EXCEPTION)
         assert handle == handles[0]
         assert b"come back in" in reason
@@ -347,7 +347,7 @@
         drained, client, runs = Worker(program, b"s-1"), Peer(program), Counter[bytes]()
         boxes_joined(program, 1)
         client.submit(b"release", b"u", b"art")
-        drained.expect(NOOP)  # it waits there
+        drained.expect(NOOP)  # the task waits for this slot
         other = Worker(program, b"s-2")
         boxes_joined(program, 2)
         discovery.tell("s-1", "DRAINING")
@@ -468,7 +468,7 @@
         peer.sock.sendall(b"version\nshutdown\n")
         assert peer.file.readline().startswith(b"OK ")
         assert peer.file.readline().startswith(b"ERR ")
-        worker.send(CANT_DO, b"proof")  # it takes its job back with it
+        worker.send(CANT_DO, b"proof")  # its waiting job returns to the dispatcher
         peer.expect(FAIL)
 
 
@@ -507,7 +507,7 @@
         until(lambda: program.counters().get('larchgw_taken_total{front="platform",job_class="proof"}'))
         other.send(GRAB_UNIQ)
         answers = [other.read()[0]]
-        while answers[-1] == NOOP:  # it was told of work, by the large job's coming
+        while answers[-1] == NOOP:  # woken by the arrival of the large job
             answers.append(other.read()[0])
         assert answers[-1] == NO_JOB
         assert work == b"large"
--- a/tests/dispatcher/test_hot_restart.py
+++ b/tests/dispatcher/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Two processes of the real program in an upgrade: one dispatcher to clients, boxes and operators."""
+"""Hot restart of the real program: two processes act as one dispatcher to clients, boxes and operators."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Platform:
-    """Holds the clients' listening socket, and starts the program as often as asked."""
+    """Holds the listening socket for clients, and starts any number of processes of the program on it."""
 
     def __init__(self, folder: Path, *runners: Runner) -> None:
         self.folder, self.runners, self.discovery = folder, runners, Discovery()
@@ -76,7 +76,7 @@
         assert old.call("readiness") == 503
         assert new.call("readiness") == 200
         kept.request("POST", "/proof", b"3", {"X-Request-Id": "kept2", "X-Deadline-Ms": "9000"})
-        answer = kept.getresponse()  # served by the old process, which wants to be rid of the connection
+        answer = kept.getresponse()  # served by the old process, which closes the connection after it
         assert (answer.read(), answer.headers["Connection"]) == (b"s-1:3", "close")
         assert [new.job(f"n{n}", b"%d" % n)[0] for n in range(8)] == [200] * 8
         assert new.stats()['answered{group="proof"}'] == 8
@@ -97,7 +97,7 @@
             pool.submit(old.job, f"slow{n}", b"%d" % n, path)
             for n, path in enumerate(("/release", "/proof", "/release"))
         ]
-        until(lambda: len(runner.seen) >= 2)  # the others may wait for room
+        until(lambda: len(runner.seen) >= 2)  # the others may wait for a free slot
         with socket.create_connection(old.address(), timeout=PATIENCE) as leaves:
             leaves.sendall(
                 b"POST /release HTTP/1.1\r\nX-Request-Id: slow-gone\r\nX-Deadline-Ms: 9000\r\n"
@@ -123,7 +123,7 @@
 def test_the_old_process_takes_clients_again_if_the_new_one_dies(tmp_path: Path) -> None:
     with platform(tmp_path, Runner("s-1")) as held:
         old = held.start()
-        for _ in range(2):  # it is found a second time, too
+        for _ in range(2):  # a second new process must find it, too
             new = held.upgrade(old)
             new.kill()
             until(lambda: old.call("readiness") == 200, "the old one's yes")
@@ -216,7 +216,7 @@
         worker.grab()
         second.submit(b"release", b"lost", b"3")
         old.kill()
-        second.expect(FAIL)  # it may have run, and nobody knows its end
+        second.expect(FAIL)  # it may have run, and its outcome is unknown
         second.send(SUBMIT, b"release", b"lost", b"3")
         assert second.expect(CREATED)
         assert second.expect(FAIL)
@@ -257,7 +257,7 @@
     assert new.core.dispatcher.workers[failed.worker].bad == bad > 0
     assert new.core.dispatcher.workers[restarted].limit == new.core.dispatcher.fair
     new.core.take(Request(new, b"next", 0, b"/p", b"", 5.0, key=7))
-    assert new.sent[-1].worker == holder.id  # it knows who holds the key
+    assert new.sent[-1].worker == holder.id  # it knows which worker holds the key
     with pytest.raises((KeyError, TypeError, ValueError)):
         learned.restore(new.core.dispatcher, {"runs": {}})
 
@@ -280,7 +280,7 @@
     request.attempts = [Attempt(request, 0, b"w0", desk, now - 8.0, written=True, started_at=now - 7.9)]
     limit = worker.limit
     desk.core.adopt(request, now - 8.0, now + 10.0)
-    desk.core.started(request.attempts[0])  # as it is read again from the bytes that came along
+    desk.core.started(request.attempts[0])  # as parsed again from the bytes handed over
     assert worker.pending == 1
     assert worker.limit == limit
     assert not worker.off_until
--- a/tests/dispatcher/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -1,4 +1,4 @@
-"""The real program between stand-in clients, runners and discovery."""
+"""The real program with simulated clients, runners and discovery."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def raw(program: Program, *parts: bytes) -> bytes:
-    """Everything that comes back until the program closes the connection."""
+    """Sends the parts and returns all data received until the program closes the connection."""
     with socket.create_connection(program.address(), timeout=PATIENCE) as s:
         for part in parts:
             s.sendall(part)
@@ -59,9 +59,11 @@
     with running(tmp_path, runner) as (program, _):
         for n in range(5):
             assert program.job(f"id{n}", b"art%d" % n, "/proof/x?y=1") == (200, b"s-1:art%d" % n)
-            time.sleep(0.05)  # a connection is used again once a close after its answer would have been seen
+            time.sleep(
+                0.05
+            )  # a connection is only reused after a pause in which a close would have been noticed
         assert runner.seen[0] == ("id0", "/proof/x?y=1", b"art0")
-        assert runner.opened <= 2  # a connection costs the runner work: the parser once hid keep-alive
+        assert runner.opened <= 2  # guards keep-alive, which was lost once when the parser reset its flag
         counted = program.counters()
     assert counted['larchgw_taken_total{front="platform",job_class="proof"}'] == 5
     assert counted['larchgw_answered_total{front="platform",job_class="proof",outcome="served"}'] == 5
@@ -112,7 +114,7 @@
         until(lambda: one.probes and two.probes, "a probe of each")
         assert set(one.probes + two.probes) == {"/-/load"}
         assert all(program.job(f"p{n}", b"x")[0] == 200 for n in range(4))
-        two.report = b""  # from now on it answers 503
+        two.report = b""  # makes its probes fail with 503
         until(lambda: program.stats()["cluster_unhealthy"] == 1, "the silent one to be avoided")
         assert all(program.job(f"q{n}", b"x")[1] == b"s-1:x" for n in range(6))
 
@@ -130,7 +132,7 @@
 
 def test_a_cost_hint_counts_in_microseconds(tmp_path: Path) -> None:
     with running(tmp_path, Runner("s-1")) as (program, _):
-        for hint in ("200000", "2e6", "9000000"):  # read as seconds, any of them is hopeless or out of range
+        for hint in ("200000", "2e6", "9000000"):  # read as seconds, each would be infeasible or out of range
             more = f"Connection: close\r\nX-Cost-Hint: {hint}\r\n"
             assert raw(program, post("h" + hint, b"x", more)).startswith(b"HTTP/1.1 200"), hint
 
@@ -162,7 +164,7 @@
         )
         front.on_exchange(exchange)  # type: ignore[arg-type]
     loop.close()
-    assert heard == {b"1": 1, b"2": 0, b"3": 2, b"4": 2}  # 2: nobody's share is billed for it
+    assert heard == {b"1": 1, b"2": 0, b"3": 2, b"4": 2}  # 2: counts against no tenant's share
 
 
 @pytest.mark.parametrize("how", ["fail", "lost", "cut", "reset", "stranger"])
@@ -254,7 +256,7 @@
 def test_where_lists_are_asked_for_one_call_at_a_time_goes_out_and_brings_what_has_changed(
     tmp_path: Path,
 ) -> None:
-    """Each start used to make two calls, and each failure another at once beside the one that was timed."""
+    """A start once made two calls, and a failure made another call at once besides the timed retry."""
     runner, discovery = Runner("s-1"), Discovery()
     discovery.overbooked = 3
     known = {
@@ -264,10 +266,10 @@
     }
     program = Program(tmp_path, discovery.address, known=known, settings={"registryMode": "subscribe"})
     try:
-        assert program.job("a", b"x") == (200, b"s-1:x")  # the known list serves meanwhile
+        assert program.job("a", b"x") == (200, b"s-1:x")  # the list from the configuration is used meanwhile
         until(lambda: len(discovery.paths) >= 5, "the fifth call")
         assert all(path.startswith("/api/targets?after=1&") for path in discovery.paths)
-        # The watch at the start, three calls that ask at once after as many failures, and a watch again.
+        # The first watch, three calls without a wait after three failures, and another watch.
         short = [path.endswith("wait_ms=0") for path in discovery.paths[:5]]
         assert short == [False, True, True, True, False]
         until(lambda: program.logged("event=discovery.up"))
@@ -279,7 +281,7 @@
 
 
 class Later:
-    """Deadlines that only note when they are due."""
+    """Fake deadlines that only record when they are due."""
 
     def __init__(self) -> None:
         self.at: list[float] = []
@@ -292,7 +294,7 @@
 
 
 def retries(seed: int, instances: int, most: int) -> list[float]:
-    """When one dispatcher asks again while every call fails at once."""
+    """Returns the times at which one dispatcher retries while every call fails at once."""
     told = Settings([JobClass("proof", 1.0, 5.0)], instances=instances, must_subscribe=True)
     core = Core(told, seed, Clock(), Deadlines())
     later, clock = Later(), SimpleNamespace(now=lambda: 0.0)
@@ -310,11 +312,11 @@
 
 @pytest.mark.parametrize("instances", [40, 200])
 def test_the_whole_fleet_together_does_not_call_a_crowded_discovery_without_end(instances: int) -> None:
-    """Calls that come faster than they are answered all wait in vain: each tried again every 1.5 seconds."""
+    """Guards against overload: with a retry every 1.5 s, calls came faster than they could be answered."""
     calls = sorted(at for seed in range(instances) for at in retries(seed, instances, 8) if at < 40.0)
     assert len(calls) <= 4 * instances
     assert all(sum(start <= at < start + 1 for at in calls) <= 20 for start in range(1, 40))
-    assert len(set(calls)) == len(calls)  # nor in step
+    assert len(set(calls)) == len(calls)  # retries are not synchronized
 
 
 def test_one_that_is_alone_asks_again_soon() -> None:
@@ -349,7 +351,7 @@
     old, new, other = Runner("s-1", "hold"), Runner("s-2"), Discovery()
     other.tell("s-2", addr=new.address)
     with running(tmp_path, old) as (program, discovery), ThreadPoolExecutor(1) as pool:
-        assert discovery.version == other.version  # a watch after it would hear nothing new
+        assert discovery.version == other.version  # a watch from this version would return nothing new
         slow = pool.submit(program.job, "slow", b"1", "/release")
         until(lambda: old.seen)
         assert "event=reload.done" in program.reload(discovery=other.address)
@@ -406,7 +408,7 @@
         got = raw(program, *(bytes([byte]) for byte in text.replace(b" 9000", b"  9000 \t ")))
         assert got.startswith(b"HTTP/1.1 200 ")
         assert ("a", "/proof", b"1") in runner.seen
-        assert program.job("full", b"2", "/release") == (200, b"s-2:2")  # a box may write so, too
+        assert program.job("full", b"2", "/release") == (200, b"s-2:2")  # workers may send such headers, too
 
 
 def test_answers_that_a_client_is_slow_to_read_come_whole(tmp_path: Path) -> None:
@@ -432,7 +434,7 @@
     with running(tmp_path, Runner("s-1")) as (program, _), ThreadPoolExecutor(1) as pool:
         text = post("slow", b"body", "Connection: close\r\n")
         with socket.create_connection(program.address(), timeout=PATIENCE) as s:
-            silent = pool.submit(raw, program, text[:-1])  # it began no later, and is timed out
+            silent = pool.submit(raw, program, text[:-1])  # it began no later, and times out
             for n in range(len(text) - 1):
                 if not silent.done():
                     time.sleep(0.05)
@@ -444,7 +446,7 @@
 
 def test_who_says_nothing_or_half_a_request_holds_no_descriptor_for_long(tmp_path: Path) -> None:
     with running(tmp_path, Runner("s-1"), limits={"sockets": 128}) as (program, _):
-        assert raw(program) == b""  # closed, though it never asked for anything
+        assert raw(program) == b""  # closed although no request was sent
         socks = [socket.create_connection(program.address(), timeout=PATIENCE) for _ in range(150)]
         for n, s in enumerate(socks):
             s.sendall(post(f"half{n}", b"body")[:-2])
@@ -472,7 +474,7 @@
         for n, s in enumerate(socks):
             s.sendall(post(f"big{n}", b"x" * 65536)[:-2])
         until(lambda: program.logged("event=cap.bodies"))
-        got = [s.recv(65536) for s in socks]  # the others are timed out
+        got = [s.recv(65536) for s in socks]  # the others time out
         assert any(g.startswith(b"HTTP/1.1 503 ") and b"Retry-After: " in g for g in got)
         for s in socks:
             s.close()
@@ -522,7 +524,7 @@
 def test_a_release_never_rides_on_a_kept_connection_that_may_be_dead(tmp_path: Path) -> None:
     runner = Runner("s-1", "done-then-reset")
     with running(tmp_path, runner) as (program, _):
-        for n in range(4):  # each kept connection is reset at its next request
+        for n in range(4):  # each idle connection is reset at its next request
             assert program.job(f"r{n}", b"press%d" % n, "/release") == (200, b"s-1:press%d" % n)
             time.sleep(0.05)
 
@@ -611,7 +613,7 @@
     runner = Runner("s-1")
     with running(tmp_path, runner, limits={"sockets": 128}) as (program, _):
         socks = [socket.create_connection(program.address(), timeout=PATIENCE) for _ in range(150)]
-        assert program.job("a", b"x")[0] == 200  # idle ones make room
+        assert program.job("a", b"x")[0] == 200  # idle connections are closed to make room
         assert program.counters()['larchgw_caps_total{cap="platform_idle"}'] > 0
         for s in socks:
             s.close()
@@ -678,7 +680,9 @@
     good = Runner("s-2")
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     with full, running(tmp_path, good) as (program, discovery):
-        fillers = [socket.socket() for _ in range(4)]  # its queue is full: connections never come up
+        fillers = [
+            socket.socket() for _ in range(4)
+        ]  # the accept queue is full, so further connections are never established
         for s in fillers:
             s.setblocking(False)
             s.connect_ex(full.getsockname())
--- a/tests/dispatcher/test_races.py
+++ b/tests/dispatcher/test_races.py
@@ -1,6 +1,6 @@
-"""Two things in one moment: the real program is stopped until both lie in its sockets, then goes on.
+"""Races between two events: the real program is paused until both are in its sockets, then resumed.
 
-Each verdict is what the other sides received. docs/acceptance.md has the pairs and which test forces which.
+Each test checks what the peers received. docs/acceptance.md lists the pairs of events and their tests.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 )
 
 ALLOWED = settings()["allowed"]
-SINGLE = {"nInstances": 8}  # our fair part of a worker is then one slot: a second job waits
+SINGLE = {"nInstances": 8}  # the dispatcher's fair share of a worker is then one slot, so a second job waits
 
 
 def post(name: str, path: str = "/proof", body: bytes = b"", wait: int = 9000, more: str = "") -> bytes:
@@ -49,7 +49,7 @@
 
 
 def client(program: Program, *parts: bytes) -> socket.socket:
-    """A connection of a client that has sent so much."""
+    """Opens a client connection and sends the parts."""
     sock = socket.create_connection(program.address(), timeout=PATIENCE)
     for part in parts:
         sock.sendall(part)
@@ -57,7 +57,7 @@
 
 
 def release_out(program: Program, desk: Desk, wait: int = 9000) -> tuple[socket.socket, Call]:
-    """A client with one release, and the connection on which the desk has read it."""
+    """Sends one release; returns the client and the worker connection on which the desk has read it."""
     asks = client(program, post("a", "/release", wait=wait, more="Connection: close\r\n"))
     call = desk.call()
     assert call.read() == "a"
@@ -65,20 +65,20 @@
 
 
 def leave(sock: socket.socket) -> None:
-    """Ends it from the client's side; once this returns the program's socket knows."""
+    """Closes a client connection; returns once the program's socket has received the end."""
     sock.shutdown(socket.SHUT_WR)
     until(lambda: delivered(sock), "the end to arrive")
 
 
 def answer(sock: socket.socket) -> bytes:
-    """All that comes up to the program's end of the connection."""
+    """Returns all data received until the program closes the connection."""
     return b"".join(iter(lambda: sock.recv(65536), b""))
 
 
 def warm_up(program: Program) -> None:
-    """Leaves a kept connection to a worker, on which a job goes out at once."""
+    """Leaves an idle connection to a worker, on which the next job is sent at once."""
     assert program.job("warm")[0] == 200
-    time.sleep(0.1)  # a younger one is not used
+    time.sleep(0.1)  # a connection that became idle more recently is not reused
 
 
 def gone(program: Program) -> float:
@@ -93,13 +93,15 @@
 ) -> None:
     desk = Desk("s-1")
     with running(tmp_path, desk) as (program, _):
-        more = (post(f"p{n}", "/release", wait=25_000) for n in range(20))  # than are read ahead
+        more = (
+            post(f"p{n}", "/release", wait=25_000) for n in range(20)
+        )  # more than the program reads ahead
         left = client(program, *more)
         call = desk.call()
         assert call.read() == "p0"
         until(lambda: delivered(left))
         leave(left)
-        assert call.closed()  # its client is gone: nobody waits for the first either
+        assert call.closed()  # the client has left, so the first job is cancelled, too
         good = client(program, post("good", more="Connection: close\r\n"))
         call = desk.call()
         assert call.read() == "good"
@@ -130,7 +132,7 @@
         until(lambda: program.counters().get('larchgw_sent_total{transport="http"}') == 1, "the attempt")
         with frozen(program):
             desk.open()
-            late = desk.call()  # the system has let it in, and the program does not know yet
+            late = desk.call()  # established by the kernel, but not yet seen by the program
             leave(left)
         assert late.closed()
         good = client(program, post("good", more="Connection: close\r\n"))
@@ -167,7 +169,7 @@
 
 
 def _next(desk: Desk, kept: Call) -> Call:
-    """The connection on which the next request comes: a new one or this."""
+    """Returns the connection that carries the next request: a new one or the idle one."""
     ready, _, _ = select.select([desk.sock, kept.sock], [], [], PATIENCE)
     assert ready, "waited in vain for a request"
     return desk.call() if desk.sock in ready else kept
@@ -194,12 +196,12 @@
             sock.close()
 
 
-# A worker that drains, or whose connection comes up late
+# A worker that drains, or whose connection is established late
 
 
 @contextmanager
 def still_connecting(folder: Path) -> Iterator[tuple[Program, Discovery, Desk, Runner, Future[Any]]]:
-    """A release on its way to a worker whose connection does not come up; another is not listed yet."""
+    """Sends a release to a worker whose connection is not established; a second worker is not listed yet."""
     desk, other = Desk("s-1", shut=True), Runner("s-2")
     told = {"allowed": ALLOWED | {"dialTimeout": 15.0}}
     with running(folder, desk, settings=told) as (program, discovery), ThreadPoolExecutor(1) as pool:
@@ -213,7 +215,7 @@
     with still_connecting(tmp_path) as (program, discovery, desk, other, job):
         discovery.tell("s-2", addr=other.address)
         discovery.tell("s-1", "DRAINING", desk.address)
-        assert job.result(PATIENCE) == (200, b"s-2:x")  # long before that connection would be given up
+        assert job.result(PATIENCE) == (200, b"s-2:x")  # long before the connection attempt would time out
         desk.open()
         assert all(call.closed() for call in desk.calls)
 
@@ -242,7 +244,7 @@
 
 @pytest.mark.parametrize("dial", [1.0, 3.0])
 def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(tmp_path: Path, dial: float) -> None:
-    """Workers have forgotten the first by then, and would run it a second time."""
+    """By then workers no longer remember the first attempt, and would run the job again."""
     first, second = Desk("s-1"), Desk("s-2", shut=True)
     told = {"allowed": ALLOWED | {"dialTimeout": dial}, "classes": BOOKING}
     with running(tmp_path, first, settings=told) as (program, discovery):
@@ -259,14 +261,14 @@
         sent = program.counters()['larchgw_sent_total{transport="http"}']
         with frozen(program):
             second.open()
-            if sent == 2:  # else the time was not enough, and it is not tried
+            if sent == 2:  # otherwise the time did not suffice for a second attempt
                 second.calls.append(second.call())
-            time.sleep(max(begun + 2.0 - time.monotonic(), 0.0))  # the window's end, by the test's own clock
+            time.sleep(max(begun + 2.0 - time.monotonic(), 0.0))  # end of the window by the test's own clock
         assert all(call.closed() for call in second.calls)
         assert answer(asks).startswith((b"HTTP/1.1 500 ", b"HTTP/1.1 503 "))
 
 
-# A job that may run but once, its connection reset at each stage
+# An at-most-once job whose connection is reset at each stage
 
 
 @pytest.mark.parametrize("stage", ["read", "head", "started", "half a line", "running", "done, cut"])
@@ -288,7 +290,7 @@
             call.say(id="r1", state="running", share=0.5)
         elif stage == "done, cut":
             text = json.dumps({"id": "r1", "state": "done", "result": "made"}).encode()
-            call.sock.sendall(b"%x\r\n%b" % (len(text) + 20, text))  # its line has no end
+            call.sock.sendall(b"%x\r\n%b" % (len(text) + 20, text))  # its line is incomplete
         call.reset()
         assert job.result(PATIENCE)[0] == 500
         program.stop()
@@ -305,7 +307,7 @@
 
 
 def _whoever(desks: tuple[Desk, ...]) -> Call:
-    """The next connection to any of them."""
+    """Returns the next connection to any of the desks."""
     for desk in desks:
         desk.sock.setblocking(False)
     found: list[Call] = []
@@ -323,7 +325,7 @@
 
 
 def _asked(desk: Desk) -> bool:
-    """Whether a request has come on a further connection."""
+    """Whether a request has arrived on another connection."""
     desk.sock.setblocking(False)
     try:
         return Call(desk.sock.accept()[0]).read() != ""
@@ -331,7 +333,7 @@
         return False
 
 
-# Kept connections to workers
+# Idle connections to workers
 
 
 @pytest.mark.parametrize(
@@ -347,9 +349,9 @@
         assert kept.read() == "a"
         kept.serve("a", "first")
         until(lambda: b"first" in asks.recv(65536))
-        time.sleep(0.1)  # a younger one is not used anyhow
+        time.sleep(0.1)  # a connection that became idle more recently is not reused in any case
         with frozen(program):
-            asks.sendall(post("b", more="Connection: close\r\n"))  # first, so that its turn comes first
+            asks.sendall(post("b", more="Connection: close\r\n"))  # sent first, so that it is handled first
             until(lambda: delivered(asks))
             if what == "a reset":
                 kept.reset()
@@ -425,7 +427,7 @@
         program.process.terminate()
         until(lambda: program.logged("event=stop.begin"))
         with frozen(program):
-            time.sleep(1.0)  # by now its connections are due to end
+            time.sleep(1.0)  # its idle connections are due to be closed now
             for n, sock in enumerate(rests):
                 sock.sendall(post(f"b{n}"))
                 until(partial(delivered, sock))
@@ -466,7 +468,7 @@
         assert len(program.logged("event=stop.begin")) == 1
 
 
-# Signals at a start
+# Signals during start-up
 
 
 EARLY = """
@@ -513,11 +515,11 @@
         program.process.kill()
 
 
-# Lists
+# Worker lists
 
 
 def test_zones_that_a_reload_numbers_anew_are_read_anew(tmp_path: Path) -> None:
-    """What is held of a worker is its zone's number, and the same number would now mean another zone."""
+    """Workers are stored with the number of their zone, and that number would now mean another zone."""
     with running(tmp_path, Runner("s-1"), settings={"areas": ["a", "b"]}) as (program, discovery):
         asked = len(discovery.paths)
         assert "event=reload.done" in program.reload(settings=settings(areas=["b", "a"]))
@@ -531,7 +533,7 @@
     old, new = Runner("s-1"), Runner("s-2")
     with running(tmp_path, old, settings={"registryMode": mode}) as (program, discovery):
         until(lambda: discovery.asked >= 2, "the watch")
-        discovery.mute = True  # the open watch hears nothing more, and its connection stays up
+        discovery.mute = True  # the open watch gets no answer, but its connection stays open
         discovery.tell("s-2", addr=new.address)
         discovery.tell("s-1", "DRAINING", old.address)
         asked = len(discovery.paths)
@@ -554,6 +556,6 @@
         assert "settings.requestClasses" in line
         assert len(program.logged("reload.")) == 1
         assert len(program.lines) == before + 1
-        call.reset()  # had `release` become idempotent, this would be sent again
+        call.reset()  # if `release` had become idempotent, this job would be sent again
         assert answer(asks).startswith(b"HTTP/1.1 500 ")
         assert not _asked(desk)
--- a/tests/dispatcher/test_refused_system_calls.py
+++ b/tests/dispatcher/test_refused_system_calls.py
@@ -1,4 +1,4 @@
-"""The program where the system refuses calls: no fork, no other program, no Unix socket, nothing but IPv4."""
+"""The program under restrictions that refuse forks, other programs, Unix sockets and IPv6."""
 
 import signal
 import socket
--- a/tests/dispatcher/test_simulator_protocol.py
+++ b/tests/dispatcher/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""The codec, on frames built by hand, both directions."""
+"""The codec of the simulator's protocol, on hand-built frames in both directions."""
 
 import io
 import json
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -1,4 +1,4 @@
-"""The parts of a turn, each alone: whose news comes first, how long a silent watch is believed."""
+"""Parts of an event loop iteration: the order of events, and detection of unresponsive watches."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def turn_until(loop: Loop, condition: Callable[[], Any]) -> None:
-    """Turns the loop until the condition holds."""
+    """Runs iterations of the loop until the condition holds."""
 
     def turned() -> Any:
         loop.run_once()
@@ -37,7 +37,7 @@
 
 
 def test_a_turn_hears_lists_and_clients_before_workers_and_newcomers() -> None:
-    """A worker's answer frees a slot: whoever gets it must be there, and the worker in service."""
+    """An answer frees a slot: by then it must be known whether the next client left or the worker drains."""
     loop = Loop(Clock(), Deadlines())
     heard: list[int] = []
     pairs = []
@@ -77,11 +77,11 @@
     assert asked == [1, 0]
 
 
-# A watch that falls silent
+# A watch that becomes unresponsive
 
 
-class Wire:
-    """Stands where connections to discovery stand: notes each call and when it was made."""
+class FakeConnector:
+    """Replaces connections to discovery; records each call and its time."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
@@ -104,17 +104,17 @@
 def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told(
     monkeypatch: pytest.MonkeyPatch, pushed: bool, silent: int, seed: int
 ) -> None:
-    """It counts 6 s after the silence began, or 2 s after the call's wait, if that is later.
+    """Missed changes count as known 6 s after the watch became unresponsive, or 2 s after its wait if later.
 
-    Pushed lists cost nothing, so further calls may fall silent, too; where all ask one service, the next
-    call after a silent one is answered in its turn.
+    If lists are pushed, further calls may go unanswered, too. If all dispatchers request lists from one
+    service, the call after the unanswered one is answered in its turn.
     """
     now = 100.0
     clock, deadlines = SimpleNamespace(now=lambda: now), Deadlines()
     told = Settings([JobClass("proof", 1.0, 5.0)], instances=4, must_subscribe=not pushed)
     core = Core(told, seed, clock, deadlines)  # type: ignore[arg-type]
-    wire = Wire(lambda: now)
-    monkeypatch.setattr(net_discovery, "connect", wire.connect)
+    connector = FakeConnector(lambda: now)
+    monkeypatch.setattr(net_discovery, "connect", connector.connect)
     watched = net_discovery.Discovery(
         SimpleNamespace(clock=clock, deadlines=deadlines),  # type: ignore[arg-type]
         core,
@@ -124,24 +124,24 @@
         seed,
     )
     watched.start()
-    answered(wire.calls[-1][2], 1)
-    fell = now  # the watch that goes out now hears nothing
-    path = wire.calls[-1][1]
+    answered(connector.calls[-1][2], 1)
+    fell = now  # the watch sent now gets no answer
+    path = connector.calls[-1][1]
     wait = float(path.split("wait_ms=")[1]) / 1000.0
-    before = len(wire.calls)
-    while len(wire.calls) < before + silent:
+    before = len(connector.calls)
+    while len(connector.calls) < before + silent:
         due = deadlines.earliest()
         assert due is not None
         now = max(now, due)
         deadlines.run_due(now)
-    answered(wire.calls[-1][2], 2)
+    answered(connector.calls[-1][2], 2)
     assert watched.version == 2
-    assert now - fell <= max(6.0, wait + 2.0) - 0.5  # half a second is left for the answer and its way
+    assert now - fell <= max(6.0, wait + 2.0) - 0.5  # half a second remains for the answer
 
 
 @pytest.mark.parametrize("pushed", [True, False])
 def test_ready_waits_for_what_the_agent_holds_but_not_for_one_that_is_silent(pushed: bool) -> None:
-    """What the agent holds counts as told from our first moment; the list from before may be older."""
+    """What the agent holds counts as known from the start; the list in the configuration may be older."""
     known = {
         "version": 1,
         "full": True,
@@ -164,11 +164,11 @@
     return read(told | changes, need_listen=False)
 
 
-# A client's connection that is to end
+# A client connection that is about to be closed
 
 
-class Told:
-    """A handler that answers each request at once, unless it is told to hold them."""
+class RecordingHandler:
+    """Records requests and answers them at once, unless it is set to hold them."""
 
     name = "told"
 
@@ -190,7 +190,7 @@
 
 @pytest.fixture
 def served() -> Any:
-    loop, handler = Loop(Clock(), Deadlines()), Told()
+    loop, handler = Loop(Clock(), Deadlines()), RecordingHandler()
     core = Core(Settings([JobClass("proof", 4.0, 10.0)]), 1, loop.clock, loop.deadlines)
     server = HttpServer(loop, core.counters, ("127.0.0.1", 0), handler, 8, 1 << 20)
     sock = socket.create_connection(server.listener.address, timeout=20)
@@ -226,7 +226,7 @@
 
 
 def test_where_the_oldest_has_just_asked_the_next_one_makes_room(served: Any) -> None:
-    """Else the newcomer, and all behind it, waited for the listener's pause at each such moment."""
+    """Guards against delays: new connections waited for the listener's pause each time that this happened."""
     loop, server, handler, sock = served
     with socket.create_connection(server.listener.address, timeout=20) as second:
         send(second, b"GET /a HTTP/1.1\r\n\r\n")
@@ -245,7 +245,7 @@
 def test_what_comes_after_the_shutdown_is_not_handled_and_takes_no_answer_with_it(
     served: Any, later: str
 ) -> None:
-    """A close over unread bytes resets the connection, and the reset takes along what was not read yet."""
+    """Closing a socket with unread data resets the connection, which discards an answer not yet read."""
     loop, server, handler, sock = served
     handler.hold = True
     send(sock, b"GET /2 HTTP/1.1\r\n\r\n")
@@ -258,17 +258,17 @@
         loop.run_once()
     else:
         link.connection.close()
-    got = b"".join(iter(lambda: sock.recv(65536), b""))  # an end in order, no reset
+    got = b"".join(iter(lambda: sock.recv(65536), b""))  # an orderly close, not a reset
     assert got.endswith(b"x" * 50_000)
     assert handler.heard == [b"/1", b"/2"]
 
 
 def test_a_client_that_is_not_read_is_looked_at_for_its_end_every_tenth_of_a_second() -> None:
-    # what waits on its connection may be sent on up to 0.3 s after its end
+    # requests on its connection may still be sent up to 0.3 s after the client has left
     assert client_connection.PEER_CHECK_INTERVAL_S <= 0.15
 
 
-# A probe that hears what was meant for a job
+# A probe that receives the response to a job
 
 
 @pytest.mark.parametrize("body", [b'{"id":"a","state":"done","result":"x"}\n', b"util=0.1,x0=5"])
--- a/tests/dispatcher/test_worker_answer.py
+++ b/tests/dispatcher/test_worker_answer.py
@@ -1,4 +1,4 @@
-"""What boxes answer, read without a socket, and how long their connections are trusted."""
+"""Parsing of worker responses without a socket, and the limit on the idle time of reused connections."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 
 @dataclass
-class Told:
-    """Notes the signs of life."""
+class RecordingListener:
+    """Records start and progress events."""
 
-    signs: list[float | str] = field(default_factory=list)
+    events: list[float | str] = field(default_factory=list)
 
     def on_started(self) -> None:
-        self.signs.append("started")
+        self.events.append("started")
 
     def on_progress(self, share: float) -> None:
-        self.signs.append(share)
+        self.events.append(share)
 
 
-def reader() -> tuple[AnswerReader, Told]:
-    told, reports = Told(), ReportReader()
+def reader() -> tuple[AnswerReader, RecordingListener]:
+    listener, reports = RecordingListener(), ReportReader()
     reports.configure({"via": "piggyback", "fields": ["busy", "x0"]})
-    return AnswerReader(told, reports), told
+    return AnswerReader(listener, reports), listener
 
 
 def line(state: Any, **more: Any) -> bytes:
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("piece", [1, 3, 64, 10_000])
 def test_an_answer_is_the_same_in_pieces_of_any_size_and_the_next_one_begins_anew(piece: int) -> None:
-    answer, told = reader()
+    answer, listener = reader()
     answer.expect(b"j")
     data = chunked(
         line("started"),
@@ -68,7 +68,7 @@
         line("done", result="made", load={"util": 0.75, "x0": 1}),
     )
     assert feed(answer, data, piece)
-    assert told.signs == ["started", 0.25, 0.0]
+    assert listener.events == ["started", 0.25, 0.0]
     assert (answer.ending, answer.result, answer.report) == (ConnectionOutcome.DONE, b"made", [0.75, 1.0])
     assert (answer.busy, answer.keep_alive, bytes(answer.raw), answer.received_bytes) == (
         False,
@@ -119,14 +119,14 @@
 
 
 def test_what_follows_the_line_that_ended_a_job_changes_nothing() -> None:
-    answer, told = reader()
+    answer, listener = reader()
     answer.expect(b"j")
     assert answer.feed(chunked(line("done", result="first"), line("failed"), last=b""))
     assert answer.busy
     assert answer.ending is ConnectionOutcome.DONE
     answer.ignore_rest()
     assert answer.feed(b"%x\r\n%b\r\n0\r\n\r\n" % (len(line("started")), line("started")))
-    assert (answer.busy, answer.ending, answer.result, told.signs) == (
+    assert (answer.busy, answer.ending, answer.result, listener.events) == (
         False,
         ConnectionOutcome.DONE,
         b"first",
@@ -163,10 +163,10 @@
 def test_a_probe_hears_a_report_and_nothing_else(
     data: bytes, ending: ConnectionOutcome, report: list[float]
 ) -> None:
-    answer, told = reader()
+    answer, listener = reader()
     answer.expect(None)
     assert answer.feed(data)
-    assert (answer.ending, answer.report, told.signs) == (ending, report, [])
+    assert (answer.ending, answer.report, listener.events) == (ending, report, [])
 
 
 def test_an_answer_is_kept_as_it_came_only_while_it_is_short() -> None:
@@ -186,17 +186,17 @@
     assert limit.observe_stale(100.0, 4.0) == limit.limit_s(100.0) == STALE_SHARE * 4.0
     assert limit.limit_s(100.0 + RECOVERY_S) == 2 * STALE_SHARE * 4.0
     assert limit.observe_stale(100.0, 50.0) == STALE_SHARE * STALE_SHARE * 4.0, (
-        "it stood no longer than was trusted"
+        "an idle time above the current limit counts as the limit"
     )
     assert limit.limit_s(100.0 + 100 * RECOVERY_S) == full
     limit.observe_stale(200.0, 0.0)
-    assert limit.limit_s(200.0) == MIN_IDLE_S, "else it would never be trusted again"
+    assert limit.limit_s(200.0) == MIN_IDLE_S, "with a limit of 0 it could never recover"
     limit.configure(0.5)
     assert limit.limit_s(5000.0) == pytest.approx(0.05)
 
 
 def test_a_connection_that_died_long_ago_is_forgotten_however_long_ago_it_was() -> None:
-    """After 1,024 doublings the power was out of a float's range, and every send that asked for it failed."""
+    """After 1,024 doublings the power overflowed a float, and every send that used the limit failed."""
     limit = KeepAliveLimit(15.0)
     limit.observe_stale(0.0, 1.0)
     assert (
--- a/tests/dispatcher/test_wsgi.py
+++ b/tests/dispatcher/test_wsgi.py
@@ -1,4 +1,4 @@
-"""The dispatcher inside a Flask program."""
+"""The dispatcher embedded in a Flask program."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     app = Flask("t")
     app.add_url_rule("/hello", view_func=lambda: "hello")
     middleware = DispatchMiddleware(app.wsgi_app, dispatcher, {"/jobs/release": "release"})
-    app.wsgi_app = middleware  # type: ignore[method-assign]  # as Flask documents it
+    app.wsgi_app = middleware  # type: ignore[method-assign]  # as documented by Flask
     dispatcher.start()
     until(lambda: "larchgw_lists_total_full" in dispatcher.figures())
     yield app, dispatcher, runner
@@ -80,7 +80,7 @@
 ) -> None:
     _, dispatcher, runner = parts
     assert dispatcher.submit("proof", b"warm").result(20).kind is AnswerKind.SERVED
-    time.sleep(0.1)  # a kept connection to the worker, on which a job goes out at once
+    time.sleep(0.1)  # an idle connection to the worker, on which the next job is sent at once
     asleep, awake = threading.Event(), threading.Event()
 
     def sleep() -> None:
@@ -88,7 +88,7 @@
         awake.wait(20)
 
     dispatcher._node.loop.call_soon(sleep)
-    assert asleep.wait(20)  # the dispatcher's thread stands still
+    assert asleep.wait(20)  # the dispatcher's thread is blocked
     left = [dispatcher.submit("proof", b"left") for _ in range(3)]
     assert all(future.cancel() for future in left)
     kept = dispatcher.submit("proof", b"kept")
