--- a/larchgw/dispatcher/cordon_file.py
+++ b/larchgw/dispatcher/cordon_file.py
@@ -13,7 +13,7 @@
 log = structlog.get_logger()
 
 
-class BanFile:
+class CordonFile:
     """A file of worker ids and the time at which each was taken out. Without a folder nothing is stored."""
 
     def __init__(self, folder: str | None, name: str) -> None:
@@ -39,7 +39,7 @@
         """
         if self._path is None:
             return
-        fresh = self._path.with_suffix(f".{os.getpid()}")
-        with fresh.open("w") as file:
+        temporary = self._path.with_suffix(f".{os.getpid()}")
+        with temporary.open("w") as file:
             json.dump({worker.decode("latin-1"): at for worker, at in bans.items()}, file)
-        fresh.replace(self._path)
+        temporary.replace(self._path)
--- a/larchgw/dispatcher/daemon.py
+++ b/larchgw/dispatcher/daemon.py
@@ -15,7 +15,7 @@
 from .assembly import Node, wake_on_signals
 from .capacity import RoomSettings
 from .config import startup
-from .cordon_file import BanFile
+from .cordon_file import CordonFile
 from .fronts.admin import Admin
 from .fronts.agentcheck import AgentCheck, Ops
 from .fronts.gearman import GearmanFront
@@ -77,8 +77,8 @@
         if settings.admin:
             admin = Admin(loop, core, settings.admin, self._takes_clients, self.take_out, self.put_back)
             self._listening(admin.name, admin.server.listener)
-        self._bans = BanFile(os.environ.get("TMPDIR"), settings.name)
-        for worker, at in self._bans.load().items():
+        self._cordon_file = CordonFile(os.environ.get("TMPDIR"), settings.name)
+        for worker, at in self._cordon_file.load().items():
             core.take_out(worker, at)
         self._stop_at = 0.0
         shared = (
@@ -103,14 +103,14 @@
         """
         bans = self.node.core.boxes.banned
         at = bans.get(worker) or self.node.loop.clock.now()
-        self._bans.save({**bans, worker: at})
+        self._cordon_file.save({**bans, worker: at})
         self.node.core.take_out(worker, at)
         self.handover.taken_out(worker, at)
         log.info("hand.down", box=worker.decode("latin-1"), out=len(bans))
 
     def put_back(self, worker: WorkerId) -> None:
         bans = self.node.core.boxes.banned
-        self._bans.save({w: at for w, at in bans.items() if w != worker})
+        self._cordon_file.save({w: at for w, at in bans.items() if w != worker})
         self.node.core.put_back(worker)
         self.handover.put_back(worker)
         log.info("hand.up", box=worker.decode("latin-1"), out=len(bans))
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from larchgw.dispatcher.cordon_file import BanFile
+from larchgw.dispatcher.cordon_file import CordonFile
 from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, End, Request
 from larchgw.dispatcher.fronts.gearman_jobs import Jobs
 from larchgw.dispatcher.fronts.platform import PlatformFront
@@ -238,7 +238,7 @@
 
 
 def cordon_file(folder: Path) -> str:
-    BanFile(str(folder), "caf\xe9-1").save(CORDONS)
+    CordonFile(str(folder), "caf\xe9-1").save(CORDONS)
     (path,) = folder.iterdir()
     return f"{path.name}\n{path.read_text()}"
 
@@ -379,4 +379,4 @@
 def test_a_recorded_cordon_file_is_read(tmp_path: Path) -> None:
     name, content = recorded("cordons.txt").split("\n")
     (tmp_path / name).write_text(content)
-    assert BanFile(str(tmp_path), "caf\xe9-1").load() == CORDONS
+    assert CordonFile(str(tmp_path), "caf\xe9-1").load() == CORDONS
