--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -17,15 +17,15 @@
 
 import pytest
 
-from larchgw.dispatcher.cordon_file import BanFile
+from larchgw.dispatcher.cordon_file import CordonFile
 from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, End, Request
 from larchgw.dispatcher.fronts.gearman_jobs import Jobs
 from larchgw.dispatcher.fronts.platform import PlatformFront
 from larchgw.dispatcher.hot_restart import learned, moving
 from larchgw.dispatcher.hot_restart.handover import Handover
 from larchgw.dispatcher.scheduling.interface import Status
-from larchgw.dispatcher.workers.connection import RunnerLink
-from larchgw.dispatcher.workers.pool import Runners
+from larchgw.dispatcher.workers.connection import RunnerConnection
+from larchgw.dispatcher.workers.pool import RunnerPool
 from larchgw.net.exchange import Exchange, ResponseChannel
 from larchgw.net.loop import Loop
 from tests.dispatcher.test_core import RELEASE, SAFE, Desk
@@ -74,7 +74,7 @@
         return 11
 
 
-class StartedLink(RunnerLink):
+class StartedLink(RunnerConnection):
     """A worker's connection with the begin of an answer."""
 
     def __init__(self) -> None:
@@ -238,7 +238,7 @@
 
 
 def cordon_file(folder: Path) -> str:
-    BanFile(str(folder), "caf\xe9-1").save(CORDONS)
+    CordonFile(str(folder), "caf\xe9-1").save(CORDONS)
     (path,) = folder.iterdir()
     return f"{path.name}\n{path.read_text()}"
 
@@ -252,7 +252,7 @@
     busy.take(b"1")
     busy.take(b"2")
     return {
-        "learned_state.json": json.dumps(learned.tell(desk.core.dispatcher)),
+        "learned_state.json": json.dumps(learned.snapshot(desk.core.dispatcher)),
         "pending.json": json.dumps(learned.pending(busy.core.dispatcher)),
         "job_at_worker.json": job_packet(has_attempt=True),
         "job_waiting.json": job_packet(has_attempt=False),
@@ -278,8 +278,8 @@
     old = experienced_dispatcher()
     new = new_dispatcher(old)
     state = json.loads(recorded("learned_state.json"))
-    learned.take(new.core.dispatcher, state)
-    assert learned.tell(new.core.dispatcher) == state
+    learned.restore(new.core.dispatcher, state)
+    assert learned.snapshot(new.core.dispatcher) == state
     holders = {
         name for name, worker in state["workers"].items() if KEY in [key for key, *_ in worker["keys"]]
     }
@@ -299,7 +299,7 @@
             [client, at_worker],
             desk.core,
             cast(PlatformFront, adopted),
-            cast(Runners, adopted),
+            cast(RunnerPool, adopted),
         )
     (request,) = desk.core.receive.open.values()
     assert adopted.client == (client, b"POST", b"/release?x=1", True)
@@ -344,7 +344,7 @@
             assert jobs.ended(1, b"u-2") == (b"H:larchgw:2", Answer(AnswerKind.FAILED, b"", 1.5, "it broke"))
             assert jobs.elsewhere(1, b"u-3")
             assert jobs.elsewhere(1, b"u-4")
-            state = learned.tell(new.core.dispatcher)
+            state = learned.snapshot(new.core.dispatcher)
             hello = json.loads(lines_only(recorded("elder_lines.txt")).splitlines()[0])
             assert state["runs"] == hello["learned"]["runs"]
 
@@ -379,4 +379,4 @@
 def test_a_recorded_cordon_file_is_read(tmp_path: Path) -> None:
     name, content = recorded("cordons.txt").split("\n")
     (tmp_path / name).write_text(content)
-    assert BanFile(str(tmp_path), "caf\xe9-1").load() == CORDONS
+    assert CordonFile(str(tmp_path), "caf\xe9-1").load() == CORDONS
