--- a/larchgw/dispatcher/assembly.py
+++ b/larchgw/dispatcher/assembly.py
@@ -8,8 +8,8 @@
 
 from ..net.loop import Loop
 from ..net.timers import Clock, Deadlines
-from .capacity import NOTHING_HELD, Planner, RoomSettings
-from .capacity.report import RoomFigures
+from .capacity import NO_RESERVATIONS, Planner, ReservationSettings
+from .capacity.report import ReservationMetrics
 from .config.startup import Config, ConfigError, check_reload
 from .core import Core
 from .scheduling.interface import ListKind
@@ -27,7 +27,7 @@
 class Node:
     """Loop, core, discovery and the transport to HTTP runners."""
 
-    def __init__(self, config: Config, room: RoomSettings | None = None) -> None:
+    def __init__(self, config: Config, room: ReservationSettings | None = None) -> None:
         self.config = config
         self.planner = Planner(config.settings, room) if room else None
         clock, deadlines = Clock(), Deadlines()
@@ -42,13 +42,13 @@
             deadlines,
             2 * self.client_cap,
             self.body_cap,
-            self.planner or NOTHING_HELD,
+            self.planner or NO_RESERVATIONS,
         )
         self.loop.counters = self.core.counters
         self._bitten: set[str] = set()
         if self.planner:
-            self.core.counters.registry.register(RoomFigures(self.planner))
-            self.planner.on_bound = self._room_bound
+            self.core.counters.registry.register(ReservationMetrics(self.planner))
+            self.planner.on_limit_reached = self._room_bound
         self.runners = Runners(self.loop, self.core, config.raw, runner_cap)
         self.stopping, self._started = False, clock.now()
         reader = ListReader(config.raw)
@@ -91,7 +91,11 @@
 
     def ready(self) -> bool:
         """Whether new requests are welcome."""
-        return not self.stopping and self._known() and bool(self.core.boxes.listed or self.core.boxes.joined)
+        return (
+            not self.stopping
+            and self._known()
+            and bool(self.core.workers.listed or self.core.workers.connected)
+        )
 
     def _known(self) -> bool:
         """Whether the list may be used.
--- a/larchgw/dispatcher/capacity/__init__.py
+++ b/larchgw/dispatcher/capacity/__init__.py
@@ -1,7 +1,14 @@
 """Room for large jobs: reservations at boxes, and what may fill the gaps that they leave. Free of I/O."""
 
-from .interface import NOTHING_HELD, Open, Room
+from .interface import NO_RESERVATIONS, NoReservations, ReservationPolicy
 from .planner import Planner, Reservation
-from .settings import RoomSettings
+from .settings import ReservationSettings
 
-__all__ = ["NOTHING_HELD", "Open", "Planner", "Reservation", "Room", "RoomSettings"]
+__all__ = [
+    "NO_RESERVATIONS",
+    "NoReservations",
+    "Planner",
+    "Reservation",
+    "ReservationPolicy",
+    "ReservationSettings",
+]
--- a/larchgw/dispatcher/capacity/interface.py
+++ b/larchgw/dispatcher/capacity/interface.py
@@ -8,81 +8,81 @@
 from ..scheduling.records import Attempt, Job, Worker
 
 
-class Room(Protocol):
+class ReservationPolicy(Protocol):
     """Asked by the decision module for each send, and told of all that happens to attempts.
 
     Times are seconds on the module's clock; records are the module's own, to be read and not changed.
     """
 
-    def may_take(self, now: float, job: Job, worker: Worker) -> bool:
+    def admits(self, now: float, job: Job, worker: Worker) -> bool:
         """Whether this job may take room at this worker now, or that room is held for another."""
 
-    def kept(self, now: float, job: Job) -> float:
+    def reserved_slots(self, now: float, job: Job) -> float:
         """Slots of the window of jobs out that are kept from this job."""
 
-    def place(self, now: float, job: Job) -> Worker | None:
+    def reserved_worker(self, now: float, job: Job) -> Worker | None:
         """Where room is held for this job."""
 
-    def due(self, now: float, worker: Worker) -> Job | None:
+    def due_job(self, now: float, worker: Worker) -> Job | None:
         """The waiting job that room is held for at this worker, if it must go before others now."""
 
-    def wait(self, now: float, job: Job, workers: Sequence[Worker]) -> None:
+    def request_reservation(self, now: float, job: Job, workers: Sequence[Worker]) -> None:
         """Nothing has room for this job; `workers` are those that may run it, some named more than once."""
 
-    def hopeless(self, job: Job) -> bool:
+    def is_infeasible(self, job: Job) -> bool:
         """Whether no worker that `wait` was told of has as many slots as this job takes."""
 
-    def why(self, request: int) -> str:
+    def infeasible_reason(self, request: int) -> str:
         """Why a request is hopeless; empty if it is not."""
 
-    def sent(self, now: float, attempt: Attempt) -> None:
+    def on_sent(self, now: float, attempt: Attempt) -> None:
         """An attempt has been sent."""
 
-    def started(self, now: float, attempt: Attempt) -> None:
+    def on_started(self, now: float, attempt: Attempt) -> None:
         """An attempt has begun to run."""
 
-    def ended(self, now: float, attempt: Attempt, status: int, free: float) -> None:
+    def on_ended(self, now: float, attempt: Attempt, status: int, free: float) -> None:
         """An attempt has ended; `free` slots were reported with it (negative: nothing was reported)."""
 
-    def lost(self, worker: Worker) -> None:
+    def on_worker_lost(self, worker: Worker) -> None:
         """A worker drains, restarted or is gone; nothing that was held or learned there counts."""
 
-    def over(self, job: Job) -> None:
+    def on_job_closed(self, job: Job) -> None:
         """A job has its final answer, or its client has left."""
 
 
-class Open:
+class NoReservations:
     """No room is held: whatever fits may go."""
 
-    def may_take(self, now: float, job: Job, worker: Worker) -> bool:
+    def admits(self, now: float, job: Job, worker: Worker) -> bool:
         return True
 
-    def kept(self, now: float, job: Job) -> float:
+    def reserved_slots(self, now: float, job: Job) -> float:
         return 0.0
 
-    def place(self, now: float, job: Job) -> Worker | None:
+    def reserved_worker(self, now: float, job: Job) -> Worker | None:
         return None
 
-    def due(self, now: float, worker: Worker) -> Job | None:
+    def due_job(self, now: float, worker: Worker) -> Job | None:
         return None
 
-    def wait(self, now: float, job: Job, workers: Sequence[Worker]) -> None: ...
+    def request_reservation(self, now: float, job: Job, workers: Sequence[Worker]) -> None: ...
 
-    def hopeless(self, job: Job) -> bool:
+    def is_infeasible(self, job: Job) -> bool:
         return False
 
-    def why(self, request: int) -> str:
+    def infeasible_reason(self, request: int) -> str:
         return ""
 
-    def sent(self, now: float, attempt: Attempt) -> None: ...
+    def on_sent(self, now: float, attempt: Attempt) -> None: ...
 
-    def started(self, now: float, attempt: Attempt) -> None: ...
+    def on_started(self, now: float, attempt: Attempt) -> None: ...
 
-    def ended(self, now: float, attempt: Attempt, status: int, free: float) -> None: ...
+    def on_ended(self, now: float, attempt: Attempt, status: int, free: float) -> None: ...
 
-    def lost(self, worker: Worker) -> None: ...
+    def on_worker_lost(self, worker: Worker) -> None: ...
 
-    def over(self, job: Job) -> None: ...
+    def on_job_closed(self, job: Job) -> None: ...
 
 
-NOTHING_HELD: Room = Open()
+NO_RESERVATIONS: ReservationPolicy = NoReservations()
--- a/larchgw/dispatcher/capacity/report.py
+++ b/larchgw/dispatcher/capacity/report.py
@@ -25,14 +25,14 @@
 }
 
 
-class RoomFigures(Collector):
+class ReservationMetrics(Collector):
     """Read off the planner whenever they are asked for."""
 
     def __init__(self, planner: Planner) -> None:
         self._planner = planner
 
     def collect(self) -> Iterator[Metric]:
-        for name, value in asdict(self._planner.figures).items():
+        for name, value in asdict(self._planner.counts).items():
             yield CounterMetricFamily(f"larchgw_room_{name}", HELP[name], value=value)
         yield GaugeMetricFamily("larchgw_room_held", "Reservations now", value=len(self._planner.by_job))
         yield GaugeMetricFamily(
--- a/larchgw/dispatcher/capacity/settings.py
+++ b/larchgw/dispatcher/capacity/settings.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RoomSettings:
+class ReservationSettings:
     """Shares are parts of 1, times are seconds."""
 
     smallest: float = 2.0  # slots from which a job may have room held for it
--- a/larchgw/dispatcher/config/settings_file.py
+++ b/larchgw/dispatcher/config/settings_file.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from ...net.address import parse_address
-from ..capacity import RoomSettings
+from ..capacity import ReservationSettings
 from .startup import ConfigError, Fronts
 
 
@@ -65,7 +65,7 @@
 
 
 FRONTS: dict[str, type] = {"gearman": GearmanTable, "agent_check": ListenTable, "ops": ListenTable}
-ROOM: dict[str, type] = {"room": RoomSettings}
+ROOM: dict[str, type] = {"room": ReservationSettings}
 TABLES = FRONTS | ROOM
 
 
@@ -102,9 +102,9 @@
     return found
 
 
-def load_room(path: Path) -> RoomSettings:
+def load_room(path: Path) -> ReservationSettings:
     """From a file like deploy/room.toml; a file without the table holds room as the defaults say."""
-    room: RoomSettings = load(path, ROOM).get("room") or RoomSettings()
+    room: ReservationSettings = load(path, ROOM).get("room") or ReservationSettings()
     return room
 
 
--- a/larchgw/dispatcher/core/boxes.py
+++ b/larchgw/dispatcher/core/boxes.py
@@ -8,7 +8,7 @@
 from ..scheduling.interface import ListKind, Member, Presence, WorkerId
 
 
-class Boxes:
+class WorkerRegistry:
     """Discovery rules the boxes that it names. One that it never named is ready while connected.
 
     Over both lies what operators say: a box that they took out drains until they put it back.
@@ -16,11 +16,11 @@
 
     def __init__(self, started: float, warm_up: float) -> None:
         self.listed: dict[WorkerId, Member] = {}
-        self.joined: dict[WorkerId, Member] = {}
-        self._warm_up, self._old_until = warm_up, started + warm_up
-        self.ever: set[WorkerId] = set()  # whom discovery has ever named
+        self.connected: dict[WorkerId, Member] = {}
+        self._warm_up, self._cold_joins_from = warm_up, started + warm_up
+        self.ever_listed: set[WorkerId] = set()  # whom discovery has ever named
         self.banned: dict[WorkerId, float] = {}  # taken out by hand, and when
-        self._back: dict[WorkerId, float] = {}  # put back, and when it counts as started
+        self._unbanned_at: dict[WorkerId, float] = {}  # put back, and when it counts as started
 
     def take_list(self, kind: int, members: Iterable[Member]) -> list[Member]:
         """Discovery's news; what to tell the module with the same kind."""
@@ -28,77 +28,77 @@
         if kind != ListKind.DELTA:
             # A box that has left the list is gone, connected or not: else a drained one would be ready again.
             for worker in set(self.listed) - {m.worker for m in told}:
-                self.joined.pop(worker, None)
+                self.connected.pop(worker, None)
             self.listed = {}
         for m in told:
-            self.ever.add(m.worker)
+            self.ever_listed.add(m.worker)
             if m.presence == Presence.GONE:
                 self.listed.pop(m.worker, None)
-                self.joined.pop(m.worker, None)  # until it connects anew
+                self.connected.pop(m.worker, None)  # until it connects anew
             else:
                 self.listed[m.worker] = m
         if kind != ListKind.DELTA:
-            told += [m for m in self.joined.values() if m.worker not in self.listed]
-        return [self._by_hand(m) for m in told]
+            told += [m for m in self.connected.values() if m.worker not in self.listed]
+        return [self._with_operator_state(m) for m in told]
 
-    def knows(self, worker: WorkerId) -> bool:
-        return worker in self.ever or worker in self.joined
+    def is_known(self, worker: WorkerId) -> bool:
+        return worker in self.ever_listed or worker in self.connected
 
     def ban(self, worker: WorkerId, at: float) -> Member | None:
         """Operators take a box out; what to tell the module, if the box is there."""
-        self.ever.add(worker)
+        self.ever_listed.add(worker)
         self.banned[worker] = at
-        self._back.pop(worker, None)
+        self._unbanned_at.pop(worker, None)
         return self._member(worker)
 
-    def lift(self, worker: WorkerId, now: float) -> Member | None:
+    def unban(self, worker: WorkerId, now: float) -> Member | None:
         """Operators put a box back. It was restarted meanwhile; if discovery has not said when, it is now."""
         banned, member = self.banned.pop(worker, None), self._member(worker)
         if banned is None or member is None:
             return None
-        self._back = {w: at for w, at in self._back.items() if now < at + self._warm_up}
+        self._unbanned_at = {w: at for w, at in self._unbanned_at.items() if now < at + self._warm_up}
         if member.up_since <= banned:
-            self._back[worker] = now
+            self._unbanned_at[worker] = now
         return self._member(worker)
 
     def _member(self, worker: WorkerId) -> Member | None:
-        member = self.listed.get(worker) or self.joined.get(worker)
-        return self._by_hand(member) if member else None
+        member = self.listed.get(worker) or self.connected.get(worker)
+        return self._with_operator_state(member) if member else None
 
-    def _by_hand(self, member: Member) -> Member:
+    def _with_operator_state(self, member: Member) -> Member:
         """A box as the module is to see it."""
         if member.worker in self.banned and member.presence == Presence.READY:
             return replace(member, presence=Presence.DRAINING)
-        back = self._back.get(member.worker, 0.0)
+        back = self._unbanned_at.get(member.worker, 0.0)
         return replace(member, up_since=back) if back > member.up_since else member
 
-    def join(self, worker: WorkerId, now: float, restarted: bool) -> Member | None:
+    def connect(self, worker: WorkerId, now: float, restarted: bool) -> Member | None:
         """A box has connected; what to tell the module, if it is news.
 
         Nobody says when such a box started. One that comes when we have run for a while is taken for a cold
         one, or it would be pushed over; one that is there from our start on was there before us. A box that
         is back after we had closed its last connection has not restarted.
         """
-        if worker in self.joined:
+        if worker in self.connected:
             return None
-        fresh = restarted and now > self._old_until
+        fresh = restarted and now > self._cold_joins_from
         member = Member(worker, up_since=now if fresh else 0.0)
-        self.joined[worker] = member
-        return None if worker in self.listed else self._by_hand(member)
+        self.connected[worker] = member
+        return None if worker in self.listed else self._with_operator_state(member)
 
-    def leave(self, worker: WorkerId) -> Member | None:
+    def disconnect(self, worker: WorkerId) -> Member | None:
         """The last connection of a box has closed."""
-        member = self.joined.pop(worker, None)
+        member = self.connected.pop(worker, None)
         if member is None or worker in self.listed:
             return None
         return replace(member, presence=Presence.GONE)
 
-    def open_to_work(self, worker: WorkerId) -> bool:
+    def takes_work(self, worker: WorkerId) -> bool:
         member = self._member(worker)
         return member is not None and member.presence == Presence.READY
 
     def ready_share(self) -> float:
         """How much of the known fleet takes new work."""
-        known = {**self.joined, **self.listed}
-        ready = sum(self.open_to_work(worker) for worker in known)
+        known = {**self.connected, **self.listed}
+        ready = sum(self.takes_work(worker) for worker in known)
         return ready / len(known) if known else 0.0
--- a/larchgw/dispatcher/core/dispatch.py
+++ b/larchgw/dispatcher/core/dispatch.py
@@ -9,16 +9,16 @@
 
 from ...net.counters import Counters
 from ...net.timers import Clock, Deadlines
-from ..capacity.interface import NOTHING_HELD, Room
+from ..capacity.interface import NO_RESERVATIONS, ReservationPolicy
 from ..scheduling.interface import ListKind, Member, Note, Settings, Status, WorkerId
 from ..scheduling.scheduler import Dispatcher
-from .boxes import Boxes
-from .figures import Figures
+from .boxes import WorkerRegistry
+from .figures import DispatcherMetrics
 from .outcomes import Answer, AnswerKind, End
-from .requests import Attempt, News, Request, Transport
+from .requests import Attempt, JobMessage, Request, Transport
 from .stages import Admit, Receive, Record, Relay, Route, Send
 
-BACKSTOP = 0.02  # after a request's time, for the module to have answered it
+ANSWER_GRACE = 0.02  # after a request's time, for the module to have answered it
 log = structlog.get_logger()
 
 
@@ -41,24 +41,24 @@
         deadlines: Deadlines,
         max_open: int = 1000,
         max_body_bytes: int = 32 << 20,
-        room: Room = NOTHING_HELD,
+        room: ReservationPolicy = NO_RESERVATIONS,
     ) -> None:
         self.settings, self.clock, self.deadlines = settings, clock, deadlines
         self._tenants = _numbers(settings)
         self.counters = Counters()
-        self.boxes = Boxes(clock.now(), settings.warm_up)
-        self.on_list: list[Callable[[], None]] = []
+        self.workers = WorkerRegistry(clock.now(), settings.warm_up)
+        self.list_listeners: list[Callable[[], None]] = []
         self._queue: deque[tuple[Callable[[], None], Request | None]] = deque()
-        self._busy = False
-        self._unsettled: list[Request] = []
+        self._running = False
+        self._to_settle: list[Request] = []
         self.dispatcher = Dispatcher(settings, seed, self, room)
         classes = [c.name for c in settings.classes]
-        self.figures = Figures(
+        self.metrics = DispatcherMetrics(
             self.counters,
             classes,
             {
                 "current": self.current,
-                "cluster_size": lambda: len(self.boxes.listed),
+                "cluster_size": lambda: len(self.workers.listed),
                 "cluster_unhealthy": self.avoided,
             },
         )
@@ -72,7 +72,7 @@
     def reload(self, settings: Settings) -> None:
         """Takes other settings; they count from the next decision on."""
         self.settings, self._tenants = settings, _numbers(settings)
-        self._feed(lambda: self.dispatcher.on_settings(settings))
+        self._run_event(lambda: self.dispatcher.on_settings(settings))
 
     def tenant(self, name: bytes) -> int:
         """The number of the tenant that a client named; one past the last for who is not in the settings."""
@@ -87,16 +87,16 @@
 
     def current(self) -> int:
         """Requests that are owed an answer."""
-        return sum(not request.over() for request in self.receive.open.values())
+        return sum(not request.is_closed() for request in self.receive.open.values())
 
     def avoided(self) -> int:
         """Listed boxes that get no work, or hardly any: taken out by hand, or by the module's choice."""
-        avoided = {*self.boxes.banned, *self.dispatcher.avoided(self.clock.now())}
-        return len(avoided & self.boxes.listed.keys())
+        avoided = {*self.workers.banned, *self.dispatcher.avoided_workers(self.clock.now())}
+        return len(avoided & self.workers.listed.keys())
 
     # From fronts
 
-    def take(self, request: Request) -> None:
+    def submit(self, request: Request) -> None:
         """A request has come in whole; its front hears the answer, perhaps at once."""
         now = self.clock.now()
         self.receive.run(now, request)
@@ -105,18 +105,20 @@
             self.relay.run(request, answer)
             self.record.settle(request)
             return
-        request.deadline = self.deadlines.add(request.give_up_at + BACKSTOP, lambda: self._overdue(request))
-        self._feed(lambda: self.route.run(self.clock.now(), request), request)
+        request.deadline = self.deadlines.add(
+            request.give_up_at + ANSWER_GRACE, lambda: self._overdue(request)
+        )
+        self._run_event(lambda: self.route.run(self.clock.now(), request), request)
 
-    def gone(self, request: Request) -> None:
+    def client_gone(self, request: Request) -> None:
         """The client has left before its answer."""
-        if not request.over():
+        if not request.is_closed():
             self.counters.gone.labels(request.front.name).inc()
-            self._let_go(request)
+            self._withdraw(request)
 
-    def _let_go(self, request: Request) -> None:
-        request.gone = True
-        self._feed(lambda: self._tell_gone(request), request)
+    def _withdraw(self, request: Request) -> None:
+        request.client_gone = True
+        self._run_event(lambda: self._report_client_gone(request), request)
 
     # From and to another process
 
@@ -124,45 +126,45 @@
         """Goes on with a request and its attempts, all of which but the last have ended."""
         self.counters.moved.labels("in").inc()
         self.receive.enter(request, taken_at, give_up_at)
-        request.deadline = self.deadlines.add(give_up_at + BACKSTOP, lambda: self._overdue(request))
+        request.deadline = self.deadlines.add(give_up_at + ANSWER_GRACE, lambda: self._overdue(request))
         for attempt in request.attempts:
             if not attempt.ended:
                 self.sender.resume(attempt)
-        self._feed(lambda: self.route.run(self.clock.now(), request), request)
+        self._run_event(lambda: self.route.run(self.clock.now(), request), request)
 
-    def moved(self, request: Request) -> None:
+    def handed_over(self, request: Request) -> None:
         """Another process goes on with it."""
         self.counters.moved.labels("out").inc()
-        self._let_go(request)
+        self._withdraw(request)
 
     # From operators
 
-    def take_out(self, worker: WorkerId, at: float) -> None:
+    def ban_worker(self, worker: WorkerId, at: float) -> None:
         """From now on this box counts as draining, whatever discovery lists."""
-        self._by_hand(self.boxes.ban(worker, at))
+        self._apply_operator_change(self.workers.ban(worker, at))
 
-    def put_back(self, worker: WorkerId) -> None:
+    def unban_worker(self, worker: WorkerId) -> None:
         """Discovery rules this box again; it is taken for newly started."""
-        self._by_hand(self.boxes.lift(worker, self.clock.now()))
+        self._apply_operator_change(self.workers.unban(worker, self.clock.now()))
 
-    def beside(self, pending: Mapping[WorkerId, float], others: int) -> None:
+    def set_sibling_load(self, pending: Mapping[WorkerId, float], others: int) -> None:
         """What other processes of this dispatcher have out, and how many they are."""
-        self._feed(lambda: self.dispatcher.on_beside(pending, others))
+        self._run_event(lambda: self.dispatcher.on_sibling_load(pending, others))
 
-    def _by_hand(self, member: Member | None) -> None:
-        self._delta(member)
-        for told_too in self.on_list:
+    def _apply_operator_change(self, member: Member | None) -> None:
+        self._apply_change(member)
+        for told_too in self.list_listeners:
             told_too()
 
     # From transports
 
-    def may_begin(self, attempt: Attempt) -> bool:
+    def may_start_attempt(self, attempt: Attempt) -> bool:
         """Whether the first byte of an attempt may go out now, some time after it was decided on."""
         request = attempt.request
         return (
-            not request.over()
-            and self.boxes.open_to_work(attempt.worker)
-            and (self.dispatcher.may_begin(self.clock.now(), request.id, attempt.index))
+            not request.is_closed()
+            and self.workers.takes_work(attempt.worker)
+            and (self.dispatcher.may_start_attempt(self.clock.now(), request.id, attempt.index))
         )
 
     def written(self, attempt: Attempt) -> None:
@@ -173,16 +175,16 @@
 
     def started(self, attempt: Attempt) -> None:
         attempt.started_at = attempt.started_at or self.clock.now()
-        self._note(attempt, True, 0.0)
+        self._report_progress(attempt, True, 0.0)
 
     def progress(self, attempt: Attempt, share: float) -> None:
-        self._note(attempt, False, share)
+        self._report_progress(attempt, False, share)
 
-    def news(self, attempt: Attempt, kind: News, data: bytes) -> None:
+    def relay_message(self, attempt: Attempt, kind: JobMessage, data: bytes) -> None:
         if attempt.ended:
             self.counters.late.labels("news").inc()
         else:
-            self.relay.news(attempt.request, kind, data)
+            self.relay.relay_message(attempt.request, kind, data)
 
     def ended(self, attempt: Attempt, end: End) -> None:
         """An attempt has ended. Only the first end of an attempt counts."""
@@ -190,31 +192,33 @@
             return
         if end.status == Status.OK:
             self.relay.run(attempt.request, Answer(AnswerKind.SERVED, end.result))
-        self._feed(lambda: self.record.run(self.clock.now(), attempt, end), attempt.request)
+        self._run_event(lambda: self.record.run(self.clock.now(), attempt, end), attempt.request)
 
     def probed(self, worker: WorkerId, status: Status, latency: float, report: Sequence[float]) -> None:
-        self._feed(lambda: self.dispatcher.on_probed(self.clock.now(), worker, status, latency, report))
+        self._run_event(
+            lambda: self.dispatcher.on_probe_result(self.clock.now(), worker, status, latency, report)
+        )
 
     # From whoever knows the boxes
 
     def listed(self, kind: ListKind, members: Iterable[Member]) -> None:
         """Discovery's list, or a change to it."""
-        told = [] if kind == ListKind.FAILED else self.boxes.take_list(kind, members)
-        self._feed(lambda: self.dispatcher.on_members(self.clock.now(), kind, told))
-        for told_too in self.on_list:
+        told = [] if kind == ListKind.FAILED else self.workers.take_list(kind, members)
+        self._run_event(lambda: self.dispatcher.on_members(self.clock.now(), kind, told))
+        for told_too in self.list_listeners:
             told_too()
 
-    def joined(self, worker: WorkerId, restarted: bool) -> None:
+    def worker_connected(self, worker: WorkerId, restarted: bool) -> None:
         """A box has connected to us; `restarted`: its process may be new."""
-        self._delta(self.boxes.join(worker, self.clock.now(), restarted))
+        self._apply_change(self.workers.connect(worker, self.clock.now(), restarted))
 
-    def left(self, worker: WorkerId) -> None:
+    def worker_disconnected(self, worker: WorkerId) -> None:
         """A box has closed its last connection to us."""
-        self._delta(self.boxes.leave(worker))
+        self._apply_change(self.workers.disconnect(worker))
 
-    def _delta(self, member: Member | None) -> None:
+    def _apply_change(self, member: Member | None) -> None:
         if member is not None:
-            self._feed(lambda: self.dispatcher.on_members(self.clock.now(), ListKind.DELTA, [member]))
+            self._run_event(lambda: self.dispatcher.on_members(self.clock.now(), ListKind.DELTA, [member]))
 
     # The module's actions
 
@@ -224,13 +228,13 @@
             log.error("send.unknown", request=request)
             return
         attempt = self.sender.run(self.clock.now(), found, worker, timeout)
-        if found.over():
+        if found.is_closed():
             # Its client's leaving is still queued, so the module counts this send: it needs an end, too, or
             # the box's pending count would never fall again.
             self.ended(attempt, End(Status.MOOT))
 
     def refuse(self, request: int, retry_after: float) -> None:
-        reason = self.dispatcher.room.why(request) or "no room in time"
+        reason = self.dispatcher.reservations.infeasible_reason(request) or "no room in time"
         self._answer(request, Answer(AnswerKind.REFUSED, retry_after=retry_after, reason=reason))
 
     def fail(self, request: int) -> None:
@@ -242,7 +246,9 @@
             self._give_up(found.attempts[attempt], late=False)
 
     def timer(self, at: float, token: int) -> None:
-        self.deadlines.add(at, lambda: self._feed(lambda: self.dispatcher.on_timer(self.clock.now(), token)))
+        self.deadlines.add(
+            at, lambda: self._run_event(lambda: self.dispatcher.on_timer(self.clock.now(), token))
+        )
 
     def probe(self, worker: WorkerId) -> None:
         for transport in self.sender.transports:
@@ -256,11 +262,11 @@
 
     # Within
 
-    def _feed(self, tell: Callable[[], None], request: Request | None = None) -> None:
+    def _run_event(self, tell: Callable[[], None], request: Request | None = None) -> None:
         self._queue.append((tell, request))
-        if self._busy:
+        if self._running:
             return
-        self._busy = True
+        self._running = True
         try:
             while self._queue:
                 step, of = self._queue.popleft()
@@ -270,22 +276,22 @@
                     self.counters.faults.labels("decision").inc()
                     log.exception("fault.decision", request=of.name.decode("latin-1") if of else None)
                 if of is not None:
-                    self._unsettled.append(of)
+                    self._to_settle.append(of)
         finally:
-            self._busy = False
-        unsettled, self._unsettled = self._unsettled, []
+            self._running = False
+        unsettled, self._to_settle = self._to_settle, []
         for request_ in unsettled:
             self.record.settle(request_)
 
-    def _note(self, attempt: Attempt, started: bool, share: float) -> None:
+    def _report_progress(self, attempt: Attempt, started: bool, share: float) -> None:
         if attempt.ended:
             self.counters.late.labels("note").inc()
             return
         note = Note(attempt.request.id, attempt.index, attempt.worker, started, share)
-        self._feed(lambda: self.dispatcher.on_note(self.clock.now(), note))
+        self._run_event(lambda: self.dispatcher.on_attempt_progress(self.clock.now(), note))
 
-    def _tell_gone(self, request: Request) -> None:
-        self.dispatcher.on_gone(self.clock.now(), request.id)
+    def _report_client_gone(self, request: Request) -> None:
+        self.dispatcher.on_client_gone(self.clock.now(), request.id)
         for attempt in request.attempts:  # where the module may not cancel, nobody waits for them either
             self._give_up(attempt, late=False)
 
@@ -293,7 +299,7 @@
         found = self.receive.open.get(request)
         if found is not None:
             self.relay.run(found, answer)
-            self._unsettled.append(found)
+            self._to_settle.append(found)
 
     def _give_up(self, attempt: Attempt, late: bool) -> None:
         if not attempt.ended:
@@ -305,11 +311,11 @@
 
     def _overdue(self, request: Request) -> None:
         """The module should have answered by now. A failure is true whatever has run."""
-        if request.over():
+        if request.is_closed():
             return
         log.error("answer.overdue", request=request.name.decode("latin-1"))
         self.counters.faults.labels("overdue").inc()
         for attempt in request.attempts:
             self._give_up(attempt, late=True)
         if self.relay.run(request, Answer(AnswerKind.FAILED, reason="its time is over")):
-            self._feed(lambda: self.dispatcher.on_gone(self.clock.now(), request.id), request)
+            self._run_event(lambda: self.dispatcher.on_client_gone(self.clock.now(), request.id), request)
--- a/larchgw/dispatcher/core/figures.py
+++ b/larchgw/dispatcher/core/figures.py
@@ -15,7 +15,7 @@
 COUNTS = {"answered": AnswerKind.SERVED, "deferred": AnswerKind.REFUSED, "errored": AnswerKind.FAILED}
 
 
-class Figures(Collector):
+class DispatcherMetrics(Collector):
     """The names are the operators' and exact: a typed counter would be shown with `_total` behind it."""
 
     def __init__(self, counters: Counters, classes: list[str], gauges: dict[str, Callable[[], int]]) -> None:
--- a/larchgw/dispatcher/core/requests.py
+++ b/larchgw/dispatcher/core/requests.py
@@ -10,10 +10,10 @@
 from ..scheduling.interface import Status, WorkerId
 from .outcomes import Answer
 
-PROOFS = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # these say that the attempt never ran
+NEVER_RAN_STATUSES = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # these say that the attempt never ran
 
 
-class News(Enum):
+class JobMessage(Enum):
     """What a box may say of a job while it runs."""
 
     DATA = "data"
@@ -38,7 +38,7 @@
     def answer(self, request: Request, answer: Answer) -> None:
         """Gives the client its one final answer."""
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
+    def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
         """Passes on what the box says before the end."""
 
 
@@ -76,7 +76,9 @@
     hint: float = 0.0
     repeat: bool = False
     tenant: int = 0  # index in the settings' list; its length for one that is not in it
-    once: bytes = b""  # the key by which boxes know a repeat of it; empty where its client gave none
+    idempotency_key: bytes = (
+        b""  # the key by which boxes know a repeat of it; empty where its client gave none
+    )
     unique: bytes = b""  # what its client calls the job on each of its tries; empty for none
     priority: int = 0  # among jobs that wait at one box; higher goes first
     extra: Any = None  # the front's own
@@ -85,16 +87,16 @@
     give_up_at: float = 0.0
     attempts: list[Attempt] = field(default_factory=list)
     answer: Answer | None = None
-    gone: bool = False
+    client_gone: bool = False
     deadline: Deadline | None = None
 
-    def over(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether nothing is owed any more."""
-        return self.answer is not None or self.gone
+        return self.answer is not None or self.client_gone
 
     def never_ran(self) -> bool:
         """Whether it is proved that no attempt has run, or may still."""
-        return all(a.status in PROOFS for a in self.attempts)
+        return all(a.status in NEVER_RAN_STATUSES for a in self.attempts)
 
 
 @dataclass(slots=True, eq=False)
--- a/larchgw/dispatcher/core/stages/record.py
+++ b/larchgw/dispatcher/core/stages/record.py
@@ -37,7 +37,7 @@
                 attempt.index,
                 attempt.worker,
                 end.status,
-                request.over(),
+                request.is_closed(),
                 now - attempt.sent_at,
                 end.report,
             ),
@@ -45,6 +45,6 @@
 
     def settle(self, request: Request) -> None:
         """Forgets a request that is over and has no attempt out."""
-        if request.over() and all(a.ended for a in request.attempts):
+        if request.is_closed() and all(a.ended for a in request.attempts):
             self._deadlines.drop(request.deadline)
             self._receive.release(request)
--- a/larchgw/dispatcher/core/stages/relay.py
+++ b/larchgw/dispatcher/core/stages/relay.py
@@ -7,7 +7,7 @@
 from ....net.counters import Counters
 from ....net.timers import Deadlines
 from ..outcomes import Answer, AnswerKind
-from ..requests import Attempt, News, Request
+from ..requests import Attempt, JobMessage, Request
 
 log = structlog.get_logger()
 
@@ -25,7 +25,7 @@
 
     def run(self, request: Request, answer: Answer) -> bool:
         """Whether this was the final answer; a second one, or one to a client that left, goes nowhere."""
-        if request.over():
+        if request.is_closed():
             self._counters.late.labels("answer").inc()
             return False
         request.answer = answer
@@ -43,6 +43,6 @@
         request.front.answer(request, answer)
         return True
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
-        if not request.over():
+    def relay_message(self, request: Request, kind: JobMessage, data: bytes) -> None:
+        if not request.is_closed():
             request.front.news(request, kind, data)
--- a/larchgw/dispatcher/core/stages/send.py
+++ b/larchgw/dispatcher/core/stages/send.py
@@ -19,7 +19,7 @@
         transport = reaching(self.transports, worker, request.job_class)
         attempt = Attempt(request, len(request.attempts), worker, transport, now)
         request.attempts.append(attempt)
-        if request.over():
+        if request.is_closed():
             return attempt  # nobody waits for it: nothing is sent
         until = min(now + timeout, request.give_up_at) if timeout > 0 else request.give_up_at
         self._await(attempt, until)
--- a/larchgw/dispatcher/daemon.py
+++ b/larchgw/dispatcher/daemon.py
@@ -13,7 +13,7 @@
 from .. import __version__
 from ..net.listener import Listener
 from .assembly import Node, wake_on_signals
-from .capacity import RoomSettings
+from .capacity import ReservationSettings
 from .config import startup
 from .cordon_file import BanFile
 from .fronts.admin import Admin
@@ -39,7 +39,7 @@
     """One node behind its fronts."""
 
     def __init__(
-        self, settings: startup.Config, fronts: startup.Fronts, room: RoomSettings | None = None
+        self, settings: startup.Config, fronts: startup.Fronts, room: ReservationSettings | None = None
     ) -> None:
         self.node = node = Node(settings, room)
         loop, core = node.loop, node.core
@@ -61,12 +61,12 @@
             )
             core.add_transport(self.gearman.workers)
             if node.planner:
-                self.gearman.workers.on_slots = node.planner.known
+                self.gearman.workers.on_slots = node.planner.set_capacity
             self._listening(self.gearman.name, self.gearman.listener)
             self._beside.append(self.gearman.listener)
         if fronts.agent_check:
             agent = AgentCheck(
-                loop, core.counters, fronts.agent_check, lambda: node.stopping, core.boxes.ready_share
+                loop, core.counters, fronts.agent_check, lambda: node.stopping, core.workers.ready_share
             )
             self._listening(agent.name, agent.listener)
             self._beside.append(agent.listener)
@@ -79,7 +79,7 @@
             self._listening(admin.name, admin.server.listener)
         self._bans = BanFile(os.environ.get("TMPDIR"), settings.name)
         for worker, at in self._bans.load().items():
-            core.take_out(worker, at)
+            core.ban_worker(worker, at)
         self._stop_at = 0.0
         shared = settings.accept_fd is not None  # else an upgrade cannot be: the address is taken
         self.handover = Handover(
@@ -96,17 +96,17 @@
 
     def take_out(self, worker: WorkerId) -> None:
         """By hand, until it is put back: saved first, so that a restart cannot break the promise."""
-        bans = self.node.core.boxes.banned
+        bans = self.node.core.workers.banned
         at = bans.get(worker) or self.node.loop.clock.now()
         self._bans.save({**bans, worker: at})
-        self.node.core.take_out(worker, at)
+        self.node.core.ban_worker(worker, at)
         self.handover.taken_out(worker, at)
         log.info("hand.down", box=worker.decode("latin-1"), out=len(bans))
 
     def put_back(self, worker: WorkerId) -> None:
-        bans = self.node.core.boxes.banned
+        bans = self.node.core.workers.banned
         self._bans.save({w: at for w, at in bans.items() if w != worker})
-        self.node.core.put_back(worker)
+        self.node.core.unban_worker(worker)
         self.handover.put_back(worker)
         log.info("hand.up", box=worker.decode("latin-1"), out=len(bans))
 
@@ -216,13 +216,13 @@
             packed = moving.pack(request, core)
             if packed is not None and self.handover.move(*packed):
                 request.extra.channel.detach()
-                core.moved(request)
+                core.handed_over(request)
                 moved += 1
         if moved:
             log.info("upgrade.moved", jobs=moved, left=core.open_requests())
 
 
-def serve(fronts: startup.Fronts | None = None, room: RoomSettings | None = None) -> int:
+def serve(fronts: startup.Fronts | None = None, room: ReservationSettings | None = None) -> int:
     """Runs until SIGTERM and returns the exit status; a mistake in what it is told is one line and 2."""
     structlog.configure(
         processors=[
--- a/larchgw/dispatcher/estimates/loads.py
+++ b/larchgw/dispatcher/estimates/loads.py
@@ -14,34 +14,52 @@
 from ..scheduling.interface import WorkerId
 from ..scheduling.records import Worker
 
-CORES = 4.0  # of a worker, until its weights show it
-LEAST, SINGLE = 0.03, 0.6  # requests per core that can be the mark of one request alone
-LAG = 0.4  # seconds by which a weight is older than the list that brings it
-FADE = 3.0  # seconds in which half of what one list said of a worker is forgotten for what it said of all
-SELDOM = 4.0  # seconds between two lists, at the most that is planned for
-SPARE = 0.2  # requests that come for a worker beyond those that it ends
-BUSY = 1.5  # requests that a usual worker must hold for one that holds few to stand out
-STRANGE, SLOWLY = 0.35, 0.3  # share of the usual load below which one does, and the weight of the last list
-STEADY = 0.98  # share of the flow that is still believed at the next list when the workers end less
-SLOW_VOTE = 0.9  # what is left of a vote at the next list
-NEWS = 1.05  # times a nominal size that is more than noise
-KEEP = 4.0  # seconds of own sends and ends that are kept
-
-
-class Sight:
+INITIAL_CORES = 4.0  # of a worker, until its weights show it
+MIN_MARK, MAX_MARK = 0.03, 0.6  # requests per core that can be the mark of one request alone
+WEIGHT_AGE = 0.4  # seconds by which a weight is older than the list that brings it
+WEIGHT_HALF_LIFE = (
+    3.0  # seconds in which half of what one list said of a worker is forgotten for what it said of all
+)
+MAX_LIST_INTERVAL = 4.0  # seconds between two lists, at the most that is planned for
+EXTRA_ARRIVALS = 0.2  # requests that come for a worker beyond those that it ends
+MIN_BUSY_LOAD = 1.5  # requests that a usual worker must hold for one that holds few to stand out
+# Share of the usual load below which one does, and the weight of the last list
+IDLE_SHARE, RATIO_GAIN = 0.35, 0.3
+ARRIVAL_RATE_DECAY = (
+    0.98  # share of the flow that is still believed at the next list when the workers end less
+)
+VOTE_DECAY = 0.9  # what is left of a vote at the next list
+NOMINAL_CHANGE = 1.05  # times a nominal size that is more than noise
+CHANGE_RETENTION = 4.0  # seconds of own sends and ends that are kept
+
+
+class WorkerLoad:
     """What the list said last of one worker, and what we ourselves sent and had back since."""
 
-    __slots__ = ("held", "own", "at", "changes", "power", "left", "room", "even", "long")
+    __slots__ = (
+        "requests_per_core",
+        "own_slots",
+        "listed_at",
+        "own_changes",
+        "capacity",
+        "remaining",
+        "headroom",
+        "even_share",
+        "smoothed_load_ratio",
+    )
 
     def __init__(self) -> None:
-        self.held = self.own = self.at = 0.0  # requests per core; our own slots among them; when it was told
-        self.power = self.left = self.room = self.even = 0.0
-        self.long = -1.0  # held for its speed over what is usual, over some lists; below 0: not known
-        self.changes: deque[tuple[float, float]] = deque()
-
-    def trust(self, now: float) -> float:
+        self.requests_per_core = self.own_slots = self.listed_at = (
+            0.0  # requests per core; our own slots among them; when it was told
+        )
+        self.capacity = self.remaining = self.headroom = self.even_share = 0.0
+        # Held for its speed over what is usual, over some lists; below 0: not known
+        self.smoothed_load_ratio = (-1.0)
+        self.own_changes: deque[tuple[float, float]] = deque()
+
+    def freshness(self, now: float) -> float:
         """How much of what the list said still counts: 1 when it comes, less with age."""
-        trust: float = 0.5 ** (max(now - self.at, 0.0) / FADE)
+        trust: float = 0.5 ** (max(now - self.listed_at, 0.0) / WEIGHT_HALF_LIFE)
         return trust
 
 
@@ -49,21 +67,22 @@
     """Requests held by workers, ours and everybody's."""
 
     def __init__(self) -> None:
-        self.cores = CORES
+        self.cores = INITIAL_CORES
         self.nominal: dict[int, float] = {}  # by kind
-        self.sights: dict[WorkerId, Sight] = {}
-        self.usual = 0.0  # held per unit of size, over all workers that take work
-        self.every, self._last_list = 1.0, 0.0  # seconds between two lists, and when the last one came
+        self.by_worker: dict[WorkerId, WorkerLoad] = {}
+        self.mean_load = 0.0  # held per unit of size, over all workers that take work
+        # Seconds between two lists, and when the last one came
+        self.list_interval, self._last_list = 1.0, 0.0
         self.mean_size = 1.0
         self.lists = 0
-        self.flow = 0.0  # jobs a second that come to all dispatchers
+        self.arrival_rate = 0.0  # jobs a second that come to all dispatchers
         self._votes: dict[int, float] = {}  # workers that spoke for so many cores, older ones for less
-        self.sure = False  # whether weights have shown the cores
+        self.cores_known = False  # whether weights have shown the cores
 
-    def told(self, now: float, listed: Sequence[tuple[Worker, float]]) -> None:
+    def on_weights(self, now: float, listed: Sequence[tuple[Worker, float]]) -> None:
         """The list gives these workers these weights."""
         for worker, weight in listed:
-            if weight > NEWS * self.nominal.get(worker.kind, 0.0):
+            if weight > NOMINAL_CHANGE * self.nominal.get(worker.kind, 0.0):
                 # A worker that is emptier than any seen before: what was read off the others was too little.
                 self._votes.clear()
             if weight > self.nominal.get(worker.kind, 0.0):
@@ -71,15 +90,15 @@
         marks = []
         for worker, weight in listed:
             per_core = self.nominal[worker.kind] / weight - 1.0 if weight > 0 else 0.0
-            if LEAST < per_core < SINGLE:
+            if MIN_MARK < per_core < MAX_MARK:
                 marks.append(per_core)
-            sight = self.sights.get(worker.id)
+            sight = self.by_worker.get(worker.id)
             if sight is None:
-                sight = self.sights[worker.id] = Sight()
-            sight.held, sight.at = per_core, now
+                sight = self.by_worker[worker.id] = WorkerLoad()
+            sight.requests_per_core, sight.listed_at = per_core, now
             self._trim(sight, now)
-            since = sum(change for at, change in sight.changes if at > now - LAG)
-            sight.own = max(worker.pending - since, 0.0)
+            since = sum(change for at, change in sight.own_changes if at > now - WEIGHT_AGE)
+            sight.own_slots = max(worker.pending_slots - since, 0.0)
         self._count_cores(marks)
 
     def _count_cores(self, marks: list[float]) -> None:
@@ -92,12 +111,12 @@
         marks.sort()
         lowest = [m for m in marks if m < 1.5 * marks[0]]
         cores = min(max(round(1.0 / lowest[len(lowest) // 2]), 1), 64)
-        self._votes = {c: n * SLOW_VOTE for c, n in self._votes.items() if n > 0.01}
+        self._votes = {c: n * VOTE_DECAY for c, n in self._votes.items() if n > 0.01}
         self._votes[cores] = self._votes.get(cores, 0.0) + len(lowest)
         self.cores = float(max(self._votes, key=lambda c: (self._votes[c], c)))
-        self.sure = True
+        self.cores_known = True
 
-    def sum_up(self, now: float, workers: Sequence[Worker], mean_job: float) -> None:
+    def level_load(self, now: float, workers: Sequence[Worker], mean_job: float) -> None:
         """Levels the workers that take work: how much each should get until it shows in a list.
 
         What comes meanwhile is poured over the workers like water: those that hold least for their speed get
@@ -106,91 +125,95 @@
         information").
         """
         if self._last_list and now > self._last_list:
-            self.every += 0.2 * (min(now - self._last_list, SELDOM) - self.every)
+            self.list_interval += 0.2 * (min(now - self._last_list, MAX_LIST_INTERVAL) - self.list_interval)
         self._last_list = now
         sizes = [self.nominal.get(w.kind, 1.0) for w in workers]
         self.mean_size = sum(sizes) / len(sizes) if sizes else 1.0
         self.lists += 1
-        ahead = self.period() / max(mean_job, 1e-3)  # mean jobs that a core ends until this shows
+        ahead = self.visibility_delay() / max(mean_job, 1e-3)  # mean jobs that a core ends until this shows
         coming, held, levels = 0.0, 0.0, []
         for w, size in zip(workers, sizes, strict=True):
-            sight = self.sights.get(w.id)
+            sight = self.by_worker.get(w.id)
             if sight is None:
                 continue
             speed = size / self.mean_size
-            there = sight.held * self.cores
+            there = sight.requests_per_core * self.cores
             done = min(there, self.cores) * speed * ahead
-            coming += done + SPARE
+            coming += done + EXTRA_ARRIVALS
             held += there
-            sight.power = self.cores * speed
-            sight.left = max(there - done, 0.0)
-            levels.append((sight.left / sight.power, sight))
-        self.usual = held / sum(sizes) if sizes else 0.0
-        busy = self.usual * self.mean_size
-        if busy >= BUSY:
+            sight.capacity = self.cores * speed
+            sight.remaining = max(there - done, 0.0)
+            levels.append((sight.remaining / sight.capacity, sight))
+        self.mean_load = held / sum(sizes) if sizes else 0.0
+        busy = self.mean_load * self.mean_size
+        if busy >= MIN_BUSY_LOAD:
             for _, sight in levels:
-                ratio = sight.held * self.cores * self.cores / sight.power / busy
-                sight.long = ratio if sight.long < 0 else sight.long + SLOWLY * (ratio - sight.long)
-        self._pour(coming, levels)
-
-    def period(self) -> float:
+                ratio = sight.requests_per_core * self.cores * self.cores / sight.capacity / busy
+                sight.smoothed_load_ratio = (
+                    ratio
+                    if sight.smoothed_load_ratio < 0
+                    else sight.smoothed_load_ratio + RATIO_GAIN * (ratio - sight.smoothed_load_ratio)
+                )
+        self._fill_to_level(coming, levels)
+
+    def visibility_delay(self) -> float:
         """Seconds until what is sent now shows in a list."""
-        return self.every + LAG
+        return self.list_interval + WEIGHT_AGE
 
-    def _pour(self, coming: float, levels: list[tuple[float, Sight]]) -> None:
+    def _fill_to_level(self, coming: float, levels: list[tuple[float, WorkerLoad]]) -> None:
         levels.sort(key=lambda item: item[0])
         power = filled = level = 0.0
         for index, (_, sight) in enumerate(levels):
-            power += sight.power
-            filled += sight.left
+            power += sight.capacity
+            filled += sight.remaining
             level = (coming + filled) / power
             if index + 1 == len(levels) or level <= levels[index + 1][0]:
                 break
         # While workers are lost or cold the rest end less than comes: the flow is what it was before.
-        self.flow = max(coming / self.period(), self.flow * STEADY)
-        even = coming / sum(sight.power for _, sight in levels) if levels else 0.0
+        self.arrival_rate = max(coming / self.visibility_delay(), self.arrival_rate * ARRIVAL_RATE_DECAY)
+        even = coming / sum(sight.capacity for _, sight in levels) if levels else 0.0
         for start, sight in levels:
-            sight.room, sight.even = max(level - start, 0.0) * sight.power, even * sight.power
+            sight.headroom, sight.even_share = max(level - start, 0.0) * sight.capacity, even * sight.capacity
 
-    def part(self, now: float, worker: Worker) -> float:
+    def acceptance_share(self, now: float, worker: Worker) -> float:
         """What it should get over its even share of what comes, 1 at the most, by what the last list said."""
-        sight = self.sights.get(worker.id)
-        if sight is None or sight.even <= 0.0:
+        sight = self.by_worker.get(worker.id)
+        if sight is None or sight.even_share <= 0.0:
             return 1.0
-        room = sight.room - max(worker.pending - sight.own, 0.0)
-        trust = sight.trust(now)
-        return min(max(room / sight.even, 0.0), 1.0) * trust + 1.0 - trust
+        room = sight.headroom - max(worker.pending_slots - sight.own_slots, 0.0)
+        trust = sight.freshness(now)
+        return min(max(room / sight.even_share, 0.0), 1.0) * trust + 1.0 - trust
 
-    def strange(self, worker: Worker) -> bool:
+    def is_underused(self, worker: Worker) -> bool:
         """Whether it has held far less than is usual, over some lists."""
-        sight = self.sights.get(worker.id)
-        return sight is not None and 0.0 <= sight.long < STRANGE
+        sight = self.by_worker.get(worker.id)
+        return sight is not None and 0.0 <= sight.smoothed_load_ratio < IDLE_SHARE
 
-    def speed(self, worker: Worker) -> float:
+    def relative_speed(self, worker: Worker) -> float:
         """Its nominal size over that of the mean worker."""
         return self.nominal.get(worker.kind, 1.0) / self.mean_size
 
     def forget(self, worker: WorkerId) -> None:
         """A worker is gone, or another process now."""
-        self.sights.pop(worker, None)
+        self.by_worker.pop(worker, None)
 
-    def changed(self, now: float, worker: WorkerId, slots: float) -> None:
+    def on_own_slots(self, now: float, worker: WorkerId, slots: float) -> None:
         """We sent so many slots there, or had them back (negative)."""
-        sight = self.sights.get(worker)
+        sight = self.by_worker.get(worker)
         if sight is not None:
-            sight.changes.append((now, slots))
+            sight.own_changes.append((now, slots))
             self._trim(sight, now)
 
-    def _trim(self, sight: Sight, now: float) -> None:
-        while sight.changes and sight.changes[0][0] < now - KEEP:
-            sight.changes.popleft()
+    def _trim(self, sight: WorkerLoad, now: float) -> None:
+        while sight.own_changes and sight.own_changes[0][0] < now - CHANGE_RETENTION:
+            sight.own_changes.popleft()
 
-    def others(self, now: float, worker: Worker) -> float:
+    def requests_of_others(self, now: float, worker: Worker) -> float:
         """Requests of others there. The older the list, the more it is what is usual; never below 0."""
-        sight = self.sights.get(worker.id)
-        usual = self.usual * self.nominal.get(worker.kind, 1.0)
+        sight = self.by_worker.get(worker.id)
+        usual = self.mean_load * self.nominal.get(worker.kind, 1.0)
         if sight is None:
-            return max(usual - worker.pending, 0.0) if self.nominal else 0.0
-        known = max(sight.held * self.cores - sight.own, 0.0)
-        trust = sight.trust(now)
-        return max(known * trust + (usual - sight.own) * (1.0 - trust), 0.0)
+            return max(usual - worker.pending_slots, 0.0) if self.nominal else 0.0
+        known = max(sight.requests_per_core * self.cores - sight.own_slots, 0.0)
+        trust = sight.freshness(now)
+        return max(known * trust + (usual - sight.own_slots) * (1.0 - trust), 0.0)
--- a/larchgw/dispatcher/estimates/reports.py
+++ b/larchgw/dispatcher/estimates/reports.py
@@ -15,33 +15,43 @@
 from ..scheduling.interface import Settings, WorkerId
 from ..scheduling.records import Worker
 
-SPENT = 0.0008  # part of the result that probes may cost, by their price and the jobs that come
-OFTEN, SELDOM = 0.25, 2.0  # seconds between two probes of a worker by one dispatcher, at least and at most
-MOST = 12.0  # probes a second that a worker gets from all dispatchers
-AGAIN = 0.05  # seconds until a worker that did not answer is asked again
-ASKED = 2.0  # seconds after which a probe of which nothing was heard no longer counts as out
-LAG = 0.6  # seconds that a report is old when it comes, on the average
-GAIN = 0.4  # weight of the latest report
-STALE = 4.0  # seconds after which half of what reports said is forgotten
-KEEP = 2.0  # seconds of own sends and ends that are kept
-GUESS = 4.0  # slots of a worker, until a report has come from one of its kind
-SLOWLY = 0.02  # weight of the latest job in the pace of its kind
-NOT = float("-inf")  # when a worker was asked, while no probe is out
-FULL = 0.7  # free slots below which a worker may have jobs waiting
-
-
-class Sight:
+PROBE_BUDGET = 0.0008  # part of the result that probes may cost, by their price and the jobs that come
+# Seconds between two probes of a worker by one dispatcher, at least and at most
+MIN_PROBE_INTERVAL, MAX_PROBE_INTERVAL = 0.25, 2.0
+MAX_PROBE_RATE = 12.0  # probes a second that a worker gets from all dispatchers
+REPROBE_DELAY = 0.05  # seconds until a worker that did not answer is asked again
+PROBE_TIMEOUT = 2.0  # seconds after which a probe of which nothing was heard no longer counts as out
+REPORT_AGE = 0.6  # seconds that a report is old when it comes, on the average
+REPORT_GAIN = 0.4  # weight of the latest report
+REPORT_HALF_LIFE = 4.0  # seconds after which half of what reports said is forgotten
+CHANGE_RETENTION = 2.0  # seconds of own sends and ends that are kept
+INITIAL_SLOTS = 4.0  # slots of a worker, until a report has come from one of its kind
+RUN_RATIO_GAIN = 0.02  # weight of the latest job in the pace of its kind
+NOT_PROBED = float("-inf")  # when a worker was asked, while no probe is out
+FEW_FREE_SLOTS = 0.7  # free slots below which a worker may have jobs waiting
+
+
+class ProbeState:
     """What is known of one worker."""
 
-    __slots__ = ("others", "free", "at", "due", "asked", "fails", "last", "changes")
+    __slots__ = (
+        "slots_of_others",
+        "free_slots",
+        "reported_at",
+        "next_probe_at",
+        "probed_at",
+        "failures",
+        "last_report",
+        "own_changes",
+    )
 
     def __init__(self, due: float) -> None:
-        self.others = 0.0  # slots that others have there
-        self.free = -1.0  # slots free by the last report; below 0: none yet
-        self.at = 0.0  # when a report came
-        self.due, self.asked, self.fails = due, NOT, 0
-        self.last: tuple[float, ...] = ()
-        self.changes: deque[tuple[float, float]] = deque()
+        self.slots_of_others = 0.0  # slots that others have there
+        self.free_slots = -1.0  # slots free by the last report; below 0: none yet
+        self.reported_at = 0.0  # when a report came
+        self.next_probe_at, self.probed_at, self.failures = due, NOT_PROBED, 0
+        self.last_report: tuple[float, ...] = ()
+        self.own_changes: deque[tuple[float, float]] = deque()
 
 
 class Reports:
@@ -49,149 +59,163 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._random = random.Random(seed)
-        self.sights: dict[WorkerId, Sight] = {}
-        self.kinds: dict[int, float] = {}  # slots of a worker of each kind: the most that were seen free
-        self.paces: dict[int, list[float]] = {}  # by kind: running times over the usual, and the weight used
-        self.period = 0.5
-        self._came, self._since, self._flow = 0, 0.0, 0.0
+        self.by_worker: dict[WorkerId, ProbeState] = {}
+        self.slots_by_kind: dict[
+            int, float
+        ] = {}  # slots of a worker of each kind: the most that were seen free
+        self.run_ratios: dict[
+            int, list[float]
+        ] = {}  # by kind: running times over the usual, and the weight used
+        self.probe_interval = 0.5
+        self._arrivals, self._counted_since, self._arrival_rate = 0, 0.0, 0.0
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        self.s = settings
-        self.on = settings.can_probe and settings.pull and settings.slot_reports >= 0
-        self.tells_queue = self.on and settings.queue_reports >= 0
+        self.settings = settings
+        self.enabled = settings.can_probe and settings.pull and settings.slot_reports >= 0
+        self.include_queue = self.enabled and settings.queue_reports >= 0
 
     # Asking
 
-    def came(self, now: float) -> None:
+    def on_arrival(self, now: float) -> None:
         """A job has come in: its price allows so many probes."""
-        self._came += 1
-        if now - self._since > 2.0:
-            if self._since:
-                rate = self._came / (now - self._since)
-                self._flow += (0.3 if self._flow else 1.0) * (rate - self._flow)
-            self._came, self._since = 0, now
-
-    def due(self, now: float, workers: Iterable[Worker]) -> list[WorkerId]:
+        self._arrivals += 1
+        if now - self._counted_since > 2.0:
+            if self._counted_since:
+                rate = self._arrivals / (now - self._counted_since)
+                self._arrival_rate += (0.3 if self._arrival_rate else 1.0) * (rate - self._arrival_rate)
+            self._arrivals, self._counted_since = 0, now
+
+    def due_probes(self, now: float, workers: Iterable[Worker]) -> list[WorkerId]:
         """Workers to ask now."""
-        if not self.on:
+        if not self.enabled:
             return []
         asked = []
         for worker in workers:
-            sight = self.sights.get(worker.id)
+            sight = self.by_worker.get(worker.id)
             if sight is None:
-                sight = self.sights[worker.id] = Sight(now)
-            if now < sight.due or now < sight.asked + ASKED:
+                sight = self.by_worker[worker.id] = ProbeState(now)
+            if now < sight.next_probe_at or now < sight.probed_at + PROBE_TIMEOUT:
                 continue
-            sight.asked = now
+            sight.probed_at = now
             asked.append(worker.id)
         if asked:
-            self.period = self._every(len(self.sights))
+            self.probe_interval = self._probe_interval(len(self.by_worker))
         return asked
 
-    def _every(self, workers: int) -> float:
+    def _probe_interval(self, workers: int) -> float:
         """Seconds between two probes of a worker."""
-        rate = MOST / self.s.instances
-        if self.s.price_probe > 0.0:
-            rate = min(rate, SPENT / self.s.price_probe * max(self._flow, 1.0) / max(workers, 1))
-        return min(max(1.0 / rate, OFTEN), SELDOM)
-
-    def failed(self, now: float, worker: WorkerId) -> int:
+        rate = MAX_PROBE_RATE / self.settings.instances
+        if self.settings.price_probe > 0.0:
+            rate = min(
+                rate,
+                PROBE_BUDGET / self.settings.price_probe * max(self._arrival_rate, 1.0) / max(workers, 1),
+            )
+        return min(max(1.0 / rate, MIN_PROBE_INTERVAL), MAX_PROBE_INTERVAL)
+
+    def on_probe_failed(self, now: float, worker: WorkerId) -> int:
         """A probe had no answer: how many in a row that is."""
-        sight = self.sights.get(worker)
+        sight = self.by_worker.get(worker)
         if sight is None:
             return 0
-        sight.fails += 1
-        sight.asked = NOT
-        sight.due = now + (AGAIN if sight.fails == 1 else self.period * self._random.uniform(0.7, 1.3))
-        return sight.fails
+        sight.failures += 1
+        sight.probed_at = NOT_PROBED
+        sight.next_probe_at = now + (
+            REPROBE_DELAY if sight.failures == 1 else self.probe_interval * self._random.uniform(0.7, 1.3)
+        )
+        return sight.failures
 
     # What is heard
 
-    def heard(self, now: float, worker: Worker, report: Sequence[float]) -> None:
+    def on_report(self, now: float, worker: Worker, report: Sequence[float]) -> None:
         """A worker has answered a probe."""
-        sight = self.sights.get(worker.id)
+        sight = self.by_worker.get(worker.id)
         if sight is None:
             return
-        sight.asked, sight.fails = NOT, 0
-        sight.due = now + self.period * self._random.uniform(0.7, 1.3)
-        if len(report) <= self.s.slot_reports or not any(report):
+        sight.probed_at, sight.failures = NOT_PROBED, 0
+        sight.next_probe_at = now + self.probe_interval * self._random.uniform(0.7, 1.3)
+        if len(report) <= self.settings.slot_reports or not any(report):
             return  # an idle worker has free slots: all naught is said by one that knows nothing yet
-        free = max(report[self.s.slot_reports], 0.0)
-        self.kinds[worker.kind] = max(self.kinds.get(worker.kind, 0.0), free)
-        new, sight.last = tuple(report) != sight.last, tuple(report)
+        free = max(report[self.settings.slot_reports], 0.0)
+        self.slots_by_kind[worker.kind] = max(self.slots_by_kind.get(worker.kind, 0.0), free)
+        new, sight.last_report = tuple(report) != sight.last_report, tuple(report)
         if not new:
             return
         self._trim(now, sight)
-        own = worker.pending - sum(c for at, c in sight.changes if at > now - LAG)
-        others = self.kinds[worker.kind] - free - max(own, 0.0)
-        if self.tells_queue and len(report) > self.s.queue_reports:
-            others += max(report[self.s.queue_reports], 0.0)
-        elif free < FULL:
-            others = max(others, (self.s.instances - 1) * own)  # what waits there is told nowhere
-        gain = GAIN if sight.free >= 0.0 else 1.0
-        sight.others += gain * (max(others, 0.0) - sight.others)
-        sight.free, sight.at = free, now
-
-    def full(self, now: float, worker: Worker) -> None:
+        own = worker.pending_slots - sum(c for at, c in sight.own_changes if at > now - REPORT_AGE)
+        others = self.slots_by_kind[worker.kind] - free - max(own, 0.0)
+        if self.include_queue and len(report) > self.settings.queue_reports:
+            others += max(report[self.settings.queue_reports], 0.0)
+        elif free < FEW_FREE_SLOTS:
+            others = max(others, (self.settings.instances - 1) * own)  # what waits there is told nowhere
+        gain = REPORT_GAIN if sight.free_slots >= 0.0 else 1.0
+        sight.slots_of_others += gain * (max(others, 0.0) - sight.slots_of_others)
+        sight.free_slots, sight.reported_at = free, now
+
+    def on_full(self, now: float, worker: Worker) -> None:
         """It has turned a job away: as many wait as run, at the least. That fades as a report does."""
-        sight = self.sights.get(worker.id)
-        if self.on and sight is not None:
-            sight.others, sight.at = max(sight.others, 2.0 * self.slots(worker)), now
-
-    def changed(self, now: float, worker: WorkerId, slots: float) -> None:
+        sight = self.by_worker.get(worker.id)
+        if self.enabled and sight is not None:
+            sight.slots_of_others, sight.reported_at = (
+                max(sight.slots_of_others, 2.0 * self.slots(worker)),
+                now,
+            )
+
+    def on_own_slots(self, now: float, worker: WorkerId, slots: float) -> None:
         """We sent so many slots there, or had them back (negative)."""
-        sight = self.sights.get(worker)
+        sight = self.by_worker.get(worker)
         if sight is not None:
-            sight.changes.append((now, slots))
+            sight.own_changes.append((now, slots))
             self._trim(now, sight)
 
-    def _trim(self, now: float, sight: Sight) -> None:
-        while sight.changes and sight.changes[0][0] < now - KEEP:
-            sight.changes.popleft()
+    def _trim(self, now: float, sight: ProbeState) -> None:
+        while sight.own_changes and sight.own_changes[0][0] < now - CHANGE_RETENTION:
+            sight.own_changes.popleft()
 
     def forget(self, worker: WorkerId) -> None:
         """A worker is gone, or another process now."""
-        self.sights.pop(worker, None)
+        self.by_worker.pop(worker, None)
 
     # What it is worth
 
     def slots(self, worker: Worker) -> float:
         """Slots of a worker; never under one."""
-        return max(self.kinds.get(worker.kind, GUESS), 1.0)
+        return max(self.slots_by_kind.get(worker.kind, INITIAL_SLOTS), 1.0)
 
-    def able(self, worker: Worker) -> float:
+    def warm_capacity(self, worker: Worker) -> float:
         """Slot seconds a second that it can do when warm, as on a usual one; never more than it has slots."""
-        pace = self.paces.get(worker.kind)
+        pace = self.run_ratios.get(worker.kind)
         return self.slots(worker) / max(pace[0] if pace else 1.0, 1.0)
 
-    def paced(self, worker: Worker, ratio: float) -> bool:
+    def on_run(self, worker: Worker, ratio: float) -> bool:
         """A job ran there for so many times the usual; whether workers of its kind weigh otherwise now."""
-        pace = self.paces.setdefault(worker.kind, [1.0, 0.0])
-        pace[0] += SLOWLY * (min(ratio, 5.0) - pace[0])
+        pace = self.run_ratios.setdefault(worker.kind, [1.0, 0.0])
+        pace[0] += RUN_RATIO_GAIN * (min(ratio, 5.0) - pace[0])
         weight = 2.0 * log2(self.slots(worker) / max(pace[0], 0.1))
         if abs(weight - pace[1]) < 0.75:
             return False
         pace[1] = round(weight)  # in half octaves: most dispatchers agree on it
         return True
 
-    def weight(self, worker: Worker) -> float:
+    def rank_weight(self, worker: Worker) -> float:
         """What a worker of its kind can do, beside others."""
-        pace = self.paces.get(worker.kind)
+        pace = self.run_ratios.get(worker.kind)
         return float(2.0 ** (pace[1] / 2.0)) if pace else 1.0
 
-    def others(self, now: float, worker: Worker) -> float:
+    def slots_of_others(self, now: float, worker: Worker) -> float:
         """Slots that others have there; what was told long ago counts for less."""
-        sight = self.sights.get(worker.id)
+        sight = self.by_worker.get(worker.id)
         if sight is None:
             return 0.0
-        return float(sight.others * 0.5 ** (max(now - sight.at, 0.0) / STALE))
+        return float(sight.slots_of_others * 0.5 ** (max(now - sight.reported_at, 0.0) / REPORT_HALF_LIFE))
 
-    def wait(self, now: float, worker: Worker, slots: float, mean_run: float, share: float = 1.0) -> float:
+    def expected_delay(
+        self, now: float, worker: Worker, slots: float, mean_run: float, share: float = 1.0
+    ) -> float:
         """Seconds that a job of so many slots is expected to wait, or to run longer, at a worker.
 
         `share`: the part of its slots that it can do justice to.
         """
         have = max(share * self.slots(worker), 1.0)
-        over = self.others(now, worker) + worker.pending + slots - have
-        return max(over, 0.0) / have * mean_run * max(worker.pace, 0.3)
+        over = self.slots_of_others(now, worker) + worker.pending_slots + slots - have
+        return max(over, 0.0) / have * mean_run * max(worker.run_time_ratio, 0.3)
--- a/larchgw/dispatcher/fronts/admin.py
+++ b/larchgw/dispatcher/fronts/admin.py
@@ -42,7 +42,7 @@
             if self._allowed(exchange, b"GET", b"HEAD"):
                 exchange.reply(
                     200,
-                    self._core.figures.text(),
+                    self._core.metrics.text(),
                     (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),),
                 )
         elif path.startswith(DOWN):
@@ -68,7 +68,7 @@
         worker = unquote_to_bytes(name)
         if not self._allowed(exchange, b"PUT"):
             return
-        if not self._core.boxes.knows(worker):
+        if not self._core.workers.is_known(worker):
             exchange.reply(404, b"no runner of this id was ever listed\n")
             return
         try:
--- a/larchgw/dispatcher/fronts/agentcheck.py
+++ b/larchgw/dispatcher/fronts/agentcheck.py
@@ -95,7 +95,7 @@
         elif exchange.path == b"/metrics":
             exchange.reply(
                 200,
-                self._core.counters.text() + self._core.figures.text(),
+                self._core.counters.text() + self._core.metrics.text(),
                 (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),),
             )
         elif exchange.path == b"/room" and self._planner:
--- a/larchgw/dispatcher/fronts/gearman.py
+++ b/larchgw/dispatcher/fronts/gearman.py
@@ -15,7 +15,7 @@
 from ...net.loop import Loop
 from ...net.timers import Deadline
 from ..core import Answer, AnswerKind, Core, Request
-from ..core.requests import News
+from ..core.requests import JobMessage
 from .gearman_jobs import Job, Jobs, full_unique
 from .gearman_packets import BadPacket, Packet, PacketReader, Type, encode
 from .gearman_workers import GearmanWorkers, Slot
@@ -33,7 +33,11 @@
 BACKGROUND = (Type.SUBMIT_JOB_BG, Type.SUBMIT_JOB_HIGH_BG, Type.SUBMIT_JOB_LOW_BG)
 CLIENT_ID = re.compile(rb"[!-~]{1,128}")
 UNIQUE = re.compile(rb"[ -~]{0,128}")
-FROM_NEWS = {News.DATA: Type.WORK_DATA, News.WARNING: Type.WORK_WARNING, News.STATUS: Type.WORK_STATUS}
+FROM_NEWS = {
+    JobMessage.DATA: Type.WORK_DATA,
+    JobMessage.WARNING: Type.WORK_WARNING,
+    JobMessage.STATUS: Type.WORK_STATUS,
+}
 log = structlog.get_logger()
 
 
@@ -246,15 +250,15 @@
             priority=PRIORITY[kind],
             extra=job,
         )
-        self.core.take(job.request)
+        self.core.submit(job.request)
 
     def left(self, job: Job, link: GearmanLink) -> None:
         """A client left a job; when nobody waits for it any more, it is given up."""
         job.waiters.remove(link)
         request = job.request
-        if job.waiters or job.background or request is None or request.over():
+        if job.waiters or job.background or request is None or request.is_closed():
             return
-        self.core.gone(request)
+        self.core.client_gone(request)
         never = request.never_ran()
         self.jobs.end(
             job,
@@ -278,12 +282,12 @@
         for waiter in waiters:
             waiter.finish(job, answer)
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
+    def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
         job: Job = request.extra
-        if kind is News.EXCEPTION:
+        if kind is JobMessage.EXCEPTION:
             job.exception = data  # told with the end: another attempt may still serve the job
             return
-        if kind is News.STATUS:
+        if kind is JobMessage.STATUS:
             done, _, total = data.partition(b"\0")
             job.status = (done, total)
         for waiter in list(job.waiters):
@@ -318,7 +322,7 @@
         requests = self.core.receive.open.values()
         lines = []
         for function, number in self._classes.items():
-            mine = [r for r in requests if r.job_class == number and not r.over()]
+            mine = [r for r in requests if r.job_class == number and not r.is_closed()]
             running = sum(any(a.started and not a.ended for a in r.attempts) for r in mine)
             able = sum(function in link.slot.abilities for link in self.links)
             lines.append(b"%b\t%d\t%d\t%d\n" % (function, len(mine), running, able))
--- a/larchgw/dispatcher/fronts/gearman_workers.py
+++ b/larchgw/dispatcher/fronts/gearman_workers.py
@@ -15,7 +15,7 @@
 from ...net.loop import Loop
 from ...net.timers import Deadline
 from ..core import Attempt, Core, End
-from ..core.requests import News, Reach
+from ..core.requests import JobMessage, Reach
 from ..scheduling.interface import Status, WorkerId
 from ..workers.attempt_status import status_of
 from .gearman_packets import Packet, Type, encode
@@ -25,7 +25,11 @@
     Type.GRAB_JOB_UNIQ: Type.JOB_ASSIGN_UNIQ,
     Type.GRAB_JOB_ALL: Type.JOB_ASSIGN_ALL,
 }
-NEWS = {Type.WORK_DATA: News.DATA, Type.WORK_WARNING: News.WARNING, Type.WORK_EXCEPTION: News.EXCEPTION}
+NEWS = {
+    Type.WORK_DATA: JobMessage.DATA,
+    Type.WORK_WARNING: JobMessage.WARNING,
+    Type.WORK_EXCEPTION: JobMessage.EXCEPTION,
+}
 log = structlog.get_logger()
 
 
@@ -99,7 +103,7 @@
         # Told how many slots a box has, or None once it has left.
         self.on_slots: Callable[[WorkerId, float | None], None] = lambda worker, slots: None
         self._names = [c.name.encode() for c in core.settings.classes]
-        core.on_list.append(self._return_drained)
+        core.list_listeners.append(self._return_drained)
 
     # From the core
 
@@ -219,7 +223,7 @@
         self.on_slots(name, float(len(slot.box.slots)))
         if len(slot.box.slots) == 1:
             log.info("gearman.box_joined", box=name.decode("latin-1"))
-            self.core.joined(name, restarted=name not in self._hung_up)
+            self.core.worker_connected(name, restarted=name not in self._hung_up)
             self._hung_up.discard(name)
 
     def _unsettle(self, slot: Slot) -> None:
@@ -232,7 +236,7 @@
         if not box.slots:
             del self.boxes[box.name]
             log.info("gearman.box_left", box=box.name.decode("latin-1"))
-            self.core.left(box.name)
+            self.core.worker_disconnected(box.name)
         for task in [t for t in box.waiting if len(box.able(t.function)) < t.slots]:
             able = box.able(task.function)
             self._over(task, ConnectionOutcome.NO_WAY if able else ConnectionOutcome.NEVER_GRABBED)
@@ -240,7 +244,7 @@
     def _next(self, slot: Slot) -> Task | None:
         """What this slot may be given now."""
         box = slot.box
-        if box is None or not slot.free() or not self.core.boxes.open_to_work(box.name):
+        if box is None or not slot.free() or not self.core.workers.takes_work(box.name):
             return None  # a drained box gets nothing new, whatever waits for it
         found = next((t for t in box.waiting if t.function in slot.abilities), None)
         if found is not None and box.free(found.function) < found.slots:
@@ -292,14 +296,14 @@
             outcome = ConnectionOutcome.DONE if done else ConnectionOutcome.FAILED
             self._over(task, outcome, result=args[1] if done else b"")
         elif kind is Type.WORK_STATUS:
-            self.core.news(task.attempt, News.STATUS, args[1] + b"\0" + args[2])
+            self.core.relay_message(task.attempt, JobMessage.STATUS, args[1] + b"\0" + args[2])
             try:
                 self.core.progress(task.attempt, float(args[1]) / float(args[2]))
             except (ValueError, ZeroDivisionError):
                 pass  # a worker may count in what it likes; the client has been told
         else:
             task.excepted = task.excepted or kind is Type.WORK_EXCEPTION
-            self.core.news(task.attempt, NEWS[kind], args[1])
+            self.core.relay_message(task.attempt, NEWS[kind], args[1])
 
     def _wake(self, slot: Slot) -> None:
         if slot.asleep and slot.free():
@@ -321,7 +325,7 @@
 
     def _return_drained(self) -> None:
         for box in list(self.boxes.values()):
-            if not self.core.boxes.open_to_work(box.name):
+            if not self.core.workers.takes_work(box.name):
                 for task in list(box.waiting):
                     self._over(task, ConnectionOutcome.TURNED_AWAY)
 
--- a/larchgw/dispatcher/fronts/platform.py
+++ b/larchgw/dispatcher/fronts/platform.py
@@ -7,7 +7,7 @@
 from ...net.http_server import Exchange, HttpServer
 from ...net.loop import Loop
 from ..core import Answer, Core, Request
-from ..core.requests import News
+from ..core.requests import JobMessage
 from .jobheaders import http_answer, read_job
 
 
@@ -49,7 +49,7 @@
 
     def on_client_gone(self, exchange: Exchange) -> None:
         if isinstance(exchange.extra, Request):
-            self._core.gone(exchange.extra)
+            self._core.client_gone(exchange.extra)
 
     def _take(self, exchange: Exchange, job_class: int) -> None:
         try:
@@ -74,7 +74,7 @@
             job.once,
             extra=exchange,
         )
-        self._core.take(request)
+        self._core.submit(request)
 
     def _bad(
         self, exchange: Exchange, status: int, reason: str, headers: tuple[tuple[str, str], ...] = ()
@@ -88,5 +88,5 @@
         exchange: Exchange = request.extra
         exchange.reply(*http_answer(answer))
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
+    def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
         """HTTP clients of the platform hear of the end only."""
--- a/larchgw/dispatcher/hot_restart/handover.py
+++ b/larchgw/dispatcher/hot_restart/handover.py
@@ -195,12 +195,12 @@
 
     def heard(self, peer: Peer, said: dict[str, Any]) -> None:
         """ValueError and its like if it makes no sense."""
-        boxes = self.core.boxes
+        boxes = self.core.workers
         if "hello" in said:
             peer.moves = str(said["moves"])
-            boxes.ever.update(worker.encode("latin-1") for worker in said["listed"])
+            boxes.ever_listed.update(worker.encode("latin-1") for worker in said["listed"])
             for name, at in said["out"].items():
-                self.core.take_out(name.encode("latin-1"), float(at))
+                self.core.ban_worker(name.encode("latin-1"), float(at))
             if said.get("learned") and not self.serving:
                 learned.take(self.core.dispatcher, said["learned"])
         if "topic" in said and said["topic"] in self._topics:
@@ -208,9 +208,9 @@
         if "told" in said:
             peer.greeted = True
         if "down" in said:
-            self.core.take_out(said["down"].encode("latin-1"), float(said["at"]))
+            self.core.ban_worker(said["down"].encode("latin-1"), float(said["at"]))
         if "up" in said:
-            self.core.put_back(said["up"].encode("latin-1"))
+            self.core.unban_worker(said["up"].encode("latin-1"))
         peer.open.update(name.encode("latin-1") for name in said.get("open", ()))
         peer.open.difference_update(name.encode("latin-1") for name in said.get("over", ()))
         if "pending" in said:
@@ -237,13 +237,13 @@
     # Within
 
     def _greet(self, peer: Peer) -> None:
-        boxes = self.core.boxes
+        boxes = self.core.workers
         if self._timer is None:
             self._timer = self.loop.deadlines.add(self.loop.clock.now() + PENDING_EVERY, self._tell_pending)
         peer.tell(
             hello=os.getpid(),
             moves=self._moves_name if self._moves else "",
-            listed=[w.decode("latin-1") for w in boxes.ever],
+            listed=[w.decode("latin-1") for w in boxes.ever_listed],
             out={w.decode("latin-1"): at for w, at in boxes.banned.items()},
             open=[name.decode("latin-1") for name in self.core.receive.names],
             pending=learned.pending(self.core.dispatcher),
@@ -278,7 +278,7 @@
         for peer in self.peers:
             for worker, slots in peer.pending.items():
                 pending[worker] = pending.get(worker, 0.0) + slots
-        self.core.beside(pending, len(self.peers))
+        self.core.set_sibling_load(pending, len(self.peers))
 
     def _try_to_serve(self) -> None:
         now = self.loop.clock.now()
--- a/larchgw/dispatcher/hot_restart/moving.py
+++ b/larchgw/dispatcher/hot_restart/moving.py
@@ -29,7 +29,7 @@
     """
     exchange, out = request.extra, [a for a in request.attempts if not a.ended]
     offset, job_class = core.clock.offset, core.settings.classes[request.job_class].name
-    if not isinstance(exchange, Exchange) or not exchange.channel.is_movable(exchange) or request.over():
+    if not isinstance(exchange, Exchange) or not exchange.channel.is_movable(exchange) or request.is_closed():
         return None
     told: dict[str, Any] = {
         "name": _text(request.name),
@@ -38,7 +38,7 @@
         "body": _text(request.body),
         "taken": request.taken_at - offset,
         "until": request.give_up_at - offset,
-        "once": _text(request.once),
+        "once": _text(request.idempotency_key),
         "tenant": request.tenant,
         "figures": [request.wait, request.key, request.slots, request.memory, request.hint, request.repeat],
         "method": _text(exchange.method),
--- a/larchgw/dispatcher/scheduling/records.py
+++ b/larchgw/dispatcher/scheduling/records.py
@@ -6,31 +6,37 @@
 
 from .interface import JobClass, Member, Request
 
-OUT, NEVER_RAN, MAYBE_RAN = range(3)
+IN_FLIGHT, NEVER_RAN, MAYBE_RAN = range(3)
 
 
-class Mean:
+class MovingAverage:
     """A moving mean and mean deviation."""
 
-    __slots__ = ("value", "dev", "count")
+    __slots__ = ("value", "deviation", "sample_count")
 
     def __init__(self, value: float) -> None:
-        self.value, self.dev, self.count = value, value / 2, 0
+        self.value, self.deviation, self.sample_count = value, value / 2, 0
 
     def add(self, sample: float) -> None:
-        self.count += 1
-        gain = max(1.0 / self.count, 0.02)
+        self.sample_count += 1
+        gain = max(1.0 / self.sample_count, 0.02)
         self.value += gain * (sample - self.value)
-        self.dev += gain * (abs(sample - self.value) - self.dev)
+        self.deviation += gain * (abs(sample - self.value) - self.deviation)
 
 
-class Pair:
+class HeldKey:
     """A key at a worker that holds it, with our own pending slots of it there."""
 
-    __slots__ = ("key", "worker", "pending", "used", "uses")
+    __slots__ = ("key", "worker", "pending_slots", "last_used_at", "use_count")
 
     def __init__(self, key: int, worker: Worker) -> None:
-        self.key, self.worker, self.pending, self.used, self.uses = key, worker, 0.0, 0.0, 0
+        self.key, self.worker, self.pending_slots, self.last_used_at, self.use_count = (
+            key,
+            worker,
+            0.0,
+            0.0,
+            0,
+        )
 
 
 class Worker:
@@ -38,48 +44,51 @@
 
     __slots__ = (
         "id",
-        "point",
+        "ring_hash",
         "ready",
         "up_since",
         "zone",
         "kind",
         "cell",
-        "pending",
-        "keys",
-        "limit",
-        "off_until",
-        "fulls",
-        "doubts",
-        "pace",
-        "pace_at",
-        "sign_at",
+        "pending_slots",
+        "held_keys",
+        "slot_limit",
+        "avoid_until",
+        "full_count",
+        "suspicion",
+        "run_time_ratio",
+        "run_time_ratio_at",
+        "last_contact_at",
         "warm_at",
-        "bad",
-        "bad_at",
-        "report",
-        "breaks",
-        "reached",
+        "failure_share",
+        "failure_share_at",
+        "last_report",
+        "connection_failures",
+        "last_started",
     )
 
     def __init__(self, member: Member, limit: float) -> None:
         self.id = member.worker
-        self.point = int.from_bytes(blake2b(member.worker, digest_size=8).digest(), "little")
+        self.ring_hash = int.from_bytes(blake2b(member.worker, digest_size=8).digest(), "little")
         self.ready = False
         self.up_since = 0.0
         self.zone, self.kind, self.cell = member.zone, member.kind, member.cell
-        self.pending = 0.0
-        self.keys: dict[int, Pair] = {}
-        self.warm_at = self.sign_at = 0.0
+        self.pending_slots = 0.0
+        self.held_keys: dict[int, HeldKey] = {}
+        self.warm_at = self.last_contact_at = 0.0
         self.reset(limit)
 
     def reset(self, limit: float) -> None:
         """What was learned is void: this is a new process."""
-        self.limit, self.off_until, self.fulls, self.doubts = limit, 0.0, 0, 0
-        self.pace, self.pace_at = 1.0, 0.0  # running times here over the usual
-        self.bad, self.bad_at = 0.0, 0.0  # share of jobs that it failed, and when that was last seen
-        self.breaks = 0  # connections that broke since the last sign of life
-        self.reached = 0.0  # when the latest job was sent that has begun
-        self.report: tuple[float, ...] = ()  # the last one
+        self.slot_limit, self.avoid_until, self.full_count, self.suspicion = limit, 0.0, 0, 0
+        self.run_time_ratio, self.run_time_ratio_at = 1.0, 0.0  # running times here over the usual
+        self.failure_share, self.failure_share_at = (
+            0.0,
+            0.0,
+        )  # share of jobs that it failed, and when that was last seen
+        self.connection_failures = 0  # connections that broke since the last sign of life
+        self.last_started = 0.0  # when the latest job was sent that has begun
+        self.last_report: tuple[float, ...] = ()  # the last one
 
 
 class Attempt:
@@ -89,25 +98,25 @@
         "job",
         "index",
         "worker",
-        "pair",
-        "sent",
+        "held_key",
+        "sent_at",
         "state",
-        "sign",
-        "fresh",
-        "begun",
-        "lost",
-        "queued",
-        "waits",
+        "last_seen",
+        "fetches_key",
+        "started_at",
+        "presumed_lost",
+        "queue_allowance",
+        "expected_delay",
     )
 
-    def __init__(self, job: Job, index: int, worker: Worker, pair: Pair | None, now: float) -> None:
-        self.job, self.index, self.worker, self.pair, self.sent = job, index, worker, pair, now
-        self.state = OUT
-        self.lost = False  # its worker has gone silent
-        self.queued = 0.0  # seconds that it may well wait behind others ...
-        self.waits = 0.0  # ... and that it was expected to
-        self.fresh = pair is not None and pair.uses <= 1
-        self.sign = self.begun = 0.0  # when it last showed that it runs, and when it first did
+    def __init__(self, job: Job, index: int, worker: Worker, pair: HeldKey | None, now: float) -> None:
+        self.job, self.index, self.worker, self.held_key, self.sent_at = job, index, worker, pair, now
+        self.state = IN_FLIGHT
+        self.presumed_lost = False  # its worker has gone silent
+        self.queue_allowance = 0.0  # seconds that it may well wait behind others ...
+        self.expected_delay = 0.0  # ... and that it was expected to
+        self.fetches_key = pair is not None and pair.use_count <= 1
+        self.last_seen = self.started_at = 0.0  # when it last showed that it runs, and when it first did
 
 
 class Job:
@@ -118,22 +127,24 @@
         "cls",
         "attempts",
         "done",
-        "late_at",
+        "latest_start",
         "value",
-        "work",
-        "held",
-        "order",
-        "next_at",
-        "spill_at",
-        "aim_at",
+        "expected_run",
+        "queued",
+        "queue_order",
+        "retry_at",
+        "may_spill_at",
+        "target_start",
     )
 
     def __init__(self, request: Request, cls: JobClass) -> None:
         self.request, self.cls = request, cls
         self.attempts: list[Attempt] = []
-        self.done = self.held = False
-        self.late_at = self.value = self.work = self.next_at = self.spill_at = self.aim_at = 0.0
-        self.order: tuple[float, int] = (0.0, 0)
-
-    def out(self) -> int:
-        return sum(a.state == OUT for a in self.attempts)
+        self.done = self.queued = False
+        self.latest_start = self.value = self.expected_run = self.retry_at = self.may_spill_at = (
+            self.target_start
+        ) = 0.0
+        self.queue_order: tuple[float, int] = (0.0, 0)
+
+    def in_flight(self) -> int:
+        return sum(a.state == IN_FLIGHT for a in self.attempts)
--- a/larchgw/dispatcher/scheduling/retry_rules.py
+++ b/larchgw/dispatcher/scheduling/retry_rules.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from .interface import Settings
-from .records import NEVER_RAN, OUT, Job, Worker
+from .records import IN_FLIGHT, NEVER_RAN, Job, Worker
 
-ARRIVE = 0.05  # seconds that a request takes from its first byte to its last one's arrival
+ARRIVAL_TIME = 0.05  # seconds that a request takes from its first byte to its last one's arrival
 
 
 def may_send(s: Settings, now: float, job: Job, worker: Worker) -> bool:
@@ -19,7 +19,7 @@
     for a in job.attempts:
         if a.state == NEVER_RAN:
             continue
-        if a.worker is worker or (a.state == OUT and not s.second_copies) or once:
+        if a.worker is worker or (a.state == IN_FLIGHT and not s.second_copies) or once:
             return False
         if job.cls.effect == "deduplicated":
             group = job.cls.group
@@ -32,9 +32,9 @@
 
 def window_end(job: Job, before: int | None = None) -> float:
     """Until when a send may go out: workers remember a repeat from the first send that may have run."""
-    ran = (a.sent for a in job.attempts[:before] if a.state != NEVER_RAN)
+    ran = (a.sent_at for a in job.attempts[:before] if a.state != NEVER_RAN)
     first = next(ran, None) if job.cls.effect == "deduplicated" else None
-    return float("inf") if first is None else first + job.cls.window - ARRIVE
+    return float("inf") if first is None else first + job.cls.window - ARRIVAL_TIME
 
 
 def may_refuse(job: Job) -> bool:
--- a/larchgw/dispatcher/simulator_protocol/wirehost.py
+++ b/larchgw/dispatcher/simulator_protocol/wirehost.py
@@ -59,17 +59,17 @@
         elif code == wire.ORDER:
             d.on_request(now, content)
         elif code == wire.UPDATE:
-            d.on_note(now, content)
+            d.on_attempt_progress(now, content)
         elif code == wire.FIRED:
             d.on_timer(now, content)
         elif code == wire.SYNC:
             d.on_members(now, content[0], () if content[0] == 3 else self.ledgers[content[1]])
         elif code == wire.PINGED:
-            d.on_probed(now, *content)
+            d.on_probe_result(now, *content)
         elif code == wire.CANCELLED:
-            d.on_gone(now, content)
+            d.on_client_gone(now, content)
         elif code == wire.HEADERS:
-            d.on_first(now, *content)
+            d.on_answer_started(now, *content)
         elif code == wire.EXIT:
             del self.dispatchers[instance]
 
--- a/larchgw/dispatcher/workers/connection.py
+++ b/larchgw/dispatcher/workers/connection.py
@@ -118,7 +118,7 @@
         key = b"X-Key: %016x\r\n" % request.key if request.key else b""
         # Workers drop a repeat by this key alone; where clients give none, the job's own name serves.
         deduplicated = self.pool.core.settings.classes[request.job_class].effect == "deduplicated"
-        once = request.once or (request.unique or request.name if deduplicated else b"")
+        once = request.idempotency_key or (request.unique or request.name if deduplicated else b"")
         key += b"Idempotency-Key: %b\r\n" % once if once else b""
         return (
             b"POST %b HTTP/1.1\r\nHost: %b\r\nX-Request-Id: %b\r\n%bX-Deadline-Ms: %d\r\n"
@@ -200,7 +200,7 @@
         self.pool.loop.deadlines.drop(self.timer)
         self.timer = None
         # It has taken its time: since the decision its worker may drain, its client or its window be gone.
-        if self.attempt is not None and not self.pool.core.may_begin(self.attempt):
+        if self.attempt is not None and not self.pool.core.may_start_attempt(self.attempt):
             self.withdraw()
 
     def on_data(self, data: bytes) -> None:
--- a/larchgw/dispatcher/workers/pool.py
+++ b/larchgw/dispatcher/workers/pool.py
@@ -37,7 +37,7 @@
         self._capped = False
         self._keep_alive = KeepAliveLimit(IDLE_CLOSE)
         self.configure(raw_settings, cap)
-        core.on_list.append(self._close_drained)
+        core.list_listeners.append(self._close_drained)
 
     def configure(self, raw_settings: dict[str, Any], cap: int) -> None:
         """What the settings say of connections and reports."""
@@ -112,10 +112,10 @@
         and kept connections only hold descriptors."""
         for link in [x for x in self.links if x.unsent()]:
             moved = link.address != self.addresses.get(link.worker)
-            if moved or not self.core.boxes.open_to_work(link.worker):
+            if moved or not self.core.workers.takes_work(link.worker):
                 link.withdraw()
         for worker, idle in list(self.idle.items()):
-            if not self.core.boxes.open_to_work(worker):
+            if not self.core.workers.takes_work(worker):
                 for link in list(idle):
                     link.close()
 
--- a/larchgw/emulator/virtual/clients.py
+++ b/larchgw/emulator/virtual/clients.py
@@ -37,7 +37,7 @@
     def dispatcher_died(self, dispatcher: Dispatcher) -> None:
         """Its connections have broken."""
         for name, (_, owner, request) in list(self._by_try.items()):
-            if owner is dispatcher and not request.over():
+            if owner is dispatcher and not request.is_closed():
                 self._lost(name)
 
     def _next_arrival(self, index: int) -> None:
@@ -83,7 +83,7 @@
 
     def _take(self, dispatcher: Dispatcher, request: Request) -> None:
         if dispatcher.alive:
-            dispatcher.core.take(request)
+            dispatcher.core.submit(request)
         else:
             self._lost(request.name.decode())
 
@@ -109,7 +109,7 @@
         self._records.tries[name].left = self._time.now()
         job.ended = job.ended or "gave up"
         if dispatcher.alive:
-            dispatcher.core.gone(request)
+            dispatcher.core.client_gone(request)
 
     def _lost(self, name: str) -> None:
         """A dispatcher died with this request, and its client's connection broke."""
--- a/larchgw/emulator/virtual/dispatcher.py
+++ b/larchgw/emulator/virtual/dispatcher.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from ...dispatcher.core import Answer, Core, Request
-from ...dispatcher.core.requests import News
+from ...dispatcher.core.requests import JobMessage
 from ...dispatcher.scheduling.interface import ListKind, Member
 from .carrier import Carrier, Told
 from .deployment import Deployment
@@ -53,7 +53,7 @@
         if self.alive:
             self._time.at(self._time.now() + CLIENT_WAY, lambda: self._answered(request, answer))
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
+    def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
         """The clients here hear of ends only."""
 
     def die(self) -> None:
--- a/larchgw/emulator/virtual/scenario.py
+++ b/larchgw/emulator/virtual/scenario.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ...dispatcher.capacity.interface import NOTHING_HELD, Room
+from ...dispatcher.capacity.interface import NO_RESERVATIONS, ReservationPolicy
 from ...dispatcher.scheduling.interface import JobClass, Settings
 from ..fleet import Fault, FleetSpec
 from ..load import LoadSpec
 
-RoomMaker = Callable[[Settings], Room]
+RoomMaker = Callable[[Settings], ReservationPolicy]
 
 
-def no_room(settings: Settings) -> Room:
+def no_room(settings: Settings) -> ReservationPolicy:
     """Holds no room for large jobs."""
-    return NOTHING_HELD
+    return NO_RESERVATIONS
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchgw/experiments/room.py
+++ b/larchgw/experiments/room.py
@@ -6,7 +6,7 @@
 from statistics import median
 from typing import Any
 
-from ..dispatcher.capacity import Planner, Room, RoomSettings
+from ..dispatcher.capacity import Planner, ReservationPolicy, ReservationSettings
 from ..dispatcher.scheduling.interface import Settings
 from ..emulator.box import Order
 from ..emulator.fleet import FleetSpec, capacity, draw
@@ -31,7 +31,7 @@
     load: float
     seed: int
     seconds: float
-    room: RoomSettings | None
+    room: ReservationSettings | None
     boxes: int = 9
     by_work: bool = True
     order: Order = Order.FIFO
@@ -53,22 +53,22 @@
     """Figures of one run, the rules that it broke, and what the planners did."""
     config = run.room
 
-    def make(settings: Settings) -> Room:
+    def make(settings: Settings) -> ReservationPolicy:
         return Planner(settings, config) if config else no_room(settings)
 
     world = World(scenario_of(run), run.seed, make)
     world.run()
     planners = [d.room for d in world.dispatchers if isinstance(d.room, Planner)]
     did = {
-        name: sum(getattr(p.figures, name) for p in planners)
+        name: sum(getattr(p.counts, name) for p in planners)
         for name in ("made", "used", "moved", "dropped", "filled", "passed", "overdue", "refused_cap")
     }
     return {"figures": summary(world), "broken": world.records.broken(), "did": did}
 
 
-def experiment(options: Options, room: RoomSettings | None = None) -> Result:
+def experiment(options: Options, room: ReservationSettings | None = None) -> Result:
     """All mixes and loads, each seed with holding off and on; and the bound, off alone."""
-    room = room or RoomSettings()
+    room = room or ReservationSettings()
     seeds = range(options.seed, options.seed + options.seeds)
     runs = [
         Run(mix, load, seed, options.seconds, how, by_work=by_work)
--- a/larchgw/experiments/room_cost.py
+++ b/larchgw/experiments/room_cost.py
@@ -6,7 +6,7 @@
 import time
 from statistics import median
 
-from ..dispatcher.capacity import NOTHING_HELD, Planner, RoomSettings
+from ..dispatcher.capacity import NO_RESERVATIONS, Planner, ReservationSettings
 from ..dispatcher.scheduling.interface import (
     JobClass,
     ListKind,
@@ -65,7 +65,7 @@
     """Microseconds for one end of an attempt and one arrival, with so many jobs waiting all the time."""
     rng, quiet, now = random.Random(seed), Quiet(), 1000.0
     config = settings()
-    room = Planner(config, RoomSettings()) if held else NOTHING_HELD
+    room = Planner(config, ReservationSettings()) if held else NO_RESERVATIONS
     module = Dispatcher(config, seed, quiet, room)
     module.on_members(now, ListKind.FULL, [Member(b"%06d" % n) for n in range(boxes)])
     number = 0
@@ -85,13 +85,13 @@
             ),
         )
 
-    while len(module.held) < waiting:
+    while len(module.queue) < waiting:
         arrive()
     spent = []
     for _ in range(ROUNDS):
         now += 0.001
         request, worker = quiet.out.pop(rng.randrange(len(quiet.out)))
-        module.on_note(now, Note(request, 0, worker))
+        module.on_attempt_progress(now, Note(request, 0, worker))
         begun = time.perf_counter()
         module.on_outcome(now, Outcome(request, 0, worker, Status.OK, True, 0.1))
         arrive()
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -20,7 +20,7 @@
 from .dispatcher.assembly import Node
 from .dispatcher.config.startup import read
 from .dispatcher.core import Answer, AnswerKind, Request
-from .dispatcher.core.requests import News
+from .dispatcher.core.requests import JobMessage
 from .dispatcher.fronts.jobheaders import ONCE, http_answer, key_number, read_job
 from .net.http_server import MAX_BODY_BYTES
 
@@ -158,7 +158,7 @@
             if not self._running:
                 raise RuntimeError("the dispatcher is not running")
             # One that is cancelled before the loop comes to it is never sent.
-            self._node.loop.call(lambda: None if future.cancelled() else self._node.core.take(request))
+            self._node.loop.call(lambda: None if future.cancelled() else self._node.core.submit(request))
         return future
 
     # As a front of the core, on the dispatcher's thread
@@ -169,11 +169,12 @@
         if future.set_running_or_notify_cancel():
             future.set_result(answer)
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
+    def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
         """Ignores progress: a future has the final answer only."""
 
     def _cancel(self, request: Request) -> None:
-        self._node.loop.call(lambda: self._node.core.gone(request) if request.id else None)  # 0: not begun
+        # An id of 0: the core has not taken the request yet.
+        self._node.loop.call(lambda: self._node.core.client_gone(request) if request.id else None)
 
     def _run(self) -> None:
         self._node.start()
--- a/tests/dispatcher/test_admin_address.py
+++ b/tests/dispatcher/test_admin_address.py
@@ -112,21 +112,21 @@
     box = desk.sent[0].worker
     desk.core.ended(desk.sent[0], End(Status.ERROR))
     assert desk.core.avoided() == 1  # by choice
-    desk.core.take_out(box, desk.clock.now())
+    desk.core.ban_worker(box, desk.clock.now())
     worker = desk.core.dispatcher.workers[box]
     for kind in (ListKind.FULL, ListKind.DELTA, ListKind.CACHED):
         desk.core.listed(kind, [Member(b"w%d" % n) for n in range(4)])
         assert not worker.ready
-        assert not desk.core.boxes.open_to_work(box)
+        assert not desk.core.workers.takes_work(box)
         assert desk.core.avoided() == 1
     desk.core.listed(ListKind.DELTA, [Member(box, 0)])
     desk.core.listed(ListKind.DELTA, [Member(box)])
     assert not desk.core.dispatcher.workers[box].ready
     desk.clock.time += 5.0
-    desk.core.put_back(box)
+    desk.core.unban_worker(box)
     worker = desk.core.dispatcher.workers[box]
     assert worker.ready
-    assert worker.bad == 0
+    assert worker.failure_share == 0
     assert worker.up_since == desk.clock.now()
     # A list with its old start time changes nothing.
     desk.core.listed(ListKind.FULL, [Member(b"w%d" % n) for n in range(4)])
@@ -136,8 +136,8 @@
 
 def test_a_box_that_discovery_saw_restart_while_it_was_out_is_as_old_as_that() -> None:
     desk = Desk([SAFE])
-    desk.core.take_out(b"w1", desk.clock.now())
+    desk.core.ban_worker(b"w1", desk.clock.now())
     desk.clock.time += 5.0
     desk.core.listed(ListKind.DELTA, [Member(b"w1", up_since=1003.0)])
-    desk.core.put_back(b"w1")
+    desk.core.unban_worker(b"w1")
     assert desk.core.dispatcher.workers[b"w1"].up_since == 1003.0
--- a/tests/dispatcher/test_capacity.py
+++ b/tests/dispatcher/test_capacity.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from larchgw import Dispatcher, Settings
-from larchgw.dispatcher.capacity import Planner, RoomSettings
-from larchgw.dispatcher.capacity.estimates import Estimates, RunTimes
+from larchgw.dispatcher.capacity import Planner, ReservationSettings
+from larchgw.dispatcher.capacity.estimates import RunTimeEstimates, RunTimes
 from larchgw.dispatcher.scheduling.interface import (
     JobClass,
     ListKind,
@@ -47,7 +47,7 @@
             warm_up=20.0,
             cold_from=0.2,
         )
-        self.planner = Planner(settings, RoomSettings(**{"boxes_share": 1.0, "lead": 30.0} | room))
+        self.planner = Planner(settings, ReservationSettings(**{"boxes_share": 1.0, "lead": 30.0} | room))
         self.actions = Recorder()
         self.module = Dispatcher(settings, 1, self.actions, self.planner)
         self.now, self.next = 1000.0, 0
@@ -56,14 +56,14 @@
         self.limit = limit
         self.fix()
         for job_class, run in ((PROOF, 1.0), (RELEASE, 4.0)):
-            self.module.runs[job_class].value = run
+            self.module.run_times[job_class].value = run
             for _ in range(40):
                 self.planner.estimates.learn(job_class, 0, run)
 
     def fix(self) -> None:
         """Holds the thresholds where they are: what moves them is not the matter here."""
         for worker in self.module.workers.values():
-            worker.limit = self.limit
+            worker.slot_limit = self.limit
 
     def ask(self, job_class: int = PROOF, slots: float = 1.0, wait: float = 30.0) -> int:
         self.next += 1
@@ -75,7 +75,7 @@
         return self.actions.sends.get(job, [None])[-1]
 
     def begin(self, job: int) -> None:
-        self.module.on_note(self.now, Note(job, 0, self.actions.sends[job][0]))
+        self.module.on_attempt_progress(self.now, Note(job, 0, self.actions.sends[job][0]))
         self.fix()
 
     def end(self, job: int, status: int = Status.OK, free: float = -1.0) -> None:
@@ -131,7 +131,7 @@
     small = desk.ask()
     assert desk.sent(small) == desk.ids[0]
     assert large in desk.planner.by_job
-    assert desk.planner.figures.filled >= 1
+    assert desk.planner.counts.filled >= 1
 
 
 def test_no_small_job_is_passed_over_for_longer_than_its_bound() -> None:
@@ -139,7 +139,7 @@
     assert desk.sent(small) is None
     desk.pass_time(0.2)  # a twentieth of the 2 s that it had to start in time, and more
     assert desk.sent(small) == desk.ids[0]
-    assert desk.planner.figures.overdue >= 1
+    assert desk.planner.counts.overdue >= 1
 
 
 @pytest.mark.parametrize("trouble", ["drains", "leaves", "restarts", "hangs", "is full"])
@@ -156,23 +156,23 @@
     elif trouble == "restarts":
         desk.module.on_members(desk.now, ListKind.DELTA, [Member(held.id, up_since=desk.now)])
     elif trouble == "hangs":
-        held.doubts, held.off_until = 1, desk.now + 60.0
+        held.suspicion, held.avoid_until = 1, desk.now + 60.0
         desk.pass_time(1.0)
     else:
         desk.end(there[0], Status.FULL)
     now_held = desk.planner.by_job.get(large)
     assert now_held is None or now_held.worker is not held
     if trouble != "is full":  # its attempts have ended then, and it is a box like others again
-        assert held.id not in desk.planner.by_box
-    assert all(r.job.request.id in desk.planner.by_job for r in desk.planner.by_box.values())
+        assert held.id not in desk.planner.by_worker
+    assert all(r.job.request.id in desk.planner.by_job for r in desk.planner.by_worker.values())
 
 
 def test_what_was_held_is_free_again_when_the_large_jobs_client_leaves() -> None:
     desk, _, large, small = pressed()
     assert desk.sent(small) is None
-    desk.module.on_gone(desk.now, large)
+    desk.module.on_client_gone(desk.now, large)
     assert not desk.planner.by_job
-    assert not desk.planner.by_box
+    assert not desk.planner.by_worker
     assert not desk.planner.waiting
     desk.pass_time(0.1)
     assert desk.sent(small) == desk.ids[0]
@@ -198,7 +198,7 @@
         desk.pass_time(1.0)
         others.append(desk.ask(RELEASE, 2.0))
         for job in list(running):
-            if desk.sent(job) and desk.now - desk.module.jobs[job].attempts[0].sent >= 4.0:
+            if desk.sent(job) and desk.now - desk.module.jobs[job].attempts[0].sent_at >= 4.0:
                 running.remove(job)
                 desk.end(job)
         running += [j for j in others if desk.sent(j) and j in desk.module.jobs and j not in running]
@@ -210,7 +210,7 @@
 def test_a_job_that_no_box_has_slots_for_is_refused_at_once_and_not_held() -> None:
     desk = Desk(2)
     for name in desk.ids:
-        desk.planner.known(name, 5.0)
+        desk.planner.set_capacity(name, 5.0)
     for job in desk.full(2):
         desk.end(job)
     job = desk.ask(RELEASE, 8.0)
@@ -222,11 +222,11 @@
 
 def test_a_box_whose_slots_nobody_knows_keeps_a_large_job_from_being_refused() -> None:
     desk = Desk(2)
-    desk.planner.known(desk.ids[0], 5.0)
+    desk.planner.set_capacity(desk.ids[0], 5.0)
     job = desk.ask(RELEASE, 8.0)
     assert desk.sent(job) == desk.ids[1], "the one that is known to be too small gets none"
     for name in desk.ids:
-        desk.planner.known(name, 5.0)
+        desk.planner.set_capacity(name, 5.0)
     desk.module.on_members(desk.now, ListKind.DELTA, [Member(b"new")])
     assert desk.sent(desk.ask(RELEASE, 8.0)) == b"new"
 
@@ -238,7 +238,7 @@
         desk.module.on_members(desk.now, ListKind.DELTA, [Member(name, Presence.GONE)])
     for job in jobs:
         desk.end(job, Status.RESET)
-    assert not desk.planner.boxes
+    assert not desk.planner.worker_states
 
 
 def test_an_idle_box_that_turns_a_large_job_away_is_not_waited_for() -> None:
@@ -248,7 +248,7 @@
     job = desk.ask(RELEASE, 8.0)
     assert desk.sent(job) == desk.ids[0]
     desk.end(job, Status.FULL, free=5.0)
-    assert desk.planner.boxes[desk.ids[0]].too_small == 8.0
+    assert desk.planner.worker_states[desk.ids[0]].rejected_slots == 8.0
     again = desk.ask(RELEASE, 8.0)
     assert ("refuse", again) in desk.actions.log
 
@@ -256,7 +256,7 @@
 @pytest.mark.parametrize("wrong", [0.1, 10.0])
 def test_run_times_wrong_by_ten_times_end_no_job_without_an_answer(wrong: float) -> None:
     desk = Desk()
-    desk.planner.estimates = Estimates([wrong, 4.0 * wrong])
+    desk.planner.estimates = RunTimeEstimates([wrong, 4.0 * wrong])
     for _ in range(40):
         desk.planner.estimates.learn(PROOF, 0, wrong)
         desk.planner.estimates.learn(RELEASE, 0, 4.0 * wrong)
@@ -287,7 +287,7 @@
         desk = Desk(3, boxes_share=0.67)
         plan = []
         for what, number in steps:
-            out = [j for j, job in desk.module.jobs.items() if job.out()]
+            out = [j for j, job in desk.module.jobs.items() if job.in_flight()]
             if what == "ask":
                 desk.ask()
             elif what in ("large", "huge"):
@@ -300,20 +300,20 @@
                 presence = Presence.DRAINING if what == "drain" else Presence.READY
                 desk.module.on_members(desk.now, ListKind.DELTA, [Member(desk.ids[number % 3], presence)])
             elif what == "leave" and desk.module.jobs:
-                desk.module.on_gone(desk.now, list(desk.module.jobs)[number % len(desk.module.jobs)])
+                desk.module.on_client_gone(desk.now, list(desk.module.jobs)[number % len(desk.module.jobs)])
             else:
                 desk.pass_time(0.2 * number)
             planner, jobs = desk.planner, desk.module.jobs
-            assert len(planner.by_box) == len(planner.by_job) <= 2
-            for held in planner.by_box.values():
+            assert len(planner.by_worker) == len(planner.by_job) <= 2
+            for held in planner.by_worker.values():
                 assert planner.by_job[held.job.request.id] is held
                 assert not held.job.done
                 assert jobs[held.job.request.id] is held.job
-                assert held.job.held
+                assert held.job.queued
                 assert held.worker.ready
-                assert not held.job.out()
+                assert not held.job.in_flight()
             assert set(planner.waiting) <= set(jobs)
-            assert set(planner._kept_since) <= {j for j, job in jobs.items() if not job.done}
+            assert set(planner._excluded_since) <= {j for j, job in jobs.items() if not job.done}
             plan.append(sorted((job, held.worker.id) for job, held in planner.by_job.items()))
         plans.append(plan)
     assert plans[0] == plans[1]
@@ -325,9 +325,11 @@
         runs.add(1.0)
     for _ in range(10):
         runs.add(20.0)
-    assert runs.rest(0.0, 0.5) == pytest.approx(1.0, rel=0.25)
-    assert runs.rest(2.0, 0.5) == pytest.approx(18.0, rel=0.25), "what runs for 2 s is one of the long ones"
-    assert runs.rest(60.0, 0.5) == 60.0, "longer than any seen: as long again"
+    assert runs.remaining(0.0, 0.5) == pytest.approx(1.0, rel=0.25)
+    assert runs.remaining(2.0, 0.5) == pytest.approx(18.0, rel=0.25), (
+        "what runs for 2 s is one of the long ones"
+    )
+    assert runs.remaining(60.0, 0.5) == 60.0, "longer than any seen: as long again"
 
 
 @given(st.lists(st.floats(0.01, 100.0), min_size=8, max_size=60), st.floats(0.0, 120.0))
@@ -335,7 +337,7 @@
     runs = RunTimes(1.0)
     for sample in samples:
         runs.add(sample)
-    rests = [runs.rest(elapsed, share) for share in (0.1, 0.5, 0.9)]
+    rests = [runs.remaining(elapsed, share) for share in (0.1, 0.5, 0.9)]
     assert 0.0 <= rests[0] <= rests[1] <= rests[2]
 
 
@@ -350,7 +352,7 @@
     assert all(job.ended for job in world.jobs)
     for dispatcher in world.dispatchers:
         assert isinstance(dispatcher.room, Planner)
-        assert not dispatcher.room.by_box, "room is held for nobody"
+        assert not dispatcher.room.by_worker, "room is held for nobody"
 
 
 def test_a_dispatchers_reservations_die_with_it() -> None:
--- a/tests/dispatcher/test_core.py
+++ b/tests/dispatcher/test_core.py
@@ -7,7 +7,7 @@
 import pytest
 
 from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, Core, End, Request
-from larchgw.dispatcher.core.requests import News, Reach
+from larchgw.dispatcher.core.requests import JobMessage, Reach
 from larchgw.dispatcher.scheduling.interface import JobClass, ListKind, Member, Settings, Status
 from larchgw.dispatcher.scheduling.scheduler import Dispatcher
 from larchgw.dispatcher.workers.attempt_status import status_of
@@ -42,7 +42,7 @@
 
     def take(self, name: bytes = b"r", wait: float = 5.0) -> Request:
         request = Request(self, name, 0, b"/job", b"body", wait)
-        self.core.take(request)
+        self.core.submit(request)
         return request
 
     def pass_time(self, seconds: float) -> None:
@@ -55,7 +55,7 @@
     def answer(self, request: Request, answer: Answer) -> None:
         self.answers.append((request.name, answer))
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
+    def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
         pass
 
     def reach(self, worker: bytes, job_class: int) -> Reach:
@@ -89,7 +89,7 @@
     assert desk.core.counters.figures()["larchgw_late_events_total_end"] == 1
     assert desk.core.open_requests() == 0
     assert not desk.core.dispatcher.jobs
-    assert all(w.pending == 0 for w in desk.core.dispatcher.workers.values())
+    assert all(w.pending_slots == 0 for w in desk.core.dispatcher.workers.values())
 
 
 def test_an_end_within_the_send_does_not_enter_the_module_twice() -> None:
@@ -118,7 +118,7 @@
 def test_a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up() -> None:
     desk = Desk([RELEASE])
     request = desk.take()
-    desk.core.gone(request)
+    desk.core.client_gone(request)
     assert desk.given_up == desk.sent
     assert desk.answers == []
     desk.core.ended(desk.sent[0], End(Status.OK, b"late"))
@@ -168,12 +168,12 @@
 
 def test_a_box_known_only_by_its_connection_is_ready_until_discovery_says_otherwise() -> None:
     desk = Desk([SAFE])
-    desk.core.joined(b"g", restarted=True)
-    assert desk.core.boxes.open_to_work(b"g")
+    desk.core.worker_connected(b"g", restarted=True)
+    assert desk.core.workers.takes_work(b"g")
     assert b"g" in desk.core.dispatcher.workers
     desk.core.listed(ListKind.DELTA, [Member(b"g", 2)])
-    assert not desk.core.boxes.open_to_work(b"g")
-    desk.core.left(b"g")
+    assert not desk.core.workers.takes_work(b"g")
+    desk.core.worker_disconnected(b"g")
     assert b"g" in desk.core.dispatcher.workers  # discovery still names it
     desk.core.listed(ListKind.DELTA, [Member(b"g", 0)])
     assert b"g" not in desk.core.dispatcher.workers
@@ -184,10 +184,10 @@
     kind: ListKind, members: list[Member]
 ) -> None:
     desk = Desk([SAFE])
-    desk.core.joined(b"g", restarted=True)
+    desk.core.worker_connected(b"g", restarted=True)
     desk.core.listed(ListKind.FULL, [Member(b"g", 2)])
     desk.core.listed(kind, members)
-    assert not desk.core.boxes.open_to_work(b"g")
+    assert not desk.core.workers.takes_work(b"g")
     assert b"g" not in desk.core.dispatcher.workers
 
 
@@ -195,7 +195,7 @@
 def test_a_box_that_comes_back_is_cold_unless_we_had_hung_up_on_it(restarted: bool, cold: bool) -> None:
     desk = Desk([SAFE])
     desk.clock.time += desk.core.settings.warm_up + 100
-    desk.core.joined(b"g", restarted)
+    desk.core.worker_connected(b"g", restarted)
     assert (desk.core.dispatcher.workers[b"g"].up_since > 0) is cold
 
 
@@ -228,36 +228,46 @@
 
 def _learned(module: Dispatcher, taken: float, *runs: float) -> None:
     """As if the module had seen warm boxes do so much, and these running times."""
-    module.fleet.taken.value = taken
+    module.fleet.throughput.value = taken
     for index, run in enumerate(runs):
-        module.runs[index].value = module.fleet.runs.by_class[index].value = run
+        module.run_times[index].value = module.fleet.work_estimates.by_class[index].value = run
 
 
 def test_a_small_job_may_open_a_box_that_has_just_started() -> None:
     desk = Desk([SAFE, RELEASE])
     module, now = desk.core.dispatcher, desk.clock.now()
-    module.s.warm_up, module.s.cold_from, module.s.tip_multiple, module.s.tip_span = 20.0, 0.15, 2.5, 3.0
+    (
+        module.settings.warm_up,
+        module.settings.cold_from,
+        module.settings.tip_multiple,
+        module.settings.tip_span,
+    ) = 20.0, 0.15, 2.5, 3.0
     _learned(module, 3.0, 0.4, 5.0)
     desk.core.listed(ListKind.FULL, [Member(b"new", up_since=now)])
-    assert 0.0 <= module.fleet.cold.tokens <= 0.4
-    module.fleet.cold.tokens, desk.clock.time = 0.2, now + 0.1
-    desk.core.take(Request(desk, b"large", 1, b"/r", b"", 5.0))
+    assert 0.0 <= module.fleet.cold_start.tokens <= 0.4
+    module.fleet.cold_start.tokens, desk.clock.time = 0.2, now + 0.1
+    desk.core.submit(Request(desk, b"large", 1, b"/r", b"", 5.0))
     assert not desk.sent
-    desk.core.take(Request(desk, b"small", 0, b"/p", b"", 5.0))
+    desk.core.submit(Request(desk, b"small", 0, b"/p", b"", 5.0))
     assert [a.request.name for a in desk.sent] == [b"small"]
 
 
 def test_a_box_that_has_just_started_is_tried_though_the_window_is_shut_and_larger_jobs_wait() -> None:
     desk = Desk([SAFE, RELEASE])
     module, now = desk.core.dispatcher, desk.clock.now()
-    module.s.warm_up, module.s.cold_from, module.s.tip_multiple, module.s.tip_span = 20.0, 0.15, 2.5, 3.0
+    (
+        module.settings.warm_up,
+        module.settings.cold_from,
+        module.settings.tip_multiple,
+        module.settings.tip_span,
+    ) = 20.0, 0.15, 2.5, 3.0
     _learned(module, 3.0, 0.4, 5.0)
-    module.window = module.active = 4.0
+    module.window = module.active_slots = 4.0
     desk.core.listed(ListKind.FULL, [Member(b"old"), Member(b"new", up_since=now)])
     for n in range(20):
-        desk.core.take(Request(desk, b"large%d" % n, 1, b"/r", b"", 30.0))
-    desk.core.take(Request(desk, b"small", 0, b"/p", b"", 30.0))
+        desk.core.submit(Request(desk, b"large%d" % n, 1, b"/r", b"", 30.0))
+    desk.core.submit(Request(desk, b"small", 0, b"/p", b"", 30.0))
     assert not desk.sent
-    module.fleet.cold.tokens = 0.2
+    module.fleet.cold_start.tokens = 0.2
     desk.pass_time(0.1)
     assert [(a.worker, a.request.name) for a in desk.sent] == [(b"new", b"small")]
--- a/tests/dispatcher/test_estimates.py
+++ b/tests/dispatcher/test_estimates.py
@@ -9,12 +9,17 @@
 from hypothesis import strategies as st
 
 from larchgw import Dispatcher, Settings
-from larchgw.dispatcher.estimates import ColdTurns, Fleet, Loads, Reports, Runs, Shrunk
-from larchgw.dispatcher.estimates.keys import Keys
+from larchgw.dispatcher.estimates import ColdStartLimiter, Fleet, Loads, Reports, ShrunkMean, WorkEstimates
+from larchgw.dispatcher.estimates.keys import KeyShares
 from larchgw.dispatcher.estimates.mixing import mix
 from larchgw.dispatcher.estimates.quotas import Quotas
-from larchgw.dispatcher.estimates.reports import AGAIN, MOST, SELDOM, SPENT
-from larchgw.dispatcher.estimates.works import Line
+from larchgw.dispatcher.estimates.reports import (
+    MAX_PROBE_INTERVAL,
+    MAX_PROBE_RATE,
+    PROBE_BUDGET,
+    REPROBE_DELAY,
+)
+from larchgw.dispatcher.estimates.works import HintRegression
 from larchgw.dispatcher.scheduling.interface import (
     JobClass,
     ListKind,
@@ -23,7 +28,7 @@
     Status,
     Tenant,
 )
-from larchgw.dispatcher.scheduling.records import OUT, Worker
+from larchgw.dispatcher.scheduling.records import IN_FLIGHT, Worker
 from tests.support.bench import Recorder, Rig
 
 SAFE = JobClass("proof", 1.0, 10.0, stretch=2.0, effect="idempotent")
@@ -42,15 +47,15 @@
 
 
 def listed(loads: Loads, now: float, workers: list[Worker], held: Sequence[int]) -> None:
-    loads.told(now, [(w, weight(h)) for w, h in zip(workers, held, strict=True)])
-    loads.sum_up(now, workers, 1.0)
+    loads.on_weights(now, [(w, weight(h)) for w, h in zip(workers, held, strict=True)])
+    loads.level_load(now, workers, 1.0)
 
 
 def test_a_weight_tells_what_all_have_at_a_box() -> None:
     loads, workers = Loads(), boxes(4)
     listed(loads, 10.0, workers, [0, 1, 7, 20])
     assert loads.cores == 5.0
-    assert [round(loads.others(10.0, w), 6) for w in workers] == [0.0, 1.0, 7.0, 20.0]
+    assert [round(loads.requests_of_others(10.0, w), 6) for w in workers] == [0.0, 1.0, 7.0, 20.0]
 
 
 def test_a_dispatcher_that_starts_when_no_box_is_idle_learns_better_as_soon_as_one_is() -> None:
@@ -62,25 +67,25 @@
     listed(loads, 11.6, workers, [2, 2, 2, 7, 8, 9])  # none has just one request
     listed(loads, 12.4, workers, [0, 1, 1, 7, 8, 9])
     assert loads.cores == 5.0
-    assert loads.others(12.4, workers[3]) == pytest.approx(7.0)
+    assert loads.requests_of_others(12.4, workers[3]) == pytest.approx(7.0)
 
 
 def test_our_own_slots_there_are_not_taken_for_others() -> None:
     loads, workers = Loads(), boxes(3)
-    workers[0].pending = 2.0
+    workers[0].pending_slots = 2.0
     listed(loads, 10.0, workers, [3, 1, 0])
-    assert loads.others(10.0, workers[0]) == pytest.approx(1.0)
+    assert loads.requests_of_others(10.0, workers[0]) == pytest.approx(1.0)
     # What we sent just before the list came is not in it yet.
-    workers[0].pending = 3.0
-    loads.changed(10.9, workers[0].id, 1.0)
+    workers[0].pending_slots = 3.0
+    loads.on_own_slots(10.9, workers[0].id, 1.0)
     listed(loads, 11.0, workers, [3, 1, 0])
-    assert loads.others(11.0, workers[0]) == pytest.approx(1.0)
+    assert loads.requests_of_others(11.0, workers[0]) == pytest.approx(1.0)
 
 
 def test_what_a_list_said_of_one_box_fades_into_what_is_usual() -> None:
     loads, workers = Loads(), boxes(8)
     listed(loads, 10.0, workers, [0, 1, 1, 1, 9, 9, 9, 10])
-    seen = [loads.others(10.0 + age, workers[7]) for age in (0, 1, 3, 9, 60)]
+    seen = [loads.requests_of_others(10.0 + age, workers[7]) for age in (0, 1, 3, 9, 60)]
     assert seen == sorted(seen, reverse=True)
     assert seen[-1] == pytest.approx(5.0, abs=0.1)
 
@@ -91,20 +96,20 @@
 ) -> None:
     loads, workers = Loads(), boxes(len(held))
     listed(loads, 5.0, workers, held)
-    sights = [loads.sights[w.id] for w in workers]
-    assert sum(s.room for s in sights) == pytest.approx(sum(s.even for s in sights))
+    sights = [loads.by_worker[w.id] for w in workers]
+    assert sum(s.headroom for s in sights) == pytest.approx(sum(s.even_share for s in sights))
     for w in workers:
-        w.pending = float(own)
-        assert 0.0 <= loads.part(5.0 + age, w) <= 1.0
-        assert loads.others(5.0 + age, w) >= 0.0
+        w.pending_slots = float(own)
+        assert 0.0 <= loads.acceptance_share(5.0 + age, w) <= 1.0
+        assert loads.requests_of_others(5.0 + age, w) >= 0.0
     # Whoever holds less for the same speed never gets less.
-    ranked = sorted(zip(held, (s.room for s in sights), strict=True))
+    ranked = sorted(zip(held, (s.headroom for s in sights), strict=True))
     assert all(a[1] >= b[1] - 1e-9 for a, b in zip(ranked, ranked[1:], strict=False))
 
 
 @given(st.lists(st.floats(0.01, 50.0), min_size=2, max_size=60))
 def test_sights_outweigh_a_prior_and_the_same_sights_give_the_same(samples: list[float]) -> None:
-    first, second = Shrunk(1.0), Shrunk(1.0)
+    first, second = ShrunkMean(1.0), ShrunkMean(1.0)
     for sample in samples:
         before = first.weight
         first.add(sample)
@@ -115,14 +120,14 @@
 
 
 def test_a_key_that_was_seen_once_is_taken_for_a_rare_one() -> None:
-    keys = Keys()
-    keys.came(7)
+    keys = KeyShares()
+    keys.on_arrival(7)
     assert keys.share(7) == 0.0
     for n in range(100):
-        keys.came(9 if n % 4 == 0 else 1000 + n)
+        keys.on_arrival(9 if n % 4 == 0 else 1000 + n)
     assert 0.1 < keys.share(9) < 0.25
     for n in range(100_000):
-        keys.came(n + 1)
+        keys.on_arrival(n + 1)
     assert len(keys._counts) <= 1025
 
 
@@ -150,10 +155,10 @@
     cold = boxes(30)
     for w in cold:
         w.up_since, w.warm_at = 100.0, 122.0
-    turns = [ColdTurns(s, n, lambda w: cores, lambda: mean_job, lambda: jobs) for n in range(200)]
+    turns = [ColdStartLimiter(s, n, lambda w: cores, lambda: mean_job, lambda: jobs) for n in range(200)]
     for t in turns:
         for w in cold:
-            t.joined(100.0, w)
+            t.on_worker_started(100.0, w)
     sent: dict[bytes, list[float]] = {w.id: [] for w in cold}
     now, number = 100.0, 0
     while now < 121.0:
@@ -161,18 +166,18 @@
         number += 1
         one = turns[min(int(dice.paretovariate(1.5) * 20) - 20, 199)]  # some have several times the mean
         lot = mix(number + seed)
-        worker = one.turn(now, lot, lambda w: True)
+        worker = one.next_worker(now, lot, lambda w: True)
         # Whoever has another lot does not get in on this one's turn, as by a key that has its home there.
-        assert worker is None or not one.may(now, worker, lot + 1, 1.0)
-        if worker is not None and one.may(now, worker, lot, 1.0):
-            one.spent(now, worker, 1.0)
+        assert worker is None or not one.may_send(now, worker, lot + 1, 1.0)
+        if worker is not None and one.may_send(now, worker, lot, 1.0):
+            one.on_sent(now, worker, 1.0)
             sent[worker.id].append(now)
     early = sum(at < 110.0 for times in sent.values() for at in times)
     assert early > 40  # of 2,000 that came: 30 boxes that can do 0.5 to 1.5 jobs a second each
     for w in cold:
         for at in sent[w.id]:
             within = sum(at <= x < at + s.tip_span for x in sent[w.id])
-            rule = s.tip_multiple * cores * turns[0].share(at, w) * s.tip_span / mean_job
+            rule = s.tip_multiple * cores * turns[0].warm_share(at, w) * s.tip_span / mean_job
             assert within <= rule + 1.0  # one job is the slack for chance
 
 
@@ -209,22 +214,22 @@
     # No two estimate alike.
     guesses = [(dice.uniform(1.4, 1.8), dice.uniform(120.0, 180.0)) for _ in range(number)]
     turns = [
-        ColdTurns(settings(number, rank=n), n, lambda w: cores, always(m), always(f))
+        ColdStartLimiter(settings(number, rank=n), n, lambda w: cores, always(m), always(f))
         for n, (m, f) in enumerate(guesses)
     ]
     for t in turns:
         for w in cold:
-            t.joined(100.0, w)
+            t.on_worker_started(100.0, w)
     sent: dict[bytes, list[tuple[float, float]]] = {w.id: [] for w in cold}
     now = 100.0
     while now < 121.0:
         now += dice.expovariate(jobs)
         one = turns[dice.randrange(number)]
         size = dice.choice([0.3, 0.3, 0.5, 0.6, 3.0])  # in mean jobs, about
-        worker = one.turn(now, 0, lambda w: True)
-        if worker is not None and one.may(now, worker, 0, size):
-            one.spent(now, worker, size)
-            assert not one.may(now, worker, 0, size)  # a turn is one job
+        worker = one.next_worker(now, 0, lambda w: True)
+        if worker is not None and one.may_send(now, worker, 0, size):
+            one.on_sent(now, worker, size)
+            assert not one.may_send(now, worker, 0, size)  # a turn is one job
             sent[worker.id].append((now, size))
     early = sum(size for times in sent.values() for at, size in times if at < 106.0)
     can = sum(0.25 * 6.0 * cores / mean_job for _ in cold)  # mean jobs that they can do by then
@@ -232,47 +237,49 @@
     for w in cold:
         for at, _ in sent[w.id]:
             within = sum(size for x, size in sent[w.id] if at <= x < at + 3.0)
-            assert within <= 2.5 * cores * turns[0].share(at, w) * 3.0 / mean_job
+            assert within <= 2.5 * cores * turns[0].warm_share(at, w) * 3.0 / mean_job
 
 
 def test_two_processes_of_one_rank_do_not_both_take_its_turn_and_no_turn_outlives_its_box() -> None:
     worker = boxes(1)[0]
     worker.up_since, worker.warm_at = 100.0, 122.0
-    turns = ColdTurns(settings(40, rank=3), 1, lambda w: 5.0, lambda: 1.6, lambda: 120.0)
-    turns.joined(100.0, worker)
-    at = next(t / 10 for t in range(1000, 1220) if turns.mine(t / 10, worker))
-    assert turns.turn(at, 0, lambda w: True) is worker
-    assert turns.may(at, worker, 0, 0.5)
-    turns.parts = 2  # an upgrade
-    assert not turns.rota()
-    assert not turns.may(at, worker, 0, 0.5)
-    turns.parts = 1
-    turns.spent(at, worker, 0.5)
-    assert not turns.mine(at, worker)
-    assert len(turns._used) == 1
-    turns.joined(at, worker)  # it has started anew
-    assert turns.mine(at, worker)
-    turns.spent(at, worker, 0.5)
-    turns.left(worker)
-    assert not turns._used
+    turns = ColdStartLimiter(settings(40, rank=3), 1, lambda w: 5.0, lambda: 1.6, lambda: 120.0)
+    turns.on_worker_started(100.0, worker)
+    at = next(t / 10 for t in range(1000, 1220) if turns.own_turn(t / 10, worker))
+    assert turns.next_worker(at, 0, lambda w: True) is worker
+    assert turns.may_send(at, worker, 0, 0.5)
+    turns.processes = 2  # an upgrade
+    assert not turns.uses_rotation()
+    assert not turns.may_send(at, worker, 0, 0.5)
+    turns.processes = 1
+    turns.on_sent(at, worker, 0.5)
+    assert not turns.own_turn(at, worker)
+    assert len(turns._used_turns) == 1
+    turns.on_worker_started(at, worker)  # it has started anew
+    assert turns.own_turn(at, worker)
+    turns.on_sent(at, worker, 0.5)
+    turns.remove(worker)
+    assert not turns._used_turns
 
 
 def test_cold_boxes_get_less_where_jobs_are_of_unlike_sizes() -> None:
     worker = boxes(1)[0]
     worker.up_since, worker.warm_at = 100.0, 122.0
     rates = [
-        ColdTurns(settings(200), 1, lambda w: 5.0, lambda: 1.6, lambda: 200.0, always(u)).rate(105.0, worker)
+        ColdStartLimiter(settings(200), 1, lambda w: 5.0, lambda: 1.6, lambda: 200.0, always(u)).rate(
+            105.0, worker
+        )
         for u in (1.0, 1.5, 2.0, 4.0)
     ]
     assert rates == sorted(rates, reverse=True)
     assert rates[-1] < 0.7 * rates[0]
-    runs = Runs([SAFE, RELEASE])
+    runs = WorkEstimates([SAFE, RELEASE])
     for _ in range(50):
-        runs.came(0)
-        runs.came(1)
-        runs.ended(0, 1.0, 1.0)
-        runs.ended(1, 5.0, 1.0)
-    assert 1.3 < runs.uneven() < 1.6
+        runs.on_arrival(0)
+        runs.on_arrival(1)
+        runs.on_run(0, 1.0, 1.0)
+        runs.on_run(1, 5.0, 1.0)
+    assert 1.3 < runs.size_dispersion() < 1.6
 
 
 def test_dispatchers_that_never_saw_a_key_send_it_to_the_same_box() -> None:
@@ -310,7 +317,7 @@
         rig.wait(0.1)
         cancelled = [x[2] for x in rig.actions.log if x[0] == "cancel" and x[1] == job]
         for attempt in cancelled:
-            if job in rig.d.jobs and rig.d.jobs[job].attempts[attempt].state == OUT:
+            if job in rig.d.jobs and rig.d.jobs[job].attempts[attempt].state == IN_FLIGHT:
                 rig.end(job, Status.CANCELLED, attempt)
     assert len(rig.actions.sends[job]) == 3
     assert ("cancel", job, 1) in rig.actions.log
@@ -332,34 +339,34 @@
     rig = Rig(3, instances=200)
     job = rig.request(key=5)
     worker = rig.d.workers[rig.where(job)]
-    assert rig.d.fleet.wait(rig.now, rig.d.jobs[job], worker) == 0.0
-    assert rig.d.fleet.speed(worker) == 1.0
-    assert not rig.d.fleet.strange(rig.now, worker)
+    assert rig.d.fleet.expected_delay(rig.now, rig.d.jobs[job], worker) == 0.0
+    assert rig.d.fleet.relative_speed(worker) == 1.0
+    assert not rig.d.fleet.is_underused(rig.now, worker)
 
 
 @pytest.mark.parametrize("factor", [0.01, 1.0, 250.0])
 def test_a_hint_that_is_off_by_any_factor_is_learned_and_makes_no_job_hopeless(factor: float) -> None:
-    draw, line = random.Random(3), Line()
+    draw, line = random.Random(3), HintRegression()
     for _ in range(200):
         work = draw.uniform(0.1, 0.5)
         line.add(work * factor, work * 1.3 * draw.uniform(0.8, 1.25))
     for work in (0.1, 0.5):
-        assert line.run(work * factor) == pytest.approx(1.3 * work, rel=0.25)
-        assert line.least(work * factor) < 1.4 * work
-    assert line.run(0.0) > 0.0
+        assert line.expected_run(work * factor) == pytest.approx(1.3 * work, rel=0.25)
+        assert line.min_run(work * factor) < 1.4 * work
+    assert line.expected_run(0.0) > 0.0
 
 
 def test_a_hint_that_says_nothing_leaves_the_mean_and_what_adds_to_every_run_is_no_part_of_the_least() -> (
     None
 ):
-    draw, noise, late = random.Random(4), Line(), Line()
+    draw, noise, late = random.Random(4), HintRegression(), HintRegression()
     for _ in range(300):
         noise.add(draw.expovariate(1.0), draw.uniform(0.2, 0.4))
         work = draw.uniform(0.02, 0.4)
         late.add(work, work + 0.5)
-    assert noise.run(0.05) == pytest.approx(noise.run(3.0), rel=0.35)
-    assert late.run(0.1) == pytest.approx(0.6, rel=0.1)
-    assert late.least(0.1) < 0.13
+    assert noise.expected_run(0.05) == pytest.approx(noise.expected_run(3.0), rel=0.35)
+    assert late.expected_run(0.1) == pytest.approx(0.6, rel=0.1)
+    assert late.min_run(0.1) < 0.13
 
 
 ALL = (-1, -1)  # zones and kinds
@@ -383,78 +390,78 @@
         for step in range(2000):
             now = step * 0.02
             for _ in range(round(jobs * 0.02)):
-                reports.came(now)
-            for name in reports.due(now, workers):
+                reports.on_arrival(now)
+            for name in reports.due_probes(now, workers):
                 sent += 1
-                reports.heard(now, next(b for b in workers if b.id == name), (float(step % 7),))
+                reports.on_report(now, next(b for b in workers if b.id == name), (float(step % 7),))
         rate = sent / 40.0
-        assert 0 < rate <= 10 * MOST / 4 * 1.1, jobs
-        assert jobs < 40 or rate * 0.002 / jobs <= 1.3 * SPENT
+        assert 0 < rate <= 10 * MAX_PROBE_RATE / 4 * 1.1, jobs
+        assert jobs < 40 or rate * 0.002 / jobs <= 1.3 * PROBE_BUDGET
 
 
 def test_a_box_that_does_not_answer_is_asked_again_at_once_and_then_no_oftener_than_others() -> None:
     reports, box = Reports(told_by_probes(), 5), boxes(1)[0]
-    assert reports.due(0.0, [box]) == [box.id]
-    assert reports.due(0.1, [box]) == []
-    assert reports.failed(0.2, box.id) == 1
-    assert reports.due(0.2 + AGAIN, [box]) == [box.id]
-    assert reports.failed(0.5, box.id) == 2
-    assert reports.due(0.5 + AGAIN, [box]) == []
-    assert reports.due(0.5 + 2 * SELDOM, [box]) == [box.id]
-    reports.heard(3.0, box, (3.0,))
-    assert reports.due(3.0 + 2 * SELDOM, [box]) == [box.id]
-    assert reports.failed(9.0, box.id) == 1
+    assert reports.due_probes(0.0, [box]) == [box.id]
+    assert reports.due_probes(0.1, [box]) == []
+    assert reports.on_probe_failed(0.2, box.id) == 1
+    assert reports.due_probes(0.2 + REPROBE_DELAY, [box]) == [box.id]
+    assert reports.on_probe_failed(0.5, box.id) == 2
+    assert reports.due_probes(0.5 + REPROBE_DELAY, [box]) == []
+    assert reports.due_probes(0.5 + 2 * MAX_PROBE_INTERVAL, [box]) == [box.id]
+    reports.on_report(3.0, box, (3.0,))
+    assert reports.due_probes(3.0 + 2 * MAX_PROBE_INTERVAL, [box]) == [box.id]
+    assert reports.on_probe_failed(9.0, box.id) == 1
 
 
 def test_what_others_have_is_what_reports_show_less_ours_and_fades_when_none_comes() -> None:
     reports, box = Reports(told_by_probes(), 5), boxes(1)[0]
-    reports.due(0.0, [box])
-    reports.heard(0.0, box, (8.0,))
-    box.pending = 2.0
-    reports.changed(0.1, box.id, 2.0)
+    reports.due_probes(0.0, [box])
+    reports.on_report(0.0, box, (8.0,))
+    box.pending_slots = 2.0
+    reports.on_own_slots(0.1, box.id, 2.0)
     for n in range(1, 30):
-        reports.heard(1.0 + n * 0.5, box, (3.0 + 0.01 * n,))
+        reports.on_report(1.0 + n * 0.5, box, (3.0 + 0.01 * n,))
     assert reports.slots(box) == 8.0
-    assert reports.others(15.5, box) == pytest.approx(3.0, abs=0.5)
-    assert reports.wait(15.5, box, 1.0, 0.5) == 0.0
-    assert reports.wait(15.5, box, 1.0, 0.5, share=0.2) > 0.0  # it is cold
-    box.pending = 9.0
-    assert reports.wait(15.5, box, 1.0, 0.5) > 0.0
-    box.pending = 2.0
-    assert reports.others(60.0, box) < 0.01  # a report that is old shuts nobody out
-    reports.heard(61.0, box, ())  # nor does an answer that tells nothing
-    reports.heard(61.0, box, (-5.0,))
-    assert reports.others(61.0, box) <= 8.0
+    assert reports.slots_of_others(15.5, box) == pytest.approx(3.0, abs=0.5)
+    assert reports.expected_delay(15.5, box, 1.0, 0.5) == 0.0
+    assert reports.expected_delay(15.5, box, 1.0, 0.5, share=0.2) > 0.0  # it is cold
+    box.pending_slots = 9.0
+    assert reports.expected_delay(15.5, box, 1.0, 0.5) > 0.0
+    box.pending_slots = 2.0
+    assert reports.slots_of_others(60.0, box) < 0.01  # a report that is old shuts nobody out
+    reports.on_report(61.0, box, ())  # nor does an answer that tells nothing
+    reports.on_report(61.0, box, (-5.0,))
+    assert reports.slots_of_others(61.0, box) <= 8.0
 
 
 def test_all_dispatchers_look_for_a_key_at_the_same_boxes_and_a_frequent_one_has_more_of_them() -> None:
     workers = boxes(16)
     fleets = [Fleet(told_by_probes(rank=seed), seed) for seed in range(4)]
     for fleet in fleets:
-        fleet.listed(0.0, [], workers)
-    rare = {tuple(w.id for w in fleet.order(77, ALL, workers)) for fleet in fleets}
+        fleet.on_member_list(0.0, [], workers)
+    rare = {tuple(w.id for w in fleet.ranked_workers(77, ALL, workers)) for fleet in fleets}
     assert len(rare) == 1
     assert len(next(iter(rare))) == 2
     for fleet in fleets:
         for n in range(400):
-            fleet.came(0.0, 0, 5 if n % 4 == 0 else 1000 + n)
-    firsts = {fleet.order(5, ALL, workers)[0].id for fleet in fleets}
+            fleet.on_arrival(0.0, 0, 5 if n % 4 == 0 else 1000 + n)
+    firsts = {fleet.ranked_workers(5, ALL, workers)[0].id for fleet in fleets}
     assert len(firsts) == 4  # each dispatcher keeps to one of its homes ...
-    homes = {tuple(sorted(w.id for w in fleet.order(5, ALL, workers))) for fleet in fleets}
+    homes = {tuple(sorted(w.id for w in fleet.ranked_workers(5, ALL, workers))) for fleet in fleets}
     assert len(homes) == 1  # ... of the same
     elsewhere = Fleet(told_by_probes(rank=2, zone=1, zones=2), 9)
     for w in workers:
         w.zone = int(w.id != next(iter(firsts)))
-    elsewhere.listed(0.0, [], workers)
+    elsewhere.on_member_list(0.0, [], workers)
     for n in range(400):
-        elsewhere.came(0.0, 0, 5 if n % 4 == 0 else 1000 + n)
-    assert elsewhere.order(5, ALL, workers)[0].zone == 1  # and to one of its own zone first
-    spread = [fleets[1].order(key, ALL, workers)[0].id for key in range(1, 3000)]
+        elsewhere.on_arrival(0.0, 0, 5 if n % 4 == 0 else 1000 + n)
+    assert elsewhere.ranked_workers(5, ALL, workers)[0].zone == 1  # and to one of its own zone first
+    spread = [fleets[1].ranked_workers(key, ALL, workers)[0].id for key in range(1, 3000)]
     assert max(map(spread.count, set(spread))) < 1.4 * 3000 / 16
     gone = workers[0]
-    before = {key: fleets[2].order(key, ALL, workers)[0].id for key in range(1, 500)}
-    fleets[2].unsettled()
-    after = {key: fleets[2].order(key, ALL, workers[1:])[0].id for key in range(1, 500)}
+    before = {key: fleets[2].ranked_workers(key, ALL, workers)[0].id for key in range(1, 500)}
+    fleets[2].clear_rankings()
+    after = {key: fleets[2].ranked_workers(key, ALL, workers[1:])[0].id for key in range(1, 500)}
     assert all(after[key] == home for key, home in before.items() if home != gone.id)  # the rest stay
 
 
@@ -475,23 +482,23 @@
     told = told_by_probes()
     told.queue_reports = 1
     reports, box = Reports(told, 5), boxes(1)[0]
-    reports.due(0.0, [box])
-    reports.heard(0.0, box, (8.0, 0.0))
+    reports.due_probes(0.0, [box])
+    reports.on_report(0.0, box, (8.0, 0.0))
     for n in range(1, 30):
-        reports.heard(n * 0.5, box, (0.01 * n, 12.0))
-    assert reports.others(14.5, box) == pytest.approx(20.0, abs=0.5)
+        reports.on_report(n * 0.5, box, (0.01 * n, 12.0))
+    assert reports.slots_of_others(14.5, box) == pytest.approx(20.0, abs=0.5)
 
 
 def test_a_box_that_turned_a_job_away_is_taken_for_crowded_and_that_fades() -> None:
     reports, box = Reports(told_by_probes(), 5), boxes(1)[0]
-    reports.full(0.0, box)  # never probed: nothing is known, nothing is held against it
-    assert reports.others(0.0, box) == 0.0
-    reports.due(0.0, [box])
-    reports.heard(0.0, box, (8.0,))
-    reports.full(1.0, box)
-    assert reports.others(1.0, box) == 16.0
-    assert reports.wait(1.0, box, 1.0, 0.5) > 0.0
-    assert reports.others(60.0, box) < 0.01
+    reports.on_full(0.0, box)  # never probed: nothing is known, nothing is held against it
+    assert reports.slots_of_others(0.0, box) == 0.0
+    reports.due_probes(0.0, [box])
+    reports.on_report(0.0, box, (8.0,))
+    reports.on_full(1.0, box)
+    assert reports.slots_of_others(1.0, box) == 16.0
+    assert reports.expected_delay(1.0, box, 1.0, 0.5) > 0.0
+    assert reports.slots_of_others(60.0, box) < 0.01
 
 
 def test_without_keys_the_box_with_less_of_others_work_is_taken() -> None:
@@ -499,16 +506,16 @@
     actions, now = Recorder(), 100.0
     d = Dispatcher(told, 3, actions)
     d.on_members(now, ListKind.FULL, [Member(b"box%d" % n) for n in range(2)])
-    d.fleet.reports.due(now, d.workers.values())
+    d.fleet.reports.due_probes(now, d.workers.values())
     for n, free in enumerate((8.0, 7.0)):
-        d.on_probed(now, b"box%d" % n, Status.OK, 0.01, (free,))
+        d.on_probe_result(now, b"box%d" % n, Status.OK, 0.01, (free,))
     took = []
     for n in range(20):
         d.on_request(now, Request(n + 1, now + 10.0, key=0))
         took += actions.sends[n + 1]
-        d.on_gone(now, n + 1)
+        d.on_client_gone(now, n + 1)
         for worker in d.workers.values():
-            worker.pending = 0.0
+            worker.pending_slots = 0.0
     assert took.count(b"box0") >= 15  # two are compared, and a sample may hold one box twice
 
 
@@ -539,8 +546,10 @@
 def test_a_tenant_is_over_its_quota_beyond_two_seconds_of_it_and_less_so_with_time() -> None:
     tenants = [Tenant("free"), Tenant("small", quota=4.0), Tenant("large", quota=40.0)]
     quotas = Quotas(Settings([SAFE], tenants=tenants, instances=4))
-    over = [[quotas.over(100.0, tenant) for _ in range(30)].index(True) for tenant in (1, 2)]
+    over = [[quotas.exceeds(100.0, tenant) for _ in range(30)].index(True) for tenant in (1, 2)]
     assert over == [3, 20]  # three jobs at least, and two seconds of 10 jobs
-    assert not any(quotas.over(100.0, tenant) for tenant in (0, 3) for _ in range(30)), "they have no quota"
-    assert [quotas.over(101.0, 1) for _ in range(2)] == [False, True], "one has drained in a second"
-    assert not quotas.over(200.0, 2)
+    assert not any(quotas.exceeds(100.0, tenant) for tenant in (0, 3) for _ in range(30)), (
+        "they have no quota"
+    )
+    assert [quotas.exceeds(101.0, 1) for _ in range(2)] == [False, True], "one has drained in a second"
+    assert not quotas.exceeds(200.0, 2)
--- a/tests/dispatcher/test_failures.py
+++ b/tests/dispatcher/test_failures.py
@@ -9,7 +9,7 @@
 def end_after(rig: Rig, request: int, run: float) -> None:
     """Starts a job at once and ends it after `run` seconds."""
     worker = rig.where(request)
-    rig.d.on_note(rig.now, Note(request, 0, worker))
+    rig.d.on_attempt_progress(rig.now, Note(request, 0, worker))
     rig.now += run
     rig.end(request)
 
@@ -22,11 +22,11 @@
     slow = rig.request(key=100)
     worker = rig.where(slow)
     end_after(rig, slow, 2.0)
-    assert rig.d.workers[worker].pace > 1.5
-    rig.d.workers[worker].pace = 5.0  # as after a few more
+    assert rig.d.workers[worker].run_time_ratio > 1.5
+    rig.d.workers[worker].run_time_ratio = 5.0  # as after a few more
     assert all(rig.where(rig.request(key=200 + n)) != worker for n in range(4))
     rig.now += 60.0
-    assert worker in {rig.where(rig.request(key=300 + n)) for n in range(8) if rig.d.active < 8}
+    assert worker in {rig.where(rig.request(key=300 + n)) for n in range(8) if rig.d.active_slots < 8}
 
 
 def test_a_silent_worker_is_left_and_a_safe_job_goes_elsewhere() -> None:
@@ -46,7 +46,7 @@
     for n in range(8):
         rig.request(key=n + 1)
     rig.wait(1.0)
-    assert len(rig.d.silent) <= 2
+    assert len(rig.d.suspects) <= 2
 
 
 def test_late_ends_close_the_window_and_jobs_wait() -> None:
@@ -62,14 +62,14 @@
     for n in range(40):
         rig.request(key=n + 1)
     assert sum(map(len, rig.actions.sends.values())) - before < 40
-    assert rig.d.held
+    assert rig.d.queue
 
 
 def test_full_steps_off_and_attempts_are_not_burnt() -> None:
     rig = Rig(3)
     job = rig.request(key=1)
     for _ in range(4):
-        if job in rig.actions.sends and rig.d.jobs[job].out():
+        if job in rig.actions.sends and rig.d.jobs[job].in_flight():
             rig.end(job, Status.FULL)
     assert len(rig.actions.sends[job]) < rig.settings.max_attempts  # some are kept for later
 
@@ -82,7 +82,7 @@
     again = rig.request(key=4)
     rig.end(job, Status.RESET)
     rig.end(again)
-    assert rig.d.workers[rig.ids[0]].pending == 0.0
+    assert rig.d.workers[rig.ids[0]].pending_slots == 0.0
 
 
 def test_a_subscription_is_asked_for_at_once_and_again_later_after_a_failure() -> None:
@@ -134,9 +134,9 @@
     for _ in range(12):
         job = rig.request()
         rig.end(job, Status.ERROR)
-        rig.d.on_gone(rig.now, job)
+        rig.d.on_client_gone(rig.now, job)
     assert rig.request() in rig.actions.sends
-    assert sum(rig.d.fleet.health.sick(rig.now, w) for w in rig.d.workers.values()) <= 2
+    assert sum(rig.d.fleet.health.is_failing(rig.now, w) for w in rig.d.workers.values()) <= 2
 
 
 def test_a_report_of_errors_counts_as_a_failure_seen_and_the_same_report_once() -> None:
@@ -145,12 +145,12 @@
     bad = rig.where(job)
     rig.d.on_outcome(rig.now, Outcome(job, 0, bad, Status.OK, True, 0.1, (3.0, 1.0)))
     worker = rig.d.workers[bad]
-    assert worker.bad > 0
+    assert worker.failure_share > 0
     rig.wait(60.0)
-    worker.bad = 0.0
+    worker.failure_share = 0.0
     later = next(j for j in (rig.request() for _ in range(16)) if rig.where(j) == bad)
     rig.d.on_outcome(rig.now, Outcome(later, 0, bad, Status.OK, True, 0.1, (3.0, 1.0)))
-    assert worker.bad == 0.0
+    assert worker.failure_share == 0.0
 
 
 def test_nobody_waits_for_a_holder_that_is_sick() -> None:
@@ -168,14 +168,14 @@
     first, second, third = (rig.request(key=7) for _ in range(3))
     worker = rig.d.workers[rig.where(first)]
     rig.end(first, Status.RESET)
-    assert not worker.doubts
-    assert 7 in worker.keys
+    assert not worker.suspicion
+    assert 7 in worker.held_keys
     rig.end(second, Status.RESET)
-    assert worker.doubts
-    assert 7 not in worker.keys
+    assert worker.suspicion
+    assert 7 not in worker.held_keys
     rig.end(third)
-    assert not worker.doubts
-    assert worker.breaks == 0
+    assert not worker.suspicion
+    assert worker.connection_failures == 0
 
 
 def test_a_safe_job_that_later_ones_have_overtaken_in_a_queue_in_order_goes_elsewhere() -> None:
@@ -214,20 +214,20 @@
     asked = [a[1] for a in rig.actions.log if a[0] == "probe"]
     assert set(asked) == set(rig.ids)
     for worker in rig.ids:
-        rig.d.on_probed(rig.now, worker, Status.OK, 0.01, (6.0,))
+        rig.d.on_probe_result(rig.now, worker, Status.OK, 0.01, (6.0,))
     silent = rig.where(job)
     for _ in range(40):
         rig.wait(0.02)
         for a in [a for a in rig.actions.log if a[0] == "probe"]:
             rig.actions.log.remove(a)
             status = Status.TIMEOUT if a[1] == silent else Status.OK
-            rig.d.on_probed(rig.now, a[1], status, 0.01, () if a[1] == silent else (6.0,))
-    assert rig.d.workers[silent].doubts
+            rig.d.on_probe_result(rig.now, a[1], status, 0.01, () if a[1] == silent else (6.0,))
+    assert rig.d.workers[silent].suspicion
     assert rig.where(job) != silent
     later = rig.request(key=3)
     assert rig.where(later) != silent
-    rig.d.on_probed(rig.now, silent, Status.OK, 0.01, (6.0,))
-    assert not rig.d.workers[silent].doubts  # one answer brings it back
+    rig.d.on_probe_result(rig.now, silent, Status.OK, 0.01, (6.0,))
+    assert not rig.d.workers[silent].suspicion  # one answer brings it back
 
 
 def test_a_class_that_nobody_has_seen_end_is_tried_however_long_its_wanted_time_says_it_runs() -> None:
@@ -241,8 +241,8 @@
     rig = probing(workers=2, progress=2.0)
     job = rig.request()
     worker = rig.d.workers[rig.where(job)]
-    limit = worker.limit
+    limit = worker.slot_limit
     rig.now += 2.0
-    rig.d.on_note(rig.now, Note(job, 0, worker.id, started=False, share=0.3))
-    assert worker.limit == limit
-    assert not worker.off_until
+    rig.d.on_attempt_progress(rig.now, Note(job, 0, worker.id, started=False, share=0.3))
+    assert worker.slot_limit == limit
+    assert not worker.avoid_until
--- a/tests/dispatcher/test_hot_restart.py
+++ b/tests/dispatcher/test_hot_restart.py
@@ -241,22 +241,22 @@
 def test_the_new_process_knows_what_the_old_one_has_learned_but_not_of_restarted_boxes() -> None:
     old, new = Desk([SAFE, RELEASE]), Desk([SAFE, RELEASE])
     for n in range(12):
-        old.core.take(Request(old, b"%d" % n, 0, b"/p", b"", 5.0, key=7))
+        old.core.submit(Request(old, b"%d" % n, 0, b"/p", b"", 5.0, key=7))
         old.clock.time += 0.5
         old.core.ended(old.sent[-1], End(Status.OK))
     failed = old.take(b"bad").attempts[0]
     old.core.ended(failed, End(Status.ERROR))
     told = json.loads(json.dumps(learned.tell(old.core.dispatcher)))
-    holder = next(w for w in old.core.dispatcher.workers.values() if 7 in w.keys)
+    holder = next(w for w in old.core.dispatcher.workers.values() if 7 in w.held_keys)
     new.clock.time = old.clock.time
     restarted = next(w for w in old.core.dispatcher.workers if w not in (holder.id, failed.worker))
     new.core.listed(ListKind.DELTA, [Member(restarted, up_since=900.0)])
     learned.take(new.core.dispatcher, told)
     assert learned.tell(new.core.dispatcher)["runs"] == told["runs"]
-    bad = old.core.dispatcher.workers[failed.worker].bad
-    assert new.core.dispatcher.workers[failed.worker].bad == bad > 0
-    assert new.core.dispatcher.workers[restarted].limit == new.core.dispatcher.fair
-    new.core.take(Request(new, b"next", 0, b"/p", b"", 5.0, key=7))
+    bad = old.core.dispatcher.workers[failed.worker].failure_share
+    assert new.core.dispatcher.workers[failed.worker].failure_share == bad > 0
+    assert new.core.dispatcher.workers[restarted].slot_limit == new.core.dispatcher.fair_slots
+    new.core.submit(Request(new, b"next", 0, b"/p", b"", 5.0, key=7))
     assert new.sent[-1].worker == holder.id  # it knows who holds the key
     with pytest.raises((KeyError, TypeError, ValueError)):
         learned.take(new.core.dispatcher, {"runs": {}})
@@ -264,11 +264,11 @@
 
 def test_what_the_other_process_has_at_a_box_counts_against_its_limit() -> None:
     desk = Desk([SAFE])
-    desk.core.beside({b"w%d" % n: 100.0 for n in range(1, 4)}, 1)
+    desk.core.set_sibling_load({b"w%d" % n: 100.0 for n in range(1, 4)}, 1)
     for n in range(4):
         desk.take(b"%d" % n)
     assert {a.worker for a in desk.sent} == {b"w0"}
-    desk.core.beside({}, 0)
+    desk.core.set_sibling_load({}, 0)
     desk.pass_time(0.5)
     assert len(desk.sent) == 4
 
@@ -278,15 +278,15 @@
     now, worker = desk.clock.now(), desk.core.dispatcher.workers[b"w0"]
     request = Request(desk, b"moved", 0, b"/r", b"", 25.0)
     request.attempts = [Attempt(request, 0, b"w0", desk, now - 8.0, written=True, started_at=now - 7.9)]
-    limit = worker.limit
+    limit = worker.slot_limit
     desk.core.adopt(request, now - 8.0, now + 10.0)
     desk.core.started(request.attempts[0])  # as it is read again from the bytes that came along
-    assert worker.pending == 1
-    assert worker.limit == limit
-    assert not worker.off_until
+    assert worker.pending_slots == 1
+    assert worker.slot_limit == limit
+    assert not worker.avoid_until
     assert not desk.sent
     desk.core.ended(request.attempts[0], End(Status.RESET))
-    assert worker.pending == 0
+    assert worker.pending_slots == 0
     assert [a.kind for _, a in desk.answers] == [AnswerKind.FAILED]
     assert not desk.sent
 
--- a/tests/dispatcher/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -94,7 +94,7 @@
     [b"util=0.25,qps=3.1,x0=5.5", b"busy=0.25, rate=3.1, x0=5.5\n", b'{"util": 0.25, "qps": 3.1, "x0": 5.5}'],
 )
 def test_a_report_is_read_from_the_body_that_answers_a_probe(tmp_path: Path, text: bytes) -> None:
-    runners = Runners(None, SimpleNamespace(on_list=[]), {"report": PULLED}, 8)  # type: ignore[arg-type]
+    runners = Runners(None, SimpleNamespace(list_listeners=[]), {"report": PULLED}, 8)  # type: ignore[arg-type]
     assert tuple(runners.reports.in_body(text)) == (0.25, 3.1, 5.5)
     for bad in (b"", b"x", b"[1]", b"util=much", b'{"util": {}}', b"\xff\x00", b"7"):
         assert not any(runners.reports.in_body(bad)), bad
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -48,7 +48,7 @@
     desk.core.ended(desk.take(b"bad").attempts[0], End(Status.ERROR))
     desk.pass_time(6.0)
     for number in range(12):
-        desk.core.take(Request(desk, b"%d" % number, 0, b"/p", b"", 5.0, key=KEY))
+        desk.core.submit(Request(desk, b"%d" % number, 0, b"/p", b"", 5.0, key=KEY))
         desk.clock.time += 0.5
         desk.core.ended(desk.sent[-1], End(Status.OK))
     return desk
@@ -118,7 +118,7 @@
     """A job as the platform's front takes it, rejected by one worker, and out at another if `has_attempt`."""
     request = Request(
         desk, b"job-\xe9", 1, b"/release?x=1", b"\x00body", 4.5, key=9, slots=2.0, memory=1.5, hint=0.25,
-        repeat=True, tenant=1, once=b"once-1",
+        repeat=True, tenant=1, idempotency_key=b"once-1",
     )  # fmt: skip
     request.taken_at, request.give_up_at = 1012.0, 1016.5
     request.extra = Exchange(cast(ResponseChannel, IdleChannel()), 1012.0, b"POST", request.target)
@@ -196,7 +196,7 @@
     desk = experienced_dispatcher()
     with process(folder, desk) as (handover, jobs, loop), socket.socket(socket.AF_UNIX) as newcomer:
         end_jobs(jobs, desk)
-        desk.core.take_out(b"w3", 1001.5)
+        desk.core.ban_worker(b"w3", 1001.5)
         desk.take(b"open\xe9")
         handover.begin()
         newcomer.connect(str(folder / names_in(folder)[0]))
@@ -283,7 +283,7 @@
     holders = {
         name for name, worker in state["workers"].items() if KEY in [key for key, *_ in worker["keys"]]
     }
-    new.core.take(Request(new, b"next", 0, b"/p", b"", 5.0, key=KEY))
+    new.core.submit(Request(new, b"next", 0, b"/p", b"", 5.0, key=KEY))
     assert new.sent[-1].worker.decode() in holders
 
 
@@ -306,7 +306,7 @@
     assert adopted.exchange is not None
     assert adopted.exchange.extra is request is not None
     assert (request.name, request.job_class, request.target) == (b"job-\xe9", 1, b"/release?x=1")
-    assert (request.body, request.once, request.tenant) == (b"\x00body", b"once-1", 1)
+    assert (request.body, request.idempotency_key, request.tenant) == (b"\x00body", b"once-1", 1)
     assert (request.wait, request.key, request.slots) == (4.5, 9, 2.0)
     assert (request.memory, request.hint, request.repeat) == (1.5, 0.25, True)
     assert (request.taken_at, request.give_up_at) == (1022.0, 1026.5)
@@ -339,7 +339,7 @@
             assert handover.peers[0].pending
             assert handover.open_elsewhere(b"open\xe9")
             assert not handover.open_elsewhere(b"other")
-            assert new.core.boxes.banned == {}  # w3 and w1 were taken out and put back
+            assert new.core.workers.banned == {}  # w3 and w1 were taken out and put back
             assert jobs.ended(1, b"u-1") == (b"H:larchgw:1", Answer(AnswerKind.SERVED, b"made\xff"))
             assert jobs.ended(1, b"u-2") == (b"H:larchgw:2", Answer(AnswerKind.FAILED, b"", 1.5, "it broke"))
             assert jobs.elsewhere(1, b"u-3")
@@ -359,7 +359,7 @@
         with accepted:
             accepted.sendall(lines_only(recorded("elder_lines.txt")).splitlines(keepends=True)[0])
             loop.turn()
-            assert new.core.boxes.banned == {b"w3": 1001.5}
+            assert new.core.workers.banned == {b"w3": 1001.5}
 
 
 def test_recorded_lines_of_a_process_that_has_come_up_are_understood(tmp_path: Path, fixed_pid: None) -> None:
--- a/tests/dispatcher/test_rules.py
+++ b/tests/dispatcher/test_rules.py
@@ -11,7 +11,7 @@
 
 from larchgw import Dispatcher, Settings
 from larchgw.dispatcher.estimates import Fleet
-from larchgw.dispatcher.scheduling import scheduler as choice
+from larchgw.dispatcher.scheduling import scheduler
 from larchgw.dispatcher.scheduling.interface import (
     JobClass,
     ListKind,
@@ -140,7 +140,7 @@
             gone = dice.randrange(1, number + 1)
             if gone not in judge.closed:
                 judge.closed[gone] = now
-                d.on_gone(now, gone)
+                d.on_client_gone(now, gone)
         for number_sent, tries in judge.tries.items():
             for index in range(seen.get(number_sent, 0), len(tries)):
                 silent = dice.random() < 0.15
@@ -151,7 +151,7 @@
             _, ended, index, _ = entry
             attempt = judge.tries[ended][index]
             if dice.random() < 0.3 and judge.requests[ended].give_up_at > now:
-                d.on_note(now, Note(ended, index, attempt[0]))
+                d.on_attempt_progress(now, Note(ended, index, attempt[0]))
                 open_tries.append((now + dice.expovariate(5.0), ended, index, 1))
                 continue
             status = dice.choice([Status.OK, Status.OK, *Status])
@@ -184,8 +184,8 @@
 
 
 PLANTS = {
-    "1": (Dispatcher, "_finish", lambda self, now, job: None),
-    "2": (choice, "may_refuse", lambda job: True),
+    "1": (Dispatcher, "_refuse_or_fail", lambda self, now, job: None),
+    "2": (scheduler, "may_refuse", lambda job: True),
     "3": (Dispatcher, "_set_ready", lambda self, worker, ready: setattr(worker, "ready", True)),
 }
 
@@ -262,5 +262,5 @@
 
 
 def test_the_cold_check_catches_a_planted_violation(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Fleet, "may_warm", lambda self, now, job, w: True)
+    monkeypatch.setattr(Fleet, "may_use_cold_worker", lambda self, now, job, w: True)
     assert cold_sends(1) > 1.0
--- a/tests/dispatcher/test_turns.py
+++ b/tests/dispatcher/test_turns.py
@@ -274,7 +274,7 @@
 @pytest.mark.parametrize("body", [b'{"id":"a","state":"done","result":"x"}\n', b"util=0.1,x0=5"])
 def test_a_late_second_answer_is_no_report(body: bytes) -> None:
     probed: list[Any] = []
-    core = SimpleNamespace(on_list=[], probed=lambda *told: probed.append(told))
+    core = SimpleNamespace(list_listeners=[], probed=lambda *told: probed.append(told))
     told = {"report": {"via": "pull", "fields": ["busy", "x0"]}, "allowed": {}}
     loop = Loop(Clock(), Deadlines())
     pool = Runners(loop, core, told, 8)  # type: ignore[arg-type]
--- a/tests/dispatcher/test_worker_selection.py
+++ b/tests/dispatcher/test_worker_selection.py
@@ -44,7 +44,7 @@
 
 
 def test_ties_break_at_random() -> None:
-    assert len({Rig(4, seed=s).d.random.random() for s in range(3)}) == 3
+    assert len({Rig(4, seed=s).d.rng.random() for s in range(3)}) == 3
     places = set()
     for seed in range(30):
         rig = Rig(4, seed=seed)
@@ -57,12 +57,12 @@
     rig = Rig(3)
     job = rig.request(key=5, slots=2.0)
     worker = rig.d.workers[rig.where(job)]
-    assert worker.pending == 2.0
+    assert worker.pending_slots == 2.0
     rig.end(job, status, attempt=0)
     # What never ran goes on at once, and by chance to the same worker.
     again = len(rig.actions.sends[job]) > 1 and rig.where(job) == worker.id
-    assert worker.pending == (2.0 if again else 0.0)
-    held = any(p.worker is worker for p in rig.d.holders.get(5, []))
+    assert worker.pending_slots == (2.0 if again else 0.0)
+    held = any(p.worker is worker for p in rig.d.key_holders.get(5, []))
     assert held == (again or status in (Status.OK, Status.CANCELLED))
 
 
@@ -119,13 +119,15 @@
     sent = rig.now
     rig.wait(0.5)
     rig.end(job, Status.RESET)
-    assert rig.d.may_begin(sent + 1.4, job, 1)
-    assert not rig.d.may_begin(sent + 1.46, job, 1)  # its last byte would come when the first is forgotten
-    assert rig.d.may_begin(sent + 1.46, job, 0)  # the first is no repeat
+    assert rig.d.may_start_attempt(sent + 1.4, job, 1)
+    assert not rig.d.may_start_attempt(
+        sent + 1.46, job, 1
+    )  # its last byte would come when the first is forgotten
+    assert rig.d.may_start_attempt(sent + 1.46, job, 0)  # the first is no repeat
     rig.drain(rig.where(job))
-    assert not rig.d.may_begin(sent + 1.0, job, 1)
-    assert not rig.d.may_begin(sent + 1.0, job, 2)
-    assert not rig.d.may_begin(sent + 1.0, job + 1, 0)
+    assert not rig.d.may_start_attempt(sent + 1.0, job, 1)
+    assert not rig.d.may_start_attempt(sent + 1.0, job, 2)
+    assert not rig.d.may_start_attempt(sent + 1.0, job + 1, 0)
 
 
 def test_what_never_ran_opens_no_window() -> None:
@@ -136,7 +138,7 @@
     rig.end(job, Status.FULL)
     rig.wait(1.0)
     assert len(rig.actions.sends[job]) == 3
-    assert rig.d.may_begin(rig.now, job, 2)
+    assert rig.d.may_start_attempt(rig.now, job, 2)
 
 
 @pytest.mark.parametrize(("workers", "cancelled"), [(1, 0), (2, 1)])
@@ -157,8 +159,8 @@
     rig = Rig(1, must_subscribe=True)
     for _ in range(2000):
         rig.members(kind=ListKind.FAILED)
-        assert 0.25 <= rig.d.ask_at - rig.now <= 8.0
-    assert rig.d.ask_at - rig.now >= 4.0
+        assert 0.25 <= rig.d.subscribe_at - rig.now <= 8.0
+    assert rig.d.subscribe_at - rig.now >= 4.0
 
 
 def test_a_worker_that_is_full_all_day_is_left_for_a_short_time_each_time() -> None:
@@ -166,5 +168,5 @@
     worker = rig.d.workers[rig.ids[0]]
     for _ in range(2000):
         rig.end(rig.request(), Status.FULL)
-        assert rig.now < worker.off_until <= rig.now + 2.0 * rig.d.runs[0].value
-        rig.now = worker.off_until
+        assert rig.now < worker.avoid_until <= rig.now + 2.0 * rig.d.run_times[0].value
+        rig.now = worker.avoid_until
--- a/tests/emulator/test_job_emulator.py
+++ b/tests/emulator/test_job_emulator.py
@@ -282,9 +282,9 @@
     assert world.records.broken() == []
     assert all(d.alive for d in world.dispatchers)
     fleet = world.dispatchers[0].core.dispatcher.fleet
-    assert fleet.live
-    assert fleet.loads.sure
-    assert fleet.loads.cores == 5.0
+    assert fleet.reads_live_weights
+    assert fleet.listed_loads.cores_known
+    assert fleet.listed_loads.cores == 5.0
 
 
 def test_the_days_of_many_dispatchers_keep_the_rules_and_are_the_same_for_the_same_seed():
