--- a/larchgw/dispatcher/config/settings_file.py
+++ b/larchgw/dispatcher/config/settings_file.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from ...net.address import parse_address
-from ..capacity import RoomSettings
+from ..capacity import ReservationSettings
 from .startup import ConfigError, Fronts
 
 
@@ -65,7 +65,7 @@
 
 
 FRONTS: dict[str, type] = {"gearman": GearmanTable, "agent_check": ListenTable, "ops": ListenTable}
-ROOM: dict[str, type] = {"room": RoomSettings}
+ROOM: dict[str, type] = {"room": ReservationSettings}
 TABLES = FRONTS | ROOM
 
 
@@ -106,9 +106,9 @@
     return found
 
 
-def load_room(path: Path) -> RoomSettings:
+def load_room(path: Path) -> ReservationSettings:
     """Reads a file like deploy/room.toml; without the table the defaults apply."""
-    room: RoomSettings = load(path, ROOM).get("room") or RoomSettings()
+    room: ReservationSettings = load(path, ROOM).get("room") or ReservationSettings()
     return room
 
 
--- a/larchgw/dispatcher/hot_restart/handover.py
+++ b/larchgw/dispatcher/hot_restart/handover.py
@@ -200,12 +200,12 @@
         Raises:
             ValueError, KeyError, TypeError, AttributeError: The message is malformed.
         """
-        boxes = self.core.boxes
+        boxes = self.core.workers
         if "hello" in message:
             peer.moves = str(message["moves"])
-            boxes.ever.update(worker.encode("latin-1") for worker in message["listed"])
+            boxes.ever_listed.update(worker.encode("latin-1") for worker in message["listed"])
             for name, at in message["out"].items():
-                self.core.take_out(name.encode("latin-1"), float(at))
+                self.core.ban_worker(name.encode("latin-1"), float(at))
             if message.get("learned") and not self.serving:
                 learned.restore(self.core.dispatcher, message["learned"])
         if "topic" in message and message["topic"] in self._topics:
@@ -213,9 +213,9 @@
         if "told" in message:
             peer.greeted = True
         if "down" in message:
-            self.core.take_out(message["down"].encode("latin-1"), float(message["at"]))
+            self.core.ban_worker(message["down"].encode("latin-1"), float(message["at"]))
         if "up" in message:
-            self.core.put_back(message["up"].encode("latin-1"))
+            self.core.unban_worker(message["up"].encode("latin-1"))
         peer.open.update(name.encode("latin-1") for name in message.get("open", ()))
         peer.open.difference_update(name.encode("latin-1") for name in message.get("over", ()))
         if "pending" in message:
@@ -242,7 +242,7 @@
     # Within
 
     def _send_hello(self, peer: Peer) -> None:
-        boxes = self.core.boxes
+        boxes = self.core.workers
         if self._timer is None:
             self._timer = self.loop.deadlines.add(
                 self.loop.clock.now() + PENDING_INTERVAL_S, self._broadcast_pending
@@ -250,7 +250,7 @@
         peer.send(
             hello=os.getpid(),
             moves=self._moves_name if self._moves else "",
-            listed=[w.decode("latin-1") for w in boxes.ever],
+            listed=[w.decode("latin-1") for w in boxes.ever_listed],
             out={w.decode("latin-1"): at for w, at in boxes.banned.items()},
             open=[name.decode("latin-1") for name in self.core.receive.names],
             pending=learned.pending(self.core.dispatcher),
@@ -291,7 +291,7 @@
         for peer in self.peers:
             for worker, slots in peer.pending.items():
                 pending[worker] = pending.get(worker, 0.0) + slots
-        self.core.beside(pending, len(self.peers))
+        self.core.set_sibling_load(pending, len(self.peers))
 
     def _try_to_serve(self) -> None:
         now = self.loop.clock.now()
--- a/larchgw/dispatcher/workers/connection.py
+++ b/larchgw/dispatcher/workers/connection.py
@@ -122,7 +122,7 @@
         key = b"X-Key: %016x\r\n" % request.key if request.key else b""
         # Workers detect repeats by this key alone. Without a key from the client, the job's name is used.
         deduplicated = self.pool.core.settings.classes[request.job_class].effect == "deduplicated"
-        once = request.once or (request.unique or request.name if deduplicated else b"")
+        once = request.idempotency_key or (request.unique or request.name if deduplicated else b"")
         key += b"Idempotency-Key: %b\r\n" % once if once else b""
         return (
             b"POST %b HTTP/1.1\r\nHost: %b\r\nX-Request-Id: %b\r\n%bX-Deadline-Ms: %d\r\n"
@@ -205,7 +205,7 @@
         self.timer = None
         # While the connection was being opened, the worker may have begun to drain, the client may have left,
         # or the time window of the attempt may have passed.
-        if self.attempt is not None and not self.pool.core.may_begin(self.attempt):
+        if self.attempt is not None and not self.pool.core.may_start_attempt(self.attempt):
             self.withdraw()
 
     def on_data(self, data: bytes) -> None:
--- a/larchgw/dispatcher/workers/pool.py
+++ b/larchgw/dispatcher/workers/pool.py
@@ -37,7 +37,7 @@
         self._cap_logged = False
         self._keep_alive = KeepAliveLimit(DEFAULT_IDLE_CLOSE_S)
         self.configure(raw_settings, cap)
-        core.on_list.append(self._close_drained)
+        core.list_listeners.append(self._close_drained)
 
     def configure(self, raw_settings: dict[str, Any], cap: int) -> None:
         """Applies the settings for connections and load reports, and the connection limit."""
@@ -115,10 +115,10 @@
         """
         for link in [x for x in self.links if x.unsent()]:
             moved = link.address != self.addresses.get(link.worker)
-            if moved or not self.core.boxes.open_to_work(link.worker):
+            if moved or not self.core.workers.takes_work(link.worker):
                 link.withdraw()
         for worker, idle in list(self.idle.items()):
-            if not self.core.boxes.open_to_work(worker):
+            if not self.core.workers.takes_work(worker):
                 for link in list(idle):
                     link.close()
 
--- a/larchgw/wsgi.py
+++ b/larchgw/wsgi.py
@@ -20,7 +20,7 @@
 from .dispatcher.assembly import Node
 from .dispatcher.config.startup import read
 from .dispatcher.core import Answer, AnswerKind, Request
-from .dispatcher.core.requests import News
+from .dispatcher.core.requests import JobMessage
 from .dispatcher.fronts.jobheaders import IDEMPOTENCY_KEY, http_answer, key_number, read_job
 from .net.http_server import MAX_BODY_BYTES
 
@@ -158,7 +158,7 @@
             if not self._running:
                 raise RuntimeError("the dispatcher is not running")
             # A job that is cancelled before the loop handles it is never sent.
-            self._node.loop.call_soon(lambda: None if future.cancelled() else self._node.core.take(request))
+            self._node.loop.call_soon(lambda: None if future.cancelled() else self._node.core.submit(request))
         return future
 
     # Called by the core on the dispatcher's thread
@@ -169,12 +169,12 @@
         if future.set_running_or_notify_cancel():
             future.set_result(answer)
 
-    def news(self, request: Request, kind: News, data: bytes) -> None:
+    def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
         """Ignores progress, as a future carries only the final answer."""
 
     def _cancel(self, request: Request) -> None:
         # Id 0 means that the core has not accepted the request yet.
-        self._node.loop.call_soon(lambda: self._node.core.gone(request) if request.id else None)
+        self._node.loop.call_soon(lambda: self._node.core.client_gone(request) if request.id else None)
 
     def _run(self) -> None:
         self._node.start()
