--- a/larchgw/dispatcher/scheduling/scheduler.py
+++ b/larchgw/dispatcher/scheduling/scheduler.py
@@ -1,8 +1,9 @@
-"""Every decision of the dispatcher. Its interface (settings, events, actions) is in `interface.py`.
+"""Scheduling decisions of the dispatcher. The settings, events and actions are defined in `interface.py`.
 
-The ordinary path is the pod selection of "LLM Instance Gateway": a job goes to a worker that holds its key,
-the holder with the MOST own pending still under a threshold; else it spills to the worker with the fewest
-active keys, then least total pending; ties at random. The rest are exceptions; comments name the danger.
+The default path follows the pod selection of "LLM Instance Gateway": a job goes to a worker that holds its
+key, preferring the holder with the MOST pending slots of that key that is still under its limit. Otherwise it
+spills to the worker with the fewest active keys, then the least total pending; ties are broken at random.
+All other rules are exceptions to this path; their comments name the failure that they prevent.
 """
 
 from __future__ import annotations
@@ -35,23 +36,23 @@
 
 PriorAttempt = tuple[WorkerId, float, float, int | None]  # worker, sent at, started at, status if it ended
 NEVER_RAN_STATUSES = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
-RING_POINTS = 8  # places of a usual worker on the ring that samples are drawn from; evens out the gaps
-SAMPLE = 8  # places looked at by key for one spill, and as many by chance where those have no room
-COMPARED_WORKERS = 2  # workers with room that are compared
-KEY_RETENTION = 5.0  # seconds that an idle key counts as held, for each use it has seen ...
-MAX_RETENTION_USES = 12  # ... up to so many: a key asked for once soon stops crowding the table
-SLOW_START_SHARE = 0.3  # share of the aim that a start may take before a worker counts as crowded
-INITIAL_SLOTS = 4.0  # slots a worker may have, until it is learned
-MIN_LIMIT, LIMIT_CUT, LIMIT_STEP = 0.25, 0.7, 0.25  # minimum and step in fair shares; factor of a cut
-WINDOW_STEP, WINDOW_CUT = 0.1, 0.2  # balanced when one job in three ends late, if late jobs are worth 0
-FETCHES_SAVED = 0.15  # fetches that one home in the fleet saves for each job that crosses zones to it
-RUN_TIME_TRUST = 2.0  # seconds after which half of what was seen of a worker's pace is still trusted
-SEND_ORDER_GAP = 0.5  # seconds between two sends to a worker from which they come there in that order
+RING_POINTS = 8  # Points per worker on the hash ring; several points even out the gaps.
+SAMPLE = 8  # Ring points sampled by key per spill, and again at random if none has room.
+COMPARED_WORKERS = 2  # Candidates with room that are compared per spill.
+KEY_RETENTION = 5.0  # Seconds that an idle key counts as held, per use seen.
+MAX_RETENTION_USES = 12  # Upper limit on counted uses; keys used once expire early and do not fill the table.
+SLOW_START_SHARE = 0.3  # A start delay above this share of the aim marks a worker as overloaded.
+INITIAL_SLOTS = 4.0  # Initial slot limit of a worker, before any feedback.
+MIN_LIMIT, LIMIT_CUT, LIMIT_STEP = 0.25, 0.7, 0.25  # Minimum and step in fair shares; cut is a factor.
+WINDOW_STEP, WINDOW_CUT = 0.1, 0.2  # In balance if one job in three is late and late jobs are worth 0.
+FETCHES_SAVED = 0.15  # Fetches saved per cross-zone job by one holder for the whole fleet.
+RUN_TIME_TRUST = 2.0  # Seconds after which an observed run-time ratio has half its weight.
+SEND_ORDER_GAP = 0.5  # Sends to one worker that are this many seconds apart arrive in order.
 TIMER_INTERVAL = 0.02
 
 
 class Dispatcher:
-    """Decides for one dispatcher. Same events, same actions; nothing is shared between instances."""
+    """Scheduler of one dispatcher. Deterministic for a given seed; instances share no state."""
 
     def __init__(
         self, settings: Settings, seed: int, actions: Actions, room: ReservationPolicy = NO_RESERVATIONS
@@ -59,7 +60,7 @@
         check_settings(settings)
         self.settings, self.actions, self.reservations = settings, actions, room
         self.rng = random.Random(seed)
-        self.fair_slots = max(INITIAL_SLOTS / settings.instances, 1.0)  # our share of a worker's slots
+        self.fair_slots = max(INITIAL_SLOTS / settings.instances, 1.0)  # Our share of a worker's slots.
         self.workers: dict[WorkerId, Worker] = {}
         self.ready_count = 0
         self.rings: dict[tuple[int, int], tuple[list[int], list[Worker]]] = {}
@@ -74,19 +75,19 @@
         self.fetch_time = MovingAverage(0.4 * settings.classes[0].aim)
         self.start_delay = MovingAverage(settings.classes[0].aim / 4)
         self.quotas = Quotas(settings)
-        self.fleet = Fleet(settings, seed ^ MASK)  # estimates of what all dispatchers do
+        self.fleet = Fleet(settings, seed ^ MASK)  # Estimates of the load from all dispatchers.
         self.copy_tokens = 2.0
         self.active_slots, self.window = (
             0.0,
             float("inf"),
-        )  # slots in use at responsive workers, and their limit
-        self.congestion = 0.0  # share of attempts that came back full or late
-        self.sibling_slots: Mapping[WorkerId, float] = {}  # slots that our other processes have out ...
+        )  # Slots in use at responsive workers, and the limit on them.
+        self.congestion = 0.0  # Moving average of the share of attempts that were full or late.
+        self.sibling_slots: Mapping[WorkerId, float] = {}  # Slots used by sibling processes.
         self.timer_set, self.queue_serial, self.list_failures = False, 0, 0
         self.subscribe_at = 0.0 if settings.must_subscribe else float("inf")
 
     def on_settings(self, settings: Settings) -> None:
-        """Other settings for the same classes. Jobs that are open keep the class that they came with."""
+        """Applies new settings for the same classes. Open jobs keep the class object they arrived with."""
         check_settings(settings)
         self.settings = settings
         self.fleet.configure(settings)
@@ -98,9 +99,10 @@
     def on_members(self, now: float, kind: int, members: Iterable[Member]) -> None:
         """The worker list, or a change to it."""
         if kind == ListKind.FAILED:
-            # The list service is down for everybody: asking again at once, all together, keeps it down.
+            # The list service fails for all dispatchers at once: synchronized retries keep it down.
             self.subscribe_at = now + min(0.5 * 2**self.list_failures, 8.0) * self.rng.uniform(0.5, 1.0)
-            self.list_failures = min(self.list_failures + 1, 4)  # 8 s; a float holds no power above 1,023
+            # 4 failures reach the 8 s maximum; without a cap, 2**1024 would overflow a float.
+            self.list_failures = min(self.list_failures + 1, 4)
             self._ensure_timer(now)
             return
         if kind != ListKind.CACHED:
@@ -112,7 +114,7 @@
             if worker is None:
                 worker = self.workers[m.worker] = Worker(m, self.fair_slots)
             if m.presence == Presence.READY and m.up_since > worker.up_since:
-                # A restarted worker holds nothing and can do little; what was known of it is void.
+                # A restarted worker holds no keys and is still cold, so all learned state is discarded.
                 self._forget_held_keys(worker)
                 worker.reset(self.fair_slots)
                 self.suspects.pop(worker.id, None)
@@ -168,7 +170,7 @@
     def on_request(
         self, now: float, request: Request, came: float = 0.0, tries: Iterable[PriorAttempt] = ()
     ) -> None:
-        """A job has arrived, perhaps tried by another process so far: send it, hold it or refuse it."""
+        """Sends, queues or refuses a new job, which another process may have tried already."""
         cls = self.settings.classes[request.job_class]
         job = self.jobs[request.id] = Job(request, cls)
         mean = self.run_times[request.job_class]
@@ -179,7 +181,7 @@
         last = request.give_up_at - 0.05
         aim = first + cls.aim + cls.stretch * run
         job.target_start = aim - run
-        # A job that cannot be done before its client, or the dispatcher, is gone is refused at once.
+        # Refuse at once a job that cannot finish before its client or the dispatcher is gone.
         job.latest_start = min(last - least, aim - least if cls.late_worth <= 0 else max(aim, last - least))
         slack = max(job.latest_start - now, 0.0)
         job.may_spill_at = now + max(min(self.fetch_time.value, 0.5 * slack), self.congestion * slack)
@@ -200,7 +202,7 @@
     def _adopt_attempt(
         self, now: float, job: Job, name: WorkerId, sent: float, begun: float, status: int | None
     ) -> None:
-        """Counts an attempt of another process, which ended so or is still out, like one of ours."""
+        """Records an attempt of another process, ended or still in flight, as one of our own."""
         worker = self.workers.get(name) or Worker(Member(name), self.fair_slots)
         state = IN_FLIGHT if status is None else NEVER_RAN if status in NEVER_RAN_STATUSES else MAYBE_RAN
         attempt = Attempt(job, len(job.attempts), worker, None, sent)
@@ -217,7 +219,7 @@
         open_ = (
             self.fleet.reports.enabled
             or self.active_slots <= 0
-            or (  # they tell of their room, or are to show it
+            or (  # Workers report their free slots, or none is in use yet.
                 self.active_slots + job.request.slots + self.reservations.reserved_slots(now, job)
                 <= self.window
             )
@@ -243,8 +245,8 @@
             return best
         sick = self.fleet.health.is_failing
         if now < job.may_spill_at and any(p.worker.ready and not sick(now, p.worker) for p in holders):
-            # A spill makes another worker fetch the key, in slots that jobs need, from a store that all
-            # share: while that takes longer than waiting for a holder, wait. But not for one that is sick.
+            # A spill makes another worker fetch the key, which occupies slots and loads the shared store.
+            # Wait for a holder while that is faster than a fetch, but not for a failing one.
             return None
         if (kept := self.reservations.reserved_worker(now, job)) and self._can_take(now, job, kept):
             return kept
@@ -254,7 +256,7 @@
         first, second = self.settings.zone, -1
         run = self.run_times[job.request.job_class].value
         if key and self.fetch_time.value * FETCHES_SAVED > self.settings.price_cross * run:
-            first, second = second, first  # one home in the fleet rather than one in each zone
+            first, second = second, first  # Prefer one holder in the fleet to one per zone.
         best = self._choose_spill_worker(now, job, first)
         if best is None and self.settings.zones > 1:
             best = self._choose_spill_worker(now, job, second)
@@ -285,7 +287,7 @@
         if not places:
             return None
         key, bits = job.request.key, self.rng.getrandbits
-        if key and self.fleet.reports.enabled:  # a home that would have to fetch it gets it where none waits
+        if key and self.fleet.reports.enabled:  # A key that must be fetched goes where no job waits.
             return next(
                 (
                     w
@@ -296,8 +298,8 @@
             )
         homes = self.fleet.home_indices(key, SAMPLE) if key else ()
         for i in homes:
-            # Dispatchers that see little of a key send it where all others do: it is held there, as far as
-            # anybody can tell who has sent it nowhere himself.
+            # The ring position depends only on the key, so dispatchers that rarely see a key choose the same
+            # workers as the others, where the key is most likely held.
             worker = workers[bisect(places, mix(key + i * 0x9E3779B97F4A7C15 & MASK)) % len(places)]
             if self._can_take(now, job, worker) and self.fleet.accepts(now, job, worker):
                 return worker
@@ -323,26 +325,26 @@
         return best
 
     def _can_take(self, now: float, job: Job, w: Worker) -> bool:
-        """Whether this worker is under its threshold, in health, and open to this job."""
+        """Returns whether this worker is below its limit, healthy and able to take this job."""
         there = w.pending_slots + self.sibling_slots.get(w.id, 0.0)
         full = there > 0 and there + job.request.slots > w.slot_limit and not self.fleet.reports.enabled
         if not w.ready or now < w.avoid_until or full or job.cls.kind not in (-1, w.kind):
             return False
         if w.run_time_ratio > 1.0 and now < job.target_start:
-            # A machine shared with another program still starts jobs and ends them late. What was seen of it
-            # counts for less the longer ago it was, or it would never be tried again.
+            # A worker on a shared machine starts jobs on time but finishes them late. Old observations
+            # lose weight over time; otherwise the worker would never be tried again.
             slow = (w.run_time_ratio - 1.0) * RUN_TIME_TRUST / (RUN_TIME_TRUST + now - w.run_time_ratio_at)
             if now + slow * job.expected_run > job.target_start:
                 return False
         if job.cls.effect == "at_most_once" and (w.suspicion or self.fleet.is_underused(now, w)):
-            return False  # a doubtful worker is tried with jobs that may be repeated
+            return False  # Only repeatable jobs are used to test a doubtful worker.
         if (
             w.failure_share
             and self.fleet.health.is_failing(now, w)
             and (w.pending_slots > 0 or job.cls.effect == "at_most_once")
         ):
-            # A worker that fails fast has room at all times and draws job after job: one at a time, and none
-            # that a failure would end.
+            # A worker that fails fast always has room and would attract most jobs. Send it one at a time, and
+            # none that could not be retried after a failure.
             return False
         if now < w.warm_at and not self.fleet.may_use_cold_worker(now, job, w):
             return False
@@ -351,7 +353,7 @@
         return may_send(self.settings, now, job, w) and self.reservations.admits(now, job, w)
 
     def may_start_attempt(self, now: float, request: int, attempt: int) -> bool:
-        """Whether the first byte of an attempt may still go out, though its connection came up late."""
+        """Returns whether an attempt may still send its first byte after a slow connect."""
         job = self.jobs.get(request)
         if job is None or job.done or attempt >= len(job.attempts):
             return False
@@ -374,7 +376,7 @@
             pair.pending_slots += request.slots
         self.fleet.on_sent(now, job, worker)
         if worker.slot_limit < 1.0:
-            # On a big fleet our fair part of a worker is under one slot: leave it alone in between.
+            # In a large fleet our fair share of a worker is below one slot: pause between sends.
             worker.avoid_until = now + self.run_times[request.job_class].value / worker.slot_limit
         if worker.suspicion:
             worker.avoid_until = now + self._liveness_timeout(job) * (1 + worker.suspicion)
@@ -403,7 +405,7 @@
         return pair
 
     def _enqueue(self, now: float, job: Job) -> None:
-        """Keeps a job that nothing has room for, rather than burn its attempts."""
+        """Queues a job while no worker has room, instead of using up its attempts."""
         if self.reservations.is_infeasible(job):
             self._refuse_or_fail(now, job)
         elif not job.queued:
@@ -414,7 +416,7 @@
             self._ensure_timer(now)
 
     def _refuse_or_fail(self, now: float, job: Job) -> None:
-        """Our final answer: refused where that is true, failed otherwise."""
+        """Sends the final answer: a refusal if the job is safe to retry, otherwise a failure."""
         if job.done:
             return
         job.done = True
@@ -434,7 +436,7 @@
             self.jobs.pop(job.request.id, None)
 
     def _retry_or_answer(self, now: float, job: Job) -> None:
-        """A job whose attempt failed goes on, waits, or is answered."""
+        """Retries, queues or answers a job after a failed attempt."""
         if job.done or job.in_flight():
             return
         if len(job.attempts) >= self.settings.max_attempts or now >= job.request.give_up_at - 0.01:
@@ -444,13 +446,13 @@
         else:
             left = self.settings.max_attempts - len(job.attempts)
             if left < self.settings.max_attempts // 2:
-                # Full everywhere: the attempts left are spread over the time left, not burnt in a moment.
+                # All workers are full: spread the remaining attempts over the remaining time.
                 job.retry_at = now + max(job.latest_start - now, 0.0) / (left + 1)
             if job.retry_at > now or not self._try_place(now, job):
                 self._enqueue(now, job)
 
     def _place_queued(self, now: float, tries: int, freed: Worker | None = None) -> None:
-        """Places held jobs, best worth for their work first; a freed worker looks for keys that it holds."""
+        """Places queued jobs by worth per unit of work; a freed worker prefers keys that it holds."""
         if (
             freed is not None
             and (due := self.reservations.due_job(now, freed))
@@ -478,13 +480,13 @@
                 index -= 1
                 del self.queue[index]
 
-    # What is heard of attempts
+    # Attempt events
 
     def _liveness_index(self, job: Job) -> int:
         return 0 if self.settings.tells_start else 2 + job.request.job_class
 
     def _liveness_timeout(self, job: Job) -> float:
-        """How long an attempt may show no sign of life, by what the fleet shows."""
+        """Returns how long an attempt may be silent, based on delays observed across the fleet."""
         if self.settings.tells_start:
             return max(
                 self.start_delay.value + 6.0 * self.start_delay.deviation, 0.5 * self.run_times[0].value
@@ -493,7 +495,7 @@
         return max(run.value + 5.0 * run.deviation, 1.5 * run.value)
 
     def on_attempt_progress(self, now: float, note: Note) -> None:
-        """An attempt has started or made progress."""
+        """Handles the start or progress of an attempt."""
         job = self.jobs.get(note.request)
         if job is None or note.attempt >= len(job.attempts):
             return
@@ -523,18 +525,18 @@
         attempt.last_seen = now
 
     def _back_off(self, now: float, worker: Worker, off: float, least: float) -> None:
-        """A late start or 'full' tells of others' jobs, which are hidden: a lower threshold, a step off."""
+        """Lowers the limit and pauses sends: a late start or 'full' reveals load from other dispatchers."""
         worker.slot_limit = max(
             min(least, worker.slot_limit), LIMIT_CUT * min(worker.slot_limit, worker.pending_slots + 1.0)
         )
         worker.avoid_until = max(worker.avoid_until, now + off)
 
     def _adjust_window(self, late: bool, slots: float, loss: float) -> None:
-        """The window of jobs out: when a good part ends late, more at once only makes more of them late."""
+        """Adapts the window of slots in use: if many jobs end late, more concurrency makes more late."""
         if late:
             floor = max(
                 2.0, 2.0 * self.ready_count / self.settings.instances
-            )  # our share of 2 slots a worker
+            )  # Our share of 2 slots per worker.
             self.window = max(min(self.window, self.active_slots + slots) - WINDOW_CUT * slots * loss, floor)
         elif self.active_slots + slots > 0.7 * self.window:
             self.window += WINDOW_STEP * slots
@@ -547,7 +549,7 @@
             self.suspects.pop(worker.id, None)
 
     def _mark_suspect(self, now: float, worker: Worker, base: float) -> bool:
-        """Silence where peers answer: stop sending, come back gently. If half are silent, it is not they."""
+        """Backs off from a silent worker, unless half the fleet is silent: then the cause lies elsewhere."""
         if worker.id not in self.suspects and 2 * (len(self.suspects) + 1) > self.ready_count + 1:
             return False
         self.suspects[worker.id] = worker
@@ -602,7 +604,7 @@
             begun = attempt.started_at or attempt.sent_at
             self._learn_run_time(now, attempt, now - begun)
         elif status == Status.FULL:
-            # Full by others' jobs: step off for about as long as a slot takes to come free.
+            # Full with other dispatchers' jobs: back off for about the time until a slot frees up.
             self._mark_responsive(now, worker)
             worker.full_count = min(worker.full_count + 1, 4)
             self.fleet.on_full(now, worker)
@@ -615,8 +617,8 @@
         elif status in (Status.CONNECT_FAILED, Status.RESET):
             worker.connection_failures += 1
             if status == Status.CONNECT_FAILED or worker.connection_failures > 1:
-                # It may have died or been replaced: it holds nothing, and comes back cold. One reset alone is
-                # the network's as often: a worker that has died refuses the next connection.
+                # The worker may have died or been replaced, so it holds no keys and restarts cold. One reset
+                # alone is as often a network fault: a dead worker refuses the next connection.
                 self._forget_held_keys(worker)
                 self._mark_suspect(now, worker, 0.5)
         elif status == Status.ERROR:
@@ -650,31 +652,31 @@
             self.fleet.run_predictor.on_run(job.request.job_class, job.request.hint, run)
 
     def on_client_gone(self, now: float, request: int) -> None:
-        """The client has left; nothing is owed any more."""
+        """Closes a job whose client has disconnected."""
         job = self.jobs.get(request)
         if job is not None and not job.done:
             self._close_job(job)
 
     def on_answer_started(self, now: float, request: int, attempt: int) -> None:
-        """A streamed answer has begun: the other copies are of no more use."""
+        """Marks a job as done when its streamed answer begins; other attempts are no longer needed."""
         job = self.jobs.get(request)
         if job is not None and attempt < len(job.attempts):
             self._mark_responsive(now, job.attempts[attempt].worker)
             job.done = True
 
     def on_sibling_load(self, pending: Mapping[WorkerId, float], others: int) -> None:
-        """In an upgrade two processes serve as one dispatcher: together they keep to its part."""
+        """Counts sibling load: during an upgrade, two processes together keep to one dispatcher's share."""
         self.sibling_slots, self.fleet.cold_start.processes = pending, 1 + others
 
     def avoided_workers(self, now: float) -> list[WorkerId]:
-        """The workers that something is held against: they are silent, or fail their jobs."""
+        """Returns the ready workers that are suspect (silent) or failing their jobs."""
         sick = self.fleet.health.is_failing
         return [w.id for w in self.workers.values() if w.ready and (w.suspicion or sick(now, w))]
 
     def on_probe_result(
         self, now: float, worker: WorkerId, status: int, latency: float, report: Sequence[float]
     ) -> None:
-        """A worker answered a probe, or did not."""
+        """Handles the result of a probe."""
         known = self.workers.get(worker)
         if known and status == Status.OK:
             self.fleet.reports.on_report(now, known, report)
@@ -684,7 +686,7 @@
             for attempt in [a for job in self.jobs.values() for a in job.attempts if a.worker is known]:
                 self._check_liveness(now, attempt, self.liveness[self._liveness_index(attempt.job)])
 
-    # Time
+    # Timers
 
     def _ensure_timer(self, now: float) -> None:
         if not self.timer_set:
@@ -692,7 +694,7 @@
             self.actions.timer(now + TIMER_INTERVAL, 0)
 
     def on_timer(self, now: float, token: int) -> None:
-        """One timer drives everything that waits."""
+        """Runs all periodic work: resubscription, probes, liveness checks and the queue."""
         self.timer_set = False
         if now >= self.subscribe_at > 0.0:
             self.subscribe_at = float("inf")
@@ -709,7 +711,7 @@
                 if job.queued and not job.in_flight() and job.latest_start <= now:
                     self._refuse_or_fail(now, job)
                 elif job.target_start <= now and job.value > 0 and item[0][0] == -job.value:
-                    # It can only come late now: it must not make those late that still can be in time.
+                    # The job will be late anyway: lower its rank so it does not delay jobs still on time.
                     job.value *= job.cls.late_worth
                     job.queue_order = (-job.value, job.queue_order[1])
             left = [(j.queue_order, j) for _, j in self.queue if j.queued and not j.done]
@@ -719,7 +721,7 @@
             self._ensure_timer(now)
 
     def _try_new_worker(self, now: float) -> None:
-        """Tries who has just started with the smallest job that waits: larger ones are over its budget."""
+        """Tries a newly started worker with the smallest queued job; larger ones exceed its budget."""
         waiting = [j for _, j in self.queue if j.queued and not j.done and now >= j.retry_at]
         job = min(waiting, key=lambda j: j.expected_run * j.request.slots, default=None)
         w = self.fleet.next_cold_worker(now, job, lambda w: self._is_healthy(now, w)) if job else None
@@ -728,12 +730,12 @@
                 job.queued = False
 
     def _check_liveness(self, now: float, attempt: Attempt, watch: deque[tuple[float, Attempt]]) -> None:
-        """An attempt should have shown life by now."""
+        """Checks an attempt whose liveness timeout has passed."""
         job, worker = attempt.job, attempt.worker
         if attempt.state != IN_FLIGHT:
             return
         if not attempt.last_seen and now < attempt.sent_at + attempt.queue_allowance:
-            # Others' jobs stood before it, as the list told when it was sent: that it waits is no silence.
+            # The worker list showed other jobs queued ahead at send time, so waiting is expected.
             watch.append((now + self._liveness_timeout(job), attempt))
             return
         seen = attempt.last_seen if watch is self.liveness[1] else attempt.sent_at
@@ -744,8 +746,8 @@
             return
         if worker.last_contact_at <= seen and worker.ready:
             self._mark_suspect(now, worker, 1.0)
-        # Its queue is served in order: what has not begun when later ones have is not in it.
-        # One that fetches its key says that it has begun only after that.
+        # A FIFO queue starts jobs in order: if a later job has started, this one is not in the queue.
+        # An attempt that fetches its key reports its start only after the fetch.
         order = SEND_ORDER_GAP + 3.0 * self.fetch_time.value
         overtaken = (
             self.settings.fifo and watch is self.liveness[0] and attempt.sent_at + order < worker.last_started
@@ -755,10 +757,10 @@
             attempt.presumed_lost = True
             self.active_slots -= job.request.slots
         if not silent and watch is self.liveness[0] and self.settings.fifo and job.cls.effect == "idempotent":
-            watch.append((now + self._liveness_timeout(job), attempt))  # others may still overtake it
+            watch.append((now + self._liveness_timeout(job), attempt))  # Later jobs may still overtake it.
         if job.done or job.in_flight() > 1 or not silent or self.copy_tokens < 1.0:
             return
-        # Its worker has gone silent: a second copy where class, group and memory allow.
+        # The worker is silent: send a second copy if class, group and memory window allow it.
         if self.settings.second_copies and self._try_place(now, job):
             self.copy_tokens -= 1.0
         elif (
@@ -767,10 +769,10 @@
             and job.cls.effect == "idempotent"
             and (len(job.attempts) < self.settings.max_attempts and self._has_untried_worker(job))
         ):
-            # The last one is let run, and one that nobody else can take: nothing could follow it.
+            # The last attempt, or one no other worker can take, keeps running: nothing could replace it.
             self.actions.cancel(job.request.id, attempt.index)
 
     def _has_untried_worker(self, job: Job) -> bool:
-        """Whether a worker takes work that has not had this job yet."""
+        """Returns whether the fleet has a ready worker that this job has not been tried on."""
         tried = {a.worker.id for a in job.attempts if a.state != NEVER_RAN and a.worker.ready}
         return self.ready_count > len(tried)
