--- a/larchgw/dispatcher/scheduling/interface.py
+++ b/larchgw/dispatcher/scheduling/interface.py
@@ -1,6 +1,6 @@
-"""What goes into and comes out of a `Dispatcher`: settings, events and actions. No logic lives here.
+"""Inputs and outputs of a `Dispatcher`: settings, events and actions. Contains no logic.
 
-Times are seconds on one clock of the caller's choosing. Ids are opaque: they are compared and handed back.
+Times are seconds on a single clock chosen by the caller. Ids are opaque: only compared and passed back.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Literal, Protocol
 
 WorkerId = bytes
-Effect = Literal["idempotent", "deduplicated", "at_most_once"]  # what a repeat of a job does
+Effect = Literal["idempotent", "deduplicated", "at_most_once"]  # Effect of running a job again.
 
 
 class Status(IntEnum):
@@ -28,7 +28,7 @@
 
 
 class Presence(IntEnum):
-    """What the worker list says of a worker."""
+    """State of a worker in the worker list."""
 
     GONE = 0
     READY = 1
@@ -36,7 +36,7 @@
 
 
 class ListKind(IntEnum):
-    """What a message of the worker list holds."""
+    """Kind of a worker list message."""
 
     DELTA = 0  # changed entries only
     FULL = 1  # every worker
@@ -46,25 +46,25 @@
 
 @dataclass(slots=True)
 class JobClass:
-    """One class of jobs; `effect` says what a repeat does."""
+    """One class of jobs; `effect` states what running a job again does."""
 
     name: str
-    aim: float  # full worth up to here ...
+    aim: float  # Seconds within which an answer has its full worth.
     deadline: float
     worth: float = 1.0
-    late_worth: float = 0.0  # ... and this share of it until the deadline
-    stretch: float = 0.0  # the aim grows by this multiple of the job's own work
+    late_worth: float = 0.0  # Share of the worth for an answer between aim and deadline.
+    stretch: float = 0.0  # Multiple of the job's own work that is added to the aim.
     effect: Effect = "at_most_once"
-    group: str = "all"  # deduplicated: who drops repeats: "all", one "zone" or one "cell"
-    window: float = 0.0  # deduplicated: for how long
-    kind: int = -1  # the one kind of worker that runs it; -1: any
+    group: str = "all"  # Scope of deduplication: "all", one "zone" or one "cell".
+    window: float = 0.0  # Seconds for which repeats are deduplicated.
+    kind: int = -1  # Worker kind that can run it; -1: any.
     priority: int = 0
     stream: bool = False
 
 
 @dataclass(slots=True)
 class Tenant:
-    """A customer; `quota` is jobs a second over all dispatchers."""
+    """A customer; `quota` is in jobs per second across all dispatchers."""
 
     name: str
     share: float = 0.0
@@ -77,7 +77,7 @@
 
     classes: list[JobClass]
     tenants: list[Tenant] = field(default_factory=list)
-    instances: int = 1  # dispatchers that share the fleet
+    instances: int = 1  # Number of dispatchers that share the fleet.
     zone: int = 0
     zones: int = 1
     kinds: int = 1
@@ -98,29 +98,29 @@
     worth_by_work: bool = False
     tells_start: bool = False
     progress: float = 0.0
-    slot_reports: int = -1  # index of "free slots" in load reports; -1: none
-    queue_reports: int = -1  # index of "requests waiting"
-    fail_reports: int = -1  # index of "errors a second"
-    fifo: bool = False  # whether workers start their waiting jobs in order
+    slot_reports: int = -1  # Index of "free slots" in load reports; -1: none.
+    queue_reports: int = -1  # Index of "requests waiting"; -1: none.
+    fail_reports: int = -1  # Index of "errors a second"; -1: none.
+    fifo: bool = False  # Whether workers start queued jobs in order of arrival.
     price_cross: float = 0.0
     price_fetch: float = 0.0
     price_probe: float = 0.0
     price_waste: float = 0.0
     price_late: float = 0.0
-    live_weights: bool = False  # whether a member's size is lowered by the requests that it holds per core
-    pull: bool = False  # whether load reports come only with answers to probes
-    rank: int = -1  # our number among the dispatchers; -1: not told
-    sized: bool = False  # whether a member's size tells what it can do, whatever it holds
-    dial_timeout: float = 0.25  # seconds that a connection may take to come up
+    live_weights: bool = False  # Whether size decreases with the requests held per core.
+    pull: bool = False  # Whether load reports come only in probe responses.
+    rank: int = -1  # Index of this dispatcher among all; -1: unknown.
+    sized: bool = False  # Whether a member's size is its capacity, independent of its load.
+    dial_timeout: float = 0.25  # Connect timeout in seconds.
 
 
 @dataclass(slots=True)
 class Member:
-    """One line of the worker list."""
+    """One entry of the worker list."""
 
     worker: WorkerId
     presence: int = Presence.READY
-    up_since: float = 0.0  # 0: long ago
+    up_since: float = 0.0  # 0: long ago.
     kind: int = 0
     zone: int = 0
     cell: int = 0
@@ -129,27 +129,27 @@
 
 @dataclass(slots=True)
 class Request:
-    """A job that has arrived; one final answer is owed before `give_up_at`."""
+    """An incoming job; it must get exactly one final answer before `give_up_at`."""
 
     id: int
     give_up_at: float
     job_class: int = 0
-    key: int = 0  # 0: none
+    key: int = 0  # 0: none.
     tenant: int = 0
     slots: float = 1.0
     memory: float = 0.0
-    hint: float = 0.0  # expected work; 0: not known
-    repeat: bool = False  # the client has asked before
+    hint: float = 0.0  # Expected work; 0: unknown.
+    repeat: bool = False  # Whether the client has sent this request before.
 
 
 @dataclass(slots=True)
 class Note:
-    """A sign of life from an attempt that is still out."""
+    """A start or progress message from an attempt in flight."""
 
     request: int
     attempt: int
     worker: WorkerId
-    started: bool = True  # False: progress
+    started: bool = True  # False: a progress message.
     share: float = 0.0
 
 
@@ -167,25 +167,25 @@
 
 
 class Actions(Protocol):
-    """What a dispatcher asks its host to do."""
+    """Operations that a dispatcher requests from its host."""
 
     def send(self, request: int, worker: WorkerId, timeout: float) -> None:
-        """Start an attempt; a time-out of 0 lasts until the client gives up."""
+        """Start an attempt; with a timeout of 0, it lasts until the client gives up."""
 
     def refuse(self, request: int, retry_after: float) -> None:
-        """Final answer: it has not run, a retry is harmless."""
+        """Send the final answer that a retry is harmless."""
 
     def fail(self, request: int) -> None:
-        """Final answer: no promise about its effect."""
+        """Send the final answer that the job failed and may or may not have taken effect."""
 
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for an attempt."""
 
     def timer(self, at: float, token: int) -> None:
-        """Call `on_timer(token)` at that time or soon after."""
+        """Call `on_timer` with this token at that time or soon after."""
 
     def probe(self, worker: WorkerId) -> None:
-        """Ask a worker for its load."""
+        """Request a load report from a worker."""
 
     def subscribe(self) -> None:
-        """Ask for the changes to the worker list from now on."""
+        """Subscribe to changes of the worker list."""
--- a/larchgw/dispatcher/scheduling/records.py
+++ b/larchgw/dispatcher/scheduling/records.py
@@ -1,4 +1,4 @@
-"""Records of the scheduler: workers, keys held, jobs and attempts. No decisions."""
+"""State records of the scheduler: workers, held keys, jobs and attempts. Contains no decision logic."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MovingAverage:
-    """A moving mean and mean deviation."""
+    """Exponential moving average with the mean absolute deviation; a plain mean over the first samples."""
 
     __slots__ = ("value", "deviation", "sample_count")
 
@@ -25,7 +25,7 @@
 
 
 class HeldKey:
-    """A key at a worker that holds it, with our own pending slots of it there."""
+    """A key held by one worker, with the slots of this dispatcher's pending jobs for it there."""
 
     __slots__ = ("key", "worker", "pending_slots", "last_used_at", "use_count")
 
@@ -40,7 +40,7 @@
 
 
 class Worker:
-    """What this dispatcher knows of one worker."""
+    """State that this dispatcher keeps for one worker."""
 
     __slots__ = (
         "id",
@@ -79,20 +79,23 @@
         self.reset(limit)
 
     def reset(self, limit: float) -> None:
-        """What was learned is void: this is a new process."""
+        """Discards learned state, because the worker is a new process."""
         self.slot_limit, self.avoid_until, self.full_count, self.suspicion = limit, 0.0, 0, 0
-        self.run_time_ratio, self.run_time_ratio_at = 1.0, 0.0  # running times here over the usual
+        self.run_time_ratio, self.run_time_ratio_at = (
+            1.0,
+            0.0,
+        )  # Ratio of run times on this worker to the usual run time.
         self.failure_share, self.failure_share_at = (
             0.0,
             0.0,
-        )  # share of jobs that it failed, and when that was last seen
-        self.connection_failures = 0  # connections that broke since the last sign of life
-        self.last_started = 0.0  # when the latest job was sent that has begun
-        self.last_report: tuple[float, ...] = ()  # the last one
+        )  # Share of failed jobs, and when it was last updated.
+        self.connection_failures = 0  # Connection failures since the last response.
+        self.last_started = 0.0  # Send time of the most recently sent job that has started.
+        self.last_report: tuple[float, ...] = ()
 
 
 class Attempt:
-    """One send of a job."""
+    """One attempt to run a job on a worker."""
 
     __slots__ = (
         "job",
@@ -112,15 +115,15 @@
     def __init__(self, job: Job, index: int, worker: Worker, pair: HeldKey | None, now: float) -> None:
         self.job, self.index, self.worker, self.held_key, self.sent_at = job, index, worker, pair, now
         self.state = IN_FLIGHT
-        self.presumed_lost = False  # its worker has gone silent
-        self.queue_allowance = 0.0  # seconds that it may well wait behind others ...
-        self.expected_delay = 0.0  # ... and that it was expected to
+        self.presumed_lost = False  # Set when the worker is silent or later jobs have started first.
+        self.queue_allowance = 0.0  # Seconds that it may wait in the queue without being suspect.
+        self.expected_delay = 0.0  # Expected queueing delay in seconds.
         self.fetches_key = pair is not None and pair.use_count <= 1
-        self.last_seen = self.started_at = 0.0  # when it last showed that it runs, and when it first did
+        self.last_seen = self.started_at = 0.0  # Times of the last and first sign that it runs.
 
 
 class Job:
-    """A request that is owed an answer, or has attempts out."""
+    """A request that still needs an answer or has attempts in flight."""
 
     __slots__ = (
         "request",
--- a/larchgw/dispatcher/scheduling/retry_rules.py
+++ b/larchgw/dispatcher/scheduling/retry_rules.py
@@ -1,15 +1,15 @@
-"""Rules 1 to 4: whether a job may be sent or sent again, until when, and whether it may be refused."""
+"""Retry rules 1 to 4: whether and until when a job may be sent or resent, and whether it may be refused."""
 
 from __future__ import annotations
 
 from .interface import Settings
 from .records import IN_FLIGHT, NEVER_RAN, Job, Worker
 
-ARRIVAL_TIME = 0.05  # seconds that a request takes from its first byte to its last one's arrival
+ARRIVAL_TIME = 0.05  # Seconds from sending the first byte of a request to the arrival of its last.
 
 
 def may_send(s: Settings, now: float, job: Job, worker: Worker) -> bool:
-    """Rules 1 to 3 for one send. Every send passes here."""
+    """Applies rules 1 to 3 to one attempt. Every send must pass this check."""
     if not job.attempts:
         return worker.ready and not job.done
     late = now >= job.request.give_up_at
@@ -27,18 +27,18 @@
                 group == "cell" and a.worker.cell != worker.cell
             ):
                 return False
-    return now + s.dial_timeout < window_end(job)  # its connection may come up late
+    return now + s.dial_timeout < window_end(job)  # The connect may take up to the dial timeout.
 
 
 def window_end(job: Job, before: int | None = None) -> float:
-    """Until when a send may go out: workers remember a repeat from the first send that may have run."""
+    """Returns the latest send time. Deduplication windows start at the first attempt that may have run."""
     ran = (a.sent_at for a in job.attempts[:before] if a.state != NEVER_RAN)
     first = next(ran, None) if job.cls.effect == "deduplicated" else None
     return float("inf") if first is None else first + job.cls.window - ARRIVAL_TIME
 
 
 def may_refuse(job: Job) -> bool:
-    """A refusal says that a retry is harmless."""
+    """Returns whether the job may be refused: a refusal promises the client that a retry is harmless."""
     if job.cls.effect == "idempotent" or (job.cls.effect == "deduplicated" and job.cls.group == "all"):
         return True
     return all(a.state == NEVER_RAN for a in job.attempts)
