--- a/larchgw/dispatcher/scheduling/interface.py
+++ b/larchgw/dispatcher/scheduling/interface.py
@@ -173,7 +173,7 @@
         """Start an attempt; with a timeout of 0, it lasts until the client gives up."""
 
     def refuse(self, request: int, retry_after: float) -> None:
-        """Send the final answer that a retry is harmless."""
+        """Send a refusal as the final answer: the job has not run, and a retry is harmless."""
 
     def fail(self, request: int) -> None:
         """Send the final answer that the job failed and may or may not have taken effect."""
--- a/larchgw/dispatcher/scheduling/scheduler.py
+++ b/larchgw/dispatcher/scheduling/scheduler.py
@@ -36,7 +36,7 @@
 
 PriorAttempt = tuple[WorkerId, float, float, int | None]  # worker, sent at, started at, status if it ended
 NEVER_RAN_STATUSES = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
-RING_POINTS = 8  # Points per worker on the hash ring; several points even out the gaps.
+RING_POINTS = 8  # Hash ring points of a worker of average speed; several points even out the gaps.
 SAMPLE = 8  # Ring points sampled by key per spill, and again at random if none has room.
 COMPARED_WORKERS = 2  # Candidates with room that are compared per spill.
 KEY_RETENTION = 5.0  # Seconds that an idle key counts as held, per use seen.
@@ -278,10 +278,10 @@
         return ring
 
     def _choose_spill_worker(self, now: float, job: Job, zone: int) -> Worker | None:
-        """Fewest active keys, then least pending, among a sample.
+        """Picks the worker with the fewest active keys, then the least pending, from a sample.
 
-        On a large fleet a scan for each job costs too much, and every dispatcher would find the same fresh
-        worker. The sample is drawn by the key: dispatchers that share nothing look in the same few places.
+        On a large fleet, scanning all workers per job is too slow, and all dispatchers would pick the same new
+        worker. The sample depends on the key, so independent dispatchers examine the same few workers.
         """
         places, workers = self._ring(zone, job.cls.kind)
         if not places:
