--- a/larchgw/dispatcher/scheduling/interface.py
+++ b/larchgw/dispatcher/scheduling/interface.py
@@ -55,8 +55,8 @@
     late_worth: float = 0.0  # Share of the worth for an answer between aim and deadline.
     stretch: float = 0.0  # Multiple of the job's own work that is added to the aim.
     effect: Effect = "at_most_once"
-    group: str = "all"  # Scope of deduplication: "all", one "zone" or one "cell".
-    window: float = 0.0  # Seconds for which repeats are deduplicated.
+    group: str = "all"  # Only for "deduplicated": who drops repeats: "all", one "zone" or one "cell".
+    window: float = 0.0  # Only for "deduplicated": seconds for which repeats are dropped.
     kind: int = -1  # Worker kind that can run it; -1: any.
     priority: int = 0
     stream: bool = False
@@ -107,7 +107,7 @@
     price_probe: float = 0.0
     price_waste: float = 0.0
     price_late: float = 0.0
-    live_weights: bool = False  # Whether size decreases with the requests held per core.
+    live_weights: bool = False  # Whether a member's size decreases with the requests it holds per core.
     pull: bool = False  # Whether load reports come only in probe responses.
     rank: int = -1  # Index of this dispatcher among all; -1: unknown.
     sized: bool = False  # Whether a member's size is its capacity, independent of its load.
--- a/larchgw/dispatcher/scheduling/records.py
+++ b/larchgw/dispatcher/scheduling/records.py
@@ -81,10 +81,7 @@
     def reset(self, limit: float) -> None:
         """Discards learned state, because the worker is a new process."""
         self.slot_limit, self.avoid_until, self.full_count, self.suspicion = limit, 0.0, 0, 0
-        self.run_time_ratio, self.run_time_ratio_at = (
-            1.0,
-            0.0,
-        )  # Ratio of run times on this worker to the usual run time.
+        self.run_time_ratio, self.run_time_ratio_at = 1.0, 0.0  # Run time here relative to the usual one.
         self.failure_share, self.failure_share_at = (
             0.0,
             0.0,
--- a/larchgw/dispatcher/scheduling/scheduler.py
+++ b/larchgw/dispatcher/scheduling/scheduler.py
@@ -280,8 +280,8 @@
     def _choose_spill_worker(self, now: float, job: Job, zone: int) -> Worker | None:
         """Picks the worker with the fewest active keys, then the least pending, from a sample.
 
-        On a large fleet, scanning all workers per job is too slow, and all dispatchers would pick the same new
-        worker. The sample depends on the key, so independent dispatchers examine the same few workers.
+        On a large fleet, scanning all workers per job is too slow, and all dispatchers would pick the same
+        new worker. The sample depends on the key, so independent dispatchers examine the same few workers.
         """
         places, workers = self._ring(zone, job.cls.kind)
         if not places:
