--- a/larchgw/dispatcher/estimates/fleet.py
+++ b/larchgw/dispatcher/estimates/fleet.py
@@ -1,4 +1,4 @@
-"""What the decision module asks of the estimates, in narrow calls."""
+"""Facade through which the decision module reads and updates the load and run time estimates."""
 
 from __future__ import annotations
 
@@ -17,32 +17,34 @@
 from .runs import WarmThroughput, WorkEstimates
 from .works import RunPredictor
 
-MAX_COLD_SPEED = 1.2  # times the usual speed that is believed of a worker which has just started
-HOME_SPREAD = 1.5  # homes of a key over the workers that its jobs would fill if all were alike
-DELAY_FACTOR = 1.5  # times the expected wait that may well pass, and ...
-UNLISTED_JOBS = 0.6  # ... of a mean job, for what came there that no list has shown yet
-MAX_KEYS = 64  # keys remembered for one worker, where nothing tells of its size
-SPARE_HOMES = 1  # homes of a key beyond those that its part of all jobs needs
-MAX_RANKINGS = 4096  # keys for which the order of workers is kept
-RANKED_WORKERS = 8  # workers in it
-MIN_SIZE, MAX_SIZE = 0.25, 4.0  # sizes over the mean that are believed
+MAX_COLD_SPEED = 1.2  # upper bound on the relative speed assumed for a worker that has just started
+HOME_SPREAD = 1.5  # ratio of home workers of a key to the number of equal workers that its jobs would fill
+DELAY_FACTOR = 1.5  # factor on the expected delay in the queue allowance
+UNLISTED_JOBS = 0.6  # mean jobs added to the queue allowance for arrivals that no list shows yet
+MAX_KEYS = 64  # keys assumed to fit on one worker when its size is unknown
+SPARE_HOMES = 1  # home workers of a key beyond those that its share of all jobs needs
+MAX_RANKINGS = 4096  # keys whose worker ranking is cached
+RANKED_WORKERS = 8  # workers kept in each cached ranking
+MIN_SIZE, MAX_SIZE = 0.25, 4.0  # bounds on the size of a worker relative to the mean
 REPORTED_DELAY_SHARE = (
-    0.1  # share of that time where the wait is reckoned from reports, which are as old as a job is long
-)
-DELAY_SHARE = (
-    0.5  # share of the time a job has left that its wait at a worker is expected to take at the most
+    0.1  # same limit as DELAY_SHARE for delays estimated from reports, which are about one job length old
 )
+DELAY_SHARE = 0.5  # largest share of the remaining time of a job that its expected delay at a worker may take
 
 
 def _reads_weights(settings: Settings) -> bool:
-    """Of few dispatchers each knows at once much of what is at a worker; the list is a second old."""
+    """Whether to use the listed weights.
+
+    With few dispatchers, each one already knows much of the load from its own jobs; the list is a second old.
+    """
     return settings.live_weights and settings.instances > FEW_DISPATCHERS
 
 
 class Fleet:
-    """Loads, running times and turns at cold workers, as one dispatcher sees them.
+    """Loads, run times and cold start limits as seen by one dispatcher.
 
-    Times are seconds on the module's clock. Same sights, same estimates: randomness comes from `seed`.
+    Times are seconds on the module's clock. The same inputs give the same estimates: all randomness comes
+    from `seed`.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -52,10 +54,10 @@
         self._hash_salt = self._random.getrandbits(64)
         self.key_shares = KeyShares()
         self.health = Health(settings)
-        self.ready_count = 0  # that take work
+        self.ready_count = 0  # workers that accept jobs
         self._rankings: dict[tuple[int, int, int], list[Worker]] = {}  # by key, zone and kind
-        self._listed_sizes: dict[bytes, float] = {}  # as listed, where they tell of a worker's size
-        self.relative_sizes: dict[bytes, float] = {}  # over the mean one
+        self._listed_sizes: dict[bytes, float] = {}  # listed weights, where these are worker sizes
+        self.relative_sizes: dict[bytes, float] = {}  # worker sizes relative to the mean
         self.work_estimates = WorkEstimates(settings.classes)
         self.throughput = WarmThroughput()
         self.listed_loads = Loads()
@@ -71,17 +73,17 @@
         )
 
     def configure(self, settings: Settings) -> None:
-        """Other settings for the same classes."""
+        """Applies new settings; the job classes must be the same."""
         self.settings = self.cold_start.settings = self.health.settings = settings
         self.reports.configure(settings)
         self.reads_live_weights = _reads_weights(settings)
 
-    # Told by the module
+    # Events reported by the decision module
 
     def on_member_list(
         self, now: float, listed: Sequence[tuple[Worker, float]], workers: Iterable[Worker]
     ) -> None:
-        """The list gives these workers these weights; `workers` are all that it has named."""
+        """Processes a member list: `listed` has workers and their weights, `workers` all known workers."""
         workers = [w for w in workers if w.ready]
         self.ready_count = len(workers)
         if self.reads_live_weights:
@@ -94,7 +96,10 @@
     def _update_relative_sizes(
         self, listed: Sequence[tuple[Worker, float]], workers: Sequence[Worker]
     ) -> None:
-        """Workers are drawn by their size: drawn alike, the slow ones fill first and turn jobs away."""
+        """Updates the sizes that weight the choice of workers.
+
+        With equal weights the slow workers would fill first and reject jobs.
+        """
         self._listed_sizes.update((w.id, max(size, 0.0)) for w, size in listed)
         told = [size for w in workers if (size := self._listed_sizes.get(w.id, 0.0)) > 0.0]
         mean = sum(told) / len(told) if told else 1.0
@@ -103,21 +108,21 @@
         }
 
     def on_worker_started(self, now: float, worker: Worker) -> None:
-        """A worker has started: it is cold, and holds nothing."""
+        """Handles the start of a worker, which is cold and has no jobs yet."""
         self.listed_loads.forget(worker.id)
         self.reports.forget(worker.id)
         if now < worker.warm_at:
             self.cold_start.on_worker_started(now, worker)
 
     def on_worker_gone(self, worker: Worker) -> None:
-        """A worker is no longer listed."""
+        """Handles the removal of a worker from the list."""
         self.cold_start.remove(worker)
         self._listed_sizes.pop(worker.id, None)
         self.listed_loads.forget(worker.id)
         self.reports.forget(worker.id)
 
     def on_arrival(self, now: float, job_class: int, key: int) -> None:
-        """A job has come in."""
+        """Counts the arrival of a job."""
         self.reports.on_arrival(now)
         self.work_estimates.on_arrival(job_class)
         self.key_shares.on_arrival(key)
@@ -129,14 +134,14 @@
             self.cold_start.on_sent(now, worker, self._relative_work(job))
 
     def on_attempt_ended(self, now: float, job: Job, worker: Worker) -> None:
-        """An attempt has ended, however it did."""
+        """Handles the end of an attempt, whatever its outcome."""
         self.listed_loads.on_own_slots(now, worker.id, -job.request.slots)
         self.reports.on_own_slots(now, worker.id, -job.request.slots)
 
     def on_run(
         self, now: float, job: Job, worker: Worker, run: float, workers: Mapping[bytes, Worker]
     ) -> None:
-        """A job ran for so long from its start to its end."""
+        """Records the run time of a job, from its start to its end, in seconds."""
         self.work_estimates.on_run(job.request.job_class, run, job.request.slots)
         if self.reports.enabled and self.reports.on_run(worker, run / max(job.expected_run, 1e-3)):
             self.clear_rankings()
@@ -147,15 +152,16 @@
             self.throughput.update(now, self.settings.instances, warm)
 
     def on_full(self, now: float, worker: Worker) -> None:
-        """It has turned a job away: its queue is full of others' jobs."""
+        """Handles a rejection by a worker whose queue is full of jobs from other dispatchers."""
         self.reports.on_full(now, worker)
 
-    # Asked by the module
+    # Queries by the decision module
 
     def warm_capacity(self, worker: Worker) -> float:
-        """Slot seconds a second, as on a usual worker, that it can do when warm.
+        """Capacity of a warm worker in slot seconds per second, in terms of a typical worker.
 
-        Its cores by its speed, of which no more than `FAST` is believed; or the least that workers did.
+        This is cores times relative speed, the latter bounded by `MAX_COLD_SPEED`, or else the lowest
+        throughput measured.
         """
         if self.reports.enabled:
             return self.reports.warm_capacity(worker)
@@ -164,9 +170,9 @@
         return self.throughput.value
 
     def expected_delay(self, now: float, job: Job, worker: Worker) -> float:
-        """Seconds that a job sent there now is expected to lose, by its wait and by the worker being cold."""
+        """Expected delay in seconds of a job sent now, from queueing and from the worker being cold."""
         if self.reports.enabled:
-            # One that is cold starts what comes in all its slots, but can do no more than its share of them.
+            # A cold worker starts jobs in all its slots, but has capacity for only a share of them.
             share = self.cold_start.warm_share(now, worker) if now < worker.warm_at else 1.0
             return self.reports.expected_delay(
                 now, worker, job.request.slots, self.work_estimates.mean(), share
@@ -177,7 +183,7 @@
         there = self.listed_loads.requests_of_others(now, worker) + worker.pending_slots + job.request.slots
         wait = 0.0
         if now < worker.warm_at:
-            # It has all its slots and starts what comes, but what runs shares the little that it can do.
+            # A cold worker starts jobs in all its slots, but the running jobs share its reduced capacity.
             able *= self.cold_start.warm_share(now, worker)
             wait = (
                 max(min(there, cores) / able - 1.0, 0.0)
@@ -186,14 +192,14 @@
         return wait + max(there - cores, 0.0) / able * self.work_estimates.mean()
 
     def is_too_slow(self, now: float, job: Job, worker: Worker) -> bool:
-        """Whether a job is expected to wait there for so long that it would hardly be in time."""
+        """Whether the expected delay at the worker would probably make the job miss its target start."""
         wait = self.expected_delay(now, job, worker)
         return wait > 0.0 and wait > (REPORTED_DELAY_SHARE if self.reports.enabled else DELAY_SHARE) * (
             job.target_start - now
         )
 
     def queue_allowance(self, now: float, job: Job, worker: Worker) -> float:
-        """Seconds that a job sent there now may well stand in the queue behind others."""
+        """Seconds that a job sent now may plausibly wait in the queue of the worker."""
         if not self.reads_live_weights:
             return 0.0
         return (
@@ -201,14 +207,15 @@
         )
 
     def is_underused(self, now: float, worker: Worker) -> bool:
-        """Whether a worker has held far less than others for a while: it may fail what it gets at once."""
+        """Whether a worker has had far less load than others for a while; it may be failing jobs at once."""
         return self.reads_live_weights and now >= worker.warm_at and self.listed_loads.is_underused(worker)
 
     def accepts(self, now: float, job: Job, worker: Worker) -> bool:
-        """Whether a worker that a job meets takes it: with the part of what comes that it should get.
+        """Whether to admit a job to a worker, with a probability of the acceptance share of the worker.
 
-        The verdict on a job and a worker holds until the next list, or a job that waits would ask until it
-        had a yes, and everybody's waiting jobs would meet at the worker that looks emptiest.
+        The decision for a job and a worker holds until the next list. Otherwise a waiting job would retry
+        until admitted, and the waiting jobs of all dispatchers would gather at the worker that looks least
+        loaded.
         """
         if not self.reads_live_weights:
             return True
@@ -221,11 +228,12 @@
         )
 
     def ranked_workers(self, key: int, group: tuple[int, int], workers: Sequence[Worker]) -> Sequence[Worker]:
-        """The workers for a key, the ones to try first first: the same at every dispatcher.
+        """Workers for a key in order of preference, ranked the same way by every dispatcher.
 
-        Highest random weight (Thaler and Ravishankar), each worker by what it can do. A key that comes often
-        has as many homes as its part of all jobs needs: of those in our zone first, then by our rank.
-        `workers` are those of this zone and kind.
+        Uses weighted rendezvous hashing (highest random weight, Thaler and Ravishankar), with the capacity of
+        each worker as its weight. A frequent key has as many home workers as its share of all jobs needs.
+        Among these, workers in our zone come first, then the order depends on our rank. `workers` are those
+        of this zone and kind.
         """
         found = self._rankings.get((key, *group))
         if found is None:
@@ -243,32 +251,32 @@
         return homes + found[first + 1 : first + 1 + SPARE_HOMES]
 
     def key_capacity(self, worker: Worker) -> float:
-        """Keys that a worker is taken to hold, at the most."""
+        """Largest number of keys that a worker is assumed to hold."""
         return self.reports.slots(worker) if self.reports.enabled else MAX_KEYS
 
     def clear_rankings(self) -> None:
-        """Workers have come or gone, or can do more or less than was believed."""
+        """Clears the cached rankings after a change in the set of workers or in their capacity."""
         self._rankings.clear()
 
     def home_indices(self, key: int, most: int) -> Iterable[int]:
-        """Numbers of the places for a key, the ones to try first first.
+        """Indices of the home workers for a key, in order of preference.
 
-        A key that comes often has as many homes as its part of all jobs needs, and one of them is drawn.
+        A frequent key has as many homes as its share of all jobs needs, and the first is drawn at random.
         """
         if not self.reads_live_weights:
-            return ()  # what we have sent ourselves tells who holds it
+            return ()  # own sends already show which worker holds the key
         first = min(int(self.key_shares.share(key) * self.ready_count * HOME_SPREAD), most - 1)
         start = self._random.randrange(first + 1) if first else 0
         return (*range(start, first + 1), *range(start), *range(first + 1, most))
 
     def relative_speed(self, worker: Worker) -> float:
-        """What a worker can do over the mean worker, as far as its weight in the list tells."""
+        """Speed relative to the mean worker, as far as the listed weight shows it."""
         if self.reads_live_weights:
             return self.listed_loads.relative_speed(worker)
         return self.relative_sizes.get(worker.id, 1.0) if self.settings.sized else 1.0
 
     def load_of_others(self, now: float, worker: Worker) -> float:
-        """Slots that others have there over those that it has, by its reports; 0 where there are none."""
+        """Share of the worker's slots used by other dispatchers, from its reports; 0 without reports."""
         return (
             self.reports.slots_of_others(now, worker) / self.reports.slots(worker)
             if self.reports.enabled
