--- a/larchgw/dispatcher/estimates/cold.py
+++ b/larchgw/dispatcher/estimates/cold.py
@@ -1,14 +1,15 @@
-"""Turns at workers that have just started, so that all dispatchers together do not push one over.
+"""Limits jobs sent to workers that have just started, so that all dispatchers together overload none.
 
 The rule counts work: what is sent to a cold worker within `tip_span` seconds must stay under `tip_multiple`
-times what the worker can do at present. No dispatcher sees what the others send. One that kept a budget for
-each worker would, as one of 200, wait minutes for its turn at any of them while all stand idle. So what falls
-to it at all cold workers together is one budget, and each turn goes to a worker drawn by its part of it: what
-comes to a worker from all of them then scatters around its mean by its root, whatever their number.
-
-That scatter is dear: four roots below the rule leave a worker that has just started a sixth of what it
-can do.
-Where each dispatcher is told its rank, turns go by rota in place of lots: none scatter, but for jobs' sizes.
+times its present capacity. No dispatcher sees what the others send. With a separate budget for each worker,
+one of 200 dispatchers would wait minutes for its turn at any of them while all workers stand idle. So each
+dispatcher has one budget for all cold workers together, and each turn goes to a worker drawn in proportion
+to its part of the budget. The arrivals at a worker from all dispatchers then vary around their mean by the
+square root of the mean, whatever the number of dispatchers.
+
+That variance is costly: a margin of four square roots below the limit leaves a worker that has just started a
+sixth of its capacity. Where each dispatcher knows its rank, turns rotate instead of being drawn by lottery.
+Arrivals then vary only with the job sizes.
 """
 
 from __future__ import annotations
@@ -23,25 +24,23 @@
 from ..scheduling.records import Worker
 from .mixing import MASK
 
-# Share of the rule's budget that is planned with, and roots of what arrives that are kept below that. Turns
-# that are saved up come one by one; lots fall at random, and at few jobs a span four roots are what leaves
-# one span in ten thousand over the rule.
+# Share of the permitted budget that is used for planning, and the safety margin below it in square roots of
+# the arrivals. Accrued turns come one by one, but lottery wins come at random: with few jobs in a span, a
+# margin of four roots leaves one span in ten thousand over the limit.
 BUDGET_SHARE, BUDGET_ROOTS = 0.8, 3.0
 LOTTERY_BUDGET_SHARE, LOTTERY_BUDGET_ROOTS = 0.85, 4.0
-MAX_JOB_SHARE = 0.5  # of a worker's budget: a job of more than that is not for it yet
-FIRST_JOB_TOKENS = (
-    0.4  # of a mean job: what each of a few senders may have saved up for a worker that has just started
-)
-FIRST_SENDERS = 3.0  # senders that may
-FEW_DISPATCHERS = 10  # dispatchers from which lots are drawn
-ROTATION_LOAD = 1.3  # of a worker's present capacity: what turns by rota give it in mean jobs
-LARGE_JOB_TURNS = 4  # one of so many turns by rota may go to a job larger than the mean
-MAX_DRAWS = 4  # workers drawn until one may have the turn
-RATE_REFRESH = 0.1  # seconds for which the sum over all cold workers is kept
+MAX_JOB_SHARE = 0.5  # largest share of the budget of a cold worker that one job may take
+FIRST_JOB_TOKENS = 0.4  # upper bound, in mean jobs, of the tokens that a sender gets when a worker starts
+FIRST_SENDERS = 3.0  # number of dispatchers above which the initial tokens of each shrink in proportion
+FEW_DISPATCHERS = 10  # largest number of dispatchers that works without lottery or rotation
+ROTATION_LOAD = 1.3  # load that rotation plans for a worker, in mean jobs, relative to its present capacity
+LARGE_JOB_TURNS = 4  # every n-th turn in the rotation may go to a job larger than the mean
+MAX_DRAWS = 4  # attempts to draw a suitable worker for a turn
+RATE_REFRESH = 0.1  # seconds for which the total rate of all cold workers is cached
 
 
 class ColdStartLimiter:
-    """One dispatcher's budget at cold workers, in mean jobs."""
+    """Budget of one dispatcher for jobs to cold workers, in mean jobs."""
 
     def __init__(
         self,
@@ -52,25 +51,29 @@
         flow: Callable[[], float],
         uneven: Callable[[], float] = lambda: 1.0,
     ) -> None:
-        """`able`: slot seconds a second that this worker can do when warm, as on a usual worker.
+        """Takes callbacks for the current estimates.
 
-        `mean_job`: slot seconds of a job; `flow`: jobs a second that come to all dispatchers, 0 if not known.
+        `able`: capacity of a warm worker in slot seconds per second, in terms of a typical worker;
+        `mean_job`: slot seconds of a mean job; `flow`: jobs per second at all dispatchers, 0 if unknown;
+        `uneven`: dispersion of the job sizes.
         """
         self.settings, self._capacity, self._mean_job, self._arrival_rate = settings, able, mean_job, flow
-        self._size_dispersion = uneven  # mean square of jobs' sizes over the square of their mean
+        self._size_dispersion = uneven  # mean square of the job sizes divided by the square of their mean
         self._random = random.Random(seed)
         self.workers: dict[bytes, Worker] = {}
         self.tokens, self._accrued_at = 0.0, 0.0
         self.processes = 1  # processes that act as this one dispatcher
         self._next_worker: Worker | None = None
-        self._winning_hash = -1  # of the job whose turn it is, where lots are drawn
+        self._winning_hash = -1  # hash of the job that won the lottery
         self._candidates: list[Worker] = []
-        self._cumulative_rates: list[float] = []  # of their rates, each with those before it
+        self._cumulative_rates: list[float] = []  # prefix sums of the rates of the candidates
         self._own_rate, self._rates_at = 0.0, -1.0
-        self._used_turns: dict[bytes, int] = {}  # by rota: the last turn of ours there that we have used
+        self._used_turns: dict[
+            bytes, int
+        ] = {}  # by worker: the last turn of the rotation that this dispatcher used
 
     def on_worker_started(self, now: float, worker: Worker) -> None:
-        """A worker has started. Few senders give it a first small job at once: it shows that it works."""
+        """Handles the start of a worker. A few senders send a small first job at once as a check."""
         self._accrue(now)
         self.workers[worker.id] = worker
         self._used_turns.pop(worker.id, None)  # its turns are counted from its start
@@ -80,7 +83,7 @@
         self._rates_at = -1.0
 
     def remove(self, worker: Worker) -> None:
-        """It is gone, or warm."""
+        """Removes a worker that is gone or has become warm."""
         self._used_turns.pop(worker.id, None)
         if self.workers.pop(worker.id, None) is not None:
             self._rates_at = -1.0
@@ -88,12 +91,12 @@
             self._next_worker = None
 
     def warm_share(self, now: float, worker: Worker) -> float:
-        """The part of its capacity that a worker has warmed up to at the least."""
+        """Lower bound on the share of its capacity that a worker has reached while warming up."""
         part = (now - worker.up_since) / max(self.settings.warm_up, 1e-3)
         return self.settings.cold_from + (1.0 - self.settings.cold_from) * min(max(part, 0.0), 1.0)
 
     def budget(self, now: float, worker: Worker) -> float:
-        """Mean jobs that may be sent there within a span, by all."""
+        """Mean jobs that all dispatchers together may send to a worker within a span."""
         present = self._capacity(worker) * self.warm_share(now, worker)
         safe = LOTTERY_BUDGET_SHARE if self.uses_lottery() else BUDGET_SHARE
         return (
@@ -101,27 +104,28 @@
         )
 
     def rate(self, now: float, worker: Worker) -> float:
-        """Mean jobs a second, of all dispatchers, that keep so many roots below the budget."""
-        # Jobs are of very unlike sizes, and a few large ones scatter more than as many mean ones.
+        """Mean jobs per second from all dispatchers that keep the safety margin below the budget."""
+        # Job sizes differ widely, and a few large jobs add more variance than as many mean ones.
         unit = max(self._size_dispersion(), 1.0) if self.uses_lottery() else 1.0
         half = (LOTTERY_BUDGET_ROOTS if self.uses_lottery() else BUDGET_ROOTS) / 2.0
         units = (sqrt(half * half + self.budget(now, worker) / unit) - half) ** 2
         return float(units * unit) / self.settings.tip_span
 
     def own_turn(self, now: float, worker: Worker) -> int:
-        """The number of the turn there that is ours and not used; 0 if there is none.
+        """Number of the current turn at a worker if it is ours and unused, else 0.
 
-        A turn lasts for as long as the worker takes for a mean job. All read its start off the list, and
-        reckon with the same clock, so they agree on where turns begin; whose it is goes round by rank.
+        A turn lasts as long as the worker takes for a mean job. All dispatchers read the start of the worker
+        from the list and use the same clock, so they agree on where turns begin. Turns rotate by rank.
         """
         age, warm_up = max(now - worker.up_since, 0.0), max(self.settings.warm_up, 1e-3)
-        # Seconds
+        # Work done since the start, in seconds at full capacity.
         done = self.settings.cold_from * age + (1.0 - self.settings.cold_from) * age * age / (2.0 * warm_up)
         unit = max(self._mean_job(), 1e-3) / (ROTATION_LOAD * max(self._capacity(worker), 1.0))
-        unit = 2.0 ** round(log2(unit))  # estimates differ a little; most agree on the power of two
+        # Estimates differ a little between dispatchers; most agree on the nearest power of two.
+        unit = 2.0 ** round(log2(unit))
         number = int(done / unit) + 1
         length = unit / self.warm_share(now, worker)
-        # So many that one of them has a job within the turn; mostly just one.
+        # Dispatchers that share a turn, so that one of them has a job within it; mostly just one.
         many = 1
         if self._arrival_rate() > 0.0:
             many = max(round(self.settings.instances / max(self._arrival_rate() * length, 1e-3)), 1)
@@ -133,7 +137,7 @@
         return number
 
     def uses_lottery(self) -> bool:
-        """Whether dispatchers are so many that lots are drawn."""
+        """Whether there are so many dispatchers that a lottery assigns the turns."""
         return (
             self.settings.instances > FEW_DISPATCHERS
             and self._arrival_rate() > 0.0
@@ -141,7 +145,7 @@
         )
 
     def uses_rotation(self) -> bool:
-        """Whether turns go round by rank and clock; not while two processes would take those of one rank."""
+        """Whether turns rotate by rank and clock; not while two processes would use the turns of one rank."""
         return self.settings.rank >= 0 and self.settings.instances > FEW_DISPATCHERS and self.processes == 1
 
     def _refresh_rates(self, now: float) -> None:
@@ -164,15 +168,15 @@
         self._refresh_rates(now)
         self.tokens += max(now - self._accrued_at, 0.0) * self._own_rate
         self._accrued_at = now
-        # A turn not used within the span is lost: turns that all have saved up would be used in one burst.
+        # Unused turns expire after the span: turns saved up by all dispatchers would be used in one burst.
         self.tokens = min(self.tokens, 1.0 + self._own_rate * self.settings.tip_span)
 
     def next_worker(self, now: float, draw: int, fit: Callable[[Worker], bool]) -> Worker | None:
-        """The cold worker whose turn it is, drawn by what falls to it; `fit` says which may have one at all.
+        """The cold worker for the next turn, drawn in proportion to its rate, among those that `fit` accepts.
 
-        `draw` is a hash of the job. Where dispatchers are many, it decides by lot whether the job goes to a
-        cold worker: each of them has a job or two while its budget grows by a hundredth of one, and those
-        that have most jobs would have no more turns than the rest.
+        `draw` is a hash of the job. With many dispatchers, it decides by lottery whether the job goes to a
+        cold worker. Each dispatcher gets a job or two while its budget grows by a hundredth of a job, and
+        with budgets the dispatchers with the most jobs would have no more turns than the rest.
         """
         if not self.workers:
             return None
@@ -187,7 +191,7 @@
             )
             if self._next_worker is not None and not fit(self._next_worker):
                 self._next_worker = None
-            self._winning_hash, self.tokens = draw, 1.0  # what the lot gave, and nothing is saved up
+            self._winning_hash, self.tokens = draw, 1.0  # lottery wins do not accumulate
             return self._next_worker
         for _ in range(MAX_DRAWS):
             if self._next_worker is not None and fit(self._next_worker):
@@ -204,14 +208,15 @@
         return self._candidates[bisect(self._cumulative_rates, at) % len(self._candidates)]
 
     def may_send(self, now: float, worker: Worker, draw: int, cost: float) -> bool:
-        """Whether it is this worker's turn, and a job of so many mean jobs may take it.
+        """Whether it is the turn of this worker and a job of `cost` mean jobs may take it.
 
-        A lot is the drawn job's alone: others, whose keys have their home there, would come on top.
+        A lottery win is valid only for the job that was drawn. Other jobs, whose keys have their home at the
+        worker, would come on top.
         """
         self._accrue(now)
         if self.uses_rotation():
             number = self.own_turn(now, worker)
-            # Were any turn open to large jobs, many of those in a row would push it over now and then.
+            # If every turn were open to large jobs, a run of these would overload the worker now and then.
             most = MAX_JOB_SHARE * self.budget(now, worker) if number % LARGE_JOB_TURNS == 0 else 1.0
             return number > 0 and cost <= max(most, 1.0)
         if worker is not self._next_worker or (self.uses_lottery() and draw != self._winning_hash):
@@ -221,7 +226,7 @@
         return self.tokens >= min(cost, 1.0)
 
     def on_sent(self, now: float, worker: Worker, cost: float) -> None:
-        """A job has gone to a cold worker."""
+        """Handles the sending of a job to a cold worker."""
         self._accrue(now)
         if self.uses_rotation():
             self._used_turns[worker.id] = self.own_turn(now, worker)
--- a/larchgw/dispatcher/estimates/fleet.py
+++ b/larchgw/dispatcher/estimates/fleet.py
@@ -160,8 +160,8 @@
     def warm_capacity(self, worker: Worker) -> float:
         """Capacity of a warm worker in slot seconds per second, in terms of a typical worker.
 
-        This is cores times relative speed, the latter bounded by `MAX_COLD_SPEED`, or else the lowest
-        throughput measured.
+        This is cores times relative speed, the latter bounded by `MAX_COLD_SPEED`, or else the
+        measured throughput of warm workers, which is a lower bound.
         """
         if self.reports.enabled:
             return self.reports.warm_capacity(worker)
@@ -276,7 +276,7 @@
         return self.relative_sizes.get(worker.id, 1.0) if self.settings.sized else 1.0
 
     def load_of_others(self, now: float, worker: Worker) -> float:
-        """Share of the worker's slots used by other dispatchers, from its reports; 0 without reports."""
+        """Ratio of slots used by other dispatchers to the slots of the worker; 0 without reports."""
         return (
             self.reports.slots_of_others(now, worker) / self.reports.slots(worker)
             if self.reports.enabled
--- a/larchgw/dispatcher/estimates/loads.py
+++ b/larchgw/dispatcher/estimates/loads.py
@@ -1,9 +1,9 @@
-"""What all dispatchers together have at each worker, read off the weights in discovery's list.
+"""Load of all dispatchers at each worker, derived from the weights in the list from discovery.
 
 Where the settings say `weightSource: live`, a worker's weight is its nominal size over 1 + requests held per
-core. Its nominal size is the highest weight that any worker of its kind has shown, since one that holds
-nothing shows it whole. The list comes to everybody at once, so whoever reads it must not run to its emptiest
-worker: callers compare a few workers drawn at random.
+core. Its nominal size is the highest weight seen for any worker of its kind, since an idle worker shows its
+full size. All dispatchers get the list at the same time, so they must not all pick the least loaded worker:
+callers compare a few workers drawn at random.
 """
 
 from __future__ import annotations
@@ -14,27 +14,25 @@
 from ..scheduling.interface import WorkerId
 from ..scheduling.records import Worker
 
-INITIAL_CORES = 4.0  # of a worker, until its weights show it
-MIN_MARK, MAX_MARK = 0.03, 0.6  # requests per core that can be the mark of one request alone
-WEIGHT_AGE = 0.4  # seconds by which a weight is older than the list that brings it
+INITIAL_CORES = 4.0  # cores assumed per worker until the weights show the number
+MIN_MARK, MAX_MARK = 0.03, 0.6  # bounds on the requests per core that can stem from a single request
+WEIGHT_AGE = 0.4  # age in seconds of a weight when its list arrives
 WEIGHT_HALF_LIFE = (
-    3.0  # seconds in which half of what one list said of a worker is forgotten for what it said of all
+    3.0  # seconds after which a listed load counts half and the mean load of all workers the other half
 )
-MAX_LIST_INTERVAL = 4.0  # seconds between two lists, at the most that is planned for
-EXTRA_ARRIVALS = 0.2  # requests that come for a worker beyond those that it ends
-MIN_BUSY_LOAD = 1.5  # requests that a usual worker must hold for one that holds few to stand out
-# Share of the usual load below which one does, and the weight of the last list
+MAX_LIST_INTERVAL = 4.0  # upper bound in seconds on the interval between lists used for planning
+EXTRA_ARRIVALS = 0.2  # requests assumed to arrive per worker beyond those that it completes
+MIN_BUSY_LOAD = 1.5  # mean requests per worker needed to detect underused workers
+# Share of the mean load below which a worker is underused, and the smoothing gain of each list
 IDLE_SHARE, RATIO_GAIN = 0.35, 0.3
-ARRIVAL_RATE_DECAY = (
-    0.98  # share of the flow that is still believed at the next list when the workers end less
-)
-VOTE_DECAY = 0.9  # what is left of a vote at the next list
-NOMINAL_CHANGE = 1.05  # times a nominal size that is more than noise
-CHANGE_RETENTION = 4.0  # seconds of own sends and ends that are kept
+ARRIVAL_RATE_DECAY = 0.98  # factor on the arrival rate at each list when the workers complete less
+VOTE_DECAY = 0.9  # factor by which votes decay at each list
+NOMINAL_CHANGE = 1.05  # ratio to the nominal size above which a weight is not noise
+CHANGE_RETENTION = 4.0  # seconds for which own sends and completions are kept
 
 
 class WorkerLoad:
-    """What the list said last of one worker, and what we ourselves sent and had back since."""
+    """Load of one worker in the last list, and own sends and completions since."""
 
     __slots__ = (
         "requests_per_core",
@@ -50,40 +48,40 @@
 
     def __init__(self) -> None:
         self.requests_per_core = self.own_slots = self.listed_at = (
-            0.0  # requests per core; our own slots among them; when it was told
+            0.0  # requests per core, own slots included in it, and the time of the list
         )
         self.capacity = self.remaining = self.headroom = self.even_share = 0.0
-        # Held for its speed over what is usual, over some lists; below 0: not known
+        # Load for its speed relative to the mean, smoothed over some lists; negative if unknown
         self.smoothed_load_ratio = -1.0
         self.own_changes: deque[tuple[float, float]] = deque()
 
     def freshness(self, now: float) -> float:
-        """How much of what the list said still counts: 1 when it comes, less with age."""
+        """Weight of the listed load: 1 when the list arrives, decaying with age."""
         trust: float = 0.5 ** (max(now - self.listed_at, 0.0) / WEIGHT_HALF_LIFE)
         return trust
 
 
 class Loads:
-    """Requests held by workers, ours and everybody's."""
+    """Requests held by workers, from this and all other dispatchers."""
 
     def __init__(self) -> None:
         self.cores = INITIAL_CORES
-        self.nominal: dict[int, float] = {}  # by kind
+        self.nominal: dict[int, float] = {}  # highest weight seen, by kind of worker
         self.by_worker: dict[WorkerId, WorkerLoad] = {}
-        self.mean_load = 0.0  # held per unit of size, over all workers that take work
+        self.mean_load = 0.0  # requests per unit of size, over all workers that accept jobs
         # Seconds between two lists, and when the last one came
         self.list_interval, self._last_list = 1.0, 0.0
         self.mean_size = 1.0
         self.lists = 0
-        self.arrival_rate = 0.0  # jobs a second that come to all dispatchers
-        self._votes: dict[int, float] = {}  # workers that spoke for so many cores, older ones for less
-        self.cores_known = False  # whether weights have shown the cores
+        self.arrival_rate = 0.0  # jobs per second at all dispatchers
+        self._votes: dict[int, float] = {}  # decayed votes by number of cores
+        self.cores_known = False  # whether the number of cores was derived from weights
 
     def on_weights(self, now: float, listed: Sequence[tuple[Worker, float]]) -> None:
-        """The list gives these workers these weights."""
+        """Processes the workers and weights of a list."""
         for worker, weight in listed:
             if weight > NOMINAL_CHANGE * self.nominal.get(worker.kind, 0.0):
-                # A worker that is emptier than any seen before: what was read off the others was too little.
+                # This worker is less loaded than any before, so the loads derived so far were too low.
                 self._votes.clear()
             if weight > self.nominal.get(worker.kind, 0.0):
                 self.nominal[worker.kind] = weight
@@ -102,9 +100,10 @@
         self._count_cores(marks)
 
     def _count_cores(self, marks: list[float]) -> None:
-        """The least load that a list shows is mostly that of one request, which is one over the cores.
+        """Estimates the cores per worker from the lowest loads in a list.
 
-        Lists vote. A list in which no worker has just one request, or none of a kind is idle, is outvoted.
+        The lowest load is mostly that of one request, which is one divided by the number of cores. Each list
+        votes. Lists where no worker has just one request, or no worker of a kind is idle, are outvoted.
         """
         if not marks:
             return
@@ -117,12 +116,12 @@
         self.cores_known = True
 
     def level_load(self, now: float, workers: Sequence[Worker], mean_job: float) -> None:
-        """Levels the workers that take work: how much each should get until it shows in a list.
+        """Computes how much each worker should get until new jobs show in a list.
 
-        What comes meanwhile is poured over the workers like water: those that hold least for their speed get
-        most, and nobody's share is more than brings it to the common level. Who ran to the emptiest worker
-        instead would meet everybody else there, for all have the same list (Dahlin, "Interpreting stale load
-        information").
+        Distributes the expected arrivals by water filling: the workers with the least load for their speed
+        get most, and none gets more than brings it to the common level. If dispatchers picked the least
+        loaded worker instead, all would pick the same one, as they have the same list (Dahlin, "Interpreting
+        stale load information").
         """
         if self._last_list and now > self._last_list:
             self.list_interval += 0.2 * (min(now - self._last_list, MAX_LIST_INTERVAL) - self.list_interval)
@@ -130,7 +129,9 @@
         sizes = [self.nominal.get(w.kind, 1.0) for w in workers]
         self.mean_size = sum(sizes) / len(sizes) if sizes else 1.0
         self.lists += 1
-        ahead = self.visibility_delay() / max(mean_job, 1e-3)  # mean jobs that a core ends until this shows
+        ahead = self.visibility_delay() / max(
+            mean_job, 1e-3
+        )  # mean jobs that a core completes until new jobs show in a list
         coming, held, levels = 0.0, 0.0, []
         for w, size in zip(workers, sizes, strict=True):
             sight = self.by_worker.get(w.id)
@@ -157,7 +158,7 @@
         self._fill_to_level(coming, levels)
 
     def visibility_delay(self) -> float:
-        """Seconds until what is sent now shows in a list."""
+        """Seconds until a job sent now shows in a list."""
         return self.list_interval + WEIGHT_AGE
 
     def _fill_to_level(self, coming: float, levels: list[tuple[float, WorkerLoad]]) -> None:
@@ -169,14 +170,14 @@
             level = (coming + filled) / power
             if index + 1 == len(levels) or level <= levels[index + 1][0]:
                 break
-        # While workers are lost or cold the rest end less than comes: the flow is what it was before.
+        # While workers are lost or cold, the rest complete less than arrives, so the rate decays only slowly.
         self.arrival_rate = max(coming / self.visibility_delay(), self.arrival_rate * ARRIVAL_RATE_DECAY)
         even = coming / sum(sight.capacity for _, sight in levels) if levels else 0.0
         for start, sight in levels:
             sight.headroom, sight.even_share = max(level - start, 0.0) * sight.capacity, even * sight.capacity
 
     def acceptance_share(self, now: float, worker: Worker) -> float:
-        """What it should get over its even share of what comes, 1 at the most, by what the last list said."""
+        """Ratio of the planned to the even share of arrivals of a worker by the last list, at most 1."""
         sight = self.by_worker.get(worker.id)
         if sight is None or sight.even_share <= 0.0:
             return 1.0
@@ -185,20 +186,20 @@
         return min(max(room / sight.even_share, 0.0), 1.0) * trust + 1.0 - trust
 
     def is_underused(self, worker: Worker) -> bool:
-        """Whether it has held far less than is usual, over some lists."""
+        """Whether a worker had far less than the mean load over some lists."""
         sight = self.by_worker.get(worker.id)
         return sight is not None and 0.0 <= sight.smoothed_load_ratio < IDLE_SHARE
 
     def relative_speed(self, worker: Worker) -> float:
-        """Its nominal size over that of the mean worker."""
+        """Nominal size of a worker relative to the mean."""
         return self.nominal.get(worker.kind, 1.0) / self.mean_size
 
     def forget(self, worker: WorkerId) -> None:
-        """A worker is gone, or another process now."""
+        """Drops the state of a worker that is gone or was replaced by another process."""
         self.by_worker.pop(worker, None)
 
     def on_own_slots(self, now: float, worker: WorkerId, slots: float) -> None:
-        """We sent so many slots there, or had them back (negative)."""
+        """Records slots that this dispatcher has sent to a worker, or that were released (negative)."""
         sight = self.by_worker.get(worker)
         if sight is not None:
             sight.own_changes.append((now, slots))
@@ -209,7 +210,7 @@
             sight.own_changes.popleft()
 
     def requests_of_others(self, now: float, worker: Worker) -> float:
-        """Requests of others there. The older the list, the more it is what is usual; never below 0."""
+        """Requests of other dispatchers at a worker, never below 0; tends to the mean as the list ages."""
         sight = self.by_worker.get(worker.id)
         usual = self.mean_load * self.nominal.get(worker.kind, 1.0)
         if sight is None:
--- a/larchgw/dispatcher/estimates/reports.py
+++ b/larchgw/dispatcher/estimates/reports.py
@@ -1,8 +1,8 @@
-"""What probes tell of workers that report only when asked: whom to ask when, and what an answer is worth.
+"""Schedules probes of workers that report only when asked, and estimates their load from the answers.
 
-A report is refreshed now and then and comes late: it is about as old as a job is long. So it is not read as
-what a worker holds now, but as what all others have there on the average; to that comes what is ours, which
-is known. A worker that does not answer is asked again at once, and is gone if it is silent again.
+A report is refreshed only now and then and arrives late: it is about as old as a job is long. So it is not
+taken as the present load, but as the average load from all other dispatchers. Our own load, which is known,
+is added to that. A worker that does not answer is probed again at once, and is gone if that fails too.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from ..scheduling.interface import Settings, WorkerId
 from ..scheduling.records import Worker
 
-PROBE_BUDGET = 0.0008  # part of the result that probes may cost, by their price and the jobs that come
-# Seconds between two probes of a worker by one dispatcher, at least and at most
+PROBE_BUDGET = 0.0008  # share of the result that probes may cost, given their price and the job arrivals
+# Bounds in seconds on the interval between probes of a worker by one dispatcher
 MIN_PROBE_INTERVAL, MAX_PROBE_INTERVAL = 0.25, 2.0
-MAX_PROBE_RATE = 12.0  # probes a second that a worker gets from all dispatchers
-REPROBE_DELAY = 0.05  # seconds until a worker that did not answer is asked again
-PROBE_TIMEOUT = 2.0  # seconds after which a probe of which nothing was heard no longer counts as out
-REPORT_AGE = 0.6  # seconds that a report is old when it comes, on the average
-REPORT_GAIN = 0.4  # weight of the latest report
-REPORT_HALF_LIFE = 4.0  # seconds after which half of what reports said is forgotten
-CHANGE_RETENTION = 2.0  # seconds of own sends and ends that are kept
-INITIAL_SLOTS = 4.0  # slots of a worker, until a report has come from one of its kind
-RUN_RATIO_GAIN = 0.02  # weight of the latest job in the pace of its kind
-NOT_PROBED = float("-inf")  # when a worker was asked, while no probe is out
-FEW_FREE_SLOTS = 0.7  # free slots below which a worker may have jobs waiting
+MAX_PROBE_RATE = 12.0  # upper limit on probes per second to a worker from all dispatchers
+REPROBE_DELAY = 0.05  # seconds until a worker that did not answer is probed again
+PROBE_TIMEOUT = 2.0  # seconds after which an unanswered probe no longer counts as pending
+REPORT_AGE = 0.6  # average age in seconds of a report on arrival
+REPORT_GAIN = 0.4  # smoothing gain of each report
+REPORT_HALF_LIFE = 4.0  # seconds after which the reported load counts half
+CHANGE_RETENTION = 2.0  # seconds for which own sends and completions are kept
+INITIAL_SLOTS = 4.0  # slots assumed per worker until one of its kind has reported
+RUN_RATIO_GAIN = 0.02  # smoothing gain of each job for the run time ratio of a kind
+NOT_PROBED = float("-inf")  # value of `probed_at` while no probe is pending
+FEW_FREE_SLOTS = 0.7  # free slots below which a worker may have a queue
 
 
 class ProbeState:
-    """What is known of one worker."""
+    """Probe schedule and reported load of one worker."""
 
     __slots__ = (
         "slots_of_others",
@@ -46,26 +46,24 @@
     )
 
     def __init__(self, due: float) -> None:
-        self.slots_of_others = 0.0  # slots that others have there
-        self.free_slots = -1.0  # slots free by the last report; below 0: none yet
-        self.reported_at = 0.0  # when a report came
+        self.slots_of_others = 0.0  # slots used by other dispatchers
+        self.free_slots = -1.0  # free slots in the last report; negative before the first one
+        self.reported_at = 0.0  # time of the last report
         self.next_probe_at, self.probed_at, self.failures = due, NOT_PROBED, 0
         self.last_report: tuple[float, ...] = ()
         self.own_changes: deque[tuple[float, float]] = deque()
 
 
 class Reports:
-    """Reports by probes. `on` says whether there are any."""
+    """Load reports from probes; `enabled` tells whether probing is in use."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._random = random.Random(seed)
         self.by_worker: dict[WorkerId, ProbeState] = {}
-        self.slots_by_kind: dict[
-            int, float
-        ] = {}  # slots of a worker of each kind: the most that were seen free
+        self.slots_by_kind: dict[int, float] = {}  # most free slots seen, by kind of worker
         self.run_ratios: dict[
             int, list[float]
-        ] = {}  # by kind: running times over the usual, and the weight used
+        ] = {}  # run time relative to the expected one, and rank weight in half octaves, by kind
         self.probe_interval = 0.5
         self._arrivals, self._counted_since, self._arrival_rate = 0, 0.0, 0.0
         self.configure(settings)
@@ -75,10 +73,10 @@
         self.enabled = settings.can_probe and settings.pull and settings.slot_reports >= 0
         self.include_queue = self.enabled and settings.queue_reports >= 0
 
-    # Asking
+    # Probing
 
     def on_arrival(self, now: float) -> None:
-        """A job has come in: its price allows so many probes."""
+        """Counts the arrival of a job; the arrival rate determines the probe budget."""
         self._arrivals += 1
         if now - self._counted_since > 2.0:
             if self._counted_since:
@@ -87,7 +85,7 @@
             self._arrivals, self._counted_since = 0, now
 
     def due_probes(self, now: float, workers: Iterable[Worker]) -> list[WorkerId]:
-        """Workers to ask now."""
+        """Returns the workers to probe now and marks their probes as pending."""
         if not self.enabled:
             return []
         asked = []
@@ -104,7 +102,7 @@
         return asked
 
     def _probe_interval(self, workers: int) -> float:
-        """Seconds between two probes of a worker."""
+        """Seconds between two probes of a worker within the rate limit and the budget."""
         rate = MAX_PROBE_RATE / self.settings.instances
         if self.settings.price_probe > 0.0:
             rate = min(
@@ -114,7 +112,7 @@
         return min(max(1.0 / rate, MIN_PROBE_INTERVAL), MAX_PROBE_INTERVAL)
 
     def on_probe_failed(self, now: float, worker: WorkerId) -> int:
-        """A probe had no answer: how many in a row that is."""
+        """Handles an unanswered probe and returns the number of consecutive failures."""
         sight = self.by_worker.get(worker)
         if sight is None:
             return 0
@@ -125,17 +123,17 @@
         )
         return sight.failures
 
-    # What is heard
+    # Load updates
 
     def on_report(self, now: float, worker: Worker, report: Sequence[float]) -> None:
-        """A worker has answered a probe."""
+        """Handles the answer to a probe."""
         sight = self.by_worker.get(worker.id)
         if sight is None:
             return
         sight.probed_at, sight.failures = NOT_PROBED, 0
         sight.next_probe_at = now + self.probe_interval * self._random.uniform(0.7, 1.3)
         if len(report) <= self.settings.slot_reports or not any(report):
-            return  # an idle worker has free slots: all naught is said by one that knows nothing yet
+            return  # an idle worker has free slots, so all zeros mean that the worker has no data yet
         free = max(report[self.settings.slot_reports], 0.0)
         self.slots_by_kind[worker.kind] = max(self.slots_by_kind.get(worker.kind, 0.0), free)
         new, sight.last_report = tuple(report) != sight.last_report, tuple(report)
@@ -147,13 +145,13 @@
         if self.include_queue and len(report) > self.settings.queue_reports:
             others += max(report[self.settings.queue_reports], 0.0)
         elif free < FEW_FREE_SLOTS:
-            others = max(others, (self.settings.instances - 1) * own)  # what waits there is told nowhere
+            others = max(others, (self.settings.instances - 1) * own)  # the queue length is not reported
         gain = REPORT_GAIN if sight.free_slots >= 0.0 else 1.0
         sight.slots_of_others += gain * (max(others, 0.0) - sight.slots_of_others)
         sight.free_slots, sight.reported_at = free, now
 
     def on_full(self, now: float, worker: Worker) -> None:
-        """It has turned a job away: as many wait as run, at the least. That fades as a report does."""
+        """Handles a rejection: at least as many jobs wait as run. This decays as a report does."""
         sight = self.by_worker.get(worker.id)
         if self.enabled and sight is not None:
             sight.slots_of_others, sight.reported_at = (
@@ -162,7 +160,7 @@
             )
 
     def on_own_slots(self, now: float, worker: WorkerId, slots: float) -> None:
-        """We sent so many slots there, or had them back (negative)."""
+        """Records slots that this dispatcher has sent to a worker, or that were released (negative)."""
         sight = self.by_worker.get(worker)
         if sight is not None:
             sight.own_changes.append((now, slots))
@@ -173,37 +171,37 @@
             sight.own_changes.popleft()
 
     def forget(self, worker: WorkerId) -> None:
-        """A worker is gone, or another process now."""
+        """Drops the state of a worker that is gone or was replaced by another process."""
         self.by_worker.pop(worker, None)
 
-    # What it is worth
+    # Estimates
 
     def slots(self, worker: Worker) -> float:
-        """Slots of a worker; never under one."""
+        """Number of slots of a worker, at least one."""
         return max(self.slots_by_kind.get(worker.kind, INITIAL_SLOTS), 1.0)
 
     def warm_capacity(self, worker: Worker) -> float:
-        """Slot seconds a second that it can do when warm, as on a usual one; never more than it has slots."""
+        """Capacity of a warm worker in typical slot seconds per second, at most its number of slots."""
         pace = self.run_ratios.get(worker.kind)
         return self.slots(worker) / max(pace[0] if pace else 1.0, 1.0)
 
     def on_run(self, worker: Worker, ratio: float) -> bool:
-        """A job ran there for so many times the usual; whether workers of its kind weigh otherwise now."""
+        """Records a run time relative to the expected one; returns whether the rank weight has changed."""
         pace = self.run_ratios.setdefault(worker.kind, [1.0, 0.0])
         pace[0] += RUN_RATIO_GAIN * (min(ratio, 5.0) - pace[0])
         weight = 2.0 * log2(self.slots(worker) / max(pace[0], 0.1))
         if abs(weight - pace[1]) < 0.75:
             return False
-        pace[1] = round(weight)  # in half octaves: most dispatchers agree on it
+        pace[1] = round(weight)  # in half octaves, so that most dispatchers agree on the value
         return True
 
     def rank_weight(self, worker: Worker) -> float:
-        """What a worker of its kind can do, beside others."""
+        """Relative capacity of workers of this kind, used as the weight in rankings."""
         pace = self.run_ratios.get(worker.kind)
         return float(2.0 ** (pace[1] / 2.0)) if pace else 1.0
 
     def slots_of_others(self, now: float, worker: Worker) -> float:
-        """Slots that others have there; what was told long ago counts for less."""
+        """Slots used by other dispatchers at a worker; older reports count for less."""
         sight = self.by_worker.get(worker.id)
         if sight is None:
             return 0.0
@@ -212,9 +210,9 @@
     def expected_delay(
         self, now: float, worker: Worker, slots: float, mean_run: float, share: float = 1.0
     ) -> float:
-        """Seconds that a job of so many slots is expected to wait, or to run longer, at a worker.
+        """Seconds that a job with this many slots is expected to wait or run longer at a worker.
 
-        `share`: the part of its slots that it can do justice to.
+        `share` is the part of its slots for which the worker has capacity.
         """
         have = max(share * self.slots(worker), 1.0)
         over = self.slots_of_others(now, worker) + worker.pending_slots + slots - have
