--- a/larchgw/dispatcher/estimates/__init__.py
+++ b/larchgw/dispatcher/estimates/__init__.py
@@ -1,4 +1,7 @@
-"""What the fleet does, estimated by a dispatcher that sees little of it. Free of I/O; time comes in."""
+"""Estimates of the state of the fleet from the partial view of one dispatcher.
+
+The modules do no I/O, and the caller passes in the time.
+"""
 
 from .cold import ColdStartLimiter
 from .fleet import Fleet
--- a/larchgw/dispatcher/estimates/cold.py
+++ b/larchgw/dispatcher/estimates/cold.py
@@ -68,9 +68,8 @@
         self._candidates: list[Worker] = []
         self._cumulative_rates: list[float] = []  # prefix sums of the rates of the candidates
         self._own_rate, self._rates_at = 0.0, -1.0
-        self._used_turns: dict[
-            bytes, int
-        ] = {}  # by worker: the last turn of the rotation that this dispatcher used
+        # Last turn of the rotation that this dispatcher used, by worker
+        self._used_turns: dict[bytes, int] = {}
 
     def on_worker_started(self, now: float, worker: Worker) -> None:
         """Handles the start of a worker. A few senders send a small first job at once as a check."""
--- a/larchgw/dispatcher/estimates/fleet.py
+++ b/larchgw/dispatcher/estimates/fleet.py
@@ -26,9 +26,8 @@
 MAX_RANKINGS = 4096  # keys whose worker ranking is cached
 RANKED_WORKERS = 8  # workers kept in each cached ranking
 MIN_SIZE, MAX_SIZE = 0.25, 4.0  # bounds on the size of a worker relative to the mean
-REPORTED_DELAY_SHARE = (
-    0.1  # same limit as DELAY_SHARE for delays estimated from reports, which are about one job length old
-)
+# Replaces DELAY_SHARE where delays are estimated from reports, which are about as old as a job is long.
+REPORTED_DELAY_SHARE = 0.1
 DELAY_SHARE = 0.5  # largest share of the remaining time of a job that its expected delay at a worker may take
 
 
@@ -284,7 +283,7 @@
         )
 
     def next_cold_worker(self, now: float, job: Job, fit: Callable[[Worker], bool]) -> Worker | None:
-        """The cold worker whose turn it is with this job, if it is any one's and `fit` says yes to it."""
+        """The cold worker that this job may go to in its turn, among those that `fit` accepts; or None."""
         return self.cold_start.next_worker(
             now, self._attempt_hash(job), lambda w: fit(w) and not self.is_too_slow(now, job, w)
         )
@@ -293,11 +292,11 @@
         return self.cold_start.may_send(now, worker, self._attempt_hash(job), self._relative_work(job))
 
     def _attempt_hash(self, job: Job) -> int:
-        """A hash of this attempt of a job: asked again, it gives the same."""
+        """A hash that identifies this attempt of a job; repeated calls give the same value."""
         return mix(mix(job.request.id ^ self._hash_salt) + len(job.attempts) & MASK)
 
     def _relative_work(self, job: Job) -> float:
-        """In mean jobs."""
+        """Expected work of a job in units of the mean job."""
         run = (
             job.request.hint * job.request.slots or self.work_estimates.by_class[job.request.job_class].value
         )
--- a/larchgw/dispatcher/estimates/health.py
+++ b/larchgw/dispatcher/estimates/health.py
@@ -1,4 +1,4 @@
-"""Which workers fail what they get, by what was seen of them and how long ago."""
+"""Detects failing workers from decaying shares of failed jobs."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from ..scheduling.interface import Settings
 from ..scheduling.records import Worker
 
-# What one failure adds to a worker's share of failures, and what one success leaves
+# Gain of one failure on the failure share of a worker, and the factor applied to it by one success
 FAILURE_GAIN, SUCCESS_DECAY = 0.5, 0.7
-FAILURE_HALF_LIFE = 8.0  # seconds in which what was seen of failures comes to count half
-FAILING_SHARE = 0.1  # share of failures from which a worker is sick; in health it is under 0.001
+FAILURE_HALF_LIFE = 8.0  # seconds after which a failure share counts half
+FAILING_SHARE = 0.1  # failure share above which a worker is failing; for a healthy one it is under 0.001
 TRIAL_INTERVAL = 4.0  # seconds between trials of a worker that fails everything
-REPORTED_ERROR_RATE = 0.2  # errors a second in a worker's report that count as a failure seen
+REPORTED_ERROR_RATE = 0.2  # errors per second in a report above which it counts as an observed failure
 
 
 class Health:
-    """Shares of failures. They fade, so that whoever mends is tried again."""
+    """Failure shares of workers. They decay, so that a worker that has recovered is tried again."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
 
     def failure_share(self, now: float, worker: Worker) -> float:
-        """The share of jobs that this worker fails."""
+        """Estimated share of jobs that fail at this worker, decayed by age."""
         return (
             float(worker.failure_share * 0.5 ** ((now - worker.failure_share_at) / FAILURE_HALF_LIFE))
             if worker.failure_share
@@ -33,7 +33,7 @@
         return self.failure_share(now, worker) > FAILING_SHARE
 
     def on_success(self, now: float, worker: Worker) -> None:
-        """It has served a job."""
+        """Records a job that succeeded."""
         if worker.failure_share:
             worker.failure_share, worker.failure_share_at = (
                 SUCCESS_DECAY * self.failure_share(now, worker),
@@ -41,7 +41,7 @@
             )
 
     def on_failure(self, now: float, worker: Worker, workers: Iterable[Worker]) -> None:
-        """It has failed a job. If half of the workers are sick, it is the jobs and not they."""
+        """Records a failed job. If half of the workers fail, the jobs are taken to be the cause."""
         ready = [w for w in workers if w.ready]
         if 2 * (sum(self.is_failing(now, w) for w in ready if w is not worker) + 1) > len(ready) + 1:
             return
@@ -52,7 +52,7 @@
     def on_report(
         self, now: float, worker: Worker, report: Sequence[float], workers: Iterable[Worker]
     ) -> None:
-        """A load report. It comes with every answer and is renewed seldom: the same one again is no news."""
+        """Handles a load report. Answers repeat the same report until it is renewed; repeats are ignored."""
         if tuple(report) == worker.last_report:
             return
         worker.last_report = tuple(report)
--- a/larchgw/dispatcher/estimates/loads.py
+++ b/larchgw/dispatcher/estimates/loads.py
@@ -47,9 +47,8 @@
     )
 
     def __init__(self) -> None:
-        self.requests_per_core = self.own_slots = self.listed_at = (
-            0.0  # requests per core, own slots included in it, and the time of the list
-        )
+        # Requests per core, own slots included in it, and the time of the list
+        self.requests_per_core = self.own_slots = self.listed_at = 0.0
         self.capacity = self.remaining = self.headroom = self.even_share = 0.0
         # Load for its speed relative to the mean, smoothed over some lists; negative if unknown
         self.smoothed_load_ratio = -1.0
@@ -129,9 +128,8 @@
         sizes = [self.nominal.get(w.kind, 1.0) for w in workers]
         self.mean_size = sum(sizes) / len(sizes) if sizes else 1.0
         self.lists += 1
-        ahead = self.visibility_delay() / max(
-            mean_job, 1e-3
-        )  # mean jobs that a core completes until new jobs show in a list
+        # Mean jobs that a core completes until new jobs show in a list
+        ahead = self.visibility_delay() / max(mean_job, 1e-3)
         coming, held, levels = 0.0, 0.0, []
         for w, size in zip(workers, sizes, strict=True):
             sight = self.by_worker.get(w.id)
--- a/larchgw/dispatcher/estimates/quotas.py
+++ b/larchgw/dispatcher/estimates/quotas.py
@@ -1,22 +1,22 @@
-"""How fast each tenant's jobs come, against this dispatcher's part of what the tenant may ask."""
+"""Checks the job rate of each tenant against this dispatcher's part of the tenant's quota."""
 
 from __future__ import annotations
 
 from ..scheduling.interface import Settings
 
-BURST_S, MIN_BURST = 2.0, 3.0  # a tenant may be ahead by so many seconds of its quota, or by so many jobs
+BURST_S, MIN_BURST = 2.0, 3.0  # permitted burst: seconds of quota, or jobs if that is more
 
 
 class Quotas:
-    """A bucket for each tenant, filled by its jobs and emptied at its rate."""
+    """A leaky bucket for each tenant, filled by its jobs and drained at its quota."""
 
     def __init__(self, settings: Settings) -> None:
         self._rates = [tenant.quota / settings.instances for tenant in settings.tenants]  # jobs a second
         self._levels = [0.0] * len(self._rates)  # jobs
-        self._updated_at = [0.0] * len(self._rates)  # when the level was right
+        self._updated_at = [0.0] * len(self._rates)  # time of the last update of each level
 
     def exceeds(self, now: float, tenant: int) -> bool:
-        """Whether a job that comes now is beyond its tenant's quota; one that is not fills the bucket."""
+        """Whether a job arriving now exceeds the quota of its tenant; if not, it is added to the bucket."""
         rate = self._rates[tenant] if tenant < len(self._rates) else 0.0
         if rate <= 0:
             return False
--- a/larchgw/dispatcher/estimates/reports.py
+++ b/larchgw/dispatcher/estimates/reports.py
@@ -61,9 +61,8 @@
         self._random = random.Random(seed)
         self.by_worker: dict[WorkerId, ProbeState] = {}
         self.slots_by_kind: dict[int, float] = {}  # most free slots seen, by kind of worker
-        self.run_ratios: dict[
-            int, list[float]
-        ] = {}  # run time relative to the expected one, and rank weight in half octaves, by kind
+        # Run time relative to the expected one, and rank weight in half octaves, by kind of worker
+        self.run_ratios: dict[int, list[float]] = {}
         self.probe_interval = 0.5
         self._arrivals, self._counted_since, self._arrival_rate = 0, 0.0, 0.0
         self.configure(settings)
--- a/larchgw/dispatcher/estimates/works.py
+++ b/larchgw/dispatcher/estimates/works.py
@@ -1,22 +1,22 @@
-"""How long a job will run, by its class and its client's hint, which may be off by any factor or say nothing.
+"""Predicts run times from the job class and the client's hint, which may be off by any factor or useless.
 
-For each class a straight line is fitted through running times over hints. A hint that is off by a factor
-turns the line, one that says little flattens it, and what adds to every run (what it fetched or waited for,
-unseen) lifts it.
+For each class a linear regression of run times on hints is fitted. Hints that are off by a factor change
+the slope, uninformative hints flatten it, and unseen additions to every run (fetches or waits) raise the
+intercept.
 """
 
 from __future__ import annotations
 
 from ..scheduling.records import MovingAverage
 
-PRIOR_WEIGHT = 4.0  # jobs that the belief "all hints are off by the factor of the first" counts as
-PRIOR_SPREAD = 0.5  # spread of hints, over the first one, that it counts with
-MAX_WEIGHT = 300.0  # jobs from which on older ones fade
+PRIOR_WEIGHT = 4.0  # jobs that the prior "all hints are off by the factor of the first" counts as
+PRIOR_SPREAD = 0.5  # spread of hints in the prior, relative to the first hint
+MAX_WEIGHT = 300.0  # number of jobs beyond which older ones decay
 MIN_SECONDS = 1e-5
 
 
 class HintRegression:
-    """Running times over hints, both in seconds."""
+    """Linear regression of run times on hints, both in seconds."""
 
     __slots__ = ("weight", "mean_hint", "mean_run", "hint_variance", "covariance")
 
@@ -24,8 +24,8 @@
         self.weight = self.mean_hint = self.mean_run = self.hint_variance = self.covariance = 0.0
 
     def add(self, hint: float, run: float) -> None:
-        """A job with this hint ran for so long."""
-        if not self.weight:  # until the first end, the hint is taken at its word
+        """Records the run time of a job with this hint."""
+        if not self.weight:  # the first job sets the means; hints are used unchanged until then
             self.mean_hint, self.mean_run = hint, run
             self.hint_variance, self.covariance = (
                 (PRIOR_SPREAD * hint) ** 2,
@@ -40,7 +40,7 @@
         self.covariance += gain * (dx * (run - self.mean_run) - self.covariance)
 
     def min_run(self, hint: float) -> float:
-        """Seconds that a job with this hint runs where nothing else adds to it."""
+        """Predicted run time in seconds without unseen additions, such as fetches."""
         return (
             max(self.covariance, 0.0) / max(self.hint_variance, MIN_SECONDS * MIN_SECONDS) * hint
             if self.weight
@@ -48,7 +48,7 @@
         )
 
     def expected_run(self, hint: float) -> float:
-        """Seconds that a job with this hint is expected to run on a usual worker, with what adds to it."""
+        """Predicted run time in seconds on a typical worker, with unseen additions."""
         if not self.weight:
             return hint
         slope = max(self.covariance, 0.0) / max(self.hint_variance, MIN_SECONDS * MIN_SECONDS)
@@ -56,15 +56,15 @@
 
 
 class RunPredictor:
-    """One line for each class."""
+    """One regression for each job class."""
 
     def __init__(self, classes: int) -> None:
         self.lines = [HintRegression() for _ in range(classes)]
 
     def predict(self, job_class: int, hint: float, mean: MovingAverage) -> tuple[float, float]:
-        """Expected run, and the run where nothing adds to it; without a hint, by the class's mean run.
+        """Expected and minimal run time; without a hint, both come from the mean run time of the class.
 
-        Of a class that has not been seen to end, nobody knows that its jobs cannot be short.
+        The minimum is 0 for a class without completed jobs, since its jobs may be short.
         """
         if not hint:
             return mean.value, mean.value if mean.sample_count else 0.0
@@ -72,5 +72,5 @@
         return line.expected_run(hint), line.min_run(hint)
 
     def on_run(self, job_class: int, hint: float, run: float) -> None:
-        """A job that neither waited nor fetched, as far as we know, ran for so long, as on a usual worker."""
+        """Records a run time, scaled to a typical worker, of a job that had no known waits or fetches."""
         self.lines[job_class].add(hint, run)
