--- a/larchgw/dispatcher/estimates/loads.py
+++ b/larchgw/dispatcher/estimates/loads.py
@@ -89,13 +89,13 @@
             per_core = self.nominal[worker.kind] / weight - 1.0 if weight > 0 else 0.0
             if MIN_MARK < per_core < MAX_MARK:
                 marks.append(per_core)
-            sight = self.by_worker.get(worker.id)
-            if sight is None:
-                sight = self.by_worker[worker.id] = WorkerLoad()
-            sight.requests_per_core, sight.listed_at = per_core, now
-            self._trim(sight, now)
-            since = sum(change for at, change in sight.own_changes if at > now - WEIGHT_AGE)
-            sight.own_slots = max(worker.pending_slots - since, 0.0)
+            worker_load = self.by_worker.get(worker.id)
+            if worker_load is None:
+                worker_load = self.by_worker[worker.id] = WorkerLoad()
+            worker_load.requests_per_core, worker_load.listed_at = per_core, now
+            self._trim(worker_load, now)
+            since = sum(change for at, change in worker_load.own_changes if at > now - WEIGHT_AGE)
+            worker_load.own_slots = max(worker.pending_slots - since, 0.0)
         self._count_cores(marks)
 
     def _count_cores(self, marks: list[float]) -> None:
@@ -132,26 +132,27 @@
         ahead = self.visibility_delay() / max(mean_job, 1e-3)
         coming, held, levels = 0.0, 0.0, []
         for w, size in zip(workers, sizes, strict=True):
-            sight = self.by_worker.get(w.id)
-            if sight is None:
+            worker_load = self.by_worker.get(w.id)
+            if worker_load is None:
                 continue
             speed = size / self.mean_size
-            there = sight.requests_per_core * self.cores
+            there = worker_load.requests_per_core * self.cores
             done = min(there, self.cores) * speed * ahead
             coming += done + EXTRA_ARRIVALS
             held += there
-            sight.capacity = self.cores * speed
-            sight.remaining = max(there - done, 0.0)
-            levels.append((sight.remaining / sight.capacity, sight))
+            worker_load.capacity = self.cores * speed
+            worker_load.remaining = max(there - done, 0.0)
+            levels.append((worker_load.remaining / worker_load.capacity, worker_load))
         self.mean_load = held / sum(sizes) if sizes else 0.0
         busy = self.mean_load * self.mean_size
         if busy >= MIN_BUSY_LOAD:
-            for _, sight in levels:
-                ratio = sight.requests_per_core * self.cores * self.cores / sight.capacity / busy
-                sight.smoothed_load_ratio = (
+            for _, worker_load in levels:
+                ratio = worker_load.requests_per_core * self.cores * self.cores / worker_load.capacity / busy
+                worker_load.smoothed_load_ratio = (
                     ratio
-                    if sight.smoothed_load_ratio < 0
-                    else sight.smoothed_load_ratio + RATIO_GAIN * (ratio - sight.smoothed_load_ratio)
+                    if worker_load.smoothed_load_ratio < 0
+                    else worker_load.smoothed_load_ratio
+                    + RATIO_GAIN * (ratio - worker_load.smoothed_load_ratio)
                 )
         self._fill_to_level(coming, levels)
 
@@ -162,31 +163,34 @@
     def _fill_to_level(self, coming: float, levels: list[tuple[float, WorkerLoad]]) -> None:
         levels.sort(key=lambda item: item[0])
         power = filled = level = 0.0
-        for index, (_, sight) in enumerate(levels):
-            power += sight.capacity
-            filled += sight.remaining
+        for index, (_, worker_load) in enumerate(levels):
+            power += worker_load.capacity
+            filled += worker_load.remaining
             level = (coming + filled) / power
             if index + 1 == len(levels) or level <= levels[index + 1][0]:
                 break
         # While workers are lost or cold, the rest complete less than arrives, so the rate decays only slowly.
         self.arrival_rate = max(coming / self.visibility_delay(), self.arrival_rate * ARRIVAL_RATE_DECAY)
-        even = coming / sum(sight.capacity for _, sight in levels) if levels else 0.0
-        for start, sight in levels:
-            sight.headroom, sight.even_share = max(level - start, 0.0) * sight.capacity, even * sight.capacity
+        even = coming / sum(worker_load.capacity for _, worker_load in levels) if levels else 0.0
+        for start, worker_load in levels:
+            worker_load.headroom, worker_load.even_share = (
+                max(level - start, 0.0) * worker_load.capacity,
+                even * worker_load.capacity,
+            )
 
     def acceptance_share(self, now: float, worker: Worker) -> float:
         """Ratio of the planned to the even share of arrivals of a worker by the last list, at most 1."""
-        sight = self.by_worker.get(worker.id)
-        if sight is None or sight.even_share <= 0.0:
+        worker_load = self.by_worker.get(worker.id)
+        if worker_load is None or worker_load.even_share <= 0.0:
             return 1.0
-        room = sight.headroom - max(worker.pending_slots - sight.own_slots, 0.0)
-        trust = sight.freshness(now)
-        return min(max(room / sight.even_share, 0.0), 1.0) * trust + 1.0 - trust
+        room = worker_load.headroom - max(worker.pending_slots - worker_load.own_slots, 0.0)
+        trust = worker_load.freshness(now)
+        return min(max(room / worker_load.even_share, 0.0), 1.0) * trust + 1.0 - trust
 
     def is_underused(self, worker: Worker) -> bool:
         """Whether a worker had far less than the mean load over some lists."""
-        sight = self.by_worker.get(worker.id)
-        return sight is not None and 0.0 <= sight.smoothed_load_ratio < IDLE_SHARE
+        worker_load = self.by_worker.get(worker.id)
+        return worker_load is not None and 0.0 <= worker_load.smoothed_load_ratio < IDLE_SHARE
 
     def relative_speed(self, worker: Worker) -> float:
         """Nominal size of a worker relative to the mean."""
@@ -198,21 +202,21 @@
 
     def on_own_slots(self, now: float, worker: WorkerId, slots: float) -> None:
         """Records slots that this dispatcher has sent to a worker, or that were released (negative)."""
-        sight = self.by_worker.get(worker)
-        if sight is not None:
-            sight.own_changes.append((now, slots))
-            self._trim(sight, now)
+        worker_load = self.by_worker.get(worker)
+        if worker_load is not None:
+            worker_load.own_changes.append((now, slots))
+            self._trim(worker_load, now)
 
-    def _trim(self, sight: WorkerLoad, now: float) -> None:
-        while sight.own_changes and sight.own_changes[0][0] < now - CHANGE_RETENTION:
-            sight.own_changes.popleft()
+    def _trim(self, worker_load: WorkerLoad, now: float) -> None:
+        while worker_load.own_changes and worker_load.own_changes[0][0] < now - CHANGE_RETENTION:
+            worker_load.own_changes.popleft()
 
     def requests_of_others(self, now: float, worker: Worker) -> float:
         """Requests of other dispatchers at a worker, never below 0; tends to the mean as the list ages."""
-        sight = self.by_worker.get(worker.id)
+        worker_load = self.by_worker.get(worker.id)
         usual = self.mean_load * self.nominal.get(worker.kind, 1.0)
-        if sight is None:
+        if worker_load is None:
             return max(usual - worker.pending_slots, 0.0) if self.nominal else 0.0
-        known = max(sight.requests_per_core * self.cores - sight.own_slots, 0.0)
-        trust = sight.freshness(now)
-        return max(known * trust + (usual - sight.own_slots) * (1.0 - trust), 0.0)
+        known = max(worker_load.requests_per_core * self.cores - worker_load.own_slots, 0.0)
+        trust = worker_load.freshness(now)
+        return max(known * trust + (usual - worker_load.own_slots) * (1.0 - trust), 0.0)
--- a/larchgw/dispatcher/estimates/reports.py
+++ b/larchgw/dispatcher/estimates/reports.py
@@ -89,12 +89,12 @@
             return []
         asked = []
         for worker in workers:
-            sight = self.by_worker.get(worker.id)
-            if sight is None:
-                sight = self.by_worker[worker.id] = ProbeState(now)
-            if now < sight.next_probe_at or now < sight.probed_at + PROBE_TIMEOUT:
+            probe_state = self.by_worker.get(worker.id)
+            if probe_state is None:
+                probe_state = self.by_worker[worker.id] = ProbeState(now)
+            if now < probe_state.next_probe_at or now < probe_state.probed_at + PROBE_TIMEOUT:
                 continue
-            sight.probed_at = now
+            probe_state.probed_at = now
             asked.append(worker.id)
         if asked:
             self.probe_interval = self._probe_interval(len(self.by_worker))
@@ -112,62 +112,64 @@
 
     def on_probe_failed(self, now: float, worker: WorkerId) -> int:
         """Handles an unanswered probe and returns the number of consecutive failures."""
-        sight = self.by_worker.get(worker)
-        if sight is None:
+        probe_state = self.by_worker.get(worker)
+        if probe_state is None:
             return 0
-        sight.failures += 1
-        sight.probed_at = NOT_PROBED
-        sight.next_probe_at = now + (
-            REPROBE_DELAY if sight.failures == 1 else self.probe_interval * self._random.uniform(0.7, 1.3)
+        probe_state.failures += 1
+        probe_state.probed_at = NOT_PROBED
+        probe_state.next_probe_at = now + (
+            REPROBE_DELAY
+            if probe_state.failures == 1
+            else self.probe_interval * self._random.uniform(0.7, 1.3)
         )
-        return sight.failures
+        return probe_state.failures
 
     # Load updates
 
     def on_report(self, now: float, worker: Worker, report: Sequence[float]) -> None:
         """Handles the answer to a probe."""
-        sight = self.by_worker.get(worker.id)
-        if sight is None:
+        probe_state = self.by_worker.get(worker.id)
+        if probe_state is None:
             return
-        sight.probed_at, sight.failures = NOT_PROBED, 0
-        sight.next_probe_at = now + self.probe_interval * self._random.uniform(0.7, 1.3)
+        probe_state.probed_at, probe_state.failures = NOT_PROBED, 0
+        probe_state.next_probe_at = now + self.probe_interval * self._random.uniform(0.7, 1.3)
         if len(report) <= self.settings.slot_reports or not any(report):
             return  # an idle worker has free slots, so all zeros mean that the worker has no data yet
         free = max(report[self.settings.slot_reports], 0.0)
         self.slots_by_kind[worker.kind] = max(self.slots_by_kind.get(worker.kind, 0.0), free)
-        new, sight.last_report = tuple(report) != sight.last_report, tuple(report)
+        new, probe_state.last_report = tuple(report) != probe_state.last_report, tuple(report)
         if not new:
             return
-        self._trim(now, sight)
-        own = worker.pending_slots - sum(c for at, c in sight.own_changes if at > now - REPORT_AGE)
+        self._trim(now, probe_state)
+        own = worker.pending_slots - sum(c for at, c in probe_state.own_changes if at > now - REPORT_AGE)
         others = self.slots_by_kind[worker.kind] - free - max(own, 0.0)
         if self.include_queue and len(report) > self.settings.queue_reports:
             others += max(report[self.settings.queue_reports], 0.0)
         elif free < FEW_FREE_SLOTS:
             others = max(others, (self.settings.instances - 1) * own)  # the queue length is not reported
-        gain = REPORT_GAIN if sight.free_slots >= 0.0 else 1.0
-        sight.slots_of_others += gain * (max(others, 0.0) - sight.slots_of_others)
-        sight.free_slots, sight.reported_at = free, now
+        gain = REPORT_GAIN if probe_state.free_slots >= 0.0 else 1.0
+        probe_state.slots_of_others += gain * (max(others, 0.0) - probe_state.slots_of_others)
+        probe_state.free_slots, probe_state.reported_at = free, now
 
     def on_full(self, now: float, worker: Worker) -> None:
         """Handles a rejection: at least as many jobs wait as run. This decays as a report does."""
-        sight = self.by_worker.get(worker.id)
-        if self.enabled and sight is not None:
-            sight.slots_of_others, sight.reported_at = (
-                max(sight.slots_of_others, 2.0 * self.slots(worker)),
+        probe_state = self.by_worker.get(worker.id)
+        if self.enabled and probe_state is not None:
+            probe_state.slots_of_others, probe_state.reported_at = (
+                max(probe_state.slots_of_others, 2.0 * self.slots(worker)),
                 now,
             )
 
     def on_own_slots(self, now: float, worker: WorkerId, slots: float) -> None:
         """Records slots that this dispatcher has sent to a worker, or that were released (negative)."""
-        sight = self.by_worker.get(worker)
-        if sight is not None:
-            sight.own_changes.append((now, slots))
-            self._trim(now, sight)
+        probe_state = self.by_worker.get(worker)
+        if probe_state is not None:
+            probe_state.own_changes.append((now, slots))
+            self._trim(now, probe_state)
 
-    def _trim(self, now: float, sight: ProbeState) -> None:
-        while sight.own_changes and sight.own_changes[0][0] < now - CHANGE_RETENTION:
-            sight.own_changes.popleft()
+    def _trim(self, now: float, probe_state: ProbeState) -> None:
+        while probe_state.own_changes and probe_state.own_changes[0][0] < now - CHANGE_RETENTION:
+            probe_state.own_changes.popleft()
 
     def forget(self, worker: WorkerId) -> None:
         """Drops the state of a worker that is gone or was replaced by another process."""
@@ -181,30 +183,32 @@
 
     def warm_capacity(self, worker: Worker) -> float:
         """Capacity of a warm worker in typical slot seconds per second, at most its number of slots."""
-        pace = self.run_ratios.get(worker.kind)
-        return self.slots(worker) / max(pace[0] if pace else 1.0, 1.0)
+        ratio_and_weight = self.run_ratios.get(worker.kind)
+        return self.slots(worker) / max(ratio_and_weight[0] if ratio_and_weight else 1.0, 1.0)
 
     def on_run(self, worker: Worker, ratio: float) -> bool:
         """Records a run time relative to the expected one; returns whether the rank weight has changed."""
-        pace = self.run_ratios.setdefault(worker.kind, [1.0, 0.0])
-        pace[0] += RUN_RATIO_GAIN * (min(ratio, 5.0) - pace[0])
-        weight = 2.0 * log2(self.slots(worker) / max(pace[0], 0.1))
-        if abs(weight - pace[1]) < 0.75:
+        ratio_and_weight = self.run_ratios.setdefault(worker.kind, [1.0, 0.0])
+        ratio_and_weight[0] += RUN_RATIO_GAIN * (min(ratio, 5.0) - ratio_and_weight[0])
+        weight = 2.0 * log2(self.slots(worker) / max(ratio_and_weight[0], 0.1))
+        if abs(weight - ratio_and_weight[1]) < 0.75:
             return False
-        pace[1] = round(weight)  # in half octaves, so that most dispatchers agree on the value
+        ratio_and_weight[1] = round(weight)  # in half octaves, so that most dispatchers agree on the value
         return True
 
     def rank_weight(self, worker: Worker) -> float:
         """Relative capacity of workers of this kind, used as the weight in rankings."""
-        pace = self.run_ratios.get(worker.kind)
-        return float(2.0 ** (pace[1] / 2.0)) if pace else 1.0
+        ratio_and_weight = self.run_ratios.get(worker.kind)
+        return float(2.0 ** (ratio_and_weight[1] / 2.0)) if ratio_and_weight else 1.0
 
     def slots_of_others(self, now: float, worker: Worker) -> float:
         """Slots used by other dispatchers at a worker; older reports count for less."""
-        sight = self.by_worker.get(worker.id)
-        if sight is None:
+        probe_state = self.by_worker.get(worker.id)
+        if probe_state is None:
             return 0.0
-        return float(sight.slots_of_others * 0.5 ** (max(now - sight.reported_at, 0.0) / REPORT_HALF_LIFE))
+        return float(
+            probe_state.slots_of_others * 0.5 ** (max(now - probe_state.reported_at, 0.0) / REPORT_HALF_LIFE)
+        )
 
     def expected_delay(
         self, now: float, worker: Worker, slots: float, mean_run: float, share: float = 1.0
