--- a/larchgw/dispatcher/capacity/planner.py
+++ b/larchgw/dispatcher/capacity/planner.py
@@ -1,8 +1,8 @@
-"""Reservations: which box keeps room for a large job, and which smaller ones may go first all the same.
+"""Reservations with backfilling: which worker keeps slots for a large job, and which jobs may run before it.
 
-A reservation names a box and a latest start. Whoever wants room at that box is let in as long as the large
-job is still expected to start by then; so the gap is filled for as long as that does no harm, and a fleet
-with room to spare holds nothing back. `docs/design-room.md` weighs this against the other ways.
+A reservation names a worker and a latest start. Other jobs are admitted to that worker as long as the large
+job is still expected to start by then. Idle slots are thus backfilled while that delays nothing, and a fleet
+with spare capacity holds nothing back. `docs/design-room.md` compares this with the alternatives.
 """
 
 from __future__ import annotations
@@ -18,57 +18,57 @@
 
 EPS = 1e-9
 INFEASIBLE = "no box has that many slots"
-RUN_TIME_RATIO_BOUNDS = (0.25, 8.0)  # a box's pace is believed within these
-RETRIED_JOBS = 4  # waiting jobs that are looked at again whenever an attempt ends
-LOSS_GAIN = 0.02  # weight of the newest small job in what is known of their losses
-AVOID_TIME = 1.0  # seconds
-ENDS_LIFETIME = 0.05  # seconds that expected ends at a box are taken for true
-NOW_TOLERANCE = 0.05  # seconds: as good as now
+RUN_TIME_RATIO_BOUNDS = (0.25, 8.0)  # a worker's reported run time ratio is clamped to this range
+RETRIED_JOBS = 4  # waiting jobs reconsidered each time an attempt ends
+LOSS_GAIN = 0.02  # weight of the newest sample in the moving averages of small jobs' losses
+AVOID_TIME = 1.0  # seconds without new reservations at a worker after an attempt failed there
+ENDS_LIFETIME = 0.05  # seconds for which a worker's expected ends are cached
+NOW_TOLERANCE = 0.05  # seconds; an expected start this close counts as immediate
 
 
 @dataclass(slots=True)
 class Reservation:
-    """Room held for one job at one box."""
+    """Slots held for one job at one worker."""
 
     job: Job
     worker: Worker
     made_at: float
-    latest_start: float  # the job must start by then to be in time
-    expected_start: float  # when there is room, if nobody else is let in
-    checked_at: float  # when that was last worked out
-    jobs_kept_out: int = 0  # jobs kept out for its sake
-    jobs_let_in: int = 0  # jobs let in before it
+    latest_start: float  # the job misses its target if it starts later
+    expected_start: float  # when enough slots are free if no other job is admitted
+    checked_at: float  # when `expected_start` was last computed
+    jobs_kept_out: int = 0  # times a job was refused because of this reservation
+    jobs_let_in: int = 0  # jobs admitted ahead of the reserved job
 
 
 @dataclass(slots=True)
 class PlannerCounts:
-    """What the planner has done since its start."""
+    """Counters since the planner was created."""
 
-    made: int = 0  # reservations
-    used: int = 0  # of these, jobs that were sent to the box held
-    moved: int = 0  # given up for a better box
-    dropped: int = 0  # the box went bad, or the job ended otherwise
-    filled: int = 0  # small jobs let in before a large one
-    passed: int = 0  # times that a small job was kept out
-    overdue: int = 0  # small jobs let in since they had been kept out for too long
-    refused_cap: int = 0  # times that a bound on reservations kept one from being made
-    hopeless: int = 0  # jobs larger than any box
+    made: int = 0  # reservations created
+    used: int = 0  # reservations whose job was sent to the reserved worker
+    moved: int = 0  # reservations replaced by one at a worker that is free sooner
+    dropped: int = 0  # reservations given up: worker unsuitable, start too late, job sent elsewhere or closed
+    filled: int = 0  # admissions of a small job ahead of a large one
+    passed: int = 0  # refusals of a small job
+    overdue: int = 0  # admissions of a small job because it had been refused for too long
+    refused_cap: int = 0  # times a configured limit was hit
+    hopeless: int = 0  # jobs that need more slots than any worker has
 
 
 @dataclass(slots=True)
 class WorkerState:
-    """What is known of one box beside the module's own record."""
+    """Planner state of one worker, in addition to the scheduler's `Worker` record."""
 
-    attempts: dict[int, Attempt] = field(default_factory=dict)  # by the attempt's identity
-    expected_ends: list[tuple[float, float]] | None = None  # what `_ends` found last, and when
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # keyed by `id(attempt)`
+    expected_ends: list[tuple[float, float]] | None = None  # cached result of `_expected_ends`
     ends_computed_at: float = 0.0
-    max_slots_seen: float = 0.0  # free slots and ours that run, the most ever seen together
-    avoid_until: float = 0.0  # until then no room is held there: it turned a job away
-    rejected_slots: float = float("inf")  # it turned a job of so many slots away when it was idle
+    max_slots_seen: float = 0.0  # maximum of free slots plus slots of our running jobs
+    avoid_until: float = 0.0  # no reservation here before this time: an attempt failed
+    rejected_slots: float = float("inf")  # smallest request refused while the worker was idle
 
 
 class Planner:
-    """One dispatcher's reservations. Same calls, same plan: it draws no random numbers."""
+    """Reservations of one dispatcher. Deterministic: uses no random numbers."""
 
     def __init__(self, settings: Settings, config: ReservationSettings | None = None) -> None:
         self.config = config or ReservationSettings()
@@ -80,30 +80,30 @@
         self.by_job: dict[int, Reservation] = {}
         self.by_worker: dict[bytes, Reservation] = {}
         self.worker_states: dict[bytes, WorkerState] = {}
-        self.capacity: dict[bytes, float] = {}  # slots, where they are known for certain
+        self.capacity: dict[bytes, float] = {}  # total slots by worker id, where known for certain
         self.waiting: OrderedDict[int, tuple[Job, Sequence[Worker]]] = OrderedDict()  # large ones
         count = len(settings.classes)
-        # Of small jobs
+        # Moving averages over small jobs, by class
         self._mean_values, self._loss_rates, self._lost_values = [0.0] * count, [0.0] * count, [0.0] * count
         self._counted_workers: Sequence[Worker] = ()
-        self._worker_count = 0  # boxes among these
-        self._infeasible_request = 0  # the last hopeless request
-        self.on_limit_reached: Callable[[str], None] = lambda name: None  # told of a setting that bit
-        # Seconds that a box takes longer where it does not hold the key
+        self._worker_count = 0  # distinct workers in `_counted_workers`
+        self._infeasible_request = 0  # id of the last infeasible request
+        self.on_limit_reached: Callable[[str], None] = lambda name: None  # called with the setting's name
+        # Extra seconds a job takes at a worker that does not hold its key
         self._fetch_time = MovingAverage(0.1)
-        self._excluded_since: dict[int, float] = {}  # small jobs, and since when they are kept out
+        self._excluded_since: dict[int, float] = {}  # by request id: time of the first refusal
 
-    # Asked by the decision module
+    # Queries from the scheduler
 
     def admits(self, now: float, job: Job, worker: Worker) -> bool:
-        """Whether this job may take room at this worker now."""
+        """Whether this job may take slots at this worker now."""
         if job.request.slots > 1.0 and not self._large_enough(worker, job):
             return False
         held = self.by_worker.get(worker.id)
         if held is None or held.job is job:
             return True
         if job.request.id in self.by_job and job.value > held.job.value:
-            return True  # two large ones, and the other is worth more for its work
+            return True  # both have reservations, and this job has the higher value
         with_it = self._earliest_start(now, worker, held.job, job)
         if with_it <= held.latest_start:
             held.jobs_let_in += 1
@@ -121,7 +121,7 @@
         return False
 
     def reserved_slots(self, now: float, job: Job) -> float:
-        """Slots of the window that others wait for whose box has room by now."""
+        """Slots of the in-flight window kept for reserved jobs that can start now."""
         if not self.by_job or job.request.id in self.by_job:
             return 0.0
         kept = 0.0
@@ -135,19 +135,19 @@
         return kept
 
     def reserved_worker(self, now: float, job: Job) -> Worker | None:
-        """The box that holds room for this job."""
+        """The worker at which slots are reserved for this job."""
         held = self.by_job.get(job.request.id)
         return held.worker if held else None
 
     def due_job(self, now: float, worker: Worker) -> Job | None:
-        """The waiting job that room is held for at this box, if it must go before others now."""
+        """The queued job reserved at this worker, if it must be sent before others now."""
         held = self.by_worker.get(worker.id)
         if held is None or not held.job.queued or held.job.done or now < held.latest_start - self.config.lead:
             return None
         return held.job if self._is_worth_reserving(held.job) else None
 
     def request_reservation(self, now: float, job: Job, workers: Sequence[Worker]) -> None:
-        """Makes, keeps or moves the reservation of a job that nothing has room for."""
+        """Creates, keeps or moves the reservation of a job that fits no worker now."""
         if job.request.slots < self.config.smallest or job.done or job.in_flight():
             return
         if job.request.id in self.waiting or len(self.waiting) < self.config.waiting:
@@ -164,13 +164,13 @@
             else:
                 held.expected_start, held.checked_at = self._earliest_start(now, held.worker, job), now
         if held is None and len(self.by_worker) >= self._max_reservations(workers):
-            # Before anything is worked out: while many wait, this is where most of them end.
+            # Checked before the costly search: with many waiting jobs, most calls return here.
             self._on_limit("most" if len(self.by_worker) >= self.config.most else "boxes_share")
             return
         latest = self._latest_start(job)
         best, best_at = self._best_worker(now, job, workers)
         if best is None or best_at > latest or not self._is_worth_reserving(job):
-            # Held room would come too late as well: it would only keep others waiting.
+            # A reservation that cannot start in time would only delay other jobs.
             if held is not None and (held.expected_start > latest or not self._is_worth_reserving(job)):
                 self._cancel(held)
             return
@@ -185,10 +185,10 @@
         self.counts.made += 1
 
     def is_infeasible(self, job: Job) -> bool:
-        """Whether every box that may run it is known to have fewer slots than this job takes.
+        """Whether every worker that may run this job is known to have too few slots for it.
 
-        Only what `wait` has just been told counts: a box that joined since may be large enough, and a refusal
-        that is wrong loses a job.
+        Uses only the workers last passed to `request_reservation`. A worker that joined since may be large
+        enough, and a wrong refusal loses a job.
         """
         known = self.waiting.get(job.request.id)
         if known is None or not known[1] or any(self._large_enough(w, job) for w in known[1]):
@@ -198,15 +198,15 @@
         return True
 
     def _large_enough(self, worker: Worker, job: Job) -> bool:
-        """Whether a box may have as many slots, for all that is known."""
+        """Whether the worker may have enough slots in total, as far as is known."""
         box, slots = self.worker_states.get(worker.id), job.request.slots
         return self.capacity.get(worker.id, slots) >= slots and (box is None or box.rejected_slots > slots)
 
     def infeasible_reason(self, request: int) -> str:
-        """Why a request is hopeless; its refusal follows at once, so one is remembered."""
+        """Why a request is infeasible. Only the last one is stored, as its refusal follows at once."""
         return INFEASIBLE if request == self._infeasible_request else ""
 
-    # Told by the decision module
+    # Notifications from the scheduler
 
     def on_sent(self, now: float, attempt: Attempt) -> None:
         job, worker = attempt.job, attempt.worker
@@ -242,17 +242,17 @@
         running = sum(a.job.request.slots for a in box.attempts.values() if a.started_at)
         idle = free >= 0 and not box.attempts and free >= box.max_slots_seen
         if status == Status.FULL and idle and free < job.request.slots:
-            # It had nothing of ours, and as much free as it ever had: it does not hold that many.
+            # The worker was idle with as many free slots as ever seen, so it is too small for this request.
             box.rejected_slots = min(box.rejected_slots, job.request.slots)
         if free >= 0:
             box.max_slots_seen = max(box.max_slots_seen, free + running)
         held = self.by_worker.get(worker.id)
         if status != Status.OK:
-            box.avoid_until = now + AVOID_TIME  # full by others' jobs, failing or gone: look elsewhere
+            box.avoid_until = now + AVOID_TIME  # filled by other dispatchers, failing or gone
             if held is not None and held.job is not job:
                 self._cancel(held)
         if not box.attempts and not worker.ready:
-            self.worker_states.pop(worker.id, None)  # it drains or is gone: its last attempt has ended
+            self.worker_states.pop(worker.id, None)  # draining or gone, and its last attempt has ended
         self._retry_waiting(now)
 
     def on_worker_lost(self, worker: Worker) -> None:
@@ -261,7 +261,7 @@
             self._cancel(held)
         box = self.worker_states.pop(worker.id, None)
         if box is not None and box.attempts:
-            self.worker_states[worker.id] = WorkerState(box.attempts)  # these end yet
+            self.worker_states[worker.id] = WorkerState(box.attempts)  # attempts still in flight
 
     def on_job_closed(self, job: Job) -> None:
         self._forget_job(job)
@@ -272,14 +272,14 @@
             self._cancel(held)
 
     def set_capacity(self, worker: bytes, slots: float | None) -> None:
-        """How many slots a box has, from one who knows; None: that is no longer known."""
+        """Sets a worker's total slots from an authoritative source; None means no longer known."""
         if slots is None:
             self.capacity.pop(worker, None)
         else:
             self.capacity[worker] = slots
 
     def describe(self, now: float) -> list[dict[str, object]]:
-        """What is held now and why: one entry a reservation, times in seconds from now."""
+        """The current reservations, one entry each; times are seconds relative to now."""
         return [
             {
                 "box": held.worker.id.decode("latin-1"),
@@ -294,10 +294,10 @@
             for held in self.by_job.values()
         ]
 
-    # Within
+    # Internals
 
     def _on_limit(self, name: str) -> None:
-        """A bound of ours kept something from being done."""
+        """Counts and reports that a configured limit was hit."""
         self.counts.refused_cap += 1
         self.on_limit_reached(name)
 
@@ -306,7 +306,7 @@
         self.waiting.pop(job.request.id, None)
 
     def _retry_waiting(self, now: float) -> None:
-        """A few waiting jobs in turn: the module itself tries only those of most worth."""
+        """Reconsiders a few waiting jobs in turn, as the scheduler tries only the most valuable ones."""
         for _ in range(min(RETRIED_JOBS, len(self.waiting))):
             number, (job, workers) = next(iter(self.waiting.items()))
             self.waiting.move_to_end(number)
@@ -323,26 +323,25 @@
         return min(job.target_start, job.latest_start) - self.config.margin
 
     def _max_reservations(self, workers: Sequence[Worker]) -> int:
-        """How many boxes may hold room at the same time: one at the least."""
-        if workers is not self._counted_workers:  # the module hands in the same list until the fleet changes
+        """How many workers may have a reservation at the same time; at least one."""
+        if workers is not self._counted_workers:  # the scheduler reuses the list until the fleet changes
             self._counted_workers, self._worker_count = workers, len({w.id for w in workers})
         return min(max(int(self.config.boxes_share * self._worker_count), 1), self.config.most)
 
     def _excluded_long_enough(self, now: float, job: Job, since: float) -> bool:
-        """Whether a job has been kept out for its share of the time that it had left when that began."""
+        """Whether a job has been refused for `pass_over` of the time it had left at its first refusal."""
         return now - since > self.config.pass_over * max(job.target_start - since, 0.0)
 
     def _is_worth_reserving(self, job: Job) -> bool:
-        """Whether its work is worth more than that of the small jobs which are being lost.
+        """Whether the job's value is at least that of the small jobs currently being lost.
 
-        A slot second that is kept free, or given to a large job, is taken from whoever would have had it.
-        That costs little while those are served all the same, and their worth for their work once they
-        are not.
+        A slot second kept free or given to a large job is taken from small jobs. That costs little while
+        they are served in time anyway, and their full value once they are not.
         """
         return job.value * self.config.favour >= max(self._lost_values, default=0.0)
 
     def _record_small_job(self, job: Job, lost: bool) -> None:
-        """A small job went in time, or it did not."""
+        """Updates the loss averages with a small job that was sent in time or lost."""
         if job.request.slots < self.config.smallest:
             index = job.request.job_class
             self._mean_values[index] += LOSS_GAIN * (job.value - self._mean_values[index])
@@ -350,17 +349,17 @@
             self._lost_values[index] = self._mean_values[index] * self._loss_rates[index]
 
     def _loss_if_late(self, job: Job) -> float:
-        """What is lost if this job is late."""
+        """Value lost if this job is late."""
         run = self.estimates.classes[job.request.job_class].mean()
         return job.value * (run * job.request.slots if self._by_work else 1.0)
 
     def _expected_loss(self, held: Reservation, start: float) -> float:
-        """What is lost if the large job starts then: all, once it is past the latest start by the margin."""
+        """Value lost if the reserved job starts at `start`: all of it from `margin` past the latest start."""
         part = (start - held.latest_start) / max(self.config.margin, 0.1)
         return self._loss_if_late(held.job) * min(part, 1.0)
 
     def _is_suitable(self, now: float, worker: Worker, job: Job) -> bool:
-        """Whether a box is one to wait for."""
+        """Whether a reservation may be placed at this worker."""
         if not worker.ready or worker.suspicion or worker.failure_share > 0.1 or now < worker.warm_at:
             return False
         if now < worker.avoid_until - 2.0:
@@ -373,7 +372,7 @@
         for worker in self._candidates(job, workers):
             held = self.by_worker.get(worker.id)
             if held is not None and held.job is not job:
-                continue  # one reservation a box: never more is held than there is
+                continue  # one reservation per worker, so that no more is held than it has
             if self._is_suitable(now, worker, job):
                 at = self._earliest_start(now, worker, job)
                 if job.request.key and job.request.key not in worker.held_keys:
@@ -383,7 +382,7 @@
         return best, best_at
 
     def _candidates(self, job: Job, workers: Sequence[Worker]) -> Iterable[Worker]:
-        """A sample by the job's own number: each large job looks elsewhere on a large fleet."""
+        """Samples workers by request id, so that large jobs spread over a large fleet."""
         count, sample = len(workers), self.config.sample
         if count <= 4 * sample:
             return {w.id: w for w in workers}.values()
@@ -392,9 +391,9 @@
         return {w.id: w for w in (workers[(first + i * step) % count] for i in range(sample))}.values()
 
     def _earliest_start(self, now: float, worker: Worker, job: Job, extra: Job | None = None) -> float:
-        """When this job has room at this worker, if of all others only `extra` is let in before it.
+        """When this job can start at this worker if only `extra` is admitted before it.
 
-        The module's threshold is what there is: a job fits under it, or alone.
+        A job fits if the total stays within the scheduler's slot limit, or if it runs alone.
         """
         there, slots = worker.pending_slots, job.request.slots
         ends = self._expected_ends(now, worker)
@@ -413,9 +412,9 @@
         return max(at, ends[-1][0]) if ends else at
 
     def _expected_ends(self, now: float, worker: Worker) -> list[tuple[float, float]]:
-        """When this worker's attempts are expected to end, and the slots that each frees, soonest first.
+        """Expected end time and freed slots of each attempt at this worker, soonest first.
 
-        Kept for a moment, or until something happens there: while many jobs wait, each asks about each box.
+        Cached briefly or until an event at the worker, as each waiting job queries many workers.
         """
         box = self._state_of(worker)
         if box.expected_ends is None or now > box.ends_computed_at + ENDS_LIFETIME:
