--- a/larchgw/dispatcher/capacity/__init__.py
+++ b/larchgw/dispatcher/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Room for large jobs: reservations at boxes, and what may fill the gaps that they leave. Free of I/O."""
+"""Capacity planning for large jobs: reservations at workers, with backfilling by other jobs. Does no I/O."""
 
 from .interface import NO_RESERVATIONS, NoReservations, ReservationPolicy
 from .planner import Planner, Reservation
--- a/larchgw/dispatcher/capacity/estimates.py
+++ b/larchgw/dispatcher/capacity/estimates.py
@@ -1,4 +1,4 @@
-"""How long jobs run, as distributions that forget: by class, narrowed by key."""
+"""Run time estimates: an exponentially decaying histogram per class, adjusted by key."""
 
 from __future__ import annotations
 
@@ -6,38 +6,36 @@
 from math import log
 
 MIN_RUN, BUCKET_RATIO, BUCKETS = 0.01, 1.2, 56  # seconds; the last bucket begins at 227 s
-SAMPLE_HALF_LIFE = 400  # samples after which an old one counts half
-MAX_KEYS = 1024  # keys remembered, the least recently used first to go
-KEY_WEIGHT = 4.0  # samples that a key needs to count as much as its class
-PRIOR_WEIGHT = 5.0  # samples below which the guess given at the start counts, too
+SAMPLE_HALF_LIFE = 400  # number of newer samples after which a sample's weight has halved
+MAX_KEYS = 1024  # keys kept; the least recently updated is evicted first
+KEY_WEIGHT = 4.0  # samples at which a key's own ratio and the class estimate weigh the same
+PRIOR_WEIGHT = 5.0  # weight of the initial guess, in samples
 _LOG_RATIO = log(BUCKET_RATIO)
 _UPPER_BOUNDS = [MIN_RUN * BUCKET_RATIO ** (i + 1) for i in range(BUCKETS)]
 
 
 def bucket(seconds: float) -> int:
-    """The bucket that holds this running time."""
+    """Index of the histogram bucket for this run time."""
     if seconds <= MIN_RUN:
         return 0
     return min(int(log(seconds / MIN_RUN) / _LOG_RATIO), BUCKETS - 1)
 
 
 class RunTimes:
-    """Running times of one class in buckets that grow by a fifth.
+    """Decaying histogram of one class's run times; each bucket is 20 % wider than the one before.
 
-    Not HdrHistogram: its counts are whole and never fade, while a fleet's mix of work changes by the hour,
-    and what is asked for is the rest of a run that has lasted some time already.
+    HdrHistogram does not fit: its counts are integers and never decay, while a fleet's workload changes by
+    the hour, and the query here is the remaining time of a run in progress.
     """
 
     __slots__ = ("counts", "total", "sum", "_prior", "_sample_weight")
 
     def __init__(self, guess: float) -> None:
-        """`guess`: seconds, the running time to assume before any has been seen."""
+        """`guess` is the run time in seconds to assume before any sample."""
         self.counts = [0.0] * BUCKETS
         self.total = self.sum = 0.0
         self._prior = guess
-        self._sample_weight = (
-            1.0  # what the next sample counts: growing it is cheaper than shrinking all others
-        )
+        self._sample_weight = 1.0  # weight of the next sample; growing it is cheaper than decaying all others
 
     def add(self, seconds: float) -> None:
         self.counts[bucket(seconds)] += self._sample_weight
@@ -53,7 +51,7 @@
             )
 
     def sample_count(self) -> float:
-        """How many samples count, in recent ones."""
+        """Effective number of samples after decay."""
         return self.total / self._sample_weight
 
     def mean(self) -> float:
@@ -61,16 +59,16 @@
         return (self.sum + weight * self._prior) / (self.total + weight)
 
     def remaining(self, elapsed: float, share: float) -> float:
-        """Seconds within which this share of the runs end that have lasted `elapsed` already.
+        """Seconds within which this share of the runs that have already lasted `elapsed` end.
 
-        A run longer than all that were seen is taken to last as long again: it tells that the figures are
-        wrong, and a reservation must not count on its end at any moment.
+        A run longer than all samples is expected to take as long again. It shows that the estimates are
+        wrong, so a reservation must not rely on it ending at any moment.
         """
         if self.sample_count() < PRIOR_WEIGHT:
             return max(self._prior * 2.0 * share - elapsed, 0.5 * elapsed)
         first = bucket(elapsed) if elapsed > 0 else 0
         low = _UPPER_BOUNDS[first] / BUCKET_RATIO if first else 0.0
-        # Of the bucket that `elapsed` stands in, the part above it is left.
+        # Only the part of the first bucket above `elapsed` remains.
         inside = min(max((_UPPER_BOUNDS[first] - elapsed) / (_UPPER_BOUNDS[first] - low), 0.0), 1.0)
         left = self.counts[first] * inside
         beyond = left + sum(self.counts[first + 1 :])
@@ -93,15 +91,15 @@
 
 
 class RunTimeEstimates:
-    """Running times by class, and how much longer or shorter those of a key are."""
+    """Run time distributions by class, and the ratio of each key's run times to its class."""
 
     def __init__(self, guesses: list[float]) -> None:
-        """`guesses`: seconds, one for each class."""
+        """`guesses` are initial run times in seconds, one for each class."""
         self.classes = [RunTimes(g) for g in guesses]
         self._keys: OrderedDict[tuple[int, int], list[float]] = OrderedDict()
 
     def learn(self, job_class: int, key: int, seconds: float) -> None:
-        """A job has run for so long at a box of usual pace."""
+        """Records a run time, normalized to a worker of typical speed."""
         runs = self.classes[job_class]
         ratio = min(max(seconds / max(runs.mean(), 1e-3), 0.1), 10.0)
         runs.add(seconds)
@@ -114,11 +112,11 @@
                 self._keys.popitem(last=False)
 
     def key_factor(self, job_class: int, key: int) -> float:
-        """What a key's jobs take over the usual of their class."""
+        """Ratio of the run times of a key's jobs to the mean of their class."""
         known = self._keys.get((job_class, key))
         return (known[0] * known[1] + KEY_WEIGHT) / (known[0] + KEY_WEIGHT) if known else 1.0
 
     def remaining(self, job_class: int, key: int, elapsed: float, share: float) -> float:
-        """Seconds until this share of such jobs, begun `elapsed` ago, have ended."""
+        """Seconds within which this share of such jobs, started `elapsed` ago, end."""
         factor = self.key_factor(job_class, key)
         return factor * self.classes[job_class].remaining(elapsed / factor, share)
--- a/larchgw/dispatcher/capacity/interface.py
+++ b/larchgw/dispatcher/capacity/interface.py
@@ -1,4 +1,4 @@
-"""What the decision module asks of room planning, and the answer of a dispatcher that plans none."""
+"""Interface between the scheduler and the capacity planner, and an implementation without reservations."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 
 class ReservationPolicy(Protocol):
-    """Asked by the decision module for each send, and told of all that happens to attempts.
+    """Consulted by the scheduler before each send, and notified of every event of an attempt.
 
-    Times are seconds on the module's clock; records are the module's own, to be read and not changed.
+    Times are seconds on the scheduler's clock. The records belong to the scheduler and are read-only here.
     """
 
     def admits(self, now: float, job: Job, worker: Worker) -> bool:
-        """Whether this job may take room at this worker now, or that room is held for another."""
+        """Whether this job may take slots at this worker now; False if they are reserved for another job."""
 
     def reserved_slots(self, now: float, job: Job) -> float:
-        """Slots of the window of jobs out that are kept from this job."""
+        """Slots of the in-flight window that this job may not use."""
 
     def reserved_worker(self, now: float, job: Job) -> Worker | None:
-        """Where room is held for this job."""
+        """The worker at which slots are reserved for this job."""
 
     def due_job(self, now: float, worker: Worker) -> Job | None:
-        """The waiting job that room is held for at this worker, if it must go before others now."""
+        """The queued job reserved at this worker, if it must be sent before others now."""
 
     def request_reservation(self, now: float, job: Job, workers: Sequence[Worker]) -> None:
-        """Nothing has room for this job; `workers` are those that may run it, some named more than once."""
+        """Called when this job fits no worker now; `workers` may run it and can contain duplicates."""
 
     def is_infeasible(self, job: Job) -> bool:
-        """Whether no worker that `wait` was told of has as many slots as this job takes."""
+        """Whether every worker last passed to `request_reservation` is known to be too small for this job."""
 
     def infeasible_reason(self, request: int) -> str:
-        """Why a request is hopeless; empty if it is not."""
+        """Why a request is infeasible; empty if it is not."""
 
     def on_sent(self, now: float, attempt: Attempt) -> None:
         """An attempt has been sent."""
 
     def on_started(self, now: float, attempt: Attempt) -> None:
-        """An attempt has begun to run."""
+        """An attempt has started to run."""
 
     def on_ended(self, now: float, attempt: Attempt, status: int, free: float) -> None:
-        """An attempt has ended; `free` slots were reported with it (negative: nothing was reported)."""
+        """An attempt has ended; `free` is the number of free slots reported with it, negative if none was."""
 
     def on_worker_lost(self, worker: Worker) -> None:
-        """A worker drains, restarted or is gone; nothing that was held or learned there counts."""
+        """A worker is draining, restarted or gone; its reservation and learned state are discarded."""
 
     def on_job_closed(self, job: Job) -> None:
-        """A job has its final answer, or its client has left."""
+        """A job has its final response, or its client has disconnected."""
 
 
 class NoReservations:
-    """No room is held: whatever fits may go."""
+    """Makes no reservations: every job that fits is admitted."""
 
     def admits(self, now: float, job: Job, worker: Worker) -> bool:
         return True
--- a/larchgw/dispatcher/capacity/planner.py
+++ b/larchgw/dispatcher/capacity/planner.py
@@ -18,7 +18,7 @@
 
 EPS = 1e-9
 INFEASIBLE = "no box has that many slots"
-RUN_TIME_RATIO_BOUNDS = (0.25, 8.0)  # a worker's reported run time ratio is clamped to this range
+RUN_TIME_RATIO_BOUNDS = (0.25, 8.0)  # a worker's run time ratio is clamped to this range
 RETRIED_JOBS = 4  # waiting jobs reconsidered each time an attempt ends
 LOSS_GAIN = 0.02  # weight of the newest sample in the moving averages of small jobs' losses
 AVOID_TIME = 1.0  # seconds without new reservations at a worker after an attempt failed there
@@ -81,7 +81,7 @@
         self.by_worker: dict[bytes, Reservation] = {}
         self.worker_states: dict[bytes, WorkerState] = {}
         self.capacity: dict[bytes, float] = {}  # total slots by worker id, where known for certain
-        self.waiting: OrderedDict[int, tuple[Job, Sequence[Worker]]] = OrderedDict()  # large ones
+        self.waiting: OrderedDict[int, tuple[Job, Sequence[Worker]]] = OrderedDict()  # large jobs
         count = len(settings.classes)
         # Moving averages over small jobs, by class
         self._mean_values, self._loss_rates, self._lost_values = [0.0] * count, [0.0] * count, [0.0] * count
--- a/larchgw/dispatcher/capacity/report.py
+++ b/larchgw/dispatcher/capacity/report.py
@@ -1,4 +1,4 @@
-"""What the planner holds and has done, as Prometheus figures and as JSON."""
+"""Exports the planner's reservations and counters as Prometheus metrics and JSON."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ReservationMetrics(Collector):
-    """Read off the planner whenever they are asked for."""
+    """Collects the planner's metrics at each scrape."""
 
     def __init__(self, planner: Planner) -> None:
         self._planner = planner
@@ -41,5 +41,5 @@
 
 
 def as_json(planner: Planner, now: float) -> bytes:
-    """The reservations, one object each; times in seconds from now."""
+    """The current reservations as JSON, one object each; times are seconds relative to now."""
     return json.dumps({"reservations": planner.describe(now)}).encode() + b"\n"
--- a/larchgw/dispatcher/capacity/settings.py
+++ b/larchgw/dispatcher/capacity/settings.py
@@ -1,4 +1,4 @@
-"""The settings of room planning; `deploy/room.toml` explains them to operators."""
+"""Settings of the capacity planner; `deploy/room.toml` explains them to operators."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ReservationSettings:
-    """Shares are parts of 1, times are seconds."""
+    """Settings of reservations. Shares are fractions of 1, times are in seconds."""
 
-    smallest: float = 2.0  # slots from which a job may have room held for it
-    boxes_share: float = 0.34  # of the ready boxes, where room may be held at the same time
-    certainty: float = 0.6  # share of runs that end within the time that is counted on
-    margin: float = 0.3  # before the latest start in time, when room must be there
-    lead: float = 3.0  # before the latest start, when a large job goes before those worth more for their work
-    favour: float = 1.0  # a large job's worth counts so many times where it is weighed against others
-    pass_over: float = 0.5  # share of its time to start that a small job may be kept from held room
-    most: int = 256  # reservations at the same time
-    waiting: int = 10_000  # large jobs that wait and are looked at again
-    sample: int = 16  # boxes that are looked at for one reservation
-    replan: float = 0.25  # between two looks for a better box
+    smallest: float = 2.0  # minimum slots of a job that may have a reservation
+    boxes_share: float = 0.34  # maximum share of the ready workers with a reservation at the same time
+    certainty: float = 0.6  # quantile of the run time distribution used to predict when jobs end
+    margin: float = 0.3  # safety margin subtracted from a job's latest start
+    lead: float = 3.0  # from this long before its latest start, a large job precedes jobs of higher value
+    favour: float = 1.0  # factor on a large job's value when it is compared with losses of small jobs
+    pass_over: float = 0.5  # share of its time until the target start for which a small job may be refused
+    most: int = 256  # maximum number of reservations at the same time
+    waiting: int = 10_000  # maximum number of waiting large jobs kept for reconsideration
+    sample: int = 16  # workers examined per search on a large fleet
+    replan: float = 0.25  # minimum time between two searches for a better worker
 
     def check(self) -> None:
-        """Raises ValueError, `field: what is wrong with it`."""
+        """Raises ValueError with the message `field: problem` if a setting is invalid."""
         for name in ("boxes_share", "certainty", "pass_over"):
             if not 0 < getattr(self, name) <= 1:
                 raise ValueError(f"{name}: must be above 0 and at most 1")
