--- a/larchgw/dispatcher/capacity/estimates.py
+++ b/larchgw/dispatcher/capacity/estimates.py
@@ -9,7 +9,8 @@
 SAMPLE_HALF_LIFE = 400  # number of newer samples after which a sample's weight has halved
 MAX_KEYS = 1024  # keys kept; the least recently updated is evicted first
 KEY_WEIGHT = 4.0  # samples at which a key's own ratio and the class estimate weigh the same
-PRIOR_WEIGHT = 5.0  # weight of the initial guess, in samples
+# In samples: weight of the initial guess in the mean. With fewer samples, `remaining` uses the guess alone.
+PRIOR_WEIGHT = 5.0
 _LOG_RATIO = log(BUCKET_RATIO)
 _UPPER_BOUNDS = [MIN_RUN * BUCKET_RATIO ** (i + 1) for i in range(BUCKETS)]
 
--- a/larchgw/dispatcher/capacity/planner.py
+++ b/larchgw/dispatcher/capacity/planner.py
@@ -104,8 +104,8 @@
             return True
         if job.request.id in self.by_job and job.value > held.job.value:
             return True  # both have reservations, and this job has the higher value
-        with_it = self._earliest_start(now, worker, held.job, job)
-        if with_it <= held.latest_start:
+        delayed_start = self._earliest_start(now, worker, held.job, job)
+        if delayed_start <= held.latest_start:
             held.jobs_let_in += 1
             self.counts.filled += 1
             return True
@@ -113,7 +113,7 @@
         if self._excluded_long_enough(now, job, since):
             self.counts.overdue += 1
             return True
-        if self._expected_loss(held, with_it) < self._loss_if_late(job):
+        if self._expected_loss(held, delayed_start) < self._loss_if_late(job):
             self.counts.filled += 1
             return True
         held.jobs_kept_out += 1
@@ -199,8 +199,10 @@
 
     def _large_enough(self, worker: Worker, job: Job) -> bool:
         """Whether the worker may have enough slots in total, as far as is known."""
-        box, slots = self.worker_states.get(worker.id), job.request.slots
-        return self.capacity.get(worker.id, slots) >= slots and (box is None or box.rejected_slots > slots)
+        state, slots = self.worker_states.get(worker.id), job.request.slots
+        return self.capacity.get(worker.id, slots) >= slots and (
+            state is None or state.rejected_slots > slots
+        )
 
     def infeasible_reason(self, request: int) -> str:
         """Why a request is infeasible. Only the last one is stored, as its refusal follows at once."""
@@ -210,8 +212,8 @@
 
     def on_sent(self, now: float, attempt: Attempt) -> None:
         job, worker = attempt.job, attempt.worker
-        box = self._state_of(worker)
-        box.attempts[id(attempt)], box.expected_ends = attempt, None
+        state = self._state_of(worker)
+        state.attempts[id(attempt)], state.expected_ends = attempt, None
         self._forget_job(job)
         if len(job.attempts) == 1:
             self._record_small_job(job, now > job.target_start)
@@ -224,34 +226,34 @@
             self._remove(held)
 
     def on_started(self, now: float, attempt: Attempt) -> None:
-        box = self._state_of(attempt.worker)
-        box.expected_ends = None
-        running = sum(a.job.request.slots for a in box.attempts.values() if a.started_at)
-        box.max_slots_seen = max(box.max_slots_seen, running)
+        state = self._state_of(attempt.worker)
+        state.expected_ends = None
+        running = sum(a.job.request.slots for a in state.attempts.values() if a.started_at)
+        state.max_slots_seen = max(state.max_slots_seen, running)
 
     def on_ended(self, now: float, attempt: Attempt, status: int, free: float) -> None:
         worker, job = attempt.worker, attempt.job
-        box = self._state_of(worker)
-        box.attempts.pop(id(attempt), None)
-        box.expected_ends = None
+        state = self._state_of(worker)
+        state.attempts.pop(id(attempt), None)
+        state.expected_ends = None
         if status == Status.OK and attempt.started_at:
             run = max(now - attempt.started_at, 1e-3) / _run_time_ratio(worker)
             if attempt.fetches_key:
                 self._fetch_time.add(max(run - self.estimates.classes[job.request.job_class].mean(), 0.0))
             self.estimates.learn(job.request.job_class, job.request.key, run)
-        running = sum(a.job.request.slots for a in box.attempts.values() if a.started_at)
-        idle = free >= 0 and not box.attempts and free >= box.max_slots_seen
+        running = sum(a.job.request.slots for a in state.attempts.values() if a.started_at)
+        idle = free >= 0 and not state.attempts and free >= state.max_slots_seen
         if status == Status.FULL and idle and free < job.request.slots:
             # The worker was idle with as many free slots as ever seen, so it is too small for this request.
-            box.rejected_slots = min(box.rejected_slots, job.request.slots)
+            state.rejected_slots = min(state.rejected_slots, job.request.slots)
         if free >= 0:
-            box.max_slots_seen = max(box.max_slots_seen, free + running)
+            state.max_slots_seen = max(state.max_slots_seen, free + running)
         held = self.by_worker.get(worker.id)
         if status != Status.OK:
-            box.avoid_until = now + AVOID_TIME  # filled by other dispatchers, failing or gone
+            state.avoid_until = now + AVOID_TIME  # filled by other dispatchers, failing or gone
             if held is not None and held.job is not job:
                 self._cancel(held)
-        if not box.attempts and not worker.ready:
+        if not state.attempts and not worker.ready:
             self.worker_states.pop(worker.id, None)  # draining or gone, and its last attempt has ended
         self._retry_waiting(now)
 
@@ -259,9 +261,9 @@
         held = self.by_worker.get(worker.id)
         if held is not None:
             self._cancel(held)
-        box = self.worker_states.pop(worker.id, None)
-        if box is not None and box.attempts:
-            self.worker_states[worker.id] = WorkerState(box.attempts)  # attempts still in flight
+        state = self.worker_states.pop(worker.id, None)
+        if state is not None and state.attempts:
+            self.worker_states[worker.id] = WorkerState(state.attempts)  # attempts still in flight
 
     def on_job_closed(self, job: Job) -> None:
         self._forget_job(job)
@@ -314,10 +316,10 @@
                 self.request_reservation(now, job, workers)
 
     def _state_of(self, worker: Worker) -> WorkerState:
-        box = self.worker_states.get(worker.id)
-        if box is None:
-            box = self.worker_states[worker.id] = WorkerState()
-        return box
+        state = self.worker_states.get(worker.id)
+        if state is None:
+            state = self.worker_states[worker.id] = WorkerState()
+        return state
 
     def _latest_start(self, job: Job) -> float:
         return min(job.target_start, job.latest_start) - self.config.margin
@@ -364,8 +366,8 @@
             return False
         if now < worker.avoid_until - 2.0:
             return False
-        box = self.worker_states.get(worker.id)
-        return (box is None or now >= box.avoid_until) and self._large_enough(worker, job)
+        state = self.worker_states.get(worker.id)
+        return (state is None or now >= state.avoid_until) and self._large_enough(worker, job)
 
     def _best_worker(self, now: float, job: Job, workers: Sequence[Worker]) -> tuple[Worker | None, float]:
         best, best_at = None, float("inf")
@@ -395,19 +397,19 @@
 
         A job fits if the total stays within the scheduler's slot limit, or if it runs alone.
         """
-        there, slots = worker.pending_slots, job.request.slots
+        used_slots, slots = worker.pending_slots, job.request.slots
         ends = self._expected_ends(now, worker)
         if extra is not None:
             request = extra.request
             rest = self.estimates.remaining(request.job_class, request.key, 0.0, self.config.certainty)
             ends = sorted([*ends, (now + rest * _run_time_ratio(worker), request.slots)])
-            there += request.slots
+            used_slots += request.slots
         at = max(now, worker.avoid_until)
-        if there <= EPS or there + slots <= worker.slot_limit:
+        if used_slots <= EPS or used_slots + slots <= worker.slot_limit:
             return at
         for end, freed in ends:
-            there -= freed
-            if there <= EPS or there + slots <= worker.slot_limit:
+            used_slots -= freed
+            if used_slots <= EPS or used_slots + slots <= worker.slot_limit:
                 return max(at, end)
         return max(at, ends[-1][0]) if ends else at
 
@@ -416,19 +418,19 @@
 
         Cached briefly or until an event at the worker, as each waiting job queries many workers.
         """
-        box = self._state_of(worker)
-        if box.expected_ends is None or now > box.ends_computed_at + ENDS_LIFETIME:
-            pace, found = _run_time_ratio(worker), []
-            for attempt in box.attempts.values():
+        state = self._state_of(worker)
+        if state.expected_ends is None or now > state.ends_computed_at + ENDS_LIFETIME:
+            ratio, found = _run_time_ratio(worker), []
+            for attempt in state.attempts.values():
                 if attempt.state == IN_FLIGHT:
                     request = attempt.job.request
-                    elapsed = (now - attempt.started_at) / pace if attempt.started_at else 0.0
+                    elapsed = (now - attempt.started_at) / ratio if attempt.started_at else 0.0
                     rest = self.estimates.remaining(
                         request.job_class, request.key, elapsed, self.config.certainty
                     )
-                    found.append((now + rest * pace, request.slots))
-            box.expected_ends, box.ends_computed_at = sorted(found), now
-        return box.expected_ends
+                    found.append((now + rest * ratio, request.slots))
+            state.expected_ends, state.ends_computed_at = sorted(found), now
+        return state.expected_ends
 
     def _cancel(self, held: Reservation) -> None:
         self.counts.dropped += 1
