--- a/larchgw/dispatcher/capacity/planner.py
+++ b/larchgw/dispatcher/capacity/planner.py
@@ -33,7 +33,7 @@
     job: Job
     worker: Worker
     made_at: float
-    latest_start: float  # the job misses its target if it starts later
+    latest_start: float  # latest start in time, less the configured margin
     expected_start: float  # when enough slots are free if no other job is admitted
     checked_at: float  # when `expected_start` was last computed
     jobs_kept_out: int = 0  # times a job was refused because of this reservation
@@ -103,7 +103,7 @@
         if held is None or held.job is job:
             return True
         if job.request.id in self.by_job and job.value > held.job.value:
-            return True  # both have reservations, and this job has the higher value
+            return True  # both have reservations, and this job is worth more per slot second
         delayed_start = self._earliest_start(now, worker, held.job, job)
         if delayed_start <= held.latest_start:
             held.jobs_let_in += 1
@@ -335,10 +335,10 @@
         return now - since > self.config.pass_over * max(job.target_start - since, 0.0)
 
     def _is_worth_reserving(self, job: Job) -> bool:
-        """Whether the job's value is at least that of the small jobs currently being lost.
+        """Whether the job is worth at least as much per slot second as the small jobs being lost.
 
         A slot second kept free or given to a large job is taken from small jobs. That costs little while
-        they are served in time anyway, and their full value once they are not.
+        they are served in time anyway, and their full worth per slot second once they are not.
         """
         return job.value * self.config.favour >= max(self._lost_values, default=0.0)
 
