--- a/larchgw/dispatcher/capacity/settings.py
+++ b/larchgw/dispatcher/capacity/settings.py
@@ -13,10 +13,8 @@
     boxes_share: float = 0.34  # maximum share of the ready workers with a reservation at the same time
     certainty: float = 0.6  # quantile of the run time distribution used to predict when jobs end
     margin: float = 0.3  # safety margin subtracted from a job's latest start
-    lead: float = (
-        3.0  # this long before its latest start, a large job precedes jobs worth more per slot second
-    )
-    favour: float = 1.0  # factor on a large job's worth per slot second when compared with lost small jobs
+    lead: float = 3.0  # this long before its latest start, a large job precedes more valuable ones
+    favour: float = 1.0  # factor on a large job's value when compared with small jobs
     pass_over: float = 0.5  # share of its time until the target start for which a small job may be refused
     most: int = 256  # maximum number of reservations at the same time
     waiting: int = 10_000  # maximum number of waiting large jobs kept for reconsideration
