--- a/larchgw/dispatcher/core/__init__.py
+++ b/larchgw/dispatcher/core/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and outcomes, whatever wire they come over."""
+"""Requests, attempts and outcomes, independent of the transport."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Loads `Core` when it is first asked for: the system's roles use the counters and deadlines alone."""
+    """Loads `Core` on first access: the system's roles need only the counters and deadlines."""
     if name == "Core":
         from .dispatch import Core
 
--- a/larchgw/dispatcher/core/boxes.py
+++ b/larchgw/dispatcher/core/boxes.py
@@ -1,4 +1,4 @@
-"""One list of boxes: those that discovery names, those that came by themselves, those taken out by hand."""
+"""Registry of workers: listed by discovery, connected by themselves, or banned by operators."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 
 
 class WorkerRegistry:
-    """Discovery rules the boxes that it names. One that it never named is ready while connected.
+    """Combines discovery's list, connected workers and operators' bans.
 
-    Over both lies what operators say: a box that they took out drains until they put it back.
+    Discovery decides the state of the workers that it lists; a worker that it never listed is ready while it
+    is connected. Operators override both: a banned worker is draining until it is unbanned.
     """
 
     def __init__(self, started: float, warm_up: float) -> None:
         self.listed: dict[WorkerId, Member] = {}
         self.connected: dict[WorkerId, Member] = {}
         self._warm_up, self._cold_joins_from = warm_up, started + warm_up
-        self.ever_listed: set[WorkerId] = set()  # whom discovery has ever named
-        self.banned: dict[WorkerId, float] = {}  # taken out by hand, and when
-        self._unbanned_at: dict[WorkerId, float] = {}  # put back, and when it counts as started
+        self.ever_listed: set[WorkerId] = set()  # every worker that discovery or a ban has named
+        self.banned: dict[WorkerId, float] = {}  # time of each ban
+        self._unbanned_at: dict[WorkerId, float] = {}  # assumed start time of each unbanned worker
 
     def take_list(self, kind: int, members: Iterable[Member]) -> list[Member]:
-        """Discovery's news; what to tell the module with the same kind."""
+        """Applies discovery's list; returns the members to report to the scheduler with the same kind."""
         told = list(members)
         if kind != ListKind.DELTA:
-            # A box that has left the list is gone, connected or not: else a drained one would be ready again.
+            # A worker that has left the list is gone, even while connected.
+            # Otherwise a drained worker would become ready again.
             for worker in set(self.listed) - {m.worker for m in told}:
                 self.connected.pop(worker, None)
             self.listed = {}
@@ -34,7 +36,7 @@
             self.ever_listed.add(m.worker)
             if m.presence == Presence.GONE:
                 self.listed.pop(m.worker, None)
-                self.connected.pop(m.worker, None)  # until it connects anew
+                self.connected.pop(m.worker, None)  # gone until it reconnects
             else:
                 self.listed[m.worker] = m
         if kind != ListKind.DELTA:
@@ -45,14 +47,18 @@
         return worker in self.ever_listed or worker in self.connected
 
     def ban(self, worker: WorkerId, at: float) -> Member | None:
-        """Operators take a box out; what to tell the module, if the box is there."""
+        """Bans a worker; returns the member to report to the scheduler, or None if it is not present."""
         self.ever_listed.add(worker)
         self.banned[worker] = at
         self._unbanned_at.pop(worker, None)
         return self._member(worker)
 
     def unban(self, worker: WorkerId, now: float) -> Member | None:
-        """Operators put a box back. It was restarted meanwhile; if discovery has not said when, it is now."""
+        """Lifts a ban; returns the member to report to the scheduler, if any.
+
+        The worker is assumed to have restarted during the ban. If discovery gave no start time after the ban,
+        the current time is used.
+        """
         banned, member = self.banned.pop(worker, None), self._member(worker)
         if banned is None or member is None:
             return None
@@ -66,18 +72,19 @@
         return self._with_operator_state(member) if member else None
 
     def _with_operator_state(self, member: Member) -> Member:
-        """A box as the module is to see it."""
+        """The member as reported to the scheduler, with bans and unban times applied."""
         if member.worker in self.banned and member.presence == Presence.READY:
             return replace(member, presence=Presence.DRAINING)
         back = self._unbanned_at.get(member.worker, 0.0)
         return replace(member, up_since=back) if back > member.up_since else member
 
     def connect(self, worker: WorkerId, now: float, restarted: bool) -> Member | None:
-        """A box has connected; what to tell the module, if it is news.
+        """Records a connected worker; returns the member to report to the scheduler, if it is new.
 
-        Nobody says when such a box started. One that comes when we have run for a while is taken for a cold
-        one, or it would be pushed over; one that is there from our start on was there before us. A box that
-        is back after we had closed its last connection has not restarted.
+        The start time of such a worker is unknown. One that connects after this process has run for the
+        warm-up time is treated as cold, or it would be overloaded. One that connects earlier is assumed to
+        have been running before this process. A worker that reconnects after this process closed its last
+        connection has not restarted.
         """
         if worker in self.connected:
             return None
@@ -87,7 +94,7 @@
         return None if worker in self.listed else self._with_operator_state(member)
 
     def disconnect(self, worker: WorkerId) -> Member | None:
-        """The last connection of a box has closed."""
+        """Records that a worker's last connection has closed; returns the member to report, if any."""
         member = self.connected.pop(worker, None)
         if member is None or worker in self.listed:
             return None
@@ -98,7 +105,7 @@
         return member is not None and member.presence == Presence.READY
 
     def ready_share(self) -> float:
-        """How much of the known fleet takes new work."""
+        """Fraction of the known workers that accept new work."""
         known = {**self.connected, **self.listed}
         ready = sum(self.takes_work(worker) for worker in known)
         return ready / len(known) if known else 0.0
--- a/larchgw/dispatcher/core/dispatch.py
+++ b/larchgw/dispatcher/core/dispatch.py
@@ -1,4 +1,4 @@
-"""The core: runs requests through the stages and is the decision module's `Actions`."""
+"""The core: runs requests through the stages and implements the scheduler's `Actions`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .requests import Attempt, JobMessage, Request, Transport
 from .stages import Admit, Receive, Record, Relay, Route, Send
 
-ANSWER_GRACE = 0.02  # after a request's time, for the module to have answered it
+ANSWER_GRACE = 0.02  # seconds the scheduler has, after a request's deadline, to answer it
 log = structlog.get_logger()
 
 
@@ -27,10 +27,10 @@
 
 
 class Core:
-    """Whatever comes in is queued and told to the module one by one.
+    """Queues every incoming event and passes the events to the scheduler one at a time.
 
-    The module acts while it is told something, and what it starts may end at once. Were that told to it
-    there and then, it would be entered a second time in the middle of a decision.
+    The scheduler takes actions while it handles an event, and an attempt that it starts may end immediately.
+    Reporting that end without the queue would re-enter the scheduler in the middle of a decision.
     """
 
     def __init__(
@@ -70,34 +70,34 @@
         self.record = Record(self.counters, deadlines, self.dispatcher, self.receive)
 
     def reload(self, settings: Settings) -> None:
-        """Takes other settings; they count from the next decision on."""
+        """Replaces the settings; the new ones apply from the next decision on."""
         self.settings, self._tenants = settings, _numbers(settings)
         self._run_event(lambda: self.dispatcher.on_settings(settings))
 
     def tenant(self, name: bytes) -> int:
-        """The number of the tenant that a client named; one past the last for who is not in the settings."""
+        """Index of the named tenant in the settings; one past the last index for an unknown tenant."""
         return self._tenants.get(name, len(self._tenants))
 
     def add_transport(self, transport: Transport) -> None:
-        """Transports are asked in the order of their adding."""
+        """Adds a transport; transports are tried in the order in which they were added."""
         self.sender.transports.append(transport)
 
     def open_requests(self) -> int:
         return len(self.receive.open)
 
     def current(self) -> int:
-        """Requests that are owed an answer."""
+        """Number of requests that still await an answer."""
         return sum(not request.is_closed() for request in self.receive.open.values())
 
     def avoided(self) -> int:
-        """Listed boxes that get no work, or hardly any: taken out by hand, or by the module's choice."""
+        """Number of listed workers with little or no work: banned, or avoided by the scheduler."""
         avoided = {*self.workers.banned, *self.dispatcher.avoided_workers(self.clock.now())}
         return len(avoided & self.workers.listed.keys())
 
     # From fronts
 
     def submit(self, request: Request) -> None:
-        """A request has come in whole; its front hears the answer, perhaps at once."""
+        """Handles a completely received request; its front may get the answer before this call returns."""
         now = self.clock.now()
         self.receive.run(now, request)
         answer = self.admit.run(request)
@@ -111,7 +111,7 @@
         self._run_event(lambda: self.route.run(self.clock.now(), request), request)
 
     def client_gone(self, request: Request) -> None:
-        """The client has left before its answer."""
+        """Handles a client that disconnected before its answer."""
         if not request.is_closed():
             self.counters.gone.labels(request.front.name).inc()
             self._withdraw(request)
@@ -123,7 +123,7 @@
     # From and to another process
 
     def adopt(self, request: Request, taken_at: float, give_up_at: float) -> None:
-        """Goes on with a request and its attempts, all of which but the last have ended."""
+        """Takes over another process's request and attempts; only the last attempt may still run."""
         self.counters.moved.labels("in").inc()
         self.receive.enter(request, taken_at, give_up_at)
         request.deadline = self.deadlines.add(give_up_at + ANSWER_GRACE, lambda: self._overdue(request))
@@ -133,22 +133,22 @@
         self._run_event(lambda: self.route.run(self.clock.now(), request), request)
 
     def handed_over(self, request: Request) -> None:
-        """Another process goes on with it."""
+        """Closes a request that another process has taken over."""
         self.counters.moved.labels("out").inc()
         self._withdraw(request)
 
     # From operators
 
     def ban_worker(self, worker: WorkerId, at: float) -> None:
-        """From now on this box counts as draining, whatever discovery lists."""
+        """Treats this worker as draining from now on, whatever discovery reports."""
         self._apply_operator_change(self.workers.ban(worker, at))
 
     def unban_worker(self, worker: WorkerId) -> None:
-        """Discovery rules this box again; it is taken for newly started."""
+        """Lets discovery decide on this worker again; the worker is assumed to be newly started."""
         self._apply_operator_change(self.workers.unban(worker, self.clock.now()))
 
     def set_sibling_load(self, pending: Mapping[WorkerId, float], others: int) -> None:
-        """What other processes of this dispatcher have out, and how many they are."""
+        """Reports the pending load of this dispatcher's other processes, and their number."""
         self._run_event(lambda: self.dispatcher.on_sibling_load(pending, others))
 
     def _apply_operator_change(self, member: Member | None) -> None:
@@ -159,7 +159,7 @@
     # From transports
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
-        """Whether the first byte of an attempt may go out now, some time after it was decided on."""
+        """Whether a previously scheduled attempt may still send its first byte."""
         request = attempt.request
         return (
             not request.is_closed()
@@ -168,7 +168,7 @@
         )
 
     def written(self, attempt: Attempt) -> None:
-        """The last byte of the attempt has gone to its box."""
+        """Records that the last byte of the attempt has been written to its worker."""
         if not attempt.written:
             attempt.written = True
             self.counters.written.labels(attempt.transport.name).inc()
@@ -187,7 +187,7 @@
             self.relay.relay_message(attempt.request, kind, data)
 
     def ended(self, attempt: Attempt, end: End) -> None:
-        """An attempt has ended. Only the first end of an attempt counts."""
+        """Handles the end of an attempt. Only the first end of an attempt counts."""
         if not self.record.close(attempt, end):
             return
         if end.status == Status.OK:
@@ -199,28 +199,28 @@
             lambda: self.dispatcher.on_probe_result(self.clock.now(), worker, status, latency, report)
         )
 
-    # From whoever knows the boxes
+    # From discovery and worker connections
 
     def listed(self, kind: ListKind, members: Iterable[Member]) -> None:
-        """Discovery's list, or a change to it."""
+        """Handles a full worker list from discovery, or a change to it."""
         told = [] if kind == ListKind.FAILED else self.workers.take_list(kind, members)
         self._run_event(lambda: self.dispatcher.on_members(self.clock.now(), kind, told))
         for told_too in self.list_listeners:
             told_too()
 
     def worker_connected(self, worker: WorkerId, restarted: bool) -> None:
-        """A box has connected to us; `restarted`: its process may be new."""
+        """Handles a worker that has connected; `restarted` says that its process may be new."""
         self._apply_change(self.workers.connect(worker, self.clock.now(), restarted))
 
     def worker_disconnected(self, worker: WorkerId) -> None:
-        """A box has closed its last connection to us."""
+        """Handles a worker that has closed its last connection."""
         self._apply_change(self.workers.disconnect(worker))
 
     def _apply_change(self, member: Member | None) -> None:
         if member is not None:
             self._run_event(lambda: self.dispatcher.on_members(self.clock.now(), ListKind.DELTA, [member]))
 
-    # The module's actions
+    # Actions that the scheduler calls
 
     def send(self, request: int, worker: WorkerId, timeout: float) -> None:
         found = self.receive.open.get(request)
@@ -229,8 +229,8 @@
             return
         attempt = self.sender.run(self.clock.now(), found, worker, timeout)
         if found.is_closed():
-            # Its client's leaving is still queued, so the module counts this send: it needs an end, too, or
-            # the box's pending count would never fall again.
+            # The event of the client's leaving is still queued, so the scheduler counts this send as pending.
+            # Without an end, the worker's pending count would never fall again.
             self.ended(attempt, End(Status.MOOT))
 
     def refuse(self, request: int, retry_after: float) -> None:
@@ -258,9 +258,9 @@
         self.probed(worker, Status.CONNECT_FAILED, 0.0, ())
 
     def subscribe(self) -> None:
-        """Whoever follows the list asks for it by himself: a call here would be a second one beside his."""
+        """Does nothing: the discovery client subscribes by itself, and a call here would subscribe twice."""
 
-    # Within
+    # Internal
 
     def _run_event(self, tell: Callable[[], None], request: Request | None = None) -> None:
         self._queue.append((tell, request))
@@ -272,7 +272,7 @@
                 step, of = self._queue.popleft()
                 try:
                     step()
-                except Exception:  # a fault of ours in one decision must not take the others' answers along
+                except Exception:  # a bug in one decision must not prevent the answers to other requests
                     self.counters.faults.labels("decision").inc()
                     log.exception("fault.decision", request=of.name.decode("latin-1") if of else None)
                 if of is not None:
@@ -292,7 +292,9 @@
 
     def _report_client_gone(self, request: Request) -> None:
         self.dispatcher.on_client_gone(self.clock.now(), request.id)
-        for attempt in request.attempts:  # where the module may not cancel, nobody waits for them either
+        for (
+            attempt
+        ) in request.attempts:  # also those that the scheduler may not cancel: no client awaits them
             self._give_up(attempt, late=False)
 
     def _answer(self, request: int, answer: Answer) -> None:
@@ -306,11 +308,11 @@
             self.ended(attempt, End(attempt.transport.give_up(attempt, late)))
 
     def expire(self, attempt: Attempt) -> None:
-        """The time of an attempt is over."""
+        """Gives up an attempt that has reached its timeout."""
         self._give_up(attempt, late=True)
 
     def _overdue(self, request: Request) -> None:
-        """The module should have answered by now. A failure is true whatever has run."""
+        """Fails a request that the scheduler left unanswered; FAILED is correct whether or not it ran."""
         if request.is_closed():
             return
         log.error("answer.overdue", request=request.name.decode("latin-1"))
--- a/larchgw/dispatcher/core/figures.py
+++ b/larchgw/dispatcher/core/figures.py
@@ -1,4 +1,4 @@
-"""The figures that the operators fetch, read off the core whenever they are asked for."""
+"""Metrics for operators, computed from the core's counters at each scrape."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DispatcherMetrics(Collector):
-    """The names are the operators' and exact: a typed counter would be shown with `_total` behind it."""
+    """Exports metrics under the exact names that operators use; a typed counter would append `_total`."""
 
     def __init__(self, counters: Counters, classes: list[str], gauges: dict[str, Callable[[], int]]) -> None:
         self._counters, self._classes, self._gauges = counters, classes, gauges
@@ -41,7 +41,7 @@
 
 
 def _sums(counter: Counter, *labels: str) -> defaultdict[tuple[str, ...], float]:
-    """A counter's figures, added up over its other labels; 0 for what has not come up."""
+    """Sums a counter over all labels except the given ones; 0 for label values not yet seen."""
     sums: defaultdict[tuple[str, ...], float] = defaultdict(float)
     for metric in counter.collect():
         for sample in metric.samples:
--- a/larchgw/dispatcher/core/outcomes.py
+++ b/larchgw/dispatcher/core/outcomes.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """How one attempt ended; `result` is what the box made, if it was served."""
+    """How one attempt ended; `result` is the worker's output if the job was served."""
 
     status: Status
     result: bytes = b""
@@ -23,13 +23,13 @@
     """The three final answers."""
 
     SERVED = "served"
-    REFUSED = "refused"  # it has not run, a retry is harmless
-    FAILED = "failed"  # no promise about its effect
+    REFUSED = "refused"  # the job has not run, so a retry is safe
+    FAILED = "failed"  # the job may or may not have run
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one final answer to a request."""
+    """The only final answer to a request."""
 
     kind: AnswerKind
     result: bytes = b""
--- a/larchgw/dispatcher/core/requests.py
+++ b/larchgw/dispatcher/core/requests.py
@@ -10,62 +10,62 @@
 from ..scheduling.interface import Status, WorkerId
 from .outcomes import Answer
 
-NEVER_RAN_STATUSES = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # these say that the attempt never ran
+NEVER_RAN_STATUSES = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # ends that prove that no job ran
 
 
 class JobMessage(Enum):
-    """What a box may say of a job while it runs."""
+    """Kinds of message that a worker may send about a running job."""
 
     DATA = "data"
     WARNING = "warning"
-    STATUS = "status"  # done and total, divided by a NUL
+    STATUS = "status"  # numerator and denominator (done, total), separated by a NUL byte
     EXCEPTION = "exception"
 
 
 class Reach(IntEnum):
-    """Whether a transport can carry a job of some class to a box."""
+    """Whether a transport can carry a job of a given class to a worker."""
 
     NO = 0
-    WAITS = 1  # it can, but the job would wait for a slot
+    WAITS = 1  # reachable, but the job would wait for a slot
     NOW = 2
 
 
 class Front(Protocol):
-    """Hands requests in and carries their answers out."""
+    """Accepts requests from clients and returns their answers."""
 
     name: str
 
     def answer(self, request: Request, answer: Answer) -> None:
-        """Gives the client its one final answer."""
+        """Sends the client its only final answer."""
 
     def news(self, request: Request, kind: JobMessage, data: bytes) -> None:
-        """Passes on what the box says before the end."""
+        """Forwards a message that the worker sent before the job ended."""
 
 
 class Transport(Protocol):
-    """Carries attempts to boxes over one protocol."""
+    """Carries attempts to workers over one protocol."""
 
     name: str
 
     def reach(self, worker: WorkerId, job_class: int) -> Reach:
-        """Whether jobs of this class can go to this box over this protocol."""
+        """Whether jobs of this class can be sent to this worker over this protocol."""
 
     def send(self, attempt: Attempt) -> None:
-        """Starts the attempt; its end comes as `Core.ended`, perhaps at once."""
+        """Starts the attempt; its end is reported to `Core.ended`, possibly before this call returns."""
 
     def give_up(self, attempt: Attempt, late: bool) -> Status:
-        """Closes what carries the attempt and says how it ended; nothing more is heard of it."""
+        """Stops carrying the attempt and returns its final status; nothing more is reported about it."""
 
     def probe(self, worker: WorkerId) -> None:
-        """Asks for a load report; the answer comes as `Core.probed`."""
+        """Requests a load report; the result is passed to `Core.probed`."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that a front has taken; `wait` is how long its client still waits."""
+    """A request that a front has accepted; `wait` is how long its client will still wait."""
 
     front: Front
-    name: bytes  # the id its client gave it
+    name: bytes  # request id chosen by the client
     job_class: int
     target: bytes  # path and query
     body: bytes
@@ -75,13 +75,11 @@
     memory: float = 0.0
     hint: float = 0.0
     repeat: bool = False
-    tenant: int = 0  # index in the settings' list; its length for one that is not in it
-    idempotency_key: bytes = (
-        b""  # the key by which boxes know a repeat of it; empty where its client gave none
-    )
-    unique: bytes = b""  # what its client calls the job on each of its tries; empty for none
-    priority: int = 0  # among jobs that wait at one box; higher goes first
-    extra: Any = None  # the front's own
+    tenant: int = 0  # index in the settings' tenant list; the list's length for an unknown tenant
+    idempotency_key: bytes = b""  # lets workers recognise a repeat; empty if the client gave none
+    unique: bytes = b""  # client's job id, the same on each of its tries; empty for none
+    priority: int = 0  # order among jobs that wait at one worker: higher values first
+    extra: Any = None  # data private to the front
     id: int = 0
     taken_at: float = 0.0
     give_up_at: float = 0.0
@@ -91,30 +89,30 @@
     deadline: Deadline | None = None
 
     def is_closed(self) -> bool:
-        """Whether nothing is owed any more."""
+        """Whether the request has been answered or its client has gone."""
         return self.answer is not None or self.client_gone
 
     def never_ran(self) -> bool:
-        """Whether it is proved that no attempt has run, or may still."""
+        """Whether it is certain that no attempt has run or may still run."""
         return all(a.status in NEVER_RAN_STATUSES for a in self.attempts)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request to a box."""
+    """One send of a request to a worker."""
 
     request: Request
     index: int
     worker: WorkerId
     transport: Transport
     sent_at: float
-    written: bool = False  # whole
+    written: bool = False  # the last byte has been written
     ended: bool = False
-    status: Status | None = None  # once it has ended
+    status: Status | None = None  # set when the attempt ends
     why: str = ""
-    started_at: float = 0.0  # when its box first said that it had started; 0: it has not
+    started_at: float = 0.0  # when the worker first reported the start; 0 if it has not
     deadline: Deadline | None = None
-    carrier: Any = None  # the transport's own
+    carrier: Any = None  # data private to the transport
 
     @property
     def started(self) -> bool:
--- a/larchgw/dispatcher/core/stages/__init__.py
+++ b/larchgw/dispatcher/core/stages/__init__.py
@@ -1,4 +1,4 @@
-"""The stages that a request passes: receive, admit, route, send, relay, record."""
+"""The stages that process a request, in order: receive, admit, route, send, relay, record."""
 
 from .admit import Admit
 from .receive import Receive
--- a/larchgw/dispatcher/core/stages/admit.py
+++ b/larchgw/dispatcher/core/stages/admit.py
@@ -1,5 +1,8 @@
-"""Admit: what memory cannot hold, what bears an open request's id and what comes when we are about to end is
-turned away before the module sees it."""
+"""Admit: rejects requests before the scheduler sees them.
+
+Rejected are requests beyond the memory limits, those with the id of an open request, and those that arrive
+while this process is stopping.
+"""
 
 from __future__ import annotations
 
@@ -21,16 +24,19 @@
         self._counters, self._receive = counters, receive
         self.max_open, self.max_body_bytes = max_open, max_body_bytes
         self._full = False
-        self.stopping = False  # whether we are about to end
-        self.elsewhere: Callable[[bytes], bool] = lambda name: False  # whether our other process has this id
+        self.stopping = False  # whether this process is shutting down
+        self.elsewhere: Callable[[bytes], bool] = (
+            lambda name: False
+        )  # whether another process has this id open
 
     def run(self, request: Request) -> Answer | None:
-        """The answer that keeps a request out, or None to let it pass. Past a limit a refusal is true."""
+        """Returns the rejection, or None to admit. Beyond a limit, REFUSED is correct: nothing ran."""
         if self._receive.names.get(request.name) is not request or self.elsewhere(request.name):
-            # Sent on, it would be a second copy of a request that is out. A refusal would say it never ran.
+            # Sending it would duplicate an open request. REFUSED would claim that the request never ran.
             return Answer(AnswerKind.FAILED, reason="a request with this id is open")
         if self.stopping:
-            # On connections that are still owed an earlier answer. We may be killed before this one's.
+            # It came on a connection that awaits an earlier answer.
+            # The process may be killed before it could answer this request.
             return Answer(AnswerKind.REFUSED, retry_after=RETRY_AFTER, reason="we are about to end")
         full = len(self._receive.open) > self.max_open or self._receive.body_bytes > self.max_body_bytes
         if full != self._full:
--- a/larchgw/dispatcher/core/stages/receive.py
+++ b/larchgw/dispatcher/core/stages/receive.py
@@ -1,4 +1,4 @@
-"""Receive: a request gets its number, its times and its place among the open ones."""
+"""Receive: assigns a request its id and times, and registers it as open."""
 
 from __future__ import annotations
 
@@ -8,18 +8,23 @@
 from ....net.counters import Counters
 from ..requests import Request
 
-# A deadline counts from the client's send, which we do not see, and the answer has a way to go as well.
+# The client's deadline counts from its send, which is not observable here. The margin covers that delay and
+# the way of the answer back.
 MARGIN, MARGIN_SHARE = 0.1, 0.2
 
 
 class Receive:
     def __init__(self, counters: Counters, classes: list[str]) -> None:
         self.open: dict[int, Request] = {}
-        self.names: dict[bytes, Request] = {}  # by its client's id, the first of the open ones
-        self.until = float("inf")  # no request's time goes beyond this: we are about to end
-        self.last = 0.0  # when the last one came
+        self.names: dict[bytes, Request] = {}  # client's id to the first open request with that id
+        self.until = float(
+            "inf"
+        )  # upper limit of every request's deadline; finite when the process is stopping
+        self.last = 0.0  # arrival time of the latest request
         self.body_bytes = 0
-        self.watch: Callable[[bytes, bool], None] = lambda name, opened: None  # told of ids that open and end
+        self.watch: Callable[[bytes, bool], None] = (
+            lambda name, opened: None
+        )  # called when an id opens or closes
         self._ids = count(1)
         self._counters, self._classes = counters, classes
 
@@ -30,7 +35,7 @@
         self._counters.taken.labels(request.front.name, self._classes[request.job_class]).inc()
 
     def enter(self, request: Request, taken_at: float, give_up_at: float) -> None:
-        """The request is ours, perhaps after it was another process's."""
+        """Registers a request as open, whether it is new or taken over from another process."""
         request.id = next(self._ids)
         request.taken_at, request.give_up_at = taken_at, give_up_at
         self.open[request.id] = request
@@ -40,7 +45,7 @@
         self._counters.open.set(len(self.open))
 
     def release(self, request: Request) -> None:
-        """The request has its answer and no attempt is out."""
+        """Removes a request that is closed and has no running attempt."""
         if self.open.pop(request.id, None) is not None:
             self.body_bytes -= len(request.body)
             if self.names.get(request.name) is request:
--- a/larchgw/dispatcher/core/stages/record.py
+++ b/larchgw/dispatcher/core/stages/record.py
@@ -1,4 +1,4 @@
-"""Record: tells the module how an attempt ended, once, and lets go of what is over."""
+"""Record: reports each attempt's outcome to the scheduler once, and removes finished requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         self._dispatcher, self._receive = dispatcher, receive
 
     def close(self, attempt: Attempt, end: End) -> bool:
-        """Marks the attempt ended; False if it had ended before, and the event is dropped and counted."""
+        """Marks the attempt as ended; returns False for a duplicate end, which is only counted."""
         if attempt.ended:
             self._counters.late.labels("end").inc()
             return False
@@ -44,7 +44,7 @@
         )
 
     def settle(self, request: Request) -> None:
-        """Forgets a request that is over and has no attempt out."""
+        """Removes a request that is closed and whose attempts have all ended."""
         if request.is_closed() and all(a.ended for a in request.attempts):
             self._deadlines.cancel(request.deadline)
             self._receive.release(request)
--- a/larchgw/dispatcher/core/stages/relay.py
+++ b/larchgw/dispatcher/core/stages/relay.py
@@ -1,4 +1,4 @@
-"""Relay: carries the one final answer to the front that took the request."""
+"""Relay: passes the only final answer to the front that accepted the request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _told(attempt: Attempt) -> str:
-    """What became of an attempt, for the log."""
+    """Summary of an attempt's outcome for the log."""
     end = attempt.status.name if attempt.status is not None else "out"
     where = "started" if attempt.started else "not started"
     return f"{attempt.worker.decode('latin-1')} {end} ({where}) {attempt.why}".strip()
@@ -24,7 +24,7 @@
         self._counters, self._deadlines, self._classes = counters, deadlines, classes
 
     def run(self, request: Request, answer: Answer) -> bool:
-        """Whether this was the final answer; a second one, or one to a client that left, goes nowhere."""
+        """Delivers the answer; returns False if the request was already answered or its client has gone."""
         if request.is_closed():
             self._counters.late.labels("answer").inc()
             return False
--- a/larchgw/dispatcher/core/stages/route.py
+++ b/larchgw/dispatcher/core/stages/route.py
@@ -1,4 +1,4 @@
-"""Route: hands a request to the decision module."""
+"""Route: passes a request to the scheduler."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
         self._dispatcher = dispatcher
 
     def run(self, now: float, request: Request) -> None:
-        """One that had been tried before is one that another process had."""
+        """Passes the request on; earlier attempts exist only if it was taken over from another process."""
         tries = [(a.worker, a.sent_at, a.started_at, a.status) for a in request.attempts]
         self._dispatcher.on_request(
             now,
--- a/larchgw/dispatcher/core/stages/send.py
+++ b/larchgw/dispatcher/core/stages/send.py
@@ -1,4 +1,4 @@
-"""Send: makes an attempt of what the module chose, over what the box speaks."""
+"""Send: starts the attempt that the scheduler chose, over a transport that reaches the worker."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         attempt = Attempt(request, len(request.attempts), worker, transport, now)
         request.attempts.append(attempt)
         if request.is_closed():
-            return attempt  # nobody waits for it: nothing is sent
+            return attempt  # no client awaits the result, so nothing is sent
         until = min(now + timeout, request.give_up_at) if timeout > 0 else request.give_up_at
         self._await(attempt, until)
         self._counters.sent.labels(transport.name).inc()
@@ -28,7 +28,7 @@
         return attempt
 
     def resume(self, attempt: Attempt) -> None:
-        """It was sent by another process."""
+        """Restores the timeout of an attempt that another process sent."""
         self._await(attempt, attempt.request.give_up_at)
 
     def _await(self, attempt: Attempt, until: float) -> None:
@@ -36,9 +36,9 @@
 
 
 def reaching(transports: Sequence[Transport], worker: WorkerId, job_class: int) -> Transport:
-    """The transport that gets it there soonest, the first of equals.
+    """The transport with the best reach to the worker; the first one among equals.
 
-    Where none does, the last one is asked all the same: it tells of a box that cannot be reached.
+    If no transport reaches the worker, the last one is used: it reports that the worker is unreachable.
     """
     reaches = [t.reach(worker, job_class) for t in transports]
     best = max(reaches)
