--- a/larchgw/dispatcher/core/boxes.py
+++ b/larchgw/dispatcher/core/boxes.py
@@ -25,14 +25,14 @@
 
     def take_list(self, kind: int, members: Iterable[Member]) -> list[Member]:
         """Applies discovery's list; returns the members to report to the scheduler with the same kind."""
-        told = list(members)
+        reported = list(members)
         if kind != ListKind.DELTA:
             # A worker that has left the list is gone, even while connected.
             # Otherwise a drained worker would become ready again.
-            for worker in set(self.listed) - {m.worker for m in told}:
+            for worker in set(self.listed) - {m.worker for m in reported}:
                 self.connected.pop(worker, None)
             self.listed = {}
-        for m in told:
+        for m in reported:
             self.ever_listed.add(m.worker)
             if m.presence == Presence.GONE:
                 self.listed.pop(m.worker, None)
@@ -40,8 +40,8 @@
             else:
                 self.listed[m.worker] = m
         if kind != ListKind.DELTA:
-            told += [m for m in self.connected.values() if m.worker not in self.listed]
-        return [self._with_operator_state(m) for m in told]
+            reported += [m for m in self.connected.values() if m.worker not in self.listed]
+        return [self._with_operator_state(m) for m in reported]
 
     def is_known(self, worker: WorkerId) -> bool:
         return worker in self.ever_listed or worker in self.connected
--- a/larchgw/dispatcher/core/dispatch.py
+++ b/larchgw/dispatcher/core/dispatch.py
@@ -153,8 +153,8 @@
 
     def _apply_operator_change(self, member: Member | None) -> None:
         self._apply_change(member)
-        for told_too in self.list_listeners:
-            told_too()
+        for listener in self.list_listeners:
+            listener()
 
     # From transports
 
@@ -203,10 +203,10 @@
 
     def listed(self, kind: ListKind, members: Iterable[Member]) -> None:
         """Handles a full worker list from discovery, or a change to it."""
-        told = [] if kind == ListKind.FAILED else self.workers.take_list(kind, members)
-        self._run_event(lambda: self.dispatcher.on_members(self.clock.now(), kind, told))
-        for told_too in self.list_listeners:
-            told_too()
+        reported = [] if kind == ListKind.FAILED else self.workers.take_list(kind, members)
+        self._run_event(lambda: self.dispatcher.on_members(self.clock.now(), kind, reported))
+        for listener in self.list_listeners:
+            listener()
 
     def worker_connected(self, worker: WorkerId, restarted: bool) -> None:
         """Handles a worker that has connected; `restarted` says that its process may be new."""
@@ -229,7 +229,7 @@
             return
         attempt = self.sender.run(self.clock.now(), found, worker, timeout)
         if found.is_closed():
-            # The event of the client's leaving is still queued, so the scheduler counts this send as pending.
+            # The client-gone event is still queued, so the scheduler counts this send as pending.
             # Without an end, the worker's pending count would never fall again.
             self.ended(attempt, End(Status.MOOT))
 
@@ -269,14 +269,17 @@
         self._running = True
         try:
             while self._queue:
-                step, of = self._queue.popleft()
+                event, request_of_event = self._queue.popleft()
                 try:
-                    step()
+                    event()
                 except Exception:  # a bug in one decision must not prevent the answers to other requests
                     self.counters.faults.labels("decision").inc()
-                    log.exception("fault.decision", request=of.name.decode("latin-1") if of else None)
-                if of is not None:
-                    self._to_settle.append(of)
+                    log.exception(
+                        "fault.decision",
+                        request=request_of_event.name.decode("latin-1") if request_of_event else None,
+                    )
+                if request_of_event is not None:
+                    self._to_settle.append(request_of_event)
         finally:
             self._running = False
         unsettled, self._to_settle = self._to_settle, []
@@ -292,9 +295,8 @@
 
     def _report_client_gone(self, request: Request) -> None:
         self.dispatcher.on_client_gone(self.clock.now(), request.id)
-        for (
-            attempt
-        ) in request.attempts:  # also those that the scheduler may not cancel: no client awaits them
+        # Also gives up attempts that the scheduler may not cancel: no client awaits them.
+        for attempt in request.attempts:
             self._give_up(attempt, late=False)
 
     def _answer(self, request: int, answer: Answer) -> None:
--- a/larchgw/dispatcher/core/requests.py
+++ b/larchgw/dispatcher/core/requests.py
@@ -18,7 +18,7 @@
 
     DATA = "data"
     WARNING = "warning"
-    STATUS = "status"  # numerator and denominator (done, total), separated by a NUL byte
+    STATUS = "status"  # done and total, separated by a NUL byte
     EXCEPTION = "exception"
 
 
--- a/larchgw/dispatcher/core/stages/admit.py
+++ b/larchgw/dispatcher/core/stages/admit.py
@@ -25,9 +25,8 @@
         self.max_open, self.max_body_bytes = max_open, max_body_bytes
         self._full = False
         self.stopping = False  # whether this process is shutting down
-        self.elsewhere: Callable[[bytes], bool] = (
-            lambda name: False
-        )  # whether another process has this id open
+        # Whether another process has an open request with this id.
+        self.elsewhere: Callable[[bytes], bool] = lambda name: False
 
     def run(self, request: Request) -> Answer | None:
         """Returns the rejection, or None to admit. Beyond a limit, REFUSED is correct: nothing ran."""
--- a/larchgw/dispatcher/core/stages/receive.py
+++ b/larchgw/dispatcher/core/stages/receive.py
@@ -17,14 +17,12 @@
     def __init__(self, counters: Counters, classes: list[str]) -> None:
         self.open: dict[int, Request] = {}
         self.names: dict[bytes, Request] = {}  # client's id to the first open request with that id
-        self.until = float(
-            "inf"
-        )  # upper limit of every request's deadline; finite when the process is stopping
+        # Upper limit of every request's deadline; finite once the process is stopping.
+        self.until = float("inf")
         self.last = 0.0  # arrival time of the latest request
         self.body_bytes = 0
-        self.watch: Callable[[bytes, bool], None] = (
-            lambda name, opened: None
-        )  # called when an id opens or closes
+        # Called when a request id opens or closes.
+        self.watch: Callable[[bytes, bool], None] = lambda name, opened: None
         self._ids = count(1)
         self._counters, self._classes = counters, classes
 
