--- a/larchgw/dispatcher/capacity/report.py
+++ b/larchgw/dispatcher/capacity/report.py
@@ -1,4 +1,4 @@
-"""What the planner holds and has done, as Prometheus figures and as JSON."""
+"""Exports the planner's reservations and counters as Prometheus metrics and JSON."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 }
 
 
-class RoomFigures(Collector):
-    """Read off the planner whenever they are asked for."""
+class ReservationMetrics(Collector):
+    """Collects the planner's metrics at each scrape."""
 
     def __init__(self, planner: Planner) -> None:
         self._planner = planner
 
     def collect(self) -> Iterator[Metric]:
-        for name, value in asdict(self._planner.figures).items():
+        for name, value in asdict(self._planner.counts).items():
             yield CounterMetricFamily(f"larchgw_room_{name}", HELP[name], value=value)
         yield GaugeMetricFamily("larchgw_room_held", "Reservations now", value=len(self._planner.by_job))
         yield GaugeMetricFamily(
@@ -41,5 +41,5 @@
 
 
 def as_json(planner: Planner, now: float) -> bytes:
-    """The reservations, one object each; times in seconds from now."""
+    """The current reservations as JSON, one object each; times are seconds relative to now."""
     return json.dumps({"reservations": planner.describe(now)}).encode() + b"\n"
--- a/tests/dispatcher/test_recorded_bytes.py
+++ b/tests/dispatcher/test_recorded_bytes.py
@@ -17,15 +17,15 @@
 
 import pytest
 
-from larchgw.dispatcher.cordon_file import BanFile
+from larchgw.dispatcher.cordon_file import CordonFile
 from larchgw.dispatcher.core import Answer, AnswerKind, Attempt, End, Request
 from larchgw.dispatcher.fronts.gearman_jobs import Jobs
 from larchgw.dispatcher.fronts.platform import PlatformFront
 from larchgw.dispatcher.hot_restart import learned, moving
 from larchgw.dispatcher.hot_restart.handover import Handover
 from larchgw.dispatcher.scheduling.interface import Status
-from larchgw.dispatcher.workers.connection import RunnerLink
-from larchgw.dispatcher.workers.pool import Runners
+from larchgw.dispatcher.workers.connection import RunnerConnection
+from larchgw.dispatcher.workers.pool import RunnerPool
 from larchgw.net.exchange import Exchange, ResponseChannel
 from larchgw.net.loop import Loop
 from tests.dispatcher.test_core import RELEASE, SAFE, Desk
@@ -48,7 +48,7 @@
     desk.core.ended(desk.take(b"bad").attempts[0], End(Status.ERROR))
     desk.pass_time(6.0)
     for number in range(12):
-        desk.core.take(Request(desk, b"%d" % number, 0, b"/p", b"", 5.0, key=KEY))
+        desk.core.submit(Request(desk, b"%d" % number, 0, b"/p", b"", 5.0, key=KEY))
         desk.clock.time += 0.5
         desk.core.ended(desk.sent[-1], End(Status.OK))
     return desk
@@ -74,7 +74,7 @@
         return 11
 
 
-class StartedLink(RunnerLink):
+class StartedLink(RunnerConnection):
     """A worker's connection with the begin of an answer."""
 
     def __init__(self) -> None:
@@ -118,7 +118,7 @@
     """A job as the platform's front takes it, rejected by one worker, and out at another if `has_attempt`."""
     request = Request(
         desk, b"job-\xe9", 1, b"/release?x=1", b"\x00body", 4.5, key=9, slots=2.0, memory=1.5, hint=0.25,
-        repeat=True, tenant=1, once=b"once-1",
+        repeat=True, tenant=1, idempotency_key=b"once-1",
     )  # fmt: skip
     request.taken_at, request.give_up_at = 1012.0, 1016.5
     request.extra = Exchange(cast(ResponseChannel, IdleChannel()), 1012.0, b"POST", request.target)
@@ -196,7 +196,7 @@
     desk = experienced_dispatcher()
     with process(folder, desk) as (handover, jobs, loop), socket.socket(socket.AF_UNIX) as newcomer:
         end_jobs(jobs, desk)
-        desk.core.take_out(b"w3", 1001.5)
+        desk.core.ban_worker(b"w3", 1001.5)
         desk.take(b"open\xe9")
         handover.begin()
         newcomer.connect(str(folder / names_in(folder)[0]))
@@ -238,7 +238,7 @@
 
 
 def cordon_file(folder: Path) -> str:
-    BanFile(str(folder), "caf\xe9-1").save(CORDONS)
+    CordonFile(str(folder), "caf\xe9-1").save(CORDONS)
     (path,) = folder.iterdir()
     return f"{path.name}\n{path.read_text()}"
 
@@ -252,7 +252,7 @@
     busy.take(b"1")
     busy.take(b"2")
     return {
-        "learned_state.json": json.dumps(learned.tell(desk.core.dispatcher)),
+        "learned_state.json": json.dumps(learned.snapshot(desk.core.dispatcher)),
         "pending.json": json.dumps(learned.pending(busy.core.dispatcher)),
         "job_at_worker.json": job_packet(has_attempt=True),
         "job_waiting.json": job_packet(has_attempt=False),
@@ -278,12 +278,12 @@
     old = experienced_dispatcher()
     new = new_dispatcher(old)
     state = json.loads(recorded("learned_state.json"))
-    learned.take(new.core.dispatcher, state)
-    assert learned.tell(new.core.dispatcher) == state
+    learned.restore(new.core.dispatcher, state)
+    assert learned.snapshot(new.core.dispatcher) == state
     holders = {
         name for name, worker in state["workers"].items() if KEY in [key for key, *_ in worker["keys"]]
     }
-    new.core.take(Request(new, b"next", 0, b"/p", b"", 5.0, key=KEY))
+    new.core.submit(Request(new, b"next", 0, b"/p", b"", 5.0, key=KEY))
     assert new.sent[-1].worker.decode() in holders
 
 
@@ -299,14 +299,14 @@
             [client, at_worker],
             desk.core,
             cast(PlatformFront, adopted),
-            cast(Runners, adopted),
+            cast(RunnerPool, adopted),
         )
     (request,) = desk.core.receive.open.values()
     assert adopted.client == (client, b"POST", b"/release?x=1", True)
     assert adopted.exchange is not None
     assert adopted.exchange.handler_data is request is not None
     assert (request.name, request.job_class, request.target) == (b"job-\xe9", 1, b"/release?x=1")
-    assert (request.body, request.once, request.tenant) == (b"\x00body", b"once-1", 1)
+    assert (request.body, request.idempotency_key, request.tenant) == (b"\x00body", b"once-1", 1)
     assert (request.wait, request.key, request.slots) == (4.5, 9, 2.0)
     assert (request.memory, request.hint, request.repeat) == (1.5, 0.25, True)
     assert (request.taken_at, request.give_up_at) == (1022.0, 1026.5)
@@ -339,12 +339,12 @@
             assert handover.peers[0].pending
             assert handover.open_elsewhere(b"open\xe9")
             assert not handover.open_elsewhere(b"other")
-            assert new.core.boxes.banned == {}  # w3 and w1 were taken out and put back
+            assert new.core.workers.banned == {}  # w3 and w1 were taken out and put back
             assert jobs.ended(1, b"u-1") == (b"H:larchgw:1", Answer(AnswerKind.SERVED, b"made\xff"))
             assert jobs.ended(1, b"u-2") == (b"H:larchgw:2", Answer(AnswerKind.FAILED, b"", 1.5, "it broke"))
             assert jobs.elsewhere(1, b"u-3")
             assert jobs.elsewhere(1, b"u-4")
-            state = learned.tell(new.core.dispatcher)
+            state = learned.snapshot(new.core.dispatcher)
             hello = json.loads(lines_only(recorded("elder_lines.txt")).splitlines()[0])
             assert state["runs"] == hello["learned"]["runs"]
 
@@ -359,7 +359,7 @@
         with accepted:
             accepted.sendall(lines_only(recorded("elder_lines.txt")).splitlines(keepends=True)[0])
             loop.run_once()
-            assert new.core.boxes.banned == {b"w3": 1001.5}
+            assert new.core.workers.banned == {b"w3": 1001.5}
 
 
 def test_recorded_lines_of_a_process_that_has_come_up_are_understood(tmp_path: Path, fixed_pid: None) -> None:
@@ -379,4 +379,4 @@
 def test_a_recorded_cordon_file_is_read(tmp_path: Path) -> None:
     name, content = recorded("cordons.txt").split("\n")
     (tmp_path / name).write_text(content)
-    assert BanFile(str(tmp_path), "caf\xe9-1").load() == CORDONS
+    assert CordonFile(str(tmp_path), "caf\xe9-1").load() == CORDONS
