--- a/deploy/check_python.py
+++ b/deploy/check_python.py
@@ -1,23 +1,23 @@
-"""Ends with status 1 and one plain line where the pinned wheels don't run on this Python.
+"""Exits with status 1 and a one-line message if the pinned wheels do not support this Python.
 
-`build` of deploy/system.toml runs this before pip. It keeps to what an old Python reads, too, so that the
-error can be printed there.
+`build` in deploy/system.toml runs this before pip. The script uses only syntax that old versions of Python
+accept, so that they can print the message.
 """
 
 import platform
 import sys
 
-OLDEST = (3, 11)  # tornado 6.6 asks for it
-NEWEST = (3, 14)  # the last with wheels of httptools 0.7.1 and thrift 0.25.0; the machines have no compiler
+OLDEST = (3, 11)  # required by tornado 6.6
+NEWEST = (3, 14)  # last version with wheels of httptools 0.7.1 and thrift 0.25.0; machines lack a compiler
 
 
 def dotted(version):
-    """`3.11` for (3, 11)."""
+    """Formats a version: `3.11` for (3, 11)."""
     return ".".join(str(part) for part in version)
 
 
 def problem(implementation, version):
-    """What is wrong with this interpreter, or None."""
+    """Returns why this interpreter is unsuitable, or None if it is suitable."""
     if implementation == "CPython" and OLDEST <= tuple(version) <= NEWEST:
         return None
     wanted = "CPython " + dotted(OLDEST) + " to " + dotted(NEWEST)
--- a/larchgw/__main__.py
+++ b/larchgw/__main__.py
@@ -1,14 +1,17 @@
-"""`python -m larchgw`: serves. With the name of a role, that role; with other arguments, the command line."""
+"""`python -m larchgw`: runs the dispatcher, a role if its name is the argument, or else the command line."""
 
 import signal
 import sys
 
-# Until a handler stands, a SIGHUP would end the process. All other imports come after this.
-_inherited = signal.signal(signal.SIGHUP, signal.SIG_IGN)
+# SIGHUP would terminate the process until a handler is installed, so this precedes all other imports.
+_inherited_handler = signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def main() -> int:
-    """Roles and the plain start load nothing of the command line: limits on memory and time bind."""
+    """Runs the program; without arguments or with a role, it avoids loading the command line.
+
+    Memory and start time of these processes are limited.
+    """
     arguments = sys.argv[1:]
     if not arguments:
         from .dispatcher.daemon import serve
@@ -18,7 +21,8 @@
 
     if len(arguments) == 1 and arguments[0] in ROLES:
         return run_role(arguments[0])
-    signal.signal(signal.SIGHUP, _inherited or signal.SIG_DFL)  # the command line ends with its terminal
+    # Restored, so that a command ends when its terminal is closed.
+    signal.signal(signal.SIGHUP, _inherited_handler or signal.SIG_DFL)
     from .cli.main import run
 
     return run()
--- a/larchgw/cli/__init__.py
+++ b/larchgw/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line; nothing here is loaded where the program runs without arguments."""
+"""The command line interface; not loaded when the program runs without arguments."""
--- a/larchgw/cli/check.py
+++ b/larchgw/cli/check.py
@@ -1,4 +1,4 @@
-"""`larchgw check FILE...` and `larchgw settings FILE`: every fault of files that people write."""
+"""`larchgw check FILE...` and `larchgw settings FILE`: report all errors in configuration files."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from ..configuration.validation import check_configuration
 from ..dispatcher.config import startup
 from ..dispatcher.config.settings_file import Fault, read
-from .command import WRONG_CALL, Command, textual
+from .command import EXIT_USAGE, Command, string_arguments
 from .errors import UsageError
 
-# Fields that a configuration of the operator's has and PROXY_CONFIG's file has not.
-_OPERATORS_FIELDS = frozenset({"config_version", "routes", "services"})
+# Fields that occur in an operator's configuration, but not in the file that PROXY_CONFIG names.
+_CONFIGURATION_FIELDS = frozenset({"config_version", "routes", "services"})
 
 
 def faults_of(path: Path, configuration: bool = False) -> list[Fault]:
-    """The faults of one file.
+    """Returns the errors in one file.
 
-    JSON is read as a configuration of the operator's where it looks like one or `configuration` says so, as
-    a process's settings where it names a node, and else as PROXY_CONFIG's file, of which the first fault is
-    named. Anything else is read as our TOML.
+    A JSON file is checked as an operator's configuration if it looks like one or `configuration` is set, as
+    the settings of a process if it has a `node_name`, and otherwise as the file that PROXY_CONFIG names, of
+    which only the first error is reported. Any other file is checked as a TOML file of this program.
     """
-    if configuration or (path.suffix == ".json" and _OPERATORS_FIELDS & _fields(path)):
+    if configuration or (path.suffix == ".json" and _CONFIGURATION_FIELDS & _top_level_fields(path)):
         return _configuration_faults(path)
     if path.suffix != ".json":
         return read(path)[1]
-    if "node_name" in _fields(path):
+    if "node_name" in _top_level_fields(path):
         return _settings_faults(path)
     return _proxy_faults(path)
 
 
-def _fields(path: Path) -> set[str]:
-    """The names at the top of a JSON file; none where it cannot be read."""
+def _top_level_fields(path: Path) -> set[str]:
+    """Returns the top-level field names of a JSON file; an empty set if it cannot be read."""
     try:
         return set(json.loads(path.read_bytes()))
     except (OSError, ValueError, TypeError):
@@ -61,7 +61,7 @@
         return [Fault(str(path), "", f"cannot read it: {error.strerror}")]
     except ConfigurationError as error:
         faults = [error]
-    return [_fault(path, fault) for fault in faults]
+    return [_to_fault(path, fault) for fault in faults]
 
 
 def _settings_faults(path: Path) -> list[Fault]:
@@ -69,10 +69,10 @@
         faults = settings_faults(process_settings.load_settings(str(path)))
     except SettingsError as error:
         faults = [error]
-    return [_fault(path, fault) for fault in faults]
+    return [_to_fault(path, fault) for fault in faults]
 
 
-def _fault(path: Path, error: ConfigurationError) -> Fault:
+def _to_fault(path: Path, error: ConfigurationError) -> Fault:
     field = "" if error.field == str(path) else error.field
     return Fault(str(path), field, f"{error.problem}; {error.remedy}")
 
@@ -80,10 +80,10 @@
 def _report(faults: Sequence[Fault]) -> int:
     for fault in faults:
         print(fault)
-    return WRONG_CALL if faults else 0
+    return EXIT_USAGE if faults else 0
 
 
-@textual
+@string_arguments
 def check(*files: str, configuration: str = "False") -> Command:
     """Names every fault of these files as `file: field: what is wrong`; status 2 if there is one.
 
@@ -92,7 +92,7 @@
         configuration: Reads the files as configurations of the operator's, whatever they look like.
     """
     forced = configuration != "False"
-    # Fire takes the word behind the option for its value.
+    # Fire takes the word after the option as its value, so that it may be a file name.
     paths = [Path(name) for name in ([] if configuration in ("False", "True") else [configuration])]
     paths += [Path(name) for name in files]
     if not paths:
@@ -100,7 +100,7 @@
     return Command(lambda: _report([fault for path in paths for fault in faults_of(path, forced)]))
 
 
-@textual
+@string_arguments
 def settings(file: str) -> Command:
     """Checks the settings file of an edge or control process; status 2 if it cannot be used.
 
--- a/larchgw/cli/command.py
+++ b/larchgw/cli/command.py
@@ -1,8 +1,8 @@
-"""What Fire needs around it: arguments as text, wrong calls in one line, and no work before all is read.
+"""Adapts Fire: arguments stay strings, usage errors are one line, and no work starts before all is parsed.
 
-Fire calls a function as soon as it has found its arguments, and complains about the others afterwards. So
-the functions of the command line only read: each gives a `Command`, which is run once Fire has found
-nothing wrong.
+Fire calls a function as soon as it has the arguments of that function, and reports surplus arguments only
+afterwards. The functions of the command line therefore only parse their arguments and return a `Command`,
+which is executed once Fire has accepted the whole command line.
 """
 
 from __future__ import annotations
@@ -21,44 +21,44 @@
 from .errors import UsageError
 
 Parameters = ParamSpec("Parameters")
-WRONG_CALL = 2  # exit status
-INTERRUPTED = 130  # exit status, 128 + SIGINT
-_HELP = ("-h", "--help")
-_NO_VALUE = "True"  # what Fire hands over for an option that has no value behind it
+EXIT_USAGE = 2  # exit status
+EXIT_INTERRUPTED = 130  # exit status, 128 + SIGINT
+_HELP_OPTIONS = ("-h", "--help")
+_NO_VALUE = "True"  # what Fire passes for an option without a value
 
 
 class Command:
-    """Work that has been asked for. Without public members: Fire takes what is left over for their names."""
+    """A parsed command. Has no public members, because Fire would resolve surplus arguments to them."""
 
-    __slots__ = ("_act",)
+    __slots__ = ("_run",)
 
-    def __init__(self, act: Callable[[], int]) -> None:
-        """`act` does the work and returns the exit status."""
-        self._act = act
+    def __init__(self, run: Callable[[], int]) -> None:
+        """Stores the function that does the work and returns the exit status."""
+        self._run = run
 
 
-def textual(function: Callable[Parameters, Command]) -> Callable[Parameters, Command]:
-    """Has Fire hand the arguments over as they were written: a file may be named 1e3."""
+def string_arguments(function: Callable[Parameters, Command]) -> Callable[Parameters, Command]:
+    """Makes Fire pass arguments as strings, without parsing them: a file may be named 1e3."""
     SetParseFn(str)(function)
     return function
 
 
 def integer(name: str, value: object, minimum: int | None = None, maximum: int | None = None) -> int:
-    """An option that is a whole number. Raises UsageError."""
+    """Parses the value of an integer option. Raises UsageError."""
     try:
         number = int(str(value))
     except ValueError:
-        raise UsageError(f"--{name}: {value!r} is no whole number") from None
+        raise UsageError(f"--{name}: {value!r} is not an integer") from None
     _check_bounds(name, number, minimum, maximum)
     return number
 
 
 def decimal(name: str, value: object, minimum: float, maximum: float | None = None) -> float:
-    """An option that is a number. Raises UsageError."""
+    """Parses the value of a numeric option. Raises UsageError."""
     try:
         number = float(str(value))
     except ValueError:
-        raise UsageError(f"--{name}: {value!r} is no number") from None
+        raise UsageError(f"--{name}: {value!r} is not a number") from None
     _check_bounds(name, number, minimum, maximum)
     return number
 
@@ -71,14 +71,14 @@
 
 
 def flag(name: str, value: object) -> bool:
-    """An option without a value. Raises UsageError where it was given one."""
+    """Parses an option that takes no value. Raises UsageError if it has one."""
     if str(value) not in ("True", "False"):
-        raise UsageError(f"--{name}: takes no value, not {value!r}")
+        raise UsageError(f"--{name}: takes no value, got {value!r}")
     return str(value) == "True"
 
 
 def file(name: str, value: str | None, exists: bool = False) -> Path | None:
-    """An option that names a file; None where it is left out. Raises UsageError."""
+    """Parses the value of a file option; None if the option is absent. Raises UsageError."""
     if value is None:
         return None
     path = Path(value)
@@ -91,14 +91,14 @@
     return path
 
 
-def read(commands: Mapping[str, Any], arguments: Sequence[str]) -> Command | None:
-    """The command that the arguments ask for; None where they asked for help, which has been printed.
+def parse_command(commands: Mapping[str, Any], arguments: Sequence[str]) -> Command | None:
+    """Parses the arguments; returns None if they requested help, which has then been printed.
 
-    `commands` maps names to functions, or to groups: further mappings of that kind.
+    `commands` maps names to functions, or to groups, which are nested mappings of the same kind.
 
     Raises UsageError.
     """
-    words = [word for word in arguments if word not in _HELP]
+    words = [word for word in arguments if word not in _HELP_OPTIONS]
     if len(words) < len(arguments):
         words += ["--", "--help"]
     messages = io.StringIO()
@@ -108,23 +108,23 @@
     except FireExit as end:
         if end.code:
             raise UsageError(end.trace.elements[-1].ErrorAsStr()) from None
-        sys.stdout.write(_without_groups(messages.getvalue()))
+        sys.stdout.write(_remove_groups(messages.getvalue()))
         return None
     if isinstance(found, dict):
         raise UsageError(f"{' '.join(arguments)}: name one of {', '.join(found)}")
     if not isinstance(found, Command):
-        raise UsageError(f"{' '.join(arguments)}: is no command")
+        raise UsageError(f"{' '.join(arguments)}: is not a command")
     return found
 
 
-def _without_groups(text: str) -> str:
-    """A help text without the mark that `textual` leaves on a function, which Fire lists as a group."""
+def _remove_groups(text: str) -> str:
+    """Removes from a help text the group that Fire lists for the attribute set by `string_arguments`."""
     before, _, groups = text.partition("\nGROUPS\n")
     if FIRE_METADATA not in groups:
         return text.rstrip() + "\n"
     return before.replace("GROUP | ", "").rstrip() + "\n"
 
 
-def act(command: Command) -> int:
-    """Runs it; its exit status."""
-    return command._act()
+def execute(command: Command) -> int:
+    """Executes a command; returns its exit status."""
+    return command._run()
--- a/larchgw/cli/curl_transport.py
+++ b/larchgw/cli/curl_transport.py
@@ -1,4 +1,4 @@
-"""The operator client's transport: Tornado's blocking client over curl."""
+"""Transport of the operator client, based on Tornado's blocking client with curl."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from .errors import NoAnswerError
 from .operator_client import Call, Reply
 
-TIMEOUT_S = 1.0  # a control process answers, or says that it cannot, within this
-LARGE_TIMEOUT_S = 3.0  # where the call or its answer is a whole configuration of some size
+TIMEOUT_S = 1.0  # a control process responds within this time, if only to say that it is unavailable
+LARGE_TIMEOUT_S = 3.0  # for calls whose request or response body may be a large configuration
 LARGE_BYTES = 256 * 1024
-NO_STATUS = 599  # what Tornado gives where there was no answer
+NO_STATUS = 599  # the status that Tornado reports if there was no response
 
 
 class CurlTransport:
-    """`Transport` over curl; blocks while a call is under way."""
+    """`Transport` over curl; blocks until a call is complete."""
 
     def __init__(self) -> None:
-        """Makes a client with a loop of its own."""
+        """Creates a client with its own event loop."""
         self._client = HTTPClient(CurlAsyncHTTPClient)
 
     def send(self, address: str, call: Call) -> Reply:
-        """See Transport."""
+        """Sends one call; see `Transport.send`."""
         is_large = call.body is None or len(call.body) > LARGE_BYTES
         headers = {"Content-Type": "application/json", **call.headers}
         try:
--- a/larchgw/cli/lab.py
+++ b/larchgw/cli/lab.py
@@ -1,4 +1,4 @@
-"""`larchgw lab NAME`: runs an experiment, prints its table, and ends with one line of figures."""
+"""`larchgw lab NAME`: runs an experiment, and prints a table and one line of metrics."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from ..experiments.results import Options, Result, table
-from .command import Command, decimal, integer, textual
+from .command import Command, decimal, integer, string_arguments
 from .command import file as file_option
 from .errors import UsageError
 
@@ -71,7 +71,7 @@
 }
 
 
-@textual
+@string_arguments
 def lab(
     name: str,
     *,
--- a/larchgw/cli/losses.py
+++ b/larchgw/cli/losses.py
@@ -1,4 +1,4 @@
-"""`larchgw losses FILE...`: where the value of requests is lost, from dispatchers' debug lines."""
+"""`larchgw losses FILE...`: attributes lost request value to causes, from dispatchers' debug logs."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from ..experiments.losses import EndedRequest, Group, count, read_requests
 from ..experiments.results import table
-from .command import Command, textual
+from .command import Command, string_arguments
 from .errors import UsageError
 
-MAX_CAUSES = 4  # named in a row of a route, a zone or a window
+MAX_CAUSES = 4  # listed per row of a route, zone or time window
 
 
-@textual
+@string_arguments
 def losses(*files: str) -> Command:
     """Prints which causes cost how much value, in all and by route, zone and window of two seconds.
 
@@ -26,10 +26,10 @@
     missing = [path for path in paths if not path.is_file()]
     if missing:
         raise UsageError(f"losses: no file {missing[0]}")
-    return Command(lambda: _losses(paths))
+    return Command(lambda: _print_losses(paths))
 
 
-def _losses(paths: Sequence[Path]) -> int:
+def _print_losses(paths: Sequence[Path]) -> int:
     counted = count(_requests(paths))
     total = counted.total
     if not total.requests:
--- a/larchgw/cli/main.py
+++ b/larchgw/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line, on Fire: `larchgw [serve|edge|control|check|settings|try|lab|system]`."""
+"""The command line, based on Fire: `larchgw [serve|edge|control|check|settings|try|lab|system]`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ..roles import run_role
 from ..runtime import logs
 from .check import check, settings
-from .command import INTERRUPTED, WRONG_CALL, Command, act, file, read, textual
+from .command import EXIT_INTERRUPTED, EXIT_USAGE, Command, execute, file, parse_command, string_arguments
 from .errors import UsageError
 from .explore import explore
 from .lab import lab
@@ -21,7 +21,7 @@
 from .trial import trial
 
 
-@textual
+@string_arguments
 def serve(*, fronts: str | None = None, room: str | None = None) -> Command:
     """Serves, as PROXY_CONFIG's file says, until SIGTERM; also what is done without a sub-command.
 
@@ -40,13 +40,13 @@
     return daemon.serve(load_fronts(fronts) if fronts else None, load_room(room) if room else None)
 
 
-@textual
+@string_arguments
 def edge() -> Command:
     """Carries clients' requests to runners, as the file in LARCHGW_NODE_FILE says, until SIGTERM."""
     return Command(lambda: run_role("edge"))
 
 
-@textual
+@string_arguments
 def control() -> Command:
     """Keeps the configuration and the runners, as the file in LARCHGW_NODE_FILE says, until SIGTERM."""
     return Command(lambda: run_role("control"))
@@ -66,8 +66,8 @@
 }
 
 
-def _for_serve(arguments: Sequence[str]) -> list[str]:
-    """Options without a sub-command belong to `serve`. Raises UsageError if a sub-command follows them."""
+def _prepend_serve(arguments: Sequence[str]) -> list[str]:
+    """Adds `serve` before options without a sub-command. Raises UsageError if a sub-command follows."""
     position = 0
     while position < len(arguments) and arguments[position].startswith("--"):
         position += 1 if "=" in arguments[position] else 2
@@ -77,20 +77,20 @@
 
 
 def call(arguments: Sequence[str]) -> int:
-    """Runs the command that these arguments name; its exit status. Raises UsageError or ConfigError."""
+    """Runs the command given by the arguments; returns its exit status. Raises UsageError or ConfigError."""
     if list(arguments) == ["--version"]:
         print(f"larchgw, version {__version__}")
         return 0
     if arguments and arguments[0].startswith("--") and arguments[0] != "--help":
-        arguments = _for_serve(arguments)
-    command = read(COMMANDS, arguments)
-    return act(command) if command else 0
+        arguments = _prepend_serve(arguments)
+    command = parse_command(COMMANDS, arguments)
+    return execute(command) if command else 0
 
 
 def run() -> int:
     """Runs the console script, and `python -m larchgw` with arguments.
 
-    What a user got wrong is one line on standard error, and status 2.
+    Usage errors are reported as one line on standard error, with exit status 2.
 
     Returns:
         The exit status.
@@ -99,7 +99,7 @@
     try:
         return call(sys.argv[1:])
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     except (UsageError, ConfigError) as error:
         print(f"larchgw: {error}", file=sys.stderr)
-        return WRONG_CALL
+        return EXIT_USAGE
--- a/larchgw/cli/operator_client.py
+++ b/larchgw/cli/operator_client.py
@@ -1,6 +1,6 @@
-"""A client of the operator's API: follows redirects, and retries a call until it has a clear answer.
+"""Client of the operators' API: follows redirects, and retries a call until it gets a definite response.
 
-A call may be sent any number of times: it names the version that it builds on, so that it takes effect once.
+Retries are safe: a call names the configuration version that it is based on, so it takes effect only once.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 TEMPORARY_REDIRECT = 307
 MAX_REDIRECTS = 2
-MAX_OTHER_REFUSALS = 3  # a 4xx that is neither final nor transient is taken for final at the third
+MAX_OTHER_REFUSALS = 3  # any other 4xx is treated as final when it occurs for the third time
 FINAL_STATUSES = frozenset({200, 400, 409, 412, 413, 422})
-TRANSIENT_STATUSES = frozenset({408, 429})  # of one process: another one is asked
+TRANSIENT_STATUSES = frozenset({408, 429})  # specific to one process: the next one is tried
 FIRST_PAUSE_S = 0.1
 PAUSE_GROWTH = 1.6
 MAX_PAUSE_S = 2.0
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of the operator's API, the same however often it is sent."""
+    """One call of the operators' API, identical in all attempts."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer; `location` is where a redirect leads."""
+    """A response; `location` is the target of a redirect."""
 
     status: int
     body: bytes = b""
@@ -46,22 +46,22 @@
     """Sends one call to one address ("host:port")."""
 
     def send(self, address: str, call: Call) -> Reply:
-        """The answer, redirects not followed.
+        """Returns the response; does not follow redirects.
 
         Raises:
-            NoAnswerError: The process could not be reached, or gave no answer in time.
+            NoAnswerError: The process was unreachable or did not respond in time.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How long a call is tried, and the time and chance that the backoff uses.
+    """Time limit of a call, with the clock and random source of the backoff.
 
     Attributes:
-        clock: Seconds, monotonic.
-        sleep: Waits so many seconds.
-        random: Draws the jitter of the pauses.
-        give_up_after_s: No attempt begins later than this.
+        clock: Returns monotonic time in seconds.
+        sleep: Waits for the given number of seconds.
+        random: Source of the jitter of the pauses.
+        give_up_after_s: Time after which no further attempt is started.
     """
 
     clock: Callable[[], float]
@@ -71,18 +71,18 @@
 
 
 class OperatorClient:
-    """Sends a call to the control processes in turn, with growing pauses, until one answers clearly."""
+    """Sends a call to the control processes in turn, with backoff, until one gives a definite response."""
 
     def __init__(self, addresses: Sequence[str], transport: Transport, retry_policy: RetryPolicy) -> None:
-        """Asks the processes at these addresses ("host:port")."""
+        """Uses the control processes at these addresses ("host:port")."""
         self._addresses, self._transport = list(addresses), transport
         self._retry_policy = retry_policy
 
     def call(self, call: Call) -> Reply:
-        """The clear answer to a call, whether the system accepted or refused it.
+        """Returns the definite response to a call, whether the system accepted or refused it.
 
         Raises:
-            UnclearOutcomeError: There was none in the time of the retry policy.
+            UnclearOutcomeError: There was none within the time limit of the retry policy.
         """
         policy = self._retry_policy
         until = policy.clock() + policy.give_up_after_s
@@ -107,14 +107,14 @@
             attempt += 1
 
     def _follow(self, address: str, call: Call) -> Reply:
-        """The answer at the end of the redirects. Raises NoAnswerError where they lead too far or nowhere."""
+        """Sends a call and follows redirects. Raises NoAnswerError if they are invalid or too many."""
         for _ in range(MAX_REDIRECTS):
             reply = self._transport.send(address, call)
             if reply.status != TEMPORARY_REDIRECT:
                 return reply
             target = urlsplit(reply.location)
             if target.scheme != "http" or not target.netloc:
-                raise NoAnswerError(address, f"redirects to {reply.location!r}, which is no address")
+                raise NoAnswerError(address, f"redirects to {reply.location!r}, which is not an http:// URL")
             address = target.netloc
             call = Call(call.method, target.path or call.path, call.headers, call.body)
         reply = self._transport.send(address, call)
--- a/larchgw/cli/system.py
+++ b/larchgw/cli/system.py
@@ -1,4 +1,4 @@
-"""`larchgw system ...`: what people ask of a running system and of its data folders."""
+"""`larchgw system ...`: commands that inspect and change a running system or its data directories."""
 
 from __future__ import annotations
 
--- a/larchgw/cli/system_common.py
+++ b/larchgw/cli/system_common.py
@@ -1,4 +1,4 @@
-"""What the commands of `larchgw system` share: addresses of processes, exit statuses and tables."""
+"""Helpers of the `larchgw system` commands: process addresses, exit statuses and tables."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses besides 2 for a wrong call."""
+    """Exit statuses, besides 2 for a usage error."""
 
     DONE = 0
-    REFUSED = 1  # the system refused it, or what was inspected is damaged
-    UNCLEAR = 3  # no process answered clearly: a change may have been accepted
+    REFUSED = 1  # the system refused the request, or the inspected data is damaged
+    UNCLEAR = 3  # no definite response: a change may have been accepted
 
 
 def addresses(at: str | None, of_settings: Callable[[NodeSettings], Sequence[str]]) -> list[str]:
-    """The addresses given, or those that this machine's settings file names. Raises UsageError."""
+    """Parses --at; by default, takes the addresses from this machine's settings file. Raises UsageError."""
     if at is not None:
         found = [address.strip() for address in at.split(",") if address.strip()]
         wrong = next((address for address in found if not _is_address(address)), None)
         if not found or wrong is not None:
-            raise UsageError(f"--at: {wrong or at!r} is no HOST:PORT; give some, separated by commas")
+            raise UsageError(f"--at: {wrong or at!r} is not HOST:PORT; separate several addresses by commas")
         return found
     variable = process_settings.SETTINGS_FILE_VARIABLE
     if not os.environ.get(variable):
@@ -44,13 +44,13 @@
 
 
 def fail(message: str, status: ExitStatus) -> int:
-    """Prints the reason as one line on standard error; returns the exit status."""
+    """Prints the message as one line on standard error; returns the exit status."""
     print(f"larchgw: {message}", file=sys.stderr)
     return int(status)
 
 
 def columns(head: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Lines of a table, columns two spaces apart; numbers are aligned to the right."""
+    """Formats a table with columns two spaces apart; numeric columns are right-aligned."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(len(line[column]) for line in [list(head), *cells]) for column in range(len(head))]
     numeric = [
--- a/larchgw/cli/system_config.py
+++ b/larchgw/cli/system_config.py
@@ -1,4 +1,4 @@
-"""`larchgw system config read|replace|change`: the operator's API from the command line."""
+"""`larchgw system config read|replace|change`: the operators' API on the command line."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from typing import Any
 
 from ..configuration.settings import NodeSettings
-from .command import Command, decimal, file, integer, textual
+from .command import Command, decimal, file, integer, string_arguments
 from .errors import UnclearOutcomeError, UsageError
 from .operator_client import Call, OperatorClient, Reply, RetryPolicy, Transport
 from .system_common import ExitStatus, addresses, fail
 
-DEFAULT_RETRY_S = "30"  # a failover takes some seconds, a restart of all machines some more
+DEFAULT_RETRY_S = "30"  # longer than a failover or a restart of all machines
 OK = 200
 
 
-@textual
+@string_arguments
 def read(*, at: str | None = None, seconds: str = DEFAULT_RETRY_S) -> Command:
     """Prints the newest configuration that was acknowledged, as JSON.
 
@@ -32,7 +32,7 @@
     return Command(lambda: _read(client()))
 
 
-@textual
+@string_arguments
 def replace(
     file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_RETRY_S
 ) -> Command:
@@ -47,7 +47,7 @@
     return _change_command("/Config.Replace", file, built_on, at, seconds)
 
 
-@textual
+@string_arguments
 def change(
     file: str, *, built_on: str | None = None, at: str | None = None, seconds: str = DEFAULT_RETRY_S
 ) -> Command:
@@ -80,7 +80,7 @@
 
 
 def _client(at: str | None, seconds: str) -> Callable[[], OperatorClient]:
-    """Makes the client only once it is used: curl is loaded by then."""
+    """Returns a factory for the client, so that curl is loaded only when the command runs."""
     control_addresses = addresses(at, _control_addresses)
     policy = RetryPolicy(time.monotonic, time.sleep, random.Random(), decimal("seconds", seconds, 0.1))
     return lambda: OperatorClient(control_addresses, _transport(), policy)
@@ -118,7 +118,7 @@
 
 
 def refusal(reply: Reply) -> str:
-    """The answer's reason: field, problem and remedy, as the control process gives them."""
+    """Formats a refusal with the control process's reason: field, problem and remedy."""
     answer = _answer(reply)
     reason = answer.get("error") or reply.body[:200].decode("utf-8", "backslashreplace")
     current = answer.get("config_version")
--- a/larchgw/cli/system_status.py
+++ b/larchgw/cli/system_status.py
@@ -1,4 +1,4 @@
-"""`larchgw system view|runners|placement`: asks control processes over rpc."""
+"""`larchgw system view|runners|placement`: queries control processes over RPC."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from ..rpc.generated.ttypes import ControlStatus, Entry, PlacementStatus, PullRequest, StatusRequest
 from ..runner_directory.runner_record import RunnerRecord
 from ..runtime.addresses import seed_rpc_addresses
-from .command import Command, textual
+from .command import Command, string_arguments
 from .system_common import ExitStatus, addresses, columns, fail
 
 ANSWER_TIMEOUT_S = 3.0
-CALLER = "larchgw-system"  # the node_name that these calls carry
+CALLER = "larchgw-system"  # sent as `node_name` in calls
 
 
-@textual
+@string_arguments
 def view(*, at: str | None = None) -> Command:
     """Shows what each control process knows: view, configuration, processes, placer, runners, disk.
 
@@ -32,7 +32,7 @@
     return Command(lambda: asyncio.run(_view(rpc_addresses)))
 
 
-@textual
+@string_arguments
 def runners(*, at: str | None = None) -> Command:
     """Lists the runners with what they hold and what is expected there.
 
@@ -43,7 +43,7 @@
     return Command(lambda: asyncio.run(_first(rpc_addresses, _runners)))
 
 
-@textual
+@string_arguments
 def placement(*, at: str | None = None) -> Command:
     """Shows models with demand and holders, orders under way, and how many loads may begin; asks the placer.
 
@@ -55,7 +55,7 @@
 
 
 async def status_of(address: str, placement: bool = False) -> ControlStatus:
-    """The status of the process at this rpc address. Raises RpcError."""
+    """Fetches the status of the process at this RPC address. Raises RpcError."""
     client = RpcClient(address)
     try:
         status: ControlStatus = await client.call("status", StatusRequest(placement), ANSWER_TIMEOUT_S)
@@ -65,7 +65,7 @@
 
 
 async def entries_of(address: str, prefixes: list[str]) -> list[Entry]:
-    """The registry's entries under these prefixes at the process at this rpc address. Raises RpcError."""
+    """Fetches the registry entries with these prefixes from the process at this address. Raises RpcError."""
     client = RpcClient(address)
     have: dict[str, int] = {}
     entries: dict[str, Entry] = {}
@@ -88,7 +88,7 @@
             answered += 1
             print("\n".join(view_lines(address, reply)))
         elif isinstance(reply, RpcError):
-            print(f"{address}: no answer: {reply}")
+            print(f"{address}: no response: {reply}")
         else:
             raise reply
     return (
@@ -97,7 +97,7 @@
 
 
 async def _first(rpc_addresses: Sequence[str], show: Callable[[str], Awaitable[int]]) -> int:
-    """Shows what the first process that answers tells."""
+    """Runs `show` for the first process that responds."""
     problem = ""
     for address in rpc_addresses:
         try:
@@ -123,7 +123,7 @@
 
 
 def view_lines(address: str, status: ControlStatus) -> list[str]:
-    """One process's status, for reading."""
+    """Formats the status of one process."""
     disk = status.disk
     isolated = ", cut off from the majority" if status.isolated else ""
     lines = [
@@ -161,7 +161,7 @@
 
 
 def runner_lines(entries: Sequence[Entry]) -> list[str]:
-    """A table of the runners in these registry entries, and their number by stage."""
+    """Formats the runners in these registry entries as a table, with their number by stage."""
     records = [RunnerRecord.decode(entry.value) for entry in entries if entry.key.startswith(RUNNER_PREFIX)]
     expected = {
         entry.key.removeprefix(EXPECTED_LOADS_PREFIX): json.loads(entry.value)
@@ -199,7 +199,7 @@
 
 
 def placement_lines(node_name: str, status: PlacementStatus) -> list[str]:
-    """What the placer holds, wants and has ordered."""
+    """Formats the placer's status: models with demand and holders, and pending orders."""
     models = [
         (
             model.service_name,
--- a/larchgw/cli/trial.py
+++ b/larchgw/cli/trial.py
@@ -1,4 +1,4 @@
-"""`larchgw try`: an emulated fleet, one dispatcher and a mixed load, with nothing to configure."""
+"""`larchgw try`: runs an emulated fleet and one dispatcher under mixed load, without configuration."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ..emulator.trial import Outcome, Trial, TrialSpec
 from ..experiments.results import table
-from .command import Command, decimal, file, flag, integer, textual
+from .command import Command, decimal, file, flag, integer, string_arguments
 from .errors import UsageError
 from .system_trial import SystemSizes, system_trial
 
@@ -17,15 +17,15 @@
     from rich.console import Group
 
 
-def _live() -> tuple[AbstractContextManager[Any], Any]:
-    """A table that is drawn anew in place, where there is a terminal."""
+def _open_live_table() -> tuple[AbstractContextManager[Any], Any]:
+    """Returns a live table that is refreshed in place on the terminal, as context manager and as display."""
     from rich.live import Live
 
     live = Live(refresh_per_second=4, transient=True)
     return live, live
 
 
-def _picture(trial: Trial) -> Group:
+def _render_tables(trial: Trial) -> Group:
     from rich.console import Group
     from rich.table import Table
 
@@ -56,7 +56,7 @@
     return Group(jobs, boxes, *trial.events[-3:])
 
 
-def _summary(outcome: Outcome, events: list[str]) -> None:
+def _print_summary(outcome: Outcome, events: list[str]) -> None:
     if outcome.jobs:
         last = max(j.due for j in outcome.jobs if j.tries) if any(j.tries for j in outcome.jobs) else 0.0
         for line in table(outcome.by_class(last)):
@@ -71,7 +71,7 @@
     )
 
 
-@textual
+@string_arguments
 def trial(
     *,
     seconds: str = "20",
@@ -131,25 +131,25 @@
         with_faults,
         file("room", room, exists=True),
     )
-    bare = flag("plain", plain)
-    return Command(lambda: _run(spec, bare))
+    is_plain = flag("plain", plain)
+    return Command(lambda: _run(spec, is_plain))
 
 
 def _run(spec: TrialSpec, plain: bool) -> int:
     live: Any = None
-    around: AbstractContextManager[Any] = nullcontext()
+    display_context: AbstractContextManager[Any] = nullcontext()
     if not plain and sys.stdout.isatty():
-        around, live = _live()
+        display_context, live = _open_live_table()
 
     def show(run: Trial) -> None:
         if live is not None:
-            live.update(_picture(run))
+            live.update(_render_tables(run))
 
     run = Trial(spec, show)
-    with around:
+    with display_context:
         try:
             outcome = asyncio.run(run.run())
         except RuntimeError as error:
             raise UsageError(str(error)) from error
-    _summary(outcome, run.events)
+    _print_summary(outcome, run.events)
     return 1 if outcome.broken or outcome.exit_status else 0
--- a/larchgw/identifiers.py
+++ b/larchgw/identifiers.py
@@ -1,6 +1,6 @@
-"""Types of identifiers that packages exchange, so that a runner's id is never taken for a process's.
+"""Distinct types for identifiers, so that the type checker detects, say, a runner's id used for a member's.
 
-At run time each is the plain value; the wire, the settings and stored data hold it as it is.
+At run time they are plain strings and integers, also on the wire, in settings and in stored data.
 """
 
 from __future__ import annotations
@@ -8,19 +8,19 @@
 from typing import NewType
 
 MemberId = NewType("MemberId", str)
-"""The durable identity of a member of the replicated control state (kept in its data folder)."""
+"""Durable identity of a replica of the control state, stored in its data directory."""
 
 RunnerId = NewType("RunnerId", str)
-"""The id that a runner names in the path of its check-ins."""
+"""Id that a runner sends in the path of its check-ins."""
 
 Origin = NewType("Origin", str)
-"""One incarnation of a process as the source of registry entries; a key of version vectors."""
+"""Identifies one incarnation of a process as the source of registry entries; key of version vectors."""
 
 RpcAddress = NewType("RpcAddress", str)
-"""`host:port` where a control process serves rpc."""
+"""`host:port` at which a control process serves RPC."""
 
 ViewEpoch = NewType("ViewEpoch", int)
-"""Number of a view of the replicated control state; rises with each view."""
+"""Number of a view of the replicated control state; increases with each view."""
 
 FencingToken = NewType("FencingToken", int)
-"""Number of one holding of a lease; a later holder's is higher (`fence` on the wire)."""
+"""Fencing token of a lease; each later holder gets a higher one (`fence` on the wire)."""
--- a/larchgw/roles.py
+++ b/larchgw/roles.py
@@ -1,4 +1,4 @@
-"""Runs the roles of the system, `larchgw edge` and `larchgw control`, without any command line library."""
+"""Starts the roles `larchgw edge` and `larchgw control` without loading a command line library."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def run_role(role: str) -> int:
-    """Runs one of ROLES until it is told to end. Only its own modules are loaded.
+    """Runs one of ROLES until it is stopped. Loads only the modules that the role needs.
 
     Returns:
         The exit status.
